--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile {
 namespace {
--- a/src/brain_state.cpp
+++ b/src/balancer/learned_state.cpp
@@ -1,4 +1,4 @@
-#include "brain_state.h"
+#include "balancer/learned_state.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/brain_state.h
+++ b/src/balancer/learned_state.h
@@ -1,7 +1,7 @@
 // The records that the decision module keeps of endpoints, requests and probe answers, and the
 // check of its settings. No decision stands here: those are all in brain.cpp.
-#ifndef PADDLESTILE_BRAIN_STATE_H_
-#define PADDLESTILE_BRAIN_STATE_H_
+#ifndef PADDLESTILE_BALANCER_LEARNED_STATE_H_
+#define PADDLESTILE_BALANCER_LEARNED_STATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile {
 
@@ -134,4 +134,4 @@
 
 }  // namespace paddlestile
 
-#endif  // PADDLESTILE_BRAIN_STATE_H_
+#endif  // PADDLESTILE_BALANCER_LEARNED_STATE_H_
--- a/src/brain.cpp
+++ b/src/balancer/load_balancer.cpp
@@ -1,6 +1,6 @@
 // Every decision of the balancer; its interface (settings, events, actions) is brain.h. In order:
 // membership, health and capacity, pool and pick, legality gate, attempts, admission, events.
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 #include <algorithm>
 #include <array>
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "brain_state.h"
+#include "balancer/learned_state.h"
 
 namespace paddlestile {
 namespace {
--- a/src/brain.h
+++ b/src/balancer/load_balancer.h
@@ -1,7 +1,7 @@
 // The whole interface of the decision module: settings, events and actions as plain typed
-// structs. Policy and private state live in brain.cpp; wire words live in src/wire.
-#ifndef PADDLESTILE_BRAIN_H_
-#define PADDLESTILE_BRAIN_H_
+// structs. Policy and private state live in load_balancer.cpp; wire words live in src/simulator.
+#ifndef PADDLESTILE_BALANCER_LOAD_BALANCER_H_
+#define PADDLESTILE_BALANCER_LOAD_BALANCER_H_
 
 #include <array>
 #include <chrono>
@@ -283,4 +283,4 @@
 
 }  // namespace paddlestile
 
-#endif  // PADDLESTILE_BRAIN_H_
+#endif  // PADDLESTILE_BALANCER_LOAD_BALANCER_H_
--- a/src/net/log.cpp
+++ b/src/base/log.cpp
@@ -1,4 +1,4 @@
-#include "net/log.h"
+#include "base/log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
--- a/src/net/log.h
+++ b/src/base/log.h
@@ -1,7 +1,7 @@
 // Lines on standard error, through spdlog, at most so many a second: text for people, or one JSON
 // object a line. One thread logs at a time.
-#ifndef PADDLESTILE_NET_LOG_H_
-#define PADDLESTILE_NET_LOG_H_
+#ifndef PADDLESTILE_BASE_LOG_H_
+#define PADDLESTILE_BASE_LOG_H_
 
 #include <fmt/format.h>
 
@@ -31,4 +31,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_LOG_H_
+#endif  // PADDLESTILE_BASE_LOG_H_
--- a/src/net/counters.cpp
+++ b/src/base/metrics.cpp
@@ -1,8 +1,8 @@
-#include "net/counters.h"
+#include "base/metrics.h"
 
 #include <fmt/format.h>
 
-#include "net/log.h"
+#include "base/log.h"
 
 namespace paddlestile::net {
 
--- a/src/net/counters.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 // What the gateway counts of its own work; printed on SIGUSR1 and at exit.
-#ifndef PADDLESTILE_NET_COUNTERS_H_
-#define PADDLESTILE_NET_COUNTERS_H_
+#ifndef PADDLESTILE_BASE_METRICS_H_
+#define PADDLESTILE_BASE_METRICS_H_
 
 #include <cstdint>
 #include <string>
@@ -89,4 +89,4 @@
 #define PADDLESTILE_CHECK(condition) (assert(condition), true)
 #endif
 
-#endif  // PADDLESTILE_NET_COUNTERS_H_
+#endif  // PADDLESTILE_BASE_METRICS_H_
--- a/src/net/bank_commands.cpp
+++ b/src/cli/cluster_commands.cpp
@@ -1,4 +1,4 @@
-#include "net/bank_commands.h"
+#include "cli/cluster_commands.h"
 
 #include <fmt/chrono.h>
 #include <fmt/format.h>
@@ -21,13 +21,13 @@
 #include <utility>
 #include <vector>
 
-#include "bank/codec.h"
-#include "bank/delta.h"
-#include "net/bank_config.h"
-#include "net/buffer.h"
-#include "net/membership.h"
-#include "peer/frames.h"
-#include "peer/links.h"
+#include "cluster/codec.h"
+#include "cluster/delta.h"
+#include "config/operator_config.h"
+#include "event/buffer.h"
+#include "gateway/cluster_agent.h"
+#include "peer/framing.h"
+#include "peer/peer_connections.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/bank_commands.h
+++ b/src/cli/cluster_commands.h
@@ -1,12 +1,12 @@
 // `paddlestile bank`: an operator's calls to the members of a bank.
-#ifndef PADDLESTILE_NET_BANK_COMMANDS_H_
-#define PADDLESTILE_NET_BANK_COMMANDS_H_
+#ifndef PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
+#define PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
 
 #include <functional>
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "net/config.h"
+#include "config/gateway_config.h"
 
 namespace CLI {
 class App;
@@ -26,4 +26,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_BANK_COMMANDS_H_
+#endif  // PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
--- a/src/lab/commands.cpp
+++ b/src/cli/lab_commands.cpp
@@ -1,4 +1,4 @@
-#include "lab/commands.h"
+#include "cli/lab_commands.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -16,17 +16,17 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "lab/bank_world.h"
 #include "lab/bench.h"
 #include "lab/capacity.h"
+#include "lab/cluster_simulation.h"
 #include "lab/experiment.h"
 #include "lab/fleet_report.h"
-#include "lab/hollow.h"
 #include "lab/one_gateway.h"
 #include "lab/report.h"
 #include "lab/result.h"
 #include "lab/runner.h"
 #include "lab/scale.h"
+#include "lab/simulated_member.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/commands.h
+++ b/src/cli/lab_commands.h
@@ -1,6 +1,6 @@
 // `paddlestile lab ...`: the lab's part of the command line.
-#ifndef PADDLESTILE_LAB_COMMANDS_H_
-#define PADDLESTILE_LAB_COMMANDS_H_
+#ifndef PADDLESTILE_CLI_LAB_COMMANDS_H_
+#define PADDLESTILE_CLI_LAB_COMMANDS_H_
 
 #include <functional>
 #include <string>
@@ -22,4 +22,4 @@
 
 }  // namespace paddlestile::lab
 
-#endif  // PADDLESTILE_LAB_COMMANDS_H_
+#endif  // PADDLESTILE_CLI_LAB_COMMANDS_H_
--- a/src/main.cpp
+++ b/src/cli/main.cpp
@@ -14,14 +14,14 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
-#include "lab/commands.h"
-#include "net/bank_commands.h"
-#include "net/bank_config.h"
-#include "net/config.h"
-#include "net/log.h"
-#include "net/migrate.h"
-#include "net/serve.h"
+#include "balancer/load_balancer.h"
+#include "base/log.h"
+#include "cli/cluster_commands.h"
+#include "cli/lab_commands.h"
+#include "config/gateway_config.h"
+#include "config/migration.h"
+#include "config/operator_config.h"
+#include "gateway/serve.h"
 
 namespace paddlestile {
 namespace {
--- a/src/bank/member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -1,10 +1,10 @@
-#include "bank/member.h"
+#include "cluster/cluster_member.h"
 
 #include <algorithm>
 #include <array>
 #include <stdexcept>
 
-#include "bank/delta.h"
+#include "cluster/delta.h"
 
 namespace paddlestile::bank {
 namespace {
--- a/src/bank/member.h
+++ b/src/cluster/cluster_member.h
@@ -1,7 +1,7 @@
 // One gateway's part in the bank: the agreed log, the versions that it makes, and what this gateway
 // may act on now. No I/O, clock, thread or global.
-#ifndef PADDLESTILE_BANK_MEMBER_H_
-#define PADDLESTILE_BANK_MEMBER_H_
+#ifndef PADDLESTILE_CLUSTER_CLUSTER_MEMBER_H_
+#define PADDLESTILE_CLUSTER_CLUSTER_MEMBER_H_
 
 #include <cstdint>
 #include <map>
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "bank/agreement.h"
-#include "bank/content.h"
-#include "bank/history.h"
+#include "cluster/version_content.h"
+#include "cluster/version_history.h"
+#include "raft/raft_node.h"
 
 namespace paddlestile::bank {
 
@@ -140,4 +140,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_MEMBER_H_
+#endif  // PADDLESTILE_CLUSTER_CLUSTER_MEMBER_H_
--- a/src/bank/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -1,4 +1,4 @@
-#include "bank/codec.h"
+#include "cluster/codec.h"
 
 #include <stdexcept>
 #include <string>
--- a/src/bank/codec.h
+++ b/src/cluster/codec.h
@@ -1,13 +1,13 @@
 // What goes between members and onto disks, as JSON values (CBOR on the way). Reading gives nothing
 // where a value makes no sense: it comes from others.
-#ifndef PADDLESTILE_BANK_CODEC_H_
-#define PADDLESTILE_BANK_CODEC_H_
+#ifndef PADDLESTILE_CLUSTER_CODEC_H_
+#define PADDLESTILE_CLUSTER_CODEC_H_
 
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "bank/agreement.h"
-#include "bank/member.h"
+#include "cluster/cluster_member.h"
+#include "raft/raft_node.h"
 
 namespace paddlestile::bank {
 
@@ -27,4 +27,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_CODEC_H_
+#endif  // PADDLESTILE_CLUSTER_CODEC_H_
--- a/src/bank/rules.cpp
+++ b/src/cluster/config_document.cpp
@@ -1,4 +1,4 @@
-#include "bank/rules.h"
+#include "cluster/config_document.h"
 
 #include <xxhash.h>
 
--- a/src/bank/rules.h
+++ b/src/cluster/config_document.h
@@ -1,7 +1,7 @@
 // What the bank agrees on: a patch of the platform's settings and lists of hosts, one whole version
 // at a time. No I/O. What contradicts what is told in bank/content.h and docs/bank.md.
-#ifndef PADDLESTILE_BANK_RULES_H_
-#define PADDLESTILE_BANK_RULES_H_
+#ifndef PADDLESTILE_CLUSTER_CONFIG_DOCUMENT_H_
+#define PADDLESTILE_CLUSTER_CONFIG_DOCUMENT_H_
 
 #include <array>
 #include <cstddef>
@@ -57,4 +57,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_RULES_H_
+#endif  // PADDLESTILE_CLUSTER_CONFIG_DOCUMENT_H_
--- a/src/bank/delta.cpp
+++ b/src/cluster/delta.cpp
@@ -1,4 +1,4 @@
-#include "bank/delta.h"
+#include "cluster/delta.h"
 
 #include <algorithm>
 #include <array>
--- a/src/bank/delta.h
+++ b/src/cluster/delta.h
@@ -1,14 +1,14 @@
 // A change by its own size: what a delta adds to a version and takes from it, by keyed parts. No
 // I/O. What it looks like and what it cannot say stands in docs/bank.md.
-#ifndef PADDLESTILE_BANK_DELTA_H_
-#define PADDLESTILE_BANK_DELTA_H_
+#ifndef PADDLESTILE_CLUSTER_DELTA_H_
+#define PADDLESTILE_CLUSTER_DELTA_H_
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "bank/content.h"
+#include "cluster/version_content.h"
 
 namespace paddlestile::bank {
 
@@ -29,4 +29,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_DELTA_H_
+#endif  // PADDLESTILE_CLUSTER_DELTA_H_
--- a/src/bank/parts.cpp
+++ b/src/cluster/persistent_map.cpp
@@ -1,4 +1,4 @@
-#include "bank/parts.h"
+#include "cluster/persistent_map.h"
 
 #include <xxhash.h>
 
--- a/src/bank/parts.h
+++ b/src/cluster/persistent_map.h
@@ -6,8 +6,8 @@
 // 1989) under one root, as 2,000 chunks of 128 hold what the size to plan for needs. The hash is
 // the sum of the parts' hashes (Bellare and Micciancio 1997, AdHash), so that a change costs its
 // own parts and not a look through all; it tells accidents, not forgers.
-#ifndef PADDLESTILE_BANK_PARTS_H_
-#define PADDLESTILE_BANK_PARTS_H_
+#ifndef PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
+#define PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -125,4 +125,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_PARTS_H_
+#endif  // PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
--- a/src/bank/content.cpp
+++ b/src/cluster/version_content.cpp
@@ -1,4 +1,4 @@
-#include "bank/content.h"
+#include "cluster/version_content.h"
 
 #include <xxhash.h>
 
--- a/src/bank/content.h
+++ b/src/cluster/version_content.h
@@ -1,16 +1,16 @@
 // A version's content by keyed parts, as history and gateways hold it: a copy shares what it has in
 // common with its origin, a change costs what it changes, and two versions that came of one another
 // are held against each other by what differs. No I/O.
-#ifndef PADDLESTILE_BANK_CONTENT_H_
-#define PADDLESTILE_BANK_CONTENT_H_
+#ifndef PADDLESTILE_CLUSTER_VERSION_CONTENT_H_
+#define PADDLESTILE_CLUSTER_VERSION_CONTENT_H_
 
 #include <cstddef>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "bank/parts.h"
-#include "bank/rules.h"
+#include "cluster/config_document.h"
+#include "cluster/persistent_map.h"
 
 namespace paddlestile::bank {
 
@@ -55,4 +55,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_CONTENT_H_
+#endif  // PADDLESTILE_CLUSTER_VERSION_CONTENT_H_
--- a/src/bank/history.cpp
+++ b/src/cluster/version_history.cpp
@@ -1,10 +1,10 @@
-#include "bank/history.h"
+#include "cluster/version_history.h"
 
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
 
-#include "bank/delta.h"
+#include "cluster/delta.h"
 
 namespace paddlestile::bank {
 namespace {
--- a/src/bank/history.h
+++ b/src/cluster/version_history.h
@@ -1,7 +1,7 @@
 // The versions that the log's entries make, the same at every member that has applied the same
 // entries. No I/O.
-#ifndef PADDLESTILE_BANK_HISTORY_H_
-#define PADDLESTILE_BANK_HISTORY_H_
+#ifndef PADDLESTILE_CLUSTER_VERSION_HISTORY_H_
+#define PADDLESTILE_CLUSTER_VERSION_HISTORY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "bank/agreement.h"
-#include "bank/content.h"
+#include "cluster/version_content.h"
+#include "raft/raft_node.h"
 
 namespace paddlestile::bank {
 
@@ -120,4 +120,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_HISTORY_H_
+#endif  // PADDLESTILE_CLUSTER_VERSION_HISTORY_H_
--- a/src/net/config.cpp
+++ b/src/config/gateway_config.cpp
@@ -1,4 +1,4 @@
-#include "net/config.h"
+#include "config/gateway_config.h"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -10,9 +10,9 @@
 #include <iterator>
 #include <utility>
 
-#include "brain_state.h"
-#include "net/http.h"
-#include "wire/wire.h"
+#include "balancer/learned_state.h"
+#include "http/http_parser.h"
+#include "simulator/protocol.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/config.h
+++ b/src/config/gateway_config.h
@@ -1,6 +1,6 @@
 // What a gateway is told at its start: the LB_* variables and the file that LB_CONFIG names.
-#ifndef PADDLESTILE_NET_CONFIG_H_
-#define PADDLESTILE_NET_CONFIG_H_
+#ifndef PADDLESTILE_CONFIG_GATEWAY_CONFIG_H_
+#define PADDLESTILE_CONFIG_GATEWAY_CONFIG_H_
 
 #include <cstdint>
 #include <functional>
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "bank/content.h"
-#include "brain.h"
-#include "net/json.h"
+#include "balancer/load_balancer.h"
+#include "cluster/version_content.h"
+#include "config/json.h"
 
 namespace paddlestile::net {
 
@@ -163,4 +163,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_CONFIG_H_
+#endif  // PADDLESTILE_CONFIG_GATEWAY_CONFIG_H_
--- a/src/net/json.h
+++ b/src/config/json.h
@@ -1,6 +1,6 @@
 // JSON values, read a piece at a time if need be, with limits on depth and size.
-#ifndef PADDLESTILE_NET_JSON_H_
-#define PADDLESTILE_NET_JSON_H_
+#ifndef PADDLESTILE_CONFIG_JSON_H_
+#define PADDLESTILE_CONFIG_JSON_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -104,4 +104,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_JSON_H_
+#endif  // PADDLESTILE_CONFIG_JSON_H_
--- a/src/net/migrate.cpp
+++ b/src/config/migration.cpp
@@ -1,4 +1,4 @@
-#include "net/migrate.h"
+#include "config/migration.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,8 +14,8 @@
 #include <set>
 #include <string_view>
 
-#include "net/config.h"
-#include "wire/wire.h"
+#include "config/gateway_config.h"
+#include "simulator/protocol.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/migrate.h
+++ b/src/config/migration.h
@@ -1,7 +1,7 @@
 // From a bank of proxies to a gateway beside every client process: an operator's configuration file
 // of the old shape becomes its counterpart for the new one. Nothing is dropped in silence.
-#ifndef PADDLESTILE_NET_MIGRATE_H_
-#define PADDLESTILE_NET_MIGRATE_H_
+#ifndef PADDLESTILE_CONFIG_MIGRATION_H_
+#define PADDLESTILE_CONFIG_MIGRATION_H_
 
 #include <cstddef>
 #include <string>
@@ -30,4 +30,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_MIGRATE_H_
+#endif  // PADDLESTILE_CONFIG_MIGRATION_H_
--- a/src/net/bank_config.cpp
+++ b/src/config/operator_config.cpp
@@ -1,4 +1,4 @@
-#include "net/bank_config.h"
+#include "config/operator_config.h"
 
 #include <fmt/format.h>
 
--- a/src/net/bank_config.h
+++ b/src/config/operator_config.h
@@ -1,14 +1,14 @@
 // The operator's file: `[bank]` and its members. Off where there is none.
-#ifndef PADDLESTILE_NET_BANK_CONFIG_H_
-#define PADDLESTILE_NET_BANK_CONFIG_H_
+#ifndef PADDLESTILE_CONFIG_OPERATOR_CONFIG_H_
+#define PADDLESTILE_CONFIG_OPERATOR_CONFIG_H_
 
 #include <map>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "bank/agreement.h"
-#include "net/config.h"
+#include "config/gateway_config.h"
+#include "raft/raft_node.h"
 
 namespace paddlestile::net {
 
@@ -49,4 +49,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_BANK_CONFIG_H_
+#endif  // PADDLESTILE_CONFIG_OPERATOR_CONFIG_H_
--- a/src/net/list.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/list.h"
+#include "discovery/discovery_client.h"
 
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -6,8 +6,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "net/counters.h"
-#include "net/log.h"
+#include "base/log.h"
+#include "base/metrics.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/list.h
+++ b/src/discovery/discovery_client.h
@@ -1,16 +1,16 @@
 // Discovery: the whole list, the watch, and connecting again.
-#ifndef PADDLESTILE_NET_LIST_H_
-#define PADDLESTILE_NET_LIST_H_
+#ifndef PADDLESTILE_DISCOVERY_DISCOVERY_CLIENT_H_
+#define PADDLESTILE_DISCOVERY_DISCOVERY_CLIENT_H_
 
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/http.h"
-#include "net/json.h"
-#include "net/stream.h"
+#include "config/gateway_config.h"
+#include "config/json.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
 
 namespace paddlestile::net {
 
@@ -102,4 +102,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_LIST_H_
+#endif  // PADDLESTILE_DISCOVERY_DISCOVERY_CLIENT_H_
--- a/src/net/buffer.cpp
+++ b/src/event/buffer.cpp
@@ -1,10 +1,10 @@
-#include "net/buffer.h"
+#include "event/buffer.h"
 
 #include <algorithm>
 #include <cstring>
 #include <utility>
 
-#include "net/counters.h"
+#include "base/metrics.h"
 
 namespace paddlestile::net {
 
--- a/src/net/buffer.h
+++ b/src/event/buffer.h
@@ -1,7 +1,7 @@
 // A growing buffer that bytes are read into, and slices of it. A message is looked at where it was
 // read; a whole buffer changes hands rather than its bytes.
-#ifndef PADDLESTILE_NET_BUFFER_H_
-#define PADDLESTILE_NET_BUFFER_H_
+#ifndef PADDLESTILE_EVENT_BUFFER_H_
+#define PADDLESTILE_EVENT_BUFFER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -58,4 +58,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_BUFFER_H_
+#endif  // PADDLESTILE_EVENT_BUFFER_H_
--- a/src/net/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/event_loop.h"
+#include "event/event_loop.h"
 
 #include <sys/epoll.h>
 #include <unistd.h>
@@ -10,7 +10,7 @@
 #include <cmath>
 #include <system_error>
 
-#include "net/counters.h"
+#include "base/metrics.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/event_loop.h
+++ b/src/event/event_loop.h
@@ -1,7 +1,7 @@
 // One thread's events: sockets by plain edge-triggered epoll, timers by the monotonic clock, and
 // work put off until the present handler has returned.
-#ifndef PADDLESTILE_NET_EVENT_LOOP_H_
-#define PADDLESTILE_NET_EVENT_LOOP_H_
+#ifndef PADDLESTILE_EVENT_EVENT_LOOP_H_
+#define PADDLESTILE_EVENT_EVENT_LOOP_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::net {
 
@@ -118,4 +118,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_EVENT_LOOP_H_
+#endif  // PADDLESTILE_EVENT_EVENT_LOOP_H_
--- a/src/net/stream.cpp
+++ b/src/event/stream.cpp
@@ -1,4 +1,4 @@
-#include "net/stream.h"
+#include "event/stream.h"
 
 #include <arpa/inet.h>
 #include <linux/filter.h>
@@ -13,7 +13,7 @@
 #include <cerrno>
 #include <utility>
 
-#include "net/counters.h"
+#include "base/metrics.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/stream.h
+++ b/src/event/stream.h
@@ -1,6 +1,6 @@
 // One TCP connection on the loop, read and written to EAGAIN; and the budget of descriptors.
-#ifndef PADDLESTILE_NET_STREAM_H_
-#define PADDLESTILE_NET_STREAM_H_
+#ifndef PADDLESTILE_EVENT_STREAM_H_
+#define PADDLESTILE_EVENT_STREAM_H_
 
 #include <cstdint>
 #include <deque>
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <utility>
 
-#include "net/buffer.h"
-#include "net/config.h"
-#include "net/event_loop.h"
+#include "config/gateway_config.h"
+#include "event/buffer.h"
+#include "event/event_loop.h"
 
 namespace paddlestile::net {
 
@@ -160,4 +160,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_STREAM_H_
+#endif  // PADDLESTILE_EVENT_STREAM_H_
--- a/src/net/admin.cpp
+++ b/src/gateway/admin.cpp
@@ -1,4 +1,4 @@
-#include "net/admin.h"
+#include "gateway/admin.h"
 
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -9,11 +9,11 @@
 #include <system_error>
 #include <utility>
 
-#include "net/clients.h"
-#include "net/counters.h"
-#include "net/http.h"
-#include "net/log.h"
-#include "net/stream.h"
+#include "base/log.h"
+#include "base/metrics.h"
+#include "event/stream.h"
+#include "gateway/downstream.h"
+#include "http/http_parser.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/admin.h
+++ b/src/gateway/admin.h
@@ -4,17 +4,17 @@
 //   POST /admin/resume   takes clients again; 409 where another process has taken over, or at the
 //   end
 // Any other path is 404, any other method 405, what cannot be read 4xx.
-#ifndef PADDLESTILE_NET_ADMIN_H_
-#define PADDLESTILE_NET_ADMIN_H_
+#ifndef PADDLESTILE_GATEWAY_ADMIN_H_
+#define PADDLESTILE_GATEWAY_ADMIN_H_
 
 #include <list>
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/life.h"
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
+#include "gateway/lifecycle.h"
 
 namespace paddlestile::net {
 
@@ -52,4 +52,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_ADMIN_H_
+#endif  // PADDLESTILE_GATEWAY_ADMIN_H_
--- a/src/net/membership.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -1,4 +1,4 @@
-#include "net/membership.h"
+#include "gateway/cluster_agent.h"
 
 #include <fmt/format.h>
 #include <sys/eventfd.h>
@@ -12,11 +12,11 @@
 #include <thread>
 #include <utility>
 
-#include "bank/codec.h"
-#include "bank/delta.h"
-#include "net/log.h"
-#include "store/controlled_files.h"
-#include "store/log.h"
+#include "base/log.h"
+#include "cluster/codec.h"
+#include "cluster/delta.h"
+#include "storage/controlled_files.h"
+#include "storage/write_ahead_log.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/membership.h
+++ b/src/gateway/cluster_agent.h
@@ -1,8 +1,8 @@
 // A gateway's side of the bank: the disk, the clock and the links that its decider (bank::Member)
 // knows nothing of, and the rules that it gives to the gateway. The disk has a thread of its own:
 // one that stands still holds no request.
-#ifndef PADDLESTILE_NET_MEMBERSHIP_H_
-#define PADDLESTILE_NET_MEMBERSHIP_H_
+#ifndef PADDLESTILE_GATEWAY_CLUSTER_AGENT_H_
+#define PADDLESTILE_GATEWAY_CLUSTER_AGENT_H_
 
 #include <cstdint>
 #include <map>
@@ -12,14 +12,14 @@
 #include <string>
 #include <vector>
 
-#include "bank/member.h"
-#include "net/bank_config.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/gateway.h"
-#include "net/life.h"
-#include "peer/links.h"
-#include "store/files.h"
+#include "cluster/cluster_member.h"
+#include "config/gateway_config.h"
+#include "config/operator_config.h"
+#include "event/event_loop.h"
+#include "gateway/gateway.h"
+#include "gateway/lifecycle.h"
+#include "peer/peer_connections.h"
+#include "storage/files.h"
 
 namespace paddlestile::net {
 
@@ -117,4 +117,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_MEMBERSHIP_H_
+#endif  // PADDLESTILE_GATEWAY_CLUSTER_AGENT_H_
--- a/src/net/clients.cpp
+++ b/src/gateway/downstream.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.h"
+#include "gateway/downstream.h"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -14,8 +14,8 @@
 #include <system_error>
 #include <utility>
 
-#include "net/counters.h"
-#include "net/log.h"
+#include "base/log.h"
+#include "base/metrics.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/clients.h
+++ b/src/gateway/downstream.h
@@ -1,6 +1,6 @@
 // The side towards the clients: the listener, their connections, and the answers on them.
-#ifndef PADDLESTILE_NET_CLIENTS_H_
-#define PADDLESTILE_NET_CLIENTS_H_
+#ifndef PADDLESTILE_GATEWAY_DOWNSTREAM_H_
+#define PADDLESTILE_GATEWAY_DOWNSTREAM_H_
 
 #include <functional>
 #include <list>
@@ -8,13 +8,13 @@
 #include <string>
 #include <string_view>
 
-#include "brain.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/exchange.h"
-#include "net/http.h"
-#include "net/life.h"
-#include "net/stream.h"
+#include "balancer/load_balancer.h"
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "gateway/lifecycle.h"
+#include "http/http_parser.h"
+#include "http/proxied_request.h"
 
 namespace paddlestile::net {
 
@@ -108,4 +108,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_CLIENTS_H_
+#endif  // PADDLESTILE_GATEWAY_DOWNSTREAM_H_
--- a/src/net/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,4 +1,4 @@
-#include "net/gateway.h"
+#include "gateway/gateway.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -11,10 +11,10 @@
 #include <utility>
 #include <variant>
 
-#include "brain_state.h"
-#include "net/counters.h"
-#include "net/knowledge.h"
-#include "net/log.h"
+#include "balancer/learned_state.h"
+#include "base/log.h"
+#include "base/metrics.h"
+#include "gateway/learned_state_codec.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,7 @@
 // Drives the module: what happens on sockets becomes its events, one after another, and its
 // actions are carried out. Nothing is decided here.
-#ifndef PADDLESTILE_NET_GATEWAY_H_
-#define PADDLESTILE_NET_GATEWAY_H_
+#ifndef PADDLESTILE_GATEWAY_GATEWAY_H_
+#define PADDLESTILE_GATEWAY_GATEWAY_H_
 
 #include <chrono>
 #include <deque>
@@ -15,15 +15,15 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
-#include "net/clients.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/exchange.h"
-#include "net/life.h"
-#include "net/list.h"
-#include "net/servers.h"
-#include "net/stream.h"
+#include "balancer/load_balancer.h"
+#include "config/gateway_config.h"
+#include "discovery/discovery_client.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "gateway/downstream.h"
+#include "gateway/lifecycle.h"
+#include "gateway/upstream.h"
+#include "http/proxied_request.h"
 
 namespace paddlestile::net {
 
@@ -145,4 +145,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_GATEWAY_H_
+#endif  // PADDLESTILE_GATEWAY_GATEWAY_H_
--- a/src/net/handover.cpp
+++ b/src/gateway/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "net/handover.h"
+#include "gateway/hot_restart.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -15,10 +15,10 @@
 #include <string_view>
 #include <utility>
 
-#include "net/counters.h"
-#include "net/http.h"
-#include "net/knowledge.h"
-#include "net/log.h"
+#include "base/log.h"
+#include "base/metrics.h"
+#include "gateway/learned_state_codec.h"
+#include "http/http_parser.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/handover.h
+++ b/src/gateway/hot_restart.h
@@ -9,19 +9,19 @@
 // `holds` is how many descriptors the old one keeps of the two's one budget; it is gone when its
 // end closes. The old one stops to accept at `ready`, and takes up again where the new one
 // vanishes.
-#ifndef PADDLESTILE_NET_HANDOVER_H_
-#define PADDLESTILE_NET_HANDOVER_H_
+#ifndef PADDLESTILE_GATEWAY_HOT_RESTART_H_
+#define PADDLESTILE_GATEWAY_HOT_RESTART_H_
 
 #include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "net/clients.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/life.h"
-#include "net/stream.h"
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "gateway/downstream.h"
+#include "gateway/lifecycle.h"
 
 namespace paddlestile::net {
 
@@ -86,4 +86,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_HANDOVER_H_
+#endif  // PADDLESTILE_GATEWAY_HOT_RESTART_H_
--- a/src/net/knowledge.cpp
+++ b/src/gateway/learned_state_codec.cpp
@@ -1,4 +1,4 @@
-#include "net/knowledge.h"
+#include "gateway/learned_state_codec.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/net/knowledge.h
+++ b/src/gateway/learned_state_codec.h
@@ -1,15 +1,15 @@
 // What a module has learned, as a text that one process hands another: JSON, by names and ids,
 // times as ages. What was handed by a process of another version, or broken on the way, is told as
 // that.
-#ifndef PADDLESTILE_NET_KNOWLEDGE_H_
-#define PADDLESTILE_NET_KNOWLEDGE_H_
+#ifndef PADDLESTILE_GATEWAY_LEARNED_STATE_CODEC_H_
+#define PADDLESTILE_GATEWAY_LEARNED_STATE_CODEC_H_
 
 #include <cstddef>
 #include <optional>
 #include <string>
 
-#include "brain_state.h"
-#include "net/config.h"
+#include "balancer/learned_state.h"
+#include "config/gateway_config.h"
 
 namespace paddlestile::net {
 
@@ -23,4 +23,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_KNOWLEDGE_H_
+#endif  // PADDLESTILE_GATEWAY_LEARNED_STATE_CODEC_H_
--- a/src/net/life.h
+++ b/src/gateway/lifecycle.h
@@ -1,7 +1,7 @@
 // The one life of a gateway: told by `serve` and `admin`, read by `clients`. What the health calls
 // say derives from it and from nothing else.
-#ifndef PADDLESTILE_NET_LIFE_H_
-#define PADDLESTILE_NET_LIFE_H_
+#ifndef PADDLESTILE_GATEWAY_LIFECYCLE_H_
+#define PADDLESTILE_GATEWAY_LIFECYCLE_H_
 
 #include <functional>
 #include <utility>
@@ -75,4 +75,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_LIFE_H_
+#endif  // PADDLESTILE_GATEWAY_LIFECYCLE_H_
--- a/src/net/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -1,4 +1,4 @@
-#include "net/serve.h"
+#include "gateway/serve.h"
 
 #include <sys/resource.h>
 #include <sys/signalfd.h>
@@ -14,16 +14,16 @@
 #include <string>
 #include <utility>
 
-#include "net/admin.h"
-#include "net/bank_config.h"
-#include "net/config.h"
-#include "net/counters.h"
-#include "net/event_loop.h"
-#include "net/gateway.h"
-#include "net/handover.h"
-#include "net/life.h"
-#include "net/log.h"
-#include "net/membership.h"
+#include "base/log.h"
+#include "base/metrics.h"
+#include "config/gateway_config.h"
+#include "config/operator_config.h"
+#include "event/event_loop.h"
+#include "gateway/admin.h"
+#include "gateway/cluster_agent.h"
+#include "gateway/gateway.h"
+#include "gateway/hot_restart.h"
+#include "gateway/lifecycle.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/serve.h
+++ b/src/gateway/serve.h
@@ -1,12 +1,12 @@
 // One gateway as a program: reads what it is told, serves, and leaves in good order on SIGTERM.
-#ifndef PADDLESTILE_NET_SERVE_H_
-#define PADDLESTILE_NET_SERVE_H_
+#ifndef PADDLESTILE_GATEWAY_SERVE_H_
+#define PADDLESTILE_GATEWAY_SERVE_H_
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::net {
 
@@ -34,4 +34,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_SERVE_H_
+#endif  // PADDLESTILE_GATEWAY_SERVE_H_
--- a/src/net/servers.cpp
+++ b/src/gateway/upstream.cpp
@@ -1,4 +1,4 @@
-#include "net/servers.h"
+#include "gateway/upstream.h"
 
 #include <fmt/format.h>
 
@@ -9,8 +9,8 @@
 #include <cmath>
 #include <utility>
 
-#include "net/counters.h"
-#include "net/log.h"
+#include "base/log.h"
+#include "base/metrics.h"
 
 namespace paddlestile::net {
 namespace {
--- a/src/net/servers.h
+++ b/src/gateway/upstream.h
@@ -1,6 +1,6 @@
 // The side towards the hosts: their connections, the attempts and probes on them, load reports.
-#ifndef PADDLESTILE_NET_SERVERS_H_
-#define PADDLESTILE_NET_SERVERS_H_
+#ifndef PADDLESTILE_GATEWAY_UPSTREAM_H_
+#define PADDLESTILE_GATEWAY_UPSTREAM_H_
 
 #include <array>
 #include <cstdint>
@@ -12,12 +12,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brain.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/exchange.h"
-#include "net/http.h"
-#include "net/stream.h"
+#include "balancer/load_balancer.h"
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
+#include "http/proxied_request.h"
 
 namespace paddlestile::net {
 
@@ -142,4 +142,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_SERVERS_H_
+#endif  // PADDLESTILE_GATEWAY_UPSTREAM_H_
--- a/src/net/http.cpp
+++ b/src/http/http_parser.cpp
@@ -1,4 +1,4 @@
-#include "net/http.h"
+#include "http/http_parser.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/net/http.h
+++ b/src/http/http_parser.h
@@ -1,6 +1,6 @@
 // HTTP/1.1 messages, parsed a byte at a time if need be, as places in the buffer they lie in.
-#ifndef PADDLESTILE_NET_HTTP_H_
-#define PADDLESTILE_NET_HTTP_H_
+#ifndef PADDLESTILE_HTTP_HTTP_PARSER_H_
+#define PADDLESTILE_HTTP_HTTP_PARSER_H_
 
 #include <cstddef>
 #include <optional>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/buffer.h"
+#include "event/buffer.h"
 
 namespace paddlestile::net {
 
@@ -117,4 +117,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_HTTP_H_
+#endif  // PADDLESTILE_HTTP_HTTP_PARSER_H_
--- a/src/net/exchange.h
+++ b/src/http/proxied_request.h
@@ -1,7 +1,7 @@
 // The one thing that the client side and the server side share: a request, its attempts and its
 // one answer.
-#ifndef PADDLESTILE_NET_EXCHANGE_H_
-#define PADDLESTILE_NET_EXCHANGE_H_
+#ifndef PADDLESTILE_HTTP_PROXIED_REQUEST_H_
+#define PADDLESTILE_HTTP_PROXIED_REQUEST_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <utility>
 
-#include "brain.h"
-#include "net/body.h"
-#include "net/buffer.h"
-#include "net/http.h"
+#include "balancer/load_balancer.h"
+#include "event/buffer.h"
+#include "http/http_parser.h"
+#include "http/streaming_body.h"
 
 namespace paddlestile::net {
 
@@ -106,4 +106,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_EXCHANGE_H_
+#endif  // PADDLESTILE_HTTP_PROXIED_REQUEST_H_
--- a/src/net/body.cpp
+++ b/src/http/streaming_body.cpp
@@ -1,4 +1,4 @@
-#include "net/body.h"
+#include "http/streaming_body.h"
 
 #include <fmt/format.h>
 
--- a/src/net/body.h
+++ b/src/http/streaming_body.h
@@ -1,8 +1,8 @@
 // A message's body that passes on as it comes, from the connection that it is read from to the one
 // that it is written to. The writing side pulls: what it has no room for stays unread, and stops
 // the far end by TCP's own means.
-#ifndef PADDLESTILE_NET_BODY_H_
-#define PADDLESTILE_NET_BODY_H_
+#ifndef PADDLESTILE_HTTP_STREAMING_BODY_H_
+#define PADDLESTILE_HTTP_STREAMING_BODY_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,9 +10,9 @@
 #include <optional>
 #include <utility>
 
-#include "net/buffer.h"
-#include "net/http.h"
-#include "net/stream.h"
+#include "event/buffer.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
 
 namespace paddlestile::net {
 
@@ -93,4 +93,4 @@
 
 }  // namespace paddlestile::net
 
-#endif  // PADDLESTILE_NET_BODY_H_
+#endif  // PADDLESTILE_HTTP_STREAMING_BODY_H_
--- a/src/lab/bank_lab.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/bank_lab.h"
+#include "lab/cluster_experiment.h"
 
 #include <fmt/format.h>
 
@@ -9,14 +9,14 @@
 #include <functional>
 #include <optional>
 
-#include "bank/codec.h"
+#include "cli/cluster_commands.h"
+#include "cluster/codec.h"
+#include "config/operator_config.h"
+#include "event/stream.h"
+#include "gateway/cluster_agent.h"
 #include "lab/listener.h"
-#include "net/bank_commands.h"
-#include "net/bank_config.h"
-#include "net/membership.h"
-#include "net/stream.h"
-#include "peer/frames.h"
-#include "peer/links.h"
+#include "peer/framing.h"
+#include "peer/peer_connections.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/bank_lab.h
+++ b/src/lab/cluster_experiment.h
@@ -1,7 +1,7 @@
 // The bank of an experiment: its files, the relays between its gateways, the faults on them, the
 // changes that are submitted throughout, and what the judge is told.
-#ifndef PADDLESTILE_LAB_BANK_LAB_H_
-#define PADDLESTILE_LAB_BANK_LAB_H_
+#ifndef PADDLESTILE_LAB_CLUSTER_EXPERIMENT_H_
+#define PADDLESTILE_LAB_CLUSTER_EXPERIMENT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -17,15 +17,15 @@
 #include <utility>
 #include <vector>
 
-#include "lab/bank_judge.h"
-#include "lab/bar_plan.h"
+#include "event/event_loop.h"
+#include "lab/cluster_invariants.h"
+#include "lab/exclusion_plan.h"
 #include "lab/experiment.h"
 #include "lab/fleet.h"
 #include "lab/ledger.h"
 #include "lab/process.h"
 #include "lab/relay.h"
 #include "lab/scale_figures.h"
-#include "net/event_loop.h"
 
 namespace paddlestile::lab {
 
@@ -158,4 +158,4 @@
 
 }  // namespace paddlestile::lab
 
-#endif  // PADDLESTILE_LAB_BANK_LAB_H_
+#endif  // PADDLESTILE_LAB_CLUSTER_EXPERIMENT_H_
--- a/src/lab/bank_judge.cpp
+++ b/src/lab/cluster_invariants.cpp
@@ -1,4 +1,4 @@
-#include "lab/bank_judge.h"
+#include "lab/cluster_invariants.h"
 
 #include <fmt/format.h>
 
--- a/src/lab/bank_judge.h
+++ b/src/lab/cluster_invariants.h
@@ -1,7 +1,7 @@
 // The judge of a bank's history, from outside: what submitters were told, and what hosts received.
 // No I/O; nothing that a gateway says of itself is taken for true. All times are the experiment's.
-#ifndef PADDLESTILE_LAB_BANK_JUDGE_H_
-#define PADDLESTILE_LAB_BANK_JUDGE_H_
+#ifndef PADDLESTILE_LAB_CLUSTER_INVARIANTS_H_
+#define PADDLESTILE_LAB_CLUSTER_INVARIANTS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::lab {
 
@@ -74,4 +74,4 @@
 
 }  // namespace paddlestile::lab
 
-#endif  // PADDLESTILE_LAB_BANK_JUDGE_H_
+#endif  // PADDLESTILE_LAB_CLUSTER_INVARIANTS_H_
--- a/src/lab/bank_world.cpp
+++ b/src/lab/cluster_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/bank_world.h"
+#include "lab/cluster_simulation.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -17,8 +17,8 @@
 #include <set>
 #include <thread>
 
-#include "bank/member.h"
-#include "bank/rules.h"
+#include "cluster/cluster_member.h"
+#include "cluster/config_document.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/bank_world.h
+++ b/src/lab/cluster_simulation.h
@@ -3,8 +3,8 @@
 // doubled, disks that lose what was not durable, stops, deaths, empty and older disks, voters
 // exchanged, clients that submit again. What holds is judged from what members applied, acted on
 // and told, never from what they believe.
-#ifndef PADDLESTILE_LAB_BANK_WORLD_H_
-#define PADDLESTILE_LAB_BANK_WORLD_H_
+#ifndef PADDLESTILE_LAB_CLUSTER_SIMULATION_H_
+#define PADDLESTILE_LAB_CLUSTER_SIMULATION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -83,4 +83,4 @@
 
 }  // namespace paddlestile::lab
 
-#endif  // PADDLESTILE_LAB_BANK_WORLD_H_
+#endif  // PADDLESTILE_LAB_CLUSTER_SIMULATION_H_
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -10,9 +10,9 @@
 #include <unordered_set>
 #include <utility>
 
+#include "event/stream.h"
+#include "http/http_parser.h"
 #include "lab/listener.h"
-#include "net/http.h"
-#include "net/stream.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/directory.h
+++ b/src/lab/directory.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
 #include "lab/fleet.h"
 #include "lab/ledger.h"
-#include "net/config.h"
-#include "net/event_loop.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/bar_plan.h
+++ b/src/lab/exclusion_plan.h
@@ -6,8 +6,8 @@
 // chance the very host that is kept off behind it, and who acts on that version would send nothing
 // there. Nor is one host enough: a gateway's choice may leave it alone for seconds, above all a
 // slow one.
-#ifndef PADDLESTILE_LAB_BAR_PLAN_H_
-#define PADDLESTILE_LAB_BAR_PLAN_H_
+#ifndef PADDLESTILE_LAB_EXCLUSION_PLAN_H_
+#define PADDLESTILE_LAB_EXCLUSION_PLAN_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -57,4 +57,4 @@
 
 }  // namespace paddlestile::lab
 
-#endif  // PADDLESTILE_LAB_BAR_PLAN_H_
+#endif  // PADDLESTILE_LAB_EXCLUSION_PLAN_H_
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -11,10 +11,10 @@
 #include <unordered_map>
 #include <utility>
 
+#include "event/stream.h"
+#include "http/http_parser.h"
 #include "lab/host_model.h"
 #include "lab/listener.h"
-#include "net/http.h"
-#include "net/stream.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/ledger.h
+++ b/src/lab/ledger.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/listener.h
+++ b/src/lab/listener.h
@@ -6,8 +6,8 @@
 #include <functional>
 #include <vector>
 
-#include "net/config.h"
-#include "net/event_loop.h"
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -8,8 +8,8 @@
 #include <random>
 #include <utility>
 
-#include "net/http.h"
-#include "net/stream.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
 #include "lab/arrivals.h"
 #include "lab/experiment.h"
 #include "lab/ledger.h"
-#include "net/config.h"
-#include "net/event_loop.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -18,15 +18,15 @@
 #include <string_view>
 #include <utility>
 
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
 #include "lab/bench.h"
 #include "lab/experiment.h"
 #include "lab/listener.h"
 #include "lab/process.h"
 #include "lab/runner.h"
 #include "lab/signal_watch.h"
-#include "net/event_loop.h"
-#include "net/http.h"
-#include "net/stream.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/stream.h"
+#include "event/stream.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -9,10 +9,10 @@
 #include <memory>
 #include <random>
 
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
 #include "lab/experiment.h"
 #include "lab/listener.h"
-#include "net/config.h"
-#include "net/event_loop.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/result.h
+++ b/src/lab/result.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/bank_judge.h"
+#include "lab/cluster_invariants.h"
 #include "lab/experiment.h"
 #include "lab/ledger.h"
 #include "lab/scale_figures.h"
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -15,7 +15,10 @@
 #include <set>
 #include <utility>
 
-#include "lab/bank_lab.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
+#include "lab/cluster_experiment.h"
 #include "lab/directory.h"
 #include "lab/fleet.h"
 #include "lab/ledger.h"
@@ -23,9 +26,6 @@
 #include "lab/load.h"
 #include "lab/process.h"
 #include "lab/signal_watch.h"
-#include "net/event_loop.h"
-#include "net/http.h"
-#include "net/stream.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/scale_figures.h
+++ b/src/lab/scale_figures.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/hollow.h"
+#include "lab/simulated_member.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/signal_watch.h
+++ b/src/lab/signal_watch.h
@@ -10,7 +10,7 @@
 #include <functional>
 #include <utility>
 
-#include "net/event_loop.h"
+#include "event/event_loop.h"
 
 namespace paddlestile::lab {
 
--- a/src/lab/hollow.cpp
+++ b/src/lab/simulated_member.cpp
@@ -1,4 +1,4 @@
-#include "lab/hollow.h"
+#include "lab/simulated_member.h"
 
 #include <fmt/format.h>
 #include <sys/resource.h>
@@ -21,13 +21,13 @@
 #include <utility>
 #include <vector>
 
-#include "bank/codec.h"
-#include "bank/member.h"
-#include "net/bank_config.h"
-#include "net/event_loop.h"
-#include "net/log.h"
-#include "net/stream.h"
-#include "peer/links.h"
+#include "base/log.h"
+#include "cluster/cluster_member.h"
+#include "cluster/codec.h"
+#include "config/operator_config.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "peer/peer_connections.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/src/lab/hollow.h
+++ b/src/lab/simulated_member.h
@@ -1,8 +1,8 @@
 // Hollow members of a bank: many share a process. Each is the program's own `bank::Member` on the
 // program's own links, with a name, a life and an address of its own, and without clients, hosts,
 // module or disk: what it would write is held in memory. It follows and never votes.
-#ifndef PADDLESTILE_LAB_HOLLOW_H_
-#define PADDLESTILE_LAB_HOLLOW_H_
+#ifndef PADDLESTILE_LAB_SIMULATED_MEMBER_H_
+#define PADDLESTILE_LAB_SIMULATED_MEMBER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::lab {
 
@@ -44,4 +44,4 @@
 
 }  // namespace paddlestile::lab
 
-#endif  // PADDLESTILE_LAB_HOLLOW_H_
+#endif  // PADDLESTILE_LAB_SIMULATED_MEMBER_H_
--- a/src/peer/frames.cpp
+++ b/src/peer/framing.cpp
@@ -1,4 +1,4 @@
-#include "peer/frames.h"
+#include "peer/framing.h"
 
 #include <cstdint>
 #include <cstring>
--- a/src/peer/frames.h
+++ b/src/peer/framing.h
@@ -1,7 +1,7 @@
 // What a link carries: a length of four bytes (little-endian), then one CBOR value of
 // nlohmann-json; bounded in bytes and depth.
-#ifndef PADDLESTILE_PEER_FRAMES_H_
-#define PADDLESTILE_PEER_FRAMES_H_
+#ifndef PADDLESTILE_PEER_FRAMING_H_
+#define PADDLESTILE_PEER_FRAMING_H_
 
 #include <cstddef>
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/buffer.h"
+#include "event/buffer.h"
 
 namespace paddlestile::peer {
 
@@ -27,4 +27,4 @@
 
 }  // namespace paddlestile::peer
 
-#endif  // PADDLESTILE_PEER_FRAMES_H_
+#endif  // PADDLESTILE_PEER_FRAMING_H_
--- a/src/peer/links.cpp
+++ b/src/peer/peer_connections.cpp
@@ -1,4 +1,4 @@
-#include "peer/links.h"
+#include "peer/peer_connections.h"
 
 #include <sys/socket.h>
 
@@ -7,8 +7,8 @@
 #include <system_error>
 #include <utility>
 
-#include "net/log.h"
-#include "peer/frames.h"
+#include "base/log.h"
+#include "peer/framing.h"
 
 namespace paddlestile::peer {
 namespace {
--- a/src/peer/links.h
+++ b/src/peer/peer_connections.h
@@ -1,8 +1,8 @@
 // One connection a pair of members on the gateway's loop: who dials, who is let in, what silence
 // is. Not secured: for an operator's own network alone. Sending drops where a link's reader is
 // slow: what goes on it is sent again by those who need it.
-#ifndef PADDLESTILE_PEER_LINKS_H_
-#define PADDLESTILE_PEER_LINKS_H_
+#ifndef PADDLESTILE_PEER_PEER_CONNECTIONS_H_
+#define PADDLESTILE_PEER_PEER_CONNECTIONS_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,8 +15,8 @@
 #include <string_view>
 #include <vector>
 
-#include "net/event_loop.h"
-#include "net/stream.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
 
 namespace paddlestile::peer {
 
@@ -107,4 +107,4 @@
 
 }  // namespace paddlestile::peer
 
-#endif  // PADDLESTILE_PEER_LINKS_H_
+#endif  // PADDLESTILE_PEER_PEER_CONNECTIONS_H_
--- a/src/bank/agreement.cpp
+++ b/src/raft/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "bank/agreement.h"
+#include "raft/raft_node.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/bank/agreement.h
+++ b/src/raft/raft_node.h
@@ -4,8 +4,8 @@
 // out. The algorithm is Raft (Ongaro and Ousterhout, "In search of an understandable consensus
 // algorithm", 2014) with its pre-vote, its single-server changes of voters (with an entry of the
 // term committed first) and its leader's lease; docs/bank.md tells what differs and why.
-#ifndef PADDLESTILE_BANK_AGREEMENT_H_
-#define PADDLESTILE_BANK_AGREEMENT_H_
+#ifndef PADDLESTILE_RAFT_RAFT_NODE_H_
+#define PADDLESTILE_RAFT_RAFT_NODE_H_
 
 #include <algorithm>
 #include <array>
@@ -306,4 +306,4 @@
 
 }  // namespace paddlestile::bank
 
-#endif  // PADDLESTILE_BANK_AGREEMENT_H_
+#endif  // PADDLESTILE_RAFT_RAFT_NODE_H_
--- a/src/wirehost/host.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-#include "wirehost/host.h"
+#include "simulator/adapter.h"
 
 #include <exception>
 #include <map>
@@ -7,8 +7,8 @@
 #include <variant>
 #include <vector>
 
-#include "brain.h"
-#include "wire/wire.h"
+#include "balancer/load_balancer.h"
+#include "simulator/protocol.h"
 
 namespace paddlestile {
 namespace {
--- a/src/wirehost/host.h
+++ b/src/simulator/adapter.h
@@ -1,6 +1,6 @@
 // Runs many instances of the module over one pair of streams.
-#ifndef PADDLESTILE_WIREHOST_HOST_H_
-#define PADDLESTILE_WIREHOST_HOST_H_
+#ifndef PADDLESTILE_SIMULATOR_ADAPTER_H_
+#define PADDLESTILE_SIMULATOR_ADAPTER_H_
 
 #include <istream>
 #include <ostream>
@@ -13,4 +13,4 @@
 
 }  // namespace paddlestile
 
-#endif  // PADDLESTILE_WIREHOST_HOST_H_
+#endif  // PADDLESTILE_SIMULATOR_ADAPTER_H_
--- a/src/wirehost/main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,6 +1,6 @@
 #include <iostream>
 
-#include "wirehost/host.h"
+#include "simulator/adapter.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
--- a/src/wire/wire.cpp
+++ b/src/simulator/protocol.cpp
@@ -1,4 +1,4 @@
-#include "wire/wire.h"
+#include "simulator/protocol.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/wire/wire.h
+++ b/src/simulator/protocol.h
@@ -1,7 +1,7 @@
 // The bench's text wire: batches of event lines in, lists of action lines out. This library knows
 // the words; it decides nothing.
-#ifndef PADDLESTILE_WIRE_WIRE_H_
-#define PADDLESTILE_WIRE_WIRE_H_
+#ifndef PADDLESTILE_SIMULATOR_PROTOCOL_H_
+#define PADDLESTILE_SIMULATOR_PROTOCOL_H_
 
 #include <cstdint>
 #include <istream>
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::wire {
 
@@ -72,4 +72,4 @@
 
 }  // namespace paddlestile::wire
 
-#endif  // PADDLESTILE_WIRE_WIRE_H_
+#endif  // PADDLESTILE_SIMULATOR_PROTOCOL_H_
--- a/src/store/controlled_files.cpp
+++ b/src/storage/controlled_files.cpp
@@ -1,4 +1,4 @@
-#include "store/controlled_files.h"
+#include "storage/controlled_files.h"
 
 #include <cerrno>
 #include <chrono>
--- a/src/store/controlled_files.h
+++ b/src/storage/controlled_files.h
@@ -1,13 +1,13 @@
 // For a lab: the system's files, which fail as a control file says at that moment. Its words, by
 // themselves: `full` (no room for what is appended), `slow MS` (each sync takes so long),
 // `sync-fails`. An empty one or none: all is well.
-#ifndef PADDLESTILE_STORE_CONTROLLED_FILES_H_
-#define PADDLESTILE_STORE_CONTROLLED_FILES_H_
+#ifndef PADDLESTILE_STORAGE_CONTROLLED_FILES_H_
+#define PADDLESTILE_STORAGE_CONTROLLED_FILES_H_
 
 #include <memory>
 #include <string>
 
-#include "store/files.h"
+#include "storage/files.h"
 
 namespace paddlestile::store {
 
@@ -15,4 +15,4 @@
 
 }  // namespace paddlestile::store
 
-#endif  // PADDLESTILE_STORE_CONTROLLED_FILES_H_
+#endif  // PADDLESTILE_STORAGE_CONTROLLED_FILES_H_
--- a/src/store/faulty_files.cpp
+++ b/src/storage/faulty_files.cpp
@@ -1,4 +1,4 @@
-#include "store/faulty_files.h"
+#include "storage/faulty_files.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/store/faulty_files.h
+++ b/src/storage/faulty_files.h
@@ -1,7 +1,7 @@
 // A disk in memory that fails as disks do: what was not synced is lost in part at a loss of power,
 // calls fail when told to, bits flip.
-#ifndef PADDLESTILE_STORE_FAULTY_FILES_H_
-#define PADDLESTILE_STORE_FAULTY_FILES_H_
+#ifndef PADDLESTILE_STORAGE_FAULTY_FILES_H_
+#define PADDLESTILE_STORAGE_FAULTY_FILES_H_
 
 #include <cerrno>
 #include <cstddef>
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-#include "store/files.h"
+#include "storage/files.h"
 
 namespace paddlestile::store {
 
@@ -57,4 +57,4 @@
 
 }  // namespace paddlestile::store
 
-#endif  // PADDLESTILE_STORE_FAULTY_FILES_H_
+#endif  // PADDLESTILE_STORAGE_FAULTY_FILES_H_
--- a/src/store/files.cpp
+++ b/src/storage/files.cpp
@@ -1,4 +1,4 @@
-#include "store/files.h"
+#include "storage/files.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
--- a/src/store/files.h
+++ b/src/storage/files.h
@@ -1,8 +1,8 @@
 // The file layer: what the log asks of a disk, as an interface, so that tests can take the disk
 // away under it. Every call throws FileError where the disk refuses; after a failed Sync nothing
 // that was written since the last good one may be trusted to be there.
-#ifndef PADDLESTILE_STORE_FILES_H_
-#define PADDLESTILE_STORE_FILES_H_
+#ifndef PADDLESTILE_STORAGE_FILES_H_
+#define PADDLESTILE_STORAGE_FILES_H_
 
 #include <cstdint>
 #include <memory>
@@ -53,4 +53,4 @@
 
 }  // namespace paddlestile::store
 
-#endif  // PADDLESTILE_STORE_FILES_H_
+#endif  // PADDLESTILE_STORAGE_FILES_H_
--- a/src/store/log.cpp
+++ b/src/storage/write_ahead_log.cpp
@@ -1,4 +1,4 @@
-#include "store/log.h"
+#include "storage/write_ahead_log.h"
 
 #include <xxhash.h>
 
--- a/src/store/log.h
+++ b/src/storage/write_ahead_log.h
@@ -1,7 +1,7 @@
 // Records of bytes in the order that they were appended, in one file of a folder: what was synced
 // is there after a loss of power, whole and in its order, or the file is refused. Not for threads.
-#ifndef PADDLESTILE_STORE_LOG_H_
-#define PADDLESTILE_STORE_LOG_H_
+#ifndef PADDLESTILE_STORAGE_WRITE_AHEAD_LOG_H_
+#define PADDLESTILE_STORAGE_WRITE_AHEAD_LOG_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "store/files.h"
+#include "storage/files.h"
 
 namespace paddlestile::store {
 
@@ -66,4 +66,4 @@
 
 }  // namespace paddlestile::store
 
-#endif  // PADDLESTILE_STORE_LOG_H_
+#endif  // PADDLESTILE_STORAGE_WRITE_AHEAD_LOG_H_
--- a/tests/fleet_law_test.cpp
+++ b/tests/balancer/fleet_invariants_test.cpp
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-#include "bench.h"
+#include "balancer/load_balancer_fixture.h"
 
 namespace paddlestile::testing {
 namespace {
--- a/tests/brain_law_test.cpp
+++ b/tests/balancer/invariants_test.cpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <set>
 
-#include "bench.h"
-#include "brain.h"
+#include "balancer/load_balancer.h"
+#include "balancer/load_balancer_fixture.h"
 
 namespace paddlestile {
 namespace {
--- a/tests/bench.h
+++ b/tests/balancer/load_balancer_fixture.h
@@ -1,14 +1,14 @@
 // Helpers that play one gateway's events by hand. There is no model of servers here: a test says
 // what every attempt and probe comes back with.
-#ifndef PADDLESTILE_TESTS_BENCH_H_
-#define PADDLESTILE_TESTS_BENCH_H_
+#ifndef PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
+#define PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
 
 #include <map>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 namespace paddlestile::testing {
 
@@ -154,4 +154,4 @@
 
 }  // namespace paddlestile::testing
 
-#endif  // PADDLESTILE_TESTS_BENCH_H_
+#endif  // PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
--- a/tests/brain_test.cpp
+++ b/tests/balancer/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-#include "brain.h"
+#include "balancer/load_balancer.h"
 
 #include <gtest/gtest.h>
 
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "bench.h"
-#include "brain_state.h"
+#include "balancer/learned_state.h"
+#include "balancer/load_balancer_fixture.h"
 
 namespace paddlestile {
 namespace {
--- a/tests/net/log_test.cpp
+++ b/tests/base/log_test.cpp
@@ -1,5 +1,5 @@
 // The log's bounds: so many lines a second, and no line or field that a peer could forge.
-#include "net/log.h"
+#include "base/log.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/tests/net/counters_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -1,11 +1,11 @@
-#include "net/counters.h"
+#include "base/metrics.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include <string>
 
-#include "net/log.h"
+#include "base/log.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/main_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -16,8 +16,8 @@
 #include <string>
 #include <vector>
 
-#include "net/child.h"
-#include "net/peers.h"
+#include "gateway/child_process.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/bank/rules_test.cpp
+++ b/tests/cluster/config_document_test.cpp
@@ -1,10 +1,10 @@
 // Versions: what is refused, what contradicts what, what may be done while two are possible.
-#include "bank/rules.h"
+#include "cluster/config_document.h"
 
 #include <gtest/gtest.h>
 
-#include "bank/content.h"
-#include "bank/history.h"
+#include "cluster/version_content.h"
+#include "cluster/version_history.h"
 
 namespace paddlestile::bank {
 namespace {
--- a/tests/bank/delta_test.cpp
+++ b/tests/cluster/delta_test.cpp
@@ -1,6 +1,6 @@
 // Changes by their own size: what a delta makes of a version, what a history of them keeps, and
 // that content which is not as agreed is found out and not acted on.
-#include "bank/delta.h"
+#include "cluster/delta.h"
 
 #include <gtest/gtest.h>
 
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "bank/codec.h"
-#include "bank/content.h"
-#include "bank/history.h"
-#include "bank/member.h"
+#include "cluster/cluster_member.h"
+#include "cluster/codec.h"
+#include "cluster/version_content.h"
+#include "cluster/version_history.h"
 
 namespace paddlestile::bank {
 namespace {
--- a/tests/bank/parts_test.cpp
+++ b/tests/cluster/persistent_map_test.cpp
@@ -1,6 +1,6 @@
 // Keyed parts: what a map of them holds after any changes, what a copy shares, and that a change
 // and a comparison cost what differs, whatever there is beside it.
-#include "bank/parts.h"
+#include "cluster/persistent_map.h"
 
 #include <gtest/gtest.h>
 
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "bank/content.h"
-#include "bank/delta.h"
-#include "bank/history.h"
+#include "cluster/delta.h"
+#include "cluster/version_content.h"
+#include "cluster/version_history.h"
 
 namespace paddlestile::bank {
 namespace {
--- a/tests/net/config_test.cpp
+++ b/tests/config/gateway_config_test.cpp
@@ -1,4 +1,4 @@
-#include "net/config.h"
+#include "config/gateway_config.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string>
 
-#include "wire/wire.h"
+#include "simulator/protocol.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/json_test.cpp
+++ b/tests/config/json_test.cpp
@@ -1,4 +1,4 @@
-#include "net/json.h"
+#include "config/json.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/list_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,4 +1,4 @@
-#include "net/list.h"
+#include "discovery/discovery_client.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
 #include <thread>
 #include <vector>
 
-#include "net/counters.h"
-#include "net/peers.h"
+#include "base/metrics.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/buffer_test.cpp
+++ b/tests/event/buffer_test.cpp
@@ -1,4 +1,4 @@
-#include "net/buffer.h"
+#include "event/buffer.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/event_loop_test.cpp
+++ b/tests/event/event_loop_test.cpp
@@ -1,4 +1,4 @@
-#include "net/event_loop.h"
+#include "event/event_loop.h"
 
 #include <gtest/gtest.h>
 #include <sys/epoll.h>
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "net/peers.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/stream_test.cpp
+++ b/tests/event/stream_test.cpp
@@ -1,11 +1,11 @@
-#include "net/stream.h"
+#include "event/stream.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 #include <string>
 
-#include "net/peers.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -1,12 +1,12 @@
 // Operators call while clients keep the gateway busy, and some callers say nothing.
-#include "net/admin.h"
+#include "gateway/admin.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 #include <vector>
 
-#include "net/peers.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/child.h
+++ b/tests/gateway/child_process.h
@@ -1,6 +1,6 @@
 // The program as a process of its own, with its log.
-#ifndef PADDLESTILE_TESTS_NET_CHILD_H_
-#define PADDLESTILE_TESTS_NET_CHILD_H_
+#ifndef PADDLESTILE_TESTS_GATEWAY_CHILD_PROCESS_H_
+#define PADDLESTILE_TESTS_GATEWAY_CHILD_PROCESS_H_
 
 #include <fcntl.h>
 #include <sys/wait.h>
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "net/event_loop.h"
+#include "event/event_loop.h"
 
 namespace paddlestile::net::testing {
 
@@ -94,4 +94,4 @@
 
 }  // namespace paddlestile::net::testing
 
-#endif  // PADDLESTILE_TESTS_NET_CHILD_H_
+#endif  // PADDLESTILE_TESTS_GATEWAY_CHILD_PROCESS_H_
--- a/tests/net/membership_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -19,10 +19,10 @@
 #include <utility>
 #include <vector>
 
-#include "net/bank_config.h"
-#include "net/child.h"
-#include "net/peers.h"
-#include "net/stream.h"
+#include "config/operator_config.h"
+#include "event/stream.h"
+#include "gateway/child_process.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/clients_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.h"
+#include "gateway/downstream.h"
 
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "net/counters.h"
-#include "net/peers.h"
+#include "base/metrics.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -1,6 +1,6 @@
 // The whole gateway between clients, hosts and discovery that a test plays by hand.
-#ifndef PADDLESTILE_TESTS_NET_GATEWAY_FIXTURE_H_
-#define PADDLESTILE_TESTS_NET_GATEWAY_FIXTURE_H_
+#ifndef PADDLESTILE_TESTS_GATEWAY_GATEWAY_FIXTURE_H_
+#define PADDLESTILE_TESTS_GATEWAY_GATEWAY_FIXTURE_H_
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "net/counters.h"
-#include "net/gateway.h"
-#include "net/peers.h"
+#include "base/metrics.h"
+#include "gateway/gateway.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net::testing {
 
@@ -129,4 +129,4 @@
 
 }  // namespace paddlestile::net::testing
 
-#endif  // PADDLESTILE_TESTS_NET_GATEWAY_FIXTURE_H_
+#endif  // PADDLESTILE_TESTS_GATEWAY_GATEWAY_FIXTURE_H_
--- a/tests/net/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -1,5 +1,5 @@
 // The whole gateway between a client, hosts and discovery that the test plays by hand.
-#include "net/gateway.h"
+#include "gateway/gateway.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "net/gateway_fixture.h"
+#include "gateway/gateway_fixture.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/crossings_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "net/child.h"
-#include "net/gateway_fixture.h"
+#include "gateway/child_process.h"
+#include "gateway/gateway_fixture.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -1,5 +1,5 @@
 // Bodies past 64 KiB through the whole gateway, between a client and a host played by hand.
-#include "net/body.h"
+#include "http/streaming_body.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -7,9 +7,9 @@
 #include <memory>
 #include <string>
 
-#include "net/counters.h"
-#include "net/gateway.h"
-#include "net/peers.h"
+#include "base/metrics.h"
+#include "gateway/gateway.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/peers.h
+++ b/tests/gateway/test_peers.h
@@ -1,7 +1,7 @@
-// Peers for the tests of src/net: plain sockets on loopback that a test reads and writes by hand,
+// Peers for the tests of src/gateway: plain sockets on loopback that a test reads and writes by hand,
 // and a loop that runs until something holds. Nothing here answers by itself.
-#ifndef PADDLESTILE_TESTS_NET_PEERS_H_
-#define PADDLESTILE_TESTS_NET_PEERS_H_
+#ifndef PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
+#define PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -18,10 +18,10 @@
 #include <utility>
 #include <vector>
 
-#include "bench.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/stream.h"
+#include "balancer/load_balancer_fixture.h"
+#include "config/gateway_config.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
 
 namespace paddlestile::net::testing {
 
@@ -188,4 +188,4 @@
 
 }  // namespace paddlestile::net::testing
 
-#endif  // PADDLESTILE_TESTS_NET_PEERS_H_
+#endif  // PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
--- a/tests/net/servers_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -1,4 +1,4 @@
-#include "net/servers.h"
+#include "gateway/upstream.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "net/counters.h"
-#include "net/peers.h"
+#include "base/metrics.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/net/exchange_test.cpp
+++ b/tests/http/proxied_request_test.cpp
@@ -1,10 +1,10 @@
-#include "net/exchange.h"
+#include "http/proxied_request.h"
 
 #include <gtest/gtest.h>
 
 #include <vector>
 
-#include "bench.h"
+#include "balancer/load_balancer_fixture.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/lab/capacity_test.cpp
+++ b/tests/lab/capacity_test.cpp
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "net/child.h"
+#include "gateway/child_process.h"
 
 namespace paddlestile::lab {
 namespace {
@@ -69,7 +69,7 @@
 std::string RowText(const std::string& id, const std::string& more) {
   return fmt::format(
       "[[row]]\nid = \"{}\"\nrole = \"gateway\"\nwhat = \"it\"\ntable = \"steady\"\n"
-      "mechanism = \"src/brain.cpp\"\n{}\n",
+      "mechanism = \"src/balancer/load_balancer.cpp\"\n{}\n",
       id, more);
 }
 const std::string kSlopeKeys =
@@ -289,7 +289,7 @@
   EXPECT_EQ(rows[3]["allowed"], 15002.0);
   EXPECT_EQ(rows[3]["role"], "gateway");
   EXPECT_EQ(rows[3]["what"], "it");
-  EXPECT_EQ(rows[3]["mechanism"], "src/brain.cpp");
+  EXPECT_EQ(rows[3]["mechanism"], "src/balancer/load_balancer.cpp");
   EXPECT_EQ(rows[3]["largest_measured"], 40.0);
   EXPECT_EQ(rows[3]["past_largest"], 187.5);
   EXPECT_EQ(rows[3]["assumption"], false);
@@ -325,7 +325,7 @@
   EXPECT_NE(
       page.find("| gateway | it | 378,480 | - | told | (1 + 2 x (tenants * 41 + routes)) x "
                 "(changes_per_day / 1000000), off by 0 | 10; 20; 40 | 1; 1; 1 | - | 249,000 x "
-                "| src/brain.cpp | `x` |\n"),
+                "| src/balancer/load_balancer.cpp | `x` |\n"),
       std::string::npos)
       << page;
 }
--- a/tests/lab/bank_run_test.cpp
+++ b/tests/lab/cluster_experiment_test.cpp
@@ -12,8 +12,8 @@
 #include <set>
 #include <string>
 
-#include "lab/bank_judge.h"
-#include "lab/bar_plan.h"
+#include "lab/cluster_invariants.h"
+#include "lab/exclusion_plan.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/tests/lab/bank_world_test.cpp
+++ b/tests/lab/cluster_simulation_test.cpp
@@ -1,5 +1,5 @@
 // The deterministic world: honest members hold every term, one that breaks a term is found out.
-#include "lab/bank_world.h"
+#include "lab/cluster_simulation.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/lab/experiment_test.cpp
+++ b/tests/lab/experiment_test.cpp
@@ -7,9 +7,9 @@
 #include <filesystem>
 #include <string>
 
-#include "net/config.h"
-#include "net/json.h"
-#include "wire/wire.h"
+#include "config/gateway_config.h"
+#include "config/json.h"
+#include "simulator/protocol.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/tests/lab/bank_breaker.cpp
+++ b/tests/lab/faulty_cluster_member.cpp
@@ -13,10 +13,10 @@
 #include <utility>
 #include <vector>
 
-#include "net/bank_config.h"
-#include "net/membership.h"
-#include "net/serve.h"
-#include "store/log.h"
+#include "config/operator_config.h"
+#include "gateway/cluster_agent.h"
+#include "gateway/serve.h"
+#include "storage/write_ahead_log.h"
 
 namespace paddlestile::net {
 namespace {
--- a/tests/lab/breaker.cpp
+++ b/tests/lab/faulty_gateway.cpp
@@ -14,12 +14,12 @@
 #include <utility>
 #include <vector>
 
+#include "config/gateway_config.h"
+#include "discovery/discovery_client.h"
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "http/http_parser.h"
 #include "lab/listener.h"
-#include "net/config.h"
-#include "net/event_loop.h"
-#include "net/http.h"
-#include "net/list.h"
-#include "net/stream.h"
 
 namespace paddlestile {
 namespace {
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "net/peers.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/tests/lab/host_model_test.cpp
+++ b/tests/lab/host_model_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "bench.h"
+#include "balancer/load_balancer_fixture.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "net/peers.h"
+#include "gateway/test_peers.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -15,8 +15,8 @@
 #include <tuple>
 #include <vector>
 
-#include "lab/hollow.h"
 #include "lab/scale_figures.h"
+#include "lab/simulated_member.h"
 
 namespace paddlestile::lab {
 namespace {
--- a/tests/peer/links_test.cpp
+++ b/tests/peer/peer_connections_test.cpp
@@ -1,5 +1,5 @@
 // Frames and links among gateways: who is let in, what nonsense costs, what a slow reader costs.
-#include "peer/links.h"
+#include "peer/peer_connections.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -7,9 +7,9 @@
 #include <functional>
 #include <optional>
 
-#include "bank/codec.h"
-#include "net/peers.h"
-#include "peer/frames.h"
+#include "cluster/codec.h"
+#include "gateway/test_peers.h"
+#include "peer/framing.h"
 
 namespace paddlestile::peer {
 namespace {
--- a/tests/bank/agreement_test.cpp
+++ b/tests/raft/raft_node_test.cpp
@@ -1,5 +1,5 @@
 // The agreed log, a message at a time: what a voter must not do whatever it is told.
-#include "bank/agreement.h"
+#include "raft/raft_node.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/wirehost/host_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,4 +1,4 @@
-#include "wirehost/host.h"
+#include "simulator/adapter.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/wire/wire_test.cpp
+++ b/tests/simulator/protocol_test.cpp
@@ -1,4 +1,4 @@
-#include "wire/wire.h"
+#include "simulator/protocol.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/store/log_test.cpp
+++ b/tests/storage/write_ahead_log_test.cpp
@@ -1,6 +1,6 @@
 // The log through a disk that fails: what was promised durable is there after any loss of power,
 // and nothing else is ever told than a beginning of what was appended.
-#include "store/log.h"
+#include "storage/write_ahead_log.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -10,7 +10,7 @@
 #include <optional>
 #include <random>
 
-#include "store/faulty_files.h"
+#include "storage/faulty_files.h"
 
 namespace paddlestile::store {
 namespace {
