--- a/src/balancer/load_balancer.h
+++ b/src/balancer/load_balancer.h
@@ -13,11 +13,9 @@
 #include <variant>
 #include <vector>
 
-namespace paddlestile {
+#include "base/time.h"
 
-using Duration = std::chrono::microseconds;
-// Time since an arbitrary beginning; only ever advances.
-using Time = std::chrono::microseconds;
+namespace paddlestile {
 
 // ---- Settings -------------------------------------------------------------------------------
 
@@ -220,12 +218,12 @@
   bool on = true;
 };
 struct FetchList {};
-struct Log {
+struct LogMessage {
   std::string text;
 };
 
-using Action =
-    std::variant<Send, Refuse, Fail, Cancel, SetTimer, Probe, CloseIdle, Follow, FetchList, Log>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Probe, CloseIdle, Follow,
+                            FetchList, LogMessage>;
 
 // ---- The module -----------------------------------------------------------------------------
 
--- /dev/null
+++ b/src/base/address.h
@@ -0,0 +1,23 @@
+// IPv4 addresses with a port.
+#ifndef PADDLESTILE_BASE_ADDRESS_H_
+#define PADDLESTILE_BASE_ADDRESS_H_
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace paddlestile {
+
+struct Address {
+  uint32_t host = 0;  // IPv4, in host order
+  uint16_t port = 0;
+  bool operator==(const Address&) const = default;
+};
+
+// "10.0.0.4:5000"; throws ConfigError. There is no DNS.
+Address ParseAddress(std::string_view text);
+std::string ToText(const Address& address);
+
+}  // namespace paddlestile
+
+#endif  // PADDLESTILE_BASE_ADDRESS_H_
--- /dev/null
+++ b/src/base/config_error.h
@@ -0,0 +1,17 @@
+// The error of settings, addresses and files that make no sense.
+#ifndef PADDLESTILE_BASE_CONFIG_ERROR_H_
+#define PADDLESTILE_BASE_CONFIG_ERROR_H_
+
+#include <stdexcept>
+
+namespace paddlestile {
+
+// Its text is one line that names what is wrong, where, and what was expected.
+class ConfigError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+}  // namespace paddlestile
+
+#endif  // PADDLESTILE_BASE_CONFIG_ERROR_H_
--- /dev/null
+++ b/src/base/file_descriptor.cpp
@@ -0,0 +1,13 @@
+#include "base/file_descriptor.h"
+
+#include <unistd.h>
+
+namespace paddlestile {
+
+void Fd::Reset() {
+  // Not repeated on EINTR: on Linux the descriptor is free by then.
+  if (fd_ >= 0) close(fd_);
+  fd_ = -1;
+}
+
+}  // namespace paddlestile
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 // A log that floods would cost more than what it tells, and a full pipe would hold up the loop.
@@ -73,4 +73,4 @@
   s.Write(level, text);
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <utility>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 enum class Level { kDebug, kInfo, kWarning, kError };
 enum class LogFormat { kText, kJson };
@@ -29,6 +29,6 @@
   if (Logged(level)) LogLine(level, fmt::format(format, std::forward<Args>(args)...));
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_BASE_LOG_H_
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -4,7 +4,7 @@
 
 #include "base/log.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 std::string Counters::Text() const {
   std::string text;
@@ -32,4 +32,4 @@
   return false;
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // One line a counter: its name, and what it counts.
 #define PADDLESTILE_COUNTERS(X)                                        \
@@ -77,13 +77,13 @@
 // Counts a thing that must hold and did not, and logs the first few. Always false.
 bool CheckFailed(const char* what, const char* file, int line);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 // What must hold: ends a debug build, is counted in a release build. Its value is whether it held,
 // so that the caller can leave safely.
 #ifdef NDEBUG
 #define PADDLESTILE_CHECK(condition) \
-  (static_cast<bool>(condition) || ::paddlestile::net::CheckFailed(#condition, __FILE__, __LINE__))
+  (static_cast<bool>(condition) || ::paddlestile::CheckFailed(#condition, __FILE__, __LINE__))
 #else
 #include <cassert>
 #define PADDLESTILE_CHECK(condition) (assert(condition), true)
--- a/src/cli/cluster_commands.cpp
+++ b/src/cli/cluster_commands.cpp
@@ -24,12 +24,10 @@
 #include "cluster/codec.h"
 #include "cluster/delta.h"
 #include "config/operator_config.h"
-#include "event/buffer.h"
 #include "gateway/cluster_agent.h"
-#include "peer/framing.h"
-#include "peer/peer_connections.h"
+#include "peer/blocking_call.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using nlohmann::json;
@@ -153,7 +151,7 @@
   json rules[2];
   for (int i = 0; i < 2; ++i) {
     if (wanted[i] == 0) {
-      rules[i] = json::parse(bank::ToText(bank::Rules()));
+      rules[i] = json::parse(cluster::ToText(cluster::Rules()));
       continue;
     }
     bool found = false;
@@ -164,7 +162,7 @@
     }
     if (!found) {
       return Say(kFailed, fmt::format("version {} is not kept whole, expected one of the last {}",
-                                      wanted[i], bank::History::kWhole));
+                                      wanted[i], cluster::History::kWhole));
     }
   }
   const json patch = json::diff(rules[0], rules[1]);
@@ -179,16 +177,16 @@
     if (op != "add") fmt::print("- {} {}\n", path, rules[0][at].dump());
     if (op != "remove") fmt::print("+ {} {}\n", path, step["value"].dump());
   }
-  const bank::Content contents[] = {bank::ParseVersion(rules[0].dump()),
-                                    bank::ParseVersion(rules[1].dump())};
-  for (const std::string& why : bank::Contradictions(contents[0], contents[1])) {
+  const cluster::Content contents[] = {cluster::ParseVersion(rules[0].dump()),
+                                       cluster::ParseVersion(rules[1].dump())};
+  for (const std::string& why : cluster::Contradictions(contents[0], contents[1])) {
     fmt::print("contradicts: {}\n", why);
   }
   return kDone;
 }
 
 // Submits until it is told done or refused: the same id counts once however often it comes.
-int Submit(const Words& w, bank::Wish wish) {
+int Submit(const Words& w, cluster::Wish wish) {
   if (wish.change.id.empty()) {
     std::random_device device;
     wish.change.id = fmt::format("{:08x}{:08x}", device(), device());
@@ -201,7 +199,7 @@
   wish.change.reason = w.reason;
   wish.change.unix_s =
       std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
-  const json call = {{"what", "submit"}, {"wish", bank::ToJson(wish)}};
+  const json call = {{"what", "submit"}, {"wish", cluster::ToJson(wish)}};
   const std::vector<Address> places = Places(w);
   const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(w.within);
   std::string last = "no member answers";
@@ -213,9 +211,9 @@
       last = (*answer)["error"].get<std::string>();
       continue;
     }
-    const auto told = bank::ReadAnswer(answer->value("answer", json()));
+    const auto told = cluster::ReadAnswer(answer->value("answer", json()));
     if (!told) continue;
-    if (told->kind == bank::Answer::Kind::kDone) {
+    if (told->kind == cluster::Answer::Kind::kDone) {
       if (w.as_json) {
         fmt::print("{}\n", json{{"id", told->id}, {"version", told->version}}.dump());
       } else if (told->version > 0) {
@@ -225,7 +223,8 @@
       }
       return kDone;
     }
-    if (told->kind == bank::Answer::Kind::kRefused) return Say(kFailed, "refused: " + told->text);
+    if (told->kind == cluster::Answer::Kind::kRefused)
+      return Say(kFailed, "refused: " + told->text);
     last = told->text;
   }
   return Say(kFailed, fmt::format("{}; not told done within {} s: submit it again with --id {}",
@@ -234,13 +233,13 @@
 
 int Change(const Words& w) {
   std::ifstream file(w.file, std::ios::binary);
-  bank::Wish wish;
+  cluster::Wish wish;
   wish.change.rules =
       std::string((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   if (!file) return Say(kWrongUsage, w.file + ": cannot read it, expected a file of rules (JSON)");
   wish.change.delta = w.delta;
   const std::vector<std::string> faults =
-      w.delta ? bank::CheckDelta(wish.change.rules) : bank::CheckRules(wish.change.rules);
+      w.delta ? cluster::CheckDelta(wish.change.rules) : cluster::CheckRules(wish.change.rules);
   for (const std::string& fault : faults) fmt::print(stderr, "{}: {}\n", w.file, fault);
   if (!faults.empty()) return kWrongUsage;
   wish.change.id = w.id;
@@ -248,8 +247,8 @@
   return Submit(w, std::move(wish));
 }
 
-int Voters(const Words& w, bank::Wish::Kind kind) {
-  bank::Wish wish;
+int Voters(const Words& w, cluster::Wish::Kind kind) {
+  cluster::Wish wish;
   wish.kind = kind;
   wish.name = w.name;
   wish.change.id = w.id;
@@ -269,40 +268,6 @@
 
 }  // namespace
 
-json StatusCall() { return {{"what", "status"}}; }
-
-std::optional<json> CallMember(const Address& at, const json& call, Duration within) {
-  const Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const timeval limit{within.count() / 1'000'000, within.count() % 1'000'000};
-  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(at.port);
-  address.sin_addr.s_addr = htonl(at.host);
-  if (!fd || connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
-    return std::nullopt;
-  }
-  const std::string frame = peer::FrameOf({{"hello", peer::kFormat}, {"call", call}});
-  for (size_t sent = 0; sent < frame.size();) {
-    const ssize_t n = send(fd.get(), frame.data() + sent, frame.size() - sent, MSG_NOSIGNAL);
-    if (n <= 0) return std::nullopt;
-    sent += static_cast<size_t>(n);
-  }
-  Buffer in;
-  while (true) {
-    json value;
-    switch (peer::TakeFrame(in, value)) {
-      case peer::FrameRead::kWhole: return value;
-      case peer::FrameRead::kNonsense: return std::nullopt;
-      case peer::FrameRead::kNone: break;
-    }
-    const ssize_t n = recv(fd.get(), in.Prepare(4096), 4096, 0);
-    if (n <= 0) return std::nullopt;
-    in.Commit(static_cast<size_t>(n));
-  }
-}
-
 std::function<int()> AddBankCommands(CLI::App& app) {
   const auto w = std::make_shared<Words>();
   CLI::App* const bank = app.add_subcommand("bank", "Settings and lists that gateways agree on");
@@ -369,9 +334,9 @@
       if (history->parsed()) return History(*w);
       if (diff->parsed()) return Diff(*w);
       if (change->parsed()) return Change(*w);
-      return Voters(*w, add->parsed()      ? bank::Wish::Kind::kAddVoter
-                        : remove->parsed() ? bank::Wish::Kind::kRemoveVoter
-                                           : bank::Wish::Kind::kReplaceVoter);
+      return Voters(*w, add->parsed()      ? cluster::Wish::Kind::kAddVoter
+                        : remove->parsed() ? cluster::Wish::Kind::kRemoveVoter
+                                           : cluster::Wish::Kind::kReplaceVoter);
     } catch (const ConfigError& error) {
       fmt::print(stderr, "{}\n", error.what());
       return kWrongUsage;
@@ -381,4 +346,4 @@
   };
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/cli/cluster_commands.h
+++ b/src/cli/cluster_commands.h
@@ -12,18 +12,11 @@
 class App;
 }
 
-namespace paddlestile::net {
-
-// One call to the member at `at`, waited for: its answer, or nothing where none came in time.
-std::optional<nlohmann::json> CallMember(const Address& at, const nlohmann::json& call,
-                                         Duration within);
-
-// The call that asks a member for its state.
-nlohmann::json StatusCall();
+namespace paddlestile {
 
 // Adds the commands; what it gives runs the one that was parsed: an exit code, or -1 for none.
 std::function<int()> AddBankCommands(CLI::App& app);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -43,9 +43,9 @@
     const std::string text((std::istreambuf_iterator<char>(file)),
                            std::istreambuf_iterator<char>());
     const bool members = text.find("[[bank.members]]") != std::string::npos;
-    faults = members ? net::CheckBank(text, path) : lab::CheckExperiment(path);
+    faults = members ? CheckBank(text, path) : lab::CheckExperiment(path);
   } else {
-    faults = net::CheckConfig(path);
+    faults = CheckConfig(path);
   }
   for (const std::string& fault : faults) {
     fmt::print(stderr, "{}{}\n", toml ? "" : path + ": ", fault);
@@ -55,13 +55,13 @@
 }
 
 // The new file, or with no target what would be written; the notes go to standard error.
-int MigrateFile(const std::string& from, const std::string& to, const net::MigrateOptions& options,
+int MigrateFile(const std::string& from, const std::string& to, const MigrateOptions& options,
                 bool replace) {
-  net::Migration migration;
+  Migration migration;
   try {
-    migration = net::Migrate(from, options);
-    if (!to.empty()) net::WriteWhole(to, migration.text, replace);
-  } catch (const net::ConfigError& error) {
+    migration = Migrate(from, options);
+    if (!to.empty()) WriteWhole(to, migration.text, replace);
+  } catch (const ConfigError& error) {
     fmt::print(stderr, "{}\n", error.what());
     return kWrongUsage;
   }
@@ -120,7 +120,7 @@
 
   std::string to;
   bool dry_run = false, replace = false;
-  net::MigrateOptions options;
+  MigrateOptions options;
   CLI::App* const migrate =
       app.add_subcommand("migrate", "Write a file for a gateway beside every client process");
   migrate->add_option("FILE", file, "a configuration of a bank's proxy (JSON)")->required();
@@ -143,7 +143,7 @@
       "  paddlestile migrate bank.json --gateways 900 --warm-keys --to beside.json");
 
   const std::function<int()> lab = lab::AddCommands(app);
-  const std::function<int()> bank = net::AddBankCommands(app);
+  const std::function<int()> bank = AddBankCommands(app);
   CLI::App* const version = app.add_subcommand("version", "Print the version");
 
   try {
@@ -154,11 +154,11 @@
     fmt::print(stderr, "paddlestile: {}; see paddlestile --help\n", error.what());
     return kWrongUsage;
   }
-  net::SetLogFormat(log_format == "json" ? net::LogFormat::kJson : net::LogFormat::kText);
-  net::SetLogLevel(log_level == "debug"     ? net::Level::kDebug
-                   : log_level == "warning" ? net::Level::kWarning
-                   : log_level == "error"   ? net::Level::kError
-                                            : net::Level::kInfo);
+  SetLogFormat(log_format == "json" ? LogFormat::kJson : LogFormat::kText);
+  SetLogLevel(log_level == "debug"     ? Level::kDebug
+              : log_level == "warning" ? Level::kWarning
+              : log_level == "error"   ? Level::kError
+                                       : Level::kInfo);
   if (version->parsed()) {
     fmt::print("paddlestile {}\n", PADDLESTILE_VERSION);
     return kDone;
@@ -173,7 +173,7 @@
   }
   if (const int code = lab(); code >= 0) return code;
   if (const int code = bank(); code >= 0) return code;
-  return net::Serve({Duration(std::llround(counters_every * 1e6)), operator_file, nullptr});
+  return Serve({Duration(std::llround(counters_every * 1e6)), operator_file, nullptr});
 }
 
 }  // namespace
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -6,10 +6,10 @@
 
 #include "cluster/delta.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
-constexpr Index kNear = 64;  // entries that one who is to vote may be behind
+constexpr raft::Index kNear = 64;  // entries that one who is to vote may be behind
 
 // What an entry takes to apply beside its own bytes, whatever the version's size: parsed, its parts
 // found, what they contradict.
@@ -19,16 +19,18 @@
 
 }  // namespace
 
-Duration BoundOf(const Timing& timing, Duration slack) { return WaitFor(timing) + slack; }
+Duration BoundOf(const raft::Timing& timing, Duration slack) {
+  return raft::WaitFor(timing) + slack;
+}
 
-Member::Member(Options options, Disk disk, uint64_t seed, Time now)
+Member::Member(Options options, raft::Disk disk, uint64_t seed, Time now)
     : options_(std::move(options)),
       agreement_(options_.name, options_.timing, std::move(disk), seed, now),
       started_(now) {
   agreement_.Weigh(kEntryWork);
 }
 
-void Member::Linked(Time now, const std::string& name, uint64_t life, const Claim& of_you,
+void Member::Linked(Time now, const std::string& name, uint64_t life, const raft::Claim& of_you,
                     MemberOutput& out) {
   linked_[name] = life;
   agreement_.Linked(now, name, life, of_you, out);
@@ -41,7 +43,7 @@
   After(now, out);
 }
 
-void Member::Receive(Time now, const Message& message, MemberOutput& out) {
+void Member::Receive(Time now, const raft::Message& message, MemberOutput& out) {
   agreement_.Receive(now, message, out);
   After(now, out);
 }
@@ -168,10 +170,10 @@
   // What is proposed already comes before it, in whatever term it is agreed.
   const History* latest = &history_;
   std::optional<History> ahead;
-  for (Index i = std::max(agreement_.applied() + 1, agreement_.first()); i <= agreement_.last();
-       ++i) {
-    const Entry& entry = agreement_.EntryAt(i);
-    if (entry.kind != Entry::Kind::kData) continue;
+  for (raft::Index i = std::max(agreement_.applied() + 1, agreement_.first());
+       i <= agreement_.last(); ++i) {
+    const raft::Entry& entry = agreement_.EntryAt(i);
+    if (entry.kind != raft::Entry::Kind::kData) continue;
     if (!ahead) latest = &ahead.emplace(history_);
     ahead->Apply(i, entry.bytes);
   }
@@ -191,8 +193,8 @@
 }
 
 void Member::TakeVoters(Time now, const Wish& wish, Waiting waiting, MemberOutput& out) {
-  std::vector<Voter> voters = agreement_.voters();
-  const auto at = std::ranges::find(voters, wish.name, &Voter::name);
+  std::vector<raft::Voter> voters = agreement_.voters();
+  const auto at = std::ranges::find(voters, wish.name, &raft::Voter::name);
   const auto linked = linked_.find(wish.name);
   const uint64_t life = wish.name == options_.name ? agreement_.life()
                         : linked != linked_.end()  ? linked->second
@@ -210,7 +212,7 @@
     if (wish.kind == Wish::Kind::kAddVoter) {
       if (at != voters.end()) return refuse("votes with another disk, expected replace");
       if (agreement_.MatchOf(wish.name) + kNear < agreement_.last()) return refuse("is far behind");
-      if (voters.size() >= kVotersMost) return refuse("is one more than may vote");
+      if (voters.size() >= raft::kVotersMost) return refuse("is one more than may vote");
       voters.push_back({wish.name, life});
     } else {
       if (at == voters.end()) return refuse("does not vote, expected add");
@@ -218,9 +220,9 @@
       voters.erase(at);
     }
   }
-  const auto here = std::ranges::count_if(voters, [&](const Voter& v) {
+  const auto here = std::ranges::count_if(voters, [&](const raft::Voter& v) {
     const auto link = linked_.find(v.name);
-    return v == Voter{options_.name, agreement_.life()} ||
+    return v == raft::Voter{options_.name, agreement_.life()} ||
            (link != linked_.end() && link->second == v.life);
   });
   if (2 * static_cast<size_t>(here) <= voters.size()) {
@@ -239,8 +241,8 @@
   if (then_add_) {
     const auto linked = linked_.find(*then_add_);
     if (linked == linked_.end()) return;
-    std::vector<Voter> voters = agreement_.voters();
-    if (std::ranges::find(voters, *then_add_, &Voter::name) != voters.end())
+    std::vector<raft::Voter> voters = agreement_.voters();
+    if (std::ranges::find(voters, *then_add_, &raft::Voter::name) != voters.end())
       return then_add_.reset();
     voters.push_back({*then_add_, linked->second});
     if (const auto index = agreement_.ProposeVoters(now, std::move(voters), out)) {
@@ -252,10 +254,10 @@
     return;
   }
   if (history_.formed() || formed_proposed_) return;
-  std::vector<Voter> voters = agreement_.voters();
+  std::vector<raft::Voter> voters = agreement_.voters();
   bool all = true;
   for (const std::string& name : options_.first_voters) {
-    if (std::ranges::find(voters, name, &Voter::name) != voters.end()) continue;
+    if (std::ranges::find(voters, name, &raft::Voter::name) != voters.end()) continue;
     all = false;
     const auto linked = linked_.find(name);
     if (linked == linked_.end() || agreement_.MatchOf(name) + kNear < agreement_.last()) continue;
@@ -268,12 +270,12 @@
 
 // What follows from what has happened, until nothing more does.
 void Member::After(Time now, MemberOutput& out) {
-  std::vector<Applied> applied = std::move(out.applied);
+  std::vector<raft::Applied> applied = std::move(out.applied);
   out.applied.clear();
-  for (const Applied& a : applied) {
+  for (const raft::Applied& a : applied) {
     if (a.snapshot) {
       history_.Load(a.snapshot->bytes);
-    } else if (a.entry.kind == Entry::Kind::kData) {
+    } else if (a.entry.kind == raft::Entry::Kind::kData) {
       const History::Result result = history_.Apply(a.index, a.entry.bytes);
       if (result.change && result.version > 0 && !result.again) {
         const Version& v = history_.versions().back();
@@ -374,7 +376,7 @@
   const Stance stance = Acting(now);
   const Version* const last = history_.Find(history_.latest());
   json voters = json::array(), linked = json::array();
-  for (const Voter& v : agreement_.voters()) voters.push_back(v.name);
+  for (const raft::Voter& v : agreement_.voters()) voters.push_back(v.name);
   for (const auto& [name, life] : linked_) {
     json one = {{"name", name}};
     if (agreement_.Leads(now)) {
@@ -413,4 +415,4 @@
       {"since_s", Seconds(now - started_)}};
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -16,11 +16,11 @@
 #include "cluster/version_history.h"
 #include "raft/raft_node.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 
 // The longest that two gateways may act on rules that contradict each other: one that got its lease
 // at the last moment acts on for that long, and for `slack` until it notices.
-Duration BoundOf(const Timing& timing, Duration slack);
+Duration BoundOf(const raft::Timing& timing, Duration slack);
 inline constexpr Duration kSlack{250'000};  // us; for a process that runs
 
 struct Wish {
@@ -50,7 +50,7 @@
   std::optional<Answer> answer;  // to it
 };
 
-struct MemberOutput : Output {
+struct MemberOutput : raft::Output {
   std::vector<Note> notes;
   std::vector<std::pair<uint64_t, Answer>> answers;  // by the ticket of Submit
   std::vector<std::string> log;                      // lines for people
@@ -77,18 +77,18 @@
  public:
   struct Options {
     std::string name;
-    Timing timing;
+    raft::Timing timing;
     std::set<std::string> first_voters;  // who is to vote once it is there, until all are
     Duration answer_within{3'000'000};
     size_t compact_after = 512;  // entries
     bool deltas = false;         // as leader it proposes changes by their own size
   };
-  Member(Options options, Disk disk, uint64_t seed, Time now);
+  Member(Options options, raft::Disk disk, uint64_t seed, Time now);
 
-  void Linked(Time now, const std::string& name, uint64_t life, const Claim& of_you,
+  void Linked(Time now, const std::string& name, uint64_t life, const raft::Claim& of_you,
               MemberOutput& out);
   void Unlinked(Time now, const std::string& name, MemberOutput& out);
-  void Receive(Time now, const Message& message, MemberOutput& out);
+  void Receive(Time now, const raft::Message& message, MemberOutput& out);
   void Receive(Time now, const Note& note, MemberOutput& out);
   void Durable(Time now, uint64_t ticket, MemberOutput& out);
   void Tick(Time now, MemberOutput& out);
@@ -101,7 +101,7 @@
   // The rules of a stance of this moment.
   [[nodiscard]] Content RulesOf(const Stance& stance) const;
 
-  [[nodiscard]] const Agreement& agreement() const { return agreement_; }
+  [[nodiscard]] const raft::Agreement& agreement() const { return agreement_; }
   [[nodiscard]] const History& history() const { return history_; }
   // How often its content was found to be another than what was agreed.
   [[nodiscard]] uint64_t differed() const { return differed_; }
@@ -112,8 +112,8 @@
     std::optional<uint64_t> ticket;  // here, or
     std::string from;                // at this member
     Time until{0};
-    Index index = 0;  // of voters: agreed once this is
-    Term term = 0;
+    raft::Index index = 0;  // of voters: agreed once this is
+    raft::Term term = 0;
     uint64_t version = 0;  // of a change: done once this is in force
     bool sent = false;     // with the leader, who is to answer
   };
@@ -126,18 +126,18 @@
   [[nodiscard]] std::string WhoLeads(Time now) const;
 
   Options options_;
-  Agreement agreement_;
+  raft::Agreement agreement_;
   History history_;
   Time started_;
   std::map<std::string, uint64_t> linked_;  // name to life
   std::map<std::string, Waiting> waiting_;  // by the change's id
-  std::pair<Term, uint64_t> on_proposed_{0, 0};
+  std::pair<raft::Term, uint64_t> on_proposed_{0, 0};
   bool formed_proposed_ = false;
   bool differs_ = false;  // said so
   uint64_t differed_ = 0;
   std::optional<std::string> then_add_;  // a voter replaced: out first, then in
 };
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
 
 #endif  // PADDLESTILE_CLUSTER_CLUSTER_MEMBER_H_
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -1,69 +1,19 @@
 #include "cluster/codec.h"
 
-#include <stdexcept>
 #include <string>
 #include <utility>
 #include <vector>
 
-namespace paddlestile::bank {
+#include "raft/json_decoding.h"
+
+namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
 
-json Bytes(const std::string& text) {
-  return json::binary(std::vector<uint8_t>(text.begin(), text.end()));
-}
-std::string TextOf(const json& value) {
-  const json::binary_t& bytes = value.get_binary();
-  return {bytes.begin(), bytes.end()};
-}
-
-template <typename Enum>
-Enum Among(const json& value, Enum last) {
-  const auto n = value.get<uint8_t>();
-  if (n > static_cast<uint8_t>(last)) throw std::invalid_argument("no such kind");
-  return static_cast<Enum>(n);
-}
-
-json OfVoters(const std::vector<Voter>& voters) {
-  json all = json::array();
-  for (const Voter& v : voters) all.push_back({v.name, v.life});
-  return all;
-}
-std::vector<Voter> Voters(const json& value) {
-  if (!value.is_array()) throw std::invalid_argument("no list");
-  std::vector<Voter> voters;
-  for (const json& v : value) voters.push_back({v.at(0), v.at(1)});
-  if (voters.size() > kVotersMost) throw std::invalid_argument("too many voters");
-  return voters;
-}
-
-json OfEntries(const std::vector<Entry>& entries) {
-  json all = json::array();
-  for (const Entry& e : entries)
-    all.push_back({e.term, e.kind, Bytes(e.bytes), OfVoters(e.voters)});
-  return all;
-}
-std::vector<Entry> Entries(const json& value) {
-  if (!value.is_array()) throw std::invalid_argument("no list");
-  std::vector<Entry> entries;
-  for (const json& e : value) {
-    entries.push_back(
-        {e.at(0), Among(e.at(1), Entry::Kind::kData), TextOf(e.at(2)), Voters(e.at(3))});
-  }
-  return entries;
-}
-
-json OfSnapshot(const Snapshot& s) { return {s.index, s.term, OfVoters(s.voters), Bytes(s.bytes)}; }
-Snapshot ASnapshot(const json& value) {
-  return {value.at(0), value.at(1), Voters(value.at(2)), TextOf(value.at(3))};
-}
-
-Claim AClaim(const json& v) { return {v.at(0), v.at(1), v.at(2), v.at(3)}; }
-
 Wish AWish(const json& v) {
   Wish wish;
-  wish.kind = Among(v.at(0), Wish::Kind::kReplaceVoter);
+  wish.kind = raft::DecodeEnum(v.at(0), Wish::Kind::kReplaceVoter);
   wish.name = v.at(1);
   wish.change = {v.at(2), v.at(3), v.at(4), v.at(5), std::nullopt, v.at(7), false};
   if (!v.at(6).is_null()) wish.change.expect = v.at(6).get<uint64_t>();
@@ -73,49 +23,11 @@
 }
 
 Answer AnAnswer(const json& v) {
-  return {Among(v.at(0), Answer::Kind::kUnknown), v.at(1), v.at(2), v.at(3)};
-}
-
-template <typename Read>
-auto Try(Read&& read) -> std::optional<decltype(read())> {
-  try {
-    return read();
-  } catch (const std::exception&) {
-    return std::nullopt;
-  }
+  return {raft::DecodeEnum(v.at(0), Answer::Kind::kUnknown), v.at(1), v.at(2), v.at(3)};
 }
 
 }  // namespace
 
-json ToJson(const Claim& c) { return {c.life, c.boot, c.term, c.match}; }
-
-json ToJson(const Write& w) {
-  return {
-      w.term,   w.vote, w.from, OfEntries(w.entries), w.snapshot ? OfSnapshot(*w.snapshot) : json(),
-      w.commit, w.lazy};
-}
-
-json ToJson(const Message& m) {
-  json snapshot;
-  if (m.type == Message::Type::kSnapshot) snapshot = OfSnapshot(m.snapshot);
-  return {m.type,
-          m.from,
-          m.to,
-          m.from_life,
-          m.term,
-          m.trial,
-          m.granted,
-          m.index,
-          m.index_term,
-          m.commit,
-          m.sent.count(),
-          m.asked.count(),
-          OfEntries(m.entries),
-          std::move(snapshot),
-          ToJson(m.own),
-          ToJson(m.of_you)};
-}
-
 json ToJson(const Wish& w) {
   const Change& c = w.change;
   json all = {w.kind, w.name, c.id, c.author, c.reason, c.unix_s,
@@ -132,45 +44,16 @@
   return {n.from, n.to, n.wish ? ToJson(*n.wish) : json(), n.answer ? ToJson(*n.answer) : json()};
 }
 
-std::optional<Claim> ReadClaim(const json& value) {
-  return Try([&] { return AClaim(value); });
-}
-
-std::optional<Write> ReadWrite(const json& v) {
-  return Try([&] {
-    Write w;
-    w.term = v.at(0), w.vote = v.at(1), w.from = v.at(2), w.entries = Entries(v.at(3));
-    if (!v.at(4).is_null()) w.snapshot = ASnapshot(v.at(4));
-    w.commit = v.at(5), w.lazy = v.at(6);
-    return w;
-  });
-}
-
-std::optional<Message> ReadMessage(const json& v) {
-  return Try([&] {
-    Message m;
-    m.type = Among(v.at(0), Message::Type::kClaim);
-    m.from = v.at(1), m.to = v.at(2), m.from_life = v.at(3), m.term = v.at(4);
-    m.trial = v.at(5), m.granted = v.at(6), m.index = v.at(7), m.index_term = v.at(8);
-    m.commit = v.at(9), m.sent = Time(v.at(10).get<int64_t>()),
-    m.asked = Time(v.at(11).get<int64_t>());
-    m.entries = Entries(v.at(12));
-    if (m.type == Message::Type::kSnapshot) m.snapshot = ASnapshot(v.at(13));
-    m.own = AClaim(v.at(14)), m.of_you = AClaim(v.at(15));
-    return m;
-  });
-}
-
 std::optional<Wish> ReadWish(const json& v) {
-  return Try([&] { return AWish(v); });
+  return raft::TryDecode([&] { return AWish(v); });
 }
 
 std::optional<Answer> ReadAnswer(const json& v) {
-  return Try([&] { return AnAnswer(v); });
+  return raft::TryDecode([&] { return AnAnswer(v); });
 }
 
 std::optional<Note> ReadNote(const json& v) {
-  return Try([&] {
+  return raft::TryDecode([&] {
     Note n{v.at(0), v.at(1), std::nullopt, std::nullopt};
     if (!v.at(2).is_null()) n.wish = AWish(v.at(2));
     if (!v.at(3).is_null()) n.answer = AnAnswer(v.at(3));
@@ -178,4 +61,4 @@
   });
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/config_document.cpp
+++ b/src/cluster/config_document.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
@@ -166,4 +166,4 @@
   return out;
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/config_document.h
+++ b/src/cluster/config_document.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 
 // What a class may be, each stricter than the one before.
 inline constexpr std::array kEffects = {"safe", "keyed", "unsafe"};
@@ -55,6 +55,6 @@
 // Of a version's text: 32 hexadecimal digits (XXH3, 128 bits).
 std::string HashOf(std::string_view text);
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
 
 #endif  // PADDLESTILE_CLUSTER_CONFIG_DOCUMENT_H_
--- a/src/cluster/delta.cpp
+++ b/src/cluster/delta.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
@@ -371,4 +371,4 @@
   return Dumped(delta);
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/delta.h
+++ b/src/cluster/delta.h
@@ -10,7 +10,7 @@
 
 #include "cluster/version_content.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 
 inline constexpr size_t kDeltaMost = 64 << 10;  // bytes of one delta
 
@@ -27,6 +27,6 @@
 // It may be larger than `b`, or than a delta may be.
 std::string Difference(const Content& a, const Content& b);
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
 
 #endif  // PADDLESTILE_CLUSTER_DELTA_H_
--- a/src/cluster/persistent_map.cpp
+++ b/src/cluster/persistent_map.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 bool Before(const Part& part, std::string_view name) { return part.name < name; }
@@ -119,4 +119,4 @@
   return all;
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/persistent_map.h
+++ b/src/cluster/persistent_map.h
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <vector>
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 
 struct Part {
   std::string name, text;  // the text is a JSON value
@@ -123,6 +123,6 @@
   }
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
 
 #endif  // PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
--- a/src/cluster/version_content.cpp
+++ b/src/cluster/version_content.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
@@ -281,4 +281,4 @@
   return strictest;
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/version_content.h
+++ b/src/cluster/version_content.h
@@ -12,7 +12,7 @@
 #include "cluster/config_document.h"
 #include "cluster/persistent_map.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 
 struct Content {
   Content() = default;
@@ -53,6 +53,6 @@
 // What contradicts no version that can come, but for hosts that one may bar.
 Content Strictest(const Content& content);
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
 
 #endif  // PADDLESTILE_CLUSTER_VERSION_CONTENT_H_
--- a/src/cluster/version_history.cpp
+++ b/src/cluster/version_history.cpp
@@ -6,7 +6,7 @@
 
 #include "cluster/delta.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
@@ -65,7 +65,7 @@
                : HashOf(version.rules.empty() ? ToText(*version.content) : version.rules);
 }
 
-History::Result History::Apply(Index index, const std::string& entry) {
+History::Result History::Apply(raft::Index index, const std::string& entry) {
   const json value = Unpacked(entry);
   const std::string kind = value.value("kind", "");
   Result result;
@@ -254,4 +254,4 @@
   Walk(0, [&](const Version&, const Content& content) { acting_ = Stricter(acting_, content); });
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/src/cluster/version_history.h
+++ b/src/cluster/version_history.h
@@ -14,7 +14,7 @@
 #include "cluster/version_content.h"
 #include "raft/raft_node.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 
 // What somebody wants.
 struct Change {
@@ -40,7 +40,7 @@
   // How it came: whole, or as a delta to the version before. Of the last kWhole alone, and neither
   // is told of the oldest of them where it came as a delta.
   std::string rules;
-  Index index = 0;
+  raft::Index index = 0;
   std::string delta{};
   std::optional<Content> content{};  // of the last kWhole; they share what they have in common
 };
@@ -67,7 +67,7 @@
     uint64_t version = 0;             // 0: refused
     std::string refused;
   };
-  Result Apply(Index index, const std::string& entry);
+  Result Apply(raft::Index index, const std::string& entry);
 
   // Whether this id was taken, and as what.
   [[nodiscard]] std::optional<Result> Find(const std::string& id) const;
@@ -80,7 +80,7 @@
   [[nodiscard]] uint64_t on() const { return on_; }
   [[nodiscard]] uint64_t latest() const { return versions_.empty() ? 0 : versions_.back().number; }
   // The entry that every member that holds a lease must have applied.
-  [[nodiscard]] Index latest_index() const {
+  [[nodiscard]] raft::Index latest_index() const {
     return versions_.empty() ? 0 : versions_.back().index;
   }
   // What to act on: the version in force, and of those behind it only what is stricter.
@@ -118,6 +118,6 @@
   uint64_t whole_at_ = 0;    // the last version that came whole
 };
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
 
 #endif  // PADDLESTILE_CLUSTER_VERSION_HISTORY_H_
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -1,6 +1,5 @@
 #include "config/gateway_config.h"
 
-#include <arpa/inet.h>
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -14,7 +13,7 @@
 #include "http/http_parser.h"
 #include "simulator/protocol.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 // What separates values on the wire stands as '_' within one there.
@@ -170,7 +169,7 @@
 }
 
 void TakeSettings(const Json& settings, Config& config) {
-  config.settings = wire::ParseSettings(FlattenSettings(settings));
+  config.settings = simulator::ParseSettings(FlattenSettings(settings));
   AddNames(settings, "Classes", config.names.classes);
   AddNames(settings, "Tenants", config.names.tenants);
   AddNames(settings, "FailureDomains", config.names.zones);
@@ -274,7 +273,7 @@
   std::string text = FlattenSettings(json);
   while (faults.size() < kMostFaults) {
     try {
-      CheckSettings(wire::ParseSettings(text));
+      CheckSettings(simulator::ParseSettings(text));
       return;
     } catch (const std::exception& error) {
       const std::string what = error.what();
@@ -293,24 +292,6 @@
 
 }  // namespace
 
-Address ParseAddress(std::string_view text) {
-  const size_t colon = text.rfind(':');
-  const auto bad = [&] { return ConfigError(fmt::format("no address and port: '{}'", text)); };
-  if (colon == std::string_view::npos) throw bad();
-  in_addr host{};
-  const std::string ip(text.substr(0, colon));
-  const auto port = ToWhole(text.substr(colon + 1));
-  if (inet_pton(AF_INET, ip.c_str(), &host) != 1 || !port || *port == 0 || *port > 65535) {
-    throw bad();
-  }
-  return {ntohl(host.s_addr), static_cast<uint16_t>(*port)};
-}
-
-std::string ToText(const Address& address) {
-  return fmt::format("{}.{}.{}.{}:{}", address.host >> 24, address.host >> 16 & 255,
-                     address.host >> 8 & 255, address.host & 255, address.port);
-}
-
 void NameTable::Add(std::string name) {
   if (places_.use_count() > 1) places_ = std::make_shared<Places>(*places_);
   places_->emplace(std::move(name), size_++);
@@ -453,7 +434,7 @@
 }
 
 std::optional<std::vector<TenantChange>> SettingsUnderRules::TenantsChanged(
-    const bank::Content& was, const bank::Content& rules) {
+    const cluster::Content& was, const cluster::Content& rules) {
   if (was.strict != rules.strict || was.settings != rules.settings ||
       was.classes != rules.classes || was.tenants.has_value() != rules.tenants.has_value()) {
     return std::nullopt;
@@ -461,7 +442,7 @@
   std::vector<TenantChange> changes;
   if (!rules.tenants) return changes;
   std::string list;
-  bank::Parts::ForEachDifference(
+  cluster::Parts::ForEachDifference(
       *was.tenants, *rules.tenants,
       [&](const std::string& name, const std::string*, const std::string* now) {
         changes.push_back({name, std::nullopt});
@@ -473,7 +454,7 @@
   try {
     if (list.empty()) return changes;
     const Json json = Json::Parse(fmt::format("{{\"Tenants\":[{}]}}", list));
-    const std::vector<Tenant> figures = wire::ParseSettings(FlattenSettings(json)).tenants;
+    const std::vector<Tenant> figures = simulator::ParseSettings(FlattenSettings(json)).tenants;
     size_t next = 0;
     for (TenantChange& change : changes) {
       if (change.figures) change.figures = figures.at(next++);
@@ -492,7 +473,7 @@
   }
 }
 
-Config SettingsUnderRules::Whole(const bank::Content& rules, const Config& was, Time now) const {
+Config SettingsUnderRules::Whole(const cluster::Content& rules, const Config& was, Time now) const {
   nlohmann::json settings = settings_;
   settings.merge_patch(rules.ToRules().settings);
   Config config;
@@ -512,8 +493,8 @@
   return config;
 }
 
-Config SettingsUnderRules::With(const bank::Content& rules, const Config& was,
-                                const bank::Content* was_rules, Time now) const {
+Config SettingsUnderRules::With(const cluster::Content& rules, const Config& was,
+                                const cluster::Content* was_rules, Time now) const {
   try {
     const auto changes = was_rules == nullptr ? std::nullopt : TenantsChanged(*was_rules, rules);
     if (!changes) return Whole(rules, was, now);
@@ -634,4 +615,4 @@
   }
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -15,25 +15,12 @@
 #include <vector>
 
 #include "balancer/load_balancer.h"
+#include "base/address.h"
+#include "base/config_error.h"
 #include "cluster/version_content.h"
 #include "config/json.h"
 
-namespace paddlestile::net {
-
-class ConfigError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
-struct Address {
-  uint32_t host = 0;  // IPv4, in host order
-  uint16_t port = 0;
-  bool operator==(const Address&) const = default;
-};
-
-// "10.0.0.4:5000"; throws ConfigError. There is no DNS.
-Address ParseAddress(std::string_view text);
-std::string ToText(const Address& address);
+namespace paddlestile {
 
 // The names that the sockets use, with their places in the settings' lists. A copy shares them
 // until one of the two gets another name: settings are copied at each change, and their names are
@@ -134,16 +121,16 @@
   // twice. `was` is in force until then, and came of `was_rules` by this function; null: it did
   // not. Holds no hosts and no text of the file. Throws ConfigError where the two make no sense
   // together.
-  [[nodiscard]] Config With(const bank::Content& rules, const Config& was,
-                            const bank::Content* was_rules, Time now) const;
+  [[nodiscard]] Config With(const cluster::Content& rules, const Config& was,
+                            const cluster::Content* was_rules, Time now) const;
 
   // How the settings of `rules` differ from those of `was`, where it is by tenants alone; nothing
   // where it is by more. Throws ConfigError where they make no sense.
   [[nodiscard]] static std::optional<std::vector<TenantChange>> TenantsChanged(
-      const bank::Content& was, const bank::Content& rules);
+      const cluster::Content& was, const cluster::Content& rules);
 
  private:
-  [[nodiscard]] Config Whole(const bank::Content& rules, const Config& was, Time now) const;
+  [[nodiscard]] Config Whole(const cluster::Content& rules, const Config& was, Time now) const;
 
   nlohmann::json settings_;
   Address discovery_;
@@ -161,6 +148,6 @@
 Config ReadConfig(const std::function<const char*(const char*)>& env,
                   const std::function<Time(double)>& from_wall);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_CONFIG_GATEWAY_CONFIG_H_
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <optional>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 bool IsSpace(char c) { return c == ' ' || c == '\t' || c == '\n' || c == '\r'; }
@@ -265,4 +265,4 @@
   return *value;
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 class JsonError : public std::runtime_error {
  public:
@@ -102,6 +102,6 @@
   size_t size_ = 0;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_CONFIG_JSON_H_
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -17,7 +17,7 @@
 #include "config/gateway_config.h"
 #include "simulator/protocol.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using Object = nlohmann::ordered_json;
@@ -74,7 +74,7 @@
       if (!kTopLevel.contains(name)) Note(fmt::format("kept, but not known here: {}", name));
     }
     for (const std::string& name :
-         wire::UnreadSettings(FlattenSettings(Json::Parse(json_["settings"].dump())))) {
+         simulator::UnreadSettings(FlattenSettings(Json::Parse(json_["settings"].dump())))) {
       Note(fmt::format("kept, but not read by the gateway: settings.{}", name));
     }
   }
@@ -137,4 +137,4 @@
   if (!good) throw bad("cannot write it");
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/config/migration.h
+++ b/src/config/migration.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 struct MigrateOptions {
   int gateways = 0;        // client processes, each with a gateway: 1 to 100,000
@@ -28,6 +28,6 @@
 // file that is there is left as it was unless `replace`.
 void WriteWhole(const std::string& path, const std::string& text, bool replace);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_CONFIG_MIGRATION_H_
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -11,7 +11,7 @@
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 class Reader {
@@ -163,7 +163,7 @@
                  "each member once");
     }
   }
-  if (votes % 2 == 0 || votes > bank::kVotersMost) {
+  if (votes % 2 == 0 || votes > raft::kVotersMost) {
     read.Fault(members, "bank.members", fmt::format("{} members vote", votes),
                "an odd number of them, 3 or 5 for a bank that bears a loss");
   }
@@ -204,4 +204,4 @@
   return config;
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -10,7 +10,7 @@
 #include "config/gateway_config.h"
 #include "raft/raft_node.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // What a gateway does with hosts that others may have barred, once it has lost the bank.
 enum class WhenLost {
@@ -30,7 +30,7 @@
     bool votes = false;
   };
   std::map<std::string, Seat> members;
-  bank::Timing timing;
+  raft::Timing timing;
   WhenLost when_lost = WhenLost::kServe;
   ChangeForm changes = ChangeForm::kWhole;
   // Of a lab: this process's clock runs so much faster; what its disk does, see controlled_files.h.
@@ -47,6 +47,6 @@
 // For the member `name`; throws ConfigError with those lines, or where the name is none of them.
 BankConfig ReadBank(const std::string& path, const std::string& name);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_CONFIG_OPERATOR_CONFIG_H_
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -9,7 +9,7 @@
 #include "base/log.h"
 #include "base/metrics.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 // A line is due every 2 s, an empty one at the least: after two and a half of them without one, a
@@ -392,4 +392,4 @@
   }
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -12,7 +12,7 @@
 #include "event/stream.h"
 #include "http/http_parser.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 class List {
  public:
@@ -100,6 +100,6 @@
   Duration too_long_most_{30'000'000};  // us
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_DISCOVERY_DISCOVERY_CLIENT_H_
--- a/src/event/buffer.cpp
+++ b/src/event/buffer.cpp
@@ -6,7 +6,7 @@
 
 #include "base/metrics.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 void Buffer::Swap(Buffer& other) noexcept {
   std::swap(bytes_, other.bytes_);
@@ -66,4 +66,4 @@
   return rest;
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/event/buffer.h
+++ b/src/event/buffer.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string_view>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // A part of a buffer by place, so that it outlives the buffer's growth.
 struct Range {
@@ -56,6 +56,6 @@
   size_t capacity_ = 0, begin_ = 0, end_ = 0;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_EVENT_BUFFER_H_
--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -12,43 +12,19 @@
 
 #include "base/metrics.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-constexpr int64_t kBefore = 24LL * 3600 * 1'000'000;  // us; hosts that started before are warm
-constexpr Duration kLag{20'000};                      // us; a round that long delays others
-constexpr Duration kUrgentWait{50'000};               // us; for what is urgent, within a round
+constexpr Duration kLag{20'000};          // us; a round that long delays others
+constexpr Duration kUrgentWait{50'000};   // us; for what is urgent, within a round
 constexpr int kLooksMost = 16;            // at the sockets, before timers have their turn
 constexpr uint64_t kUrgentToken = ~0ULL;  // of the inner epoll
 
-int64_t Mono() {
-  return duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
-}
-int64_t Wall() {
-  return duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
-}
-
 }  // namespace
 
-void Fd::Reset() {
-  // Not repeated on EINTR: on Linux the descriptor is free by then.
-  if (fd_ >= 0) close(fd_);
-  fd_ = -1;
-}
-
-Clock::Clock() : mono_zero_us_(Mono() - kBefore), wall_zero_us_(Wall() - kBefore) {}
-
-Time Clock::Now() const { return Time(Mono() - mono_zero_us_); }
-
-Time Clock::FromWall(double unix_ms) const {
-  constexpr double kMost = 1e15;  // ms; far inside 64 bits of microseconds
-  if (!(unix_ms > 0) || unix_ms > kMost) return Time(0);
-  return Time(std::max<int64_t>(0, std::llround(unix_ms * 1000) - wall_zero_us_));
-}
-
 EventLoop::EventLoop()
     : epoll_(epoll_create1(EPOLL_CLOEXEC)), urgent_(epoll_create1(EPOLL_CLOEXEC)) {
   epoll_event event{};
@@ -176,4 +152,4 @@
   while (!stopped_) RunOnce(std::chrono::seconds(60));
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/event/event_loop.h
+++ b/src/event/event_loop.h
@@ -9,47 +9,11 @@
 #include <utility>
 #include <vector>
 
-#include "balancer/load_balancer.h"
+#include "base/clock.h"
+#include "base/file_descriptor.h"
+#include "base/time.h"
 
-namespace paddlestile::net {
-
-// Owns a descriptor.
-class Fd {
- public:
-  Fd() = default;
-  explicit Fd(int fd) : fd_(fd) {}
-  Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  Fd& operator=(Fd&& other) noexcept {
-    if (this != &other) {
-      Reset();
-      fd_ = std::exchange(other.fd_, -1);
-    }
-    return *this;
-  }
-  Fd(const Fd&) = delete;
-  Fd& operator=(const Fd&) = delete;
-  ~Fd() { Reset(); }
-  [[nodiscard]] int get() const { return fd_; }
-  explicit operator bool() const { return fd_ >= 0; }
-  void Reset();
-
- private:
-  int fd_ = -1;
-};
-
-// Both clocks, tied together once at the start: a host's start, told in wall time, must come out
-// the same each time it is told, or it would look like another start.
-class Clock {
- public:
-  Clock();
-  [[nodiscard]] Time Now() const;  // monotonic; begins an arbitrary while ago
-  // Unix time in milliseconds to the clock of Now(). What is 0 or before its beginning is 0.
-  [[nodiscard]] Time FromWall(double unix_ms) const;
-
- private:
-  int64_t mono_zero_us_ = 0;  // the steady clock's reading at Time(0)
-  int64_t wall_zero_us_ = 0;  // the wall clock's at that moment
-};
+namespace paddlestile {
 
 class EventLoop {
  public:
@@ -116,6 +80,6 @@
   bool stopped_ = false;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_EVENT_EVENT_LOOP_H_
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -15,7 +15,7 @@
 
 #include "base/metrics.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 constexpr size_t kPiecesAtOnce = 16;
 // A peer may have 60 MB more to say: past so much it is left to its own full buffers.
@@ -23,57 +23,6 @@
 constexpr size_t kDiscardAtOnce = 1 << 17;
 }  // namespace
 
-Fd Listen(const Address& listen, int backlog, bool shared) {
-  Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const int on = 1;
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(listen.port);
-  address.sin_addr.s_addr = htonl(listen.host);
-  const auto* const name = reinterpret_cast<const sockaddr*>(&address);
-  if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
-      (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof(on)) != 0) ||
-      bind(fd.get(), name, sizeof(address)) != 0 || ::listen(fd.get(), backlog) != 0) {
-    const int error = errno;
-    fd.Reset();
-    errno = error;
-  }
-  // Of several that listen there the newest gets all that comes, and the one that leaves can empty
-  // its queue. Without this, or with one alone, the kernel chooses.
-  sock_filter newest{BPF_RET | BPF_K, 0, 0, 1};
-  const sock_fprog choice{1, &newest};
-  if (fd && shared) {
-    setsockopt(fd.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &choice, sizeof(choice));
-  }
-  return fd;
-}
-
-Address BoundTo(int fd) {
-  sockaddr_in address{};
-  socklen_t size = sizeof(address);
-  if (getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) return {};
-  return {ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
-}
-
-std::optional<Socket> Connect(const Address& to, Descriptors* budget, bool& refused) {
-  refused = false;
-  if (budget != nullptr && !budget->Take()) return std::nullopt;
-  Socket socket(Fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), budget);
-  if (socket.get() < 0) return std::nullopt;
-  const int on = 1;
-  setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(to.port);
-  address.sin_addr.s_addr = htonl(to.host);
-  if (connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 &&
-      errno != EINPROGRESS && errno != EINTR) {
-    refused = true;
-    return std::nullopt;
-  }
-  return socket;
-}
-
 Stream::Stream(EventLoop& loop, Socket socket, Owner* owner, bool connecting)
     : loop_(loop), socket_(std::move(socket)), owner_(owner), connected_(!connecting) {}
 
@@ -266,4 +215,4 @@
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -1,4 +1,4 @@
-// One TCP connection on the loop, read and written to EAGAIN; and the budget of descriptors.
+// One TCP connection on the event loop, read and written until EAGAIN.
 #ifndef PADDLESTILE_EVENT_STREAM_H_
 #define PADDLESTILE_EVENT_STREAM_H_
 
@@ -10,71 +10,11 @@
 #include <string_view>
 #include <utility>
 
-#include "config/gateway_config.h"
 #include "event/buffer.h"
 #include "event/event_loop.h"
+#include "event/socket.h"
 
-namespace paddlestile::net {
-
-// All connections draw from one budget, which keeps some back for the files that every process has.
-class Descriptors {
- public:
-  static constexpr size_t kReserve = 32;
-  explicit Descriptors(size_t limit) : most_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
-  bool Take() {
-    if (used_ + elsewhere_ >= most_) return false;
-    ++used_;
-    return true;
-  }
-  void Give() { --used_; }
-  [[nodiscard]] size_t used() const { return used_; }
-  // All that the gateway may hold, of which the uses of it have their shares.
-  [[nodiscard]] size_t most() const { return most_; }
-  // Another process of the same gateway holds so many.
-  void set_elsewhere(size_t count) { elsewhere_ = count; }
-
- private:
-  size_t most_;
-  size_t used_ = 0, elsewhere_ = 0;
-};
-
-// A descriptor counted in the budget for as long as it is open.
-class Socket {
- public:
-  Socket(Fd fd, Descriptors* budget) : fd_(std::move(fd)), budget_(budget) {}
-  Socket(Socket&& other) noexcept
-      : fd_(std::move(other.fd_)), budget_(std::exchange(other.budget_, nullptr)) {}
-  Socket& operator=(Socket&& other) noexcept {
-    if (this != &other) {
-      Close();
-      fd_ = std::move(other.fd_);
-      budget_ = std::exchange(other.budget_, nullptr);
-    }
-    return *this;
-  }
-  Socket(const Socket&) = delete;
-  Socket& operator=(const Socket&) = delete;
-  ~Socket() { Close(); }
-  void Close() {
-    fd_.Reset();
-    if (Descriptors* const budget = std::exchange(budget_, nullptr)) budget->Give();
-  }
-  [[nodiscard]] int get() const { return fd_.get(); }
-
- private:
-  Fd fd_;
-  Descriptors* budget_;
-};
-
-// A listening socket; none where the kernel refuses, with errno. `shared`: others of the same user
-// may listen there too.
-Fd Listen(const Address& listen, int backlog, bool shared);
-// Where a socket is bound.
-Address BoundTo(int fd);
-
-// Begins a connection, out of the reserve where no budget is given. Nothing where the budget or the
-// kernel has no descriptor; `refused` where the address itself gives none.
-std::optional<Socket> Connect(const Address& to, Descriptors* budget, bool& refused);
+namespace paddlestile {
 
 class Stream : public EventLoop::Handler {
  public:
@@ -158,6 +98,6 @@
   std::deque<Piece> out_;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_EVENT_STREAM_H_
--- a/src/gateway/admin.cpp
+++ b/src/gateway/admin.cpp
@@ -15,7 +15,7 @@
 #include "gateway/downstream.h"
 #include "http/http_parser.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 constexpr Duration kCallTime{5'000'000};  // us; for a whole call
@@ -159,4 +159,4 @@
   return {200, quiesce ? "emptying" : "taking clients"};
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/admin.h
+++ b/src/gateway/admin.h
@@ -16,7 +16,7 @@
 #include "event/event_loop.h"
 #include "gateway/lifecycle.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 class Admin {
  public:
@@ -50,6 +50,6 @@
   std::list<std::shared_ptr<Caller>> callers_;  // the longest waiting first
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_ADMIN_H_
--- a/src/gateway/cluster_agent.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -15,21 +15,22 @@
 #include "base/log.h"
 #include "cluster/codec.h"
 #include "cluster/delta.h"
+#include "raft/codec.h"
 #include "storage/controlled_files.h"
 #include "storage/write_ahead_log.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
-using bank::Member;
-using bank::MemberOutput;
-using bank::Stance;
+using cluster::Member;
+using cluster::MemberOutput;
+using cluster::Stance;
 using nlohmann::json;
 
 constexpr Duration kLookAgain{100'000};  // us; at the folder, while another process has it
 constexpr Duration kRoomAgain{200'000};  // us; while the disk is full
 constexpr size_t kCallsMost = 64;
-constexpr size_t kTextsMost = 2 * bank::kVersionMost;  // bytes of versions in one answer
+constexpr size_t kTextsMost = 2 * cluster::kVersionMost;  // bytes of versions in one answer
 
 std::string Packed(const json& value) {
   std::string bytes;
@@ -42,13 +43,13 @@
   return (uint64_t{device()} << 32 | device()) | 1;
 }
 
-json Identity(const BankConfig& config, const std::string& name, const bank::Disk& disk) {
+json Identity(const BankConfig& config, const std::string& name, const raft::Disk& disk) {
   return {{"bank", config.bank}, {"name", name}, {"life", disk.life}, {"boot", disk.boot}};
 }
 
 // One record of the log; throws ConfigError for one of another bank.
 void Take(const BankConfig& config, const std::string& name, std::string_view record,
-          bank::Disk& disk) {
+          raft::Disk& disk) {
   const json value = json::from_cbor(record, true, false);
   if (value.is_object()) {
     if (value.value("bank", "") != config.bank || value.value("name", "") != name) {
@@ -58,8 +59,8 @@
     }
     disk.life = value.value("life", uint64_t{0});
     disk.boot = value.value("boot", uint64_t{0});
-  } else if (const auto write = bank::ReadWrite(value)) {
-    bank::ApplyWrite(disk, *write);
+  } else if (const auto write = raft::ReadWrite(value)) {
+    raft::ApplyWrite(disk, *write);
   }
 }
 
@@ -68,7 +69,7 @@
 // Writes in order, syncs what has gathered at once, and tells the loop by an eventfd.
 class DiskThread final : public EventLoop::Handler {
  public:
-  DiskThread(EventLoop& loop, std::unique_ptr<store::Log> log, std::string identity,
+  DiskThread(EventLoop& loop, std::unique_ptr<storage::Log> log, std::string identity,
              std::function<void()> told)
       : loop_(loop),
         log_(std::move(log)),
@@ -90,8 +91,8 @@
     loop_.Unwatch(fd_.get(), token_);
   }
 
-  void Add(const bank::Write& write) {
-    Job job{write.ticket, Packed(bank::ToJson(write)), write.lazy, write.snapshot.has_value()};
+  void Add(const raft::Write& write) {
+    Job job{write.ticket, Packed(raft::ToJson(write)), write.lazy, write.snapshot.has_value()};
     {
       const std::scoped_lock lock(mutex_);
       jobs_.push_back(std::move(job));
@@ -152,7 +153,7 @@
           }
           last_ = std::max(last_, job.ticket);
           batch.pop_front();
-        } catch (const store::FileError& error) {
+        } catch (const storage::FileError& error) {
           state.why = error.what();
           state.failed = log_->broken() || error.code() != ENOSPC;
           Tell(state);
@@ -168,7 +169,7 @@
         state.durable = std::max(state.durable, last_);
         state.why.clear();
         state.bytes = log_->size();
-      } catch (const store::FileError& error) {
+      } catch (const storage::FileError& error) {
         state.failed = true;
         state.why = error.what();
       }
@@ -177,7 +178,7 @@
   }
 
   EventLoop& loop_;
-  std::unique_ptr<store::Log> log_;
+  std::unique_ptr<storage::Log> log_;
   std::string identity_;
   std::function<void()> told_;
   Fd fd_;
@@ -199,14 +200,14 @@
       file_(std::move(file)),
       settings_(file_),
       zero_(loop.Now()) {
-  if (!config_.disk_control.empty()) controlled_ = store::ControlledFiles(config_.disk_control);
+  if (!config_.disk_control.empty()) controlled_ = storage::ControlledFiles(config_.disk_control);
   Disk().MakeFolder(config_.folder);
   // Until it takes part it acts on what its disk has, as one that is alone.
-  bank::Disk disk;
+  raft::Disk disk;
   try {
-    store::Log::Read(Disk(), config_.folder,
-                     [&](std::string_view record) { Take(config_, file_.name, record, disk); });
-  } catch (const store::DamageError&) {
+    storage::Log::Read(Disk(), config_.folder,
+                       [&](std::string_view record) { Take(config_, file_.name, record, disk); });
+  } catch (const storage::DamageError&) {
     disk = {};  // said when it is opened
   }
   Begin(std::move(disk));
@@ -235,23 +236,25 @@
 void Membership::Look() {
   try {
     if (life_.handed_over() && lock_) {
-      net::Log(Level::kInfo, "bank: leaves it to the newer process");
+      Log(Level::kInfo, "bank: leaves it to the newer process");
       Leave();
-      bank::Disk disk;
-      store::Log::Read(Disk(), config_.folder,
-                       [&](std::string_view record) { Take(config_, file_.name, record, disk); });
+      raft::Disk disk;
+      storage::Log::Read(Disk(), config_.folder,
+                         [&](std::string_view record) { Take(config_, file_.name, record, disk); });
       Begin(std::move(disk));
     } else if (!life_.handed_over() && !lock_) {
       TakePart();
     }
   } catch (const std::exception& error) {
-    net::Log(Level::kError, "bank: {}", error.what());
+    Log(Level::kError, "bank: {}", error.what());
     Leave();
   }
   look_timer_ = loop_.After(kLookAgain, [this] { Look(); });
 }
 
-store::Files& Membership::Disk() const { return controlled_ ? *controlled_ : store::RealFiles(); }
+storage::Files& Membership::Disk() const {
+  return controlled_ ? *controlled_ : storage::RealFiles();
+}
 
 Time Membership::Now() const {
   if (config_.clock_factor == 1) return loop_.Now();
@@ -259,7 +262,7 @@
   return zero_ + Duration(static_cast<int64_t>(since * config_.clock_factor));
 }
 
-void Membership::Begin(bank::Disk disk) {
+void Membership::Begin(raft::Disk disk) {
   Member::Options options;
   options.name = file_.name;
   options.timing = config_.timing;
@@ -293,28 +296,28 @@
 }
 
 void Membership::OpenDisk() {
-  bank::Disk disk;
-  std::unique_ptr<store::Log> log;
+  raft::Disk disk;
+  std::unique_ptr<storage::Log> log;
   const auto open = [&] {
     disk = {};
-    log = std::make_unique<store::Log>(Disk(), config_.folder, [&](std::string_view record) {
+    log = std::make_unique<storage::Log>(Disk(), config_.folder, [&](std::string_view record) {
       Take(config_, file_.name, record, disk);
     });
   };
-  const std::string path = store::Log::PathIn(config_.folder);
+  const std::string path = storage::Log::PathIn(config_.folder);
   try {
     try {
       open();
-    } catch (const store::DamageError& error) {
+    } catch (const storage::DamageError& error) {
       // It must not vote as if it remembered: kept for who wants to look, and begun anew.
-      net::Log(Level::kError, "bank: {}; begins anew as one that does not vote, until it is let in",
-               error.what());
+      Log(Level::kError, "bank: {}; begins anew as one that does not vote, until it is let in",
+          error.what());
       Disk().Rename(path, path + ".damaged");
       open();
     }
     if (log->cut_off() > 0) {
-      net::Log(Level::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power",
-               path, log->cut_off());
+      Log(Level::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power", path,
+          log->cut_off());
     }
     if (disk.life == 0) disk.life = NewLife();
     ++disk.boot;
@@ -323,33 +326,32 @@
     log->Sync();
     disk_ = std::make_unique<DiskThread>(loop_, std::move(log), identity, [this] { OnDisk(); });
     diskless_ = false;
-  } catch (const store::FileError& error) {
+  } catch (const storage::FileError& error) {
     return StartAnew(error.what(), false);
   }
   Link(disk.life, disk.boot);
   Begin(std::move(disk));
-  net::Log(Level::kInfo, "bank: {} takes part in '{}', bound {} ms", file_.name, config_.bank,
-           bank::BoundOf(config_.timing, bank::kSlack).count() / 1000);
+  Log(Level::kInfo, "bank: {} takes part in '{}', bound {} ms", file_.name, config_.bank,
+      cluster::BoundOf(config_.timing, cluster::kSlack).count() / 1000);
 }
 
 // Another life under this name, on an empty log or on none: a follower, until it is let in anew.
 void Membership::StartAnew(const char* why, bool on_disk) {
-  net::Log(Level::kError, "bank: {}; begins anew as one that does not vote, until it is let in",
-           why);
+  Log(Level::kError, "bank: {}; begins anew as one that does not vote, until it is let in", why);
   links_.reset();
   disk_.reset();
   if (on_disk) {
-    const std::string path = store::Log::PathIn(config_.folder);
+    const std::string path = storage::Log::PathIn(config_.folder);
     try {
       Disk().Rename(path, path + ".forgotten");
       return OpenDisk();
-    } catch (const store::FileError& error) {
-      net::Log(Level::kError, "bank: {}", error.what());
+    } catch (const storage::FileError& error) {
+      Log(Level::kError, "bank: {}", error.what());
     }
   }
   ++disk_failures_;
   diskless_ = true;
-  bank::Disk disk;
+  raft::Disk disk;
   disk.life = 0;  // it cannot be let in as a voter
   disk.boot = 1;
   Link(disk.life, disk.boot);
@@ -367,11 +369,11 @@
   }
   if (state.durable <= durable_) return;
   durable_ = state.durable;
-  std::vector<bank::Outgoing> held = std::move(held_);
+  std::vector<raft::Outgoing> held = std::move(held_);
   held_.clear();
-  for (bank::Outgoing& outgoing : held) {
+  for (raft::Outgoing& outgoing : held) {
     if (outgoing.after <= durable_) {
-      links_->Send(outgoing.message.to, {{"m", bank::ToJson(outgoing.message)}});
+      links_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
     } else {
       held_.push_back(std::move(outgoing));
     }
@@ -388,18 +390,18 @@
   for (const auto& [name, seat] : config_.members) {
     if (seat.votes) wanted.insert(name);
   }
-  for (const bank::Voter& v : member_->agreement().voters()) wanted.insert(v.name);
+  for (const raft::Voter& v : member_->agreement().voters()) wanted.insert(v.name);
   if (wanted == wanted_ || !links_) return;
   wanted_ = wanted;
   links_->Want(std::move(wanted));
 }
 
 json Membership::KnownOf(const std::string& name) {
-  return bank::ToJson(member_->agreement().KnownOf(name));
+  return raft::ToJson(member_->agreement().KnownOf(name));
 }
 
 void Membership::OnUp(const std::string& name, uint64_t life, const json& known) {
-  const bank::Claim claim = bank::ReadClaim(known).value_or(bank::Claim{});
+  const raft::Claim claim = raft::ReadClaim(known).value_or(raft::Claim{});
   Run([&](Member& m, Time now, MemberOutput& out) { m.Linked(now, name, life, claim, out); });
 }
 
@@ -410,14 +412,14 @@
 void Membership::OnFrame(const std::string& name, const json& value) {
   if (!value.is_object()) return;
   if (const auto at = value.find("m"); at != value.end()) {
-    auto message = bank::ReadMessage(*at);
+    auto message = raft::ReadMessage(*at);
     // Nobody speaks for another.
     if (!message || message->from != name) return;
     SpoilHeard(*message);
     Run([&](Member& m, Time now, MemberOutput& out) { m.Receive(now, *message, out); });
   }
   if (const auto at = value.find("n"); at != value.end()) {
-    const auto note = bank::ReadNote(*at);
+    const auto note = cluster::ReadNote(*at);
     if (!note || note->from != name) return;
     Run([&](Member& m, Time now, MemberOutput& out) { m.Receive(now, *note, out); });
   }
@@ -425,7 +427,7 @@
 
 // ---- Operators --------------------------------------------------------------------------------
 
-std::string Membership::CannotActOn(const bank::Content& rules) const {
+std::string Membership::CannotActOn(const cluster::Content& rules) const {
   try {
     if (const auto tenants = TenantsFor(rules)) {
       CheckTenants(*tenants, gateway_.config());
@@ -439,17 +441,18 @@
 }
 
 // How the settings in force differ from those of `rules`, where it is by tenants alone.
-std::optional<std::vector<TenantChange>> Membership::TenantsFor(const bank::Content& rules) const {
+std::optional<std::vector<TenantChange>> Membership::TenantsFor(
+    const cluster::Content& rules) const {
   if (!adopted_) return std::nullopt;
   return SettingsUnderRules::TenantsChanged(*rules_, rules);
 }
 
 // Of a change with faults of its own nothing is said here: the leader names them all.
-std::string Membership::CannotTake(const bank::Change& change) const {
+std::string Membership::CannotTake(const cluster::Change& change) const {
   try {
     return CannotActOn(change.delta
-                           ? bank::ApplyDelta(member_->history().latest_content(), change.rules)
-                           : bank::ParseRules(change.rules));
+                           ? cluster::ApplyDelta(member_->history().latest_content(), change.rules)
+                           : cluster::ParseRules(change.rules));
   } catch (const std::invalid_argument&) {
     return {};
   }
@@ -462,7 +465,7 @@
   if (what == "history") {
     // The texts that are asked for; where none is named, of as many of the last as a frame bears.
     const json wanted = value.value("texts", json());
-    const bank::History& history = member_->history();
+    const cluster::History& history = member_->history();
     std::map<uint64_t, std::string> texts;
     size_t bytes = 0;
     for (auto v = history.versions().rbegin(); v != history.versions().rend(); ++v) {
@@ -470,12 +473,12 @@
           (wanted.is_array() && std::ranges::find(wanted, json(v->number)) == wanted.end())) {
         continue;
       }
-      bytes += bank::BytesOf(*v->content);
+      bytes += cluster::BytesOf(*v->content);
       if (bytes > kTextsMost) break;
-      texts[v->number] = bank::ToText(*v->content);
+      texts[v->number] = cluster::ToText(*v->content);
     }
     json all = json::array();
-    for (const bank::Version& v : member_->history().versions()) {
+    for (const cluster::Version& v : member_->history().versions()) {
       all.push_back({{"version", v.number},
                      {"id", v.id},
                      {"author", v.author},
@@ -488,12 +491,12 @@
     return links_->Answer(call, {{"versions", all}});
   }
   auto wish =
-      value.is_object() && value.contains("wish") ? bank::ReadWish(value["wish"]) : std::nullopt;
+      value.is_object() && value.contains("wish") ? cluster::ReadWish(value["wish"]) : std::nullopt;
   if (!wish) return links_->Answer(call, {{"error", "no such call"}});
-  if (wish->kind == bank::Wish::Kind::kChange) {
+  if (wish->kind == cluster::Wish::Kind::kChange) {
     if (const std::string why = CannotTake(wish->change); !why.empty()) {
-      const bank::Answer refused{bank::Answer::Kind::kRefused, wish->change.id, 0, why};
-      return links_->Answer(call, {{"answer", bank::ToJson(refused)}});
+      const cluster::Answer refused{cluster::Answer::Kind::kRefused, wish->change.id, 0, why};
+      return links_->Answer(call, {{"answer", cluster::ToJson(refused)}});
     }
   }
   if (calls_.size() >= kCallsMost)
@@ -547,13 +550,13 @@
 }
 
 void Membership::CarryOut(MemberOutput& out) {
-  for (const std::string& line : out.log) net::Log(Level::kInfo, "{}", line);
+  for (const std::string& line : out.log) Log(Level::kInfo, "{}", line);
   // Before it takes part it only looks at what its disk has.
   if (!links_) {
     Act();
     return Plan();
   }
-  for (const bank::Write& write : out.writes) {
+  for (const raft::Write& write : out.writes) {
     if (disk_) {
       disk_->Add(write);
     } else {
@@ -561,21 +564,21 @@
       durable_ = std::max(durable_, write.ticket);
     }
   }
-  for (bank::Outgoing& outgoing : out.sends) {
+  for (raft::Outgoing& outgoing : out.sends) {
     Spoil(outgoing.message);
     if (outgoing.after > durable_) {
       held_.push_back(std::move(outgoing));
     } else {
-      links_->Send(outgoing.message.to, {{"m", bank::ToJson(outgoing.message)}});
+      links_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
     }
   }
-  for (const bank::Note& note : out.notes) {
-    links_->Send(note.to, {{"n", bank::ToJson(note)}});
+  for (const cluster::Note& note : out.notes) {
+    links_->Send(note.to, {{"n", cluster::ToJson(note)}});
   }
   for (const auto& [ticket, answer] : out.answers) {
     const auto at = calls_.find(ticket);
     if (at == calls_.end()) continue;
-    links_->Answer(at->second, {{"answer", bank::ToJson(answer)}});
+    links_->Answer(at->second, {{"answer", cluster::ToJson(answer)}});
     calls_.erase(at);
   }
   if (out.forgot) {
@@ -634,9 +637,9 @@
   const bool was_held = stance_ && stance_->kind != Stance::Kind::kAlone;
   if (held != was_held) {
     if (!held) ++lost_;
-    net::Log(held ? Level::kInfo : Level::kWarning, "bank: {}",
-             held ? fmt::format("in touch, version {}", stance.on)
-                  : "out of touch: strict rules, nothing is sent twice");
+    Log(held ? Level::kInfo : Level::kWarning, "bank: {}",
+        held ? fmt::format("in touch, version {}", stance.on)
+             : "out of touch: strict rules, nothing is sent twice");
   }
   // One without a lease that catches up goes on with what it had: to act on each version that has
   // come and gone since would hold up its requests for nothing.
@@ -653,7 +656,7 @@
   // Where the bound goes before service nothing may go to a host that may be barred by now.
   const bool nowhere = config_.when_lost == WhenLost::kDrain && !held;
   if (same) return;
-  bank::Content rules = keeps ? bank::Strictest(*rules_) : RulesOf(stance);
+  cluster::Content rules = keeps ? cluster::Strictest(*rules_) : RulesOf(stance);
   if (rules_ && *rules_ == rules && nowhere_ == nowhere) return;
   const Time now = loop_.Now();
   try {
@@ -670,15 +673,14 @@
     ++changes_;
     adopted_ = true;
   } catch (const std::exception& error) {
-    net::Log(Level::kError, "bank: version {} cannot be acted on here: {}", stance.latest,
-             error.what());
-    bank::Content strict = bank::Strictest(rules);
+    Log(Level::kError, "bank: version {} cannot be acted on here: {}", stance.latest, error.what());
+    cluster::Content strict = cluster::Strictest(rules);
     strict.settings = {};
     strict.classes.reset();
     strict.tenants.reset();
     gateway_.Adopt(settings_.With(strict, gateway_.config(), nullptr, now));
     std::set<std::string> off;
-    strict.barred.ForEach([&](const bank::Part& part) { off.insert(part.name); });
+    strict.barred.ForEach([&](const cluster::Part& part) { off.insert(part.name); });
     gateway_.KeepOff(std::move(off), nowhere);
     adopted_ = false;
   }
@@ -687,40 +689,40 @@
 }
 
 // The hosts that take no work from this gateway.
-std::set<std::string> Membership::KeptOff(const bank::Content& rules) const {
+std::set<std::string> Membership::KeptOff(const cluster::Content& rules) const {
   std::set<std::string> off;
-  const auto add = [&](const bank::Part& part) { off.insert(part.name); };
+  const auto add = [&](const cluster::Part& part) { off.insert(part.name); };
   rules.barred.ForEach(add);
   rules.drain.ForEach(add);
   const Config& config = gateway_.config();
   const auto mine = static_cast<size_t>(config.settings.zone);
-  rules.zone_only.ForEach([&](const bank::Part& part) {
+  rules.zone_only.ForEach([&](const cluster::Part& part) {
     if (config.names.zones.Find(json::parse(part.text).get<std::string>()) != mine) add(part);
   });
   return off;
 }
 
 void InitBank(const BankConfig& config, const std::string& name) {
-  store::Files& files = store::RealFiles();
+  storage::Files& files = storage::RealFiles();
   try {
     files.MakeFolder(config.folder);
     const auto lock = files.Lock(config.folder + "/lock");
     if (!lock) throw ConfigError(config.folder + ": a process has it, expected none");
     bool there = false;
-    bank::Disk disk;
-    store::Log log(files, config.folder, [&](std::string_view) { there = true; });
+    raft::Disk disk;
+    storage::Log log(files, config.folder, [&](std::string_view) { there = true; });
     if (there) throw ConfigError(config.folder + ": a log is there already, expected none");
     disk.life = NewLife();
-    bank::Write write;
+    raft::Write write;
     write.term = 1;
     write.from = 1;
-    write.entries = {{1, bank::Entry::Kind::kVoters, {}, {{name, disk.life}}}};
+    write.entries = {{1, raft::Entry::Kind::kVoters, {}, {{name, disk.life}}}};
     log.Append(Packed(Identity(config, name, disk)));
-    log.Append(Packed(bank::ToJson(write)));
+    log.Append(Packed(raft::ToJson(write)));
     log.Sync();
-  } catch (const store::FileError& error) {
+  } catch (const storage::FileError& error) {
     throw ConfigError(error.what());
   }
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/cluster_agent.h
+++ b/src/gateway/cluster_agent.h
@@ -21,7 +21,7 @@
 #include "peer/peer_connections.h"
 #include "storage/files.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 class DiskThread;
 
@@ -43,13 +43,13 @@
 
  protected:
   // What tests put wrong, to see that a judge finds it out.
-  [[nodiscard]] virtual bank::Stance Acting() const { return member_->Acting(Now()); }
-  [[nodiscard]] virtual bank::Content RulesOf(const bank::Stance& stance) const {
+  [[nodiscard]] virtual cluster::Stance Acting() const { return member_->Acting(Now()); }
+  [[nodiscard]] virtual cluster::Content RulesOf(const cluster::Stance& stance) const {
     return member_->RulesOf(stance);
   }
-  virtual void Spoil(bank::Message&) {}
-  virtual void SpoilHeard(bank::Message&) {}
-  virtual void Spoil(bank::Wish&) {}
+  virtual void Spoil(raft::Message&) {}
+  virtual void SpoilHeard(raft::Message&) {}
+  virtual void Spoil(cluster::Wish&) {}
   nlohmann::json KnownOf(const std::string& name) override;
   [[nodiscard]] Time Now() const;
 
@@ -63,22 +63,22 @@
   void Leave();
   void TakePart();
   void Link(uint64_t life, uint64_t boot);
-  void Begin(bank::Disk disk);
+  void Begin(raft::Disk disk);
   void OpenDisk();
   void OnDisk();
   void StartAnew(const char* why, bool on_disk);
   void Wants();
   template <typename What>
   void Run(What&& what);
-  void CarryOut(bank::MemberOutput& out);
+  void CarryOut(cluster::MemberOutput& out);
   void Plan();
   void Act();
   void Tick();
-  [[nodiscard]] store::Files& Disk() const;
+  [[nodiscard]] storage::Files& Disk() const;
   [[nodiscard]] nlohmann::json Status() const;
   // Why this gateway cannot act on these rules; empty: it can.
-  [[nodiscard]] std::string CannotActOn(const bank::Content& rules) const;
-  [[nodiscard]] std::string CannotTake(const bank::Change& change) const;
+  [[nodiscard]] std::string CannotActOn(const cluster::Content& rules) const;
+  [[nodiscard]] std::string CannotTake(const cluster::Change& change) const;
 
   EventLoop& loop_;
   BankConfig config_;
@@ -87,21 +87,21 @@
   Config file_;
   SettingsUnderRules settings_;  // of that file
   Time zero_;
-  std::unique_ptr<store::Files> controlled_;  // of a lab
+  std::unique_ptr<storage::Files> controlled_;  // of a lab
   std::shared_ptr<void> lock_;
   std::unique_ptr<DiskThread> disk_;
-  std::unique_ptr<bank::Member> member_;
+  std::unique_ptr<cluster::Member> member_;
   std::unique_ptr<peer::Links> links_;
   std::set<std::string> wanted_;
   uint64_t durable_ = 0, next_ticket_ = 1;
-  std::vector<bank::Outgoing> held_;
+  std::vector<raft::Outgoing> held_;
   std::map<uint64_t, uint64_t> calls_;  // ticket to call
-  std::optional<bank::Stance> stance_;
-  std::optional<bank::Content> rules_;
+  std::optional<cluster::Stance> stance_;
+  std::optional<cluster::Content> rules_;
   bool adopted_ = false;  // the gateway's settings came of `rules_`
   [[nodiscard]] std::optional<std::vector<TenantChange>> TenantsFor(
-      const bank::Content& rules) const;
-  [[nodiscard]] std::set<std::string> KeptOff(const bank::Content& rules) const;
+      const cluster::Content& rules) const;
+  [[nodiscard]] std::set<std::string> KeptOff(const cluster::Content& rules) const;
   bool kept_ = false;  // it acts on what it had, until what its log holds is applied
   EventLoop::TimerId timer_, look_timer_, act_timer_;
   bool anew_ = false;  // has asked for all content once
@@ -115,6 +115,6 @@
 // Throws ConfigError where there is a log already.
 void InitBank(const BankConfig& config, const std::string& name);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_CLUSTER_AGENT_H_
--- a/src/gateway/downstream.cpp
+++ b/src/gateway/downstream.cpp
@@ -16,8 +16,9 @@
 
 #include "base/log.h"
 #include "base/metrics.h"
+#include "base/parse_number.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 // For a whole request: from the connect on for the first, else from its first byte; never begun
@@ -747,4 +748,4 @@
   drain_timer_ = loop_.After(kDrainStep, [this] { DrainStep(); });
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/downstream.h
+++ b/src/gateway/downstream.h
@@ -16,7 +16,7 @@
 #include "http/http_parser.h"
 #include "http/proxied_request.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // The head that an answer goes to a client with.
 std::string HeadForClient(const Answer& answer, bool keep_alive, bool to_http10 = false);
@@ -106,6 +106,6 @@
   std::function<void()> drained_;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_DOWNSTREAM_H_
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,7 +16,7 @@
 #include "base/metrics.h"
 #include "gateway/learned_state_codec.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 constexpr Duration kConnectUnknown{1'000'000};  // us; where the settings name no time-out
@@ -145,8 +145,7 @@
 void Gateway::LifeChanged() {
   const Stage stage = life_.stage();
   if (stage == Stage::kDrained) ++Count().drains;
-  net::Log(Level::kInfo, "life: {}, {} connections of clients", ToText(stage),
-           clients_->connections());
+  Log(Level::kInfo, "life: {}, {} connections of clients", ToText(stage), clients_->connections());
   clients_->LifeChanged();
 }
 
@@ -252,7 +251,7 @@
   if (exchange->stream() || !exchange->Finish({.status = 502})) return;
   ++Count().answers_overdue;
   --held_;
-  net::Log(Level::kError, "no answer in time to {}", exchange->id());
+  Log(Level::kError, "no answer in time to {}", exchange->id());
   Post(ClientLeft{exchange->id()});
   MaybeForget(exchange);
 }
@@ -407,7 +406,7 @@
     } catch (const std::exception& error) {
       // What it had decided until then is still carried out.
       ++Count().module_faults;
-      net::Log(Level::kError, "module: {}", error.what());
+      Log(Level::kError, "module: {}", error.what());
     }
     for (const Action& action : actions_) Apply(action);
   }
@@ -501,9 +500,9 @@
   servers_->Probe(probe.endpoint);
 }
 
-void Gateway::Apply(const paddlestile::CloseIdle& close) { servers_->CloseIdle(close.endpoint); }
+void Gateway::Apply(const CloseIdle& close) { servers_->CloseIdle(close.endpoint); }
 void Gateway::Apply(const Follow& follow) { list_->Follow(follow.on); }
 void Gateway::Apply(const FetchList&) { list_->Fetch(); }
-void Gateway::Apply(const paddlestile::Log& log) { net::Log(Level::kInfo, "module: {}", log.text); }
+void Gateway::Apply(const LogMessage& log) { Log(Level::kInfo, "module: {}", log.text); }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -25,7 +25,7 @@
 #include "gateway/upstream.h"
 #include "http/proxied_request.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 class Gateway final : public Clients::Listener, public Servers::Listener, public List::Listener {
  public:
@@ -96,10 +96,10 @@
   void Apply(const Cancel& cancel);
   void Apply(const SetTimer& timer);
   void Apply(const Probe& probe);
-  void Apply(const paddlestile::CloseIdle& close);
+  void Apply(const CloseIdle& close);
   void Apply(const Follow& follow);
   void Apply(const FetchList& fetch);
-  void Apply(const paddlestile::Log& log);
+  void Apply(const LogMessage& log);
   void TellSettings();
   std::shared_ptr<Exchange> FindExchange(const std::string& id);
   // Whether an id was taken within the longest deadline.
@@ -143,6 +143,6 @@
   std::unique_ptr<Clients> clients_;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_GATEWAY_H_
--- a/src/gateway/hot_restart.cpp
+++ b/src/gateway/hot_restart.cpp
@@ -17,10 +17,11 @@
 
 #include "base/log.h"
 #include "base/metrics.h"
+#include "base/parse_number.h"
 #include "gateway/learned_state_codec.h"
 #include "http/http_parser.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 constexpr std::string_view kVersion = "paddlestile 1 ";
@@ -352,4 +353,4 @@
   tell_ = loop_.After(kTell, [this] { TellHeld(); });
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/hot_restart.h
+++ b/src/gateway/hot_restart.h
@@ -23,7 +23,7 @@
 #include "gateway/downstream.h"
 #include "gateway/lifecycle.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // Where the process at `listen` can be asked; empty where $TMPDIR is not set.
 std::string HandoverPath(const char* tmpdir, const Address& listen);
@@ -84,6 +84,6 @@
   EventLoop::TimerId tell_;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_HOT_RESTART_H_
--- a/src/gateway/learned_state_codec.cpp
+++ b/src/gateway/learned_state_codec.cpp
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using nlohmann::json;
@@ -165,4 +165,4 @@
   return std::nullopt;
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/learned_state_codec.h
+++ b/src/gateway/learned_state_codec.h
@@ -11,7 +11,7 @@
 #include "balancer/learned_state.h"
 #include "config/gateway_config.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 constexpr size_t kMostKnowledge = 8U << 20;  // bytes; some ten thousand hosts
 
@@ -21,6 +21,6 @@
 // Nothing where any of it makes no sense. Classes and kinds that `names` lacks are left out.
 std::optional<Records> ParseKnowledge(const std::string& text, const Names& names, Time now);
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_LEARNED_STATE_CODEC_H_
--- a/src/gateway/lifecycle.h
+++ b/src/gateway/lifecycle.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <utility>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 enum class Stage {
   kStarting,     // takes no clients yet
@@ -73,6 +73,6 @@
   std::function<void()> then_;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_LIFECYCLE_H_
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -25,7 +25,7 @@
 #include "gateway/hot_restart.h"
 #include "gateway/lifecycle.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 // What a gateway is made of beside its loop.
@@ -220,4 +220,4 @@
   }
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -8,7 +8,7 @@
 
 #include "balancer/load_balancer.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 class EventLoop;
 class Gateway;
@@ -32,6 +32,6 @@
 // process's exit code: 0, or 1 with one line in the log where it cannot start.
 int Serve(const ServeOptions& options = {});
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_SERVE_H_
--- a/src/gateway/upstream.cpp
+++ b/src/gateway/upstream.cpp
@@ -12,7 +12,7 @@
 #include "base/log.h"
 #include "base/metrics.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 constexpr Duration kTidyMost{1'000'000};  // us; between two looks at what idles
@@ -748,4 +748,4 @@
   tidy_ = loop_.After(every, [this] { Tidy(); });
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -19,7 +19,7 @@
 #include "http/http_parser.h"
 #include "http/proxied_request.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // A load report, as `name=value` with commas between; nothing where a field is missing or no
 // number. The values come in the order of `fields`.
@@ -140,6 +140,6 @@
   std::array<Reuse, 16> reuse_;  // by the binary logarithm of the milliseconds idle
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_GATEWAY_UPSTREAM_H_
--- a/src/http/http_parser.cpp
+++ b/src/http/http_parser.cpp
@@ -6,7 +6,9 @@
 #include <cstring>
 #include <utility>
 
-namespace paddlestile::net {
+#include "base/parse_number.h"
+
+namespace paddlestile {
 namespace {
 
 bool IsToken(std::string_view text) {
@@ -50,14 +52,6 @@
   return text;
 }
 
-std::optional<uint64_t> ToWhole(std::string_view text) {
-  uint64_t value = 0;
-  if (text.empty() || !std::isdigit(static_cast<unsigned char>(text[0]))) return std::nullopt;
-  const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (ec != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  return value;
-}
-
 // ---- Chunks ---------------------------------------------------------------------------------
 
 Progress ChunkDecoder::Decode(std::string_view in, char* out, size_t& read, size_t& written) {
@@ -359,4 +353,4 @@
   return progress == Progress::kMore && piece.empty() && ended ? Bad(400) : progress;
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/http/http_parser.h
+++ b/src/http/http_parser.h
@@ -11,7 +11,7 @@
 
 #include "event/buffer.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 constexpr size_t kMaxHead = 16'384;
 constexpr size_t kMaxBody = 65'536;      // of a message held whole
@@ -22,8 +22,6 @@
 
 bool SameName(std::string_view a, std::string_view b);  // letters in any case
 std::string_view Trim(std::string_view text);           // spaces and tabs at both ends
-// A whole number of digits alone.
-std::optional<uint64_t> ToWhole(std::string_view text);
 
 // Undoes the chunked framing in place.
 class ChunkDecoder {
@@ -115,6 +113,6 @@
   int bad_ = 0;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_HTTP_HTTP_PARSER_H_
--- a/src/http/proxied_request.h
+++ b/src/http/proxied_request.h
@@ -16,7 +16,7 @@
 #include "http/http_parser.h"
 #include "http/streaming_body.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // A message together with the memory that it lies in. Of one too large to be held it is the head;
 // the body passes on by `rest`.
@@ -104,6 +104,6 @@
   bool over_ = false;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_HTTP_PROXIED_REQUEST_H_
--- a/src/http/streaming_body.cpp
+++ b/src/http/streaming_body.cpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 BodyWriter::BodyWriter(Stream& stream, std::shared_ptr<Body> body, bool chunked, bool last,
                        std::function<void(bool whole)> done)
@@ -58,4 +58,4 @@
   if (over_) Finish(true);
 }
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/src/http/streaming_body.h
+++ b/src/http/streaming_body.h
@@ -14,7 +14,7 @@
 #include "event/stream.h"
 #include "http/http_parser.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 
 // Bytes that one transfer reads ahead, and moves in one turn of the loop.
 constexpr size_t kPieceMost = 32'768;
@@ -91,6 +91,6 @@
   bool chunked_, last_, first_ = true, over_ = false, busy_ = false;
 };
 
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 #endif  // PADDLESTILE_HTTP_STREAMING_BODY_H_
--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -9,12 +9,12 @@
 #include <functional>
 #include <optional>
 
-#include "cli/cluster_commands.h"
 #include "cluster/codec.h"
 #include "config/operator_config.h"
 #include "event/stream.h"
 #include "gateway/cluster_agent.h"
 #include "lab/listener.h"
+#include "peer/blocking_call.h"
 #include "peer/framing.h"
 #include "peer/peer_connections.h"
 
@@ -50,14 +50,14 @@
 }  // namespace
 
 // One operator's call to a member.
-class BankLab::Call final : public net::Stream::Owner {
+class BankLab::Call final : public Stream::Owner {
  public:
-  Call(net::EventLoop& loop, const net::Address& to, const json& call,
+  Call(EventLoop& loop, const Address& to, const json& call,
        std::function<void(std::optional<json>)> done)
       : loop_(loop), done_(std::move(done)) {
     bool refused = false;
-    auto socket = net::Connect(to, nullptr, refused);
-    if (socket) stream_ = std::make_unique<net::Stream>(loop, std::move(*socket), this, true);
+    auto socket = Connect(to, nullptr, refused);
+    if (socket) stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
     timer_ = loop_.After(kCallWithin, [this] { Tell(std::nullopt); });
     if (stream_ && stream_->Start()) {
       stream_->Write(peer::FrameOf({{"hello", peer::kFormat}, {"call", call}}));
@@ -86,15 +86,15 @@
     if (stream_) stream_->Close();
     loop_.Defer([done = done_, answer = std::move(answer)] { done(answer); });
   }
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   std::function<void(std::optional<json>)> done_;
-  std::unique_ptr<net::Stream> stream_;
-  net::EventLoop::TimerId timer_;
+  std::unique_ptr<Stream> stream_;
+  EventLoop::TimerId timer_;
   bool told_ = false;
 };
 
-BankLab::BankLab(net::EventLoop& loop, const Experiment& experiment, Ledger& ledger,
-                 std::string folder, uint64_t seed, size_t place)
+BankLab::BankLab(EventLoop& loop, const Experiment& experiment, Ledger& ledger, std::string folder,
+                 uint64_t seed, size_t place)
     : loop_(loop),
       e_(experiment),
       ledger_(ledger),
@@ -104,7 +104,7 @@
       place_(place),
       away_(experiment.gateway.count),
       back_at_(experiment.gateway.count, Time(-10'000'000)),
-      judge_(bank::BoundOf(bank::Timing(), bank::kSlack), kSlack) {
+      judge_(cluster::BoundOf(raft::Timing(), cluster::kSlack), kSlack) {
   const size_t count = e_.gateway.count;
   // Who votes is linked with all; the others have nothing to say to each other.
   for (size_t a = 0; a < std::min(count, e_.bank.voters); ++a) {
@@ -126,7 +126,7 @@
   last_receipt_.assign(count, Time(-1));
   for (size_t i = 0; i < count; ++i) WriteFile(i);
   if (e_.bank.hollow > 0) WriteHollowFile();
-  net::InitBank(net::ReadBank(FileOf(0), "g000"), "g000");
+  InitBank(ReadBank(FileOf(0), "g000"), "g000");
   Copies();
 }
 
@@ -134,7 +134,7 @@
 
 std::string BankLab::FileOf(size_t i) const { return fmt::format("{}/bank-{}.toml", folder_, i); }
 std::string BankLab::FolderOf(size_t i) const { return fmt::format("{}/disk-g{:03}", folder_, i); }
-net::Address BankLab::SeatOf(size_t i) const { return OwnAddress(place_ + i); }
+Address BankLab::SeatOf(size_t i) const { return OwnAddress(place_ + i); }
 
 void BankLab::WriteFile(size_t i) {
   std::ofstream file(FileOf(i));
@@ -148,18 +148,18 @@
   }
   for (size_t j = 0; j < e_.gateway.count; ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = {}\n", j,
-                        net::ToText(SeatOf(j)), j < e_.bank.voters);
+                        ToText(SeatOf(j)), j < e_.bank.voters);
     const auto relay = relays_.find({i, j});
     if (relay != relays_.end()) {
-      file << fmt::format("dial = \"{}\"\n", net::ToText(OwnAddress(place_ + e_.gateway.count +
-                                                                    i * e_.gateway.count + j)));
+      file << fmt::format("dial = \"{}\"\n",
+                          ToText(OwnAddress(place_ + e_.gateway.count + i * e_.gateway.count + j)));
     }
   }
   for (size_t n = 0; n < e_.bank.hollow; ++n) {
     file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
-                        net::ToText(HollowSeat(n)));
+                        ToText(HollowSeat(n)));
     if (i < e_.bank.voters && ReadsSlowly(n)) {
-      file << fmt::format("dial = \"{}\"\n", net::ToText(SlowSeat(i, n)));
+      file << fmt::format("dial = \"{}\"\n", ToText(SlowSeat(i, n)));
     }
   }
 }
@@ -191,7 +191,8 @@
 void BankLab::Kept(size_t gateway, bool away) {
   away_[gateway] += away ? 1 : -1;
   if (away_[gateway] == 0) {
-    back_at_[gateway] = Now() + bank::BoundOf(bank::Timing(), bank::kSlack) + Duration(2'500'000);
+    back_at_[gateway] =
+        Now() + cluster::BoundOf(raft::Timing(), cluster::kSlack) + Duration(2'500'000);
   }
 }
 
@@ -361,7 +362,7 @@
     // The first is the one whom the lab's clients name: none comes near its quota.
     shape.quotas[n * 7919 % tenants] = 2000 + static_cast<int>(n);
   }
-  bank::Wish wish;
+  cluster::Wish wish;
   wish.change.id = fmt::format("lab-{}", n);
   wish.change.author = "lab";
   wish.change.reason = fmt::format("change {}", n);
@@ -370,7 +371,7 @@
                       (e_.bank.measured || n % 2 == 1 || tenants > kFillWhole);
   wish.change.rules = (wish.change.delta ? DeltaOf(*last, shape) : WholeOf(shape)).dump();
   if (!wish.change.delta) figures_.version_bytes = static_cast<double>(wish.change.rules.size());
-  changes_.emplace_back().wish = bank::ToJson(wish);
+  changes_.emplace_back().wish = cluster::ToJson(wish);
   shapes_.push_back(std::move(shape));
   judge_.Submitted(Now(), std::move(wanted));
   if (e_.bank.measured && !fills_ && n % kByCommand == 2) return AskByCommand(n);
@@ -421,7 +422,7 @@
 
 // As operators do, by the program's own command, which goes on asking by itself.
 void BankLab::AskByCommand(size_t n) {
-  const bank::Wish wish = *bank::ReadWish(changes_[n].wish);
+  const cluster::Wish wish = *cluster::ReadWish(changes_[n].wish);
   const std::string path = fmt::format("{}/change-{}", folder_, n);
   std::ofstream(path + ".json") << wish.change.rules << std::flush;
   std::vector<std::string> words = {fs::read_symlink("/proc/self/exe").string(),
@@ -438,7 +439,7 @@
   if (wish.change.delta) words.emplace_back("--delta");
   const size_t first = Draw(e_.gateway.count);
   for (size_t i = 0; i < e_.gateway.count; ++i) {
-    words.insert(words.end(), {"--at", net::ToText(SeatOf((first + i) % e_.gateway.count))});
+    words.insert(words.end(), {"--at", ToText(SeatOf((first + i) % e_.gateway.count))});
   }
   changes_[n].command_began = MachineNow();
   changes_[n].command = std::make_unique<Process>(
@@ -476,7 +477,7 @@
 // Through any gateway, also one that is cut off; again elsewhere where the answer is none.
 void BankLab::Ask(size_t n) {
   if (changes_[n].done) return;
-  const net::Address at = SeatOf(Draw(e_.gateway.count));
+  const Address at = SeatOf(Draw(e_.gateway.count));
   const auto again = [this, n] {
     loop_.After(kAgain, [this, n, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) Ask(n);
@@ -487,17 +488,17 @@
       [this, n, again, alive = std::weak_ptr(alive_)](const std::optional<json>& value) {
         if (alive.expired()) return;
         const auto answer = value && value->is_object()
-                                ? bank::ReadAnswer(value->value("answer", json()))
+                                ? cluster::ReadAnswer(value->value("answer", json()))
                                 : std::nullopt;
         if (!answer) return again();
         switch (answer->kind) {
-          case bank::Answer::Kind::kDone:
+          case cluster::Answer::Kind::kDone:
             // Now and then the answer is lost on its way: it is submitted again, and counts once.
             if (n % kLost == 3 && !std::exchange(changes_[n].answer_lost, true)) return again();
             changes_[n].done = true;
             shapes_[n].version = answer->version;
             return judge_.ToldDone(Now(), n, answer->version);
-          case bank::Answer::Kind::kRefused:
+          case cluster::Answer::Kind::kRefused:
             changes_[n].done = true;
             return judge_.Refused(Now(), n, answer->text);
           default: return again();
@@ -512,7 +513,7 @@
 
 // ---- At size ----------------------------------------------------------------------------------
 
-net::Address BankLab::HollowSeat(size_t number) const {
+Address BankLab::HollowSeat(size_t number) const {
   const size_t count = e_.gateway.count;
   return OwnAddress(place_ + count + count * count + number);
 }
@@ -523,11 +524,11 @@
   file << "[bank]\nname = \"lab\"\n" << fmt::format("folder = \"{}/hollow\"\n", folder_);
   for (size_t j = 0; j < std::min(e_.gateway.count, e_.bank.voters); ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = true\n", j,
-                        net::ToText(SeatOf(j)));
+                        ToText(SeatOf(j)));
   }
   for (size_t n = 0; n < e_.bank.hollow; ++n) {
     file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
-                        net::ToText(HollowSeat(n)));
+                        ToText(HollowSeat(n)));
   }
 }
 
@@ -570,9 +571,9 @@
 
 bool BankLab::Linked() {
   if (linked_ || asking_) return linked_;
-  const net::Address at = SeatOf(0);  // where the bank was begun
-  asking_ = std::make_shared<Call>(
-      loop_, at, net::StatusCall(), [this](const std::optional<json>& status) {
+  const Address at = SeatOf(0);  // where the bank was begun
+  asking_ =
+      std::make_shared<Call>(loop_, at, StatusCall(), [this](const std::optional<json>& status) {
         const size_t others = e_.gateway.count + e_.bank.hollow - 1;
         linked_ = status && status->is_object() && status->value("leads", false) &&
                   status->value("voters", json::array()).size() == e_.bank.voters &&
@@ -592,7 +593,7 @@
   for (size_t i = 0; i < e_.gateway.count; ++i) {
     into.used.push_back(usage_(i));
     asked_.push_back(std::make_shared<Call>(
-        loop_, SeatOf(i), net::StatusCall(),
+        loop_, SeatOf(i), StatusCall(),
         [&into, i, alive = std::weak_ptr(alive_)](const std::optional<json>& status) {
           if (!alive.expired() && status) into.status[i] = *status;
         }));
@@ -648,7 +649,7 @@
   return e_.bank.hollow_read_bytes_per_s > 0 && number % kSlowOf == slow_;
 }
 
-net::Address BankLab::SlowSeat(size_t voter, size_t number) const {
+Address BankLab::SlowSeat(size_t voter, size_t number) const {
   const size_t count = e_.gateway.count;
   return OwnAddress(place_ + count + count * count + e_.bank.hollow * (1 + voter) + number);
 }
@@ -682,7 +683,7 @@
     // Less the answer to the first of the two questions, and the second question.
     const auto answer = static_cast<double>(peer::FrameOf(from).size());
     const auto question = static_cast<double>(
-        peer::FrameOf({{"hello", peer::kFormat}, {"call", net::StatusCall()}}).size());
+        peer::FrameOf({{"hello", peer::kFormat}, {"call", StatusCall()}}).size());
     f.cpu_core += (b.used[i].cpu_us - a.used[i].cpu_us) / 1e6 / s;
     f.rss_mb += static_cast<double>(b.used[i].rss_kb) / 1024;
     f.descriptors += static_cast<double>(b.used[i].descriptors);
@@ -764,7 +765,7 @@
   terms.faults = faults_from_ > Duration(0) ? faults_from_ : over_;
   if (filled_ > Time(0)) terms.from = filled_ + zero;
   terms.end = over_;
-  terms.bound = bank::BoundOf(bank::Timing(), bank::kSlack);
+  terms.bound = cluster::BoundOf(raft::Timing(), cluster::kSlack);
   if (e_.bank.hollow_stalls && !hollow_.empty()) {
     terms.stalled_from = hollow_[stalled_].first;
     terms.stalled_to = terms.stalled_from + hollow_[stalled_].count;
--- a/src/lab/cluster_experiment.h
+++ b/src/lab/cluster_experiment.h
@@ -33,7 +33,7 @@
  public:
   // Makes the files and begins the bank at the first gateway. `place`: the first of the addresses
   // that are its own. Throws std::system_error or net::ConfigError.
-  BankLab(net::EventLoop& loop, const Experiment& experiment, Ledger& ledger, std::string folder,
+  BankLab(EventLoop& loop, const Experiment& experiment, Ledger& ledger, std::string folder,
           uint64_t seed, size_t place);
   ~BankLab();
   BankLab(const BankLab&) = delete;
@@ -65,7 +65,7 @@
   class Call;
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
   [[nodiscard]] std::string FolderOf(size_t gateway) const;
-  [[nodiscard]] net::Address SeatOf(size_t gateway) const;
+  [[nodiscard]] Address SeatOf(size_t gateway) const;
   void WriteFile(size_t gateway);
   void Cut(size_t a, size_t b, const Fault& fault, bool on);
   void Flap(std::vector<std::pair<size_t, size_t>> pairs, const Fault& fault, Time until, bool on);
@@ -83,7 +83,7 @@
     std::vector<Process::Usage> used;
     double hollow_cpu_us = 0;
   };
-  [[nodiscard]] net::Address HollowSeat(size_t number) const;
+  [[nodiscard]] Address HollowSeat(size_t number) const;
   void WriteHollowFile() const;
   void Measure(Sample& into);
   void WatchSize();
@@ -93,13 +93,13 @@
   void ReadSlowly(bool on);
   // Whether what voters send a hollow member passes a relay of the lab's; its address.
   [[nodiscard]] bool ReadsSlowly(size_t number) const;
-  [[nodiscard]] net::Address SlowSeat(size_t voter, size_t number) const;
+  [[nodiscard]] Address SlowSeat(size_t voter, size_t number) const;
   void AskByCommand(size_t change);
   void AwaitCommand(size_t change);
   [[nodiscard]] RoleFigures RoleOf(const Sample& a, const Sample& b, bool leads, bool votes) const;
   [[nodiscard]] double LeaderSent(const Sample& a, const Sample& b) const;
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   const Experiment& e_;
   Ledger& ledger_;
   std::string folder_;
--- a/src/lab/cluster_simulation.cpp
+++ b/src/lab/cluster_simulation.cpp
@@ -23,15 +23,13 @@
 namespace paddlestile::lab {
 namespace {
 
-using bank::Answer;
-using bank::Disk;
-using bank::Duration;
-using bank::Member;
-using bank::Message;
-using bank::Note;
-using bank::Stance;
-using bank::Time;
+using cluster::Answer;
+using cluster::Member;
+using cluster::Note;
+using cluster::Stance;
 using nlohmann::json;
+using raft::Disk;
+using raft::Message;
 
 constexpr Duration kMs{1000};
 constexpr size_t kAllLinked = 16;       // members
@@ -69,7 +67,7 @@
   return delta;
 }
 
-bank::Rules With(bank::Rules rules, const Parts& parts) {
+cluster::Rules With(cluster::Rules rules, const Parts& parts) {
   const auto hosts = [](std::set<std::string>& of, const std::map<std::string, bool>& parts_of) {
     for (const auto& [id, add] : parts_of) add ? (void)of.insert(id) : (void)of.erase(id);
   };
@@ -122,7 +120,7 @@
       if (i < o_.voters) first_.insert(n.name);
     }
     // `bank init` at one member, the others come to it.
-    bank::Entry entry{1, bank::Entry::Kind::kVoters, {}, {{nodes_[0].name, nodes_[0].disk.life}}};
+    raft::Entry entry{1, raft::Entry::Kind::kVoters, {}, {{nodes_[0].name, nodes_[0].disk.life}}};
     nodes_[0].disk.term = 1;
     nodes_[0].disk.log = {entry};
     for (size_t i = 0; i < count; ++i) Start(i);
@@ -166,9 +164,9 @@
     Time synced{0}, synced_next{0}, synced_last{0};
     bool disk_slow = false, deltas = false;
     uint64_t durable = 0;
-    std::vector<bank::Outgoing> held;  // for a write to be durable
+    std::vector<raft::Outgoing> held;  // for a write to be durable
     std::map<size_t, uint64_t> links;  // other to its start
-    bank::Index applied = 0;
+    raft::Index applied = 0;
     Time leads_until{-1}, acts_until{-1};
     uint64_t acts_on = 0;
   };
@@ -239,7 +237,7 @@
     options.compact_after = 24;
     options.deltas = n.deltas;
     n.member = std::make_unique<Member>(options, found, random_(), Local(n));
-    Run(i, [](Member&, Time, bank::MemberOutput&) {});
+    Run(i, [](Member&, Time, cluster::MemberOutput&) {});
     for (size_t j = 0; j < nodes_.size(); ++j) {
       if (j != i) Link(i, j);
     }
@@ -266,20 +264,22 @@
     x.links[b] = y.start;
     y.links[a] = x.start;
     const uint64_t lx = x.member->agreement().life(), ly = y.member->agreement().life();
-    const bank::Claim of_x = y.member->agreement().KnownOf(x.name);
-    const bank::Claim of_y = x.member->agreement().KnownOf(y.name);
-    Run(a, [&](Member& m, Time t, bank::MemberOutput& out) { m.Linked(t, y.name, ly, of_x, out); });
-    Run(b, [&](Member& m, Time t, bank::MemberOutput& out) { m.Linked(t, x.name, lx, of_y, out); });
+    const raft::Claim of_x = y.member->agreement().KnownOf(x.name);
+    const raft::Claim of_y = x.member->agreement().KnownOf(y.name);
+    Run(a,
+        [&](Member& m, Time t, cluster::MemberOutput& out) { m.Linked(t, y.name, ly, of_x, out); });
+    Run(b,
+        [&](Member& m, Time t, cluster::MemberOutput& out) { m.Linked(t, x.name, lx, of_y, out); });
   }
   void Unlink(size_t a, size_t b) {
     Node &x = nodes_[a], &y = nodes_[b];
     x.links.erase(b);
     y.links.erase(a);
     if (x.member) {
-      Run(a, [&](Member& m, Time t, bank::MemberOutput& out) { m.Unlinked(t, y.name, out); });
+      Run(a, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Unlinked(t, y.name, out); });
     }
     if (y.member) {
-      Run(b, [&](Member& m, Time t, bank::MemberOutput& out) { m.Unlinked(t, x.name, out); });
+      Run(b, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Unlinked(t, x.name, out); });
     }
   }
   template <typename What>
@@ -308,7 +308,7 @@
       if (link == y.links.end() || link->second != from_start) return;
       What told = what;
       Twist(to, told);
-      Run(to, [&](Member& m, Time t, bank::MemberOutput& out) { m.Receive(t, told, out); });
+      Run(to, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Receive(t, told, out); });
     });
   }
   void Twist(size_t to, Message& m) {
@@ -325,8 +325,8 @@
     Carry(to, vote);
   }
   static void LeaveOut(Message& m) {
-    for (bank::Entry& entry : m.entries) {
-      if (entry.kind != bank::Entry::Kind::kData) continue;
+    for (raft::Entry& entry : m.entries) {
+      if (entry.kind != raft::Entry::Kind::kData) continue;
       json value = json::from_cbor(entry.bytes);
       value.erase("hash");
       const std::string id = value.value("id", "");
@@ -347,19 +347,19 @@
   template <typename What>
   void Run(size_t i, What&& what) {
     Node& n = nodes_[i];
-    bank::MemberOutput out;
+    cluster::MemberOutput out;
     what(*n.member, Local(n), out);
     Carry_(i, out);
   }
-  void Carry_(size_t i, bank::MemberOutput& out) {
+  void Carry_(size_t i, cluster::MemberOutput& out) {
     Node& n = nodes_[i];
     const uint64_t start = n.start;
-    for (const bank::Write& write : out.writes) {
+    for (const raft::Write& write : out.writes) {
       const Duration takes(static_cast<int64_t>(n.disk_slow ? Draw(20e3, 900e3) : Draw(50, 3000)));
       At(write.lazy ? std::max(now_, n.synced_last) : SyncedAt(n, takes),
          [this, i, start, write] { Wrote(i, start, write); });
     }
-    for (bank::Outgoing& outgoing : out.sends) {
+    for (raft::Outgoing& outgoing : out.sends) {
       if (o_.mischief == Mischief::kAppliesLate &&
           outgoing.message.type == Message::Type::kAppended) {
         // Held, it says, as soon as it has heard of it; applied only later.
@@ -423,12 +423,12 @@
     Node& n = nodes_[i];
     if (n.start != start || !n.member) return;
     if (now_ < n.stopped) return At(n.stopped, [this, i, start] { Ticked(i, start); });
-    Run(i, [](Member& m, Time t, bank::MemberOutput& out) { m.Tick(t, out); });
+    Run(i, [](Member& m, Time t, cluster::MemberOutput& out) { m.Tick(t, out); });
   }
-  void Wrote(size_t i, uint64_t start, const bank::Write& write) {
+  void Wrote(size_t i, uint64_t start, const raft::Write& write) {
     Node& n = nodes_[i];
     if (n.start != start) return;  // died before: lost
-    bank::ApplyWrite(n.disk, write);
+    raft::ApplyWrite(n.disk, write);
     if (write.lazy) return;
     if (now_ < n.stopped) {
       // The disk has it; the process hears of it once it wakes.
@@ -440,16 +440,16 @@
     Node& n = nodes_[i];
     if (n.start != start || !n.member) return;
     n.durable = std::max(n.durable, ticket);
-    std::vector<bank::Outgoing> held = std::move(n.held);
+    std::vector<raft::Outgoing> held = std::move(n.held);
     n.held.clear();
-    for (bank::Outgoing& outgoing : held) {
+    for (raft::Outgoing& outgoing : held) {
       if (outgoing.after <= n.durable) {
         Carry(i, outgoing.message);
       } else {
         n.held.push_back(std::move(outgoing));
       }
     }
-    Run(i, [&](Member& m, Time t, bank::MemberOutput& out) { m.Durable(t, ticket, out); });
+    Run(i, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Durable(t, ticket, out); });
   }
   void Return(size_t i, const Disk& disk) {
     Kill(i);
@@ -481,7 +481,7 @@
       t.parts = parts;
       t.rules = DeltaOf(parts).dump();
     } else {
-      t.rules = bank::ToText(With(ModelOf(base), parts));
+      t.rules = cluster::ToText(With(ModelOf(base), parts));
     }
   }
   Parts DrawParts() {
@@ -509,8 +509,8 @@
     }
     return parts;
   }
-  const bank::Rules& ModelOf(uint64_t version) const {
-    static const bank::Rules kNone;
+  const cluster::Rules& ModelOf(uint64_t version) const {
+    static const cluster::Rules kNone;
     return version == 0 || version > models_.size() ? kNone : models_[version - 1];
   }
   void Submit(uint64_t ticket) {
@@ -519,13 +519,14 @@
     const size_t i = Pick(nodes_.size());
     Node& n = nodes_[i];
     if (!n.member || now_ < n.stopped) return Again(ticket);
-    bank::Wish wish;
+    cluster::Wish wish;
     wish.change.id = t.id;
     wish.change.author = "client";
     wish.change.rules = t.rules;
     wish.change.delta = t.parts.has_value();
     wish.change.expect = t.expect;
-    Run(i, [&](Member& m, Time now, bank::MemberOutput& out) { m.Submit(now, wish, ticket, out); });
+    Run(i,
+        [&](Member& m, Time now, cluster::MemberOutput& out) { m.Submit(now, wish, ticket, out); });
     // An answer that is lost with the gateway that was asked.
     At(now_ + 4000 * kMs, [this, ticket] { Submit(ticket); });
   }
@@ -650,14 +651,14 @@
         return Back(i, lasts);
       }
       default: {  // voters exchanged
-        bank::Wish wish;
-        wish.kind = static_cast<bank::Wish::Kind>(1 + Pick(3));
+        cluster::Wish wish;
+        wish.kind = static_cast<cluster::Wish::Kind>(1 + Pick(3));
         wish.change.id = fmt::format("v{}", ++number_);
         wish.name = nodes_[j].name;
         if (!node.member || node.member->agreement().voters().size() < 3) return;
         Note_(
             fmt::format("voters: {} {} at {}", static_cast<int>(wish.kind), wish.name, node.name));
-        Run(i, [&](Member& m, Time now, bank::MemberOutput& out) {
+        Run(i, [&](Member& m, Time now, cluster::MemberOutput& out) {
           m.Submit(now, wish, UINT64_MAX, out);
         });
         return;
@@ -679,7 +680,7 @@
   bool Whole() const {
     for (const Node& n : nodes_) {
       if (!n.member) return false;
-      for (const bank::Voter& v : n.member->agreement().voters()) {
+      for (const raft::Voter& v : n.member->agreement().voters()) {
         const size_t k = std::stoul(v.name.substr(1));
         // One that went back and was not found out yet is lost too.
         if (nodes_[k].disk.life != v.life || nodes_[k].gone_back) return false;
@@ -722,8 +723,8 @@
   // ---- The judge --------------------------------------------------------------------------------
   // One history: what one member applied at an index is what all apply there.
   void Applied(Node& n) {
-    const bank::History& history = n.member->history();
-    for (const bank::Version& v : history.versions()) {
+    const cluster::History& history = n.member->history();
+    for (const cluster::Version& v : history.versions()) {
       if (v.number <= n.applied) continue;
       n.applied = v.number;
       if (v.number > versions_.size()) versions_.resize(v.number);
@@ -743,13 +744,15 @@
     if (n.copy == std::nullopt || Chance(0.002)) n.copy = n.disk, n.copied = now_;
   }
   // What the version must be by what was submitted.
-  void Model(const Node& n, const bank::Version& v) {
+  void Model(const Node& n, const cluster::Version& v) {
     if (v.number != models_.size() + 1) return;  // one before was never seen: told elsewhere
     const Try& t = tries_[std::stoul(v.id.substr(1))];
-    models_.push_back(t.parts ? With(ModelOf(v.number - 1), *t.parts) : bank::ParseRules(t.rules));
+    models_.push_back(t.parts ? With(ModelOf(v.number - 1), *t.parts)
+                              : cluster::ParseRules(t.rules));
     // Of the model's text or of its parts, as the version says that it came.
-    const std::string hash = v.hash.starts_with('p') ? bank::HashOf(bank::Content(models_.back()))
-                                                     : bank::HashOf(bank::ToText(models_.back()));
+    const std::string hash = v.hash.starts_with('p')
+                                 ? cluster::HashOf(cluster::Content(models_.back()))
+                                 : cluster::HashOf(cluster::ToText(models_.back()));
     if (hash != v.hash) {
       Broken(fmt::format("content: version {} is {} at {}, {} by what was submitted", v.number,
                          v.hash, n.name, hash));
@@ -761,13 +764,13 @@
   }
   bool Contradict(uint64_t a, uint64_t b) {
     const auto [at, fresh] = contradict_.emplace(std::pair(a, b), false);
-    if (fresh) at->second = !bank::Contradictions(ModelOf(a), ModelOf(b)).empty();
+    if (fresh) at->second = !cluster::Contradictions(ModelOf(a), ModelOf(b)).empty();
     return at->second;
   }
   // Until when it leads and acts on one version alone, unless it hears something before.
   void Cache(Node& n) {
     const Time local = Local(n);
-    const bank::Agreement& a = n.member->agreement();
+    const raft::Agreement& a = n.member->agreement();
     n.leads_until = Time(-1);
     if (a.Leads(local)) n.leads_until = Global(n, a.LeadsUntil(local));
     const Stance stance = n.member->Acting(local);
@@ -810,7 +813,7 @@
         // clocks' rate; the bound is for processes' own lateness.
         bool steps = false;
         for (uint64_t v = *a; v < *b && !steps; ++v) steps = Contradict(v, v + 1);
-        if (steps || now_ - from > bank::BoundOf(timing_, Duration(0))) {
+        if (steps || now_ - from > cluster::BoundOf(timing_, Duration(0))) {
           Broken(fmt::format("contradiction: versions {} and {} are acted on at a time", *a, *b));
         }
       }
@@ -843,7 +846,7 @@
       if (t.done < Time(0)) Broken(fmt::format("stuck: change {} was never told done", t.id));
     }
     for (const Node& n : nodes_) {
-      const bank::History& h = n.member->history();
+      const cluster::History& h = n.member->history();
       if (h.on() != versions_.size() || h.latest() != versions_.size()) {
         Broken(fmt::format("level: {} is at {} of {} versions, all mended for {:.0f} ms", n.name,
                            h.on(), versions_.size(), Ms(kHeal)));
@@ -858,7 +861,7 @@
   std::mt19937_64 random_, draws_;
   bool all_deltas_ = false;
   size_t tenants_ = 0;  // that versions may hold
-  bank::Timing timing_;
+  raft::Timing timing_;
   std::vector<Node> nodes_;
   std::vector<std::vector<bool>> cut_, slow_;
   std::vector<std::vector<Time>> arrives_;
@@ -868,7 +871,7 @@
   uint64_t number_ = 0, lives_ = 100, starts_ = 0;
   std::vector<Try> tries_;
   std::vector<std::pair<std::string, std::string>> versions_;
-  std::vector<bank::Rules> models_;  // by version
+  std::vector<cluster::Rules> models_;  // by version
   std::map<std::pair<uint64_t, uint64_t>, bool> contradict_;
   std::map<std::pair<uint64_t, uint64_t>, Time> since_;
   Time last_done_{-1}, leader_lost_{-1};
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -17,10 +17,6 @@
 namespace paddlestile::lab {
 namespace {
 
-using net::MessageParser;
-using net::Progress;
-using net::Stream;
-
 constexpr size_t kAgentPlaces = 20'000;   // addresses behind those of the hosts
 constexpr Duration kMovedFor{1'500'000};  // us; an agent that has moved keeps its connections
 
@@ -47,10 +43,10 @@
 
 class Directory::Connection final : public Stream::Owner {
  public:
-  Connection(Directory& directory, Agent& agent, net::Fd fd)
+  Connection(Directory& directory, Agent& agent, Fd fd)
       : directory_(directory),
         agent_(agent),
-        stream_(directory.loop_, net::Socket(std::move(fd), nullptr), this, false) {}
+        stream_(directory.loop_, Socket(std::move(fd), nullptr), this, false) {}
   bool Start() { return stream_.Start(); }
   void Write(std::string text) { stream_.Write(std::move(text)); }
   void Close() { stream_.Close(); }
@@ -74,15 +70,15 @@
 
 struct Directory::Agent {
   size_t gateway = 0;
-  net::Address address;
+  Address address;
   std::unique_ptr<Listener> listener;
   std::list<std::shared_ptr<Connection>> connections;
 };
 
 void Directory::Connection::OnRead() {
   if (parser_.Feed(stream_.in()) == Progress::kDone && !watches) {
-    const net::Message m = parser_.message();
-    const net::Buffer bytes = stream_.in().TakeFront(m.size);
+    const Message m = parser_.message();
+    const Buffer bytes = stream_.in().TakeFront(m.size);
     parser_.Reset();
     const std::string_view target = m.target.In(bytes.view());
     if (!target.starts_with("/catalog/members")) {
@@ -117,12 +113,12 @@
 
 // ---- The directory ------------------------------------------------------------------------------
 
-Directory::Directory(net::EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every)
+Directory::Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every)
     : loop_(loop), ledger_(ledger), gateways_(gateways), empty_every_(empty_every) {}
 
 Directory::~Directory() { loop_.Cancel(beat_); }
 
-const net::Address& Directory::AddressOf(size_t gateway) const { return agents_[gateway]->address; }
+const Address& Directory::AddressOf(size_t gateway) const { return agents_[gateway]->address; }
 
 void Directory::Start(const std::vector<ListedHost>& hosts) {
   for (const ListedHost& host : hosts) history_.push_back({++revision_, host});
@@ -146,7 +142,7 @@
     Agent& agent = *agents_.back();
     agent.gateway = i;
     agent.address = OwnAddress(kAgentPlaces + moves_ * gateways_ + i);
-    agent.listener = std::make_unique<Listener>(loop_, agent.address, [this, &agent](net::Fd fd) {
+    agent.listener = std::make_unique<Listener>(loop_, agent.address, [this, &agent](Fd fd) {
       agent.connections.push_back(std::make_shared<Connection>(*this, agent, std::move(fd)));
       Connection& connection = *agent.connections.back();
       connection.place = std::prev(agent.connections.end());
@@ -181,7 +177,7 @@
   nlohmann::json members = nlohmann::json::array();
   for (const ListedHost* const host : hosts) {
     members.push_back({{"id", host->id},
-                       {"host_port", net::ToText(host->address)},
+                       {"host_port", ToText(host->address)},
                        {"locality", host->zone},
                        {"flavor", host->kind},
                        {"cell", host->cell},
--- a/src/lab/directory.h
+++ b/src/lab/directory.h
@@ -19,7 +19,7 @@
 
 class Directory {
  public:
-  Directory(net::EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every);
+  Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every);
   ~Directory();
   Directory(const Directory&) = delete;
   Directory& operator=(const Directory&) = delete;
@@ -27,7 +27,7 @@
   // Listens for each gateway; throws std::system_error.
   void Start(const std::vector<ListedHost>& hosts);
   void Begin(Time zero) { zero_ = zero; }
-  [[nodiscard]] const net::Address& AddressOf(size_t gateway) const;
+  [[nodiscard]] const Address& AddressOf(size_t gateway) const;
 
   // A host has come, changed its phase or left; told after `lag` and what lags beside.
   void Change(const ListedHost& host, Duration lag);
@@ -61,7 +61,7 @@
   void Beat();
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   Ledger& ledger_;
   size_t gateways_;
   Duration empty_every_;
@@ -75,7 +75,7 @@
   Duration lag_{0};
   bool silent_ = false, malformed_ = false, old_ = false;
   uint64_t told_ = 0;
-  net::EventLoop::TimerId beat_;
+  EventLoop::TimerId beat_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -19,10 +19,6 @@
 namespace paddlestile::lab {
 namespace {
 
-using net::MessageParser;
-using net::Progress;
-using net::Stream;
-
 constexpr size_t kUnreadMost = 1 << 17;
 constexpr size_t kHugePiece = 1 << 18;     // bytes at once of an answer without end
 constexpr Duration kResetAfter{5'000};     // us; a host that dies on a request
@@ -54,10 +50,8 @@
 
 class Fleet::Connection final : public Stream::Owner {
  public:
-  Connection(Host& host, net::EventLoop& loop, net::Fd fd)
-      : host_(host),
-        fd_(fd.get()),
-        stream_(loop, net::Socket(std::move(fd), nullptr), this, false) {
+  Connection(Host& host, EventLoop& loop, Fd fd)
+      : host_(host), fd_(fd.get()), stream_(loop, Socket(std::move(fd), nullptr), this, false) {
     stream_.set_most_unread(kUnreadMost);
   }
 
@@ -109,7 +103,7 @@
 
 class Fleet::Host {
  public:
-  Host(Fleet& fleet, size_t place, const Profile& profile, std::string id, net::Address address,
+  Host(Fleet& fleet, size_t place, const Profile& profile, std::string id, Address address,
        std::optional<Time> started)
       : fleet_(fleet), place_(place), profile_(profile), model_(TraitsOf(fleet, profile), started) {
     listed_ = {place,
@@ -120,8 +114,8 @@
                profile.group->cell,
                Phase::kActive,
                started ? WallMs() : 0};
-    listener_ = std::make_unique<Listener>(fleet.loop_, address,
-                                           [this](net::Fd fd) { Accept(std::move(fd)); });
+    listener_ =
+        std::make_unique<Listener>(fleet.loop_, address, [this](Fd fd) { Accept(std::move(fd)); });
   }
   ~Host() { fleet_.loop_.Cancel(timer_); }
   Host(const Host&) = delete;
@@ -146,7 +140,7 @@
   [[nodiscard]] bool up() const { return listener_ != nullptr; }
   [[nodiscard]] size_t connections() const { return connections_.size(); }
 
-  void Accept(net::Fd fd) {
+  void Accept(Fd fd) {
     if (connections_.size() >= profile_.group->connections_most) return;  // closed at once
     connections_.push_back(std::make_shared<Connection>(*this, fleet_.loop_, std::move(fd)));
     Connection& connection = *connections_.back();
@@ -170,7 +164,7 @@
     connections_.erase(connection.place);
   }
 
-  void OnRequest(Connection& connection, const net::Message& m, std::string_view base) {
+  void OnRequest(Connection& connection, const Message& m, std::string_view base) {
     const std::string_view target = m.target.In(base);
     if (target == "/_load" || target == "/ping") return OnProbe(connection, target == "/_load");
     const auto id = m.Find(base, "X-Call-Id");
@@ -369,7 +363,7 @@
   std::unique_ptr<Listener> listener_;
   std::list<std::shared_ptr<Connection>> connections_;
   std::unordered_map<uint64_t, Connection*> jobs_;  // by receipt + 1
-  net::EventLoop::TimerId timer_;
+  EventLoop::TimerId timer_;
 };
 
 void Fleet::Connection::Over() {
@@ -396,8 +390,8 @@
     switch (parser_.Feed(stream_.in())) {
       case Progress::kBad: return host_.Drop(*this);
       case Progress::kDone: {
-        const net::Message message = parser_.message();
-        net::Buffer bytes = stream_.in().TakeFront(message.size);
+        const Message message = parser_.message();
+        Buffer bytes = stream_.in().TakeFront(message.size);
         parser_.Reset();
         begun_ = false;
         host_.OnRequest(*this, message, bytes.view());
@@ -421,7 +415,7 @@
 
 // ---- The fleet ----------------------------------------------------------------------------------
 
-Fleet::Fleet(net::EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
+Fleet::Fleet(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
              Changed changed)
     : loop_(loop),
       experiment_(experiment),
@@ -456,7 +450,7 @@
   });
 }
 
-size_t Fleet::Add(const Profile& profile, const std::string& name, const net::Address& address,
+size_t Fleet::Add(const Profile& profile, const std::string& name, const Address& address,
                   std::optional<Time> started) {
   const size_t place = hosts_.size();
   hosts_.push_back(std::make_unique<Host>(*this, place, profile, name, address, started));
@@ -493,7 +487,7 @@
 void Fleet::Restart(size_t place, Duration down, Duration lag) {
   Host& host = *hosts_[place];
   const Profile profile = host.profile();
-  const net::Address address = host.listed().address;
+  const Address address = host.listed().address;
   std::string id = host.listed().id;
   const size_t dot = id.find('.');
   const int life = dot == std::string::npos ? 2 : std::stoi(id.substr(dot + 1)) + 1;
--- a/src/lab/fleet.h
+++ b/src/lab/fleet.h
@@ -25,7 +25,7 @@
 struct ListedHost {
   size_t host = 0;  // its place in the fleet and in the ledger
   std::string id;
-  net::Address address;
+  Address address;
   std::string zone, kind;
   int cell = 0;
   Phase phase = Phase::kActive;
@@ -36,7 +36,7 @@
  public:
   // `changed`: what the source of servers is to tell, after this long.
   using Changed = std::function<void(const ListedHost&, Duration lag)>;
-  Fleet(net::EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
+  Fleet(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
         Changed changed);
   ~Fleet();
   Fleet(const Fleet&) = delete;
@@ -66,12 +66,12 @@
     double speed = 1;
     double report_ms = 20;
   };
-  size_t Add(const Profile& profile, const std::string& name, const net::Address& address,
+  size_t Add(const Profile& profile, const std::string& name, const Address& address,
              std::optional<Time> started);
   void Restart(size_t host, Duration down, Duration lag);
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   const Experiment& experiment_;
   Ledger& ledger_;
   uint64_t seed_;
@@ -80,7 +80,7 @@
   std::mt19937_64 rng_;
   std::vector<std::unique_ptr<Host>> hosts_;
   void Tidy();
-  net::EventLoop::TimerId tidy_;
+  EventLoop::TimerId tidy_;
   size_t addresses_ = 0, added_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/lab/listener.cpp
+++ b/src/lab/listener.cpp
@@ -16,7 +16,7 @@
 constexpr int kBacklog = 4096;
 constexpr int kFillers = 3;  // a queue of 0 still holds one
 
-sockaddr_in ToSock(const net::Address& at) {
+sockaddr_in ToSock(const Address& at) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(at.port);
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-net::Address OwnAddress(size_t place) {
+Address OwnAddress(size_t place) {
   const auto pid = static_cast<uint32_t>(getpid());
   const uint32_t x = 64 + pid / 256 % 128, y = pid % 256;
   constexpr size_t kHosts = 250;
@@ -34,10 +34,9 @@
           static_cast<uint16_t>(20'000 + place / kHosts)};
 }
 
-Listener::Listener(net::EventLoop& loop, const net::Address& at,
-                   std::function<void(net::Fd)> accepted)
+Listener::Listener(EventLoop& loop, const Address& at, std::function<void(Fd)> accepted)
     : loop_(loop), at_(at), accepted_(std::move(accepted)) {
-  fd_ = net::Fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  fd_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int on = 1;
   const sockaddr_in address = ToSock(at);
   if (!fd_ || setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
@@ -53,7 +52,7 @@
 
 void Listener::Accept() {
   while (!off_) {
-    net::Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) return;
     const int on = 1;
     setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -72,7 +71,7 @@
   // With its queue full the kernel drops what asks for a connection, as a cut link does.
   listen(fd_.get(), 0);
   for (int i = 0; i < kFillers; ++i) {
-    net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const sockaddr_in address = ToSock(at_);
     (void)connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address));
     fillers_.push_back(std::move(fd));
--- a/src/lab/listener.h
+++ b/src/lab/listener.h
@@ -13,12 +13,12 @@
 
 // Addresses of this process alone: 127.x.y.z with x and y from its number, so that labs side by
 // side do not meet. `place` tells one stand-in from the others.
-net::Address OwnAddress(size_t place);
+Address OwnAddress(size_t place);
 
-class Listener final : public net::EventLoop::Handler {
+class Listener final : public EventLoop::Handler {
  public:
   // Listens at once; throws std::system_error that names the address.
-  Listener(net::EventLoop& loop, const net::Address& at, std::function<void(net::Fd)> accepted);
+  Listener(EventLoop& loop, const Address& at, std::function<void(Fd)> accepted);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   virtual ~Listener();
@@ -30,13 +30,13 @@
   void OnEvents(uint32_t events) override;
   void Accept();
 
-  net::EventLoop& loop_;
-  net::Address at_;
-  std::function<void(net::Fd)> accepted_;
-  net::Fd fd_;
+  EventLoop& loop_;
+  Address at_;
+  std::function<void(Fd)> accepted_;
+  Fd fd_;
   uint64_t token_ = 0;
   bool off_ = false;
-  std::vector<net::Fd> fillers_;  // connections of our own that fill the queue
+  std::vector<Fd> fillers_;  // connections of our own that fill the queue
 };
 
 }  // namespace paddlestile::lab
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -14,10 +14,6 @@
 namespace paddlestile::lab {
 namespace {
 
-using net::MessageParser;
-using net::Progress;
-using net::Stream;
-
 constexpr Duration kPiecePause{20'000};      // us; between the pieces of one that trickles
 constexpr Duration kSpare{300'000};          // us; that a client waits beyond its budget
 constexpr Duration kBadOwed{3'000'000};      // us; within which a bad client is owed an end
@@ -28,7 +24,7 @@
 
 std::string Pattern(size_t size) { return std::string(size, 'b'); }
 
-Duration RetryAfter(const net::Message& m, std::string_view base) {
+Duration RetryAfter(const Message& m, std::string_view base) {
   const auto text = m.Find(base, "Retry-After");
   double seconds = 0;
   if (!text) return Duration(0);
@@ -42,7 +38,7 @@
 
 class Load::Connection final : public Stream::Owner {
  public:
-  Connection(Load& load, size_t gateway, net::Socket socket)
+  Connection(Load& load, size_t gateway, Socket socket)
       : load_(load), gateway_(gateway), stream_(load.loop_, std::move(socket), this, true) {
     stream_.set_most_unread(kAnswerMost);
   }
@@ -140,7 +136,7 @@
   Stream stream_;
   MessageParser parser_{MessageParser::Kind::kAnswer, kAnswerMost};
   std::shared_ptr<Trying> trying_;
-  net::EventLoop::TimerId timer_, leave_timer_;
+  EventLoop::TimerId timer_, leave_timer_;
   size_t last_ = SIZE_MAX;  // the try that was answered last
   int asked_ = 0;
   bool connected_ = false, trickling_ = false, answered_ = false;
@@ -159,8 +155,8 @@
     const Progress progress = parser_.Feed(stream_.in());
     if (progress == Progress::kMore) break;
     if (progress == Progress::kBad) return Ended("an answer that can't be read");
-    const net::Message m = parser_.message();
-    const net::Buffer bytes = stream_.in().TakeFront(m.size);
+    const Message m = parser_.message();
+    const Buffer bytes = stream_.in().TakeFront(m.size);
     parser_.Reset();
     load_.ledger_.Answered(load_.Now(), trying_->n, m.status, m.body.In(bytes.view()));
     Done(m.status, RetryAfter(m, bytes.view()), m.keep_alive);
@@ -197,7 +193,7 @@
 
 class Load::BadConnection final : public Stream::Owner {
  public:
-  BadConnection(Load& load, const BadClients& bad, uint64_t number, net::Socket socket)
+  BadConnection(Load& load, const BadClients& bad, uint64_t number, Socket socket)
       : load_(load),
         kind_(bad.kind),
         number_(number),
@@ -312,17 +308,17 @@
   uint64_t number_;
   Stream stream_;
   MessageParser parser_{MessageParser::Kind::kAnswer, kAnswerMost};
-  net::EventLoop::TimerId timer_;
+  EventLoop::TimerId timer_;
   size_t more_ = 0;
   bool sent_ = false;
 };
 
 // ---- The load -----------------------------------------------------------------------------------
 
-Load::Load(net::EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
-           const std::vector<net::Address>& targets)
+Load::Load(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
+           const std::vector<Address>& targets)
     : loop_(loop), e_(experiment), ledger_(ledger), arrivals_(experiment, seed), seed_(seed) {
-  for (const net::Address& address : targets) targets_.push_back({address, true, false, {}});
+  for (const Address& address : targets) targets_.push_back({address, true, false, {}});
 }
 
 Load::~Load() {
@@ -443,7 +439,7 @@
 Load::Connection* Load::Open(size_t gateway) {
   if (connections_.size() >= e_.load.connections_most) return nullptr;
   bool refused = false;
-  auto socket = net::Connect(targets_[gateway].address, nullptr, refused);
+  auto socket = Connect(targets_[gateway].address, nullptr, refused);
   if (!socket) return nullptr;
   connections_.push_back(std::make_shared<Connection>(*this, gateway, std::move(*socket)));
   Connection& connection = *connections_.back();
@@ -481,7 +477,7 @@
   const size_t gateway = PickGateway(static_cast<double>(number % 97) / 97, 0);
   if (gateway == SIZE_MAX) return;
   bool refused = false;
-  auto socket = net::Connect(targets_[gateway].address, nullptr, refused);
+  auto socket = Connect(targets_[gateway].address, nullptr, refused);
   if (!socket) return;
   ++counts_.bad_sent;
   bad_.push_back(std::make_shared<BadConnection>(*this, bad, number, std::move(*socket)));
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -22,8 +22,8 @@
 class Load {
  public:
   // `targets`: where each gateway listens.
-  Load(net::EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
-       const std::vector<net::Address>& targets);
+  Load(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
+       const std::vector<Address>& targets);
   ~Load();
   Load(const Load&) = delete;
   Load& operator=(const Load&) = delete;
@@ -56,7 +56,7 @@
   class Connection;
   class BadConnection;
   struct Target {
-    net::Address address;
+    Address address;
     bool in = true, killed = false;
     std::vector<Connection*> idle;
   };
@@ -86,7 +86,7 @@
   void SendBad(const BadClients& bad, uint64_t number);
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   const Experiment& e_;
   Ledger& ledger_;
   Arrivals arrivals_;
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -18,6 +18,7 @@
 #include <string_view>
 #include <utility>
 
+#include "base/parse_number.h"
 #include "event/event_loop.h"
 #include "event/stream.h"
 #include "http/http_parser.h"
@@ -66,7 +67,7 @@
   return fmt::format(
       R"({{"id":"host-{:06}","host_port":"{}","locality":"{}","cell":{},"phase":"{}",)"
       R"("size":1.0,"up_since_ms":{}}})",
-      place, net::ToText(OwnAddress(place)), kZones[place % std::size(kZones)], place % 7, phase,
+      place, ToText(OwnAddress(place)), kZones[place % std::size(kZones)], place % 7, phase,
       up_since_ms);
 }
 
@@ -92,8 +93,8 @@
 // Discovery with one list, told whole on the first watch once it is let, then changes line by line.
 class Source {
  public:
-  Source(net::EventLoop& loop, const net::Address& at)
-      : loop_(loop), listener_(loop, at, [this](net::Fd fd) {
+  Source(EventLoop& loop, const Address& at)
+      : loop_(loop), listener_(loop, at, [this](Fd fd) {
           connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
           connections_.back()->place = std::prev(connections_.end());
           if (!connections_.back()->Start()) connections_.back()->OnBroken();
@@ -121,14 +122,13 @@
   [[nodiscard]] size_t change_bytes() const { return change_bytes_; }
 
  private:
-  class Connection final : public net::Stream::Owner {
+  class Connection final : public Stream::Owner {
    public:
-    Connection(Source& source, net::Fd fd)
-        : source_(source),
-          stream_(source.loop_, net::Socket(std::move(fd), nullptr), this, false) {}
+    Connection(Source& source, Fd fd)
+        : source_(source), stream_(source.loop_, Socket(std::move(fd), nullptr), this, false) {}
     bool Start() { return stream_.Start(); }
     void OnRead() override {
-      if (!watches_ && parser_.Feed(stream_.in()) == net::Progress::kDone) Asked();
+      if (!watches_ && parser_.Feed(stream_.in()) == Progress::kDone) Asked();
       if (stream_.ended()) OnBroken();
     }
     void OnBroken() override {
@@ -158,8 +158,8 @@
 
    private:
     void Asked() {
-      const net::Message m = parser_.message();
-      const net::Buffer bytes = stream_.in().TakeFront(m.size);
+      const Message m = parser_.message();
+      const Buffer bytes = stream_.in().TakeFront(m.size);
       parser_.Reset();
       const std::string_view target = m.target.In(bytes.view());
       if (target.find("follow=1") == std::string_view::npos) {
@@ -173,7 +173,7 @@
       }
       watches_ = true;
       if (const size_t at = target.find("since="); at != std::string_view::npos) {
-        revision_ = net::ToWhole(target.substr(at + std::string_view("since=").size())).value_or(0);
+        revision_ = ToWhole(target.substr(at + std::string_view("since=").size())).value_or(0);
       }
       stream_.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       Empty();
@@ -181,8 +181,8 @@
     }
 
     Source& source_;
-    net::Stream stream_;
-    net::MessageParser parser_{net::MessageParser::Kind::kRequest};
+    Stream stream_;
+    MessageParser parser_{MessageParser::Kind::kRequest};
     bool watches_ = false;
     uint64_t revision_ = 0;  // told up to here
   };
@@ -194,13 +194,13 @@
     });
   }
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   std::list<std::shared_ptr<Connection>> connections_;
   Listener listener_;
   std::shared_ptr<const std::string> whole_;
   std::vector<std::string> changes_;
   size_t asked_whole_ = 0, change_bytes_ = 0;
-  net::EventLoop::TimerId beat_;
+  EventLoop::TimerId beat_;
 };
 
 // ---- The loop's stand, from outside
@@ -209,8 +209,7 @@
 // GET /_health on kept connections at an even pace, whatever is still out.
 class Prober {
  public:
-  Prober(net::EventLoop& loop, const net::Address& to, Duration every)
-      : loop_(loop), to_(to), every_(every) {
+  Prober(EventLoop& loop, const Address& to, Duration every) : loop_(loop), to_(to), every_(every) {
     Next();
   }
   Prober(const Prober&) = delete;
@@ -239,9 +238,9 @@
   [[nodiscard]] double LateMs() const { return Ms(late_); }
 
  private:
-  class Call final : public net::Stream::Owner {
+  class Call final : public Stream::Owner {
    public:
-    Call(Prober& prober, net::Socket socket)
+    Call(Prober& prober, Socket socket)
         : prober_(prober), stream_(prober.loop_, std::move(socket), this, true) {}
     bool Start() { return stream_.Start(); }
     void Stop() { stream_.Close(); }
@@ -251,7 +250,7 @@
       stream_.Write("GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n");
     }
     void OnRead() override {
-      if (parser_.Feed(stream_.in()) == net::Progress::kDone) {
+      if (parser_.Feed(stream_.in()) == Progress::kDone) {
         const bool good = parser_.message().status == 200;
         const bool keeps = parser_.message().keep_alive;
         stream_.in().Consume(parser_.message().size);
@@ -274,8 +273,8 @@
 
    private:
     Prober& prober_;
-    net::Stream stream_;
-    net::MessageParser parser_{net::MessageParser::Kind::kAnswer};
+    Stream stream_;
+    MessageParser parser_{MessageParser::Kind::kAnswer};
   };
 
   void Answered(Time asked, bool good) {
@@ -295,7 +294,7 @@
     if (idle != calls_.end()) return (*idle)->Ask();
     if (calls_.size() >= kProbesOut) return;  // those that are out tell how long it stands
     bool refused = false;
-    auto socket = net::Connect(to_, nullptr, refused);
+    auto socket = Connect(to_, nullptr, refused);
     if (!socket) return;
     calls_.push_back(std::make_shared<Call>(*this, std::move(*socket)));
     const auto call = calls_.back();
@@ -304,14 +303,14 @@
     call->Ask();
   }
 
-  net::EventLoop& loop_;
-  net::Address to_;
+  EventLoop& loop_;
+  Address to_;
   Duration every_;
   std::list<std::shared_ptr<Call>> calls_;
   bool answered_ = false;
   Time begin_{0}, due_{0};
   Duration longest_{0}, late_{0};
-  net::EventLoop::TimerId timer_;
+  EventLoop::TimerId timer_;
 };
 
 // ---- The gateway's log
@@ -447,8 +446,8 @@
   // ---- The gateway ------------------------------------------------------------------------------
   void WriteConfig(const json& settings, std::string_view known) {
     const json config = {{"name", "g0"},
-                         {"listen", net::ToText(address_)},
-                         {"discovery", net::ToText(source_at_)},
+                         {"listen", ToText(address_)},
+                         {"discovery", ToText(source_at_)},
                          {"seed", fmt::format("{:x}", o_.seed)},
                          {"limits", {{"cores", 1.0}, {"sockets", 4096}}},
                          {"settings", settings}};
@@ -478,8 +477,8 @@
     process_ = std::make_unique<Process>(
         std::vector<std::string>{std::filesystem::read_symlink("/proc/self/exe").string(), "serve"},
         std::vector<std::pair<std::string, std::string>>{{"LB_NAME", "g0"},
-                                                         {"LB_LISTEN", net::ToText(address_)},
-                                                         {"LB_DISCOVERY", net::ToText(source_at_)},
+                                                         {"LB_LISTEN", ToText(address_)},
+                                                         {"LB_DISCOVERY", ToText(source_at_)},
                                                          {"LB_CONFIG", config_path_}},
         log_path_);
     prober_ = std::make_unique<Prober>(loop_, address_, kProbeStart);
@@ -770,13 +769,13 @@
   OneGatewayOptions o_;
   std::function<void(const std::string&)> told_;
   OneGatewayResult r_;
-  net::EventLoop loop_;
+  EventLoop loop_;
   bool interrupted_ = false, ending_ = false;
   bool may_refuse_ = false;  // an end is an answer
   SignalWatch signals_;
   Folder folder_;
   json settings_;
-  net::Address address_, source_at_;
+  Address address_, source_at_;
   std::string config_path_, log_path_;
   size_t starts_ = 0, config_bytes_ = 0;
   std::unique_ptr<Source> source_;
@@ -784,7 +783,7 @@
   std::vector<std::string> said_;  // lines that are no counters
   std::unique_ptr<Process> process_;
   std::unique_ptr<Prober> prober_;
-  net::EventLoop::TimerId look_;
+  EventLoop::TimerId look_;
 };
 
 }  // namespace
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -16,7 +16,7 @@
 
 class Relay::Pipe {
  public:
-  Pipe(Relay& relay, net::Socket from, net::Socket to)
+  Pipe(Relay& relay, Socket from, Socket to)
       : relay_(relay),
         from_(*this, relay, std::move(from), false, relay.there),
         to_(*this, relay, std::move(to), true, relay.back) {
@@ -48,8 +48,8 @@
 
  private:
   // One of the two peers; what it sends goes to the other.
-  struct Side final : net::Stream::Owner {
-    Side(Pipe& of, Relay& relay, net::Socket socket, bool connecting, RelayWay& its)
+  struct Side final : Stream::Owner {
+    Side(Pipe& of, Relay& relay, Socket socket, bool connecting, RelayWay& its)
         : pipe(of),
           loop(relay.loop_),
           way(its),
@@ -113,13 +113,13 @@
     }
 
     Pipe& pipe;
-    net::EventLoop& loop;
+    EventLoop& loop;
     RelayWay& way;
-    net::Stream stream;
+    Stream stream;
     Side* other = nullptr;
     std::deque<std::pair<Time, std::string>> held;
     Time last{0}, paced{0};
-    net::EventLoop::TimerId timer;
+    EventLoop::TimerId timer;
     bool ended = false;
   };
 
@@ -128,14 +128,13 @@
   bool over_ = false;
 };
 
-Relay::Relay(net::EventLoop& loop, const net::Address& listen, const net::Address& to,
-             uint64_t seed)
-    : loop_(loop), to_(to), random_(seed), listener_(loop, listen, [this](net::Fd fd) {
+Relay::Relay(EventLoop& loop, const Address& listen, const Address& to, uint64_t seed)
+    : loop_(loop), to_(to), random_(seed), listener_(loop, listen, [this](Fd fd) {
         bool refused = false;
-        auto onward = net::Connect(to_, nullptr, refused);
+        auto onward = Connect(to_, nullptr, refused);
         if (!onward) return;
         auto pipe =
-            std::make_unique<Pipe>(*this, net::Socket(std::move(fd), nullptr), std::move(*onward));
+            std::make_unique<Pipe>(*this, Socket(std::move(fd), nullptr), std::move(*onward));
         Pipe* const at = pipe.get();
         pipes_[at] = std::move(pipe);
         at->Start();
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -26,7 +26,7 @@
 class Relay {
  public:
   // Listens at once; throws std::system_error.
-  Relay(net::EventLoop& loop, const net::Address& listen, const net::Address& to, uint64_t seed);
+  Relay(EventLoop& loop, const Address& listen, const Address& to, uint64_t seed);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
@@ -38,8 +38,8 @@
 
  private:
   class Pipe;
-  net::EventLoop& loop_;
-  net::Address to_;
+  EventLoop& loop_;
+  Address to_;
   std::mt19937_64 random_;
   std::map<Pipe*, std::unique_ptr<Pipe>> pipes_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -53,14 +53,14 @@
 double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
 // One short call on a connection of its own.
-class HealthCall final : public net::Stream::Owner {
+class HealthCall final : public Stream::Owner {
  public:
-  HealthCall(net::EventLoop& loop, const net::Address& to, std::function<void(bool)> done,
+  HealthCall(EventLoop& loop, const Address& to, std::function<void(bool)> done,
              std::string_view call = "GET /_health")
       : loop_(loop), done_(std::move(done)) {
     bool refused = false;
-    auto socket = net::Connect(to, nullptr, refused);
-    if (socket) stream_ = std::make_unique<net::Stream>(loop, std::move(*socket), this, true);
+    auto socket = Connect(to, nullptr, refused);
+    if (socket) stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
     if (stream_ && stream_->Start()) {
       stream_->Write(std::string(call) + " HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
     } else {
@@ -68,7 +68,7 @@
     }
   }
   void OnRead() override {
-    if (parser_.Feed(stream_->in()) == net::Progress::kDone) {
+    if (parser_.Feed(stream_->in()) == Progress::kDone) {
       return Later(parser_.message().status == 200);
     }
     if (stream_->ended()) Later(false);
@@ -81,21 +81,21 @@
     if (stream_) stream_->Close();
     loop_.Defer([done = done_, good] { done(good); });
   }
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   std::function<void(bool)> done_;
-  std::unique_ptr<net::Stream> stream_;
-  net::MessageParser parser_{net::MessageParser::Kind::kAnswer};
+  std::unique_ptr<Stream> stream_;
+  MessageParser parser_{MessageParser::Kind::kAnswer};
   bool told_ = false;
 };
 
 struct GatewayState {
-  net::Address address;
+  Address address;
   std::string config_path, log_path;
   std::unique_ptr<Process> process;
   bool expected_to_end = false;  // the script has it so
   bool stopped = false;          // the script has stopped it
   bool up = false;
-  net::Address admin;                           // where operators call
+  Address admin;                                // where operators call
   std::unique_ptr<Process> next, before;        // of an upgrade: that which comes, that which goes
   std::unique_ptr<HealthCall> health, operate;  // the second an operator's
   Time asked{0};                                // when /_health was asked
@@ -123,7 +123,7 @@
     random_.seed(seed_ ^ 0x6a7e);
     fleet_.Start();
     directory_.Start(fleet_.List());
-    std::vector<net::Address> targets;
+    std::vector<Address> targets;
     if (options_.straight) {
       for (const ListedHost& host : fleet_.List()) targets.push_back(host.address);
     } else {
@@ -192,12 +192,12 @@
   void At(Duration at, std::function<void()> then) { loop_.After(at - Now(), std::move(then)); }
 
   // ---- Gateways -----------------------------------------------------------------------------
-  net::Address Prepare(size_t i) {
+  Address Prepare(size_t i) {
     GatewayState& g = gateways_.emplace_back();
-    g.address = i == 0 && !e_.gateway.listen.empty() ? net::ParseAddress(e_.gateway.listen)
+    g.address = i == 0 && !e_.gateway.listen.empty() ? ParseAddress(e_.gateway.listen)
                                                      : OwnAddress(kGatewayPlaces + i);
     // A port in use is said before anything is played.
-    const Listener taken(loop_, g.address, [](const net::Fd&) {});
+    const Listener taken(loop_, g.address, [](const Fd&) {});
     g.config_path = fmt::format("{}/gateway-{}.json", folder_.path(), i);
     g.log_path =
         fmt::format("{}/gateway-{}.log", options_.logs.empty() ? folder_.path() : options_.logs, i);
@@ -208,8 +208,8 @@
     using nlohmann::json;
     GatewayState& g = gateways_[i];
     const json config = {{"name", fmt::format("g{}", i)},
-                         {"listen", net::ToText(g.address)},
-                         {"discovery", net::ToText(directory_.AddressOf(i))},
+                         {"listen", ToText(g.address)},
+                         {"discovery", ToText(directory_.AddressOf(i))},
                          {"seed", fmt::format("{:x}", seed_ * 1000 + i + starts_)},
                          {"limits", {{"cores", 1.0}, {"sockets", e_.gateway.sockets}}},
                          {"known", json::parse(directory_.Whole(i))},
@@ -241,8 +241,8 @@
     }
     std::vector<std::pair<std::string, std::string>> env = {
         {"LB_NAME", fmt::format("g{}", i)},
-        {"LB_LISTEN", net::ToText(g.address)},
-        {"LB_DISCOVERY", net::ToText(directory_.AddressOf(i))},
+        {"LB_LISTEN", ToText(g.address)},
+        {"LB_DISCOVERY", ToText(directory_.AddressOf(i))},
         {"LB_CONFIG", g.config_path}};
     if (bank_) {
       env[0].second = fmt::format("g{:03}", i);
@@ -254,7 +254,7 @@
     if (std::ranges::any_of(e_.faults, operated)) {
       // Another one for each start: two run at a time.
       g.admin = {g.address.host, static_cast<uint16_t>(g.address.port + 1 + starts_ % 100)};
-      env.emplace_back("LB_ADMIN", net::ToText(g.admin));
+      env.emplace_back("LB_ADMIN", ToText(g.admin));
       env.emplace_back("TMPDIR", folder_.path());
     }
     return std::make_unique<Process>(words, env, g.log_path);
@@ -459,7 +459,7 @@
 
   // ---- What operators do --------------------------------------------------------------------
   // A call that has to be answered with yes, again and again until then.
-  void Operate(size_t i, const std::string& call, const net::Address& to, Time until,
+  void Operate(size_t i, const std::string& call, const Address& to, Time until,
                std::function<void()> then) {
     GatewayState& g = gateways_[i];
     g.operate = std::make_unique<HealthCall>(
@@ -761,7 +761,7 @@
   Experiment e_;
   RunOptions options_;
   uint64_t seed_;
-  net::EventLoop loop_;
+  EventLoop loop_;
   Ledger ledger_;
   Fleet fleet_;
   Directory directory_;
--- a/src/lab/signal_watch.h
+++ b/src/lab/signal_watch.h
@@ -14,16 +14,15 @@
 
 namespace paddlestile::lab {
 
-class SignalWatch final : public net::EventLoop::Handler {
+class SignalWatch final : public EventLoop::Handler {
  public:
-  SignalWatch(net::EventLoop& loop, std::function<void()> then)
-      : loop_(loop), then_(std::move(then)) {
+  SignalWatch(EventLoop& loop, std::function<void()> then) : loop_(loop), then_(std::move(then)) {
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGINT);
     sigaddset(&set, SIGTERM);
     sigprocmask(SIG_BLOCK, &set, &before_);
-    fd_ = net::Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    fd_ = Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     loop_.Watch(fd_.get(), this, token_);
   }
   SignalWatch(const SignalWatch&) = delete;
@@ -38,9 +37,9 @@
   }
 
  private:
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   std::function<void()> then_;
-  net::Fd fd_;
+  Fd fd_;
   uint64_t token_ = 0;
   sigset_t before_{};
 };
--- a/src/lab/simulated_member.cpp
+++ b/src/lab/simulated_member.cpp
@@ -28,13 +28,14 @@
 #include "event/event_loop.h"
 #include "event/stream.h"
 #include "peer/peer_connections.h"
+#include "raft/codec.h"
 
 namespace paddlestile::lab {
 namespace {
 
-using bank::Member;
-using bank::MemberOutput;
-using bank::Stance;
+using cluster::Member;
+using cluster::MemberOutput;
+using cluster::Stance;
 using nlohmann::json;
 
 constexpr std::array<std::string_view, 5> kWhats = {"agreed", "between", "alone", "down", "up"};
@@ -62,8 +63,8 @@
 
 class HollowMember final : public peer::Links::Listener {
  public:
-  HollowMember(net::EventLoop& loop, net::Descriptors& budget, const net::BankConfig& config,
-               size_t number, uint64_t seed, Book& book)
+  HollowMember(EventLoop& loop, Descriptors& budget, const BankConfig& config, size_t number,
+               uint64_t seed, Book& book)
       : loop_(loop),
         budget_(budget),
         config_(config),
@@ -141,11 +142,11 @@
   }
 
   json KnownOf(const std::string& name) override {
-    return bank::ToJson(member_->agreement().KnownOf(name));
+    return raft::ToJson(member_->agreement().KnownOf(name));
   }
   void OnUp(const std::string& name, uint64_t life, const json& known) override {
     linked_.insert(name);
-    const bank::Claim claim = bank::ReadClaim(known).value_or(bank::Claim{});
+    const raft::Claim claim = raft::ReadClaim(known).value_or(raft::Claim{});
     Run([&](Member& m, Time now, MemberOutput& out) { m.Linked(now, name, life, claim, out); });
   }
   void OnDown(const std::string& name) override {
@@ -155,7 +156,7 @@
   void OnFrame(const std::string& name, const json& value) override {
     if (!value.is_object()) return;
     if (const auto at = value.find("m"); at != value.end()) {
-      const auto message = bank::ReadMessage(*at);
+      const auto message = raft::ReadMessage(*at);
       if (!message || message->from != name) return;
       Run([&](Member& m, Time now, MemberOutput& out) { m.Receive(now, *message, out); });
     }
@@ -170,13 +171,13 @@
     MemberOutput out;
     what(*member_, loop_.Now(), out);
     uint64_t durable = durable_;
-    for (const bank::Write& write : out.writes) {
-      bank::ApplyWrite(disk_, write);
+    for (const raft::Write& write : out.writes) {
+      raft::ApplyWrite(disk_, write);
       durable = std::max(durable, write.ticket);
     }
     if (links_) {
-      for (const bank::Outgoing& o : out.sends) {
-        links_->Send(o.message.to, {{"m", bank::ToJson(o.message)}});
+      for (const raft::Outgoing& o : out.sends) {
+        links_->Send(o.message.to, {{"m", raft::ToJson(o.message)}});
       }
     }
     if (out.forgot || (!out.needs_anew.empty() && !std::exchange(anew_, true))) {
@@ -238,32 +239,32 @@
     book_.Add(line);
   }
 
-  net::EventLoop& loop_;
-  net::Descriptors& budget_;
-  const net::BankConfig& config_;
+  EventLoop& loop_;
+  Descriptors& budget_;
+  const BankConfig& config_;
   size_t number_;
   std::string name_;
   std::mt19937_64 random_;
   Book& book_;
-  bank::Disk disk_;
+  raft::Disk disk_;
   std::unique_ptr<Member> member_;
   std::unique_ptr<peer::Links> links_;
   std::set<std::string> wanted_, linked_;
   uint64_t durable_ = 0;
   bool anew_ = false;  // it has begun anew for other content, once
   std::optional<Stance> stance_;
-  net::EventLoop::TimerId timer_, act_timer_;
+  EventLoop::TimerId timer_, act_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 static_assert(static_cast<int>(HollowLine::What::kAgreed) ==
               static_cast<int>(Stance::Kind::kAgreed));
 static_assert(static_cast<int>(HollowLine::What::kAlone) == static_cast<int>(Stance::Kind::kAlone));
 
-class HollowProcess final : public net::EventLoop::Handler {
+class HollowProcess final : public EventLoop::Handler {
  public:
   explicit HollowProcess(const HollowOptions& options)
       : options_(options),
-        config_(net::ReadBank(options.operator_file, HollowName(options.first))),
+        config_(ReadBank(options.operator_file, HollowName(options.first))),
         budget_(options.count * kSocketsOfMember),
         random_(options.seed ^ 0x4011),
         book_(options.book) {
@@ -271,7 +272,7 @@
     sigemptyset(&set);
     for (const int signal : {SIGTERM, SIGINT, SIGUSR1}) sigaddset(&set, signal);
     sigprocmask(SIG_BLOCK, &set, nullptr);
-    signals_ = net::Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    signals_ = Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     if (!signals_ || !loop_.Watch(signals_.get(), this, token_)) {
       throw std::runtime_error("cannot watch for signals");
     }
@@ -325,12 +326,12 @@
   }
 
   HollowOptions options_;
-  net::BankConfig config_;
-  net::EventLoop loop_;
-  net::Descriptors budget_;
+  BankConfig config_;
+  EventLoop loop_;
+  Descriptors budget_;
   std::mt19937_64 random_;
   Book book_;
-  net::Fd signals_;
+  Fd signals_;
   uint64_t token_ = 0;
   std::vector<std::unique_ptr<HollowMember>> members_;
 };
@@ -371,7 +372,7 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   // One line a link of each member would be most of what it does.
-  net::SetLogLevel(net::Level::kWarning);
+  SetLogLevel(Level::kWarning);
   return HollowProcess(options).Run();
 }
 
--- a/src/peer/framing.cpp
+++ b/src/peer/framing.cpp
@@ -51,7 +51,7 @@
   return value;
 }
 
-FrameRead TakeFrame(net::Buffer& in, json& value) {
+FrameRead TakeFrame(Buffer& in, json& value) {
   uint32_t size = 0;
   if (in.size() < sizeof(size)) return FrameRead::kNone;
   std::memcpy(&size, in.data(), sizeof(size));
--- a/src/peer/framing.h
+++ b/src/peer/framing.h
@@ -23,7 +23,7 @@
 
 enum class FrameRead { kNone, kWhole, kNonsense };
 // Takes the next frame off the buffer, if all of it is there.
-FrameRead TakeFrame(net::Buffer& in, nlohmann::json& value);
+FrameRead TakeFrame(Buffer& in, nlohmann::json& value);
 
 }  // namespace paddlestile::peer
 
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -13,7 +13,6 @@
 namespace paddlestile::peer {
 namespace {
 
-using net::Level;
 using nlohmann::json;
 
 constexpr int kBacklog = 512;
@@ -24,12 +23,12 @@
 
 }  // namespace
 
-class Links::Listening final : public net::EventLoop::Handler {
+class Links::Listening final : public EventLoop::Handler {
  public:
-  Listening(Links& links, const net::Address& at) : links_(links) {
-    fd_ = net::Listen(at, kBacklog, false);
+  Listening(Links& links, const Address& at) : links_(links) {
+    fd_ = Listen(at, kBacklog, false);
     if (!fd_ || !links_.loop_.Watch(fd_.get(), this, token_)) {
-      throw std::system_error(errno, std::generic_category(), "bank: listen on " + net::ToText(at));
+      throw std::system_error(errno, std::generic_category(), "bank: listen on " + ToText(at));
     }
   }
   Listening(const Listening&) = delete;
@@ -40,13 +39,13 @@
 
  private:
   Links& links_;
-  net::Fd fd_;
+  Fd fd_;
   uint64_t token_ = 0;
 };
 
-class Links::Link final : public net::Stream::Owner {
+class Links::Link final : public Stream::Owner {
  public:
-  Link(Links& links, net::Socket socket, std::string dialled)
+  Link(Links& links, Socket socket, std::string dialled)
       : links_(links),
         stream_(links.loop_, std::move(socket), this, !dialled.empty()),
         dialled_(std::move(dialled)),
@@ -101,7 +100,7 @@
       if (!alive.expired()) Read();
     });
   }
-  net::Stream& stream() { return stream_; }
+  Stream& stream() { return stream_; }
 
   std::string name_;  // once it has said so
   uint64_t life_ = 0, boot_ = 0, call_ = 0;
@@ -118,15 +117,14 @@
   void OnBroken() override { links_.Drop(*this, "broken"); }
 
   Links& links_;
-  net::Stream stream_;
+  Stream stream_;
   std::string dialled_;
   Time heard_;
   size_t queued_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-Links::Links(net::EventLoop& loop, net::Descriptors& budget, LinkOptions options,
-             Listener* listener)
+Links::Links(EventLoop& loop, Descriptors& budget, LinkOptions options, Listener* listener)
     : loop_(loop),
       budget_(budget),
       options_(std::move(options)),
@@ -145,14 +143,14 @@
 
 void Links::Accept() {
   for (int n = 0; n < kAcceptAtOnce; ++n) {
-    net::Fd fd(accept4(listening_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    Fd fd(accept4(listening_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
       return;
     }
     // One that is turned away for want of room comes again.
     if (strangers_ >= options_.strangers_most || !budget_.Take()) continue;
-    auto link = std::make_unique<Link>(*this, net::Socket(std::move(fd), &budget_), "");
+    auto link = std::make_unique<Link>(*this, Socket(std::move(fd), &budget_), "");
     Link* const at = link.get();
     all_[at] = std::move(link);
     ++strangers_;
@@ -193,7 +191,7 @@
 
 void Links::Connect(const std::string& name) {
   bool refused = false;
-  auto socket = net::Connect(options_.members.at(name), &budget_, refused);
+  auto socket = paddlestile::Connect(options_.members.at(name), &budget_, refused);
   if (!socket) return DialAgain(name);
   auto link = std::make_unique<Link>(*this, std::move(*socket), name);
   Link* const at = link.get();
@@ -213,7 +211,7 @@
   if (was_up && at != up_.end() && at->second == &link) {
     up_.erase(at);
     ++counts_.down;
-    net::Log(Level::kInfo, "bank: link to {} is down: {}", name, why);
+    Log(Level::kInfo, "bank: link to {} is down: {}", name, why);
     listener_->OnDown(name);
   }
   if (!link.dialled().empty()) DialAgain(link.dialled());
@@ -255,7 +253,7 @@
 void Links::OnHello(Link& link, const json& value) {
   const auto stranger = [&](const std::string& why) {
     ++counts_.strangers;
-    net::Log(Level::kWarning, "bank: turned away: {}", why);
+    Log(Level::kWarning, "bank: turned away: {}", why);
     Drop(link, why);
   };
   try {
@@ -313,7 +311,7 @@
     link.up_ = true;
     up_[from] = &link;
     ++counts_.up;
-    net::Log(Level::kInfo, "bank: link to {} is up", from);
+    Log(Level::kInfo, "bank: link to {} is up", from);
     listener_->OnUp(from, life, value.value("known", json()));
   } catch (const json::exception&) {
     ++counts_.nonsense;
--- a/src/peer/peer_connections.h
+++ b/src/peer/peer_connections.h
@@ -25,11 +25,11 @@
 struct LinkOptions {
   std::string bank, name;
   uint64_t life = 0, boot = 0;
-  net::Address listen;
-  std::map<std::string, net::Address> members;  // the others too
-  uint64_t seed = 1;                            // of the back-off's jitter
-  Duration beat{1'000'000};                     // us; something is sent this often
-  Duration silent{3'500'000};  // us; a link that hears nothing for so long is ended
+  Address listen;
+  std::map<std::string, Address> members;  // the others too
+  uint64_t seed = 1;                       // of the back-off's jitter
+  Duration beat{1'000'000};                // us; something is sent this often
+  Duration silent{3'500'000};              // us; a link that hears nothing for so long is ended
   Duration again_least{50'000}, again_most{2'000'000};  // us; between two tries to connect
   Duration hello_within{2'000'000};                     // us
   size_t queued_most = 512 << 10;  // bytes unsent on a link, beyond which what comes is dropped
@@ -57,7 +57,7 @@
   };
 
   // Listens at once; throws std::system_error.
-  Links(net::EventLoop& loop, net::Descriptors& budget, LinkOptions options, Listener* listener);
+  Links(EventLoop& loop, Descriptors& budget, LinkOptions options, Listener* listener);
   ~Links();
   Links(const Links&) = delete;
   Links& operator=(const Links&) = delete;
@@ -74,7 +74,7 @@
   class Link;
   struct Dial {
     Duration wait{0};
-    net::EventLoop::TimerId timer;
+    EventLoop::TimerId timer;
     Link* link = nullptr;  // on its way, or up
   };
   void Accept();
@@ -86,8 +86,8 @@
   void OnHello(Link& link, const nlohmann::json& value);
   [[nodiscard]] nlohmann::json HelloTo(const std::string& name);
 
-  net::EventLoop& loop_;
-  net::Descriptors& budget_;
+  EventLoop& loop_;
+  Descriptors& budget_;
   LinkOptions options_;
   Listener* listener_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -101,7 +101,7 @@
   std::map<std::string, std::vector<uint64_t>> old_lives_;
   uint64_t next_call_ = 1;
   size_t strangers_ = 0;
-  net::EventLoop::TimerId beat_;
+  EventLoop::TimerId beat_;
   Counts counts_;
 };
 
--- a/src/raft/raft_node.cpp
+++ b/src/raft/raft_node.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <tuple>
 
-namespace paddlestile::bank {
+namespace paddlestile::raft {
 namespace {
 
 constexpr size_t kEntryBytes = 32;  // of an entry beside its own bytes
@@ -649,4 +649,4 @@
   }
 }
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::raft
--- a/src/raft/raft_node.h
+++ b/src/raft/raft_node.h
@@ -21,11 +21,10 @@
 #include <utility>
 #include <vector>
 
-namespace paddlestile::bank {
+#include "base/time.h"
+
+namespace paddlestile::raft {
 
-using Duration = std::chrono::microseconds;
-// Since an arbitrary beginning, by a clock that never goes back; of one member alone.
-using Time = std::chrono::microseconds;
 using Index = uint64_t;  // of an entry; the first is 1
 using Term = uint64_t;
 inline constexpr size_t kVotersMost = 9;
@@ -304,6 +303,6 @@
   std::map<std::string, Claim> known_;
 };
 
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::raft
 
 #endif  // PADDLESTILE_RAFT_RAFT_NODE_H_
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -5,12 +5,12 @@
 #include <istream>
 #include <ostream>
 
-namespace paddlestile {
+namespace paddlestile::simulator {
 
 // Answers batches until the input ends. Returns the exit code: 0 after a clean end, 1 after one
 // line on `err` about malformed input.
 int RunHost(std::istream& in, std::ostream& out, std::ostream& err);
 
-}  // namespace paddlestile
+}  // namespace paddlestile::simulator
 
 #endif  // PADDLESTILE_SIMULATOR_ADAPTER_H_
--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -7,7 +7,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace paddlestile::wire {
+namespace paddlestile::simulator {
 namespace {
 
 using Parts = std::vector<std::string_view>;
@@ -549,7 +549,7 @@
         } else if constexpr (std::is_same_v<T, FetchList>) {
           begin("read_list");
         } else {
-          static_assert(std::is_same_v<T, Log>);
+          static_assert(std::is_same_v<T, LogMessage>);
           begin("debug");
           word(a.text);
         }
@@ -570,4 +570,4 @@
   out += '\n';
 }
 
-}  // namespace paddlestile::wire
+}  // namespace paddlestile::simulator
--- a/src/simulator/protocol.h
+++ b/src/simulator/protocol.h
@@ -14,7 +14,7 @@
 
 #include "balancer/load_balancer.h"
 
-namespace paddlestile::wire {
+namespace paddlestile::simulator {
 
 // Malformed input: what() says the line number and the reason.
 class WireError : public std::runtime_error {
@@ -70,6 +70,6 @@
 void PrintPanic(int64_t instance, std::string_view reason, std::string& out);
 void PrintEnd(std::string_view seq, std::string& out);
 
-}  // namespace paddlestile::wire
+}  // namespace paddlestile::simulator
 
 #endif  // PADDLESTILE_SIMULATOR_PROTOCOL_H_
--- a/src/storage/controlled_files.cpp
+++ b/src/storage/controlled_files.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 #include <utility>
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 namespace {
 
 class Controlled final : public Files {
@@ -63,4 +63,4 @@
   return std::make_unique<Controlled>(std::move(control));
 }
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
--- a/src/storage/controlled_files.h
+++ b/src/storage/controlled_files.h
@@ -9,10 +9,10 @@
 
 #include "storage/files.h"
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 
 std::unique_ptr<Files> ControlledFiles(std::string control);
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
 
 #endif  // PADDLESTILE_STORAGE_CONTROLLED_FILES_H_
--- a/src/storage/faulty_files.cpp
+++ b/src/storage/faulty_files.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 namespace {
 constexpr size_t kPage = 64;  // bytes that reach the disk or not as one
 }  // namespace
@@ -123,4 +123,4 @@
   return lock;
 }
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
--- a/src/storage/faulty_files.h
+++ b/src/storage/faulty_files.h
@@ -15,7 +15,7 @@
 
 #include "storage/files.h"
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 
 class FaultyFiles final : public Files {
  public:
@@ -55,6 +55,6 @@
   std::map<std::string, std::weak_ptr<void>> locks_;
 };
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
 
 #endif  // PADDLESTILE_STORAGE_FAULTY_FILES_H_
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -11,7 +11,7 @@
 #include <cstring>
 #include <utility>
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 namespace {
 
 [[noreturn]] void Fail(const std::string& path, int code) {
@@ -114,4 +114,4 @@
   return files;
 }
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
--- a/src/storage/files.h
+++ b/src/storage/files.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 
 class FileError : public std::runtime_error {
  public:
@@ -51,6 +51,6 @@
 // The system's own.
 Files& RealFiles();
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
 
 #endif  // PADDLESTILE_STORAGE_FILES_H_
--- a/src/storage/write_ahead_log.cpp
+++ b/src/storage/write_ahead_log.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <utility>
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 namespace {
 
 static_assert(std::endian::native == std::endian::little, "the file's numbers are little-endian");
@@ -166,4 +166,4 @@
   size_ = synced_ = bytes.size();
 }
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -12,7 +12,7 @@
 
 #include "storage/files.h"
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 
 // A record that was durable and no longer checks out: file, offset, what was found.
 class DamageError : public std::runtime_error {
@@ -64,6 +64,6 @@
   bool broken_ = false;
 };
 
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
 
 #endif  // PADDLESTILE_STORAGE_WRITE_AHEAD_LOG_H_
--- a/tests/balancer/affinity_test.cpp
+++ b/tests/balancer/affinity_test.cpp
@@ -21,9 +21,9 @@
   return s;
 }
 
-class Thin : public Gateway {
+class Thin : public LoadBalancerHarness {
  public:
-  explicit Thin(const Settings& settings, uint64_t seed = 7) : Gateway(settings, seed) {
+  explicit Thin(const Settings& settings, uint64_t seed = 7) : LoadBalancerHarness(settings, seed) {
     Endpoints(20);
   }
 
@@ -173,7 +173,7 @@
     s.charges.connection = charge;
     Thin g(s);
     const std::string home = g.HomeOf("key");
-    const auto closed = Gateway::All<CloseIdle>(g.log);
+    const auto closed = LoadBalancerHarness::All<CloseIdle>(g.log);
     ASSERT_EQ(closed.size(), charge > 0 ? 1u : 0u);
     for (const CloseIdle& close : closed) EXPECT_EQ(close.endpoint, home);
   }
@@ -215,19 +215,20 @@
   s.allowed.probes = false;  // forbidden, so none is sent; the request goes by the fallback
   Thin blind(s);
   blind.AskKey("r", "key");
-  EXPECT_TRUE(Gateway::All<Probe>(blind.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Probe>(blind.log).empty());
   EXPECT_EQ(blind.sends.size(), 1u);
 
-  Gateway empty(MakeThin());  // no list yet: refused within a tenth of its aim, and not lost
+  LoadBalancerHarness empty(
+      MakeThin());  // no list yet: refused within a tenth of its aim, and not lost
   Submit submit;
   submit.id = "early";
   submit.deadline = empty.now + Ms(1000);
   submit.key = "key";
   empty.Give(submit);
   empty.Pass(Ms(200));
-  EXPECT_EQ(Gateway::All<Refuse>(empty.log).size(), 1u);
+  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(empty.log).size(), 1u);
 
-  Gateway one(MakeThin());
+  LoadBalancerHarness one(MakeThin());
   one.Endpoints(1);
   one.Give(submit);
   one.Give(PeerNote{4711, std::string("\xff\x00wrong", 7)});  // none of ours: ignored
--- a/tests/balancer/fleet_invariants_test.cpp
+++ b/tests/balancer/fleet_invariants_test.cpp
@@ -62,7 +62,7 @@
     std::erase_if(due, [&](const auto& d) { return d.second.gateway == i; });
     Settings s = settings;
     s.zone = static_cast<int>(i % 4);
-    gateways[i] = std::make_unique<Gateway>(s, ++seed);
+    gateways[i] = std::make_unique<LoadBalancerHarness>(s, ++seed);
     gateways[i]->now = now;
     gateways[i]->Give(List());
   }
@@ -96,7 +96,7 @@
   }
 
   void Take(size_t i) {
-    Gateway& g = *gateways[i];
+    LoadBalancerHarness& g = *gateways[i];
     for (; taken[i] < g.log.size(); ++taken[i]) {
       const Action action = g.log[taken[i]];
       if (const auto* send = std::get_if<Send>(&action)) {
@@ -228,7 +228,7 @@
   Settings settings;
   std::map<std::string, Host> hosts;
   std::set<std::string> leaving;
-  std::vector<std::unique_ptr<Gateway>> gateways;
+  std::vector<std::unique_ptr<LoadBalancerHarness>> gateways;
   std::vector<double> traffic;  // of each gateway, as a multiple of the mean; empty: all alike
   double burst = 1;             // times that, for all
   std::vector<size_t> taken;
--- a/tests/balancer/invariants_test.cpp
+++ b/tests/balancer/invariants_test.cpp
@@ -207,7 +207,7 @@
   const auto draw = [&](int n) { return static_cast<int>(rng() % static_cast<uint64_t>(n)); };
   int cold = 0, hot = 0;
   for (int round = 0; round < 400; ++round) {
-    testing::Gateway g(MakeSettings(), static_cast<uint64_t>(round));
+    testing::LoadBalancerHarness g(MakeSettings(), static_cast<uint64_t>(round));
     g.Endpoints(30);
     struct Entry {
       std::string id;
--- a/tests/balancer/load_balancer_fixture.h
+++ b/tests/balancer/load_balancer_fixture.h
@@ -52,9 +52,10 @@
   return s;
 }
 
-class Gateway {
+class LoadBalancerHarness {
  public:
-  explicit Gateway(const Settings& settings, uint64_t seed = 7) : brain(settings, seed) {}
+  explicit LoadBalancerHarness(const Settings& settings, uint64_t seed = 7)
+      : brain(settings, seed) {}
 
   // Hands over one event and returns what was done about it.
   std::vector<Action> Give(const Event& event) {
