--- a/tests/balancer/load_balancer_test.cpp
+++ b/tests/balancer/load_balancer_test.cpp
@@ -18,7 +18,7 @@
 namespace paddlestile {
 namespace {
 
-using testing::Gateway;
+using testing::LoadBalancerHarness;
 using testing::MakeClass;
 using testing::MakeSettings;
 using testing::Ms;
@@ -50,7 +50,7 @@
 TEST(Settings, NewOnesHoldForWhatComesFromNowOn) {
   Settings s = MakeSettings();
   s.allowed.probes = false;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(4);
   g.WarmUp(60);
   const auto fallbacks = g.brain.stats().picks;
@@ -62,21 +62,22 @@
   g.Give(next);
   // Safe as it began: it may be repeated though it may have run.
   const auto repeated = g.End("before", 0, g.sends.back().endpoint, Outcome::kReset, Ms(5));
-  EXPECT_EQ(Gateway::All<Send>(repeated).size(), 1u);
+  EXPECT_EQ(LoadBalancerHarness::All<Send>(repeated).size(), 1u);
   g.Ask("after", 0);
   ASSERT_EQ(g.sends.back().id, "after");
   const auto failed = g.End("after", 0, g.sends.back().endpoint, Outcome::kReset, Ms(5));
-  EXPECT_EQ(Gateway::All<Fail>(failed).size(), 1u);
+  EXPECT_EQ(LoadBalancerHarness::All<Fail>(failed).size(), 1u);
   g.Ask("new", 5);
   EXPECT_EQ(g.sends.back().id, "new");
   // Fewer attempts hold at once.
   next.allowed.send_cap = 1;
   g.Give(next);
   const auto none = g.End("new", 0, g.sends.back().endpoint, Outcome::kFull, Ms(5));
-  EXPECT_TRUE(Gateway::All<Send>(none).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Send>(none).empty());
   // Many at once as before: what the endpoints can do is still known.
   size_t sent = 0;
-  for (int i = 0; i < 12; ++i) sent += Gateway::All<Send>(g.Ask("m" + std::to_string(i), 1)).size();
+  for (int i = 0; i < 12; ++i)
+    sent += LoadBalancerHarness::All<Send>(g.Ask("m" + std::to_string(i), 1)).size();
   EXPECT_GE(sent, 12u);
   EXPECT_GT(g.brain.stats().picks, fallbacks);
 }
@@ -84,7 +85,7 @@
 // A request too large to be held cannot be sent again: asking for it would cost the client its
 // time.
 TEST(Attempts, WhatIsNoLongerHeldIsGivenUpAtOnce) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   g.WarmUp(60);
   for (const bool spent : {false, true}) {
@@ -94,13 +95,13 @@
     Settled turned{id, 0, g.sends.back().endpoint, Outcome::kFull, Ms(5), false, std::nullopt};
     turned.spent = spent;
     const auto told = g.Give(turned);
-    EXPECT_EQ(Gateway::All<Send>(told).size(), spent ? 0u : 1u);
-    EXPECT_EQ(Gateway::All<Refuse>(told).size(), spent ? 1u : 0u);
+    EXPECT_EQ(LoadBalancerHarness::All<Send>(told).size(), spent ? 0u : 1u);
+    EXPECT_EQ(LoadBalancerHarness::All<Refuse>(told).size(), spent ? 1u : 0u);
   }
 }
 
 TEST(Membership, NothingGoesToDrainingOrRemoved) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(3);
   g.Change("e0", EndpointState::kDraining);
   Members full;
@@ -115,29 +116,30 @@
 }
 
 TEST(Membership, PooledAnswersOfADrainingEndpointAreNotPicked) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, id[1] == '0' ? 1 : 50);
   g.Change("e0", EndpointState::kDraining);
-  const auto sends = Gateway::All<Send>(g.Ask("r"));
+  const auto sends = LoadBalancerHarness::All<Send>(g.Ask("r"));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_NE(sends[0].endpoint, "e0");
 }
 
 TEST(Membership, FollowsAtStartAndAfterAFailureOnlyWhereAsked) {
   Settings s = MakeSettings();
-  Gateway pushed(s);
+  LoadBalancerHarness pushed(s);
   pushed.Endpoints(2);
-  EXPECT_TRUE(Gateway::All<Follow>(pushed.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Follow>(pushed.log).empty());
   s.discovery = DiscoveryMode::kAsk;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(2);
   g.Pass(s.obligations.must_ask_in / 5);  // where there are others it waits a little
-  EXPECT_EQ(Gateway::All<Follow>(g.log).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Follow>(g.log).size(), 1U);
   const auto failed = g.Give(Members{ListKind::kFailed, {}});
-  EXPECT_TRUE(Gateway::All<Follow>(failed).empty());  // not at once: the registry is small
+  EXPECT_TRUE(
+      LoadBalancerHarness::All<Follow>(failed).empty());  // not at once: the registry is small
   g.Pass(s.obligations.must_ask_in / 2);
-  EXPECT_EQ(Gateway::All<Follow>(g.log).size(), 2U);
+  EXPECT_EQ(LoadBalancerHarness::All<Follow>(g.log).size(), 2U);
 }
 
 // A gateway alone crowds nobody: it must not start with an old list for longer than it needs.
@@ -145,21 +147,22 @@
   Settings s = MakeSettings();
   s.discovery = DiscoveryMode::kAsk;
   s.instances = 1;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(2);
   g.Pass(Ms(0));
-  EXPECT_EQ(Gateway::All<Follow>(g.log).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Follow>(g.log).size(), 1U);
 }
 
 TEST(Membership, BackOffGrowsAndStaysWithinTheObligation) {
   Settings s = MakeSettings();
   s.discovery = DiscoveryMode::kAsk;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(2);
   g.Pass(s.obligations.must_ask_in / 5);
   Duration longest{0};
   for (int i = 0; i < 8; ++i) {
-    for (const SetTimer& t : Gateway::All<SetTimer>(g.Give(Members{ListKind::kFailed, {}}))) {
+    for (const SetTimer& t :
+         LoadBalancerHarness::All<SetTimer>(g.Give(Members{ListKind::kFailed, {}}))) {
       longest = std::max(longest, t.after);
       EXPECT_LT(t.after, s.obligations.must_ask_in);
     }
@@ -168,7 +171,7 @@
 }
 
 TEST(Membership, ARestartedEndpointStartsWithACleanName) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
   for (int i = 0; i < 12; ++i) {
     const std::string id = "r" + std::to_string(i);
@@ -186,7 +189,7 @@
 // ---- The hot-cold pick ----------------------------------------------------------------------
 
 TEST(Pick, FallbackUnderTwoEntriesIsReported) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   g.Probed("e0", 0, 10);
   g.Ask("r0");
@@ -198,25 +201,26 @@
 }
 
 TEST(Pick, ColdTakesTheLowestLatencyNotTheFewestInFlight) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(8);
   g.Probed("e0", 0, 40);
   g.Probed("e1", 1, 20);
   g.Probed("e2", 3, 5);  // hot: over the cut
   g.Probed("e3", 3, 6);
   g.Probed("e4", 3, 7);
-  const auto sends = Gateway::All<Send>(g.Ask("r"));
+  const auto sends = LoadBalancerHarness::All<Send>(g.Ask("r"));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends[0].endpoint, "e1");
 }
 
 TEST(Pick, EachSendRaisesTheInFlightFigure) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
   for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, id[1] == '0' ? 5 : 20);
   std::multiset<std::string> met;
   for (int i = 0; i < 4; ++i) {
-    for (const Send& s : Gateway::All<Send>(g.Ask("r" + std::to_string(i)))) met.insert(s.endpoint);
+    for (const Send& s : LoadBalancerHarness::All<Send>(g.Ask("r" + std::to_string(i))))
+      met.insert(s.endpoint);
   }
   // The quickest is over the cut once it was sent one; the others get their turns.
   EXPECT_LE(met.count("e0"), 2U);
@@ -224,7 +228,7 @@
 }
 
 TEST(Pick, AgedAnswersAreNotUsed) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
   g.WarmUp(100);  // 200 requests a second: a second's probes fill the pool many times over
   for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, 10);
@@ -239,14 +243,15 @@
   Settings s = MakeSettings();
   s.instances = 400;
   s.charges.probe = 0.04;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(68);
   size_t met = 0;
   for (int i = 0; i < 300; ++i) {
     const std::string id = "r" + std::to_string(i);
     const size_t before = g.sends.size();
     const auto actions = g.Ask(id);
-    for (const Probe& probe : Gateway::All<Probe>(actions)) g.Probed(probe.endpoint, 1, 20);
+    for (const Probe& probe : LoadBalancerHarness::All<Probe>(actions))
+      g.Probed(probe.endpoint, 1, 20);
     g.Pass(Ms(20));
     if (g.sends.size() > before) g.End(id, 0, g.sends[before].endpoint, Outcome::kOk, Ms(20), true);
     g.Pass(Ms(180));
@@ -256,7 +261,7 @@
 }
 
 TEST(Pick, AnswersAreUsedABoundedNumberOfTimes) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(30);
   for (int i = 0; i < 10; ++i) g.Probed("e" + std::to_string(i), 0, 10);
   int pooled = 0;
@@ -274,7 +279,7 @@
 TEST(Pick, TiesAreBrokenAtRandom) {
   std::set<std::string> met;
   for (uint64_t seed = 0; seed < 30; ++seed) {
-    Gateway g(MakeSettings(), seed);
+    LoadBalancerHarness g(MakeSettings(), seed);
     g.Endpoints(6);
     for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, 10);
     g.Ask("r");
@@ -286,15 +291,15 @@
 TEST(Probes, RideOnRequestsAtTheirRateAndGoToAll) {
   Settings s = MakeSettings();
   s.charges.probe = 0.03;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(5);
   g.Pass(Ms(5000));
-  EXPECT_TRUE(Gateway::All<Probe>(g.log).empty());  // no request, no probe
+  EXPECT_TRUE(LoadBalancerHarness::All<Probe>(g.log).empty());  // no request, no probe
   std::set<std::string> met;
   for (int i = 0; i < 100; ++i) {
     g.WarmUp(1);
-    for (const Probe& p : Gateway::All<Probe>(g.log)) met.insert(p.endpoint);
-    for (const Probe& p : Gateway::All<Probe>(g.log)) g.Probed(p.endpoint, 0, 10);
+    for (const Probe& p : LoadBalancerHarness::All<Probe>(g.log)) met.insert(p.endpoint);
+    for (const Probe& p : LoadBalancerHarness::All<Probe>(g.log)) g.Probed(p.endpoint, 0, 10);
     g.log.clear();
   }
   EXPECT_EQ(met.size(), 5U);
@@ -303,29 +308,29 @@
 TEST(Probes, NoneWhereTheyAreNotAllowed) {
   Settings s = MakeSettings();
   s.allowed.probes = false;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(5);
   g.WarmUp(50);
-  EXPECT_TRUE(Gateway::All<Probe>(g.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Probe>(g.log).empty());
   EXPECT_EQ(g.sends.size(), 50U);
 }
 
 // The trouble: all gateways see an endpoint idle in one stale report and fill it in step.
 TEST(Load, OneReportOfIdlenessDoesNotWipeOutWhatOthersHold) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
   for (int i = 0; i < 20; ++i) {
     g.Probed("e0", 30, 10);
     g.Probed("e1", 30, 10);
   }
   g.Probed("e0", 0, 10);
-  EXPECT_TRUE(Gateway::All<Send>(g.Ask("r")).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Send>(g.Ask("r")).empty());
 }
 
 // The trouble: a report of ten seconds ago still counted as now. What looked full was never tried
 // again, and what looked idle was filled.
 TEST(Load, AnOldReportFadesToTheMeanOfItsKind) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(8);
   g.Probed("e0", 30, 10);
   for (int i = 0; i < 20; ++i) {
@@ -347,7 +352,7 @@
 // nothing was ever learned of it. And a start of hundreds at once must not add much to what is
 // held.
 TEST(Capacity, AKindFoundBusyAtTheStartIsTriedAtAboutWhatItHolds) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(5);
   for (const char* id : {"e0", "e1", "e2", "e3", "e4"}) g.Probed(id, 20, 10);
   for (int i = 0; i < 200; ++i) g.Ask("r" + std::to_string(i), 4);
@@ -359,7 +364,7 @@
 TEST(Capacity, ASlowEndpointIsNotStarvedBesideQuickOnes) {
   Settings s = MakeSettings();
   s.instances = 1;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(4);
   const auto serve = [&](const Send& send) {
     const bool slow = send.endpoint == "e0";
@@ -424,7 +429,7 @@
 TEST(Probing, GoesEvenlyToThoseWithoutOneOut) {
   Settings s = MakeSettings();
   s.instances = 1;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(40);
   for (int i = 0; i < 10; ++i) {
     g.Change("e" + std::to_string(i), EndpointState::kRemoved);
@@ -459,7 +464,7 @@
   Settings s = MakeSettings();
   s.instances = 1;
   s.allowed.probes = false;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(40);
   EndpointInfo info;
   info.id = "twice";
@@ -467,7 +472,7 @@
   std::map<std::string, int> count;
   for (int i = 0; i < 8000; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const auto sends = Gateway::All<Send>(g.Ask(id));
+    const auto sends = LoadBalancerHarness::All<Send>(g.Ask(id));
     ASSERT_EQ(sends.size(), 1U);
     ++count[sends[0].endpoint];
     g.End(id, 0, sends[0].endpoint, Outcome::kOk, Ms(10), true);
@@ -482,7 +487,7 @@
   Settings s = MakeSettings();
   s.instances = 1;
   s.allowed.probes = false;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(300);
   // Half of the set has just started, and nothing is known yet of how much it may be sent.
   for (int i = 0; i < 150; ++i) {
@@ -491,7 +496,7 @@
   std::set<std::string> met;
   for (int i = 0; i < 200; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const auto sends = Gateway::All<Send>(g.Ask(id));
+    const auto sends = LoadBalancerHarness::All<Send>(g.Ask(id));
     ASSERT_EQ(sends.size(), 1U);
     EXPECT_EQ(std::stoi(sends[0].endpoint.substr(1)) % 2, 1);
     met.insert(sends[0].endpoint);
@@ -503,14 +508,14 @@
   for (int i = 1; i < 150; ++i) {
     g.Change("e" + std::to_string(2 * i + 1), EndpointState::kUp, g.now);
   }
-  const auto last = Gateway::All<Send>(g.Ask("last"));
+  const auto last = LoadBalancerHarness::All<Send>(g.Ask("last"));
   ASSERT_EQ(last.size(), 1U);
   EXPECT_EQ(last[0].endpoint, "e1");
 }
 
 // Connections break to all endpoints alike on bad days: three in a row eject none.
 TEST(Health, AFewBreaksEjectNobody) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   g.WarmUp(100);
   std::map<std::string, int> breaks, later;
@@ -529,7 +534,7 @@
 
 // What was turned away cost its endpoint nothing: tries elsewhere go on where dear ones would not.
 TEST(Attempts, ATurningAwayCostsAFractionOfTheRetryBudget) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
   g.WarmUp(100);
   size_t refused = 0;
@@ -539,8 +544,9 @@
     g.Ask(id);
     for (size_t k = before; k < g.sends.size(); ++k) {
       const bool full = k < before + 2;
-      refused += Gateway::All<Refuse>(g.End(id, k - before, g.sends[k].endpoint,
-                                            full ? Outcome::kFull : Outcome::kOk, Ms(1), !full))
+      refused += LoadBalancerHarness::All<Refuse>(g.End(id, k - before, g.sends[k].endpoint,
+                                                        full ? Outcome::kFull : Outcome::kOk, Ms(1),
+                                                        !full))
                      .size();
     }
     g.Pass(Ms(5));
@@ -552,7 +558,7 @@
 // gives nothing else serves nobody.
 TEST(Health, SpoiltAnswersEjectOnlyAnEndpointThatGivesNothingElse) {
   for (const bool always : {false, true}) {
-    Gateway g(MakeSettings());
+    LoadBalancerHarness g(MakeSettings());
     g.Endpoints(6);
     g.WarmUp(200);
     int to_bad = 0, spoilt = 0;
@@ -582,7 +588,7 @@
 }
 
 TEST(Health, AnEndpointThatFailsFastIsLeftAlone) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
   g.WarmUp(200);
   int to_bad = 0;
@@ -607,7 +613,7 @@
 
 // The trouble: a hung endpoint takes work and answers probes.
 TEST(Health, ASilentEndpointIsAvoidedBeforeAnyTimeOut) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
   g.WarmUp(200);
   g.Probed("e0", 0, 1);
@@ -626,7 +632,7 @@
 }
 
 TEST(Health, WhereAllFailSomeStillGetWork) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   size_t late_sends = 0;
   for (int i = 0; i < 400; ++i) {
@@ -644,7 +650,7 @@
 
 // The trouble: work piles up on an endpoint that is already full, and some then stay slow.
 TEST(Capacity, WorkIsHeldRatherThanPiledOn) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
   for (int i = 0; i < 100; ++i) g.Ask("r" + std::to_string(i));
   EXPECT_LE(g.sends.size(), 12U);
@@ -652,38 +658,38 @@
 }
 
 TEST(Capacity, ARequestThatCannotMakeItIsRefusedPromptly) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
   for (int i = 0; i < 100; ++i) g.Ask("r" + std::to_string(i));
   g.Pass(Ms(150));
-  EXPECT_EQ(Gateway::All<Refuse>(g.log).size() + g.sends.size(), 100U);
+  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(g.log).size() + g.sends.size(), 100U);
 }
 
 // The trouble: a fleet refused a fifth of its requests, and nothing told which filter did it.
 TEST(GivenUp, IsCountedByWhatBarredMostEndpoints) {
-  const auto counted = [](Gateway& g, Bar bar) {
+  const auto counted = [](LoadBalancerHarness& g, Bar bar) {
     return g.brain.stats().given_up[static_cast<size_t>(bar)];
   };
-  Gateway none(MakeSettings());
+  LoadBalancerHarness none(MakeSettings());
   none.Ask("r");
   none.Pass(Ms(100));
   EXPECT_EQ(counted(none, Bar::kNone), 1U);
-  EXPECT_EQ(Gateway::All<Refuse>(none.log).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(none.log).size(), 1U);
 
-  Gateway cold(MakeSettings());
+  LoadBalancerHarness cold(MakeSettings());
   cold.Change("new", EndpointState::kUp, cold.now - Ms(10));
   cold.Ask("r");
   cold.Pass(Ms(100));
   EXPECT_EQ(counted(cold, Bar::kCold), 1U);
 
-  Gateway fresh(MakeSettings());
+  LoadBalancerHarness fresh(MakeSettings());
   fresh.Endpoints(2);
   for (int i = 0; i < 40; ++i) fresh.Ask("r" + std::to_string(i));
   fresh.Pass(Ms(100));
   EXPECT_GT(counted(fresh, Bar::kNew), 20U);
   EXPECT_EQ(counted(fresh, Bar::kFull), 0U);
 
-  Gateway full(MakeSettings());
+  LoadBalancerHarness full(MakeSettings());
   full.Endpoints(2);
   full.WarmUp(100);
   for (int i = 0; i < 400; ++i) full.Ask("r" + std::to_string(i));
@@ -692,7 +698,7 @@
 
   Settings once = MakeSettings();
   once.allowed.send_cap = 1;
-  Gateway spent(once);
+  LoadBalancerHarness spent(once);
   spent.Endpoints(2);
   spent.Ask("r", 4);
   spent.Pass(Ms(390));
@@ -703,7 +709,7 @@
 // The trouble: in a busy fleet a gateway just started held itself to half of what hosts held, so it
 // sent nothing, learned nothing, and refused three quarters of its requests for five seconds.
 TEST(Capacity, ANewGatewayInABusyFleetSendsByTheReportsOfOthers) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(8);
   for (int i = 0; i < 8; ++i) g.Probed("e" + std::to_string(i), i == 7 ? 40 : 10, 20);
   for (int i = 0; i < 20; ++i) {
@@ -717,7 +723,7 @@
 // The trouble: time-outs left out of the average flatter an endpoint, and its limit runs away.
 TEST(Capacity, TimeOutsLowerTheLimit) {
   const auto sent_in_a_rush = [](bool time_outs) {
-    Gateway g(MakeSettings());
+    LoadBalancerHarness g(MakeSettings());
     g.Endpoints(1);
     g.WarmUp(100, Ms(20));
     for (int i = 0; time_outs && i < 60; ++i) {
@@ -747,7 +753,7 @@
     s.classes[1].worth = 1;
     s.worth_by_work = true;
     s.mix.worst_class = worst_class;
-    Gateway g(s);
+    LoadBalancerHarness g(s);
     g.Endpoints(1);
     std::map<std::string, Time> out;
     size_t lesser = 0, seen = 0;
@@ -779,7 +785,7 @@
   s.instances = 1;
   s.tenants = {{180, 0.9}, {20, 0.1}};
   s.over_share_worth = 0.01;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(1);
   std::map<size_t, size_t> sent;
   std::map<std::string, Time> out;
@@ -807,8 +813,8 @@
 // What a gateway does with two tenants that ask alike, of which one has nine tenths of the shares:
 // whom it sends where, in turn.
 std::vector<std::string> SentOfTwoTenants(const Settings& settings,
-                                          const std::function<void(Gateway&)>& told) {
-  Gateway g(settings);
+                                          const std::function<void(LoadBalancerHarness&)>& told) {
+  LoadBalancerHarness g(settings);
   g.Endpoints(1);
   told(g);
   std::map<std::string, Time> out;
@@ -841,13 +847,13 @@
   before.tenants = {{20, 0.1}};
   Settings after = before;
   after.tenants = {{180, 0.9}, {20, 0.1}};
-  const auto whole = SentOfTwoTenants(before, [&](Gateway& g) { g.Give(after); });
-  const auto alone = SentOfTwoTenants(before, [&](Gateway& g) {
+  const auto whole = SentOfTwoTenants(before, [&](LoadBalancerHarness& g) { g.Give(after); });
+  const auto alone = SentOfTwoTenants(before, [&](LoadBalancerHarness& g) {
     g.Give(TenantFigures{{{0, {180, 0.9}}, {1, {20, 0.1}}}});
     EXPECT_THROW(g.Give(TenantFigures{{{0, {1, 0.01}}, {1, {1, -1}}}}), std::invalid_argument);
   });
   EXPECT_EQ(alone, whole);
-  EXPECT_NE(SentOfTwoTenants(before, [](Gateway&) {}), whole);
+  EXPECT_NE(SentOfTwoTenants(before, [](LoadBalancerHarness&) {}), whole);
 }
 
 // 64 times as many tenants may cost four times as much where one of them changes.
@@ -856,7 +862,7 @@
   for (const bool many : {false, true}) {
     Settings s = MakeSettings();
     s.tenants.assign(many ? 64'000 : 1'000, {1, 0.001});
-    Gateway g(s);
+    LoadBalancerHarness g(s);
     g.Endpoints(1);
     took[many ? 1 : 0] = 1e18;
     for (int turn = 0; turn < 5; ++turn) {
@@ -878,7 +884,7 @@
     s.tenants.assign(many ? 64'000 : 1'000, {1, 0.001});
     took[many ? 1 : 0] = 1e18;
     for (int turn = 0; turn < 5; ++turn) {
-      Gateway g(s);
+      LoadBalancerHarness g(s);
       g.Endpoints(1);
       const auto from = std::chrono::steady_clock::now();
       for (int i = 0; i < 60; ++i) {
@@ -908,7 +914,7 @@
 // Endpoint e0 is in zone 0, cell 0; the only other one is in zone 1, cell 1.
 TEST_P(Legality, AFurtherAttemptElsewhere) {
   const LegalCase c = GetParam();
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(1);
   g.Ask("r", c.cls);
   ASSERT_EQ(g.sends.size(), 1U);
@@ -919,10 +925,10 @@
   g.Give(Members{ListKind::kDelta, {other}});
   g.Pass(Ms(5));
   const auto then = g.End("r", 0, "e0", c.outcome, Ms(5));
-  EXPECT_EQ(Gateway::All<Send>(then).size(), c.other_zone_ok ? 1U : 0U);
+  EXPECT_EQ(LoadBalancerHarness::All<Send>(then).size(), c.other_zone_ok ? 1U : 0U);
   if (!c.other_zone_ok) {
-    EXPECT_EQ(Gateway::All<Refuse>(then).size(), c.refusable ? 1U : 0U);
-    EXPECT_EQ(Gateway::All<Fail>(then).size(), c.refusable ? 0U : 1U);
+    EXPECT_EQ(LoadBalancerHarness::All<Refuse>(then).size(), c.refusable ? 1U : 0U);
+    EXPECT_EQ(LoadBalancerHarness::All<Fail>(then).size(), c.refusable ? 0U : 1U);
   }
 }
 
@@ -950,31 +956,31 @@
     s.classes[1].window = Ms(150);
     s.classes[1].aim = Ms(1000);
     s.allowed.parallel_tries = false;
-    Gateway g(s);
+    LoadBalancerHarness g(s);
     g.Endpoints(4);
     g.Ask("r", 1);
     g.now += late ? Ms(120) : Ms(50);  // 50 ms of the window are kept for the way
     const auto then = g.End("r", 0, g.sends[0].endpoint, Outcome::kError, Ms(50));
-    EXPECT_EQ(Gateway::All<Send>(then).size(), late ? 0U : 1U);
+    EXPECT_EQ(LoadBalancerHarness::All<Send>(then).size(), late ? 0U : 1U);
   }
 }
 
 TEST(Gate, NoMoreAttemptsThanAllowed) {
   Settings s = MakeSettings();
   s.allowed.send_cap = 1;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(4);
   g.Ask("r");
   const auto then = g.End("r", 0, g.sends[0].endpoint, Outcome::kError, Ms(5));
-  EXPECT_TRUE(Gateway::All<Send>(then).empty());
-  EXPECT_EQ(Gateway::All<Refuse>(then).size(), 1U);
+  EXPECT_TRUE(LoadBalancerHarness::All<Send>(then).empty());
+  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(then).size(), 1U);
 }
 
 TEST(Gate, NoSecondCopyWhileTheFirstIsOut) {
   for (const bool parallel : {true, false}) {
     Settings s = MakeSettings();
     s.allowed.parallel_tries = parallel;
-    Gateway g(s);
+    LoadBalancerHarness g(s);
     g.Endpoints(4);
     g.WarmUp(100);
     g.Ask("r");
@@ -987,7 +993,7 @@
 }
 
 TEST(Gate, NothingIsSentForARequestThatIsOver) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   g.WarmUp(100);
   g.Ask("r");
@@ -999,7 +1005,7 @@
 }
 
 TEST(Gate, AStreamThatHasBegunIsLeftAlone) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
   g.WarmUp(100);
   g.Ask("r");
@@ -1007,39 +1013,39 @@
   g.Give(Established{"r", 0, g.sends.back().endpoint, Ms(5)});
   g.Pass(Ms(5000));
   EXPECT_EQ(g.sends.size(), sent);
-  EXPECT_TRUE(Gateway::All<Cancel>(g.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Cancel>(g.log).empty());
 }
 
 // The trouble: a client's last try comes with only milliseconds left, and no timer comes early.
 TEST(Gate, ATryWithLittleTimeLeftIsAnsweredInTime) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(1);
   for (int i = 0; i < 30; ++i) g.Ask("fill" + std::to_string(i), 4);
   g.log.clear();
   g.Ask("r", 0, Ms(18));
   g.Pass(Ms(18));
-  const auto refused = Gateway::All<Refuse>(g.log);
+  const auto refused = LoadBalancerHarness::All<Refuse>(g.log);
   EXPECT_TRUE(
       std::any_of(refused.begin(), refused.end(), [](const Refuse& x) { return x.id == "r"; }));
 }
 
 TEST(Gate, ADeadlineAlreadyPastAndNoEndpointAtAll) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(0);
-  EXPECT_TRUE(Gateway::All<Send>(g.Ask("a")).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<Send>(g.Ask("a")).empty());
   g.Pass(Ms(200));
-  EXPECT_EQ(Gateway::All<Refuse>(g.log).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(g.log).size(), 1U);
   g.Endpoints(0);
-  EXPECT_EQ(Gateway::All<Refuse>(g.Ask("b", 0, Ms(-5))).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(g.Ask("b", 0, Ms(-5))).size(), 1U);
 }
 
 TEST(Gate, TimeOutAtTheDeadlineIsAnsweredAtOnce) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(1);
   g.Ask("r", 4, Ms(500));
   g.now += Ms(500);
   const auto then = g.End("r", 0, "e0", Outcome::kTimeout, Ms(500));
-  EXPECT_EQ(Gateway::All<Fail>(then).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Fail>(then).size(), 1U);
 }
 
 // ---- Cold endpoints -------------------------------------------------------------------------
@@ -1063,7 +1069,7 @@
 
 TEST(Cold, SendsStayWithinTheBudgetOverAnyWindow) {
   Settings s = MakeSettings();
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(5);
   g.WarmUp(1500, Ms(20), Ms(5));  // 40 a second on each endpoint
   std::vector<Time> cold;
@@ -1085,7 +1091,7 @@
 }
 
 TEST(Cold, NothingBeforeThisGatewayKnowsAnyPace) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Change("new", EndpointState::kUp, g.now - Ms(10));
   for (int i = 0; i < 20; ++i) g.Ask("r" + std::to_string(i));
   EXPECT_TRUE(g.sends.empty());
@@ -1097,7 +1103,7 @@
   const auto to_new = [](int seconds_before) {
     Settings s = MakeSettings();
     s.allowed.send_cap = 1;
-    Gateway g(s);
+    LoadBalancerHarness g(s);
     g.Endpoints(4);
     g.WarmUp(40 * seconds_before, Ms(20), Ms(25));
     g.Change("new", EndpointState::kUp, g.now);
@@ -1120,13 +1126,13 @@
   constexpr int kGateways = 200, kEndpoints = 80;
   Settings s = MakeSettings();
   s.instances = kGateways;
-  std::vector<Gateway> bank;
+  std::vector<LoadBalancerHarness> bank;
   for (int i = 0; i < kGateways; ++i) bank.emplace_back(s, static_cast<uint64_t>(i) + 1);
-  for (Gateway& g : bank) g.Endpoints(kEndpoints);
+  for (LoadBalancerHarness& g : bank) g.Endpoints(kEndpoints);
   std::vector<Time> cold;
   Time born{0};
   for (int round = 0; round < 120; ++round) {  // ten requests a second each, 25 an endpoint in all
-    for (Gateway& g : bank) {
+    for (LoadBalancerHarness& g : bank) {
       if (round == 60) {
         g.Change("new", EndpointState::kUp, g.now);
         born = g.now;
@@ -1159,7 +1165,7 @@
   std::set<std::string> by_all;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     s.zone = static_cast<int>(seed % 2);
-    Gateway g(s, seed);
+    LoadBalancerHarness g(s, seed);
     g.Endpoints(120);
     g.WarmUp(100);
     std::set<std::string> met;
@@ -1174,7 +1180,7 @@
 TEST(Set, AloneAGatewayUsesTheWholeFleet) {
   Settings s = MakeSettings();
   s.instances = 1;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(100);
   g.WarmUp(3000);
   std::set<std::string> met;
@@ -1186,7 +1192,7 @@
 TEST(Set, AnEndpointThatGivesNoConnectionIsReplaced) {
   Settings s = MakeSettings();
   s.instances = 200;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(120);
   g.WarmUp(20);
   const std::string full = g.sends.back().endpoint;
@@ -1212,7 +1218,7 @@
   s.instances = 200;
   int users = 0;
   for (uint64_t seed = 1; seed <= 100; ++seed) {
-    Gateway g(s, seed);
+    LoadBalancerHarness g(s, seed);
     g.Endpoints(60);
     g.WarmUp(20);
     g.Change("new", EndpointState::kUp);
@@ -1225,7 +1231,7 @@
 }
 
 TEST(Set, AFleetThatShrinksToNoneAndReturnsIsServedAgain) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(60);
   g.WarmUp(20);
   g.Give(Members{ListKind::kFull, {}});
@@ -1242,11 +1248,11 @@
   Settings s = MakeSettings();
   s.instances = 300;
   s.charges.probe = 0.04;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(68);
   size_t first = 0, later = 0;
   for (int i = 0; i < 104; ++i) {
-    for (const Probe& probe : Gateway::All<Probe>(g.Ask("r" + std::to_string(i)))) {
+    for (const Probe& probe : LoadBalancerHarness::All<Probe>(g.Ask("r" + std::to_string(i)))) {
       g.Probed(probe.endpoint, 1, 20);
       ++(i < 4 ? first : later);
     }
@@ -1261,10 +1267,10 @@
 TEST(Probes, ANewcomerIsProbedBeforeTheOthers) {
   Settings s = MakeSettings();
   s.charges.probe = 0.08;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(10);
   for (int i = 0; i < 100; ++i) {
-    for (const Probe& probe : Gateway::All<Probe>(g.Ask("r" + std::to_string(i)))) {
+    for (const Probe& probe : LoadBalancerHarness::All<Probe>(g.Ask("r" + std::to_string(i)))) {
       g.Probed(probe.endpoint, 1, 20);
     }
   }
@@ -1273,7 +1279,7 @@
     g.Change(id, EndpointState::kUp);
     std::string first;
     for (int i = 0; i < 20 && first.empty(); ++i) {
-      for (const Probe& probe : Gateway::All<Probe>(g.Ask(id + std::to_string(i)))) {
+      for (const Probe& probe : LoadBalancerHarness::All<Probe>(g.Ask(id + std::to_string(i)))) {
         if (first.empty()) first = probe.endpoint;
         g.Probed(probe.endpoint, 1, 20);
       }
@@ -1289,7 +1295,7 @@
   s.classes = {MakeClass(Effect::kSafe), MakeClass(Effect::kSafe)};
   s.classes[1].worth = 5;
   s.mix.worst_class = 0;
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Endpoints(4);
   int sent[2] = {0, 0};
   for (int i = 0; i < 400; ++i) {
@@ -1314,11 +1320,11 @@
   Settings s = MakeSettings();
   s.allowed.retry_after = true;
   s.allowed.max_retry_after = Ms(3000);
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   g.Give(Members{});  // no endpoint at all
   g.Ask("r");
   g.Pass(Ms(300));
-  const auto refused = Gateway::All<Refuse>(g.log);
+  const auto refused = LoadBalancerHarness::All<Refuse>(g.log);
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_GT(refused[0].stay_away, Duration(0));
   EXPECT_LT(refused[0].stay_away, Ms(100));  // a quarter of the aim
@@ -1330,7 +1336,7 @@
   s.instances = 200;
   int own = 0, all = 0;
   for (uint64_t seed = 1; seed <= 50; ++seed) {
-    Gateway g(s, seed);
+    LoadBalancerHarness g(s, seed);
     g.Endpoints(120);  // even ones in zone 0, this gateway's
     g.WarmUp(100);
     std::set<std::string> met;
@@ -1345,7 +1351,7 @@
 TEST(Odd, AKindOutOfAnyBoundAndAClusterOfHundreds) {
   Settings s = MakeSettings();
   s.instances = 4000;  // far more than endpoints, and than are there
-  Gateway g(s);
+  LoadBalancerHarness g(s);
   Members m;
   m.kind = ListKind::kCached;
   for (int i = 0; i < 300; ++i) {
@@ -1367,7 +1373,7 @@
 // ---- Odd events -----------------------------------------------------------------------------
 
 TEST(Odd, EventsForWhatIsUnknownOrOverAreIgnored) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
   EXPECT_TRUE(g.End("nobody", 0, "e0", Outcome::kOk, Ms(1), true).empty());
   EXPECT_TRUE(g.Give(ClientLeft{"nobody"}).empty());
@@ -1389,18 +1395,18 @@
   s.discovery = DiscoveryMode::kAsk;
   s.obligations.must_ask_in = Ms(60000);
   for (uint64_t seed = 1; seed <= 50; ++seed) {
-    Gateway g(s, seed);
+    LoadBalancerHarness g(s, seed);
     g.Endpoints(3);
-    const auto timers = Gateway::All<SetTimer>(g.Give(Members{ListKind::kFailed, {}}));
+    const auto timers = LoadBalancerHarness::All<SetTimer>(g.Give(Members{ListKind::kFailed, {}}));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_LE(timers[0].after, Ms(750));
   }
 }
 
 TEST(Odd, UnknownClassAndTenantAreServed) {
-  Gateway g(MakeSettings());
+  LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
-  EXPECT_EQ(Gateway::All<Send>(g.Ask("r", 99, Ms(1000), 42)).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<Send>(g.Ask("r", 99, Ms(1000), 42)).size(), 1U);
 }
 
 }  // namespace
--- a/tests/base/log_test.cpp
+++ b/tests/base/log_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <string>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 TEST(LogLines, AFloodIsCutOffAndCounted) {
@@ -24,4 +24,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 TEST(Counters, PrintOnlyWhatWasCounted) {
@@ -55,4 +55,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -19,7 +19,7 @@
 #include "gateway/child_process.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Peer;
@@ -377,4 +377,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/cluster/config_document_test.cpp
+++ b/tests/cluster/config_document_test.cpp
@@ -6,7 +6,7 @@
 #include "cluster/version_content.h"
 #include "cluster/version_history.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 Rules With(const std::string& text) { return ParseRules(text); }
@@ -132,4 +132,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/tests/cluster/delta_test.cpp
+++ b/tests/cluster/delta_test.cpp
@@ -14,8 +14,9 @@
 #include "cluster/codec.h"
 #include "cluster/version_content.h"
 #include "cluster/version_history.h"
+#include "raft/codec.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
@@ -348,10 +349,10 @@
     options.deltas = deltas;
     return options;
   }
-  static Disk DiskOf() {
-    Disk disk;
+  static raft::Disk DiskOf() {
+    raft::Disk disk;
     disk.life = 1, disk.boot = 1, disk.term = 1;
-    disk.log = {{1, Entry::Kind::kVoters, {}, {{"a", 1}}}};
+    disk.log = {{1, raft::Entry::Kind::kVoters, {}, {{"a", 1}}}};
     return disk;
   }
   template <typename What>
@@ -360,11 +361,11 @@
     what(out);
     while (true) {
       const auto writes = std::move(out.writes);
-      for (const Write& w : writes) {
+      for (const raft::Write& w : writes) {
         json::to_cbor(ToJson(w), bytes);
         if (!w.lazy) durable = w.ticket;
       }
-      for (const Outgoing& s : out.sends) {
+      for (const raft::Outgoing& s : out.sends) {
         json::to_cbor(ToJson(s.message), bytes);
         sent.push_back(s.message);
       }
@@ -396,7 +397,7 @@
   Time now{0};
   uint64_t durable = 0;
   std::string bytes;
-  std::vector<Message> sent;
+  std::vector<raft::Message> sent;
   std::vector<Answer> answers;
 };
 
@@ -510,20 +511,21 @@
 struct Follower {
   explicit Follower(bool votes = false)
       : member(Alone::OptionsOf(false, 512), DiskOf(votes), 3, Time(0)) {}
-  static Disk DiskOf(bool votes) {
-    Disk disk;
+  static raft::Disk DiskOf(bool votes) {
+    raft::Disk disk;
     disk.life = 5, disk.boot = 1, disk.term = 1;
-    disk.log = {{1, Entry::Kind::kVoters, {}, {{"l", 9}}}};
+    disk.log = {{1, raft::Entry::Kind::kVoters, {}, {{"l", 9}}}};
     if (votes) disk.log[0].voters = {{"l", 9}, {"a", 5}, {"c", 6}};
     return disk;
   }
   MemberOutput Take(std::vector<std::string> entries) {
-    Message m;
+    raft::Message m;
     m.from = "l", m.to = "a", m.from_life = 9, m.term = 1;
     m.index = index, m.index_term = 1;
     now += Time(1000);
     m.asked = now;
-    for (std::string& bytes : entries) m.entries.push_back({1, Entry::Kind::kData, bytes, {}});
+    for (std::string& bytes : entries)
+      m.entries.push_back({1, raft::Entry::Kind::kData, bytes, {}});
     index += m.entries.size();
     m.commit = index;
     MemberOutput out;
@@ -532,7 +534,7 @@
   }
   Member member;
   Time now{0};
-  Index index = 1;
+  raft::Index index = 1;
 };
 
 TEST(DeltaChanges, AreFollowedByOneWhoseOwnAreWhole) {
@@ -679,4 +681,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/tests/cluster/persistent_map_test.cpp
+++ b/tests/cluster/persistent_map_test.cpp
@@ -16,7 +16,7 @@
 #include "cluster/version_content.h"
 #include "cluster/version_history.h"
 
-namespace paddlestile::bank {
+namespace paddlestile::cluster {
 namespace {
 
 using Texts = std::map<std::string, std::string>;
@@ -219,7 +219,7 @@
     whole.rules = ToText(Quotas(tenants));
     ASSERT_EQ(h.Apply(1, History::ChangeEntry(whole)).version, 1U);
     h.Apply(2, History::OnEntry(1));
-    Index index = 2;
+    raft::Index index = 2;
     took[large ? 1 : 0] = Least([&] {
       Change change;
       change.id = std::to_string(index);
@@ -240,4 +240,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::cluster
--- a/tests/config/gateway_config_test.cpp
+++ b/tests/config/gateway_config_test.cpp
@@ -13,7 +13,7 @@
 
 #include "simulator/protocol.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 const std::string kSettings =
@@ -93,12 +93,12 @@
 
 // The wire owns the names of the settings; the file's nesting comes out as its pairs.
 TEST_F(ConfigFile, NestedSettingsMeanWhatTheWireMeans) {
-  const Settings wire = wire::ParseSettings(
+  const Settings wire = simulator::ParseSettings(
       "Me=1 NInstances=3 Zone=1 FailureDomains=north,south_east Classes.count=2 "
       "Classes.0.Effect=safe Classes.0.Slo=400 Classes.0.Deadline=1000 Classes.1.Effect=keyed "
       "Classes.1.Group=all Classes.1.Window=1500 Classes.1.Slo=300 Classes.1.Deadline=900 "
       "Allowed.Probes=true Allowed.SendCap=3");
-  const Settings nested = wire::ParseSettings(FlattenSettings(Json::Parse(kSettings)));
+  const Settings nested = simulator::ParseSettings(FlattenSettings(Json::Parse(kSettings)));
   EXPECT_EQ(nested.me, wire.me);
   EXPECT_EQ(nested.zones, wire.zones);
   EXPECT_EQ(nested.zone, wire.zone);
@@ -368,7 +368,7 @@
 
 class UnderRules : public ReadAgainTest {
  protected:
-  static bank::Content Of(const std::string& text) { return bank::ParseRules(text); }
+  static cluster::Content Of(const std::string& text) { return cluster::ParseRules(text); }
   static void ExpectSame(const Config& a, const Config& b) {
     EXPECT_EQ(a.names.tenants.places(), b.names.tenants.places());
     EXPECT_EQ(a.names.tenants_until, b.names.tenants_until);
@@ -407,12 +407,12 @@
       R"({"settings":{"Tenants":[{"Name":"x","Share":0.6}],"OverShareWorth":0.5}})",
       R"({"settings":{"Classes":[{"Name":"read","Slo":10,"Deadline":20}]}})"};
   const SettingsUnderRules file(was);
-  std::optional<bank::Content> before;
+  std::optional<cluster::Content> before;
   for (const char* const from : versions) {
     for (const char* const to : versions) {
       for (const bool strict : {false, true}) {
         for (const char* const text : {from, to}) {
-          bank::Content rules = Of(text);
+          cluster::Content rules = Of(text);
           rules.strict = strict;
           const Config whole = file.With(rules, was, nullptr, kNow);
           const Config now = file.With(rules, was, before ? &*before : nullptr, kNow);
@@ -430,9 +430,9 @@
 // A gateway that reads all of its settings again for one tenant's quota stands for all tenants.
 TEST_F(UnderRules, AChangeOfATenantLooksAtThatTenantAlone) {
   const SettingsUnderRules file(was);
-  const bank::Content a =
+  const cluster::Content a =
       Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},{"Name":"two"}]}})");
-  const bank::Content b =
+  const cluster::Content b =
       Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":6},{"Name":"two"}]}})");
   Config now = file.With(a, was, nullptr, kNow);
   now.settings.tenants[1].quota_per_s = 77;  // as no version says: seen to be left alone
@@ -442,9 +442,9 @@
   EXPECT_EQ(file.With(b, now, nullptr, kNow).settings.tenants[1].quota_per_s, 0);
   // What makes no sense is refused by this way as by the other.
   for (const char* const bad : {R"("soon")", "{}"}) {
-    const bank::Content odd = Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
-                                 R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
-    bank::Content wrong = odd;
+    const cluster::Content odd = Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
+                                    R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
+    cluster::Content wrong = odd;
     wrong.tenants->Set("two", R"({"Name":"two","OddShare":1,"Share":)" + std::string(bad) + "}");
     std::string whole, part;
     try {
@@ -478,8 +478,8 @@
   EXPECT_GE(was.names.tenants.size(), 3000u);
   const Config some = file.With(named(1000, 3000), was, nullptr, kNow);
   for (const bool part : {false, true}) {
-    const bank::Content before = named(1000, 3000);
-    const auto with = [&](const bank::Content& rules) {
+    const cluster::Content before = named(1000, 3000);
+    const auto with = [&](const cluster::Content& rules) {
       return file.With(rules, some, part ? &before : nullptr, kNow);
     };
     EXPECT_NO_THROW(static_cast<void>(with(named(1010, 3000))));
@@ -551,4 +551,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/config/json_test.cpp
+++ b/tests/config/json_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <string>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 TEST(Json, ReadsValues) {
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -29,7 +29,7 @@
 #include "gateway/child_process.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Peer;
@@ -239,4 +239,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -18,7 +18,7 @@
 #include "base/metrics.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Ms;
@@ -759,4 +759,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/event/buffer_test.cpp
+++ b/tests/event/buffer_test.cpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 TEST(Buffer, KeepsWhatWasAppendedThroughGrowthAndConsumption) {
@@ -66,4 +66,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/event/event_loop_test.cpp
+++ b/tests/event/event_loop_test.cpp
@@ -9,7 +9,7 @@
 
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Ms;
@@ -171,4 +171,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/event/stream_test.cpp
+++ b/tests/event/stream_test.cpp
@@ -7,7 +7,7 @@
 
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Ms;
@@ -177,4 +177,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -8,7 +8,7 @@
 
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Ms;
@@ -107,4 +107,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/child_process.h
+++ b/tests/gateway/child_process.h
@@ -13,7 +13,7 @@
 
 #include "event/event_loop.h"
 
-namespace paddlestile::net::testing {
+namespace paddlestile::testing {
 
 class Child {
  public:
@@ -92,6 +92,6 @@
   std::string text_;
 };
 
-}  // namespace paddlestile::net::testing
+}  // namespace paddlestile::testing
 
 #endif  // PADDLESTILE_TESTS_GATEWAY_CHILD_PROCESS_H_
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -24,7 +24,7 @@
 #include "gateway/child_process.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 namespace fs = std::filesystem;
@@ -422,4 +422,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -22,7 +22,7 @@
 #include "gateway/child_process.h"
 #include "gateway/gateway_fixture.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Child;
@@ -833,4 +833,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/downstream_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -11,7 +11,7 @@
 #include "base/metrics.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Ms;
@@ -817,4 +817,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -14,7 +14,7 @@
 #include "gateway/gateway.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net::testing {
+namespace paddlestile::testing {
 
 inline const std::string kChunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -127,6 +127,6 @@
   std::unique_ptr<Gateway> gateway;
 };
 
-}  // namespace paddlestile::net::testing
+}  // namespace paddlestile::testing
 
 #endif  // PADDLESTILE_TESTS_GATEWAY_GATEWAY_FIXTURE_H_
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -9,7 +9,7 @@
 
 #include "gateway/gateway_fixture.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::GatewayTest;
@@ -465,4 +465,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -19,7 +19,7 @@
 #include "gateway/child_process.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Child;
@@ -301,4 +301,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -15,7 +15,7 @@
 #include "gateway/child_process.h"
 #include "gateway/gateway_fixture.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Child;
@@ -558,4 +558,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -11,7 +11,7 @@
 #include "gateway/gateway.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::Ms;
@@ -339,4 +339,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/gateway/test_peers.h
+++ b/tests/gateway/test_peers.h
@@ -1,5 +1,5 @@
-// Peers for the tests of src/gateway: plain sockets on loopback that a test reads and writes by hand,
-// and a loop that runs until something holds. Nothing here answers by itself.
+// Peers for the tests of src/gateway: plain sockets on loopback that a test reads and writes by
+// hand, and a loop that runs until something holds. Nothing here answers by itself.
 #ifndef PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
 #define PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
 
@@ -23,7 +23,7 @@
 #include "event/event_loop.h"
 #include "event/stream.h"
 
-namespace paddlestile::net::testing {
+namespace paddlestile::testing {
 
 using paddlestile::testing::Ms;
 
@@ -186,6 +186,6 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + std::string(body);
 }
 
-}  // namespace paddlestile::net::testing
+}  // namespace paddlestile::testing
 
 #endif  // PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
--- a/tests/gateway/upstream_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -10,7 +10,7 @@
 #include "base/metrics.h"
 #include "gateway/test_peers.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 using testing::CutOff;
@@ -958,4 +958,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/http/http_parser_test.cpp
+++ b/tests/http/http_parser_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 struct Parsed {
@@ -257,4 +257,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/http/proxied_request_test.cpp
+++ b/tests/http/proxied_request_test.cpp
@@ -6,7 +6,7 @@
 
 #include "balancer/load_balancer_fixture.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 class ExchangeTest : public ::testing::Test {
@@ -43,4 +43,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
--- a/tests/lab/capacity_test.cpp
+++ b/tests/lab/capacity_test.cpp
@@ -473,7 +473,7 @@
   int Run(std::vector<std::string> words) {
     words.insert(words.begin(), {"lab", "capacity", "--rows", folder_ + "rows.toml", "--slopes",
                                  folder_ + "slopes.json"});
-    net::testing::Child child;
+    testing::Child child;
     child.Start({}, words, [] { dup2(STDERR_FILENO, STDOUT_FILENO); });
     const int code = child.Wait();
     said = child.Text();
--- a/tests/lab/cluster_experiment_test.cpp
+++ b/tests/lab/cluster_experiment_test.cpp
@@ -36,7 +36,8 @@
   const std::string path = ::testing::TempDir() + "bank-" + std::to_string(getpid()) + ".json";
   std::string command = std::string(PADDLESTILE_PROGRAM) + " lab run " + PADDLESTILE_SOURCE +
                         "/lab/experiments/" + c.experiment + ".toml --json " + path;
-  if (!honest) command += std::string(" --gateway ") + PADDLESTILE_BANK_BREAKER + " " + c.gateway;
+  if (!honest)
+    command += std::string(" --gateway ") + PADDLESTILE_FAULTY_CLUSTER_MEMBER + " " + c.gateway;
   json result;
   // Again where the machine was too busy for a verdict.
   for (int turn = 0; turn < 3; ++turn) {
--- a/tests/lab/experiment_test.cpp
+++ b/tests/lab/experiment_test.cpp
@@ -62,8 +62,7 @@
           "[rules]\ndrain_grace_s = 0.4\nsend_cap = 2\nfall_s = 0.9\n"
           "[gateway]\ncount = 3\n[gateway.settings.Allowed]\nMostHeld = 17\n",
       "x.toml");
-  const Settings s =
-      wire::ParseSettings(net::FlattenSettings(net::Json::Parse(SettingsJson(e, 2))));
+  const Settings s = simulator::ParseSettings(FlattenSettings(Json::Parse(SettingsJson(e, 2))));
   EXPECT_EQ(s.me, 2);
   EXPECT_EQ(s.instances, 3);
   ASSERT_EQ(s.classes.size(), 1u);
--- a/tests/lab/faulty_cluster_member.cpp
+++ b/tests/lab/faulty_cluster_member.cpp
@@ -1,5 +1,5 @@
 // A gateway that breaks one term of the bank on purpose, and is the program in all else.
-//   paddlestile_bank_breaker acts-on       acts on what it had after its lease is over
+//   paddlestile_faulty_cluster_member acts-on       acts on what it had after its lease is over
 //                            applies-late  says that it has applied what it acts on only seconds
 //                            later takes-twice   takes a change that is submitted again for another
 //                            misapplies    leaves out the hosts that a delta bars, and holds what
@@ -18,7 +18,7 @@
 #include "gateway/serve.h"
 #include "storage/write_ahead_log.h"
 
-namespace paddlestile::net {
+namespace paddlestile {
 namespace {
 
 constexpr Duration kLate{3'000'000};  // us
@@ -31,33 +31,33 @@
       : Membership(loop, std::move(config), gateway, life, std::move(file)), how_(std::move(how)) {}
 
  private:
-  bank::Stance Acting() const override {
-    bank::Stance stance = Membership::Acting();
-    if (how_ == "acts-on" && stance.kind == bank::Stance::Kind::kAlone) {
-      stance.kind = bank::Stance::Kind::kAgreed;
+  cluster::Stance Acting() const override {
+    cluster::Stance stance = Membership::Acting();
+    if (how_ == "acts-on" && stance.kind == cluster::Stance::Kind::kAlone) {
+      stance.kind = cluster::Stance::Kind::kAgreed;
       stance.until = Now() + kLate;
     }
     // Looked at again and again, or nothing would come late.
     if (how_ == "applies-late") stance.latest = static_cast<uint64_t>(Now().count());
     return stance;
   }
-  bank::Content RulesOf(const bank::Stance& stance) const override {
-    bank::Content rules = Membership::RulesOf(stance);
+  cluster::Content RulesOf(const cluster::Stance& stance) const override {
+    cluster::Content rules = Membership::RulesOf(stance);
     if (how_ != "applies-late") return rules;
     past_.emplace_back(Now(), rules);
     while (past_.size() > 1 && past_[1].first <= Now() - kLate) past_.pop_front();
     return past_.front().second;
   }
-  void Spoil(bank::Wish& wish) override {
+  void Spoil(cluster::Wish& wish) override {
     if (how_ == "takes-twice") wish.change.id += "'" + std::to_string(Now().count());
   }
-  void Spoil(bank::Message& message) override {
+  void Spoil(raft::Message& message) override {
     if (how_ == "forgets") message.of_you = {};
   }
-  void SpoilHeard(bank::Message& message) override {
+  void SpoilHeard(raft::Message& message) override {
     if (how_ != "misapplies") return;
-    for (bank::Entry& entry : message.entries) {
-      if (entry.kind != bank::Entry::Kind::kData) continue;
+    for (raft::Entry& entry : message.entries) {
+      if (entry.kind != raft::Entry::Kind::kData) continue;
       nlohmann::json value = nlohmann::json::from_cbor(entry.bytes);
       value.erase("hash");
       if (value.contains("delta")) {
@@ -74,25 +74,25 @@
   }
 
   std::string how_;
-  mutable std::deque<std::pair<Time, bank::Content>> past_;
+  mutable std::deque<std::pair<Time, cluster::Content>> past_;
 };
 
 void Forget() {
   const BankConfig config = ReadBank(std::getenv("LB_OPERATOR"), std::getenv("LB_NAME"));
-  store::Files& files = store::RealFiles();
-  if (!files.Exists(store::Log::PathIn(config.folder))) return;
+  storage::Files& files = storage::RealFiles();
+  if (!files.Exists(storage::Log::PathIn(config.folder))) return;
   std::vector<std::string> records;
-  store::Log log(files, config.folder, [&](std::string_view r) { records.emplace_back(r); });
+  storage::Log log(files, config.folder, [&](std::string_view r) { records.emplace_back(r); });
   if (records.size() < 4 * kForgets) return;
   records.resize(records.size() - kForgets);
   log.Replace(records);
 }
 
 }  // namespace
-}  // namespace paddlestile::net
+}  // namespace paddlestile
 
 int main(int argc, char** argv) {
-  using namespace paddlestile::net;
+  using namespace paddlestile;
   const std::string how = argc > 1 ? argv[1] : "";
   if (how == "forgets") Forget();
   ServeOptions options;
--- a/tests/lab/faulty_gateway.cpp
+++ b/tests/lab/faulty_gateway.cpp
@@ -1,6 +1,7 @@
 // A small gateway that breaks one rule on purpose: an experiment that still holds with it would
 // show nothing. It goes to hosts by turns, on a new connection each time, and asks nobody.
-//   paddlestile_breaker HOW [EVERY]    the LB_* variables as for a gateway; each EVERY-th request
+//   paddlestile_faulty_gateway HOW [EVERY]    the LB_* variables as for a gateway; each EVERY-th
+//   request
 #include <fmt/format.h>
 #include <signal.h>
 #include <unistd.h>
@@ -24,10 +25,6 @@
 namespace paddlestile {
 namespace {
 
-using net::EventLoop;
-using net::MessageParser;
-using net::Progress;
-
 enum class How {
   kHonest,
   kLose,
@@ -58,23 +55,23 @@
   std::string id, cls, text;  // as it goes on
 };
 
-class Breaker final : public net::List::Listener {
+class Breaker final : public List::Listener {
  public:
-  Breaker(EventLoop& loop, net::Config config, How how, int every)
+  Breaker(EventLoop& loop, Config config, How how, int every)
       : loop_(loop), config_(std::move(config)), how_(how), every_(every) {
     OnList(std::move(config_.known));
-    list_ = std::make_unique<net::List>(loop_, config_.discovery, config_.names, 0, true, this);
+    list_ = std::make_unique<List>(loop_, config_.discovery, config_.names, 0, true, this);
     list_->Start();
-    listener_ = std::make_unique<lab::Listener>(loop_, config_.listen, [this](net::Fd fd) {
+    listener_ = std::make_unique<lab::Listener>(loop_, config_.listen, [this](Fd fd) {
       clients_.push_back(std::make_shared<Client>(*this, std::move(fd)));
       clients_.back()->place = std::prev(clients_.end());
       clients_.back()->stream.Start();
     });
   }
 
-  void OnList(net::HostList list) override {
+  void OnList(HostList list) override {
     if (list.complete) hosts_.clear();
-    for (net::HostEntry& entry : list.members) {
+    for (HostEntry& entry : list.members) {
       std::erase_if(hosts_, [&](const auto& h) { return h.info.id == entry.info.id; });
       const bool up = entry.info.state == EndpointState::kUp;
       // Its breach: what drains is as good as any.
@@ -88,12 +85,12 @@
  private:
   struct Client;
   // One attempt on a connection of its own. `then` hears the body of a 200, or nothing.
-  struct Attempt final : net::Stream::Owner {
-    Attempt(Breaker& b, net::Socket socket, std::function<void(bool, std::string)> t)
+  struct Attempt final : Stream::Owner {
+    Attempt(Breaker& b, Socket socket, std::function<void(bool, std::string)> t)
         : breaker(b), stream(b.loop_, std::move(socket), this, true), then(std::move(t)) {}
     void OnRead() override {
       if (parser.Feed(stream.in()) == Progress::kDone) {
-        const net::Message& m = parser.message();
+        const Message& m = parser.message();
         return End(m.status == 200, std::string(m.body.In(stream.in().view())));
       }
       if (stream.ended()) End(false, "");
@@ -107,19 +104,19 @@
       then(good, std::move(body));
     }
     Breaker& breaker;
-    net::Stream stream;
+    Stream stream;
     MessageParser parser{MessageParser::Kind::kAnswer, 1 << 20};
     std::function<void(bool, std::string)> then;
     std::list<std::shared_ptr<Attempt>>::iterator place;
   };
 
-  struct Client final : net::Stream::Owner {
-    Client(Breaker& b, net::Fd fd)
-        : breaker(b), stream(b.loop_, net::Socket(std::move(fd), nullptr), this, false) {}
+  struct Client final : Stream::Owner {
+    Client(Breaker& b, Fd fd)
+        : breaker(b), stream(b.loop_, Socket(std::move(fd), nullptr), this, false) {}
     void OnRead() override {
       if (!busy && parser.Feed(stream.in()) == Progress::kDone) {
-        const net::Message m = parser.message();
-        const net::Buffer bytes = stream.in().TakeFront(m.size);
+        const Message m = parser.message();
+        const Buffer bytes = stream.in().TakeFront(m.size);
         parser.Reset();
         const std::string_view base = bytes.view();
         if (m.target.In(base) == "/_health") return Answer(200, "");
@@ -146,24 +143,23 @@
           fmt::format("HTTP/1.1 {} X\r\nContent-Length: {}\r\n\r\n{}", status, body.size(), body));
     }
     Breaker& breaker;
-    net::Stream stream;
+    Stream stream;
     MessageParser parser{MessageParser::Kind::kRequest};
     bool busy = false;
     std::list<std::shared_ptr<Client>>::iterator place;
   };
 
-  const net::HostEntry& Next(int zone_not = -1) {
+  const HostEntry& Next(int zone_not = -1) {
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      const net::HostEntry& host = hosts_[turn_++ % hosts_.size()];
+      const HostEntry& host = hosts_[turn_++ % hosts_.size()];
       if (zone_not < 0 || host.info.zone != zone_not) return host;
     }
     return hosts_[0];
   }
 
-  void Send(const net::HostEntry& host, std::string text,
-            std::function<void(bool, std::string)> then) {
+  void Send(const HostEntry& host, std::string text, std::function<void(bool, std::string)> then) {
     bool refused = false;
-    auto socket = net::Connect(host.address, nullptr, refused);
+    auto socket = Connect(host.address, nullptr, refused);
     if (!socket) return then(false, "");
     attempts_.push_back(std::make_shared<Attempt>(*this, std::move(*socket), std::move(then)));
     Attempt& attempt = *attempts_.back();
@@ -185,7 +181,7 @@
     }
     if (how_ == How::kLeak) leaked_.emplace_back(1 << 20, 'x');
     if (how_ == How::kLeakFds) dup(STDERR_FILENO);
-    net::HostEntry host = Next();
+    HostEntry host = Next();
     if (how_ == How::kCold) {
       // All to the one that started last.
       host = *std::ranges::max_element(hosts_, {}, [](const auto& h) { return h.info.launched; });
@@ -220,16 +216,16 @@
   }
 
   EventLoop& loop_;
-  net::Config config_;
+  Config config_;
   How how_;
   int every_, count_ = 0;
-  std::vector<net::HostEntry> hosts_;
+  std::vector<HostEntry> hosts_;
   size_t turn_ = 0;
   std::string last_ = "nothing yet";
   std::vector<std::string> leaked_;
   std::list<std::shared_ptr<Client>> clients_;
   std::list<std::shared_ptr<Attempt>> attempts_;
-  std::unique_ptr<net::List> list_;
+  std::unique_ptr<List> list_;
   std::unique_ptr<lab::Listener> listener_;
 };
 
@@ -241,9 +237,9 @@
   if (argc < 2 || !kHows.contains(argv[1])) return 2;
   signal(SIGPIPE, SIG_IGN);
   signal(SIGTERM, [](int) { _exit(0); });
-  net::EventLoop loop;
-  net::Config config = net::ReadConfig([](const char* name) { return std::getenv(name); },
-                                       [&](double ms) { return loop.clock().FromWall(ms); });
+  EventLoop loop;
+  Config config = ReadConfig([](const char* name) { return std::getenv(name); },
+                             [&](double ms) { return loop.clock().FromWall(ms); });
   Breaker breaker(loop, std::move(config), kHows.at(argv[1]), argc > 2 ? std::atoi(argv[2]) : 100);
   loop.Run();
 }
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -10,10 +10,10 @@
 namespace paddlestile::lab {
 namespace {
 
-using net::testing::Peer;
-using net::testing::RunFor;
-using net::testing::RunUntil;
 using paddlestile::testing::Ms;
+using testing::Peer;
+using testing::RunFor;
+using testing::RunUntil;
 
 class FleetTest : public ::testing::Test {
  protected:
@@ -35,11 +35,11 @@
     return fault;
   }
 
-  net::EventLoop loop_;
+  EventLoop loop_;
   Experiment experiment_;
   Ledger ledger_;
   Fleet fleet_;
-  net::Address address_;
+  Address address_;
 };
 
 // A gateway that keeps connections for too long has to meet it.
@@ -64,7 +64,7 @@
   fleet_.Begin(fault, hosts);
   peer.Say("GET /ping HTTP/1.1\r\n\r\n");
   bool refused = false;
-  auto late = net::Connect(address_, nullptr, refused);
+  auto late = Connect(address_, nullptr, refused);
   ASSERT_TRUE(late);
   EXPECT_FALSE(refused);
   RunFor(loop_, Ms(150));
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -71,7 +71,7 @@
 TEST_P(Broken, IsFoundOutByName) {
   int code = 0;
   const json result =
-      Play(std::string("--gateway ") + PADDLESTILE_BREAKER + " " + GetParam().how, code);
+      Play(std::string("--gateway ") + PADDLESTILE_FAULTY_GATEWAY + " " + GetParam().how, code);
   EXPECT_EQ(code, 1);
   EXPECT_EQ(result["verdict"], "broken");
   bool named = false;
@@ -115,7 +115,7 @@
     file_ = std::string(PADDLESTILE_SOURCE) + "/lab/experiments/" + name + ".toml";
     int code = 0;
     const json result =
-        Play(std::string("--seconds 6 --gateway ") + PADDLESTILE_BREAKER + " honest", code);
+        Play(std::string("--seconds 6 --gateway ") + PADDLESTILE_FAULTY_GATEWAY + " honest", code);
     EXPECT_EQ(code, 1) << name;
     EXPECT_NE(result["broken"].dump().find(says), std::string::npos) << result["broken"].dump(1);
   }
@@ -124,7 +124,7 @@
 // The other side of it: without a breach the same file holds, for the honest stand-in and for ours.
 TEST_F(LabRun, HoldsWithoutABreach) {
   for (const std::string& gateway :
-       {std::string("--gateway ") + PADDLESTILE_BREAKER + " honest", std::string()}) {
+       {std::string("--gateway ") + PADDLESTILE_FAULTY_GATEWAY + " honest", std::string()}) {
     int code = 0;
     const json result = Play(gateway, code);
     EXPECT_EQ(code, 0) << gateway << result["broken"].dump(1);
@@ -211,7 +211,7 @@
   says(good + "\n[[faults]]\nkind = \"slow\"\nat_s = 1\nnames = [\"east-1\"]\n",
        "no host 'east-1'");
   says("a = [", "expected TOML");
-  net::testing::Port taken;
+  testing::Port taken;
   says(good + "\n[gateway]\nlisten = \"" + taken.text() + "\"\n", "listen on " + taken.text());
   says(good + "\n[gateway]\nlisten = \"here\"\n", "no address and port");
   EXPECT_EQ(Shell(std::string(PADDLESTILE_PROGRAM) + " lab run").code, 2);
--- a/tests/peer/peer_connections_test.cpp
+++ b/tests/peer/peer_connections_test.cpp
@@ -10,14 +10,13 @@
 #include "cluster/codec.h"
 #include "gateway/test_peers.h"
 #include "peer/framing.h"
+#include "raft/codec.h"
 
 namespace paddlestile::peer {
 namespace {
 
-using net::Address;
-using net::EventLoop;
-using net::testing::Peer;
 using nlohmann::json;
+using testing::Peer;
 
 TEST(Frames, DeepOrCutOnesAreNonsense) {
   json deep = 1;
@@ -34,7 +33,7 @@
 }
 
 TEST(Frames, AreTakenWholeAndBounded) {
-  net::Buffer in;
+  Buffer in;
   json value;
   const std::string frame = FrameOf({{"a", 1}});
   for (const char c : frame) {
@@ -50,7 +49,7 @@
 // What goes between members and onto disks comes back as it was; cut or changed it is nothing, or
 // something else, and never the end of the reader.
 TEST(Codec, ReadsWhatItWrote) {
-  using namespace bank;
+  using namespace raft;
   Message m;
   m.type = Message::Type::kSnapshot;
   m.from = "a", m.to = "b", m.term = 7, m.index = 9, m.commit = 3, m.granted = true;
@@ -94,7 +93,7 @@
     if (value.contains("x")) heard += other + " says " + value["x"].dump() + ";";
   }
   void OnCall(uint64_t call, const json& value) override { links.Answer(call, {{"to", value}}); }
-  net::Descriptors budget{512};
+  Descriptors budget{512};
   Links links;
   std::string name, heard;
   std::map<std::string, uint64_t> up;
--- a/tests/raft/raft_node_test.cpp
+++ b/tests/raft/raft_node_test.cpp
@@ -5,7 +5,7 @@
 
 #include <stdexcept>
 
-namespace paddlestile::bank {
+namespace paddlestile::raft {
 namespace {
 
 constexpr Time kSecond{1'000'000};
@@ -333,4 +333,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::bank
+}  // namespace paddlestile::raft
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <string>
 
-namespace paddlestile {
+namespace paddlestile::simulator {
 namespace {
 
 constexpr const char* kStart =
@@ -64,4 +64,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile
+}  // namespace paddlestile::simulator
--- a/tests/simulator/protocol_test.cpp
+++ b/tests/simulator/protocol_test.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <string>
 
-namespace paddlestile::wire {
+namespace paddlestile::simulator {
 namespace {
 
 Batch ReadOne(const std::string& text) {
@@ -204,7 +204,7 @@
   Print(3, Probe{"host.a"}, out);
   Print(3, Follow{true}, out);
   Print(3, FetchList{}, out);
-  Print(3, Log{"two servers known"}, out);
+  Print(3, LogMessage{"two servers known"}, out);
   PrintPanic(3, "it\nbroke", out);
   PrintEnd("12", out);
   EXPECT_EQ(out,
@@ -214,4 +214,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::wire
+}  // namespace paddlestile::simulator
--- a/tests/storage/write_ahead_log_test.cpp
+++ b/tests/storage/write_ahead_log_test.cpp
@@ -12,7 +12,7 @@
 
 #include "storage/faulty_files.h"
 
-namespace paddlestile::store {
+namespace paddlestile::storage {
 namespace {
 
 using Records = std::vector<std::string>;
@@ -198,4 +198,4 @@
 }
 
 }  // namespace
-}  // namespace paddlestile::store
+}  // namespace paddlestile::storage
