--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -18,28 +18,28 @@
 
 Settings SettingsFor(int gateways) {
   Settings s;
-  s.instances = gateways;
-  s.zones = 4;
-  s.classes = {{.aim = Ms(1000), .deadline = Ms(3000)},
-               {.effect = Effect::kKeyed,
-                .window = Ms(3000),
-                .aim = Ms(1000),
+  s.instance_count = gateways;
+  s.zone_count = 4;
+  s.classes = {{.latency_objective = Ms(1000), .deadline = Ms(3000)},
+               {.idempotency = Idempotency::kKeyed,
+                .deduplication_window = Ms(3000),
+                .latency_objective = Ms(1000),
                 .deadline = Ms(3000),
-                .worth = 5}};
+                .priority_weight = 5}};
   s.allowed.probes = true;
-  s.allowed.send_cap = 5;
+  s.allowed.max_attempts = 5;
   s.allowed.connect_timeout = Ms(250);
-  s.charges.probe = 0.04;
-  s.obligations.cold_from = 0.31;
-  s.obligations.warm_within = Ms(9000);
-  s.obligations.fall_multiple = 3;
-  s.obligations.fall = Ms(1500);
-  s.report = {ReportSource::kProbe, 0, 1};
+  s.costs.probe = 0.04;
+  s.rules.slow_start_initial_capacity = 0.31;
+  s.rules.slow_start_duration = Ms(9000);
+  s.rules.overload_collapse_multiple = 3;
+  s.rules.overload_collapse_duration = Ms(1500);
+  s.load_report = {LoadReportSource::kProbes, 0, 1};
   return s;
 }
 
 EndpointInfo HostAt(size_t i) {
-  return {.id = "host-" + std::to_string(i), .zone = static_cast<int>(i % 4), .kind = i % 2};
+  return {.id = "host-" + std::to_string(i), .zone = static_cast<int>(i % 4), .machine_kind = i % 2};
 }
 
 // A gateway with eight requests in flight, as a busy one has: the oldest is answered as the next
@@ -49,8 +49,8 @@
   // `answered`: probes are. Else the pool stays empty and the fallback decides.
   Driven(size_t hosts, int gateways, bool answered = true)
       : brain_(SettingsFor(gateways), 7), answered_(answered) {
-    Members all;
-    for (size_t i = 0; i < hosts; ++i) all.entries.push_back(HostAt(i));
+    EndpointUpdate all;
+    for (size_t i = 0; i < hosts; ++i) all.endpoints.push_back(HostAt(i));
     Handle(all);
   }
 
@@ -63,16 +63,16 @@
     }
     const std::string id = "r" + std::to_string(++count_);
     Handle(
-        Submit{.id = id, .deadline = now_ + Ms(3000), .cls = count_ % 3 == 0 ? 1U : 0U, .key = id});
+        RequestArrived{.id = id, .deadline = now_ + Ms(3000), .request_class = count_ % 3 == 0 ? 1U : 0U, .key = id});
     if (out_.size() < 8) return;
-    const Send send = out_.front();
+    const StartAttempt send = out_.front();
     out_.pop_front();
-    Handle(Settled{send.id, 0, send.endpoint, Outcome::kOk, Ms(30), true, std::nullopt});
+    Handle(AttemptFinished{send.id, 0, send.endpoint, Outcome::kOk, Ms(30), true, std::nullopt});
   }
 
   void Update(size_t hosts) {
-    Members one{ListKind::kDelta, {HostAt(++count_ % hosts)}};
-    one.entries[0].weight = static_cast<double>(count_);
+    EndpointUpdate one{EndpointUpdateKind::kDelta, {HostAt(++count_ % hosts)}};
+    one.endpoints[0].weight = static_cast<double>(count_);
     Handle(one);
   }
 
@@ -81,27 +81,27 @@
     std::vector<Action> actions;
     brain_.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* const send = std::get_if<Send>(&action)) out_.push_back(*send);
+      if (const auto* const send = std::get_if<StartAttempt>(&action)) out_.push_back(*send);
       if (const auto* const timer = std::get_if<SetTimer>(&action)) {
         timers_.emplace_back(now_ + timer->after, timer->token);
       }
-      if (const auto* const probe = std::get_if<Probe>(&action)) {
+      if (const auto* const probe = std::get_if<StartProbe>(&action)) {
         const double inflight = static_cast<double>(rng_() % 8);
         if (answered_) {
           Handle(
-              ProbeResult{probe->endpoint, Outcome::kOk, Ms(1), Report{inflight, 20 + inflight}});
+              ProbeFinished{probe->endpoint, Outcome::kOk, Ms(1), LoadReport{inflight, 20 + inflight}});
         } else {
-          Handle(ProbeResult{probe->endpoint, Outcome::kOk, Ms(1), std::nullopt});
+          Handle(ProbeFinished{probe->endpoint, Outcome::kOk, Ms(1), std::nullopt});
         }
       }
     }
   }
 
-  Brain brain_;
+  LoadBalancer brain_;
   bool answered_;
   Time now_{Ms(100'000'000)};
   std::mt19937_64 rng_{3};
-  std::deque<Send> out_;
+  std::deque<StartAttempt> out_;
   std::deque<std::pair<Time, std::string>> timers_;
   uint64_t count_ = 0;
 };
--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -16,7 +16,7 @@
   if (colon == std::string_view::npos) throw bad();
   in_addr host{};
   const std::string ip(text.substr(0, colon));
-  const auto port = ToWhole(text.substr(colon + 1));
+  const auto port = ParseWholeNumber(text.substr(colon + 1));
   if (inet_pton(AF_INET, ip.c_str(), &host) != 1 || !port || *port == 0 || *port > 65535) {
     throw bad();
   }
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-Clock::Clock() : mono_zero_us_(Mono() - kBefore), wall_zero_us_(Wall() - kBefore) {}
+Clock::Clock() : monotonic_origin_us_(Mono() - kBefore), wall_origin_us_(Wall() - kBefore) {}
 
-Time Clock::Now() const { return Time(Mono() - mono_zero_us_); }
+Time Clock::Now() const { return Time(Mono() - monotonic_origin_us_); }
 
-Time Clock::FromWall(double unix_ms) const {
+Time Clock::FromUnixMillis(double unix_ms) const {
   constexpr double kMost = 1e15;  // ms; far inside 64 bits of microseconds
   if (!(unix_ms > 0) || unix_ms > kMost) return Time(0);
-  return Time(std::max<int64_t>(0, std::llround(unix_ms * 1000) - wall_zero_us_));
+  return Time(std::max<int64_t>(0, std::llround(unix_ms * 1000) - wall_origin_us_));
 }
 
 }  // namespace paddlestile
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -15,11 +15,11 @@
   Clock();
   [[nodiscard]] Time Now() const;  // monotonic; begins an arbitrary while ago
   // Unix time in milliseconds to the clock of Now(). What is 0 or before its beginning is 0.
-  [[nodiscard]] Time FromWall(double unix_ms) const;
+  [[nodiscard]] Time FromUnixMillis(double unix_ms) const;
 
  private:
-  int64_t mono_zero_us_ = 0;  // the steady clock's reading at Time(0)
-  int64_t wall_zero_us_ = 0;  // the wall clock's at that moment
+  int64_t monotonic_origin_us_ = 0;  // the steady clock's reading at Time(0)
+  int64_t wall_origin_us_ = 0;  // the wall clock's at that moment
 };
 
 }  // namespace paddlestile
--- a/src/base/file_descriptor.cpp
+++ b/src/base/file_descriptor.cpp
@@ -4,7 +4,7 @@
 
 namespace paddlestile {
 
-void Fd::Reset() {
+void FileDescriptor::Reset() {
   // Not repeated on EINTR: on Linux the descriptor is free by then.
   if (fd_ >= 0) close(fd_);
   fd_ = -1;
--- a/src/base/file_descriptor.h
+++ b/src/base/file_descriptor.h
@@ -7,21 +7,21 @@
 namespace paddlestile {
 
 // Owns a descriptor.
-class Fd {
+class FileDescriptor {
  public:
-  Fd() = default;
-  explicit Fd(int fd) : fd_(fd) {}
-  Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  Fd& operator=(Fd&& other) noexcept {
+  FileDescriptor() = default;
+  explicit FileDescriptor(int fd) : fd_(fd) {}
+  FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     if (this != &other) {
       Reset();
       fd_ = std::exchange(other.fd_, -1);
     }
     return *this;
   }
-  Fd(const Fd&) = delete;
-  Fd& operator=(const Fd&) = delete;
-  ~Fd() { Reset(); }
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+  ~FileDescriptor() { Reset(); }
   [[nodiscard]] int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
   void Reset();
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -26,7 +26,7 @@
     logger.set_level(spdlog::level::trace);  // what is dropped is dropped before
     logger.flush_on(spdlog::level::trace);   // the last line before a crash is the one that counts
   }
-  void Write(Level level, std::string_view text) {
+  void Write(LogLevel level, std::string_view text) {
     static constexpr spdlog::level::level_enum kLevels[] = {
         spdlog::level::debug, spdlog::level::info, spdlog::level::warn, spdlog::level::err};
     std::string line(text);
@@ -41,7 +41,7 @@
 
   spdlog::logger logger{"paddlestile", std::make_shared<spdlog::sinks::stderr_sink_st>()};
   LogFormat format = LogFormat::kText;
-  Level least = Level::kInfo;
+  LogLevel least = LogLevel::kInfo;
   std::chrono::steady_clock::time_point second;
   int lines = 0;
   int dropped = 0;
@@ -54,15 +54,15 @@
 
 }  // namespace
 
-void SetLogLevel(Level level) { state().least = level; }
-bool Logged(Level level) { return level >= state().least; }
+void SetLogLevel(LogLevel level) { state().least = level; }
+bool IsLogEnabled(LogLevel level) { return level >= state().least; }
 void SetLogFormat(LogFormat format) { state().Use(format); }
 
-void LogLine(Level level, std::string_view text) {
+void LogLine(LogLevel level, std::string_view text) {
   State& s = state();
   const auto now = std::chrono::steady_clock::now();
   if (now - s.second >= std::chrono::seconds(1)) {
-    if (s.dropped > 0) s.Write(Level::kWarning, fmt::format("{} log lines dropped", s.dropped));
+    if (s.dropped > 0) s.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", s.dropped));
     s.second = now;
     s.lines = s.dropped = 0;
   }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -10,23 +10,23 @@
 
 namespace paddlestile {
 
-enum class Level { kDebug, kInfo, kWarning, kError };
+enum class LogLevel { kDebug, kInfo, kWarning, kError };
 enum class LogFormat { kText, kJson };
 
 // Lines below this are dropped; kInfo at first.
-void SetLogLevel(Level level);
-[[nodiscard]] bool Logged(Level level);
+void SetLogLevel(LogLevel level);
+[[nodiscard]] bool IsLogEnabled(LogLevel level);
 
 // kText at first: "warning: words". kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
 void SetLogFormat(LogFormat format);
 
 // Writes one line. Control characters in it become '?', so that no peer can forge a line; in JSON,
 // what is no UTF-8 becomes U+FFFD.
-void LogLine(Level level, std::string_view text);
+void LogLine(LogLevel level, std::string_view text);
 
 template <typename... Args>
-void Log(Level level, fmt::format_string<Args...> format, Args&&... args) {
-  if (Logged(level)) LogLine(level, fmt::format(format, std::forward<Args>(args)...));
+void Log(LogLevel level, fmt::format_string<Args...> format, Args&&... args) {
+  if (IsLogEnabled(level)) LogLine(level, fmt::format(format, std::forward<Args>(args)...));
 }
 
 }  // namespace paddlestile
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace paddlestile {
 
-std::string Counters::Text() const {
+std::string Counters::ToText() const {
   std::string text;
   const auto add = [&](const char* name, uint64_t value) {
     if (value == 0) return;
@@ -19,15 +19,15 @@
   return text;
 }
 
-Counters& Count() {
+Counters& GlobalCounters() {
   static Counters counters;
   return counters;
 }
 
 bool CheckFailed(const char* what, const char* file, int line) {
   constexpr uint64_t kLogged = 20;
-  if (++Count().checks_failed <= kLogged) {
-    Log(Level::kError, "check failed: {} at {}:{}", what, file, line);
+  if (++GlobalCounters().checks_failed <= kLogged) {
+    Log(LogLevel::kError, "check failed: {} at {}:{}", what, file, line);
   }
   return false;
 }
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -68,11 +68,11 @@
 #undef PADDLESTILE_FIELD
 
   // All that are not zero, as name=value with spaces between.
-  [[nodiscard]] std::string Text() const;
+  [[nodiscard]] std::string ToText() const;
 };
 
 // Those of this process.
-Counters& Count();
+Counters& GlobalCounters();
 
 // Counts a thing that must hold and did not, and logs the first few. Always false.
 bool CheckFailed(const char* what, const char* file, int line);
--- a/src/base/parse_number.cpp
+++ b/src/base/parse_number.cpp
@@ -5,7 +5,7 @@
 
 namespace paddlestile {
 
-std::optional<uint64_t> ToWhole(std::string_view text) {
+std::optional<uint64_t> ParseWholeNumber(std::string_view text) {
   uint64_t value = 0;
   if (text.empty() || !std::isdigit(static_cast<unsigned char>(text[0]))) return std::nullopt;
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -10,7 +10,7 @@
 
 // A whole number of decimal digits and nothing else; nothing for any other text, and for a number
 // past 64 bits.
-std::optional<uint64_t> ToWhole(std::string_view text);
+std::optional<uint64_t> ParseWholeNumber(std::string_view text);
 
 }  // namespace paddlestile
 
--- a/src/cli/cluster_commands.cpp
+++ b/src/cli/cluster_commands.cpp
@@ -62,7 +62,7 @@
                            std::istreambuf_iterator<char>());
     if (!file)
       throw ConfigError(w.operator_file + ": cannot read it, expected the operator's file");
-    for (const auto& [name, address] : MembersOf(text, w.operator_file)) places.push_back(address);
+    for (const auto& [name, address] : ReadMemberAddresses(text, w.operator_file)) places.push_back(address);
   }
   if (places.empty()) throw ConfigError("nobody to ask, expected --at ADDRESS or --operator FILE");
   return places;
@@ -151,7 +151,7 @@
   json rules[2];
   for (int i = 0; i < 2; ++i) {
     if (wanted[i] == 0) {
-      rules[i] = json::parse(cluster::ToText(cluster::Rules()));
+      rules[i] = json::parse(cluster::ToText(cluster::ConfigDocument()));
       continue;
     }
     bool found = false;
@@ -162,7 +162,7 @@
     }
     if (!found) {
       return Say(kFailed, fmt::format("version {} is not kept whole, expected one of the last {}",
-                                      wanted[i], cluster::History::kWhole));
+                                      wanted[i], cluster::VersionHistory::kFullVersions));
     }
   }
   const json patch = json::diff(rules[0], rules[1]);
@@ -177,7 +177,7 @@
     if (op != "add") fmt::print("- {} {}\n", path, rules[0][at].dump());
     if (op != "remove") fmt::print("+ {} {}\n", path, step["value"].dump());
   }
-  const cluster::Content contents[] = {cluster::ParseVersion(rules[0].dump()),
+  const cluster::VersionContent contents[] = {cluster::ParseVersion(rules[0].dump()),
                                        cluster::ParseVersion(rules[1].dump())};
   for (const std::string& why : cluster::Contradictions(contents[0], contents[1])) {
     fmt::print("contradicts: {}\n", why);
@@ -186,7 +186,7 @@
 }
 
 // Submits until it is told done or refused: the same id counts once however often it comes.
-int Submit(const Words& w, cluster::Wish wish) {
+int Submit(const Words& w, cluster::ChangeRequest wish) {
   if (wish.change.id.empty()) {
     std::random_device device;
     wish.change.id = fmt::format("{:08x}{:08x}", device(), device());
@@ -197,7 +197,7 @@
     wish.change.author = user != nullptr ? user : "operator";
   }
   wish.change.reason = w.reason;
-  wish.change.unix_s =
+  wish.change.submitted_unix_s =
       std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   const json call = {{"what", "submit"}, {"wish", cluster::ToJson(wish)}};
   const std::vector<Address> places = Places(w);
@@ -213,7 +213,7 @@
     }
     const auto told = cluster::ReadAnswer(answer->value("answer", json()));
     if (!told) continue;
-    if (told->kind == cluster::Answer::Kind::kDone) {
+    if (told->kind == cluster::ChangeResult::Kind::kDone) {
       if (w.as_json) {
         fmt::print("{}\n", json{{"id", told->id}, {"version", told->version}}.dump());
       } else if (told->version > 0) {
@@ -223,7 +223,7 @@
       }
       return kDone;
     }
-    if (told->kind == cluster::Answer::Kind::kRefused)
+    if (told->kind == cluster::ChangeResult::Kind::kRefused)
       return Say(kFailed, "refused: " + told->text);
     last = told->text;
   }
@@ -233,22 +233,22 @@
 
 int Change(const Words& w) {
   std::ifstream file(w.file, std::ios::binary);
-  cluster::Wish wish;
-  wish.change.rules =
+  cluster::ChangeRequest wish;
+  wish.change.document =
       std::string((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   if (!file) return Say(kWrongUsage, w.file + ": cannot read it, expected a file of rules (JSON)");
-  wish.change.delta = w.delta;
+  wish.change.is_delta = w.delta;
   const std::vector<std::string> faults =
-      w.delta ? cluster::CheckDelta(wish.change.rules) : cluster::CheckRules(wish.change.rules);
+      w.delta ? cluster::ValidateDelta(wish.change.document) : cluster::ValidateDocument(wish.change.document);
   for (const std::string& fault : faults) fmt::print(stderr, "{}: {}\n", w.file, fault);
   if (!faults.empty()) return kWrongUsage;
   wish.change.id = w.id;
-  wish.change.expect = w.expect;
+  wish.change.expected_version = w.expect;
   return Submit(w, std::move(wish));
 }
 
-int Voters(const Words& w, cluster::Wish::Kind kind) {
-  cluster::Wish wish;
+int Voters(const Words& w, cluster::ChangeRequest::Kind kind) {
+  cluster::ChangeRequest wish;
   wish.kind = kind;
   wish.name = w.name;
   wish.change.id = w.id;
@@ -257,11 +257,11 @@
 
 int Init(const Words& w) {
   if (w.operator_file.empty()) return Say(kWrongUsage, "no file, expected --operator FILE");
-  const BankConfig config = ReadBank(w.operator_file, w.name);
+  const ClusterConfig config = ReadClusterConfig(w.operator_file, w.name);
   if (!config.members.at(w.name).votes) {
     return Say(kWrongUsage, w.name + ": does not vote, expected one of the voters");
   }
-  InitBank(config, w.name);
+  InitCluster(config, w.name);
   fmt::print("{}: begun; start the members, the other voters join by themselves\n", config.folder);
   return kDone;
 }
@@ -334,9 +334,9 @@
       if (history->parsed()) return History(*w);
       if (diff->parsed()) return Diff(*w);
       if (change->parsed()) return Change(*w);
-      return Voters(*w, add->parsed()      ? cluster::Wish::Kind::kAddVoter
-                        : remove->parsed() ? cluster::Wish::Kind::kRemoveVoter
-                                           : cluster::Wish::Kind::kReplaceVoter);
+      return Voters(*w, add->parsed()      ? cluster::ChangeRequest::Kind::kAddVoter
+                        : remove->parsed() ? cluster::ChangeRequest::Kind::kRemoveVoter
+                                           : cluster::ChangeRequest::Kind::kReplaceVoter);
     } catch (const ConfigError& error) {
       fmt::print(stderr, "{}\n", error.what());
       return kWrongUsage;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -43,9 +43,9 @@
     const std::string text((std::istreambuf_iterator<char>(file)),
                            std::istreambuf_iterator<char>());
     const bool members = text.find("[[bank.members]]") != std::string::npos;
-    faults = members ? CheckBank(text, path) : lab::CheckExperiment(path);
+    faults = members ? ValidateClusterConfig(text, path) : lab::CheckExperiment(path);
   } else {
-    faults = CheckConfig(path);
+    faults = ValidateGatewayConfig(path);
   }
   for (const std::string& fault : faults) {
     fmt::print(stderr, "{}{}\n", toml ? "" : path + ": ", fault);
@@ -60,7 +60,7 @@
   Migration migration;
   try {
     migration = Migrate(from, options);
-    if (!to.empty()) WriteWhole(to, migration.text, replace);
+    if (!to.empty()) WriteFileAtomically(to, migration.text, replace);
   } catch (const ConfigError& error) {
     fmt::print(stderr, "{}\n", error.what());
     return kWrongUsage;
@@ -155,10 +155,10 @@
     return kWrongUsage;
   }
   SetLogFormat(log_format == "json" ? LogFormat::kJson : LogFormat::kText);
-  SetLogLevel(log_level == "debug"     ? Level::kDebug
-              : log_level == "warning" ? Level::kWarning
-              : log_level == "error"   ? Level::kError
-                                       : Level::kInfo);
+  SetLogLevel(log_level == "debug"     ? LogLevel::kDebug
+              : log_level == "warning" ? LogLevel::kWarning
+              : log_level == "error"   ? LogLevel::kError
+                                       : LogLevel::kInfo);
   if (version->parsed()) {
     fmt::print("paddlestile {}\n", PADDLESTILE_VERSION);
     return kDone;
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -20,21 +20,21 @@
 
 // The longest that two gateways may act on rules that contradict each other: one that got its lease
 // at the last moment acts on for that long, and for `slack` until it notices.
-Duration BoundOf(const raft::Timing& timing, Duration slack);
-inline constexpr Duration kSlack{250'000};  // us; for a process that runs
+Duration MaxDisagreement(const raft::RaftTiming& timing, Duration slack);
+inline constexpr Duration kDetectionDelay{250'000};  // us; for a process that runs
 
-struct Wish {
+struct ChangeRequest {
   enum class Kind : uint8_t { kChange, kAddVoter, kRemoveVoter, kReplaceVoter };
   Kind kind = Kind::kChange;
   Change change;     // kChange; its id and author count for all
   std::string name;  // of the voter
 };
 
-struct Answer {
+struct ChangeResult {
   enum class Kind : uint8_t {
     kDone,     // agreed, and acted on by all that may act
     kRefused,  // it was not taken, and never will be under this id
-    kNobody,   // not taken: nobody can lead
+    kNoLeader,   // not taken: nobody can lead
     kUnknown   // it may have been taken: submit again under the same id
   };
   Kind kind = Kind::kUnknown;
@@ -44,71 +44,71 @@
 };
 
 // From member to member beside the log's messages.
-struct Note {
+struct MemberMessage {
   std::string from, to;
-  std::optional<Wish> wish;      // for the leader
-  std::optional<Answer> answer;  // to it
+  std::optional<ChangeRequest> request;      // for the leader
+  std::optional<ChangeResult> result;  // to it
 };
 
-struct MemberOutput : raft::Output {
-  std::vector<Note> notes;
-  std::vector<std::pair<uint64_t, Answer>> answers;  // by the ticket of Submit
+struct MemberOutput : raft::RaftOutput {
+  std::vector<MemberMessage> member_messages;
+  std::vector<std::pair<uint64_t, ChangeResult>> results;  // by the ticket of Submit
   std::vector<std::string> log;                      // lines for people
   // Why this member, which does not vote, needs all content anew; empty: it does not.
-  std::string needs_anew;
+  std::string needs_resync;
 };
 
 // What a gateway acts on.
-struct Stance {
+struct EffectiveConfig {
   enum class Kind : uint8_t {
     kAgreed,   // the version in force
-    kBetween,  // a newer one is held and not on: the stricter of both
+    kInTransition,  // a newer one is held and not on: the stricter of both
     // Its lease is over, or its content is not what was agreed: nothing that could contradict a
     // version that it does not have.
-    kAlone
+    kIsolated
   };
-  Kind kind = Kind::kAlone;
-  uint64_t on = 0, latest = 0;
-  Time until{0};  // by then another stance at the latest, if nothing is heard
-  bool operator==(const Stance&) const = default;
+  Kind kind = Kind::kIsolated;
+  uint64_t version_in_force = 0, latest_version = 0;
+  Time valid_until{0};  // by then another stance at the latest, if nothing is heard
+  bool operator==(const EffectiveConfig&) const = default;
 };
 
-class Member {
+class ClusterMember {
  public:
   struct Options {
     std::string name;
-    raft::Timing timing;
-    std::set<std::string> first_voters;  // who is to vote once it is there, until all are
-    Duration answer_within{3'000'000};
+    raft::RaftTiming timing;
+    std::set<std::string> initial_voters;  // who is to vote once it is there, until all are
+    Duration result_timeout{3'000'000};
     size_t compact_after = 512;  // entries
     bool deltas = false;         // as leader it proposes changes by their own size
   };
-  Member(Options options, raft::Disk disk, uint64_t seed, Time now);
+  ClusterMember(Options options, raft::PersistentState disk, uint64_t seed, Time now);
 
-  void Linked(Time now, const std::string& name, uint64_t life, const raft::Claim& of_you,
+  void OnPeerConnected(Time now, const std::string& name, uint64_t life, const raft::StorageClaim& of_you,
               MemberOutput& out);
-  void Unlinked(Time now, const std::string& name, MemberOutput& out);
-  void Receive(Time now, const raft::Message& message, MemberOutput& out);
-  void Receive(Time now, const Note& note, MemberOutput& out);
-  void Durable(Time now, uint64_t ticket, MemberOutput& out);
-  void Tick(Time now, MemberOutput& out);
-  [[nodiscard]] Time NextDue() const;
+  void OnPeerDisconnected(Time now, const std::string& name, MemberOutput& out);
+  void OnMessage(Time now, const raft::Message& message, MemberOutput& out);
+  void OnMessage(Time now, const MemberMessage& note, MemberOutput& out);
+  void OnDurable(Time now, uint64_t ticket, MemberOutput& out);
+  void OnTimeout(Time now, MemberOutput& out);
+  [[nodiscard]] Time NextTimeout() const;
 
   // The answer comes under this ticket, once.
-  void Submit(Time now, Wish wish, uint64_t ticket, MemberOutput& out);
+  void Submit(Time now, ChangeRequest wish, uint64_t ticket, MemberOutput& out);
 
-  [[nodiscard]] Stance Acting(Time now) const;
+  [[nodiscard]] EffectiveConfig CurrentConfig(Time now) const;
   // The rules of a stance of this moment.
-  [[nodiscard]] Content RulesOf(const Stance& stance) const;
+  [[nodiscard]] VersionContent ContentOf(const EffectiveConfig& stance) const;
 
-  [[nodiscard]] const raft::Agreement& agreement() const { return agreement_; }
-  [[nodiscard]] const History& history() const { return history_; }
+  [[nodiscard]] const raft::RaftNode& raft_node() const { return raft_node_; }
+  [[nodiscard]] const VersionHistory& history() const { return history_; }
   // How often its content was found to be another than what was agreed.
-  [[nodiscard]] uint64_t differed() const { return differed_; }
+  [[nodiscard]] uint64_t content_mismatch_count() const { return differed_; }
   [[nodiscard]] nlohmann::json Status(Time now) const;
 
  private:
-  struct Waiting {
+  struct PendingChange {
     std::optional<uint64_t> ticket;  // here, or
     std::string from;                // at this member
     Time until{0};
@@ -118,19 +118,19 @@
     bool sent = false;     // with the leader, who is to answer
   };
   void After(Time now, MemberOutput& out);
-  void Take(Time now, Wish wish, Waiting waiting, MemberOutput& out);
+  void Take(Time now, ChangeRequest wish, PendingChange waiting, MemberOutput& out);
   std::optional<std::string> EntryOf(const Change& change, std::vector<std::string>& faults) const;
-  void TakeVoters(Time now, const Wish& wish, Waiting waiting, MemberOutput& out);
-  void Give(const Waiting& waiting, Answer answer, MemberOutput& out);
+  void TakeVoters(Time now, const ChangeRequest& wish, PendingChange waiting, MemberOutput& out);
+  void Give(const PendingChange& waiting, ChangeResult answer, MemberOutput& out);
   void Form(Time now, MemberOutput& out);
   [[nodiscard]] std::string WhoLeads(Time now) const;
 
   Options options_;
-  raft::Agreement agreement_;
-  History history_;
+  raft::RaftNode raft_node_;
+  VersionHistory history_;
   Time started_;
   std::map<std::string, uint64_t> linked_;  // name to life
-  std::map<std::string, Waiting> waiting_;  // by the change's id
+  std::map<std::string, PendingChange> pending_changes_;  // by the change's id
   std::pair<raft::Term, uint64_t> on_proposed_{0, 0};
   bool formed_proposed_ = false;
   bool differs_ = false;  // said so
--- a/src/cluster/codec.h
+++ b/src/cluster/codec.h
@@ -10,13 +10,13 @@
 
 namespace paddlestile::cluster {
 
-nlohmann::json ToJson(const Note& note);
-nlohmann::json ToJson(const Wish& wish);
-nlohmann::json ToJson(const Answer& answer);
+nlohmann::json ToJson(const MemberMessage& note);
+nlohmann::json ToJson(const ChangeRequest& wish);
+nlohmann::json ToJson(const ChangeResult& answer);
 
-std::optional<Note> ReadNote(const nlohmann::json& value);
-std::optional<Wish> ReadWish(const nlohmann::json& value);
-std::optional<Answer> ReadAnswer(const nlohmann::json& value);
+std::optional<MemberMessage> ReadNote(const nlohmann::json& value);
+std::optional<ChangeRequest> ReadWish(const nlohmann::json& value);
+std::optional<ChangeResult> ReadAnswer(const nlohmann::json& value);
 
 }  // namespace paddlestile::cluster
 
--- a/src/cluster/config_document.cpp
+++ b/src/cluster/config_document.cpp
@@ -25,15 +25,15 @@
   for (const char* const key : {"Classes", "Tenants"}) {
     if (const auto at = settings.find(key); at != settings.end()) {
       std::string where = "settings.";
-      CheckNamedList(where.append(key), *at, faults);
+      ValidateNamedList(where.append(key), *at, faults);
     }
   }
   const auto allowed = settings.find("Allowed");
-  if (allowed != settings.end()) CheckAllowed(*allowed, faults);
+  if (allowed != settings.end()) ValidateAllowed(*allowed, faults);
 }
 
 std::vector<std::string> Check(std::string_view text, size_t most, json& rules) {
-  std::vector<std::string> faults = CheckSize(text.size(), most);
+  std::vector<std::string> faults = ValidateSize(text.size(), most);
   if (!faults.empty()) return faults;
   rules = json::parse(text, nullptr, false);
   if (rules.is_discarded() || !rules.is_object()) return {"expected one JSON object"};
@@ -61,18 +61,18 @@
 
 }  // namespace
 
-std::vector<std::string> CheckRules(std::string_view text) {
+std::vector<std::string> ValidateDocument(std::string_view text) {
   json rules;
-  return Check(text, kRulesMost, rules);
+  return Check(text, kMaxDocumentBytes, rules);
 }
 
-std::vector<std::string> CheckSize(size_t bytes, size_t most) {
+std::vector<std::string> ValidateSize(size_t bytes, size_t most) {
   if (bytes <= most) return {};
   return {"a version of " + std::to_string(bytes) + " bytes, expected " + std::to_string(most) +
           " at most"};
 }
 
-void CheckNamed(const std::string& where, const json& item, std::vector<std::string>& faults) {
+void ValidateNamedObject(const std::string& where, const json& item, std::vector<std::string>& faults) {
   const auto fault = [&](const char* what, const char* expected) {
     std::string line = where;
     faults.push_back(line.append(what).append(": expected ").append(expected));
@@ -82,7 +82,7 @@
     return fault("", "an object with a Name");
   }
   if (const auto e = item.find("Effect"); e != item.end()) {
-    if (!e->is_string() || std::ranges::find(kEffects, e->get<std::string>()) == kEffects.end()) {
+    if (!e->is_string() || std::ranges::find(kIdempotencyLevels, e->get<std::string>()) == kIdempotencyLevels.end()) {
       fault(".Effect", "safe, keyed or unsafe");
     }
   }
@@ -98,7 +98,7 @@
   numbers(std::array{"Window", "QuotaPerS", "Share"}, true, "a number of 0 or more");
 }
 
-void CheckNamedList(const std::string& where, const json& list, std::vector<std::string>& faults) {
+void ValidateNamedList(const std::string& where, const json& list, std::vector<std::string>& faults) {
   if (!list.is_array()) {
     faults.push_back(where + ": expected a list");
     return;
@@ -108,7 +108,7 @@
     const json& item = list[i];
     std::string at = where;
     at.append(".").append(std::to_string(i));
-    CheckNamed(at, item, faults);
+    ValidateNamedObject(at, item, faults);
     const auto name = item.is_object() ? item.find("Name") : item.end();
     if (name == item.end() || !name->is_string()) continue;
     if (!seen.insert(name->get_ref<const std::string&>()).second) {
@@ -118,7 +118,7 @@
   }
 }
 
-void CheckAllowed(const json& allowed, std::vector<std::string>& faults) {
+void ValidateAllowed(const json& allowed, std::vector<std::string>& faults) {
   const auto cap = allowed.is_object() ? allowed.find("SendCap") : allowed.end();
   if (!allowed.is_object()) {
     faults.emplace_back("settings.Allowed: expected an object");
@@ -129,30 +129,30 @@
 
 namespace {
 
-Rules Parse(std::string_view text, size_t most) {
+ConfigDocument Parse(std::string_view text, size_t most) {
   json all;
   const std::vector<std::string> faults = Check(text, most, all);
   if (!faults.empty()) throw std::invalid_argument(faults.front());
-  Rules rules;
+  ConfigDocument rules;
   rules.settings = all.value("settings", json::object());
-  rules.barred = all.value("barred", std::set<std::string>());
-  rules.drain = all.value("drain", std::set<std::string>());
+  rules.excluded = all.value("barred", std::set<std::string>());
+  rules.draining = all.value("drain", std::set<std::string>());
   rules.zone_only = all.value("zone_only", std::map<std::string, std::string>());
   return rules;
 }
 
 }  // namespace
 
-Rules ParseRules(std::string_view text) { return Parse(text, kRulesMost); }
+ConfigDocument ParseDocument(std::string_view text) { return Parse(text, kMaxDocumentBytes); }
 
-Rules ParseVersion(std::string_view text) { return Parse(text, kVersionMost); }
+ConfigDocument ParseVersion(std::string_view text) { return Parse(text, kMaxVersionBytes); }
 
-std::string ToText(const Rules& rules) {
+std::string ToText(const ConfigDocument& rules) {
   const auto dumped = [](const json& value) {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
   };
   // The keys in their order, one by one: put together as one object the settings would be copied.
-  return R"({"barred":)" + dumped(rules.barred) + R"(,"drain":)" + dumped(rules.drain) +
+  return R"({"barred":)" + dumped(rules.excluded) + R"(,"drain":)" + dumped(rules.draining) +
          R"(,"settings":)" + dumped(rules.settings) + R"(,"zone_only":)" + dumped(rules.zone_only) +
          "}";
 }
--- a/src/cluster/config_document.h
+++ b/src/cluster/config_document.h
@@ -15,42 +15,42 @@
 namespace paddlestile::cluster {
 
 // What a class may be, each stricter than the one before.
-inline constexpr std::array kEffects = {"safe", "keyed", "unsafe"};
+inline constexpr std::array kIdempotencyLevels = {"safe", "keyed", "unsafe"};
 
-inline constexpr size_t kRulesMost = 256 << 10;  // bytes of a version that is sent whole
-inline constexpr size_t kVersionMost = 3 << 20;  // bytes of one that deltas made
+inline constexpr size_t kMaxDocumentBytes = 256 << 10;  // bytes of a version that is sent whole
+inline constexpr size_t kMaxVersionBytes = 3 << 20;  // bytes of one that deltas made
 
-struct Rules {
+struct ConfigDocument {
   nlohmann::json settings = nlohmann::json::object();  // laid over the platform's, RFC 7396
-  std::set<std::string> barred, drain;                 // ids of hosts
+  std::set<std::string> excluded, draining;                 // ids of hosts
   std::map<std::string, std::string> zone_only;        // host to the one zone that may use it
   // Nothing is sent twice, whatever its class allows: what holds when it is not known which rules
   // the others act on.
   bool strict = false;
-  bool operator==(const Rules&) const = default;
+  bool operator==(const ConfigDocument&) const = default;
 };
 
 // All that is wrong in a version's text, a line each with its key and what was expected.
-std::vector<std::string> CheckRules(std::string_view text);
+std::vector<std::string> ValidateDocument(std::string_view text);
 
 // What a version may hold, in bytes of its text: the fault, or none.
-std::vector<std::string> CheckSize(size_t bytes, size_t most);
+std::vector<std::string> ValidateSize(size_t bytes, size_t most);
 
 // What is wrong in one part; `where` names it in the lines that are added. A list of objects by
 // name, an object of such a list, the value of `Allowed`.
-void CheckNamedList(const std::string& where, const nlohmann::json& list,
+void ValidateNamedList(const std::string& where, const nlohmann::json& list,
                     std::vector<std::string>& faults);
-void CheckNamed(const std::string& where, const nlohmann::json& item,
+void ValidateNamedObject(const std::string& where, const nlohmann::json& item,
                 std::vector<std::string>& faults);
-void CheckAllowed(const nlohmann::json& allowed, std::vector<std::string>& faults);
+void ValidateAllowed(const nlohmann::json& allowed, std::vector<std::string>& faults);
 
 // Of a text without faults; throws std::invalid_argument with the first fault otherwise.
-Rules ParseRules(std::string_view text);
+ConfigDocument ParseDocument(std::string_view text);
 // The same of what deltas made, which may be larger.
-Rules ParseVersion(std::string_view text);
+ConfigDocument ParseVersion(std::string_view text);
 
 // The same rules have the same text.
-std::string ToText(const Rules& rules);
+std::string ToText(const ConfigDocument& rules);
 
 // Of a version's text: 32 hexadecimal digits (XXH3, 128 bits).
 std::string HashOf(std::string_view text);
--- a/src/cluster/delta.cpp
+++ b/src/cluster/delta.cpp
@@ -94,9 +94,9 @@
 }
 
 std::vector<std::string> Check(std::string_view text, json& delta) {
-  if (text.size() > kDeltaMost) {
+  if (text.size() > kMaxDeltaBytes) {
     return {"a delta of " + std::to_string(text.size()) + " bytes, expected " +
-            std::to_string(kDeltaMost) + " at most"};
+            std::to_string(kMaxDeltaBytes) + " at most"};
   }
   // Looked at ahead: a parser that is asked at each depth looks through all siblings each time.
   if (DepthOf(text) > kDepthMost) {
@@ -143,7 +143,7 @@
 
 // ---- What it does -----------------------------------------------------------------------------
 
-void ApplyHosts(const json& delta, const char* key, Parts& hosts) {
+void ApplyHosts(const json& delta, const char* key, PersistentMap& hosts) {
   const auto at = delta.find(key);
   if (at == delta.end()) return;
   for (const json& id : at->value("remove", json::array())) {
@@ -155,7 +155,7 @@
 }
 
 // `faults` are those of the parts that come of it.
-void ApplyNamedList(const std::string& key, const json& patch, std::optional<Parts>& list,
+void ApplyNamedList(const std::string& key, const json& patch, std::optional<PersistentMap>& list,
                     std::vector<std::string>& faults) {
   if (patch.is_null()) {
     list.reset();
@@ -172,38 +172,38 @@
       list->Remove(name);
       continue;
     }
-    const Part* const there = list->Find(name);
+    const MapEntry* const there = list->Find(name);
     json item = there != nullptr ? json::parse(there->text) : json{{"Name", name}};
     item.merge_patch(change);
     std::string where = "settings.";
-    CheckNamed(where.append(key).append(".").append(name), item, faults);
+    ValidateNamedObject(where.append(key).append(".").append(name), item, faults);
     list->Set(name, Dumped(item));
   }
 }
 
-void ApplySettings(const json& delta, Content& content, std::vector<std::string>& faults) {
+void ApplySettings(const json& delta, VersionContent& content, std::vector<std::string>& faults) {
   const json patches = delta.value("settings", json::object());
   for (const auto& [key, patch] : patches.items()) {
     if (IsNamedList(key)) {
-      ApplyNamedList(key, patch, *content.ListOf(key), faults);
+      ApplyNamedList(key, patch, *content.NamedList(key), faults);
     } else if (patch.is_null()) {
       content.settings.Remove(key);
     } else {
-      const Part* const there = content.settings.Find(key);
+      const MapEntry* const there = content.settings.Find(key);
       json value = there != nullptr ? json::parse(there->text) : json();
       value.merge_patch(patch);
-      if (key == "Allowed") CheckAllowed(value, faults);
+      if (key == "Allowed") ValidateAllowed(value, faults);
       content.settings.Set(key, Dumped(value));
     }
   }
   const json replace = delta.value("replace", json::object());
   for (const auto& [key, value] : replace.items()) {
     if (IsNamedList(key)) {
-      Rules whole;
+      ConfigDocument whole;
       whole.settings[key] = value;
-      *content.ListOf(key) = *Content(whole).ListOf(key);
+      *content.NamedList(key) = *VersionContent(whole).NamedList(key);
     } else {
-      if (key == "Allowed") CheckAllowed(value, faults);
+      if (key == "Allowed") ValidateAllowed(value, faults);
       content.settings.Set(key, Dumped(value));
     }
   }
@@ -240,19 +240,19 @@
 }
 
 // The names of a list in its order.
-std::vector<std::string_view> Names(const Parts& list) {
+std::vector<std::string_view> Names(const PersistentMap& list) {
   std::vector<std::string_view> names;
-  for (const Part* const part : list.Ordered()) names.push_back(part->name);
+  for (const MapEntry* const part : list.EntriesInOrder()) names.push_back(part->name);
   return names;
 }
 
 // The same for a list that is kept by names; nothing where it stands in another order than that
 // which applying makes.
-std::optional<json> NamedPatch(const Parts& a, const Parts& b) {
+std::optional<json> NamedPatch(const PersistentMap& a, const PersistentMap& b) {
   json patch = json::object();
   bool can = true;
   std::vector<std::string_view> fresh;  // by name
-  Parts::ForEachDifference(
+  PersistentMap::ForEachDifference(
       a, b, [&](const std::string& name, const std::string* in_a, const std::string* in_b) {
         if (in_b == nullptr) {
           patch[name] = nullptr;
@@ -279,9 +279,9 @@
   return made == Names(b) ? std::optional(std::move(patch)) : std::nullopt;
 }
 
-json HostsDifference(const Parts& a, const Parts& b) {
+json HostsDifference(const PersistentMap& a, const PersistentMap& b) {
   json add = json::array(), remove = json::array(), both = json::object();
-  Parts::ForEachDifference(a, b,
+  PersistentMap::ForEachDifference(a, b,
                            [&](const std::string& id, const std::string* in_a, const std::string*) {
                              (in_a == nullptr ? add : remove).push_back(id);
                            });
@@ -292,16 +292,16 @@
 
 }  // namespace
 
-std::vector<std::string> CheckDelta(std::string_view text) {
+std::vector<std::string> ValidateDelta(std::string_view text) {
   json delta;
   return Check(text, delta);
 }
 
-Content ApplyDelta(Content base, std::string_view text) {
+VersionContent ApplyDelta(VersionContent base, std::string_view text) {
   json delta;
   std::vector<std::string> faults = Check(text, delta);
   if (!faults.empty()) throw std::invalid_argument(faults.front());
-  Content content = std::move(base);
+  VersionContent content = std::move(base);
   constexpr const char* kMade = "the version that it makes: ";
   try {
     ApplySettings(delta, content, faults);
@@ -309,7 +309,7 @@
     throw std::invalid_argument(kMade + std::string(fault.what()));
   }
   for (const char* const key : kHosts) {
-    ApplyHosts(delta, key, key == kHosts[0] ? content.barred : content.drain);
+    ApplyHosts(delta, key, key == kHosts[0] ? content.excluded : content.draining);
   }
   const json zones = delta.value("zone_only", json::object());
   for (const auto& [host, zone] : zones.items()) {
@@ -320,14 +320,14 @@
     }
   }
   // Of what the delta does not name each part was looked at before.
-  if (faults.empty()) faults = CheckSize(BytesOf(content), kVersionMost);
+  if (faults.empty()) faults = ValidateSize(TextBytes(content), kMaxVersionBytes);
   if (!faults.empty()) throw std::invalid_argument(kMade + faults.front());
   return content;
 }
 
-std::string Difference(const Content& a, const Content& b) {
+std::string ComputeDelta(const VersionContent& a, const VersionContent& b) {
   json settings = json::object(), replace = json::object(), zones = json::object();
-  Parts::ForEachDifference(
+  PersistentMap::ForEachDifference(
       a.settings, b.settings,
       [&](const std::string& key, const std::string* in_a, const std::string* in_b) {
         if (in_b == nullptr) {
@@ -343,18 +343,18 @@
         }
       });
   for (const char* const key : kNamedLists) {
-    const std::optional<Parts>&was = *a.ListOf(key), &is = *b.ListOf(key);
+    const std::optional<PersistentMap>&was = *a.NamedList(key), &is = *b.NamedList(key);
     if (was && !is) settings[key] = nullptr;
     if (!is || (was && *was == *is && Names(*was) == Names(*is))) continue;
-    std::optional<json> patch = NamedPatch(was.value_or(Parts()), *is);
+    std::optional<json> patch = NamedPatch(was.value_or(PersistentMap()), *is);
     if (patch) {
       settings[key] = std::move(*patch);
     } else {
       json& list = replace[key] = json::array();
-      for (const Part* const part : is->Ordered()) list.push_back(json::parse(part->text));
+      for (const MapEntry* const part : is->EntriesInOrder()) list.push_back(json::parse(part->text));
     }
   }
-  Parts::ForEachDifference(
+  PersistentMap::ForEachDifference(
       a.zone_only, b.zone_only,
       [&](const std::string& host, const std::string*, const std::string* in_b) {
         zones[host] = in_b == nullptr ? json() : json::parse(*in_b);
@@ -365,8 +365,8 @@
   };
   put("settings", std::move(settings));
   put("replace", std::move(replace));
-  put("barred", HostsDifference(a.barred, b.barred));
-  put("drain", HostsDifference(a.drain, b.drain));
+  put("barred", HostsDifference(a.excluded, b.excluded));
+  put("drain", HostsDifference(a.draining, b.draining));
   put("zone_only", std::move(zones));
   return Dumped(delta);
 }
--- a/src/cluster/delta.h
+++ b/src/cluster/delta.h
@@ -12,20 +12,20 @@
 
 namespace paddlestile::cluster {
 
-inline constexpr size_t kDeltaMost = 64 << 10;  // bytes of one delta
+inline constexpr size_t kMaxDeltaBytes = 64 << 10;  // bytes of one delta
 
 // All that is wrong in a delta's text, a line each with its key and what was expected.
-std::vector<std::string> CheckDelta(std::string_view text);
+std::vector<std::string> ValidateDelta(std::string_view text);
 
 // `base` with the parts that the delta sets, without those that it removes; what is not there and
 // is removed changes nothing. Items of `Classes` and `Tenants` keep their places, new ones come
 // behind them in the order of their names. It costs what the delta names. Throws
 // std::invalid_argument with the first fault of the delta, or of the version that it makes.
-Content ApplyDelta(Content base, std::string_view delta);
+VersionContent ApplyDelta(VersionContent base, std::string_view delta);
 
 // What makes `b` of `a`, so that ToText(ApplyDelta(a, Difference(a, b))) == ToText(b) for any two.
 // It may be larger than `b`, or than a delta may be.
-std::string Difference(const Content& a, const Content& b);
+std::string ComputeDelta(const VersionContent& a, const VersionContent& b);
 
 }  // namespace paddlestile::cluster
 
--- a/src/cluster/persistent_map.h
+++ b/src/cluster/persistent_map.h
@@ -18,23 +18,23 @@
 
 namespace paddlestile::cluster {
 
-struct Part {
+struct MapEntry {
   std::string name, text;  // the text is a JSON value
   uint64_t order = 0;      // among the parts as somebody listed them; no part of hash or comparison
 };
 
-class Parts {
+class PersistentMap {
  public:
-  static constexpr size_t kChunkMost = 128;  // parts of one chunk
+  static constexpr size_t kMaxChunkEntries = 128;  // parts of one chunk
 
-  Parts() = default;
+  PersistentMap() = default;
   // In the order in which they are given, whatever theirs says. No two may have one name.
-  explicit Parts(std::vector<Part> parts);
+  explicit PersistentMap(std::vector<MapEntry> parts);
 
   // Of 128 bits, added up over the parts.
-  struct Sum {
+  struct Hash128 {
     uint64_t high = 0, low = 0;
-    bool operator==(const Sum&) const = default;
+    bool operator==(const Hash128&) const = default;
   };
 
   [[nodiscard]] size_t size() const { return size_; }
@@ -42,10 +42,10 @@
   // Of all texts, and of all names as JSON strings.
   [[nodiscard]] size_t text_bytes() const { return text_bytes_; }
   [[nodiscard]] size_t name_bytes() const { return name_bytes_; }
-  [[nodiscard]] const Sum& sum() const { return sum_; }
+  [[nodiscard]] const Hash128& hash() const { return hash_; }
 
   // Null where there is none of that name; until the next change.
-  [[nodiscard]] const Part* Find(std::string_view name) const;
+  [[nodiscard]] const MapEntry* Find(std::string_view name) const;
   [[nodiscard]] bool contains(std::string_view name) const { return Find(name) != nullptr; }
   // One that is there keeps its order, a new one comes last.
   void Set(std::string_view name, std::string text);
@@ -55,19 +55,19 @@
   template <typename Each>
   void ForEach(Each&& each) const {
     for (const Chunk& chunk : chunks()) {
-      for (const Part& part : *chunk) each(part);
+      for (const MapEntry& part : *chunk) each(part);
     }
   }
   // By order.
-  [[nodiscard]] std::vector<const Part*> Ordered() const;
+  [[nodiscard]] std::vector<const MapEntry*> EntriesInOrder() const;
 
   // each(name, its text in a, its text in b), by name, for those whose texts differ; null: none.
   template <typename Each>
-  static void ForEachDifference(const Parts& a, const Parts& b, Each&& each);
+  static void ForEachDifference(const PersistentMap& a, const PersistentMap& b, Each&& each);
 
   // The same names with the same texts.
-  friend bool operator==(const Parts& a, const Parts& b) {
-    if (a.size_ != b.size_ || a.sum_ != b.sum_) return false;
+  friend bool operator==(const PersistentMap& a, const PersistentMap& b) {
+    if (a.size_ != b.size_ || a.hash_ != b.hash_) return false;
     bool same = true;
     ForEachDifference(a, b, [&](const auto&, const auto*, const auto*) { same = false; });
     return same;
@@ -75,7 +75,7 @@
 
  private:
   // What no other map holds is changed in its place, all else copied first.
-  using Chunk = std::shared_ptr<std::vector<Part>>;
+  using Chunk = std::shared_ptr<std::vector<MapEntry>>;
   using Chunks = std::vector<Chunk>;
 
   [[nodiscard]] const Chunks& chunks() const {
@@ -83,19 +83,19 @@
     return chunks_ ? *chunks_ : kNone;
   }
   // The chunk that has this name, or would have it.
-  [[nodiscard]] size_t PlaceOf(std::string_view name) const;
-  void Count(const Part& part, bool added);
-  Chunks& OwnChunks();
-  static std::vector<Part>& Own(Chunk& chunk);
+  [[nodiscard]] size_t ChunkIndexOf(std::string_view name) const;
+  void Count(const MapEntry& part, bool added);
+  Chunks& MutableChunks();
+  static std::vector<MapEntry>& MutableChunk(Chunk& chunk);
 
   std::shared_ptr<Chunks> chunks_;  // none of them empty
   size_t size_ = 0, text_bytes_ = 0, name_bytes_ = 0;
   uint64_t next_order_ = 0;
-  Sum sum_;
+  Hash128 hash_;
 };
 
 template <typename Each>
-void Parts::ForEachDifference(const Parts& a, const Parts& b, Each&& each) {
+void PersistentMap::ForEachDifference(const PersistentMap& a, const PersistentMap& b, Each&& each) {
   if (a.chunks_ == b.chunks_) return;
   const Chunks &in_a = a.chunks(), &in_b = b.chunks();
   size_t i = 0, j = 0, at_a = 0, at_b = 0;  // chunk, and part within it
@@ -110,12 +110,12 @@
                     : !more_b ? -1
                               : (*in_a[i])[at_a].name.compare((*in_b[j])[at_b].name);
     if (way < 0) {
-      const Part& part = (*in_a[i])[at_a];
+      const MapEntry& part = (*in_a[i])[at_a];
       each(part.name, &part.text, none);
     } else if (way > 0) {
-      const Part& part = (*in_b[j])[at_b];
+      const MapEntry& part = (*in_b[j])[at_b];
       each(part.name, none, &part.text);
-    } else if (const Part& x = (*in_a[i])[at_a], &y = (*in_b[j])[at_b]; x.text != y.text) {
+    } else if (const MapEntry& x = (*in_a[i])[at_a], &y = (*in_b[j])[at_b]; x.text != y.text) {
       each(x.name, &x.text, &y.text);
     }
     if (way <= 0 && ++at_a == in_a[i]->size()) ++i, at_a = 0;
--- a/src/cluster/version_content.cpp
+++ b/src/cluster/version_content.cpp
@@ -19,26 +19,26 @@
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-Parts NamedList(const std::string& key, const json& list) {
+PersistentMap ParseNamedList(const std::string& key, const json& list) {
   std::vector<std::string> faults;
-  CheckNamedList("settings." + key, list, faults);
+  ValidateNamedList("settings." + key, list, faults);
   if (!faults.empty()) throw std::invalid_argument(faults.front());
-  std::vector<Part> parts;
+  std::vector<MapEntry> parts;
   parts.reserve(list.size());
   for (const json& item : list) parts.push_back({item["Name"], Dumped(item)});
-  return Parts(std::move(parts));
+  return PersistentMap(std::move(parts));
 }
 
-Parts Hosts(const std::set<std::string>& ids) {
-  std::vector<Part> parts;
+PersistentMap Hosts(const std::set<std::string>& ids) {
+  std::vector<MapEntry> parts;
   parts.reserve(ids.size());
   for (const std::string& id : ids) parts.push_back({id, Dumped(id)});
-  return Parts(std::move(parts));
+  return PersistentMap(std::move(parts));
 }
 
-std::set<std::string> Ids(const Parts& parts) {
+std::set<std::string> Ids(const PersistentMap& parts) {
   std::set<std::string> ids;
-  parts.ForEach([&](const Part& part) { ids.insert(ids.end(), part.name); });
+  parts.ForEach([&](const MapEntry& part) { ids.insert(ids.end(), part.name); });
   return ids;
 }
 
@@ -46,17 +46,17 @@
 
 // Of `count` values with commas between them, in brackets.
 size_t Bracketed(size_t count, size_t bytes) { return bytes + (count > 0 ? count - 1 : 0) + 2; }
-size_t ListBytes(const Parts& parts) { return Bracketed(parts.size(), parts.text_bytes()); }
+size_t ListBytes(const PersistentMap& parts) { return Bracketed(parts.size(), parts.text_bytes()); }
 
-void WriteList(const Parts& parts, bool ordered, std::string& out) {
+void WriteList(const PersistentMap& parts, bool ordered, std::string& out) {
   out += '[';
   bool first = true;
-  const auto write = [&](const Part& part) {
+  const auto write = [&](const MapEntry& part) {
     if (!std::exchange(first, false)) out += ',';
     out += part.text;
   };
   if (ordered) {
-    for (const Part* const part : parts.Ordered()) write(*part);
+    for (const MapEntry* const part : parts.EntriesInOrder()) write(*part);
   } else {
     parts.ForEach(write);
   }
@@ -66,12 +66,12 @@
 // ---- What contradicts -------------------------------------------------------------------------
 
 int EffectOf(const json& c) {
-  const auto at = std::ranges::find(kEffects, c.value("Effect", "safe"));
-  return at == kEffects.end() ? 2 : static_cast<int>(at - kEffects.begin());
+  const auto at = std::ranges::find(kIdempotencyLevels, c.value("Effect", "safe"));
+  return at == kIdempotencyLevels.end() ? 2 : static_cast<int>(at - kIdempotencyLevels.begin());
 }
 
-std::optional<json> SendCap(const Content& content) {
-  const Part* const allowed = content.settings.Find("Allowed");
+std::optional<json> SendCap(const VersionContent& content) {
+  const MapEntry* const allowed = content.settings.Find("Allowed");
   if (allowed == nullptr) return std::nullopt;
   const json value = json::parse(allowed->text);
   const auto at = value.is_object() ? value.find("SendCap") : value.end();
@@ -80,9 +80,9 @@
 
 // each(name, item of a, item of b) for those that both have and that differ.
 template <typename Each>
-void ForBoth(const std::optional<Parts>& a, const std::optional<Parts>& b, Each&& each) {
+void ForBoth(const std::optional<PersistentMap>& a, const std::optional<PersistentMap>& b, Each&& each) {
   if (!a || !b) return;
-  Parts::ForEachDifference(
+  PersistentMap::ForEachDifference(
       *a, *b, [&](const std::string& name, const std::string* in_a, const std::string* in_b) {
         // One that the other does not have is refused there, and nothing is done twice by that.
         if (in_a != nullptr && in_b != nullptr) each(name, json::parse(*in_a), json::parse(*in_b));
@@ -91,56 +91,56 @@
 
 }  // namespace
 
-Content::Content(const Rules& rules)
-    : barred(Hosts(rules.barred)), drain(Hosts(rules.drain)), strict(rules.strict) {
-  std::vector<Part> keys, zones;
+VersionContent::VersionContent(const ConfigDocument& rules)
+    : excluded(Hosts(rules.excluded)), draining(Hosts(rules.draining)), strict(rules.strict) {
+  std::vector<MapEntry> keys, zones;
   for (const auto& [key, value] : rules.settings.items()) {
-    if (std::optional<Parts>* const list = ListOf(key); list != nullptr) {
-      *list = NamedList(key, value);
+    if (std::optional<PersistentMap>* const list = NamedList(key); list != nullptr) {
+      *list = ParseNamedList(key, value);
     } else {
       keys.push_back({key, Dumped(value)});
     }
   }
-  settings = Parts(std::move(keys));
+  settings = PersistentMap(std::move(keys));
   for (const auto& [host, zone] : rules.zone_only) zones.push_back({host, Dumped(zone)});
-  zone_only = Parts(std::move(zones));
+  zone_only = PersistentMap(std::move(zones));
 }
 
-Rules Content::ToRules() const {
-  Rules rules;
-  settings.ForEach([&](const Part& p) { rules.settings[p.name] = json::parse(p.text); });
+ConfigDocument VersionContent::ToDocument() const {
+  ConfigDocument rules;
+  settings.ForEach([&](const MapEntry& p) { rules.settings[p.name] = json::parse(p.text); });
   for (const char* const key : kNamedLists) {
-    const std::optional<Parts>& list = *ListOf(key);
+    const std::optional<PersistentMap>& list = *NamedList(key);
     if (!list) continue;
     json items = json::array();
-    for (const Part* const p : list->Ordered()) items.push_back(json::parse(p->text));
+    for (const MapEntry* const p : list->EntriesInOrder()) items.push_back(json::parse(p->text));
     rules.settings[key] = std::move(items);
   }
-  rules.barred = Ids(barred);
-  rules.drain = Ids(drain);
-  zone_only.ForEach([&](const Part& p) { rules.zone_only[p.name] = json::parse(p.text); });
+  rules.excluded = Ids(excluded);
+  rules.draining = Ids(draining);
+  zone_only.ForEach([&](const MapEntry& p) { rules.zone_only[p.name] = json::parse(p.text); });
   rules.strict = strict;
   return rules;
 }
 
-std::optional<Parts>* Content::ListOf(std::string_view key) {
+std::optional<PersistentMap>* VersionContent::NamedList(std::string_view key) {
   return key == kNamedLists[0] ? &classes : key == kNamedLists[1] ? &tenants : nullptr;
 }
-const std::optional<Parts>* Content::ListOf(std::string_view key) const {
+const std::optional<PersistentMap>* VersionContent::NamedList(std::string_view key) const {
   return key == kNamedLists[0] ? &classes : key == kNamedLists[1] ? &tenants : nullptr;
 }
 
-std::string ToText(const Content& content) {
+std::string ToText(const VersionContent& content) {
   // The keys in their order, among them those of the lists.
   std::map<std::string_view, std::string> lists;
   for (const char* const key : kNamedLists) {
-    if (const auto& list = *content.ListOf(key)) WriteList(*list, true, lists[key]);
+    if (const auto& list = *content.NamedList(key)) WriteList(*list, true, lists[key]);
   }
   std::string out = R"({"barred":)";
-  out.reserve(BytesOf(content));
-  WriteList(content.barred, false, out);
+  out.reserve(TextBytes(content));
+  WriteList(content.excluded, false, out);
   out += R"(,"drain":)";
-  WriteList(content.drain, false, out);
+  WriteList(content.draining, false, out);
   out += R"(,"settings":{)";
   bool first = true;
   const auto field = [&](std::string_view key, const std::string& text) {
@@ -149,7 +149,7 @@
     out += ':';
     out += text;
   };
-  content.settings.ForEach([&](const Part& part) {
+  content.settings.ForEach([&](const MapEntry& part) {
     while (!lists.empty() && lists.begin()->first < part.name) {
       field(lists.begin()->first, lists.begin()->second);
       lists.erase(lists.begin());
@@ -159,52 +159,52 @@
   for (const auto& [key, text] : lists) field(key, text);
   out += R"(},"zone_only":{)";
   first = true;
-  content.zone_only.ForEach([&](const Part& part) { field(part.name, part.text); });
+  content.zone_only.ForEach([&](const MapEntry& part) { field(part.name, part.text); });
   out += "}}";
   return out;
 }
 
-size_t BytesOf(const Content& content) {
+size_t TextBytes(const VersionContent& content) {
   // Each key of an object has a colon behind it.
-  const auto fields = [](const Parts& parts) {
+  const auto fields = [](const PersistentMap& parts) {
     return parts.size() + parts.name_bytes() + parts.text_bytes();
   };
   size_t keys = content.settings.size(), settings = fields(content.settings);
   for (const char* const key : kNamedLists) {
-    const auto& list = *content.ListOf(key);
+    const auto& list = *content.NamedList(key);
     if (!list) continue;
     ++keys;
     settings += std::string_view(key).size() + 3 + ListBytes(*list);
   }
   constexpr std::string_view kFrame = R"({"barred":,"drain":,"settings":,"zone_only":})";
-  return kFrame.size() + ListBytes(content.barred) + ListBytes(content.drain) +
+  return kFrame.size() + ListBytes(content.excluded) + ListBytes(content.draining) +
          Bracketed(keys, settings) + Bracketed(content.zone_only.size(), fields(content.zone_only));
 }
 
-std::string HashOf(const Content& content) {
+std::string HashOf(const VersionContent& content) {
   std::vector<uint64_t> all;
-  const auto add = [&](const Parts& parts) {
-    all.insert(all.end(), {1, parts.size(), parts.sum().high, parts.sum().low});
+  const auto add = [&](const PersistentMap& parts) {
+    all.insert(all.end(), {1, parts.size(), parts.hash().high, parts.hash().low});
   };
   for (const char* const key : kNamedLists) {
-    const auto& list = *content.ListOf(key);
+    const auto& list = *content.NamedList(key);
     list ? add(*list) : all.push_back(0);
   }
-  for (const Parts* const parts :
-       {&content.settings, &content.barred, &content.drain, &content.zone_only}) {
+  for (const PersistentMap* const parts :
+       {&content.settings, &content.excluded, &content.draining, &content.zone_only}) {
     add(*parts);
   }
   return "p" + HashOf(std::string_view(reinterpret_cast<const char*>(all.data()),
                                        all.size() * sizeof(uint64_t)));
 }
 
-std::vector<std::string> Contradictions(const Content& a, const Content& b) {
+std::vector<std::string> Contradictions(const VersionContent& a, const VersionContent& b) {
   std::vector<std::string> why;
-  const auto differ = [&](const Parts& x, const Parts& y, const char* what) {
+  const auto differ = [&](const PersistentMap& x, const PersistentMap& y, const char* what) {
     if (x != y) why.emplace_back(what);
   };
-  differ(a.barred, b.barred, "barred: a host that one may use and the other may not");
-  differ(a.drain, b.drain, "drain: a host that one may use and the other may not");
+  differ(a.excluded, b.excluded, "barred: a host that one may use and the other may not");
+  differ(a.draining, b.draining, "drain: a host that one may use and the other may not");
   differ(a.zone_only, b.zone_only, "zone_only: a host that one may use and the other may not");
   // Where only one of two says something the other acts on the platform's, which nobody here knows.
   if (a.classes.has_value() != b.classes.has_value()) {
@@ -232,23 +232,23 @@
   return why;
 }
 
-Content Stricter(const Content& a, const Content& b) {
-  Content both = b;
+VersionContent StricterOf(const VersionContent& a, const VersionContent& b) {
+  VersionContent both = b;
   both.strict = a.strict || b.strict;
-  const auto bar = [](const Parts& more, Parts& hosts) {
-    const Parts there = hosts;
-    Parts::ForEachDifference(
+  const auto bar = [](const PersistentMap& more, PersistentMap& hosts) {
+    const PersistentMap there = hosts;
+    PersistentMap::ForEachDifference(
         more, there, [&](const std::string& id, const std::string* in_more, const std::string*) {
           if (in_more != nullptr) hosts.Set(id, *in_more);
         });
   };
-  bar(a.barred, both.barred);
-  bar(a.drain, both.drain);
-  Parts::ForEachDifference(
+  bar(a.excluded, both.excluded);
+  bar(a.draining, both.draining);
+  PersistentMap::ForEachDifference(
       a.zone_only, b.zone_only,
       [&](const std::string& host, const std::string* in_a, const std::string* in_b) {
         // Two zones that each rule the other out leave none.
-        if (in_a != nullptr && in_b != nullptr) both.barred.Set(host, Dumped(host));
+        if (in_a != nullptr && in_b != nullptr) both.excluded.Set(host, Dumped(host));
         if (in_a != nullptr && in_b == nullptr) both.zone_only.Set(host, *in_a);
       });
   const std::optional<json> cap_a = SendCap(a), cap_b = SendCap(b);
@@ -256,7 +256,7 @@
     both.strict = true;
   }
   ForBoth(a.classes, b.classes, [&](const std::string& name, const json& x, json c) {
-    c["Effect"] = kEffects[static_cast<size_t>(std::max(EffectOf(c), EffectOf(x)))];
+    c["Effect"] = kIdempotencyLevels[static_cast<size_t>(std::max(EffectOf(c), EffectOf(x)))];
     if (c.contains("Window") || x.contains("Window")) {
       c["Window"] = std::min(c.value("Window", 0.0), x.value("Window", 0.0));
     }
@@ -275,8 +275,8 @@
   return both;
 }
 
-Content Strictest(const Content& content) {
-  Content strictest = content;
+VersionContent StrictestFor(const VersionContent& content) {
+  VersionContent strictest = content;
   strictest.strict = true;
   return strictest;
 }
--- a/src/cluster/version_history.h
+++ b/src/cluster/version_history.h
@@ -20,52 +20,52 @@
 struct Change {
   std::string id;  // the submitter's: the same id again is the same change, however often it comes
   std::string author, reason;
-  double unix_s = 0;               // when it was submitted, for people; decides nothing
-  std::optional<uint64_t> expect;  // refused where another version is the latest by then
-  std::string rules;               // the whole version
-  bool delta = false;              // `rules` is a delta to whichever version is the latest by then
+  double submitted_unix_s = 0;               // when it was submitted, for people; decides nothing
+  std::optional<uint64_t> expected_version;  // refused where another version is the latest by then
+  std::string document;               // the whole version
+  bool is_delta = false;              // `rules` is a delta to whichever version is the latest by then
 };
 
 // What the leader that proposed a delta made of it: whoever makes another version of it has other
 // content than the bank.
-struct Made {
-  uint64_t base = 0;  // the version that it was applied to
+struct DeltaResult {
+  uint64_t base_version = 0;  // the version that it was applied to
   std::string hash;   // of the version that it makes
 };
 
 struct Version {
   uint64_t number = 0;
   std::string id, author, reason, hash;
-  double unix_s = 0;
+  double submitted_unix_s = 0;
   // How it came: whole, or as a delta to the version before. Of the last kWhole alone, and neither
   // is told of the oldest of them where it came as a delta.
-  std::string rules;
+  std::string document;
   raft::Index index = 0;
   std::string delta{};
-  std::optional<Content> content{};  // of the last kWhole; they share what they have in common
+  std::optional<VersionContent> content{};  // of the last kWhole; they share what they have in common
 };
 
 // Of a version that came as a delta by its parts, of one that came whole of its text.
 std::string HashOf(const Version& version);
 
-class History {
+class VersionHistory {
  public:
-  static constexpr size_t kWhole = 16;      // versions kept whole
-  static constexpr size_t kVersions = 256;  // versions remembered
-  static constexpr size_t kIds = 1024;      // changes by whose ids a repeat is known
+  static constexpr size_t kFullVersions = 16;      // versions kept whole
+  static constexpr size_t kMaxVersions = 256;  // versions remembered
+  static constexpr size_t kMaxChangeIds = 1024;      // changes by whose ids a repeat is known
 
   // The entries.
-  static std::string ChangeEntry(const Change& change, const Made& made = {});
+  static std::string ChangeEntry(const Change& change, const DeltaResult& made = {});
   // `hash`: of that version; empty: none is told.
-  static std::string OnEntry(uint64_t version, const std::string& hash = "");
+  static std::string InForceEntry(uint64_t version, const std::string& hash = "");
   static std::string FormedEntry();
 
   struct Result {
-    bool change = false, on = false;  // what the entry was
+    bool is_change = false, is_in_force = false;  // what the entry was
     std::string id;                   // of a change
-    bool again = false;               // it had been taken before
+    bool is_repeat = false;               // it had been taken before
     uint64_t version = 0;             // 0: refused
-    std::string refused;
+    std::string refusal_reason;
   };
   Result Apply(raft::Index index, const std::string& entry);
 
@@ -77,45 +77,45 @@
 
   // The version in force, and the last that was taken: it comes into force once every member that
   // may act has it. 0: none yet, the platform's alone.
-  [[nodiscard]] uint64_t on() const { return on_; }
-  [[nodiscard]] uint64_t latest() const { return versions_.empty() ? 0 : versions_.back().number; }
+  [[nodiscard]] uint64_t version_in_force() const { return version_in_force_; }
+  [[nodiscard]] uint64_t latest_version() const { return versions_.empty() ? 0 : versions_.back().number; }
   // The entry that every member that holds a lease must have applied.
   [[nodiscard]] raft::Index latest_index() const {
     return versions_.empty() ? 0 : versions_.back().index;
   }
   // What to act on: the version in force, and of those behind it only what is stricter.
-  [[nodiscard]] const Content& acting() const { return acting_; }
+  [[nodiscard]] const VersionContent& effective_content() const { return effective_content_; }
   [[nodiscard]] const std::deque<Version>& versions() const { return versions_; }
   [[nodiscard]] const Version* Find(uint64_t number) const;
   // The content of the last version, the platform's alone where there is none.
-  [[nodiscard]] const Content& latest_content() const { return latest_content_; }
+  [[nodiscard]] const VersionContent& latest_content() const { return latest_content_; }
   [[nodiscard]] size_t latest_bytes() const {
-    return versions_.empty() ? 0 : BytesOf(latest_content_);
+    return versions_.empty() ? 0 : TextBytes(latest_content_);
   }
   // The kept versions from `first` on, in their order.
-  void Walk(uint64_t first, const std::function<void(const Version&, const Content&)>& each) const;
+  void ForEachVersion(uint64_t first, const std::function<void(const Version&, const VersionContent&)>& each) const;
   // Why the content here is not what the bank has agreed on; empty: nothing speaks against it. A
   // later version settles it where its hash is as agreed, or where it came whole and is on.
-  [[nodiscard]] const std::string& differs() const { return differs_; }
+  [[nodiscard]] const std::string& content_mismatch() const { return content_mismatch_; }
   // A version is missing here: its numbers are not those of the others, and it must not lead.
-  [[nodiscard]] bool miscounts() const { return differs_at_ == UINT64_MAX; }
+  [[nodiscard]] bool numbering_mismatch() const { return mismatch_version_ == UINT64_MAX; }
   // All voters that the operator's file named at first have joined.
   [[nodiscard]] bool formed() const { return formed_; }
 
  private:
-  void TurnOn(uint64_t version);
+  void PutInForce(uint64_t version);
   void Trim();
-  void Differ(uint64_t version, const std::string& why);
-  void Compare(uint64_t version, const std::string& here, const std::string& agreed);
+  void RecordMismatch(uint64_t version, const std::string& why);
+  void CompareHash(uint64_t version, const std::string& here, const std::string& agreed);
 
   std::deque<Version> versions_;
   std::deque<std::pair<std::string, Result>> ids_;
-  uint64_t on_ = 0;
+  uint64_t version_in_force_ = 0;
   bool formed_ = false;
-  Content acting_, latest_content_;
-  std::string differs_;
-  uint64_t differs_at_ = 0;  // the last version of which it is known; UINT64_MAX: it has no number
-  uint64_t whole_at_ = 0;    // the last version that came whole
+  VersionContent effective_content_, latest_content_;
+  std::string content_mismatch_;
+  uint64_t mismatch_version_ = 0;  // the last version of which it is known; UINT64_MAX: it has no number
+  uint64_t last_full_version_ = 0;    // the last version that came whole
 };
 
 }  // namespace paddlestile::cluster
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -68,7 +68,7 @@
   if (found == nullptr) return;
   for (const Json& item : found->items()) {
     const bool word = item.type() == Json::Type::kString;
-    table.Add(word ? item.text() : item.Need("Name", Json::Type::kString).text());
+    table.Add(word ? item.text() : item.Require("Name", Json::Type::kString).text());
   }
 }
 
@@ -91,7 +91,7 @@
   const Json* const admin = json.Find("admin");
   if (admin == nullptr || admin->type() == Json::Type::kNull) return std::nullopt;
   try {
-    return ParseAddress(json.Need("admin", Json::Type::kString).text());
+    return ParseAddress(json.Require("admin", Json::Type::kString).text());
   } catch (const ConfigError& error) {
     throw ConfigError(fmt::format("'admin': {}", error.what()));
   }
@@ -115,12 +115,12 @@
                                                                  : names.size();
 }
 
-HostEntry ParseHost(const Json& json, const Names& names,
+EndpointListEntry ParseHost(const Json& json, const NameTables& names,
                     const std::function<Time(double)>& from_wall) {
-  HostEntry entry;
-  entry.info.id = json.Need("id", Json::Type::kString).text();
+  EndpointListEntry entry;
+  entry.info.id = json.Require("id", Json::Type::kString).text();
   if (entry.info.id.empty()) throw JsonError("an empty 'id'");
-  const std::string& phase = json.Need("phase", Json::Type::kString).text();
+  const std::string& phase = json.Require("phase", Json::Type::kString).text();
   // A phase that is not known is none that asks for work.
   entry.info.state = phase == "active" ? EndpointState::kUp
                      : phase == "left" ? EndpointState::kRemoved
@@ -132,7 +132,7 @@
     throw JsonError(fmt::format("no 'host_port' for {}", entry.info.id));
   }
   entry.info.zone = static_cast<int>(PlaceOf(json.Find("locality"), names.zones));
-  entry.info.kind = PlaceOf(json.Find("flavor"), names.kinds);
+  entry.info.machine_kind = PlaceOf(json.Find("flavor"), names.kinds);
   if (const Json* const cell = json.Find("cell")) {
     // NOLINTNEXTLINE(bugprone-narrowing-conversions): bounded here
     entry.info.cell = static_cast<int>(std::fmin(std::fmax(cell->number(), 0), 1e9));
@@ -141,7 +141,7 @@
     entry.info.weight = size->number();
   }
   if (const Json* const since = json.Find("up_since_ms")) {
-    entry.info.launched = from_wall(since->number());
+    entry.info.started_at = from_wall(since->number());
   }
   return entry;
 }
@@ -168,7 +168,7 @@
   }
 }
 
-void TakeSettings(const Json& settings, Config& config) {
+void TakeSettings(const Json& settings, GatewayConfig& config) {
   config.settings = simulator::ParseSettings(FlattenSettings(settings));
   AddNames(settings, "Classes", config.names.classes);
   AddNames(settings, "Tenants", config.names.tenants);
@@ -181,14 +181,14 @@
   }
   if (const Json* const allowed = settings.Find("Allowed")) {
     if (const Json* const idle = allowed->Find("IdleClose"); idle && idle->number() > 0) {
-      config.idle_close = Duration(std::llround(std::fmin(idle->number(), 1e9) * 1000));
+      config.endpoint_idle_timeout = Duration(std::llround(std::fmin(idle->number(), 1e9) * 1000));
     }
   }
 }
 
-Config ParseConfig(const Json& json, const std::function<Time(double)>& from_wall) {
-  Config config;
-  const std::string& seed = json.Need("seed", Json::Type::kString).text();
+GatewayConfig ParseConfig(const Json& json, const std::function<Time(double)>& from_wall) {
+  GatewayConfig config;
+  const std::string& seed = json.Require("seed", Json::Type::kString).text();
   const auto read = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (read.ec != std::errc() || read.ptr != seed.data() + seed.size()) {
     throw ConfigError(fmt::format("'seed' is '{}', expected a hexadecimal number", seed));
@@ -200,12 +200,12 @@
         throw ConfigError(
             fmt::format("'limits.sockets' is {}, expected 64 to 1000000", sockets->text()));
       }
-      config.sockets = static_cast<size_t>(sockets->number());
+      config.max_sockets = static_cast<size_t>(sockets->number());
     }
   }
-  TakeSettings(json.Need("settings", Json::Type::kObject), config);
-  CollectKeys("", json, config.keys);
-  config.known = ParseHostList(json.Need("known", Json::Type::kObject), config.names, from_wall);
+  TakeSettings(json.Require("settings", Json::Type::kObject), config);
+  CollectKeys("", json, config.file_keys);
+  config.initial_endpoints = ParseEndpointList(json.Require("known", Json::Type::kObject), config.names, from_wall);
   return config;
 }
 
@@ -220,7 +220,7 @@
       fmt::format("over {} {} gone since the start, expected a restart", kGoneMost, what));
 }
 
-void KeepPlaces(const Config& was, Time now, Config& config) {
+void KeepPlaces(const GatewayConfig& was, Time now, GatewayConfig& config) {
   const auto keep = [&](std::string_view what, const NameTable& old, NameTable& table, auto& values,
                         const auto& old_values, std::vector<Time>& until,
                         const std::vector<Time>& old_until) {
@@ -230,7 +230,7 @@
     for (size_t i = 0; i < over.size() && i < old_until.size(); ++i) {
       if (old_until[i] != Time::max()) over[i] = old_until[i];  // gone before
     }
-    for (const auto& [name, place] : table.places()) {
+    for (const auto& [name, place] : table.positions()) {
       if (place >= values.size()) continue;
       if (merged.Find(name) == merged.size()) merged.Add(name);
       const size_t at = merged.Find(name);
@@ -245,14 +245,14 @@
     values = std::move(kept);
     until = std::move(over);
   };
-  Names& names = config.names;
+  NameTables& names = config.names;
   keep("classes", was.names.classes, names.classes, config.settings.classes, was.settings.classes,
-       names.classes_until, was.names.classes_until);
+       names.classes_expire_at, was.names.classes_expire_at);
   keep("tenants", was.names.tenants, names.tenants, config.settings.tenants, was.settings.tenants,
-       names.tenants_until, was.names.tenants_until);
+       names.tenants_expire_at, was.names.tenants_expire_at);
   // The own zone is told by its place.
   const auto own = static_cast<size_t>(config.settings.zone);
-  for (const auto& [name, place] : names.zones.places()) {
+  for (const auto& [name, place] : names.zones.positions()) {
     const size_t before = was.names.zones.Find(name);
     if (place == own && before < was.names.zones.size()) {
       config.settings.zone = static_cast<int>(before);
@@ -261,7 +261,7 @@
   for (const bool zones : {true, false}) {
     NameTable& table = zones ? names.zones : names.kinds;
     NameTable merged = zones ? was.names.zones : was.names.kinds;
-    for (const auto& [name, place] : table.places()) {
+    for (const auto& [name, place] : table.positions()) {
       if (merged.Find(name) == merged.size()) merged.Add(name);
     }
     table = std::move(merged);
@@ -271,9 +271,9 @@
 // The settings' faults: each one that is found is taken out and the rest looked at again.
 void CheckAllSettings(const Json& json, std::vector<std::string>& faults) {
   std::string text = FlattenSettings(json);
-  while (faults.size() < kMostFaults) {
+  while (faults.size() < kMaxReportedFaults) {
     try {
-      CheckSettings(simulator::ParseSettings(text));
+      ValidateSettings(simulator::ParseSettings(text));
       return;
     } catch (const std::exception& error) {
       const std::string what = error.what();
@@ -293,28 +293,28 @@
 }  // namespace
 
 void NameTable::Add(std::string name) {
-  if (places_.use_count() > 1) places_ = std::make_shared<Places>(*places_);
-  places_->emplace(std::move(name), size_++);
+  if (positions_.use_count() > 1) positions_ = std::make_shared<Positions>(*positions_);
+  positions_->emplace(std::move(name), size_++);
 }
 
 size_t NameTable::Find(std::string_view name) const {
-  const auto at = places_->find(name);
-  return at == places_->end() ? size_ : at->second;
+  const auto at = positions_->find(name);
+  return at == positions_->end() ? size_ : at->second;
 }
 
-HostList ParseHostList(const Json& json, const Names& names,
+EndpointList ParseEndpointList(const Json& json, const NameTables& names,
                        const std::function<Time(double)>& from_wall) {
-  HostList list;
-  list.revision = json.Need("revision", Json::Type::kNumber).number();
+  EndpointList list;
+  list.revision = json.Require("revision", Json::Type::kNumber).number();
   const Json* const complete = json.Find("complete");
   list.complete = complete != nullptr && complete->boolean();
-  for (const Json& member : json.Need("members", Json::Type::kArray).items()) {
-    list.members.push_back(ParseHost(member, names, from_wall));
+  for (const Json& member : json.Require("members", Json::Type::kArray).items()) {
+    list.endpoints.push_back(ParseHost(member, names, from_wall));
   }
   return list;
 }
 
-std::vector<std::string> NotCarriedOut(const Settings& settings) {
+std::vector<std::string> UnsupportedSettings(const Settings& settings) {
   std::vector<std::string> lines;
   if (settings.allowed.peer_messages) {
     lines.emplace_back("Allowed.PeerMessages is true: gateways on sockets send one another none");
@@ -336,32 +336,32 @@
 namespace {
 
 // What makes sense alone and not together; throws what is wrong.
-void CheckWhole(const Config& config) {
-  CheckSettings(config.settings);
-  if (config.names.classes.places().size() != config.settings.classes.size()) {
+void CheckWhole(const GatewayConfig& config) {
+  ValidateSettings(config.settings);
+  if (config.names.classes.positions().size() != config.settings.classes.size()) {
     throw ConfigError("'settings.Classes' names one twice, expected each once");
   }
-  if (config.names.tenants.places().size() != config.settings.tenants.size()) {
+  if (config.names.tenants.positions().size() != config.settings.tenants.size()) {
     throw ConfigError("'settings.Tenants' names one twice, expected each once");
   }
 }
 
 // What `text` says after `was`, and with all of these keys; throws what is wrong.
-Config ParseAgain(const std::string& text, const Config& was, const std::set<std::string>& keys,
+GatewayConfig ParseAgain(const std::string& text, const GatewayConfig& was, const std::set<std::string>& keys,
                   Time now, const std::function<Time(double)>& from_wall) {
   const Json json = Json::Parse(text);
-  Config config = ParseConfig(json, from_wall);
+  GatewayConfig config = ParseConfig(json, from_wall);
   for (const std::string& key : keys) {
     // The fields of a list's items are only those of items that are there.
     const size_t item = key.find(".*");
-    const bool none = item != std::string::npos && !config.keys.contains(key.substr(0, item + 2));
-    if (!none && !config.keys.contains(key)) {
+    const bool none = item != std::string::npos && !config.file_keys.contains(key.substr(0, item + 2));
+    if (!none && !config.file_keys.contains(key)) {
       throw ConfigError(fmt::format("no '{}', expected as before", key));
     }
   }
   CheckWhole(config);
   if (json.Find("discovery") != nullptr) {
-    config.discovery = ParseAddress(json.Need("discovery", Json::Type::kString).text());
+    config.discovery = ParseAddress(json.Require("discovery", Json::Type::kString).text());
   } else {
     config.discovery = was.discovery;
   }
@@ -370,18 +370,18 @@
   config.listen = was.listen;
   config.admin = was.admin;
   config.seed = was.seed;
-  config.sockets = was.sockets;
-  config.text = text;
+  config.max_sockets = was.max_sockets;
+  config.file_text = text;
   KeepPlaces(was, now, config);
   return config;
 }
 
 }  // namespace
 
-Config ReadAgain(const Config& was, Time now, const std::function<Time(double)>& from_wall) {
+GatewayConfig ReloadGatewayConfig(const GatewayConfig& was, Time now, const std::function<Time(double)>& from_wall) {
   const std::string text = ReadFile(was.path);
   try {
-    return ParseAgain(text, was, was.keys, now, from_wall);
+    return ParseAgain(text, was, was.file_keys, now, from_wall);
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("LB_CONFIG: {}: {}", was.path, error.what()));
   }
@@ -395,9 +395,9 @@
 
 }  // namespace
 
-void CheckTenants(const std::vector<TenantChange>& changes, const Config& config) {
+void ValidateTenantChanges(const std::vector<TenantChange>& changes, const GatewayConfig& config) {
   const NameTable& table = config.names.tenants;
-  const std::vector<Time>& until = config.names.tenants_until;
+  const std::vector<Time>& until = config.names.tenants_expire_at;
   bool grows = false;
   ptrdiff_t gone = 0;  // more of them
   for (const auto& [name, figures] : changes) {
@@ -415,10 +415,10 @@
   CheckGone("tenants", grows, std::ssize(until) - std::ranges::count(until, Time::max()) + gone);
 }
 
-void ChangeTenants(const std::vector<TenantChange>& changes, Time now, Config& config) {
-  CheckTenants(changes, config);
+void ApplyTenantChanges(const std::vector<TenantChange>& changes, Time now, GatewayConfig& config) {
+  ValidateTenantChanges(changes, config);
   NameTable& table = config.names.tenants;
-  std::vector<Time>& until = config.names.tenants_until;
+  std::vector<Time>& until = config.names.tenants_expire_at;
   for (const auto& [name, figures] : changes) {
     const size_t place = table.Find(name);
     if (place == table.size()) {
@@ -433,8 +433,8 @@
   }
 }
 
-std::optional<std::vector<TenantChange>> SettingsUnderRules::TenantsChanged(
-    const cluster::Content& was, const cluster::Content& rules) {
+std::optional<std::vector<TenantChange>> VersionedSettings::TenantsChanged(
+    const cluster::VersionContent& was, const cluster::VersionContent& rules) {
   if (was.strict != rules.strict || was.settings != rules.settings ||
       was.classes != rules.classes || was.tenants.has_value() != rules.tenants.has_value()) {
     return std::nullopt;
@@ -442,22 +442,22 @@
   std::vector<TenantChange> changes;
   if (!rules.tenants) return changes;
   std::string list;
-  cluster::Parts::ForEachDifference(
+  cluster::PersistentMap::ForEachDifference(
       *was.tenants, *rules.tenants,
       [&](const std::string& name, const std::string*, const std::string* now) {
         changes.push_back({name, std::nullopt});
         if (now != nullptr) {
           list += (list.empty() ? "" : ",") + *now;
-          changes.back().figures.emplace();
+          changes.back().quota.emplace();
         }
       });
   try {
     if (list.empty()) return changes;
     const Json json = Json::Parse(fmt::format("{{\"Tenants\":[{}]}}", list));
-    const std::vector<Tenant> figures = simulator::ParseSettings(FlattenSettings(json)).tenants;
+    const std::vector<TenantQuota> figures = simulator::ParseSettings(FlattenSettings(json)).tenants;
     size_t next = 0;
     for (TenantChange& change : changes) {
-      if (change.figures) change.figures = figures.at(next++);
+      if (change.quota) change.quota = figures.at(next++);
     }
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("bank: {}", error.what()));
@@ -465,18 +465,18 @@
   return changes;
 }
 
-SettingsUnderRules::SettingsUnderRules(const Config& file) : discovery_(file.discovery) {
+VersionedSettings::VersionedSettings(const GatewayConfig& file) : discovery_(file.discovery) {
   try {
-    settings_ = nlohmann::json::parse(file.text).at("settings");
+    settings_ = nlohmann::json::parse(file.file_text).at("settings");
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("LB_CONFIG: {}: {}", file.path, error.what()));
   }
 }
 
-Config SettingsUnderRules::Whole(const cluster::Content& rules, const Config& was, Time now) const {
+GatewayConfig VersionedSettings::ApplyWholeVersion(const cluster::VersionContent& rules, const GatewayConfig& was, Time now) const {
   nlohmann::json settings = settings_;
-  settings.merge_patch(rules.ToRules().settings);
-  Config config;
+  settings.merge_patch(rules.ToDocument().settings);
+  GatewayConfig config;
   TakeSettings(Json::Parse(settings.dump()), config);
   CheckWhole(config);
   config.path = was.path;
@@ -485,38 +485,38 @@
   config.discovery = discovery_;
   config.admin = was.admin;
   config.seed = was.seed;
-  config.sockets = was.sockets;
+  config.max_sockets = was.max_sockets;
   KeepPlaces(was, now, config);
   if (!rules.strict) return config;
-  for (RequestClass& c : config.settings.classes) c.effect = Effect::kUnsafe;
-  config.settings.allowed.send_cap = 1;
+  for (RequestClass& c : config.settings.classes) c.idempotency = Idempotency::kUnsafe;
+  config.settings.allowed.max_attempts = 1;
   return config;
 }
 
-Config SettingsUnderRules::With(const cluster::Content& rules, const Config& was,
-                                const cluster::Content* was_rules, Time now) const {
+GatewayConfig VersionedSettings::ApplyVersion(const cluster::VersionContent& rules, const GatewayConfig& was,
+                                const cluster::VersionContent* was_rules, Time now) const {
   try {
     const auto changes = was_rules == nullptr ? std::nullopt : TenantsChanged(*was_rules, rules);
-    if (!changes) return Whole(rules, was, now);
-    Config config = was;
-    ChangeTenants(*changes, now, config);
+    if (!changes) return ApplyWholeVersion(rules, was, now);
+    GatewayConfig config = was;
+    ApplyTenantChanges(*changes, now, config);
     return config;
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("bank: {}", error.what()));
   }
 }
 
-std::string Changes(const Config& was, const Config& now) {
+std::string DescribeChanges(const GatewayConfig& was, const GatewayConfig& now) {
   std::string words;
   const auto add = [&](std::string_view what) {
     words += fmt::format("{}{}", words.empty() ? "" : ", ", what);
   };
   if (was.discovery != now.discovery) add("discovery at " + ToText(now.discovery));
-  const auto gone = [](const Config& config, size_t place) {
-    const auto& until = config.names.classes_until;
+  const auto gone = [](const GatewayConfig& config, size_t place) {
+    const auto& until = config.names.classes_expire_at;
     return place < until.size() && until[place] != Time::max();
   };
-  for (const auto& [name, place] : now.names.classes.places()) {
+  for (const auto& [name, place] : now.names.classes.positions()) {
     const bool there = place < was.settings.classes.size() && !gone(was, place);
     if (there == gone(now, place)) {
       add(fmt::format("class {} {}", name, there ? "gone" : "new"));
@@ -524,12 +524,12 @@
       add(fmt::format("class {} changed", name));
     }
   }
-  const int before = was.settings.allowed.send_cap, after = now.settings.allowed.send_cap;
+  const int before = was.settings.allowed.max_attempts, after = now.settings.allowed.max_attempts;
   if (before != after) add(fmt::format("attempts {} to {}", before, after));
   return words;
 }
 
-std::vector<std::string> CheckConfig(const std::string& path) {
+std::vector<std::string> ValidateGatewayConfig(const std::string& path) {
   std::vector<std::string> faults;
   std::string text;
   try {
@@ -548,7 +548,7 @@
                         error.what())};
   }
   const auto look = [&](std::string_view where, const auto& at) {
-    if (faults.size() >= kMostFaults) return;
+    if (faults.size() >= kMaxReportedFaults) return;
     try {
       at();
     } catch (const std::exception& error) {
@@ -559,11 +559,11 @@
     // A gateway takes them from the environment at its start; a new discovery from here.
     const Json* const address = json.Find(name);
     if (address == nullptr) continue;
-    look(name, [&] { ParseAddress(json.Need(name, Json::Type::kString).text()); });
+    look(name, [&] { ParseAddress(json.Require(name, Json::Type::kString).text()); });
   }
-  Names names;
+  NameTables names;
   look("", [&] {
-    const Json& settings = json.Need("settings", Json::Type::kObject);
+    const Json& settings = json.Require("settings", Json::Type::kObject);
     CheckAllSettings(settings, faults);
     AddNames(settings, "FailureDomains", names.zones);
     AddNames(settings, "Kinds", names.kinds);
@@ -571,13 +571,13 @@
     AddNames(settings, "Tenants", names.tenants);
     for (const auto& [list, table] :
          {std::pair("Classes", &names.classes), std::pair("Tenants", &names.tenants)}) {
-      if (table->places().size() == table->size()) continue;
+      if (table->positions().size() == table->size()) continue;
       faults.push_back(fmt::format("settings.{}: a name twice, expected each once", list));
     }
   });
   look("", [&] {
     for (const Json& member :
-         json.Need("known", Json::Type::kObject).Need("members", Json::Type::kArray).items()) {
+         json.Require("known", Json::Type::kObject).Require("members", Json::Type::kArray).items()) {
       const auto place = &member - json.Find("known")->Find("members")->items().data();
       look(fmt::format("known.members.{}", place),
            [&] { ParseHost(member, names, [](double) { return Time(0); }); });
@@ -589,7 +589,7 @@
   return faults;
 }
 
-Config ReadConfig(const std::function<const char*(const char*)>& env,
+GatewayConfig ReadGatewayConfig(const std::function<const char*(const char*)>& env,
                   const std::function<Time(double)>& from_wall) {
   const std::string name = NeedVariable(env, "LB_NAME");
   const Address listen = AddressVariable(env, "LB_LISTEN");
@@ -601,14 +601,14 @@
   const std::string text = ReadFile(path);
   try {
     const Json json = Json::Parse(text);
-    Config config = ParseConfig(json, from_wall);
+    GatewayConfig config = ParseConfig(json, from_wall);
     CheckWhole(config);
     config.admin = admin ? admin : AdminOf(json);
     config.path = path;
     config.name = name;
     config.listen = listen;
     config.discovery = discovery;
-    config.text = text;
+    config.file_text = text;
     return config;
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("LB_CONFIG: {}: {}", path, error.what()));
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -258,7 +258,7 @@
   return nullptr;
 }
 
-const Json& Json::Need(std::string_view name, Type type) const {
+const Json& Json::Require(std::string_view name, Type type) const {
   const Json* const value = Find(name);
   if (value == nullptr) throw JsonError(fmt::format("'{}' is missing", name));
   if (value->type() != type) throw JsonError(fmt::format("'{}' is of the wrong type", name));
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -36,7 +36,7 @@
   // A field of an object; null where there is none.
   [[nodiscard]] const Json* Find(std::string_view name) const;
   // A field that must be there and of this type; throws JsonError, naming it.
-  [[nodiscard]] const Json& Need(std::string_view name, Type type) const;
+  [[nodiscard]] const Json& Require(std::string_view name, Type type) const;
 
  private:
   friend class JsonParser;
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -87,7 +87,7 @@
 }  // namespace
 
 Migration Migrate(const std::string& path, const MigrateOptions& options) {
-  const std::vector<std::string> faults = CheckConfig(path);
+  const std::vector<std::string> faults = ValidateGatewayConfig(path);
   if (!faults.empty()) throw ConfigError(fmt::format("{}: {}", path, faults.front()));
   std::ifstream file(path, std::ios::binary);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
@@ -104,7 +104,7 @@
   return Migrator(std::move(json), options).Run();
 }
 
-void WriteWhole(const std::string& path, const std::string& text, bool replace) {
+void WriteFileAtomically(const std::string& path, const std::string& text, bool replace) {
   const auto bad = [&](const std::string& what) {
     return ConfigError(fmt::format("{}: {}: {}", path, what, std::strerror(errno)));
   };
--- a/src/config/migration.h
+++ b/src/config/migration.h
@@ -26,7 +26,7 @@
 
 // Writes a file whole or not at all, beside its place first. Throws ConfigError with one line; a
 // file that is there is left as it was unless `replace`.
-void WriteWhole(const std::string& path, const std::string& text, bool replace);
+void WriteFileAtomically(const std::string& path, const std::string& text, bool replace);
 
 }  // namespace paddlestile
 
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -72,8 +72,8 @@
 
 Duration Millis(double ms) { return Duration(static_cast<int64_t>(ms * 1000)); }
 
-BankConfig Read(std::string_view text, const std::string& path, std::vector<std::string>& faults) {
-  BankConfig config;
+ClusterConfig Read(std::string_view text, const std::string& path, std::vector<std::string>& faults) {
+  ClusterConfig config;
   config.path = path;
   Reader read(path, faults);
   toml::table file;
@@ -93,13 +93,13 @@
   read.Known(*bank, "bank.",
              {"name", "folder", "heartbeat_ms", "election_ms", "lease_ms", "clock_rate",
               "when_lost", "changes", "members", "lab_clock_factor", "lab_disk"});
-  config.bank = read.Text(*bank, "name", "bank.name");
+  config.cluster_name = read.Text(*bank, "name", "bank.name");
   config.folder = read.Text(*bank, "folder", "bank.folder");
   double heartbeat = 100, election = 500, lease = 1000;
   read.Number(*bank, "heartbeat_ms", heartbeat, 5, 10'000);
   read.Number(*bank, "election_ms", election, 15, 60'000);
   read.Number(*bank, "lease_ms", lease, 15, 60'000);
-  read.Number(*bank, "clock_rate", config.timing.clock_rate, 0, 0.2);
+  read.Number(*bank, "clock_rate", config.timing.clock_rate_error, 0, 0.2);
   read.Number(*bank, "lab_clock_factor", config.clock_factor, 0.5, 2);
   if (bank->get("lab_disk") != nullptr) {
     config.disk_control = read.Text(*bank, "lab_disk", "bank.lab_disk");
@@ -110,22 +110,22 @@
   if (lease < 3 * heartbeat) {
     read.Fault(bank->get("lease_ms"), "bank.lease_ms", "too short", "3 heartbeats at least");
   }
-  config.timing.heartbeat = Millis(heartbeat);
-  config.timing.election = Millis(election);
-  config.timing.lease = Millis(lease);
+  config.timing.heartbeat_interval = Millis(heartbeat);
+  config.timing.election_timeout = Millis(election);
+  config.timing.lease_duration = Millis(lease);
   if (const toml::node* const lost = bank->get("when_lost")) {
     const std::string word = lost->value<std::string>().value_or("");
     if (word != "serve" && word != "drain") {
       read.Fault(lost, "bank.when_lost", fmt::format("'{}'", word), "serve or drain");
     }
-    config.when_lost = word == "drain" ? WhenLost::kDrain : WhenLost::kServe;
+    config.when_disconnected = word == "drain" ? WhenDisconnected::kDrain : WhenDisconnected::kServe;
   }
   if (const toml::node* const changes = bank->get("changes")) {
     const std::string word = changes->value<std::string>().value_or("");
     if (word != "whole" && word != "delta") {
       read.Fault(changes, "bank.changes", fmt::format("'{}'", word), "whole or delta");
     }
-    config.changes = word == "delta" ? ChangeForm::kDelta : ChangeForm::kWhole;
+    config.change_encoding = word == "delta" ? ChangeEncoding::kDelta : ChangeEncoding::kWhole;
   }
   const toml::array* const members = (*bank)["members"].as_array();
   if (members == nullptr || members->empty()) {
@@ -142,15 +142,15 @@
       continue;
     }
     read.Known(*member, where, {"name", "address", "dial", "votes"});
-    BankConfig::Seat seat;
+    ClusterConfig::MemberAddress seat;
     const std::string name = read.Text(*member, "name", where + "name");
     const auto address = read.Place(*member, "address", where + "address");
-    if (address) seat.address = seat.dial = *address;
+    if (address) seat.address = seat.dial_address = *address;
     if (address && !taken.emplace(address->host, address->port).second) {
       read.Fault(member->get("address"), where + "address", "another member has it", "its own");
     }
     if (member->get("dial") != nullptr) {
-      seat.dial = read.Place(*member, "dial", where + "dial").value_or(seat.dial);
+      seat.dial_address = read.Place(*member, "dial", where + "dial").value_or(seat.dial_address);
     }
     if (const toml::node* const node = member->get("votes")) {
       const auto vote = node->value<bool>();
@@ -163,7 +163,7 @@
                  "each member once");
     }
   }
-  if (votes % 2 == 0 || votes > raft::kVotersMost) {
+  if (votes % 2 == 0 || votes > raft::kMaxVoters) {
     read.Fault(members, "bank.members", fmt::format("{} members vote", votes),
                "an odd number of them, 3 or 5 for a bank that bears a loss");
   }
@@ -172,28 +172,28 @@
 
 }  // namespace
 
-std::vector<std::string> CheckBank(std::string_view text, const std::string& path) {
+std::vector<std::string> ValidateClusterConfig(std::string_view text, const std::string& path) {
   std::vector<std::string> faults;
   Read(text, path, faults);
   return faults;
 }
 
-std::map<std::string, Address> MembersOf(std::string_view text, const std::string& path) {
+std::map<std::string, Address> ReadMemberAddresses(std::string_view text, const std::string& path) {
   std::vector<std::string> faults;
-  const BankConfig config = Read(text, path, faults);
+  const ClusterConfig config = Read(text, path, faults);
   if (!faults.empty()) throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
   std::map<std::string, Address> members;
   for (const auto& [name, seat] : config.members) members[name] = seat.address;
   return members;
 }
 
-BankConfig ReadBank(const std::string& path, const std::string& name) {
+ClusterConfig ReadClusterConfig(const std::string& path, const std::string& name) {
   std::ifstream file(path, std::ios::binary);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   if (!file)
     throw ConfigError(fmt::format("{}: cannot read it, expected the operator's file", path));
   std::vector<std::string> faults;
-  BankConfig config = Read(text, path, faults);
+  ClusterConfig config = Read(text, path, faults);
   if (!faults.empty()) throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
   if (!config.members.contains(name)) {
     throw ConfigError(
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -13,39 +13,39 @@
 namespace paddlestile {
 
 // What a gateway does with hosts that others may have barred, once it has lost the bank.
-enum class WhenLost {
+enum class WhenDisconnected {
   kServe,  // goes on with what it knows, nothing sent twice
   kDrain   // empties itself and gives up what comes, until it is in touch again
 };
 
 // How a leader proposes a version: as a whole, or by what differs from the one before.
-enum class ChangeForm { kWhole, kDelta };
+enum class ChangeEncoding { kWhole, kDelta };
 
-struct BankConfig {
-  std::string path, bank;
+struct ClusterConfig {
+  std::string path, cluster_name;
   std::string folder;  // of this member, `{name}` replaced
-  struct Seat {
+  struct MemberAddress {
     Address address;
-    Address dial;  // where the others reach it, if elsewhere
+    Address dial_address;  // where the others reach it, if elsewhere
     bool votes = false;
   };
-  std::map<std::string, Seat> members;
-  raft::Timing timing;
-  WhenLost when_lost = WhenLost::kServe;
-  ChangeForm changes = ChangeForm::kWhole;
+  std::map<std::string, MemberAddress> members;
+  raft::RaftTiming timing;
+  WhenDisconnected when_disconnected = WhenDisconnected::kServe;
+  ChangeEncoding change_encoding = ChangeEncoding::kWhole;
   // Of a lab: this process's clock runs so much faster; what its disk does, see controlled_files.h.
   double clock_factor = 1;
   std::string disk_control;
 };
 
 // All that is wrong in the file, a line each: "FILE:LINE: KEY: what, expected ...". Empty: good.
-std::vector<std::string> CheckBank(std::string_view text, const std::string& path);
+std::vector<std::string> ValidateClusterConfig(std::string_view text, const std::string& path);
 
 // The members' addresses by name; throws ConfigError with those lines.
-std::map<std::string, Address> MembersOf(std::string_view text, const std::string& path);
+std::map<std::string, Address> ReadMemberAddresses(std::string_view text, const std::string& path);
 
 // For the member `name`; throws ConfigError with those lines, or where the name is none of them.
-BankConfig ReadBank(const std::string& path, const std::string& name);
+ClusterConfig ReadClusterConfig(const std::string& path, const std::string& name);
 
 }  // namespace paddlestile
 
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -27,19 +27,19 @@
 
 }  // namespace
 
-class List::Call final : public Stream::Owner {
+class DiscoveryClient::Call final : public Stream::Listener {
  public:
-  Call(List& list, Socket socket, bool watch)
+  Call(DiscoveryClient& list, Socket socket, bool watch)
       : list_(list),
         loop_(list.loop_),
         watch_(watch),
-        whole_(MessageParser::Kind::kAnswer, list.most_list_),
+        whole_(HttpParser::Kind::kResponse, list.max_list_bytes_),
         stream_(list.loop_, std::move(socket), this, true) {
-    stream_.set_most_unread(kReadAtOnce);
+    stream_.set_max_unread_bytes(kReadAtOnce);
   }
   Call(const Call&) = delete;
   Call& operator=(const Call&) = delete;
-  virtual ~Call() { loop_.Cancel(timer_); }
+  virtual ~Call() { loop_.CancelTimer(timer_); }
 
   bool Start() {
     if (!stream_.Start()) return false;
@@ -47,7 +47,7 @@
     return true;
   }
   void Stop() {
-    loop_.Cancel(timer_);
+    loop_.CancelTimer(timer_);
     stream_.Close();
   }
   [[nodiscard]] bool watch() const { return watch_; }
@@ -62,82 +62,82 @@
                               ToText(list_.discovery_)));
     // An agent that pushes says what it has at once: one that accepts and says nothing is asked
     // again soon, or what a silent watch before it missed would come too late.
-    SetTimer(watch_ && !list_.own_watch_ ? kSilence : kCallTime);
+    SetTimer(watch_ && !list_.self_renewing_watch_ ? kSilence : kCallTime);
     alive_at_ = loop_.Now();
   }
 
-  void OnBroken() override { list_.Failed(*this, "connection broken"); }
+  void OnError() override { list_.OnCallFailed(*this, "connection broken"); }
 
-  void OnRead() override {
+  void OnData() override {
     if (!watch_) {
       ReadWhole();
     } else if (in_body_ || ReadHead()) {
       ReadLines();
     }
     if (stream_.closed()) return;
-    if (stream_.ended()) return list_.Failed(*this, "connection ended");
+    if (stream_.ended()) return list_.OnCallFailed(*this, "connection ended");
     // What is not read is left with discovery, which a list past the bound must not send whole.
     if (!stream_.readable() || std::exchange(resumes_, true)) return;
-    loop_.Yield([this, alive = std::weak_ptr(alive_)] {
+    loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
       if (alive.expired()) return;
       resumes_ = false;
-      stream_.Resume();
+      stream_.ResumeReading();
     });
   }
 
   void ReadWhole() {
-    const Progress progress = whole_.Feed(stream_.in());
+    const ParseProgress progress = whole_.Feed(stream_.input());
     // The head has been seen, or is as good as: what it says is to come is held whole.
-    if (progress == Progress::kMore) return stream_.set_most_unread(list_.most_list_ + kMaxHead);
+    if (progress == ParseProgress::kNeedMore) return stream_.set_max_unread_bytes(list_.max_list_bytes_ + kMaxHeadBytes);
     constexpr int kTooLong = 413;
-    if (progress == Progress::kBad && whole_.status_for_bad() == kTooLong) {
-      return list_.TooLong(*this);
+    if (progress == ParseProgress::kMalformed && whole_.error_status() == kTooLong) {
+      return list_.OnOversizedList(*this);
     }
-    const Message& m = whole_.message();
-    if (progress == Progress::kBad || m.status != 200) {
-      return list_.Failed(*this, "malformed answer");
+    const HttpMessage& m = whole_.message();
+    if (progress == ParseProgress::kMalformed || m.status != 200) {
+      return list_.OnCallFailed(*this, "malformed answer");
     }
     JsonParser parser;
-    if (!list_.Read(parser, m.body.In(stream_.in().view())) || !list_.Take(*this, parser, true)) {
-      return list_.Failed(*this, "malformed list");
+    if (!list_.Read(parser, m.body.In(stream_.input().view())) || !list_.AcceptList(*this, parser, true)) {
+      return list_.OnCallFailed(*this, "malformed list");
     }
-    list_.Close(list_.fetch_);
+    list_.Close(list_.poll_);
   }
 
   // True once the lines begin.
   bool ReadHead() {
-    const Progress progress = head_.FeedHead(stream_.in());
-    if (progress == Progress::kMore) return false;
-    if (progress == Progress::kBad || head_.message().status != 200 || !head_.message().chunked) {
-      list_.Failed(*this, "malformed answer");
+    const ParseProgress progress = head_.FeedHead(stream_.input());
+    if (progress == ParseProgress::kNeedMore) return false;
+    if (progress == ParseProgress::kMalformed || head_.message().status != 200 || !head_.message().chunked) {
+      list_.OnCallFailed(*this, "malformed answer");
       return false;
     }
-    stream_.in().Consume(head_.message().size);
+    stream_.input().Consume(head_.message().total_bytes);
     in_body_ = true;
     return true;
   }
 
   void ReadLines() {
-    Buffer& in = stream_.in();
+    Buffer& in = stream_.input();
     if (in.empty()) return;
     // Lines are split by chunks anywhere; the chunks by reads.
     size_t read = 0, written = 0;
-    const Progress progress = chunks_.Decode(in.view(), in.data(), read, written);
+    const ParseProgress progress = chunks_.Decode(in.view(), in.data(), read, written);
     for (std::string_view text = in.view().substr(0, written); !text.empty();) {
       const size_t end = text.find('\n');
       const bool whole = end != std::string_view::npos;
       const std::string_view piece = text.substr(0, whole ? end + 1 : end);
       blank_ = blank_ && piece.find_first_not_of(" \t\r\n") == std::string_view::npos;
-      if (line_.size() + piece.size() > list_.most_list_) return list_.TooLong(*this);
+      if (line_.size() + piece.size() > list_.max_list_bytes_) return list_.OnOversizedList(*this);
       // Nothing within an object begins so far to the left: it is the next one, and this was cut.
       const bool cut = std::exchange(at_start_, whole) && line_.open() && piece.front() == '{';
       const bool good = !cut && list_.Read(line_, piece) && (!whole || EndOfLine());
-      if (!good) return list_.Failed(*this, "malformed line");
+      if (!good) return list_.OnCallFailed(*this, "malformed line");
       text.remove_prefix(piece.size());
     }
     in.Consume(in.size());
-    if (progress == Progress::kBad) return list_.Failed(*this, "malformed framing");
-    if (progress == Progress::kDone) list_.Failed(*this, "watch ended");
+    if (progress == ParseProgress::kMalformed) return list_.OnCallFailed(*this, "malformed framing");
+    if (progress == ParseProgress::kDone) list_.OnCallFailed(*this, "watch ended");
   }
 
   bool EndOfLine() {
@@ -147,31 +147,31 @@
     blank_ = true;
     SetTimer(kSilence);
     alive_at_ = loop_.Now();
-    list_.Spoken(*this);
+    list_.OnDelivered(*this);
     const bool good =
-        !line_.begun() || list_.Take(*this, line_, false);  // an empty one keeps the watch
+        !line_.begun() || list_.AcceptList(*this, line_, false);  // an empty one keeps the watch
     line_ = JsonParser();
     // Its numbers are others than ours: from now on they hold, and it is asked for the whole.
-    if (!good || !list_.BehindForLong()) return good;
+    if (!good || !list_.StaleForTooLong()) return good;
     list_.revision_ = 0;
-    list_.behind_since_ = Time(-1);
+    list_.stale_since_ = Time(-1);
     return false;
   }
 
   void SetTimer(Duration after) {
-    loop_.Cancel(timer_);
-    timer_ = loop_.After(after, [this] {
+    loop_.CancelTimer(timer_);
+    timer_ = loop_.RunAfter(after, [this] {
       timer_ = {};
-      list_.Failed(*this, "silent");
+      list_.OnCallFailed(*this, "silent");
     });
   }
 
-  List& list_;
+  DiscoveryClient& list_;
   EventLoop& loop_;  // may outlive the list, as what is put off may
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
   bool watch_;
-  MessageParser head_{MessageParser::Kind::kAnswer};
-  MessageParser whole_;
+  HttpParser head_{HttpParser::Kind::kResponse};
+  HttpParser whole_;
   Stream stream_;
   bool resumes_ = false;  // reading goes on at the end of this round
   bool in_body_ = false;
@@ -183,86 +183,86 @@
   Time alive_at_ = loop_.Now();
 };
 
-List::List(EventLoop& loop, const Address& discovery, const Names& names, double revision,
+DiscoveryClient::DiscoveryClient(EventLoop& loop, const Address& discovery, const NameTables& names, double revision,
            bool own_watch, Listener* listener)
     : loop_(loop),
       discovery_(discovery),
       names_(&names),
       revision_(revision),
-      own_watch_(own_watch),
+      self_renewing_watch_(own_watch),
       listener_(listener) {}
 
-List::~List() {
-  loop_.Cancel(again_);
-  loop_.Cancel(fetch_again_);
+DiscoveryClient::~DiscoveryClient() {
+  loop_.CancelTimer(retry_timer_);
+  loop_.CancelTimer(poll_retry_timer_);
   if (watch_) watch_->Stop();
-  if (old_) old_->Stop();
-  if (fetch_) fetch_->Stop();
+  if (previous_watch_) previous_watch_->Stop();
+  if (poll_) poll_->Stop();
 }
 
-void List::Start() {
-  if (own_watch_) Open(watch_, true);
+void DiscoveryClient::Start() {
+  if (self_renewing_watch_) Open(watch_, true);
 }
 
 // Where the file of the configuration names a new address the old agent closes soon, and what it
 // does not tell before that only the new one has: waiting for the old watch's end would lose
 // drains.
-void List::Redirect(const Address& discovery) {
+void DiscoveryClient::Redirect(const Address& discovery) {
   if (discovery == discovery_) return;
   discovery_ = discovery;
-  const bool watching = watch_ != nullptr || again_.number != 0;
-  if (watch_ && spoken_) {
-    Close(old_);
-    old_ = std::move(watch_);
+  const bool watching = watch_ != nullptr || retry_timer_.number != 0;
+  if (watch_ && watch_has_delivered_) {
+    Close(previous_watch_);
+    previous_watch_ = std::move(watch_);
   }
-  failures_ = 0;
-  ForgetBackOff();
-  loop_.Cancel(again_);
+  consecutive_watch_failures_ = 0;
+  ResetBackoff();
+  loop_.CancelTimer(retry_timer_);
   // Where the module asks, one that failed is begun anew at once, at the new address.
-  if (own_watch_ || watching) Open(watch_, true);
-  if (fetch_again_.number != 0) {
-    loop_.Cancel(fetch_again_);
-    Open(fetch_, false);
+  if (self_renewing_watch_ || watching) Open(watch_, true);
+  if (poll_retry_timer_.number != 0) {
+    loop_.CancelTimer(poll_retry_timer_);
+    Open(poll_, false);
   }
 }
 
-void List::Follow(bool on) {
-  if (own_watch_) return;  // it is on already, whatever is asked
-  loop_.Cancel(again_);
-  const bool owed = std::exchange(owed_, false);
+void DiscoveryClient::SetWatching(bool on) {
+  if (self_renewing_watch_) return;  // it is on already, whatever is asked
+  loop_.CancelTimer(retry_timer_);
+  const bool owed = std::exchange(watch_owed_, false);
   if (on && owed && watch_) return;  // begun before the module asked for it
   if (!on) {
     Close(watch_);
-    Close(old_);
-  } else if (const Duration wait = watch_off_.until - loop_.Now(); wait > Duration(0)) {
-    Again(wait);
+    Close(previous_watch_);
+  } else if (const Duration wait = watch_backoff_.until - loop_.Now(); wait > Duration(0)) {
+    ScheduleWatch(wait);
   } else {
     Open(watch_, true);
   }
 }
 
-void List::Spoken(const Call& call) {
+void DiscoveryClient::OnDelivered(const Call& call) {
   if (&call != watch_.get()) return;
-  failures_ = 0;
-  spoken_ = true;
-  Close(old_);
+  consecutive_watch_failures_ = 0;
+  watch_has_delivered_ = true;
+  Close(previous_watch_);
 }
 
 // One that is on its way serves whoever asks meanwhile.
-void List::Fetch() {
-  if (fetch_ || fetch_again_.number != 0) return;
-  const Duration wait = fetch_off_.until - loop_.Now();
-  if (wait <= Duration(0)) return Open(fetch_, false);
-  fetch_again_ = loop_.After(wait, [this] {
-    fetch_again_ = {};
-    Open(fetch_, false);
+void DiscoveryClient::Poll() {
+  if (poll_ || poll_retry_timer_.number != 0) return;
+  const Duration wait = poll_backoff_.until - loop_.Now();
+  if (wait <= Duration(0)) return Open(poll_, false);
+  poll_retry_timer_ = loop_.RunAfter(wait, [this] {
+    poll_retry_timer_ = {};
+    Open(poll_, false);
   });
 }
 
-void List::Open(std::unique_ptr<Call>& call, bool watch) {
+void DiscoveryClient::Open(std::unique_ptr<Call>& call, bool watch) {
   Close(call);
-  ++(watch ? Count().list_watches : Count().list_fetches);
-  if (watch) spoken_ = false;
+  ++(watch ? GlobalCounters().list_watches : GlobalCounters().list_fetches);
+  if (watch) watch_has_delivered_ = false;
   bool refused = false;
   std::optional<Socket> socket = Connect(discovery_, nullptr, refused);
   if (socket) {
@@ -272,89 +272,89 @@
     Close(call);
   }
   const Duration wait = WaitAfter(loop_.Now());
-  if (watch) ++failures_;
-  TellFailed(watch, wait);
+  if (watch) ++consecutive_watch_failures_;
+  ReportFailure(watch, wait);
 }
 
-void List::Close(std::unique_ptr<Call>& call) {
+void DiscoveryClient::Close(std::unique_ptr<Call>& call) {
   if (!call) return;
   call->Stop();
   // It may be the one whose handler is at work.
-  loop_.Defer([kept = std::shared_ptr<Call>(std::move(call))] {});
+  loop_.RunDeferred([kept = std::shared_ptr<Call>(std::move(call))] {});
 }
 
-void List::Failed(Call& call, std::string_view why) {
+void DiscoveryClient::OnCallFailed(Call& call, std::string_view why) {
   const bool watch = call.watch();
-  Log(Level::kWarning, "discovery {}: {}", watch ? "watch" : "call", why);
-  if (&call == old_.get()) return Close(old_);  // its time was over anyway
+  Log(LogLevel::kWarning, "discovery {}: {}", watch ? "watch" : "call", why);
+  if (&call == previous_watch_.get()) return Close(previous_watch_);  // its time was over anyway
   const Time alive_at = call.alive_at();
-  Close(watch ? watch_ : fetch_);
+  Close(watch ? watch_ : poll_);
   const Duration wait = WaitAfter(alive_at);
-  if (watch) ++failures_;
-  TellFailed(watch, wait);
+  if (watch) ++consecutive_watch_failures_;
+  ReportFailure(watch, wait);
 }
 
-void List::TooLong(Call& call) {
-  ++Count().list_too_long;
+void DiscoveryClient::OnOversizedList(Call& call) {
+  ++GlobalCounters().list_too_long;
   const bool watch = call.watch();
-  if (&call == old_.get()) return Failed(call, "a list too long");
-  BackOff& off = watch ? watch_off_ : fetch_off_;
+  if (&call == previous_watch_.get()) return OnCallFailed(call, "a list too long");
+  Backoff& off = watch ? watch_backoff_ : poll_backoff_;
   if (off.tries == 0) {
-    Log(Level::kWarning,
+    Log(LogLevel::kWarning,
         "discovery {}: a list of over {} bytes is too long, the one held stays; asked for again "
         "later and later, up to {:.0f} s",
-        watch ? "watch" : "call", most_list_, static_cast<double>(too_long_most_.count()) / 1e6);
+        watch ? "watch" : "call", max_list_bytes_, static_cast<double>(oversize_backoff_max_.count()) / 1e6);
   }
-  Duration wait = too_long_first_;
-  for (int i = 0; i < off.tries && wait < too_long_most_; ++i) wait *= 2;
-  wait = std::min(wait, too_long_most_);
+  Duration wait = oversize_backoff_first_;
+  for (int i = 0; i < off.tries && wait < oversize_backoff_max_; ++i) wait *= 2;
+  wait = std::min(wait, oversize_backoff_max_);
   ++off.tries;
   off.until = loop_.Now() + wait;
   const Time alive_at = call.alive_at();
-  Close(watch ? watch_ : fetch_);
+  Close(watch ? watch_ : poll_);
   // Where the module asks, it is let in once the back-off is over.
-  TellFailed(watch, own_watch_ ? wait : std::max(wait, WaitAfter(alive_at)));
+  ReportFailure(watch, self_renewing_watch_ ? wait : std::max(wait, WaitAfter(alive_at)));
 }
 
 // Until the next watch is begun, after one that failed and last showed life then.
-Duration List::WaitAfter(Time alive_at) const {
-  if (!own_watch_) return alive_at + kNextCall - loop_.Now();
-  return kAgainFirst * (1 << std::min(failures_, kAgainDoublings));
+Duration DiscoveryClient::WaitAfter(Time alive_at) const {
+  if (!self_renewing_watch_) return alive_at + kNextCall - loop_.Now();
+  return kAgainFirst * (1 << std::min(consecutive_watch_failures_, kAgainDoublings));
 }
 
 // Each failure that is told has the module ask once more, perhaps at once: until then further ones
 // are not told.
-void List::TellFailed(bool watch, Duration wait) {
-  ++Count().list_failures;
-  const bool told = watch && owed_;
+void DiscoveryClient::ReportFailure(bool watch, Duration wait) {
+  ++GlobalCounters().list_failures;
+  const bool told = watch && watch_owed_;
   if (watch) {
-    owed_ = !own_watch_;
-    Again(wait);
+    watch_owed_ = !self_renewing_watch_;
+    ScheduleWatch(wait);
   }
-  if (!told) listener_->OnListFailed();
+  if (!told) listener_->OnDiscoveryFailed();
 }
 
-void List::Again(Duration wait) {
-  if (again_.number != 0) return;
-  again_ = loop_.After(wait, [this] {
-    again_ = {};
+void DiscoveryClient::ScheduleWatch(Duration wait) {
+  if (retry_timer_.number != 0) return;
+  retry_timer_ = loop_.RunAfter(wait, [this] {
+    retry_timer_ = {};
     Open(watch_, true);
   });
 }
 
-void List::ForgetBackOff() { watch_off_ = fetch_off_ = BackOff{}; }
+void DiscoveryClient::ResetBackoff() { watch_backoff_ = poll_backoff_ = Backoff{}; }
 
-bool List::BehindForLong() const {
-  return behind_since_ >= Time(0) && loop_.Now() - behind_since_ >= most_behind_;
+bool DiscoveryClient::StaleForTooLong() const {
+  return stale_since_ >= Time(0) && loop_.Now() - stale_since_ >= max_staleness_;
 }
 
-bool List::Malformed(std::string_view why) {
-  ++Count().list_malformed;
-  Log(Level::kWarning, "discovery: {}", why);
+bool DiscoveryClient::Malformed(std::string_view why) {
+  ++GlobalCounters().list_malformed;
+  Log(LogLevel::kWarning, "discovery: {}", why);
   return false;
 }
 
-bool List::Read(JsonParser& parser, std::string_view piece) {
+bool DiscoveryClient::Read(JsonParser& parser, std::string_view piece) {
   try {
     parser.Feed(piece);
   } catch (const JsonError& error) {
@@ -363,29 +363,29 @@
   return true;
 }
 
-bool List::Take(const Call& from, JsonParser& parser, bool must_be_whole) {
+bool DiscoveryClient::AcceptList(const Call& from, JsonParser& parser, bool must_be_whole) {
   try {
     const Clock& clock = loop_.clock();
-    HostList list =
-        ParseHostList(parser.End(), *names_, [&](double ms) { return clock.FromWall(ms); });
+    EndpointList list =
+        ParseEndpointList(parser.End(), *names_, [&](double ms) { return clock.FromUnixMillis(ms); });
     if (must_be_whole && !list.complete) throw JsonError("not the whole list");
     // An older list would bring back hosts that have gone; the one held stays. An agent that lags
     // catches up on the same watch. One that never does counts by itself, and to pass it over for
     // ever would leave the list held for ever.
     if (list.revision < revision_) {
-      ++Count().list_old;
-      Log(Level::kWarning, "discovery: revision {:.0f} after {:.0f}", list.revision, revision_);
-      if (behind_since_ < Time(0)) behind_since_ = loop_.Now();
+      ++GlobalCounters().list_old;
+      Log(LogLevel::kWarning, "discovery: revision {:.0f} after {:.0f}", list.revision, revision_);
+      if (stale_since_ < Time(0)) stale_since_ = loop_.Now();
       return !must_be_whole;
     }
-    behind_since_ = Time(-1);
+    stale_since_ = Time(-1);
     // What the watch at the address before still tells says nothing of the new one, nor does a
     // change that was told before.
     const bool news = list.complete || list.revision > revision_;
-    if (news && &from != old_.get()) ForgetBackOff();
+    if (news && &from != previous_watch_.get()) ResetBackoff();
     revision_ = list.revision;
-    ++Count().list_updates;
-    listener_->OnList(std::move(list));
+    ++GlobalCounters().list_updates;
+    listener_->OnEndpointList(std::move(list));
     return true;
   } catch (const std::exception& error) {
     return Malformed(error.what());
--- a/src/event/descriptor_budget.h
+++ b/src/event/descriptor_budget.h
@@ -7,25 +7,25 @@
 namespace paddlestile {
 
 // All connections draw from one budget, which keeps some back for the files that every process has.
-class Descriptors {
+class DescriptorBudget {
  public:
   static constexpr size_t kReserve = 32;
-  explicit Descriptors(size_t limit) : most_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
-  bool Take() {
-    if (used_ + elsewhere_ >= most_) return false;
+  explicit DescriptorBudget(size_t limit) : limit_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
+  bool TryAcquire() {
+    if (used_ + held_by_other_process_ >= limit_) return false;
     ++used_;
     return true;
   }
-  void Give() { --used_; }
+  void Release() { --used_; }
   [[nodiscard]] size_t used() const { return used_; }
   // All that the gateway may hold, of which the uses of it have their shares.
-  [[nodiscard]] size_t most() const { return most_; }
+  [[nodiscard]] size_t limit() const { return limit_; }
   // Another process of the same gateway holds so many.
-  void set_elsewhere(size_t count) { elsewhere_ = count; }
+  void set_held_by_other_process(size_t count) { held_by_other_process_ = count; }
 
  private:
-  size_t most_;
-  size_t used_ = 0, elsewhere_ = 0;
+  size_t limit_;
+  size_t used_ = 0, held_by_other_process_ = 0;
 };
 
 }  // namespace paddlestile
--- a/src/event/event_loop.h
+++ b/src/event/event_loop.h
@@ -38,15 +38,15 @@
   bool Watch(int fd, Handler* handler, uint64_t& token, bool urgent = false);
   void Unwatch(int fd, uint64_t token);
 
-  TimerId After(Duration delay, std::function<void()> then);
-  void Cancel(TimerId& timer);
+  TimerId RunAfter(Duration delay, std::function<void()> then);
+  void CancelTimer(TimerId& timer);
 
   // Runs after the handler now at work has returned and before any other.
-  void Defer(std::function<void()> then) { deferred_.push_back(std::move(then)); }
+  void RunDeferred(std::function<void()> then) { deferred_tasks_.push_back(std::move(then)); }
 
   // Runs after all that this round of the loop has still to do: for work that would go on and on
   // and must let others have their turn.
-  void Yield(std::function<void()> then) { yielded_.push_back(std::move(then)); }
+  void RunAfterRound(std::function<void()> then) { after_round_tasks_.push_back(std::move(then)); }
 
   // One wait, until something is due, and what it brought.
   void RunOnce(Duration at_most);
@@ -63,20 +63,20 @@
     bool urgent = false;
     uint32_t generation = 0;  // tells a stale event of a closed descriptor from one of its heir
   };
-  void RunDeferred();
+  void RunDeferredTasks();
   void RunEvent(uint64_t token, uint32_t events);
   void RunUrgent();
   void RunTimers();
-  void RunYielded();
+  void RunAfterRoundTasks();
 
   Clock clock_;
-  Fd epoll_, urgent_;  // the second is watched by the first
-  Time urgent_at_{0};  // when what is urgent last had its turn
+  FileDescriptor epoll_, urgent_epoll_;  // the second is watched by the first
+  Time urgent_polled_at_{0};  // when what is urgent last had its turn
   std::vector<Slot> slots_;
-  std::vector<uint32_t> free_;
+  std::vector<uint32_t> free_slots_;
   std::map<std::pair<Time, uint64_t>, std::function<void()>> timers_;
   uint64_t next_timer_ = 1;
-  std::vector<std::function<void()>> deferred_, yielded_;
+  std::vector<std::function<void()>> deferred_tasks_, after_round_tasks_;
   bool stopped_ = false;
 };
 
--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -10,8 +10,8 @@
 
 namespace paddlestile {
 
-Fd Listen(const Address& listen, int backlog, bool shared) {
-  Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+FileDescriptor Listen(const Address& listen, int backlog, bool shared) {
+  FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int on = 1;
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -35,17 +35,17 @@
   return fd;
 }
 
-Address BoundTo(int fd) {
+Address LocalAddress(int fd) {
   sockaddr_in address{};
   socklen_t size = sizeof(address);
   if (getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) return {};
   return {ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
 
-std::optional<Socket> Connect(const Address& to, Descriptors* budget, bool& refused) {
+std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused) {
   refused = false;
-  if (budget != nullptr && !budget->Take()) return std::nullopt;
-  Socket socket(Fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), budget);
+  if (budget != nullptr && !budget->TryAcquire()) return std::nullopt;
+  Socket socket(FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), budget);
   if (socket.get() < 0) return std::nullopt;
   const int on = 1;
   setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -14,7 +14,7 @@
 // A descriptor counted in the budget for as long as it is open.
 class Socket {
  public:
-  Socket(Fd fd, Descriptors* budget) : fd_(std::move(fd)), budget_(budget) {}
+  Socket(FileDescriptor fd, DescriptorBudget* budget) : fd_(std::move(fd)), budget_(budget) {}
   Socket(Socket&& other) noexcept
       : fd_(std::move(other.fd_)), budget_(std::exchange(other.budget_, nullptr)) {}
   Socket& operator=(Socket&& other) noexcept {
@@ -30,24 +30,24 @@
   ~Socket() { Close(); }
   void Close() {
     fd_.Reset();
-    if (Descriptors* const budget = std::exchange(budget_, nullptr)) budget->Give();
+    if (DescriptorBudget* const budget = std::exchange(budget_, nullptr)) budget->Release();
   }
   [[nodiscard]] int get() const { return fd_.get(); }
 
  private:
-  Fd fd_;
-  Descriptors* budget_;
+  FileDescriptor fd_;
+  DescriptorBudget* budget_;
 };
 
 // A listening socket; none where the kernel refuses, with errno. `shared`: others of the same user
 // may listen there too.
-Fd Listen(const Address& listen, int backlog, bool shared);
+FileDescriptor Listen(const Address& listen, int backlog, bool shared);
 // Where a socket is bound.
-Address BoundTo(int fd);
+Address LocalAddress(int fd);
 
 // Begins a connection, out of the reserve where no budget is given. Nothing where the budget or the
 // kernel has no descriptor; `refused` where the address itself gives none.
-std::optional<Socket> Connect(const Address& to, Descriptors* budget, bool& refused);
+std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused);
 
 }  // namespace paddlestile
 
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -23,8 +23,8 @@
 constexpr size_t kDiscardAtOnce = 1 << 17;
 }  // namespace
 
-Stream::Stream(EventLoop& loop, Socket socket, Owner* owner, bool connecting)
-    : loop_(loop), socket_(std::move(socket)), owner_(owner), connected_(!connecting) {}
+Stream::Stream(EventLoop& loop, Socket socket, Listener* owner, bool connecting)
+    : loop_(loop), socket_(std::move(socket)), listener_(owner), connected_(!connecting) {}
 
 Stream::~Stream() { Close(); }
 
@@ -37,22 +37,22 @@
   closed_ = true;
   if (watched_) loop_.Unwatch(socket_.get(), token_);
   socket_.Close();
-  out_.clear();
+  output_.clear();
 }
 
-void Stream::Break() {
+void Stream::ReportError() {
   if (closed_ || broken_) return;
   broken_ = true;
-  owner_->OnBroken();
+  listener_->OnError();
 }
 
-void Stream::Discard() {
+void Stream::DiscardInput() {
   discarding_ = true;
-  in_.Consume(in_.size());
-  Resume();
+  input_.Consume(input_.size());
+  ResumeReading();
 }
 
-bool Stream::ReadNothing() {
+bool Stream::DiscardAvailable() {
   while (discarded_ < kDiscardMost) {
     const ssize_t n = recv(socket_.get(), nullptr, kDiscardAtOnce, MSG_TRUNC);
     if (n > 0) {
@@ -63,22 +63,22 @@
     readable_ = false;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return false;
     ended_ = n == 0;
-    if (!ended_) Break();
+    if (!ended_) ReportError();
     return ended_;
   }
   return false;
 }
 
-bool Stream::ReadAll() {
-  if (discarding_) return !closed_ && !ended_ && !broken_ && ReadNothing();
+bool Stream::ReadAvailable() {
+  if (discarding_) return !closed_ && !ended_ && !broken_ && DiscardAvailable();
   bool news = false;
   while (!closed_ && !ended_ && !broken_) {
-    if (in_.size() >= most_unread_) return news;  // the edge stays open for Resume
-    char* const to = in_.Prepare(read_at_least_);
-    const ssize_t n = recv(socket_.get(), to, in_.Room(), 0);
+    if (input_.size() >= max_unread_bytes_) return news;  // the edge stays open for Resume
+    char* const to = input_.Prepare(min_read_bytes_);
+    const ssize_t n = recv(socket_.get(), to, input_.Room(), 0);
     if (n > 0) {
-      const bool all = static_cast<size_t>(n) < in_.Room();
-      in_.Commit(static_cast<size_t>(n));
+      const bool all = static_cast<size_t>(n) < input_.Room();
+      input_.Commit(static_cast<size_t>(n));
       news = true;
       // Less than there was room for is all that there was: what comes next is an edge of its own.
       if (all && !hung_up_) {
@@ -92,12 +92,12 @@
     } else {
       readable_ = false;
       // An emptied buffer keeps no memory while the connection idles.
-      if (in_.empty()) in_.Consume(0);
+      if (input_.empty()) input_.Consume(0);
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
         // What came before the break may still be a whole message.
-        if (news) owner_->OnRead();
+        if (news) listener_->OnData();
         news = false;
-        Break();
+        ReportError();
       }
       return news;
     }
@@ -105,9 +105,9 @@
   return news;
 }
 
-void Stream::Resume() {
+void Stream::ResumeReading() {
   if (closed_ || !readable_) return;
-  if (ReadAll()) owner_->OnRead();
+  if (ReadAvailable()) listener_->OnData();
 }
 
 void Stream::OnEvents(uint32_t events) {
@@ -115,20 +115,20 @@
     int error = 0;
     socklen_t size = sizeof(error);
     getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return Break();
+    if (error != 0) return ReportError();
     if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return;
     // A socket that has not begun to connect reports a hang-up too.
     sockaddr_in peer{};
     size = sizeof(peer);
     if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
-      if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) Break();
+      if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) ReportError();
       return;
     }
     connected_ = true;
-    owner_->OnConnected();
+    listener_->OnConnected();
     if (closed_) return;
   }
-  if ((events & EPOLLOUT) != 0 && !out_.empty()) {
+  if ((events & EPOLLOUT) != 0 && !output_.empty()) {
     Flush();
     if (closed_) return;
   }
@@ -136,20 +136,20 @@
     readable_ = true;
     const bool before = hung_up_;
     hung_up_ = hung_up_ || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-    const bool news = ReadAll();
+    const bool news = ReadAvailable();
     // Behind what there is no room to read the end would else be told of by nothing.
-    const bool hidden = hung_up_ && !before && !discarding_ && in_.size() >= most_unread_;
-    if (!closed_ && !broken_ && (news || hidden)) owner_->OnRead();
+    const bool hidden = hung_up_ && !before && !discarding_ && input_.size() >= max_unread_bytes_;
+    if (!closed_ && !broken_ && (news || hidden)) listener_->OnData();
   }
 }
 
 void Stream::Flush() {
-  while (!out_.empty() && !broken_) {
+  while (!output_.empty() && !broken_) {
     std::array<iovec, kPiecesAtOnce> parts{};
     size_t count = 0;
-    for (const Piece& piece : out_) {
+    for (const WriteSegment& piece : output_) {
       if (count == parts.size()) break;
-      parts[count++] = {const_cast<char*>(piece.rest.data()), piece.rest.size()};
+      parts[count++] = {const_cast<char*>(piece.remaining.data()), piece.remaining.size()};
     }
     msghdr message{};
     message.msg_iov = parts.data();
@@ -160,34 +160,34 @@
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       // A peer may have answered and closed before it read all: that answer is still there.
       readable_ = hung_up_ = true;
-      out_.clear();
-      if (ReadAll()) owner_->OnRead();
-      if (!closed_) Break();
+      output_.clear();
+      if (ReadAvailable()) listener_->OnData();
+      if (!closed_) ReportError();
       return;
     }
     for (auto left = static_cast<size_t>(n);
-         left > 0 || (!out_.empty() && out_.front().rest.empty());) {
-      Piece& piece = out_.front();
-      const size_t part = std::min(left, piece.rest.size());
-      piece.rest.remove_prefix(part);
+         left > 0 || (!output_.empty() && output_.front().remaining.empty());) {
+      WriteSegment& piece = output_.front();
+      const size_t part = std::min(left, piece.remaining.size());
+      piece.remaining.remove_prefix(part);
       left -= part;
-      if (!piece.rest.empty()) break;
-      out_.pop_front();
+      if (!piece.remaining.empty()) break;
+      output_.pop_front();
     }
   }
-  if (out_.empty() && !broken_) owner_->OnFlushed();
+  if (output_.empty() && !broken_) listener_->OnWriteComplete();
 }
 
 void Stream::Write(std::string head, std::shared_ptr<const void> keep, std::string_view body) {
   if (closed_ || broken_) return;
-  const bool idle = out_.empty();
-  Piece& first = out_.emplace_back();
-  first.own = std::move(head);
-  first.rest = first.own;
+  const bool idle = output_.empty();
+  WriteSegment& first = output_.emplace_back();
+  first.owned = std::move(head);
+  first.remaining = first.owned;
   if (!body.empty()) {
-    Piece& second = out_.emplace_back();
-    second.keep = std::move(keep);
-    second.rest = body;
+    WriteSegment& second = output_.emplace_back();
+    second.keep_alive = std::move(keep);
+    second.remaining = body;
   }
   if (connected_ && idle) Flush();
 }
@@ -198,18 +198,18 @@
   Close();
 }
 
-void Stream::ShutWrite() {
+void Stream::ShutdownWrite() {
   if (!closed_) shutdown(socket_.get(), SHUT_WR);
 }
 
-bool Stream::Unread() const {
+bool Stream::HasUnreadBytes() const {
   char byte = 0;
   return !closed_ && !ended_ && !broken_ &&
          recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-bool Stream::Quiet() const {
-  if (closed_ || ended_ || broken_ || !in_.empty()) return false;
+bool Stream::IsIdle() const {
+  if (closed_ || ended_ || broken_ || !input_.empty()) return false;
   char byte = 0;
   const ssize_t n = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -18,18 +18,18 @@
 
 class Stream : public EventLoop::Handler {
  public:
-  class Owner {
+  class Listener {
    public:
     virtual void OnConnected() {}
-    virtual void OnRead() = 0;    // more is in in(), or ended() or hung_up() has become true
-    virtual void OnFlushed() {}   // all that was written is with the kernel
-    virtual void OnBroken() = 0;  // reset, refused or failed
+    virtual void OnData() = 0;    // more is in in(), or ended() or hung_up() has become true
+    virtual void OnWriteComplete() {}   // all that was written is with the kernel
+    virtual void OnError() = 0;  // reset, refused or failed
 
    protected:
-    ~Owner() = default;
+    ~Listener() = default;
   };
 
-  Stream(EventLoop& loop, Socket socket, Owner* owner, bool connecting);
+  Stream(EventLoop& loop, Socket socket, Listener* owner, bool connecting);
   virtual ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
@@ -37,19 +37,19 @@
   // False where the kernel does not watch it.
   bool Start(bool urgent = false);
 
-  Buffer& in() { return in_; }
+  Buffer& input() { return input_; }
   [[nodiscard]] bool ended() const { return ended_; }  // the peer has sent its last
   // The same, told by the kernel while something before it is not read yet.
   [[nodiscard]] bool hung_up() const { return hung_up_ || ended_; }
   [[nodiscard]] bool closed() const { return closed_; }
   [[nodiscard]] bool connected() const { return connected_; }
-  [[nodiscard]] bool flushed() const { return out_.empty(); }
+  [[nodiscard]] bool flushed() const { return output_.empty(); }
 
   // Stops reading once so much is unread, so that a peer cannot fill the memory; Resume goes on.
-  void set_most_unread(size_t most) { most_unread_ = most; }
+  void set_max_unread_bytes(size_t most) { max_unread_bytes_ = most; }
   // What is read at once, at the least.
-  void set_read_at_least(size_t least) { read_at_least_ = least; }
-  void Resume();
+  void set_min_read_bytes(size_t least) { min_read_bytes_ = least; }
+  void ResumeReading();
   // Whether there may be more to read than was read.
   [[nodiscard]] bool readable() const { return readable_; }
 
@@ -59,43 +59,43 @@
   // Has the peer see a reset where it closes next: what it was sent is not whole.
   void CloseByReset();
   // Says that no more will be written.
-  void ShutWrite();
-  // From now on what comes is thrown away unseen, without a copy, up to a bound; OnRead tells only
+  void ShutdownWrite();
+  // From now on what comes is thrown away unseen, without a copy, up to a bound; OnData tells only
   // of the end.
-  void Discard();
+  void DiscardInput();
   void Close();
 
   // Whether an idle connection is fit for use: nothing came on it, not even its end.
-  [[nodiscard]] bool Quiet() const;
+  [[nodiscard]] bool IsIdle() const;
   // Whether bytes wait with the kernel.
-  [[nodiscard]] bool Unread() const;
+  [[nodiscard]] bool HasUnreadBytes() const;
 
  private:
-  struct Piece {
-    std::string own;
-    std::shared_ptr<const void> keep;
-    std::string_view rest;
+  struct WriteSegment {
+    std::string owned;
+    std::shared_ptr<const void> keep_alive;
+    std::string_view remaining;
   };
   void OnEvents(uint32_t events) final;
   // True where something new was read or the end was seen.
-  bool ReadAll();
-  bool ReadNothing();
+  bool ReadAvailable();
+  bool DiscardAvailable();
   void Flush();
-  void Break();
+  void ReportError();
 
   EventLoop& loop_;
   Socket socket_;
-  Owner* owner_;
+  Listener* listener_;
   uint64_t token_ = 0;
   bool watched_ = false, connected_, closed_ = false, ended_ = false, broken_ = false;
   bool readable_ = false;  // an edge not yet read to its end
   bool hung_up_ = false;   // an end or an error is to be read behind the last byte
   bool discarding_ = false;
   size_t discarded_ = 0;
-  size_t most_unread_ = SIZE_MAX;
-  size_t read_at_least_ = 2048;
-  Buffer in_;
-  std::deque<Piece> out_;
+  size_t max_unread_bytes_ = SIZE_MAX;
+  size_t min_read_bytes_ = 2048;
+  Buffer input_;
+  std::deque<WriteSegment> output_;
 };
 
 }  // namespace paddlestile
--- a/src/gateway/admin.h
+++ b/src/gateway/admin.h
@@ -21,10 +21,10 @@
 class Admin {
  public:
   // Callers at once; the longest waiting goes for the next. Their descriptors are of the reserve.
-  static constexpr size_t kMostCallers = 12;
+  static constexpr size_t kMaxCallers = 12;
 
   // Listens at once; throws std::system_error.
-  Admin(EventLoop& loop, const Address& listen, Life& life);
+  Admin(EventLoop& loop, const Address& listen, Lifecycle& life);
   ~Admin();
   Admin(const Admin&) = delete;
   Admin& operator=(const Admin&) = delete;
@@ -33,20 +33,20 @@
   [[nodiscard]] size_t callers() const { return callers_.size(); }
 
  private:
-  class Listening;
+  class Acceptor;
   class Caller;
-  struct Said {
+  struct AdminResponse {
     int status = 0;
     std::string text;
   };
   void Accept();
   void Drop(Caller& caller);
-  Said Call(std::string_view method, std::string_view path);
+  AdminResponse HandleCall(std::string_view method, std::string_view path);
 
   EventLoop& loop_;
-  Life& life_;
+  Lifecycle& lifecycle_;
   Address address_;
-  std::unique_ptr<Listening> listening_;
+  std::unique_ptr<Acceptor> acceptor_;
   std::list<std::shared_ptr<Caller>> callers_;  // the longest waiting first
 };
 
--- a/src/gateway/cluster_agent.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -22,15 +22,15 @@
 namespace paddlestile {
 namespace {
 
-using cluster::Member;
+using cluster::ClusterMember;
 using cluster::MemberOutput;
-using cluster::Stance;
+using cluster::EffectiveConfig;
 using nlohmann::json;
 
 constexpr Duration kLookAgain{100'000};  // us; at the folder, while another process has it
 constexpr Duration kRoomAgain{200'000};  // us; while the disk is full
 constexpr size_t kCallsMost = 64;
-constexpr size_t kTextsMost = 2 * cluster::kVersionMost;  // bytes of versions in one answer
+constexpr size_t kTextsMost = 2 * cluster::kMaxVersionBytes;  // bytes of versions in one answer
 
 std::string Packed(const json& value) {
   std::string bytes;
@@ -43,24 +43,24 @@
   return (uint64_t{device()} << 32 | device()) | 1;
 }
 
-json Identity(const BankConfig& config, const std::string& name, const raft::Disk& disk) {
-  return {{"bank", config.bank}, {"name", name}, {"life", disk.life}, {"boot", disk.boot}};
+json Identity(const ClusterConfig& config, const std::string& name, const raft::PersistentState& disk) {
+  return {{"bank", config.cluster_name}, {"name", name}, {"life", disk.incarnation}, {"boot", disk.restart_count}};
 }
 
 // One record of the log; throws ConfigError for one of another bank.
-void Take(const BankConfig& config, const std::string& name, std::string_view record,
-          raft::Disk& disk) {
+void Take(const ClusterConfig& config, const std::string& name, std::string_view record,
+          raft::PersistentState& disk) {
   const json value = json::from_cbor(record, true, false);
   if (value.is_object()) {
-    if (value.value("bank", "") != config.bank || value.value("name", "") != name) {
+    if (value.value("bank", "") != config.cluster_name || value.value("name", "") != name) {
       throw ConfigError(fmt::format("{}: the log of {} in bank '{}', expected that of {} in '{}'",
                                     config.folder, value.value("name", ""), value.value("bank", ""),
-                                    name, config.bank));
+                                    name, config.cluster_name));
     }
-    disk.life = value.value("life", uint64_t{0});
-    disk.boot = value.value("boot", uint64_t{0});
+    disk.incarnation = value.value("life", uint64_t{0});
+    disk.restart_count = value.value("boot", uint64_t{0});
   } else if (const auto write = raft::ReadWrite(value)) {
-    raft::ApplyWrite(disk, *write);
+    raft::ApplyStorageWrite(disk, *write);
   }
 }
 
@@ -69,7 +69,7 @@
 // Writes in order, syncs what has gathered at once, and tells the loop by an eventfd.
 class DiskThread final : public EventLoop::Handler {
  public:
-  DiskThread(EventLoop& loop, std::unique_ptr<storage::Log> log, std::string identity,
+  DiskThread(EventLoop& loop, std::unique_ptr<storage::WriteAheadLog> log, std::string identity,
              std::function<void()> told)
       : loop_(loop),
         log_(std::move(log)),
@@ -91,8 +91,8 @@
     loop_.Unwatch(fd_.get(), token_);
   }
 
-  void Add(const raft::Write& write) {
-    Job job{write.ticket, Packed(raft::ToJson(write)), write.lazy, write.snapshot.has_value()};
+  void Add(const raft::StorageWrite& write) {
+    Job job{write.sequence_number, Packed(raft::ToJson(write)), write.commit_only, write.snapshot.has_value()};
     {
       const std::scoped_lock lock(mutex_);
       jobs_.push_back(std::move(job));
@@ -178,10 +178,10 @@
   }
 
   EventLoop& loop_;
-  std::unique_ptr<storage::Log> log_;
+  std::unique_ptr<storage::WriteAheadLog> log_;
   std::string identity_;
   std::function<void()> told_;
-  Fd fd_;
+  FileDescriptor fd_;
   uint64_t token_ = 0, last_ = 0;
   std::mutex mutex_;
   std::condition_variable wake_;
@@ -191,136 +191,136 @@
   std::thread thread_;
 };
 
-Membership::Membership(EventLoop& loop, BankConfig config, Gateway& gateway, Life& life,
-                       Config file)
+ClusterAgent::ClusterAgent(EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
+                       GatewayConfig file)
     : loop_(loop),
       config_(std::move(config)),
       gateway_(gateway),
-      life_(life),
+      lifecycle_(life),
       file_(std::move(file)),
       settings_(file_),
       zero_(loop.Now()) {
-  if (!config_.disk_control.empty()) controlled_ = storage::ControlledFiles(config_.disk_control);
+  if (!config_.disk_control.empty()) controlled_ = storage::ControlledFileSystem(config_.disk_control);
   Disk().MakeFolder(config_.folder);
   // Until it takes part it acts on what its disk has, as one that is alone.
-  raft::Disk disk;
+  raft::PersistentState disk;
   try {
-    storage::Log::Read(Disk(), config_.folder,
+    storage::WriteAheadLog::Read(Disk(), config_.folder,
                        [&](std::string_view record) { Take(config_, file_.name, record, disk); });
-  } catch (const storage::DamageError&) {
+  } catch (const storage::CorruptionError&) {
     disk = {};  // said when it is opened
   }
   Begin(std::move(disk));
   // All of it before anything is served: nothing waits yet.
-  while (member_->agreement().Behind()) Tick();
+  while (member_->raft_node().HasEntriesToApply()) Tick();
   TakePart();
   Look();
 }
 
-Membership::~Membership() {
+ClusterAgent::~ClusterAgent() {
   Leave();
-  loop_.Cancel(look_timer_);
+  loop_.CancelTimer(look_timer_);
 }
 
 // Takes no part any more, and holds no lease: what it has is another process's, or nobody's.
-void Membership::Leave() {
-  for (EventLoop::TimerId* const timer : {&timer_, &act_timer_}) loop_.Cancel(*timer);
-  gateway_.Guard(Time::max(), nullptr);
-  links_.reset();
+void ClusterAgent::Leave() {
+  for (EventLoop::TimerId* const timer : {&timer_, &act_timer_}) loop_.CancelTimer(*timer);
+  gateway_.RunBeforeEventsFrom(Time::max(), nullptr);
+  connections_.reset();
   disk_.reset();
   lock_.reset();
 }
 
 // A newer process of this gateway takes its place in the bank once this one has left it; where that
 // one dies, this one comes back.
-void Membership::Look() {
+void ClusterAgent::Look() {
   try {
-    if (life_.handed_over() && lock_) {
-      Log(Level::kInfo, "bank: leaves it to the newer process");
+    if (lifecycle_.replaced() && lock_) {
+      Log(LogLevel::kInfo, "bank: leaves it to the newer process");
       Leave();
-      raft::Disk disk;
-      storage::Log::Read(Disk(), config_.folder,
+      raft::PersistentState disk;
+      storage::WriteAheadLog::Read(Disk(), config_.folder,
                          [&](std::string_view record) { Take(config_, file_.name, record, disk); });
       Begin(std::move(disk));
-    } else if (!life_.handed_over() && !lock_) {
+    } else if (!lifecycle_.replaced() && !lock_) {
       TakePart();
     }
   } catch (const std::exception& error) {
-    Log(Level::kError, "bank: {}", error.what());
+    Log(LogLevel::kError, "bank: {}", error.what());
     Leave();
   }
-  look_timer_ = loop_.After(kLookAgain, [this] { Look(); });
+  look_timer_ = loop_.RunAfter(kLookAgain, [this] { Look(); });
 }
 
-storage::Files& Membership::Disk() const {
-  return controlled_ ? *controlled_ : storage::RealFiles();
+storage::FileSystem& ClusterAgent::Disk() const {
+  return controlled_ ? *controlled_ : storage::SystemFiles();
 }
 
-Time Membership::Now() const {
+Time ClusterAgent::Now() const {
   if (config_.clock_factor == 1) return loop_.Now();
   const auto since = static_cast<double>((loop_.Now() - zero_).count());
   return zero_ + Duration(static_cast<int64_t>(since * config_.clock_factor));
 }
 
-void Membership::Begin(raft::Disk disk) {
-  Member::Options options;
+void ClusterAgent::Begin(raft::PersistentState disk) {
+  ClusterMember::Options options;
   options.name = file_.name;
   options.timing = config_.timing;
-  options.deltas = config_.changes == ChangeForm::kDelta;
+  options.deltas = config_.change_encoding == ChangeEncoding::kDelta;
   for (const auto& [name, seat] : config_.members) {
-    if (seat.votes) options.first_voters.insert(name);
+    if (seat.votes) options.initial_voters.insert(name);
   }
   durable_ = 0;
   held_.clear();
   wanted_.clear();
-  member_ = std::make_unique<Member>(std::move(options), std::move(disk), NewLife(), Now());
+  member_ = std::make_unique<ClusterMember>(std::move(options), std::move(disk), NewLife(), Now());
   stance_.reset();
-  Run([&](Member& m, Time now, MemberOutput& out) { m.Tick(now, out); });
+  Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnTimeout(now, out); });
 }
 
-void Membership::TakePart() {
+void ClusterAgent::TakePart() {
   lock_ = Disk().Lock(config_.folder + "/lock");
   if (lock_) OpenDisk();
 }
 
-void Membership::Link(uint64_t life, uint64_t boot) {
-  peer::LinkOptions options;
-  options.bank = config_.bank;
+void ClusterAgent::Link(uint64_t life, uint64_t boot) {
+  peer::PeerConnectionOptions options;
+  options.cluster_name = config_.cluster_name;
   options.name = file_.name;
-  options.life = life;
-  options.boot = boot;
+  options.incarnation = life;
+  options.restart_count = boot;
   options.seed = NewLife();
   options.listen = config_.members.at(file_.name).address;
-  for (const auto& [name, seat] : config_.members) options.members[name] = seat.dial;
-  links_ = std::make_unique<peer::Links>(loop_, gateway_.budget(), std::move(options), this);
+  for (const auto& [name, seat] : config_.members) options.members[name] = seat.dial_address;
+  connections_ = std::make_unique<peer::PeerConnections>(loop_, gateway_.budget(), std::move(options), this);
 }
 
-void Membership::OpenDisk() {
-  raft::Disk disk;
-  std::unique_ptr<storage::Log> log;
+void ClusterAgent::OpenDisk() {
+  raft::PersistentState disk;
+  std::unique_ptr<storage::WriteAheadLog> log;
   const auto open = [&] {
     disk = {};
-    log = std::make_unique<storage::Log>(Disk(), config_.folder, [&](std::string_view record) {
+    log = std::make_unique<storage::WriteAheadLog>(Disk(), config_.folder, [&](std::string_view record) {
       Take(config_, file_.name, record, disk);
     });
   };
-  const std::string path = storage::Log::PathIn(config_.folder);
+  const std::string path = storage::WriteAheadLog::PathIn(config_.folder);
   try {
     try {
       open();
-    } catch (const storage::DamageError& error) {
+    } catch (const storage::CorruptionError& error) {
       // It must not vote as if it remembered: kept for who wants to look, and begun anew.
-      Log(Level::kError, "bank: {}; begins anew as one that does not vote, until it is let in",
+      Log(LogLevel::kError, "bank: {}; begins anew as one that does not vote, until it is let in",
           error.what());
       Disk().Rename(path, path + ".damaged");
       open();
     }
     if (log->cut_off() > 0) {
-      Log(Level::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power", path,
+      Log(LogLevel::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power", path,
           log->cut_off());
     }
-    if (disk.life == 0) disk.life = NewLife();
-    ++disk.boot;
+    if (disk.incarnation == 0) disk.incarnation = NewLife();
+    ++disk.restart_count;
     const std::string identity = Packed(Identity(config_, file_.name, disk));
     log->Append(identity);
     log->Sync();
@@ -329,110 +329,110 @@
   } catch (const storage::FileError& error) {
     return StartAnew(error.what(), false);
   }
-  Link(disk.life, disk.boot);
+  Link(disk.incarnation, disk.restart_count);
   Begin(std::move(disk));
-  Log(Level::kInfo, "bank: {} takes part in '{}', bound {} ms", file_.name, config_.bank,
-      cluster::BoundOf(config_.timing, cluster::kSlack).count() / 1000);
+  Log(LogLevel::kInfo, "bank: {} takes part in '{}', bound {} ms", file_.name, config_.cluster_name,
+      cluster::MaxDisagreement(config_.timing, cluster::kDetectionDelay).count() / 1000);
 }
 
 // Another life under this name, on an empty log or on none: a follower, until it is let in anew.
-void Membership::StartAnew(const char* why, bool on_disk) {
-  Log(Level::kError, "bank: {}; begins anew as one that does not vote, until it is let in", why);
-  links_.reset();
+void ClusterAgent::StartAnew(const char* why, bool on_disk) {
+  Log(LogLevel::kError, "bank: {}; begins anew as one that does not vote, until it is let in", why);
+  connections_.reset();
   disk_.reset();
   if (on_disk) {
-    const std::string path = storage::Log::PathIn(config_.folder);
+    const std::string path = storage::WriteAheadLog::PathIn(config_.folder);
     try {
       Disk().Rename(path, path + ".forgotten");
       return OpenDisk();
     } catch (const storage::FileError& error) {
-      Log(Level::kError, "bank: {}", error.what());
+      Log(LogLevel::kError, "bank: {}", error.what());
     }
   }
   ++disk_failures_;
   diskless_ = true;
-  raft::Disk disk;
-  disk.life = 0;  // it cannot be let in as a voter
-  disk.boot = 1;
-  Link(disk.life, disk.boot);
+  raft::PersistentState disk;
+  disk.incarnation = 0;  // it cannot be let in as a voter
+  disk.restart_count = 1;
+  Link(disk.incarnation, disk.restart_count);
   Begin(std::move(disk));
 }
 
-void Membership::OnDisk() {
+void ClusterAgent::OnDisk() {
   if (!disk_) return;
   const DiskThread::State state = disk_->Look();
   if (state.failed) {
-    loop_.Defer([this, why = state.why, alive = std::weak_ptr(lock_)] {
+    loop_.RunDeferred([this, why = state.why, alive = std::weak_ptr(lock_)] {
       if (!alive.expired()) StartAnew(why.c_str(), false);
     });
     return;
   }
   if (state.durable <= durable_) return;
   durable_ = state.durable;
-  std::vector<raft::Outgoing> held = std::move(held_);
+  std::vector<raft::OutgoingMessage> held = std::move(held_);
   held_.clear();
-  for (raft::Outgoing& outgoing : held) {
-    if (outgoing.after <= durable_) {
-      links_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
+  for (raft::OutgoingMessage& outgoing : held) {
+    if (outgoing.after_sequence_number <= durable_) {
+      connections_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
     } else {
       held_.push_back(std::move(outgoing));
     }
   }
-  Run([&](Member& m, Time now, MemberOutput& out) { m.Durable(now, state.durable, out); });
+  Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnDurable(now, state.durable, out); });
 }
 
-// ---- Links ------------------------------------------------------------------------------------
+// ---- PeerConnections ------------------------------------------------------------------------------------
 
 // Those that vote, or did at first, are linked with all; the others have nothing to say to each
 // other.
-void Membership::Wants() {
+void ClusterAgent::Wants() {
   std::set<std::string> wanted;
   for (const auto& [name, seat] : config_.members) {
     if (seat.votes) wanted.insert(name);
   }
-  for (const raft::Voter& v : member_->agreement().voters()) wanted.insert(v.name);
-  if (wanted == wanted_ || !links_) return;
+  for (const raft::Voter& v : member_->raft_node().voters()) wanted.insert(v.name);
+  if (wanted == wanted_ || !connections_) return;
   wanted_ = wanted;
-  links_->Want(std::move(wanted));
+  connections_->SetWantedMembers(std::move(wanted));
 }
 
-json Membership::KnownOf(const std::string& name) {
-  return raft::ToJson(member_->agreement().KnownOf(name));
+json ClusterAgent::ClaimKnownOf(const std::string& name) {
+  return raft::ToJson(member_->raft_node().ClaimKnownOf(name));
 }
 
-void Membership::OnUp(const std::string& name, uint64_t life, const json& known) {
-  const raft::Claim claim = raft::ReadClaim(known).value_or(raft::Claim{});
-  Run([&](Member& m, Time now, MemberOutput& out) { m.Linked(now, name, life, claim, out); });
+void ClusterAgent::OnConnected(const std::string& name, uint64_t life, const json& known) {
+  const raft::StorageClaim claim = raft::ReadClaim(known).value_or(raft::StorageClaim{});
+  Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerConnected(now, name, life, claim, out); });
 }
 
-void Membership::OnDown(const std::string& name) {
-  Run([&](Member& m, Time now, MemberOutput& out) { m.Unlinked(now, name, out); });
+void ClusterAgent::OnDisconnected(const std::string& name) {
+  Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerDisconnected(now, name, out); });
 }
 
-void Membership::OnFrame(const std::string& name, const json& value) {
+void ClusterAgent::OnFrame(const std::string& name, const json& value) {
   if (!value.is_object()) return;
   if (const auto at = value.find("m"); at != value.end()) {
     auto message = raft::ReadMessage(*at);
     // Nobody speaks for another.
     if (!message || message->from != name) return;
-    SpoilHeard(*message);
-    Run([&](Member& m, Time now, MemberOutput& out) { m.Receive(now, *message, out); });
+    TamperIncoming(*message);
+    Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *message, out); });
   }
   if (const auto at = value.find("n"); at != value.end()) {
     const auto note = cluster::ReadNote(*at);
     if (!note || note->from != name) return;
-    Run([&](Member& m, Time now, MemberOutput& out) { m.Receive(now, *note, out); });
+    Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *note, out); });
   }
 }
 
 // ---- Operators --------------------------------------------------------------------------------
 
-std::string Membership::CannotActOn(const cluster::Content& rules) const {
+std::string ClusterAgent::CannotActOn(const cluster::VersionContent& rules) const {
   try {
     if (const auto tenants = TenantsFor(rules)) {
-      CheckTenants(*tenants, gateway_.config());
+      ValidateTenantChanges(*tenants, gateway_.config());
     } else {
-      static_cast<void>(settings_.With(rules, gateway_.config(), nullptr, loop_.Now()));
+      static_cast<void>(settings_.ApplyVersion(rules, gateway_.config(), nullptr, loop_.Now()));
     }
     return {};
   } catch (const std::exception& error) {
@@ -441,31 +441,31 @@
 }
 
 // How the settings in force differ from those of `rules`, where it is by tenants alone.
-std::optional<std::vector<TenantChange>> Membership::TenantsFor(
-    const cluster::Content& rules) const {
+std::optional<std::vector<TenantChange>> ClusterAgent::TenantsFor(
+    const cluster::VersionContent& rules) const {
   if (!adopted_) return std::nullopt;
-  return SettingsUnderRules::TenantsChanged(*rules_, rules);
+  return VersionedSettings::TenantsChanged(*rules_, rules);
 }
 
 // Of a change with faults of its own nothing is said here: the leader names them all.
-std::string Membership::CannotTake(const cluster::Change& change) const {
+std::string ClusterAgent::CannotTake(const cluster::Change& change) const {
   try {
-    return CannotActOn(change.delta
-                           ? cluster::ApplyDelta(member_->history().latest_content(), change.rules)
-                           : cluster::ParseRules(change.rules));
+    return CannotActOn(change.is_delta
+                           ? cluster::ApplyDelta(member_->history().latest_content(), change.document)
+                           : cluster::ParseDocument(change.document));
   } catch (const std::invalid_argument&) {
     return {};
   }
 }
 
-void Membership::OnCall(uint64_t call, const json& value) {
-  if (!links_) return;
+void ClusterAgent::OnCall(uint64_t call, const json& value) {
+  if (!connections_) return;
   const std::string what = value.is_object() ? value.value("what", "") : "";
-  if (what == "status") return links_->Answer(call, Status());
+  if (what == "status") return connections_->Reply(call, Status());
   if (what == "history") {
     // The texts that are asked for; where none is named, of as many of the last as a frame bears.
     const json wanted = value.value("texts", json());
-    const cluster::History& history = member_->history();
+    const cluster::VersionHistory& history = member_->history();
     std::map<uint64_t, std::string> texts;
     size_t bytes = 0;
     for (auto v = history.versions().rbegin(); v != history.versions().rend(); ++v) {
@@ -473,7 +473,7 @@
           (wanted.is_array() && std::ranges::find(wanted, json(v->number)) == wanted.end())) {
         continue;
       }
-      bytes += cluster::BytesOf(*v->content);
+      bytes += cluster::TextBytes(*v->content);
       if (bytes > kTextsMost) break;
       texts[v->number] = cluster::ToText(*v->content);
     }
@@ -484,113 +484,113 @@
                      {"author", v.author},
                      {"reason", v.reason},
                      {"hash", v.hash},
-                     {"unix_s", v.unix_s},
+                     {"unix_s", v.submitted_unix_s},
                      {"rules", std::move(texts[v.number])},
-                     {"on", v.number <= member_->history().on()}});
+                     {"on", v.number <= member_->history().version_in_force()}});
     }
-    return links_->Answer(call, {{"versions", all}});
+    return connections_->Reply(call, {{"versions", all}});
   }
   auto wish =
       value.is_object() && value.contains("wish") ? cluster::ReadWish(value["wish"]) : std::nullopt;
-  if (!wish) return links_->Answer(call, {{"error", "no such call"}});
-  if (wish->kind == cluster::Wish::Kind::kChange) {
+  if (!wish) return connections_->Reply(call, {{"error", "no such call"}});
+  if (wish->kind == cluster::ChangeRequest::Kind::kChange) {
     if (const std::string why = CannotTake(wish->change); !why.empty()) {
-      const cluster::Answer refused{cluster::Answer::Kind::kRefused, wish->change.id, 0, why};
-      return links_->Answer(call, {{"answer", cluster::ToJson(refused)}});
+      const cluster::ChangeResult refused{cluster::ChangeResult::Kind::kRefused, wish->change.id, 0, why};
+      return connections_->Reply(call, {{"answer", cluster::ToJson(refused)}});
     }
   }
   if (calls_.size() >= kCallsMost)
-    return links_->Answer(call, {{"error", "too many calls at once"}});
-  Spoil(*wish);
+    return connections_->Reply(call, {{"error", "too many calls at once"}});
+  TamperOutgoing(*wish);
   const uint64_t ticket = next_ticket_++;
   calls_[ticket] = call;
-  Run([&](Member& m, Time now, MemberOutput& out) { m.Submit(now, *wish, ticket, out); });
+  Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.Submit(now, *wish, ticket, out); });
 }
 
-json Membership::Status() const {
+json ClusterAgent::Status() const {
   json status = member_->Status(Now());
-  status["bank"] = config_.bank;
+  status["bank"] = config_.cluster_name;
   status["disk"] = diskless_ ? "none" : disk_ ? "good" : "another process has it";
   if (disk_) {
     const DiskThread::State state = disk_->Look();
     status["log_bytes"] = state.bytes;
     if (!state.why.empty()) status["disk"] = state.why;
   }
-  if (links_) {
-    const peer::Links::Counts& c = links_->counts();
+  if (connections_) {
+    const peer::PeerConnections::Statistics& c = connections_->statistics();
     status["frames_in"] = c.frames_in, status["frames_out"] = c.frames_out;
     status["bytes_in"] = c.bytes_in, status["bytes_out"] = c.bytes_out;
-    status["dropped"] = c.dropped, status["nonsense"] = c.nonsense;
-    status["strangers"] = c.strangers, status["old_lives"] = c.old_lives;
+    status["dropped"] = c.dropped, status["nonsense"] = c.malformed_frames;
+    status["strangers"] = c.unidentified, status["old_lives"] = c.stale_incarnations;
   }
   return status;
 }
 
-std::string Membership::StateText() const {
-  const Stance stance = member_->Acting(Now());
+std::string ClusterAgent::DescribeState() const {
+  const EffectiveConfig stance = member_->CurrentConfig(Now());
   constexpr std::array kStances = {"agreed", "between", "alone"};
   return fmt::format(
       "bank_stance={} bank_on={} bank_latest={} bank_term={} bank_leader={} bank_links={} "
       "bank_rule_changes={} bank_lost={} bank_disk_failures={} bank_content_differed={}",
-      kStances[static_cast<size_t>(stance.kind)], stance.on, stance.latest,
-      member_->agreement().term(),
-      member_->agreement().leader().empty() ? "none" : member_->agreement().leader(),
-      links_ ? links_->linked() : 0, changes_, lost_, disk_failures_, content_differed_);
+      kStances[static_cast<size_t>(stance.kind)], stance.version_in_force, stance.latest_version,
+      member_->raft_node().current_term(),
+      member_->raft_node().leader().empty() ? "none" : member_->raft_node().leader(),
+      connections_ ? connections_->connected_count() : 0, changes_, lost_, disk_failures_, content_differed_);
 }
 
 // ---- The decider ------------------------------------------------------------------------------
 
 template <typename What>
-void Membership::Run(What&& what) {
+void ClusterAgent::Run(What&& what) {
   MemberOutput out;
-  const uint64_t differed = member_->differed();
+  const uint64_t differed = member_->content_mismatch_count();
   what(*member_, Now(), out);
-  content_differed_ += member_->differed() - differed;
+  content_differed_ += member_->content_mismatch_count() - differed;
   CarryOut(out);
 }
 
-void Membership::CarryOut(MemberOutput& out) {
-  for (const std::string& line : out.log) Log(Level::kInfo, "{}", line);
+void ClusterAgent::CarryOut(MemberOutput& out) {
+  for (const std::string& line : out.log) Log(LogLevel::kInfo, "{}", line);
   // Before it takes part it only looks at what its disk has.
-  if (!links_) {
+  if (!connections_) {
     Act();
     return Plan();
   }
-  for (const raft::Write& write : out.writes) {
+  for (const raft::StorageWrite& write : out.writes) {
     if (disk_) {
       disk_->Add(write);
     } else {
       // It has none, and nothing that it says counts as if it had.
-      durable_ = std::max(durable_, write.ticket);
+      durable_ = std::max(durable_, write.sequence_number);
     }
   }
-  for (raft::Outgoing& outgoing : out.sends) {
-    Spoil(outgoing.message);
-    if (outgoing.after > durable_) {
+  for (raft::OutgoingMessage& outgoing : out.messages) {
+    TamperOutgoing(outgoing.message);
+    if (outgoing.after_sequence_number > durable_) {
       held_.push_back(std::move(outgoing));
     } else {
-      links_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
+      connections_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
     }
   }
-  for (const cluster::Note& note : out.notes) {
-    links_->Send(note.to, {{"n", cluster::ToJson(note)}});
+  for (const cluster::MemberMessage& note : out.member_messages) {
+    connections_->Send(note.to, {{"n", cluster::ToJson(note)}});
   }
-  for (const auto& [ticket, answer] : out.answers) {
+  for (const auto& [ticket, answer] : out.results) {
     const auto at = calls_.find(ticket);
     if (at == calls_.end()) continue;
-    links_->Answer(at->second, {{"answer", cluster::ToJson(answer)}});
+    connections_->Reply(at->second, {{"answer", cluster::ToJson(answer)}});
     calls_.erase(at);
   }
-  if (out.forgot) {
-    loop_.Defer([this, alive = std::weak_ptr(lock_)] {
+  if (out.storage_rolled_back) {
+    loop_.RunDeferred([this, alive = std::weak_ptr(lock_)] {
       if (!alive.expired()) {
         StartAnew("this disk has gone back to an older state, as the others tell", true);
       }
     });
   }
   // Once for a process: where the fault lies with what is sent, more of it mends nothing.
-  if (!out.needs_anew.empty() && !std::exchange(anew_, true)) {
-    loop_.Defer([this, alive = std::weak_ptr(lock_)] {
+  if (!out.needs_resync.empty() && !std::exchange(anew_, true)) {
+    loop_.RunDeferred([this, alive = std::weak_ptr(lock_)] {
       if (!alive.expired()) StartAnew("its content is not what was agreed", true);
     });
   }
@@ -599,23 +599,23 @@
   Plan();
 }
 
-void Membership::Plan() {
-  loop_.Cancel(timer_);
+void ClusterAgent::Plan() {
+  loop_.CancelTimer(timer_);
   // One that takes no part has nothing else to do in time.
-  if (!links_ && !member_->agreement().Behind()) return;
-  const Time due = member_->NextDue();
+  if (!connections_ && !member_->raft_node().HasEntriesToApply()) return;
+  const Time due = member_->NextTimeout();
   if (due == Time::max()) return;
   const auto wait = static_cast<double>((due - Now()).count()) / config_.clock_factor;
   timer_ =
-      loop_.After(std::max(Duration(0), Duration(static_cast<int64_t>(wait))), [this] { Tick(); });
+      loop_.RunAfter(std::max(Duration(0), Duration(static_cast<int64_t>(wait))), [this] { Tick(); });
 }
 
-void Membership::Tick() {
-  Run([](Member& m, Time now, MemberOutput& out) { m.Tick(now, out); });
+void ClusterAgent::Tick() {
+  Run([](ClusterMember& m, Time now, MemberOutput& out) { m.OnTimeout(now, out); });
 }
 
-void Membership::SetFile(Config file) {
-  settings_ = SettingsUnderRules(file);
+void ClusterAgent::set_file(GatewayConfig file) {
+  settings_ = VersionedSettings(file);
   file_ = std::move(file);
   rules_.reset();
   adopted_ = false;
@@ -623,65 +623,65 @@
 }
 
 // What the gateway may act on now, in force before its next event.
-void Membership::Act() {
-  const Stance stance = Acting();
-  const bool held = stance.kind != Stance::Kind::kAlone;
+void ClusterAgent::Act() {
+  const EffectiveConfig stance = CurrentConfig();
+  const bool held = stance.kind != EffectiveConfig::Kind::kIsolated;
   if (held) {
     // Asked again before anything is decided past this, however late the loop is.
-    const auto left = static_cast<double>((stance.until - Now()).count()) / config_.clock_factor;
+    const auto left = static_cast<double>((stance.valid_until - Now()).count()) / config_.clock_factor;
     const Duration wait(static_cast<int64_t>(left));
-    gateway_.Guard(loop_.Now() + wait, [this] { Act(); });
-    loop_.Cancel(act_timer_);
-    act_timer_ = loop_.After(wait, [this] { Act(); });
+    gateway_.RunBeforeEventsFrom(loop_.Now() + wait, [this] { Act(); });
+    loop_.CancelTimer(act_timer_);
+    act_timer_ = loop_.RunAfter(wait, [this] { Act(); });
   }
-  const bool was_held = stance_ && stance_->kind != Stance::Kind::kAlone;
+  const bool was_held = stance_ && stance_->kind != EffectiveConfig::Kind::kIsolated;
   if (held != was_held) {
     if (!held) ++lost_;
-    Log(held ? Level::kInfo : Level::kWarning, "bank: {}",
-        held ? fmt::format("in touch, version {}", stance.on)
+    Log(held ? LogLevel::kInfo : LogLevel::kWarning, "bank: {}",
+        held ? fmt::format("in touch, version {}", stance.version_in_force)
              : "out of touch: strict rules, nothing is sent twice");
   }
   // One without a lease that catches up goes on with what it had: to act on each version that has
   // come and gone since would hold up its requests for nothing.
-  const bool keeps = rules_ && !held && member_->agreement().Behind();
+  const bool keeps = rules_ && !held && member_->raft_node().HasEntriesToApply();
   const bool same = rules_ && stance_ && stance_->kind == stance.kind && kept_ == keeps &&
-                    (keeps || (stance_->on == stance.on && stance_->latest == stance.latest));
+                    (keeps || (stance_->version_in_force == stance.version_in_force && stance_->latest_version == stance.latest_version));
   stance_ = stance;
   kept_ = keeps;
-  if (config_.when_lost == WhenLost::kDrain && drained_ == held) {
+  if (config_.when_disconnected == WhenDisconnected::kDrain && drained_ == held) {
     // Only what was drained for this is taken back.
     drained_ = !held;
-    life_.set_drained(drained_);
+    lifecycle_.set_drained(drained_);
   }
   // Where the bound goes before service nothing may go to a host that may be barred by now.
-  const bool nowhere = config_.when_lost == WhenLost::kDrain && !held;
+  const bool nowhere = config_.when_disconnected == WhenDisconnected::kDrain && !held;
   if (same) return;
-  cluster::Content rules = keeps ? cluster::Strictest(*rules_) : RulesOf(stance);
+  cluster::VersionContent rules = keeps ? cluster::StrictestFor(*rules_) : ContentOf(stance);
   if (rules_ && *rules_ == rules && nowhere_ == nowhere) return;
   const Time now = loop_.Now();
   try {
     const auto tenants = TenantsFor(rules);
     if (tenants) {
-      gateway_.AdoptTenants(*tenants);
+      gateway_.ApplyTenantChanges(*tenants);
     } else {
-      gateway_.Adopt(settings_.With(rules, gateway_.config(), nullptr, now));
+      gateway_.ApplyConfig(settings_.ApplyVersion(rules, gateway_.config(), nullptr, now));
     }
     // Whoever is to be kept off is told by their names, and by the own zone's place.
-    const bool hosts = !tenants || nowhere != nowhere_ || rules.barred != rules_->barred ||
-                       rules.drain != rules_->drain || rules.zone_only != rules_->zone_only;
-    if (hosts) gateway_.KeepOff(KeptOff(rules), nowhere);
+    const bool hosts = !tenants || nowhere != nowhere_ || rules.excluded != rules_->excluded ||
+                       rules.draining != rules_->draining || rules.zone_only != rules_->zone_only;
+    if (hosts) gateway_.ExcludeHosts(KeptOff(rules), nowhere);
     ++changes_;
     adopted_ = true;
   } catch (const std::exception& error) {
-    Log(Level::kError, "bank: version {} cannot be acted on here: {}", stance.latest, error.what());
-    cluster::Content strict = cluster::Strictest(rules);
+    Log(LogLevel::kError, "bank: version {} cannot be acted on here: {}", stance.latest_version, error.what());
+    cluster::VersionContent strict = cluster::StrictestFor(rules);
     strict.settings = {};
     strict.classes.reset();
     strict.tenants.reset();
-    gateway_.Adopt(settings_.With(strict, gateway_.config(), nullptr, now));
+    gateway_.ApplyConfig(settings_.ApplyVersion(strict, gateway_.config(), nullptr, now));
     std::set<std::string> off;
-    strict.barred.ForEach([&](const cluster::Part& part) { off.insert(part.name); });
-    gateway_.KeepOff(std::move(off), nowhere);
+    strict.excluded.ForEach([&](const cluster::MapEntry& part) { off.insert(part.name); });
+    gateway_.ExcludeHosts(std::move(off), nowhere);
     adopted_ = false;
   }
   rules_ = std::move(rules);
@@ -689,34 +689,34 @@
 }
 
 // The hosts that take no work from this gateway.
-std::set<std::string> Membership::KeptOff(const cluster::Content& rules) const {
+std::set<std::string> ClusterAgent::KeptOff(const cluster::VersionContent& rules) const {
   std::set<std::string> off;
-  const auto add = [&](const cluster::Part& part) { off.insert(part.name); };
-  rules.barred.ForEach(add);
-  rules.drain.ForEach(add);
-  const Config& config = gateway_.config();
+  const auto add = [&](const cluster::MapEntry& part) { off.insert(part.name); };
+  rules.excluded.ForEach(add);
+  rules.draining.ForEach(add);
+  const GatewayConfig& config = gateway_.config();
   const auto mine = static_cast<size_t>(config.settings.zone);
-  rules.zone_only.ForEach([&](const cluster::Part& part) {
+  rules.zone_only.ForEach([&](const cluster::MapEntry& part) {
     if (config.names.zones.Find(json::parse(part.text).get<std::string>()) != mine) add(part);
   });
   return off;
 }
 
-void InitBank(const BankConfig& config, const std::string& name) {
-  storage::Files& files = storage::RealFiles();
+void InitCluster(const ClusterConfig& config, const std::string& name) {
+  storage::FileSystem& files = storage::SystemFiles();
   try {
     files.MakeFolder(config.folder);
     const auto lock = files.Lock(config.folder + "/lock");
     if (!lock) throw ConfigError(config.folder + ": a process has it, expected none");
     bool there = false;
-    raft::Disk disk;
-    storage::Log log(files, config.folder, [&](std::string_view) { there = true; });
+    raft::PersistentState disk;
+    storage::WriteAheadLog log(files, config.folder, [&](std::string_view) { there = true; });
     if (there) throw ConfigError(config.folder + ": a log is there already, expected none");
-    disk.life = NewLife();
-    raft::Write write;
-    write.term = 1;
-    write.from = 1;
-    write.entries = {{1, raft::Entry::Kind::kVoters, {}, {{name, disk.life}}}};
+    disk.incarnation = NewLife();
+    raft::StorageWrite write;
+    write.current_term = 1;
+    write.first_index = 1;
+    write.entries = {{1, raft::LogEntry::Kind::kVoters, {}, {{name, disk.incarnation}}}};
     log.Append(Packed(Identity(config, name, disk)));
     log.Append(Packed(raft::ToJson(write)));
     log.Sync();
--- a/src/gateway/cluster_agent.h
+++ b/src/gateway/cluster_agent.h
@@ -25,37 +25,37 @@
 
 class DiskThread;
 
-class Membership : public peer::Links::Listener {
+class ClusterAgent : public peer::PeerConnections::Listener {
  public:
   // Reads what the disk has and acts on that at once, under strict rules; takes part once no other
   // process has the folder. Throws ConfigError or std::system_error with one line.
-  Membership(EventLoop& loop, BankConfig config, Gateway& gateway, Life& life, Config file);
-  virtual ~Membership();
-  Membership(const Membership&) = delete;
-  Membership& operator=(const Membership&) = delete;
+  ClusterAgent(EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life, GatewayConfig file);
+  virtual ~ClusterAgent();
+  ClusterAgent(const ClusterAgent&) = delete;
+  ClusterAgent& operator=(const ClusterAgent&) = delete;
 
   // The platform's file was read again: the bank's rules lie over it.
-  void SetFile(Config file);
+  void set_file(GatewayConfig file);
   // What the platform's file says, without the bank's rules.
-  [[nodiscard]] const Config& file() const { return file_; }
+  [[nodiscard]] const GatewayConfig& file() const { return file_; }
 
-  [[nodiscard]] std::string StateText() const;
+  [[nodiscard]] std::string DescribeState() const;
 
  protected:
   // What tests put wrong, to see that a judge finds it out.
-  [[nodiscard]] virtual cluster::Stance Acting() const { return member_->Acting(Now()); }
-  [[nodiscard]] virtual cluster::Content RulesOf(const cluster::Stance& stance) const {
-    return member_->RulesOf(stance);
+  [[nodiscard]] virtual cluster::EffectiveConfig CurrentConfig() const { return member_->CurrentConfig(Now()); }
+  [[nodiscard]] virtual cluster::VersionContent ContentOf(const cluster::EffectiveConfig& stance) const {
+    return member_->ContentOf(stance);
   }
-  virtual void Spoil(raft::Message&) {}
-  virtual void SpoilHeard(raft::Message&) {}
-  virtual void Spoil(cluster::Wish&) {}
-  nlohmann::json KnownOf(const std::string& name) override;
+  virtual void TamperOutgoing(raft::Message&) {}
+  virtual void TamperIncoming(raft::Message&) {}
+  virtual void TamperOutgoing(cluster::ChangeRequest&) {}
+  nlohmann::json ClaimKnownOf(const std::string& name) override;
   [[nodiscard]] Time Now() const;
 
  private:
-  void OnUp(const std::string& name, uint64_t life, const nlohmann::json& known) override;
-  void OnDown(const std::string& name) override;
+  void OnConnected(const std::string& name, uint64_t life, const nlohmann::json& known) override;
+  void OnDisconnected(const std::string& name) override;
   void OnFrame(const std::string& name, const nlohmann::json& value) override;
   void OnCall(uint64_t call, const nlohmann::json& value) override;
 
@@ -63,7 +63,7 @@
   void Leave();
   void TakePart();
   void Link(uint64_t life, uint64_t boot);
-  void Begin(raft::Disk disk);
+  void Begin(raft::PersistentState disk);
   void OpenDisk();
   void OnDisk();
   void StartAnew(const char* why, bool on_disk);
@@ -74,34 +74,34 @@
   void Plan();
   void Act();
   void Tick();
-  [[nodiscard]] storage::Files& Disk() const;
+  [[nodiscard]] storage::FileSystem& Disk() const;
   [[nodiscard]] nlohmann::json Status() const;
   // Why this gateway cannot act on these rules; empty: it can.
-  [[nodiscard]] std::string CannotActOn(const cluster::Content& rules) const;
+  [[nodiscard]] std::string CannotActOn(const cluster::VersionContent& rules) const;
   [[nodiscard]] std::string CannotTake(const cluster::Change& change) const;
 
   EventLoop& loop_;
-  BankConfig config_;
+  ClusterConfig config_;
   Gateway& gateway_;
-  Life& life_;
-  Config file_;
-  SettingsUnderRules settings_;  // of that file
+  Lifecycle& lifecycle_;
+  GatewayConfig file_;
+  VersionedSettings settings_;  // of that file
   Time zero_;
-  std::unique_ptr<storage::Files> controlled_;  // of a lab
+  std::unique_ptr<storage::FileSystem> controlled_;  // of a lab
   std::shared_ptr<void> lock_;
   std::unique_ptr<DiskThread> disk_;
-  std::unique_ptr<cluster::Member> member_;
-  std::unique_ptr<peer::Links> links_;
+  std::unique_ptr<cluster::ClusterMember> member_;
+  std::unique_ptr<peer::PeerConnections> connections_;
   std::set<std::string> wanted_;
   uint64_t durable_ = 0, next_ticket_ = 1;
-  std::vector<raft::Outgoing> held_;
+  std::vector<raft::OutgoingMessage> held_;
   std::map<uint64_t, uint64_t> calls_;  // ticket to call
-  std::optional<cluster::Stance> stance_;
-  std::optional<cluster::Content> rules_;
+  std::optional<cluster::EffectiveConfig> stance_;
+  std::optional<cluster::VersionContent> rules_;
   bool adopted_ = false;  // the gateway's settings came of `rules_`
   [[nodiscard]] std::optional<std::vector<TenantChange>> TenantsFor(
-      const cluster::Content& rules) const;
-  [[nodiscard]] std::set<std::string> KeptOff(const cluster::Content& rules) const;
+      const cluster::VersionContent& rules) const;
+  [[nodiscard]] std::set<std::string> KeptOff(const cluster::VersionContent& rules) const;
   bool kept_ = false;  // it acts on what it had, until what its log holds is applied
   EventLoop::TimerId timer_, look_timer_, act_timer_;
   bool anew_ = false;  // has asked for all content once
@@ -113,7 +113,7 @@
 
 // Makes the folder of the bank's first member, the only one that votes until the others come.
 // Throws ConfigError where there is a log already.
-void InitBank(const BankConfig& config, const std::string& name);
+void InitCluster(const ClusterConfig& config, const std::string& name);
 
 }  // namespace paddlestile
 
