--- a/src/gateway/downstream.cpp
+++ b/src/gateway/downstream.cpp
@@ -75,7 +75,7 @@
 }
 
 // Further figures of a request, as name=value with commas between, by the wire's names.
-void ReadInfo(std::string_view info, Submit& submit) {
+void ReadInfo(std::string_view info, RequestArrived& submit) {
   while (!info.empty()) {
     const size_t comma = info.find(',');
     const std::string_view pair = Trim(info.substr(0, comma));
@@ -83,13 +83,13 @@
     const size_t eq = pair.find('=');
     if (eq == std::string_view::npos) continue;
     const std::string_view name = pair.substr(0, eq), value = pair.substr(eq + 1);
-    if (SameName(name, "Subject") && !value.empty()) submit.key = std::string(value);
-    if (SameName(name, "IsWrite")) submit.is_write = value == "1" || value == "true";
+    if (HeaderNamesEqual(name, "Subject") && !value.empty()) submit.key = std::string(value);
+    if (HeaderNamesEqual(name, "IsWrite")) submit.is_write = value == "1" || value == "true";
     double ms = 0;
     const auto read = std::from_chars(value.data(), value.data() + value.size(), ms);
     const bool number = read.ec == std::errc() && read.ptr == value.data() + value.size();
-    if (SameName(name, "Expected") && number && ms >= 0 && ms < 1e9) {
-      submit.expected = Duration(std::llround(ms * 1000));
+    if (HeaderNamesEqual(name, "Expected") && number && ms >= 0 && ms < 1e9) {
+      submit.expected_work = Duration(std::llround(ms * 1000));
     }
   }
 }
@@ -101,15 +101,15 @@
 
 }  // namespace
 
-std::string HeadForClient(const Answer& answer, bool keep_alive, bool to_http10) {
+std::string ResponseHead(const Response& answer, bool keep_alive, bool to_http10) {
   std::string head = fmt::format("HTTP/1.1 {} {}\r\n", answer.status, Reason(answer.status));
-  if (answer.from) {
-    const Message& m = answer.from->message;
-    const std::string_view base = answer.from->bytes.view();
+  if (answer.upstream_message) {
+    const HttpMessage& m = answer.upstream_message->message;
+    const std::string_view base = answer.upstream_message->bytes.view();
     for (const auto& [key, value] : m.headers) {
       const std::string_view name = key.In(base);
-      if (HopByHop(m, base, name) || SameName(name, "Content-Length")) continue;
-      if (SameName(name, "X-Load-Report")) continue;  // between the hosts and us
+      if (IsHopByHop(m, base, name) || HeaderNamesEqual(name, "Content-Length")) continue;
+      if (HeaderNamesEqual(name, "X-Load-Report")) continue;  // between the hosts and us
       head += fmt::format("{}: {}\r\n", name, value.In(base));
     }
   }
@@ -117,9 +117,9 @@
     head += fmt::format("Retry-After: {:.3f}\r\n",
                         static_cast<double>(answer.retry_after.count()) / 1e6);
   }
-  if (!answer.why.empty()) head += "Content-Type: text/plain\r\n";
-  std::optional<uint64_t> size = answer.from ? answer.from->message.body.size : answer.why.size();
-  if (answer.from && answer.from->rest) size = answer.from->rest->length();
+  if (!answer.reason.empty()) head += "Content-Type: text/plain\r\n";
+  std::optional<uint64_t> size = answer.upstream_message ? answer.upstream_message->message.body.size : answer.reason.size();
+  if (answer.upstream_message && answer.upstream_message->streaming_body) size = answer.upstream_message->streaming_body->length();
   if (size) {
     head += fmt::format("Content-Length: {}\r\n", *size);
   } else if (keep_alive || !to_http10) {
@@ -129,11 +129,11 @@
   return head + "\r\n";
 }
 
-Understood Understand(const Held& request, const Names& names, const Settings& settings, Time now) {
-  const Message& m = request.message;
+ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names, const Settings& settings, Time now) {
+  const HttpMessage& m = request.message;
   const std::string_view base = request.bytes.view();
   const auto bad = [](int status, std::string why) {
-    return Understood{{}, status, std::move(why)};
+    return ParsedRequest{{}, status, std::move(why)};
   };
   static constexpr std::string_view kMethods[] = {"GET", "POST", "PUT", "PATCH", "DELETE"};
   if (std::ranges::find(kMethods, m.method.In(base)) == std::end(kMethods)) {
@@ -142,55 +142,55 @@
   // A header that decides and stands there twice could be read differently further on.
   for (const std::string_view name :
        {"X-Call-Id", "X-Budget-Ms", "X-Caller", "X-Again", "Idempotency-Key"}) {
-    if (m.CountOf(base, name) > 1) return bad(400, fmt::format("{} twice", name));
+    if (m.CountHeader(base, name) > 1) return bad(400, fmt::format("{} twice", name));
   }
-  Understood out;
-  Submit& submit = out.submit;
-  const auto id = m.Find(base, "X-Call-Id");
+  ParsedRequest out;
+  RequestArrived& submit = out.arrival;
+  const auto id = m.FindHeader(base, "X-Call-Id");
   if (!id || id->empty() || id->size() > kIdMost ||
       !std::ranges::all_of(*id, [](unsigned char c) { return c > 0x20 && c < 0x7f; })) {
     return bad(400, "X-Call-Id");
   }
   submit.id = *id;
-  const auto budget = ToWhole(m.Find(base, "X-Budget-Ms").value_or(""));
+  const auto budget = ParseWholeNumber(m.FindHeader(base, "X-Budget-Ms").value_or(""));
   if (!budget || *budget == 0 || *budget > kBudgetMost) return bad(400, "X-Budget-Ms");
   submit.deadline = now + Duration(static_cast<int64_t>(*budget) * 1000);
-  submit.cls = names.classes.Find(FirstOfPath(m.target.In(base)));
-  if (submit.cls >= settings.classes.size() || Over(names.classes_until, submit.cls, now)) {
+  submit.request_class = names.classes.Find(FirstOfPath(m.target.In(base)));
+  if (submit.request_class >= settings.classes.size() || HasExpired(names.classes_expire_at, submit.request_class, now)) {
     return bad(404, "unknown class");
   }
-  if (settings.classes[submit.cls].effect == Effect::kKeyed &&
-      m.Find(base, "Idempotency-Key").value_or("").empty()) {
+  if (settings.classes[submit.request_class].idempotency == Idempotency::kKeyed &&
+      m.FindHeader(base, "Idempotency-Key").value_or("").empty()) {
     return bad(400, "Idempotency-Key");  // without it a repeat would be new work
   }
   if (names.tenants.size() > 0) {
-    const auto caller = m.Find(base, "X-Caller");
+    const auto caller = m.FindHeader(base, "X-Caller");
     if (!caller) return bad(400, "X-Caller");
     submit.tenant = names.tenants.Find(*caller);
-    if (submit.tenant >= names.tenants.size() || Over(names.tenants_until, submit.tenant, now)) {
+    if (submit.tenant >= names.tenants.size() || HasExpired(names.tenants_expire_at, submit.tenant, now)) {
       return bad(403, "unknown X-Caller");
     }
   }
-  submit.again = settings.callers_mark_retry && m.Find(base, "X-Again").value_or("") == "1";
-  if (const auto info = m.Find(base, "X-Call-Info")) ReadInfo(*info, submit);
+  submit.is_client_retry = settings.clients_mark_retries && m.FindHeader(base, "X-Again").value_or("") == "1";
+  if (const auto info = m.FindHeader(base, "X-Call-Info")) ReadInfo(*info, submit);
   return out;
 }
 
 // ---- Listening ------------------------------------------------------------------------------
 
-class Clients::Listening final : public EventLoop::Handler {
+class Downstream::Acceptor final : public EventLoop::Handler {
  public:
-  Listening(Clients& clients, const Address& listen, Fd handed, bool shared)
+  Acceptor(Downstream& clients, const Address& listen, FileDescriptor handed, bool shared)
       : clients_(clients), loop_(clients.loop_) {
     fd_ = handed ? std::move(handed) : Listen(listen, kBacklog, shared);
     if (!fd_ || setsockopt(fd_.get(), SOL_SOCKET, SO_RCVBUF, &kReceive, sizeof(kReceive)) != 0) {
       throw std::system_error(errno, std::generic_category(), "listen on " + ToText(listen));
     }
-    clients_.address_ = BoundTo(fd_.get());  // where any port was asked for
+    clients_.address_ = LocalAddress(fd_.get());  // where any port was asked for
   }
-  Listening(const Listening&) = delete;
-  Listening& operator=(const Listening&) = delete;
-  virtual ~Listening() { Watch(false); }
+  Acceptor(const Acceptor&) = delete;
+  Acceptor& operator=(const Acceptor&) = delete;
+  virtual ~Acceptor() { Watch(false); }
 
   // Whether connections are told of; what waits already is told at once. False where the kernel
   // refuses.
@@ -204,32 +204,32 @@
   void OnEvents(uint32_t) override { clients_.Accept(); }
 
  private:
-  Clients& clients_;
+  Downstream& clients_;
   EventLoop& loop_;
-  Fd fd_;
+  FileDescriptor fd_;
   uint64_t token_ = 0;
   bool watched_ = false;
 };
 
 // ---- Connections ----------------------------------------------------------------------------
 
-class Clients::Connection final : public Stream::Owner {
+class Downstream::Connection final : public Stream::Listener {
  public:
-  Connection(Clients& clients, Socket socket)
+  Connection(Downstream& clients, Socket socket)
       : clients_(clients),
         loop_(clients.loop_),
         stream_(clients.loop_, std::move(socket), this, false) {
-    stream_.set_most_unread(kMaxHead + kMaxBody);
+    stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBufferedBodyBytes);
   }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
-  virtual ~Connection() { loop_.Cancel(timer_); }
+  virtual ~Connection() { loop_.CancelTimer(timer_); }
 
   bool Start() {
     if (!stream_.Start()) return false;
     opened_ = loop_.Now();
     SetTimer(kSilentTime, [this] { OutOfTime(); });
-    BecomeIdle(clients_.silent_);
+    BecomeIdle(clients_.never_used_);
     return true;
   }
 
@@ -238,19 +238,19 @@
   // Whether a close would cut something: a request that is worked for, an answer that its client
   // has not read yet, or a request that waits for its turn, unread or in the buffer.
   [[nodiscard]] bool in_hand() {
-    const bool waits = !stream_.in().empty() && !parser_.begun();
-    return state_ != State::kReading || waits || stream_.Unread();
+    const bool waits = !stream_.input().empty() && !parser_.begun();
+    return state_ != State::kReading || waits || stream_.HasUnreadBytes();
   }
 
   // Before it goes: whoever works for it must not answer it any more.
   void Leave() {
-    loop_.Cancel(timer_);
+    loop_.CancelTimer(timer_);
     StopIdling();
     GiveBack();
-    if (const auto body = std::exchange(body_, nullptr)) body->Cut();
-    if (const auto exchange = std::exchange(exchange_, nullptr); exchange && !exchange->over()) {
+    if (const auto body = std::exchange(body_, nullptr)) body->OnTruncated();
+    if (const auto exchange = std::exchange(exchange_, nullptr); exchange && !exchange->done()) {
       exchange->Abandon();
-      clients_.listener_->OnClientLeft(exchange);
+      clients_.listener_->OnClientDisconnected(exchange);
     }
     writer_.reset();
     stream_.Close();
@@ -261,10 +261,10 @@
  private:
   enum class State { kReading, kUploading, kWaiting, kWriting, kLingering };
 
-  void OnRead() override {
+  void OnData() override {
     if (state_ == State::kReading) Read();
     if (state_ == State::kUploading && body_ && !stream_.ended()) {
-      body_->More();
+      body_->OnDataAvailable();
       return;
     }
     DropIfLeft();
@@ -278,7 +278,7 @@
   }
 
   void Read() {
-    if (stream_.in().empty()) {
+    if (stream_.input().empty()) {
       if (stream_.ended()) clients_.Drop(*this);
       return;
     }
@@ -289,9 +289,9 @@
       SetTimer(kRequestTime - passed, [this] { OutOfTime(); });
     }
     spoken_ = true;
-    const Progress progress = parser_.Feed(stream_.in());
-    if (progress == Progress::kBad) return Refuse(parser_.status_for_bad(), "malformed request");
-    if (progress == Progress::kDone) return Take();
+    const ParseProgress progress = parser_.Feed(stream_.input());
+    if (progress == ParseProgress::kMalformed) return Refuse(parser_.error_status(), "malformed request");
+    if (progress == ParseProgress::kDone) return Take();
     if (stream_.ended()) return clients_.Drop(*this);  // it broke off in the middle
     Continue();
     if (parser_.head_done()) ReadLarge();
@@ -304,19 +304,19 @@
       const Duration passed = body_at_ - begun_at_;
       SetTimer(std::max(kRequestTime - passed, kBodyLook), [this] { LookAtRate(); });
     }
-    const size_t come = parser_.body_come(stream_.in());
+    const size_t come = parser_.body_bytes_received(stream_.input());
     if (come > came_) last_byte_ = loop_.Now();
     came_ = std::max(came_, come);
-    const auto length = parser_.length();
-    if (length ? *length <= kMaxBody : come < kMaxBody) return;
-    if (length && held_ == 0 && *length <= kHeldOne && clients_.held_ + *length <= kHeldMost) {
+    const auto length = parser_.body_length();
+    if (length ? *length <= kMaxBufferedBodyBytes : come < kMaxBufferedBodyBytes) return;
+    if (length && held_ == 0 && *length <= kHeldOne && clients_.buffered_bytes_ + *length <= kHeldMost) {
       held_ = static_cast<size_t>(*length);
-      clients_.held_ += held_;
-      stream_.set_most_unread(kMaxHead + held_);
-      stream_.set_read_at_least(kPieceMost);
+      clients_.buffered_bytes_ += held_;
+      stream_.set_max_unread_bytes(kMaxHeadBytes + held_);
+      stream_.set_min_read_bytes(kMaxPieceBytes);
       // What was left unread by the bound before has told of itself already.
-      loop_.Yield([self = Self()] {
-        if (!self->stream_.closed()) self->stream_.Resume();
+      loop_.RunAfterRound([self = Self()] {
+        if (!self->stream_.closed()) self->stream_.ResumeReading();
       });
     }
     if (held_ == 0 && come >= kPassOnFrom) TakeLarge();
@@ -329,71 +329,71 @@
     const bool slow =
         static_cast<double>(came_) < kBodyRate * static_cast<double>(since.count()) / 1e6;
     // What waits here unread, or to be written, is no fault of the client's.
-    const bool unread = state_ == State::kUploading && !stream_.in().empty();
+    const bool unread = state_ == State::kUploading && !stream_.input().empty();
     if (unread) last_byte_ = now, body_at_ = std::max(body_at_, now - kBodyGrace);
     if (!unread && (slow || now - last_byte_ > kBodyGrace)) return TooSlow();
     SetTimer(kBodyLook, [this] { LookAtRate(); });
   }
 
   void TooSlow() {
-    ++Count().bodies_cut;
+    ++GlobalCounters().bodies_cut;
     if (state_ == State::kReading) return Refuse(408, "request too slow");
-    Log(Level::kInfo, "body cut: request {} came too slowly", exchange_ ? exchange_->id() : "");
+    Log(LogLevel::kInfo, "body cut: request {} came too slowly", exchange_ ? exchange_->id() : "");
     BreakOff(408, "request too slow");
   }
 
   // The rest of a request that passes on cannot be had: nobody works for it any more.
   void BreakOff(int status, std::string_view why) {
-    if (const auto body = std::exchange(body_, nullptr)) body->Cut();
-    if (const auto exchange = std::exchange(exchange_, nullptr); exchange && !exchange->over()) {
+    if (const auto body = std::exchange(body_, nullptr)) body->OnTruncated();
+    if (const auto exchange = std::exchange(exchange_, nullptr); exchange && !exchange->done()) {
       exchange->Abandon();
-      clients_.listener_->OnClientLeft(exchange);
+      clients_.listener_->OnClientDisconnected(exchange);
     }
     Refuse(status, why);
   }
 
-  void GiveBack() { clients_.held_ -= std::exchange(held_, 0); }
+  void GiveBack() { clients_.buffered_bytes_ -= std::exchange(held_, 0); }
 
   // Begins with what has come; the rest passes on.
   void TakeLarge() {
-    const auto length = parser_.length();
-    Held request;
-    request.message = parser_.TakeHead(stream_.in(), request.bytes);
-    stream_.set_most_unread(kPieceMost);
-    stream_.set_read_at_least(kPieceMost);
-    ++Count().requests_passed_on;
-    body_ = request.rest = std::make_shared<Body>(
+    const auto length = parser_.body_length();
+    BufferedMessage request;
+    request.message = parser_.TakeHead(stream_.input(), request.bytes);
+    stream_.set_max_unread_bytes(kMaxPieceBytes);
+    stream_.set_min_read_bytes(kMaxPieceBytes);
+    ++GlobalCounters().requests_passed_on;
+    body_ = request.streaming_body = std::make_shared<StreamingBody>(
         length, [this](Buffer& piece) { return TakeBody(piece); }, nullptr);
-    http10_ = request.message.http10;
+    http10_ = request.message.is_http10;
     keep_alive_ = request.message.keep_alive;
     state_ = State::kUploading;
     Begin(std::move(request));
   }
 
-  Progress TakeBody(Buffer& piece) {
-    const Progress progress = parser_.TakeBody(stream_.in(), piece, stream_.ended());
+  ParseProgress TakeBody(Buffer& piece) {
+    const ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
     came_ += piece.size();
     if (!piece.empty()) last_byte_ = loop_.Now();
     // Not within this call: what comes is told to whoever is at work here.
-    if (progress == Progress::kMore) {
+    if (progress == ParseProgress::kNeedMore) {
       if (!stream_.readable()) return progress;
-      loop_.Yield([self = Self()] {
-        if (!self->stream_.closed() && self->state_ == State::kUploading) self->stream_.Resume();
+      loop_.RunAfterRound([self = Self()] {
+        if (!self->stream_.closed() && self->state_ == State::kUploading) self->stream_.ResumeReading();
       });
       return progress;
     }
     body_ = nullptr;
-    if (progress == Progress::kBad) {
-      const int status = parser_.status_for_bad();
-      loop_.Defer([self = Self(), status] {
+    if (progress == ParseProgress::kMalformed) {
+      const int status = parser_.error_status();
+      loop_.RunDeferred([self = Self(), status] {
         if (!self->stream_.closed()) self->BreakOff(status, "malformed request");
       });
       return progress;
     }
-    loop_.Cancel(timer_);
+    loop_.CancelTimer(timer_);
     EndOfRequest();
     state_ = State::kWaiting;
-    if (exchange_) clients_.listener_->OnWhole(exchange_);
+    if (exchange_) clients_.listener_->OnRequestComplete(exchange_);
     return progress;
   }
 
@@ -401,8 +401,8 @@
   void EndOfRequest() {
     parser_.Reset();
     GiveBack();
-    stream_.set_most_unread(kMaxHead + kMaxBody);
-    stream_.set_read_at_least(kReadFirst);
+    stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBufferedBodyBytes);
+    stream_.set_min_read_bytes(kReadFirst);
     asked_ = false;
     body_at_ = Time(0);
     came_ = 0;
@@ -411,122 +411,122 @@
   void OutOfTime() {
     if (parser_.begun()) return Refuse(408, "request too slow");
     // One whose request has come and was not read yet is about to be read.
-    if (stream_.Quiet()) return clients_.Drop(*this);
+    if (stream_.IsIdle()) return clients_.Drop(*this);
     SetTimer(kAcceptAgain, [this] { OutOfTime(); });
   }
 
   // A client may wait to be asked for the body.
   void Continue() {
-    const Message& m = parser_.message();
+    const HttpMessage& m = parser_.message();
     if (asked_ || m.body.at == 0) return;
     asked_ = true;
-    if (SameName(m.Find(stream_.in().view(), "Expect").value_or(""), "100-continue")) {
+    if (HeaderNamesEqual(m.FindHeader(stream_.input().view(), "Expect").value_or(""), "100-continue")) {
       stream_.Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
   }
 
   void Take() {
-    loop_.Cancel(timer_);
-    Held request;
+    loop_.CancelTimer(timer_);
+    BufferedMessage request;
     request.message = parser_.message();
-    request.bytes = stream_.in().TakeFront(request.message.size);
+    request.bytes = stream_.input().TakeFront(request.message.total_bytes);
     EndOfRequest();
-    http10_ = request.message.http10;
+    http10_ = request.message.is_http10;
     keep_alive_ = request.message.keep_alive;
     state_ = State::kWaiting;
     Begin(std::move(request));
   }
 
-  void Begin(Held request) {
+  void Begin(BufferedMessage request) {
     const std::string_view base = request.bytes.view();
     if (request.message.target.In(base) == "/_health") {
-      ++Count().health_checks;
-      return Reply({.status = clients_.life_.wants_clients() ? 200 : 503});
+      ++GlobalCounters().health_checks;
+      return Reply({.status = clients_.lifecycle_.healthy() ? 200 : 503});
     }
-    Taken taken = clients_.listener_->OnRequest(std::move(request),
-                                                [this](const Answer& answer) { Reply(answer); });
-    if (taken.exchange) {
-      exchange_ = std::move(taken.exchange);
+    AdmissionResult taken = clients_.listener_->OnRequest(std::move(request),
+                                                [this](const Response& answer) { Reply(answer); });
+    if (taken.request) {
+      exchange_ = std::move(taken.request);
       return;
     }
-    ++Count().requests_malformed;
-    Log(Level::kInfo, "request answered {}: {}", taken.bad_status, taken.why);
+    ++GlobalCounters().requests_malformed;
+    Log(LogLevel::kInfo, "request answered {}: {}", taken.error_status, taken.reason);
     // Who sends what makes no sense is not heard out: hundreds more may lie behind it.
-    keep_alive_ = keep_alive_ && taken.bad_status >= 500;
-    Reply({.status = taken.bad_status, .why = taken.why + '\n'});
+    keep_alive_ = keep_alive_ && taken.error_status >= 500;
+    Reply({.status = taken.error_status, .reason = taken.reason + '\n'});
   }
 
   // Where the framing is lost nothing more can be understood on this connection.
   void Refuse(int status, std::string_view why) {
-    ++Count().requests_malformed;
-    Log(Level::kInfo, "request answered {}: {}", status, why);
+    ++GlobalCounters().requests_malformed;
+    Log(LogLevel::kInfo, "request answered {}: {}", status, why);
     state_ = State::kWaiting;
     keep_alive_ = false;
     GiveBack();
-    stream_.in().Consume(stream_.in().size());
-    Reply({.status = status, .why = std::string(why) + '\n'});
+    stream_.input().Consume(stream_.input().size());
+    Reply({.status = status, .reason = std::string(why) + '\n'});
   }
 
-  void Reply(const Answer& answer) {
+  void Reply(const Response& answer) {
     exchange_ = nullptr;
     if (!PADDLESTILE_CHECK(state_ == State::kWaiting || state_ == State::kUploading)) return;
     // Answered before it was heard: the rest of the request is of no use.
     if (const auto body = std::exchange(body_, nullptr)) {
-      body->Cut();
+      body->OnTruncated();
       keep_alive_ = false;
     }
     state_ = State::kWriting;
-    const auto rest = answer.from ? answer.from->rest : nullptr;
+    const auto rest = answer.upstream_message ? answer.upstream_message->streaming_body : nullptr;
     const bool sized = !rest || rest->length();
-    keep_alive_ = keep_alive_ && !clients_.emptying_ && (sized || !http10_);
+    keep_alive_ = keep_alive_ && !clients_.draining_ && (sized || !http10_);
     SetTimer(kAnswerTime, [this] { clients_.Drop(*this); });  // it never reads
     if (rest) {
       writer_ = std::make_unique<BodyWriter>(stream_, rest, !sized && !http10_, true,
                                              [this](bool whole) { BodyOver(whole); });
     }
-    stream_.Write(HeadForClient(answer, keep_alive_, http10_) + answer.why, answer.from,
-                  answer.from ? answer.from->body() : std::string_view());
-    if (writer_) writer_->Go();
+    stream_.Write(ResponseHead(answer, keep_alive_, http10_) + answer.reason, answer.upstream_message,
+                  answer.upstream_message ? answer.upstream_message->body() : std::string_view());
+    if (writer_) writer_->Resume();
   }
 
   // The answer that passed on is written, or its host is gone: the client is shown that it is cut.
   void BodyOver(bool whole) {
     // It may be told from within the writer.
-    loop_.Defer([kept = std::shared_ptr<BodyWriter>(std::move(writer_))] {});
-    if (whole) return OnFlushed();
+    loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(writer_))] {});
+    if (whole) return OnWriteComplete();
     stream_.CloseByReset();
-    loop_.Defer([self = Self()] { self->clients_.DropClosed(*self); });
+    loop_.RunDeferred([self = Self()] { self->clients_.DropClosed(*self); });
   }
 
-  void OnFlushed() override {
+  void OnWriteComplete() override {
     if (state_ != State::kWriting) return;  // that was "100 Continue"
     if (writer_) {
       SetTimer(kAnswerTime, [this] { clients_.Drop(*this); });
-      return writer_->Go();
+      return writer_->Resume();
     }
     if (keep_alive_) {
-      loop_.Cancel(timer_);
+      loop_.CancelTimer(timer_);
       state_ = State::kReading;
       // A request that waits in the buffer is a call of its own, and hundreds may: after others.
-      if (stream_.in().empty() && !stream_.ended()) {
-        loop_.Defer([self = Self()] { self->Next(); });
+      if (stream_.input().empty() && !stream_.ended()) {
+        loop_.RunDeferred([self = Self()] { self->Next(); });
       } else {
-        loop_.Yield([self = Self()] { self->Next(); });
+        loop_.RunAfterRound([self = Self()] { self->Next(); });
       }
       return;
     }
     // Closed with something unread, the kernel would reset the connection and with it the answer.
     state_ = State::kLingering;
-    stream_.ShutWrite();
+    stream_.ShutdownWrite();
     SetTimer(kLinger, [this] { clients_.Drop(*this); });
-    loop_.Yield([self = Self()] {
-      if (!self->stream_.closed()) self->stream_.Discard();
+    loop_.RunAfterRound([self = Self()] {
+      if (!self->stream_.closed()) self->stream_.DiscardInput();
     });
   }
 
   void Next() {
     if (stream_.closed() || state_ != State::kReading) return;
-    if (stream_.in().empty() && !stream_.ended()) {
+    if (stream_.input().empty() && !stream_.ended()) {
       SetTimer(kIdleTime, [this] { OutOfTime(); });
       BecomeIdle(clients_.idle_);
       clients_.TrimIdle();
@@ -534,10 +534,10 @@
       Read();
       DropIfLeft();
     }
-    stream_.Resume();
+    stream_.ResumeReading();
   }
 
-  void OnBroken() override { clients_.Drop(*this); }
+  void OnError() override { clients_.Drop(*this); }
 
   void BecomeIdle(std::list<Connection*>& among) {
     if (among_ != nullptr) return;
@@ -550,8 +550,8 @@
   }
 
   void SetTimer(Duration after, std::function<void()> then) {
-    loop_.Cancel(timer_);
-    timer_ = loop_.After(after, [this, then = std::move(then)] {
+    loop_.CancelTimer(timer_);
+    timer_ = loop_.RunAfter(after, [this, then = std::move(then)] {
       timer_ = {};
       then();
     });
@@ -559,13 +559,13 @@
 
   std::shared_ptr<Connection> Self() { return *place; }
 
-  Clients& clients_;
+  Downstream& clients_;
   EventLoop& loop_;  // may outlive the clients, as what is put off may
   Stream stream_;
-  MessageParser parser_{MessageParser::Kind::kRequest, kMostBody};
+  HttpParser parser_{HttpParser::Kind::kRequest, kMaxBodyBytes};
   State state_ = State::kReading;
   bool keep_alive_ = true, asked_ = false, http10_ = false;
-  std::shared_ptr<Body> body_;                    // of a request that passes on
+  std::shared_ptr<StreamingBody> body_;                    // of a request that passes on
   std::unique_ptr<BodyWriter> writer_;            // of an answer that does
   size_t held_ = 0;                               // of the clients' bytes held whole past kMaxBody
   Time begun_at_{0}, body_at_{0}, last_byte_{0};  // of the present request; its body
@@ -574,36 +574,36 @@
   bool spoken_ = false;                      // has sent its first byte
   std::list<Connection*>* among_ = nullptr;  // the list it idles in
   std::list<Connection*>::iterator idle_place_;
-  std::shared_ptr<Exchange> exchange_;
+  std::shared_ptr<ProxiedRequest> exchange_;
   EventLoop::TimerId timer_;
 };
 
 // ---- Clients --------------------------------------------------------------------------------
 
-Clients::Clients(EventLoop& loop, Descriptors& budget, const Address& listen, const Life& life,
-                 Listener* listener, Fd handed, bool shared)
+Downstream::Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen, const Lifecycle& life,
+                 Listener* listener, FileDescriptor handed, bool shared)
     : loop_(loop),
       budget_(budget),
-      life_(life),
+      lifecycle_(life),
       listener_(listener),
       address_(listen),
       shared_(shared) {
-  listening_ = std::make_unique<Listening>(*this, listen, std::move(handed), shared);
-  LifeChanged();
+  acceptor_ = std::make_unique<Acceptor>(*this, listen, std::move(handed), shared);
+  OnLifecycleChanged();
 }
 
-Clients::~Clients() {
-  loop_.Cancel(accept_timer_);
-  loop_.Cancel(drain_timer_);
+Downstream::~Downstream() {
+  loop_.CancelTimer(accept_timer_);
+  loop_.CancelTimer(drain_timer_);
   // No events to the listener any more: the module goes with this gateway.
   for (const auto& connection : connections_) connection->stream().Close();
 }
 
-void Clients::Accept() {
-  for (int accepted = 0; listening_ && life_.accepts(); ++accepted) {
+void Downstream::Accept() {
+  for (int accepted = 0; acceptor_ && lifecycle_.accepts(); ++accepted) {
     if (accepted == kAcceptAtOnce) {
       if (std::exchange(accept_yielded_, true)) return;
-      loop_.Yield([this, alive = std::weak_ptr(alive_)] {
+      loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
         if (alive.expired()) return;
         accept_yielded_ = false;
         Accept();
@@ -611,29 +611,29 @@
       return;
     }
     const bool share =
-        static_cast<double>(connections_.size()) < kShare * static_cast<double>(budget_.most());
-    if (!share || !budget_.Take()) {
+        static_cast<double>(connections_.size()) < kShare * static_cast<double>(budget_.limit());
+    if (!share || !budget_.TryAcquire()) {
       // Room is made only for somebody who waits: else the last free descriptor would cost an idle
       // connection each time.
-      pollfd waiting{listening_->fd(), POLLIN, 0};
+      pollfd waiting{acceptor_->fd(), POLLIN, 0};
       if (poll(&waiting, 1, 0) == 0) return;
-      if (!(share ? listener_->OnShort() : CloseOneIdle()) || !budget_.Take()) {
+      if (!(share ? listener_->OnDescriptorsExhausted() : CloseOneIdle()) || !budget_.TryAcquire()) {
         return AcceptLater();
       }
     }
-    Socket socket(Fd(accept4(listening_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)),
+    Socket socket(FileDescriptor(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)),
                   &budget_);
     if (socket.get() < 0) {
       const int error = errno;
       if (error == EINTR || error == ECONNABORTED) continue;
       if (error == EAGAIN || error == EWOULDBLOCK) return;
       // The table is full all the same: with the edge consumed, only the timer looks again.
-      if (error == EMFILE && listener_->OnShort()) continue;
+      if (error == EMFILE && listener_->OnDescriptorsExhausted()) continue;
       return AcceptLater();
     }
     const int on = 1;
     setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    ++Count().clients_accepted;
+    ++GlobalCounters().clients_accepted;
     last_accept_ = loop_.Now();
     connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
     Connection& connection = *connections_.back();
@@ -642,91 +642,91 @@
   }
 }
 
-void Clients::AcceptLater() {
-  ++Count().accept_waits;
+void Downstream::AcceptLater() {
+  ++GlobalCounters().accept_waits;
   if (accept_timer_.number != 0) return;
-  accept_timer_ = loop_.After(kAcceptAgain, [this] {
+  accept_timer_ = loop_.RunAfter(kAcceptAgain, [this] {
     accept_timer_ = {};
     Accept();
   });
 }
 
-void Clients::Drop(Connection& connection) {
+void Downstream::Drop(Connection& connection) {
   if (connection.stream().closed()) return;
   DropClosed(connection);
 }
 
-void Clients::DropClosed(Connection& connection) {
+void Downstream::DropClosed(Connection& connection) {
   connection.Leave();
-  ++Count().clients_closed;
+  ++GlobalCounters().clients_closed;
   // It may be the one whose handler is at work: its memory goes once that has returned.
-  loop_.Defer([kept = *connection.place] {});
+  loop_.RunDeferred([kept = *connection.place] {});
   connections_.erase(connection.place);
 }
 
 // The trouble: in a burst each newcomer was closed for the next, its request a moment behind it.
-bool Clients::CloseOneIdle() {
+bool Downstream::CloseOneIdle() {
   const Time now = loop_.Now();
-  return CloseOne(silent_, now - kSilentGrace) || CloseOne(idle_, now) || CloseOne(silent_, now);
+  return CloseOne(never_used_, now - kSilentGrace) || CloseOne(idle_, now) || CloseOne(never_used_, now);
 }
 
 // Clients have a bound of their own on what they keep open to us. When each request comes on a new
 // connection that is kept, they run into it and ask no more, and the gateway idles.
-void Clients::TrimIdle() {
-  const double most = kKeptShare * static_cast<double>(budget_.most());
-  while (static_cast<double>(connections_.size() - silent_.size()) > most) {
+void Downstream::TrimIdle() {
+  const double most = kKeptShare * static_cast<double>(budget_.limit());
+  while (static_cast<double>(connections_.size() - never_used_.size()) > most) {
     if (!CloseOne(idle_, loop_.Now())) return;
   }
 }
 
-bool Clients::CloseOne(std::list<Connection*>& among, Time opened_before) {
+bool Downstream::CloseOne(std::list<Connection*>& among, Time opened_before) {
   for (Connection* const connection : among) {
     if (connection->opened() > opened_before) return false;  // the later ones are younger
     // One with a request on its way that was not read yet stays: that request is taken.
-    if (!connection->stream().Quiet()) continue;
-    ++Count().clients_reclaimed;
+    if (!connection->stream().IsIdle()) continue;
+    ++GlobalCounters().clients_reclaimed;
     Drop(*connection);
     return true;
   }
   return false;
 }
 
-int Clients::listening() const { return listening_ ? listening_->fd() : -1; }
+int Downstream::listening_socket() const { return acceptor_ ? acceptor_->fd() : -1; }
 
-void Clients::LifeChanged() {
-  if (listening_ && !listening_->Watch(life_.accepts())) {
+void Downstream::OnLifecycleChanged() {
+  if (acceptor_ && !acceptor_->Watch(lifecycle_.accepts())) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
-  if (std::exchange(emptying_, life_.empties()) == life_.empties()) return;
-  loop_.Cancel(drain_timer_);
+  if (std::exchange(draining_, lifecycle_.draining()) == lifecycle_.draining()) return;
+  loop_.CancelTimer(drain_timer_);
   drain_since_ = loop_.Now();
-  if (emptying_) DrainStep();
+  if (draining_) DrainStep();
 }
 
-void Clients::End(Duration at_most, std::function<void()> done) {
+void Downstream::Shutdown(Duration at_most, std::function<void()> done) {
   // Also where it was emptied before: connections go on coming for a while from now.
   drain_since_ = loop_.Now();
-  end_at_ = drain_since_ + at_most;
-  drained_ = std::move(done);
+  shutdown_at_ = drain_since_ + at_most;
+  on_drained_ = std::move(done);
 }
 
-void Clients::EndIdle() {
+void Downstream::EndIdle() {
   const Time now = loop_.Now();
-  for (auto* const among : {&silent_, &idle_}) {
+  for (auto* const among : {&never_used_, &idle_}) {
     for (auto at = among->begin(); at != among->end();) {
       Connection* const connection = *at++;
       // A newcomer's request may be a moment behind it.
-      if (among == &silent_ && !drained_ && now - connection->opened() < kSilentGrace) break;
-      if (connection->stream().Quiet()) Drop(*connection);
+      if (among == &never_used_ && !on_drained_ && now - connection->opened() < kSilentGrace) break;
+      if (connection->stream().IsIdle()) Drop(*connection);
     }
   }
 }
 
-void Clients::DrainStep() {
+void Downstream::DrainStep() {
   Accept();
   const Time now = loop_.Now();
   if (now - drain_since_ >= kDrainIdleAfter) EndIdle();
-  if (drained_ && now >= end_at_) {
+  if (on_drained_ && now >= shutdown_at_) {
     // Whoever still has no request in hand had time enough; what is in hand is answered first.
     for (auto at = connections_.begin(); at != connections_.end();) {
       Connection& connection = **at++;
@@ -736,16 +736,16 @@
   // What waits in the queue would be reset with it: not while accepting was put off.
   const bool taken = !accept_yielded_ && accept_timer_.number == 0;
   // Another may listen at the address: to stay would be to take what is the other's for ever.
-  if (drained_ && shared_ && taken && now - drain_since_ >= kDrainShared) listening_.reset();
+  if (on_drained_ && shared_ && taken && now - drain_since_ >= kDrainShared) acceptor_.reset();
   const bool quiet =
-      !listening_ || !life_.accepts() ||
+      !acceptor_ || !lifecycle_.accepts() ||
       (taken && now - drain_since_ >= kDrainIdleAfter && now - last_accept_ >= kDrainQuiet);
-  if (drained_ && quiet && connections_.empty()) {
-    listening_.reset();
-    drained_();
+  if (on_drained_ && quiet && connections_.empty()) {
+    acceptor_.reset();
+    on_drained_();
     return;
   }
-  drain_timer_ = loop_.After(kDrainStep, [this] { DrainStep(); });
+  drain_timer_ = loop_.RunAfter(kDrainStep, [this] { DrainStep(); });
 }
 
 }  // namespace paddlestile
--- a/src/gateway/downstream.h
+++ b/src/gateway/downstream.h
@@ -19,33 +19,33 @@
 namespace paddlestile {
 
 // The head that an answer goes to a client with.
-std::string HeadForClient(const Answer& answer, bool keep_alive, bool to_http10 = false);
+std::string ResponseHead(const Response& answer, bool keep_alive, bool to_http10 = false);
 
 // What a request says of itself for the module; or the status to answer and why.
-struct Understood {
-  Submit submit;
-  int bad_status = 0;  // 0: understood
-  std::string why;
+struct ParsedRequest {
+  RequestArrived arrival;
+  int error_status = 0;  // 0: understood
+  std::string reason;
 };
-Understood Understand(const Held& request, const Names& names, const Settings& settings, Time now);
+ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names, const Settings& settings, Time now);
 
 // What became of a request: in hand, or answered with `bad_status` at once.
-struct Taken {
-  std::shared_ptr<Exchange> exchange;
-  int bad_status = 0;
-  std::string why;
+struct AdmissionResult {
+  std::shared_ptr<ProxiedRequest> request;
+  int error_status = 0;
+  std::string reason;
 };
 
-class Clients {
+class Downstream {
  public:
   class Listener {
    public:
-    virtual Taken OnRequest(Held request, Exchange::Reply reply) = 0;
-    virtual void OnClientLeft(const std::shared_ptr<Exchange>& exchange) = 0;
+    virtual AdmissionResult OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) = 0;
+    virtual void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) = 0;
     // The last byte of a request that is not held whole has come: its time runs from here.
-    virtual void OnWhole(const std::shared_ptr<Exchange>& exchange) = 0;
-    // Descriptors are short; true where one was set free.
-    virtual bool OnShort() = 0;
+    virtual void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) = 0;
+    // DescriptorBudget are short; true where one was set free.
+    virtual bool OnDescriptorsExhausted() = 0;
 
    protected:
     ~Listener() = default;
@@ -53,32 +53,32 @@
 
   // Listens at once, on `handed` where it is a listening socket; throws std::system_error. `life`
   // tells when connections are taken and when they end. `shared`: another process may listen too.
-  Clients(EventLoop& loop, Descriptors& budget, const Address& listen, const Life& life,
-          Listener* listener, Fd handed = Fd(), bool shared = false);
-  ~Clients();
-  Clients(const Clients&) = delete;
-  Clients& operator=(const Clients&) = delete;
+  Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen, const Lifecycle& life,
+          Listener* listener, FileDescriptor handed = FileDescriptor(), bool shared = false);
+  ~Downstream();
+  Downstream(const Downstream&) = delete;
+  Downstream& operator=(const Downstream&) = delete;
 
   // To be called after each change of the life. While it empties, each connection closes after its
   // answer, and those between requests close too, a while after it began.
-  void LifeChanged();
+  void OnLifecycleChanged();
   // At the end of the life: after `at_most` only connections with a request in hand are waited for.
   // `done` runs when none is left and no new one has come for a while.
-  void End(Duration at_most, std::function<void()> done);
+  void Shutdown(Duration at_most, std::function<void()> done);
 
   // The listening socket, for another process to take over.
-  [[nodiscard]] int listening() const;
+  [[nodiscard]] int listening_socket() const;
 
   // Closes the connection that has said nothing for longest, else the one that has been between
   // requests for longest; false where there is none.
   bool CloseOneIdle();
 
-  [[nodiscard]] size_t connections() const { return connections_.size(); }
+  [[nodiscard]] size_t connection_count() const { return connections_.size(); }
   [[nodiscard]] const Address& address() const { return address_; }
 
  private:
   class Connection;
-  class Listening;
+  class Acceptor;
 
   void Accept();
   void AcceptLater();
@@ -90,20 +90,20 @@
   void EndIdle();
 
   EventLoop& loop_;
-  Descriptors& budget_;
-  const Life& life_;
+  DescriptorBudget& budget_;
+  const Lifecycle& lifecycle_;
   Listener* listener_;
   Address address_;
-  std::unique_ptr<Listening> listening_;
+  std::unique_ptr<Acceptor> acceptor_;
   std::list<std::shared_ptr<Connection>> connections_;
-  std::list<Connection*> silent_;  // have said nothing yet, the longest first
+  std::list<Connection*> never_used_;  // have said nothing yet, the longest first
   std::list<Connection*> idle_;    // between requests, the longest first
   EventLoop::TimerId accept_timer_, drain_timer_;
-  bool emptying_ = false, accept_yielded_ = false, shared_ = false;
+  bool draining_ = false, accept_yielded_ = false, shared_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
-  size_t held_ = 0;  // bytes of requests past kMaxBody that are held whole, of kHeldMost
-  Time last_accept_{0}, drain_since_{0}, end_at_{0};
-  std::function<void()> drained_;
+  size_t buffered_bytes_ = 0;  // bytes of requests past kMaxBody that are held whole, of kHeldMost
+  Time last_accept_{0}, drain_since_{0}, shutdown_at_{0};
+  std::function<void()> on_drained_;
 };
 
 }  // namespace paddlestile
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -26,17 +26,17 @@
 constexpr size_t kRecentMost = 8192;            // ids remembered after their requests
 
 void CountOutcome(Outcome outcome) {
-  Counters& count = Count();
+  Counters& count = GlobalCounters();
   switch (outcome) {
     case Outcome::kOk: ++count.settled_ok; break;
     case Outcome::kError: ++count.settled_error; break;
-    case Outcome::kFull: ++count.settled_full; break;
+    case Outcome::kRejected: ++count.settled_full; break;
     case Outcome::kTimeout: ++count.settled_timeout; break;
     case Outcome::kConnectFailed: ++count.settled_connect_failed; break;
     case Outcome::kReset: ++count.settled_reset; break;
     case Outcome::kCancelled: ++count.settled_cancelled; break;
-    case Outcome::kMoot: ++count.settled_moot; break;
-    case Outcome::kUnusable: ++count.settled_unusable; break;
+    case Outcome::kNotSent: ++count.settled_moot; break;
+    case Outcome::kInvalidResponse: ++count.settled_unusable; break;
   }
 }
 
@@ -47,69 +47,69 @@
   return file >> whole >> resident ? resident * (sysconf(_SC_PAGESIZE) / 1024) : 0;
 }
 
-Servers::Options ServerOptions(const Config& config) {
-  Servers::Options options;
+Upstream::Options ServerOptions(const GatewayConfig& config) {
+  Upstream::Options options;
   options.connect_timeout = config.settings.allowed.connect_timeout;
   // Settings that name none would else fail each connection before it can come up.
   if (options.connect_timeout <= Duration(0)) options.connect_timeout = kConnectUnknown;
-  options.idle_close = config.idle_close;
+  options.endpoint_idle_timeout = config.endpoint_idle_timeout;
   options.report_fields = config.names.report_fields;
-  options.reports_in_answers = config.settings.report.source == ReportSource::kAnswers;
-  options.reports_in_probes = config.settings.report.source != ReportSource::kNone;
+  options.reports_in_responses = config.settings.load_report.source == LoadReportSource::kResponses;
+  options.reports_in_probes = config.settings.load_report.source != LoadReportSource::kNone;
   return options;
 }
 
 }  // namespace
 
 Gateway::~Gateway() {
-  life_.OnChange(nullptr);
-  loop_.Cancel(ready_timer_);
-  for (auto& [exchange, timer] : overdue_) loop_.Cancel(timer);
+  lifecycle_.SetChangeCallback(nullptr);
+  loop_.CancelTimer(ready_timer_);
+  for (auto& [exchange, timer] : overdue_timers_) loop_.CancelTimer(timer);
 }
 
-Gateway::Gateway(EventLoop& loop, Config config, Life& life, Fd handed, bool shared)
+Gateway::Gateway(EventLoop& loop, GatewayConfig config, Lifecycle& life, FileDescriptor handed, bool shared)
     : loop_(loop),
-      config_(std::make_shared<Config>(std::move(config))),
-      life_(life),
-      budget_(config_->sockets),
-      brain_(config_->settings, config_->seed) {
-  servers_ = std::make_unique<Servers>(loop_, budget_, ServerOptions(*config_), this);
-  for (const RequestClass& c : config_->settings.classes) longest_ = std::max(longest_, c.deadline);
-  const bool own_watch = config_->settings.discovery == DiscoveryMode::kPush;
-  list_ = std::make_unique<List>(loop_, config_->discovery, config_->names, config_->known.revision,
+      config_(std::make_shared<GatewayConfig>(std::move(config))),
+      lifecycle_(life),
+      budget_(config_->max_sockets),
+      load_balancer_(config_->settings, config_->seed) {
+  upstream_ = std::make_unique<Upstream>(loop_, budget_, ServerOptions(*config_), this);
+  for (const RequestClass& c : config_->settings.classes) longest_deadline_ = std::max(longest_deadline_, c.deadline);
+  const bool own_watch = config_->settings.discovery_mode == DiscoveryMode::kPush;
+  discovery_ = std::make_unique<DiscoveryClient>(loop_, config_->discovery, config_->names, config_->initial_endpoints.revision,
                                  own_watch, this);
-  TakeList(config_->known, ListKind::kCached);
-  list_->Start();
+  ApplyEndpointList(config_->initial_endpoints, EndpointUpdateKind::kCached);
+  discovery_->Start();
   // Last: a client that is let in finds all the rest at work.
-  clients_ = std::make_unique<Clients>(loop_, budget_, config_->listen, life_, this,
+  downstream_ = std::make_unique<Downstream>(loop_, budget_, config_->listen, lifecycle_, this,
                                        std::move(handed), shared);
-  life_.OnChange([this] { LifeChanged(); });
-  if (!life_.accepts()) ready_timer_ = loop_.After(kReadyMost, [this] { life_.set_ready(); });
+  lifecycle_.SetChangeCallback([this] { OnLifecycleChanged(); });
+  if (!lifecycle_.accepts()) ready_timer_ = loop_.RunAfter(kReadyMost, [this] { lifecycle_.set_ready(); });
 }
 
 void Gateway::Drain(std::function<void()> done) {
-  clients_->End(longest_ + kDrainSpare, std::move(done));
-  life_.set_ending();
+  downstream_->Shutdown(longest_deadline_ + kDrainSpare, std::move(done));
+  lifecycle_.set_ending();
 }
 
-void Gateway::Adopt(Config config) {
-  CheckSettings(config.settings);
-  config_ = std::make_shared<Config>(std::move(config));
-  longest_ = Duration(0);
-  for (const RequestClass& c : config_->settings.classes) longest_ = std::max(longest_, c.deadline);
-  servers_->SetOptions(ServerOptions(*config_));
-  list_->SetNames(config_->names);
-  TellSettings();
-  list_->Redirect(config_->discovery);
+void Gateway::ApplyConfig(GatewayConfig config) {
+  ValidateSettings(config.settings);
+  config_ = std::make_shared<GatewayConfig>(std::move(config));
+  longest_deadline_ = Duration(0);
+  for (const RequestClass& c : config_->settings.classes) longest_deadline_ = std::max(longest_deadline_, c.deadline);
+  upstream_->set_options(ServerOptions(*config_));
+  discovery_->set_names(config_->names);
+  LogUnsupportedSettings();
+  discovery_->Redirect(config_->discovery);
 }
 
-void Gateway::AdoptTenants(const std::vector<TenantChange>& changes) {
+void Gateway::ApplyTenantChanges(const std::vector<TenantChange>& changes) {
   if (changes.empty()) return;
-  ChangeTenants(changes, loop_.Now(), *config_);
+  paddlestile::ApplyTenantChanges(changes, loop_.Now(), *config_);
   // Settings that still wait are told as they are now.
   const auto whole = [](const Event& e) { return std::holds_alternative<Settings>(e); };
-  if (std::ranges::any_of(events_, whole)) return TellSettings();
-  TenantFigures told;
+  if (std::ranges::any_of(events_, whole)) return LogUnsupportedSettings();
+  TenantQuotaUpdate told;
   for (const auto& [name, figures] : changes) {
     // One that is gone keeps what it had.
     if (figures) told.entries.emplace_back(config_->names.tenants.Find(name), *figures);
@@ -117,40 +117,40 @@
   if (told.entries.empty()) return;
   // Ahead of what waits, and behind earlier ones, which these come to.
   const auto at = std::ranges::find_if_not(
-      events_, [](const Event& e) { return std::holds_alternative<TenantFigures>(e); });
+      events_, [](const Event& e) { return std::holds_alternative<TenantQuotaUpdate>(e); });
   events_.insert(at, std::move(told));
-  Post();
+  Enqueue();
 }
 
 // Ahead of what waits, and alone: earlier ones that wait there would come behind these, and stay.
-void Gateway::TellSettings() {
+void Gateway::LogUnsupportedSettings() {
   std::erase_if(events_, [](const Event& e) {
-    return std::holds_alternative<Settings>(e) || std::holds_alternative<TenantFigures>(e);
+    return std::holds_alternative<Settings>(e) || std::holds_alternative<TenantQuotaUpdate>(e);
   });
   events_.emplace_front(config_->settings);
-  Post();
+  Enqueue();
 }
 
-std::string Gateway::Know() const {
-  return KnowledgeText(brain_.learned(), config_->names, loop_.Now());
+std::string Gateway::ExportLearnedState() const {
+  return EncodeLearnedState(load_balancer_.learned_state(), config_->names, loop_.Now());
 }
 
-bool Gateway::Learn(const std::string& text) {
-  Pump();  // the list that the hosts are known by
-  const auto told = ParseKnowledge(text, config_->names, loop_.Now());
-  if (told) brain_.Learn(loop_.Now(), *told);
+bool Gateway::ImportLearnedState(const std::string& text) {
+  ProcessEvents();  // the list that the hosts are known by
+  const auto told = DecodeLearnedState(text, config_->names, loop_.Now());
+  if (told) load_balancer_.ImportLearnedState(loop_.Now(), *told);
   return told.has_value();
 }
 
-void Gateway::LifeChanged() {
-  const Stage stage = life_.stage();
-  if (stage == Stage::kDrained) ++Count().drains;
-  Log(Level::kInfo, "life: {}, {} connections of clients", ToText(stage), clients_->connections());
-  clients_->LifeChanged();
+void Gateway::OnLifecycleChanged() {
+  const LifecycleStage stage = lifecycle_.stage();
+  if (stage == LifecycleStage::kDrained) ++GlobalCounters().drains;
+  Log(LogLevel::kInfo, "life: {}, {} connections of clients", ToText(stage), downstream_->connection_count());
+  downstream_->OnLifecycleChanged();
 }
 
-std::string Gateway::StateText() const {
-  const Stats& stats = brain_.stats();
+std::string Gateway::DescribeState() const {
+  const Statistics& stats = load_balancer_.statistics();
   const auto unix_s = [](std::chrono::system_clock::time_point at) {
     return std::chrono::duration<double>(at.time_since_epoch()).count();
   };
@@ -159,76 +159,76 @@
   std::ranges::replace_if(
       name, [](unsigned char c) { return c <= ' ' || c == '='; }, '_');
   std::string refusals;
-  for (size_t i = 0; i < stats.given_up.size(); ++i) {
-    if (stats.given_up[i] == 0) continue;
-    refusals += fmt::format("given_up_{}={} ", ToText(static_cast<Bar>(i)), stats.given_up[i]);
+  for (size_t i = 0; i < stats.unserved_by_reason.size(); ++i) {
+    if (stats.unserved_by_reason[i] == 0) continue;
+    refusals += fmt::format("given_up_{}={} ", ToText(static_cast<ExclusionReason>(i)), stats.unserved_by_reason[i]);
   }
   return fmt::format(
       "clients={} hosts_connected={} hosts_idle={} descriptors={} memory_kb={} in_hand={} held={} "
       "revision={:.0f} "
       "picks_cold={} picks_hot={} picks_fallback={} {}life={} gateway={} "
       "since={:.3f} at={:.3f} {}",
-      clients_->connections(), servers_->connections(), servers_->idle(), budget_.used(),
-      ResidentKb(), exchanges_.size(), held_, list_->revision(),
-      stats.picks[static_cast<size_t>(Regime::kCold)],
-      stats.picks[static_cast<size_t>(Regime::kHot)],
-      stats.picks[static_cast<size_t>(Regime::kFallback)], refusals, Word(life_.stage()), name,
-      unix_s(since_), unix_s(std::chrono::system_clock::now()), Count().Text());
+      downstream_->connection_count(), upstream_->connection_count(), upstream_->idle_count(), budget_.used(),
+      ResidentKb(), requests_.size(), unanswered_count_, discovery_->revision(),
+      stats.selections[static_cast<size_t>(SelectionMethod::kCold)],
+      stats.selections[static_cast<size_t>(SelectionMethod::kHot)],
+      stats.selections[static_cast<size_t>(SelectionMethod::kFallback)], refusals, CounterName(lifecycle_.stage()), name,
+      unix_s(started_at_), unix_s(std::chrono::system_clock::now()), GlobalCounters().ToText());
 }
 
 // ---- What happens ---------------------------------------------------------------------------
 
-Taken Gateway::OnRequest(Held request, Exchange::Reply reply) {
+AdmissionResult Gateway::OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) {
   const Time now = loop_.Now();
-  Understood understood = Understand(request, config_->names, config_->settings, now);
-  if (understood.bad_status != 0) return {nullptr, understood.bad_status, understood.why};
-  Submit& submit = understood.submit;
+  ParsedRequest understood = ParseRequest(request, config_->names, config_->settings, now);
+  if (understood.error_status != 0) return {nullptr, understood.error_status, understood.reason};
+  RequestArrived& submit = understood.arrival;
   // The same id again while it is in hand would run under the first one's answer. Shortly after, it
   // is a copy of somebody else's that was sent while that was in hand: hosts turn it away.
-  if (exchanges_.contains(submit.id) || IsRecent(submit.id)) {
+  if (requests_.contains(submit.id) || IsRecentRequestId(submit.id)) {
     return {nullptr, 409, "X-Call-Id in hand"};
   }
-  const int most = config_->settings.allowed.most_held;
-  if (most > 0 && held_ >= static_cast<size_t>(most)) {
-    ++Count().requests_beyond;
+  const int most = config_->settings.allowed.max_held_requests;
+  if (most > 0 && unanswered_count_ >= static_cast<size_t>(most)) {
+    ++GlobalCounters().requests_beyond;
     return {nullptr, 503, "too many requests held"};
   }
-  ++Count().requests_taken;
-  ++held_;
-  Remember(submit.id);
-  auto exchange = std::make_shared<Exchange>(
+  ++GlobalCounters().requests_taken;
+  ++unanswered_count_;
+  RememberRequestId(submit.id);
+  auto exchange = std::make_shared<ProxiedRequest>(
       submit.id, std::move(request), submit.deadline,
-      std::shared_ptr<const RequestClass>(config_, &config_->settings.classes[submit.cls]),
+      std::shared_ptr<const RequestClass>(config_, &config_->settings.classes[submit.request_class]),
       std::move(reply));
-  exchange->set_patience(submit.deadline - now);
-  exchanges_.emplace(submit.id, exchange);
-  if (exchange->request().rest == nullptr) AwaitAnswer(exchange);
-  Post(std::move(submit));
+  exchange->set_client_timeout(submit.deadline - now);
+  requests_.emplace(submit.id, exchange);
+  if (exchange->message().streaming_body == nullptr) StartOverdueTimer(exchange);
+  Enqueue(std::move(submit));
   return {std::move(exchange), 0, {}};
 }
 
-void Gateway::AwaitAnswer(const std::shared_ptr<Exchange>& exchange) {
-  const Duration slack = config_->settings.obligations.answer_slack;
-  overdue_.emplace(exchange.get(), loop_.After(exchange->deadline() + slack - loop_.Now(),
+void Gateway::StartOverdueTimer(const std::shared_ptr<ProxiedRequest>& exchange) {
+  const Duration slack = config_->settings.rules.response_slack;
+  overdue_timers_.emplace(exchange.get(), loop_.RunAfter(exchange->deadline() + slack - loop_.Now(),
                                                [this, exchange] { OnOverdue(exchange); }));
 }
 
-void Gateway::OnWhole(const std::shared_ptr<Exchange>& exchange) {
-  if (exchange->over()) return;
-  exchange->set_deadline(loop_.Now() + exchange->patience());
-  AwaitAnswer(exchange);
+void Gateway::OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) {
+  if (exchange->done()) return;
+  exchange->set_deadline(loop_.Now() + exchange->client_timeout());
+  StartOverdueTimer(exchange);
 }
 
-bool Gateway::IsRecent(const std::string& id) {
+bool Gateway::IsRecentRequestId(const std::string& id) {
   const Time now = loop_.Now();
-  while (!recent_.empty() && now - recent_.front().first > longest_) {
+  while (!recent_.empty() && now - recent_.front().first > longest_deadline_) {
     recent_ids_.erase(recent_.front().second);
     recent_.pop_front();
   }
   return recent_ids_.contains(id);
 }
 
-void Gateway::Remember(const std::string& id) {
+void Gateway::RememberRequestId(const std::string& id) {
   recent_ids_.insert(id);
   recent_.emplace_back(loop_.Now(), id);
   if (recent_.size() <= kRecentMost) return;
@@ -236,273 +236,273 @@
   recent_.pop_front();
 }
 
-void Gateway::OnClientLeft(const std::shared_ptr<Exchange>& exchange) {
-  ++Count().clients_left;
-  --held_;
-  servers_->ClientLeft(*exchange);
-  Post(ClientLeft{exchange->id()});
-  MaybeForget(exchange);
+void Gateway::OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) {
+  ++GlobalCounters().clients_left;
+  --unanswered_count_;
+  upstream_->OnClientDisconnected(*exchange);
+  Enqueue(ClientDisconnected{exchange->id()});
+  MaybeEraseRequest(exchange);
 }
 
 // The last answer is the module's to give, in time. Should it ever fail to, its client is not left
 // waiting: the request ends here as it does in the simulator.
-void Gateway::OnOverdue(const std::shared_ptr<Exchange>& exchange) {
-  overdue_.erase(exchange.get());
-  if (exchange->stream() || !exchange->Finish({.status = 502})) return;
-  ++Count().answers_overdue;
-  --held_;
-  Log(Level::kError, "no answer in time to {}", exchange->id());
-  Post(ClientLeft{exchange->id()});
-  MaybeForget(exchange);
+void Gateway::OnOverdue(const std::shared_ptr<ProxiedRequest>& exchange) {
+  overdue_timers_.erase(exchange.get());
+  if (exchange->committed_attempt() || !exchange->Respond({.status = 502})) return;
+  ++GlobalCounters().answers_overdue;
+  --unanswered_count_;
+  Log(LogLevel::kError, "no answer in time to {}", exchange->id());
+  Enqueue(ClientDisconnected{exchange->id()});
+  MaybeEraseRequest(exchange);
 }
 
-bool Gateway::OnShort() {
+bool Gateway::OnDescriptorsExhausted() {
   // Clients first: one that idles may never come back, and a new connection to a host costs it
   // work.
-  return (clients_ && clients_->CloseOneIdle()) || servers_->CloseOneIdle();
+  return (downstream_ && downstream_->CloseOneIdle()) || upstream_->CloseOneIdle();
 }
 
-void Gateway::OnSettled(const std::shared_ptr<Exchange>& exchange, size_t attempt,
+void Gateway::OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
                         const std::string& endpoint, Outcome outcome, Duration took,
-                        std::optional<Report> report, std::shared_ptr<const Held> from) {
+                        std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> from) {
   CountOutcome(outcome);
-  exchange->AttemptEnded();
-  if (outcome == Outcome::kOk && exchange->Finish({.status = 200, .from = from})) {
-    ++Count().answers_served;
-    --held_;
+  exchange->EndAttempt();
+  if (outcome == Outcome::kOk && exchange->Respond({.status = 200, .upstream_message = from})) {
+    ++GlobalCounters().answers_served;
+    --unanswered_count_;
   }
   // A host that blames the request is believed: others would say the same, and none is sick for it.
-  if (outcome == Outcome::kUnusable && from &&
-      exchange->Finish({.status = from->message.status, .from = from})) {
-    ++Count().answers_failed;
-    --held_;
+  if (outcome == Outcome::kInvalidResponse && from &&
+      exchange->Respond({.status = from->message.status, .upstream_message = from})) {
+    ++GlobalCounters().answers_failed;
+    --unanswered_count_;
   }
   // The break of a stream that had begun is the end of its request.
-  if (outcome != Outcome::kOk && exchange->stream() == attempt &&
-      exchange->Finish({.status = 502})) {
-    ++Count().answers_failed;
-    --held_;
+  if (outcome != Outcome::kOk && exchange->committed_attempt() == attempt &&
+      exchange->Respond({.status = 502})) {
+    ++GlobalCounters().answers_failed;
+    --unanswered_count_;
   }
-  Settled settled{exchange->id(), attempt, endpoint, outcome, took, false, std::move(report)};
-  const auto tell = [this, exchange](Settled event) {
-    event.final = exchange->over();
-    event.spent = exchange->spent();
-    Post(std::move(event));
-    MaybeForget(exchange);
+  AttemptFinished settled{exchange->id(), attempt, endpoint, outcome, took, false, std::move(report)};
+  const auto tell = [this, exchange](AttemptFinished event) {
+    event.request_finished = exchange->done();
+    event.request_consumed = exchange->body_consumed();
+    Enqueue(std::move(event));
+    MaybeEraseRequest(exchange);
   };
-  if (exchange->over()) return tell(std::move(settled));
+  if (exchange->done()) return tell(std::move(settled));
   // A further attempt may follow. Its client may have gone while the loop stood still, and the news
   // of that be behind this event, or in none of this round: what has come by now is read first.
-  loop_.Yield([this, tell, event = std::move(settled), alive = std::weak_ptr(alive_)] {
+  loop_.RunAfterRound([this, tell, event = std::move(settled), alive = std::weak_ptr(alive_)] {
     if (alive.expired()) return;
-    loop_.After(Duration(0), [tell, event, alive] {
+    loop_.RunAfter(Duration(0), [tell, event, alive] {
       if (!alive.expired()) tell(event);
     });
   });
 }
 
-void Gateway::OnEstablished(const std::shared_ptr<Exchange>& exchange, size_t attempt,
+void Gateway::OnResponseStarted(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
                             const std::string& endpoint, Duration took) {
-  Post(Established{exchange->id(), attempt, endpoint, took});
+  Enqueue(ResponseStarted{exchange->id(), attempt, endpoint, took});
 }
 
-void Gateway::OnProbed(const std::string& endpoint, Outcome outcome, Duration took,
-                       std::optional<Report> report) {
-  Post(ProbeResult{endpoint, outcome, took, std::move(report)});
+void Gateway::OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration took,
+                       std::optional<LoadReport> report) {
+  Enqueue(ProbeFinished{endpoint, outcome, took, std::move(report)});
 }
 
-void Gateway::OnList(HostList list) {
-  const ListKind kind = list.complete ? ListKind::kFull : ListKind::kDelta;
-  TakeList(std::move(list), kind);
-  life_.set_ready();
+void Gateway::OnEndpointList(EndpointList list) {
+  const EndpointUpdateKind kind = list.complete ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta;
+  ApplyEndpointList(std::move(list), kind);
+  lifecycle_.set_ready();
 }
 
-void Gateway::OnListFailed() { Post(Members{ListKind::kFailed, {}}); }
+void Gateway::OnDiscoveryFailed() { Enqueue(EndpointUpdate{EndpointUpdateKind::kFailed, {}}); }
 
-void Gateway::TakeList(HostList list, ListKind kind) {
-  if (kind != ListKind::kDelta) {
+void Gateway::ApplyEndpointList(EndpointList list, EndpointUpdateKind kind) {
+  if (kind != EndpointUpdateKind::kDelta) {
     std::unordered_set<std::string> present;
-    for (const HostEntry& entry : list.members) present.insert(entry.info.id);
-    for (const auto& [id, was] : listed_) {
-      if (!present.contains(id)) servers_->Left(id);
+    for (const EndpointListEntry& entry : list.endpoints) present.insert(entry.info.id);
+    for (const auto& [id, was] : listed_endpoints_) {
+      if (!present.contains(id)) upstream_->RemoveEndpoint(id);
     }
-    listed_.clear();
+    listed_endpoints_.clear();
   }
-  Members members{kind, {}};
-  for (HostEntry& entry : list.members) {
+  EndpointUpdate members{kind, {}};
+  for (EndpointListEntry& entry : list.endpoints) {
     if (entry.info.state == EndpointState::kRemoved) {
-      servers_->Left(entry.info.id);
-      listed_.erase(entry.info.id);
+      upstream_->RemoveEndpoint(entry.info.id);
+      listed_endpoints_.erase(entry.info.id);
     } else {
-      servers_->SetAddress(entry.info.id, entry.address);
+      upstream_->SetEndpointAddress(entry.info.id, entry.address);
       const EndpointInfo told = entry.info;
-      if (all_kept_off_ || kept_off_.contains(told.id)) entry.info.state = EndpointState::kDraining;
-      listed_[told.id] = {entry.info.state == EndpointState::kDraining, told.launched, told};
+      if (all_hosts_excluded_ || excluded_hosts_.contains(told.id)) entry.info.state = EndpointState::kDraining;
+      listed_endpoints_[told.id] = {entry.info.state == EndpointState::kDraining, told.started_at, told};
     }
-    members.entries.push_back(std::move(entry.info));
+    members.endpoints.push_back(std::move(entry.info));
   }
-  Post(std::move(members));
+  Enqueue(std::move(members));
 }
 
-void Gateway::KeepOff(std::set<std::string> hosts, bool all) {
-  const std::set<std::string> before = std::exchange(kept_off_, std::move(hosts));
-  const bool all_before = std::exchange(all_kept_off_, all);
-  Members members{ListKind::kDelta, {}};
-  const auto look = [&](const std::string& id, Listed& listed) {
-    const bool off = all || kept_off_.contains(id);
+void Gateway::ExcludeHosts(std::set<std::string> hosts, bool all) {
+  const std::set<std::string> before = std::exchange(excluded_hosts_, std::move(hosts));
+  const bool all_before = std::exchange(all_hosts_excluded_, all);
+  EndpointUpdate members{EndpointUpdateKind::kDelta, {}};
+  const auto look = [&](const std::string& id, ListedEndpoint& listed) {
+    const bool off = all || excluded_hosts_.contains(id);
     if (off == (all_before || before.contains(id))) return;
-    EndpointInfo info = listed.told;
+    EndpointInfo info = listed.listed_info;
     if (off) info.state = EndpointState::kDraining;
     listed.draining = info.state == EndpointState::kDraining;
-    members.entries.push_back(std::move(info));
+    members.endpoints.push_back(std::move(info));
   };
   if (all || all_before) {
-    for (auto& [id, listed] : listed_) look(id, listed);
+    for (auto& [id, listed] : listed_endpoints_) look(id, listed);
   } else {
     // Only those that are named: a list may be long.
     std::vector<std::string> differ;
-    std::ranges::set_symmetric_difference(before, kept_off_, std::back_inserter(differ));
+    std::ranges::set_symmetric_difference(before, excluded_hosts_, std::back_inserter(differ));
     for (const std::string& id : differ) {
-      if (const auto at = listed_.find(id); at != listed_.end()) look(id, at->second);
+      if (const auto at = listed_endpoints_.find(id); at != listed_endpoints_.end()) look(id, at->second);
     }
   }
-  if (members.entries.empty()) return;
+  if (members.endpoints.empty()) return;
   // Before what waits, so that no event after this call is decided without it; and behind it, as a
   // list that waits was read before.
   if (!events_.empty()) events_.emplace_back(members);
   events_.emplace_front(std::move(members));
-  Post();
+  Enqueue();
 }
 
-void Gateway::Guard(Time until, std::function<void()> then) {
+void Gateway::RunBeforeEventsFrom(Time until, std::function<void()> then) {
   guard_until_ = until;
   guard_ = std::move(then);
 }
 
 // ---- The module -----------------------------------------------------------------------------
 
-void Gateway::Post(Event event) {
+void Gateway::Enqueue(Event event) {
   events_.push_back(std::move(event));
-  Post();
+  Enqueue();
 }
 
-void Gateway::Post() {
-  if (std::exchange(pumping_, true)) return;
+void Gateway::Enqueue() {
+  if (std::exchange(processing_events_, true)) return;
   // After the handler at work: what the module wants done must not happen within it.
-  loop_.Defer([this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Pump();
+  loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
+    if (!alive.expired()) ProcessEvents();
   });
 }
 
-void Gateway::Pump() {
+void Gateway::ProcessEvents() {
   while (!events_.empty()) {
     if (guard_ && loop_.Now() >= guard_until_) std::exchange(guard_, nullptr)();
     const Event event = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
-    ++Count().module_events;
+    ++GlobalCounters().module_events;
     try {
-      brain_.Handle(loop_.Now(), event, actions_);
+      load_balancer_.Handle(loop_.Now(), event, actions_);
     } catch (const std::exception& error) {
       // What it had decided until then is still carried out.
-      ++Count().module_faults;
-      Log(Level::kError, "module: {}", error.what());
+      ++GlobalCounters().module_faults;
+      Log(LogLevel::kError, "module: {}", error.what());
     }
-    for (const Action& action : actions_) Apply(action);
+    for (const Action& action : actions_) Execute(action);
   }
-  pumping_ = false;
+  processing_events_ = false;
   // Only now: an event that waited may still have had an action for it.
-  for (const auto& exchange : ending_) Forget(exchange);
-  ending_.clear();
+  for (const auto& exchange : finished_requests_) EraseRequest(exchange);
+  finished_requests_.clear();
 }
 
-void Gateway::Apply(const Action& action) {
-  std::visit([this](const auto& a) { Apply(a); }, action);
+void Gateway::Execute(const Action& action) {
+  std::visit([this](const auto& a) { Execute(a); }, action);
 }
 
-std::shared_ptr<Exchange> Gateway::FindExchange(const std::string& id) {
-  const auto at = exchanges_.find(id);
-  return at == exchanges_.end() ? nullptr : at->second;
+std::shared_ptr<ProxiedRequest> Gateway::FindRequest(const std::string& id) {
+  const auto at = requests_.find(id);
+  return at == requests_.end() ? nullptr : at->second;
 }
 
 // Late outcomes still have to find it, so that it stays until its last attempt has ended.
-void Gateway::MaybeForget(const std::shared_ptr<Exchange>& exchange) {
-  if (exchange->over() && exchange->out() == 0) ending_.push_back(exchange);
+void Gateway::MaybeEraseRequest(const std::shared_ptr<ProxiedRequest>& exchange) {
+  if (exchange->done() && exchange->attempts_in_flight() == 0) finished_requests_.push_back(exchange);
 }
 
-void Gateway::Forget(const std::shared_ptr<Exchange>& exchange) {
-  if (!exchange->over() || exchange->out() > 0) return;
-  const auto timer = overdue_.find(exchange.get());
-  if (timer != overdue_.end()) {
-    loop_.Cancel(timer->second);
-    overdue_.erase(timer);
+void Gateway::EraseRequest(const std::shared_ptr<ProxiedRequest>& exchange) {
+  if (!exchange->done() || exchange->attempts_in_flight() > 0) return;
+  const auto timer = overdue_timers_.find(exchange.get());
+  if (timer != overdue_timers_.end()) {
+    loop_.CancelTimer(timer->second);
+    overdue_timers_.erase(timer);
   }
-  const auto at = exchanges_.find(exchange->id());
-  if (at != exchanges_.end() && at->second == exchange) exchanges_.erase(at);
+  const auto at = requests_.find(exchange->id());
+  if (at != requests_.end() && at->second == exchange) requests_.erase(at);
 }
 
-void Gateway::Apply(const Send& send) {
-  ++Count().sends;
-  const auto exchange = FindExchange(send.id);
+void Gateway::Execute(const StartAttempt& send) {
+  ++GlobalCounters().sends;
+  const auto exchange = FindRequest(send.id);
   if (!exchange) {
     // It ended while the module decided: as with one over, nothing is transmitted.
-    CountOutcome(Outcome::kMoot);
-    return Post(Settled{send.id, 0, send.endpoint, Outcome::kMoot, Duration(0), true, {}});
+    CountOutcome(Outcome::kNotSent);
+    return Enqueue(AttemptFinished{send.id, 0, send.endpoint, Outcome::kNotSent, Duration(0), true, {}});
   }
-  const size_t attempt = exchange->NextAttempt();
-  const int cap = config_->settings.allowed.send_cap;
-  if (exchange->over() || exchange->spent() || static_cast<int>(attempt) >= cap) {
-    return OnSettled(exchange, attempt, send.endpoint, Outcome::kMoot, Duration(0), {}, nullptr);
+  const size_t attempt = exchange->BeginAttempt();
+  const int cap = config_->settings.allowed.max_attempts;
+  if (exchange->done() || exchange->body_consumed() || static_cast<int>(attempt) >= cap) {
+    return OnAttemptFinished(exchange, attempt, send.endpoint, Outcome::kNotSent, Duration(0), {}, nullptr);
   }
   const Time now = loop_.Now();
-  const auto listed = listed_.find(send.endpoint);
-  if (listed == listed_.end() || listed->second.draining) {
-    ++Count().sends_draining;
-  } else if (listed->second.launched > Time(0) &&
-             now - listed->second.launched < config_->settings.obligations.warm_within) {
-    ++Count().sends_cold;
+  const auto listed = listed_endpoints_.find(send.endpoint);
+  if (listed == listed_endpoints_.end() || listed->second.draining) {
+    ++GlobalCounters().sends_draining;
+  } else if (listed->second.started_at > Time(0) &&
+             now - listed->second.started_at < config_->settings.rules.slow_start_duration) {
+    ++GlobalCounters().sends_cold;
   }
   const Time until = send.timeout == Duration(0)
                          ? exchange->deadline()
                          : std::min(exchange->deadline(), now + send.timeout);
-  servers_->Send(exchange, attempt, send.endpoint, until);
+  upstream_->StartAttempt(exchange, attempt, send.endpoint, until);
 }
 
-void Gateway::Apply(const Refuse& refuse) {
-  const auto exchange = FindExchange(refuse.id);
-  if (!exchange || !exchange->Finish({.status = 503, .retry_after = refuse.stay_away})) return;
-  ++Count().answers_refused;
-  --held_;
-  MaybeForget(exchange);
+void Gateway::Execute(const RejectRequest& refuse) {
+  const auto exchange = FindRequest(refuse.id);
+  if (!exchange || !exchange->Respond({.status = 503, .retry_after = refuse.retry_after})) return;
+  ++GlobalCounters().answers_refused;
+  --unanswered_count_;
+  MaybeEraseRequest(exchange);
 }
 
-void Gateway::Apply(const Fail& fail) {
-  const auto exchange = FindExchange(fail.id);
-  if (!exchange || !exchange->Finish({.status = 502})) return;
-  ++Count().answers_failed;
-  --held_;
-  MaybeForget(exchange);
+void Gateway::Execute(const FailRequest& fail) {
+  const auto exchange = FindRequest(fail.id);
+  if (!exchange || !exchange->Respond({.status = 502})) return;
+  ++GlobalCounters().answers_failed;
+  --unanswered_count_;
+  MaybeEraseRequest(exchange);
 }
 
-void Gateway::Apply(const Cancel& cancel) {
-  const auto exchange = FindExchange(cancel.id);
-  if (exchange) servers_->Cancel(*exchange, cancel.attempt);
+void Gateway::Execute(const CancelAttempt& cancel) {
+  const auto exchange = FindRequest(cancel.id);
+  if (exchange) upstream_->CancelAttempt(*exchange, cancel.attempt);
 }
 
-void Gateway::Apply(const SetTimer& timer) {
-  loop_.After(timer.after, [this, token = timer.token, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Post(TimerFired{token});
+void Gateway::Execute(const SetTimer& timer) {
+  loop_.RunAfter(timer.after, [this, token = timer.token, alive = std::weak_ptr(alive_)] {
+    if (!alive.expired()) Enqueue(TimerFired{token});
   });
 }
 
-void Gateway::Apply(const Probe& probe) {
-  ++Count().probes;
-  servers_->Probe(probe.endpoint);
+void Gateway::Execute(const StartProbe& probe) {
+  ++GlobalCounters().probes;
+  upstream_->StartProbe(probe.endpoint);
 }
 
-void Gateway::Apply(const CloseIdle& close) { servers_->CloseIdle(close.endpoint); }
-void Gateway::Apply(const Follow& follow) { list_->Follow(follow.on); }
-void Gateway::Apply(const FetchList&) { list_->Fetch(); }
-void Gateway::Apply(const LogMessage& log) { Log(Level::kInfo, "module: {}", log.text); }
+void Gateway::Execute(const CloseIdleConnections& close) { upstream_->CloseIdleConnections(close.endpoint); }
+void Gateway::Execute(const WatchEndpoints& follow) { discovery_->SetWatching(follow.on); }
+void Gateway::Execute(const PollEndpoints&) { discovery_->Poll(); }
+void Gateway::Execute(const LogMessage& log) { Log(LogLevel::kInfo, "module: {}", log.text); }
 
 }  // namespace paddlestile
--- a/src/gateway/hot_restart.h
+++ b/src/gateway/hot_restart.h
@@ -26,59 +26,59 @@
 namespace paddlestile {
 
 // Where the process at `listen` can be asked; empty where $TMPDIR is not set.
-std::string HandoverPath(const char* tmpdir, const Address& listen);
+std::string HotRestartSocketPath(const char* tmpdir, const Address& listen);
 
 // What a new process was given.
-struct TakenOver {
-  Fd listening;  // none: nobody gave one
-  Fd channel;
-  size_t holds = 0;
-  std::string knowledge;  // empty: none was told
+struct HotRestartState {
+  FileDescriptor listening_socket;  // none: nobody gave one
+  FileDescriptor channel;
+  size_t descriptors_held = 0;
+  std::string learned_state;  // empty: none was told
 };
 
 // Asks at `path`, for half a second at most. Gives nothing where there is no one, or one that makes
 // no sense or does not answer; throws std::runtime_error where another new process has asked.
-TakenOver TakeOver(const std::string& path, const Address& listen);
+HotRestartState RequestHotRestart(const std::string& path, const Address& listen);
 
 // Of the new process, as long as the old one lives.
-class Successor final : public Stream::Owner {
+class NewProcess final : public Stream::Listener {
  public:
-  Successor(EventLoop& loop, TakenOver taken, Descriptors& budget);
+  NewProcess(EventLoop& loop, HotRestartState taken, DescriptorBudget& budget);
   // To be called once this process can serve.
-  void Ready();
+  void ReportReady();
 
  private:
-  void OnRead() override;
-  void OnBroken() override;
+  void OnData() override;
+  void OnError() override;
 
-  Descriptors& budget_;
+  DescriptorBudget& budget_;
   Stream stream_;
 };
 
 // Waits at `path` for a new process. Without a Unix socket it does nothing.
-class Predecessor {
+class OldProcess {
  public:
   // `know` gives what the module has learned.
-  Predecessor(EventLoop& loop, std::string path, Life& life, const Clients& clients,
-              Descriptors& budget, std::function<std::string()> know);
-  ~Predecessor();
-  Predecessor(const Predecessor&) = delete;
-  Predecessor& operator=(const Predecessor&) = delete;
+  OldProcess(EventLoop& loop, std::string path, Lifecycle& life, const Downstream& clients,
+              DescriptorBudget& budget, std::function<std::string()> know);
+  ~OldProcess();
+  OldProcess(const OldProcess&) = delete;
+  OldProcess& operator=(const OldProcess&) = delete;
 
  private:
-  class Listening;
+  class Acceptor;
   class Channel;
   void Accept();
-  void Gone();
-  void TellHeld();
+  void OnNewProcessGone();
+  void ReportDescriptorsHeld();
 
   EventLoop& loop_;
   std::string path_;
-  Life& life_;
-  const Clients& clients_;
-  Descriptors& budget_;
-  std::function<std::string()> know_;
-  std::unique_ptr<Listening> listening_;
+  Lifecycle& lifecycle_;
+  const Downstream& downstream_;
+  DescriptorBudget& budget_;
+  std::function<std::string()> export_learned_state_;
+  std::unique_ptr<Acceptor> acceptor_;
   uint64_t inode_ = 0;  // of the socket's file
   std::shared_ptr<Channel> channel_;
   EventLoop::TimerId tell_;
--- a/src/gateway/learned_state_codec.h
+++ b/src/gateway/learned_state_codec.h
@@ -13,13 +13,13 @@
 
 namespace paddlestile {
 
-constexpr size_t kMostKnowledge = 8U << 20;  // bytes; some ten thousand hosts
+constexpr size_t kMaxLearnedStateBytes = 8U << 20;  // bytes; some ten thousand hosts
 
 // Empty where it would be longer than that.
-std::string KnowledgeText(const Records& learned, const Names& names, Time now);
+std::string EncodeLearnedState(const LearnedState& learned, const NameTables& names, Time now);
 
 // Nothing where any of it makes no sense. Classes and kinds that `names` lacks are left out.
-std::optional<Records> ParseKnowledge(const std::string& text, const Names& names, Time now);
+std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names, Time now);
 
 }  // namespace paddlestile
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -31,12 +31,12 @@
 // What a gateway is made of beside its loop.
 struct Parts {
   Gateway& gateway;
-  std::unique_ptr<Membership>& membership;
+  std::unique_ptr<ClusterAgent>& membership;
 };
 
 void PrintCounters(const Parts& parts) {
-  LogLine(Level::kInfo, "counters: " + parts.gateway.StateText() +
-                            (parts.membership ? ' ' + parts.membership->StateText() : ""));
+  LogLine(LogLevel::kInfo, "counters: " + parts.gateway.DescribeState() +
+                            (parts.membership ? ' ' + parts.membership->DescribeState() : ""));
 }
 
 // Lines of counters in step with the wall clock, so that those of a fleet can be added up.
@@ -48,13 +48,13 @@
   }
   Beat(const Beat&) = delete;
   Beat& operator=(const Beat&) = delete;
-  ~Beat() { loop_.Cancel(timer_); }
+  ~Beat() { loop_.CancelTimer(timer_); }
 
  private:
   void Next() {
     const auto into = std::chrono::duration_cast<Duration>(
         std::chrono::system_clock::now().time_since_epoch() % every_);
-    timer_ = loop_.After(every_ - into, [this] {
+    timer_ = loop_.RunAfter(every_ - into, [this] {
       PrintCounters(parts_);
       Next();
     });
@@ -86,7 +86,7 @@
 
   Signals(EventLoop& loop, const Parts& parts, const sigset_t& set)
       : loop_(loop), parts_(parts), gateway_(parts.gateway) {
-    fd_ = Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    fd_ = FileDescriptor(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     uint64_t token = 0;
     if (!fd_ || !loop_.Watch(fd_.get(), this, token)) {
       throw std::runtime_error("cannot watch for signals");
@@ -102,7 +102,7 @@
         Reread(kRereads);
       } else if (!draining_) {
         draining_ = true;
-        Log(Level::kInfo, "draining");
+        Log(LogLevel::kInfo, "draining");
         gateway_.Drain([this] { loop_.Stop(); });
       }
     }
@@ -111,28 +111,28 @@
  private:
   // What runs is kept where the file makes no sense. Also while draining: hosts go on changing.
   void Reread(int more) {
-    loop_.Cancel(reread_);
-    ++Count().config_rereads;
+    loop_.CancelTimer(reread_);
+    ++GlobalCounters().config_rereads;
     try {
-      const Config& was = parts_.membership ? parts_.membership->file() : gateway_.config();
-      Config next =
-          ReadAgain(was, loop_.Now(), [&](double ms) { return loop_.clock().FromWall(ms); });
-      const std::string changes = Changes(was, next);
+      const GatewayConfig& was = parts_.membership ? parts_.membership->file() : gateway_.config();
+      GatewayConfig next =
+          ReloadGatewayConfig(was, loop_.Now(), [&](double ms) { return loop_.clock().FromUnixMillis(ms); });
+      const std::string changes = DescribeChanges(was, next);
       if (parts_.membership) {
-        Log(Level::kInfo, "bank: what it has agreed on goes before the file, where both speak");
-        parts_.membership->SetFile(std::move(next));
+        Log(LogLevel::kInfo, "bank: what it has agreed on goes before the file, where both speak");
+        parts_.membership->set_file(std::move(next));
       } else {
-        gateway_.Adopt(std::move(next));
+        gateway_.ApplyConfig(std::move(next));
       }
-      Log(Level::kInfo, "configuration read again: {}",
+      Log(LogLevel::kInfo, "configuration read again: {}",
           changes.empty() ? "nothing of note is new" : changes);
     } catch (const std::exception& error) {
-      ++Count().config_refused;
+      ++GlobalCounters().config_refused;
       // The first try and the last say so.
       if (more == kRereads || more == 0) {
-        Log(Level::kWarning, "configuration kept as it was: {}", error.what());
+        Log(LogLevel::kWarning, "configuration kept as it was: {}", error.what());
       }
-      if (more > 0) reread_ = loop_.After(kRereadAgain, [this, more] { Reread(more - 1); });
+      if (more > 0) reread_ = loop_.RunAfter(kRereadAgain, [this, more] { Reread(more - 1); });
     }
   }
 
@@ -140,7 +140,7 @@
   Parts parts_;
   Gateway& gateway_;
   EventLoop::TimerId reread_;
-  Fd fd_;
+  FileDescriptor fd_;
   bool draining_ = false;
 };
 
@@ -151,71 +151,71 @@
   const sigset_t signals_set = Signals::Block();
   try {
     EventLoop loop;
-    Config config = ReadConfig([](const char* name) { return std::getenv(name); },
-                               [&](double ms) { return loop.clock().FromWall(ms); });
+    GatewayConfig config = ReadGatewayConfig([](const char* name) { return std::getenv(name); },
+                               [&](double ms) { return loop.clock().FromUnixMillis(ms); });
     // What the system grants may be less than what was promised.
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
-      config.sockets = std::min<size_t>(config.sockets, limit.rlim_cur);
+      config.max_sockets = std::min<size_t>(config.max_sockets, limit.rlim_cur);
     }
     const std::string name = config.name;
-    std::optional<BankConfig> bank;
+    std::optional<ClusterConfig> bank;
     std::string operator_file = options.operator_file;
     if (const char* const told = std::getenv("LB_OPERATOR");
         operator_file.empty() && told != nullptr) {
       operator_file = told;
     }
-    if (!operator_file.empty()) bank = ReadBank(operator_file, name);
-    Config file;
+    if (!operator_file.empty()) bank = ReadClusterConfig(operator_file, name);
+    GatewayConfig file;
     if (bank) file = config;
-    const size_t known = config.known.members.size();
-    for (const std::string& line : NotCarriedOut(config.settings)) {
-      Log(Level::kWarning, "not carried out: {}", line);
+    const size_t known = config.initial_endpoints.endpoints.size();
+    for (const std::string& line : UnsupportedSettings(config.settings)) {
+      Log(LogLevel::kWarning, "not carried out: {}", line);
     }
     // Only where operators call may a second process be started beside this one.
     const std::optional<Address> admin_at = config.admin;
     const std::string path_over =
-        admin_at ? HandoverPath(std::getenv("TMPDIR"), config.listen) : std::string();
-    TakenOver taken = TakeOver(path_over, config.listen);
-    Life life(!taken.listening);
-    Gateway gateway(loop, std::move(config), life, std::move(taken.listening),
+        admin_at ? HotRestartSocketPath(std::getenv("TMPDIR"), config.listen) : std::string();
+    HotRestartState taken = RequestHotRestart(path_over, config.listen);
+    Lifecycle life(!taken.listening_socket);
+    Gateway gateway(loop, std::move(config), life, std::move(taken.listening_socket),
                     admin_at.has_value());
-    if (!taken.knowledge.empty()) {
-      const bool good = gateway.Learn(taken.knowledge);
-      Log(good ? Level::kInfo : Level::kWarning, "hand-over: {}",
+    if (!taken.learned_state.empty()) {
+      const bool good = gateway.ImportLearnedState(taken.learned_state);
+      Log(good ? LogLevel::kInfo : LogLevel::kWarning, "hand-over: {}",
           good ? "what the running process has learned is taken over"
                : "what the running process has learned makes no sense here, left out");
     }
     std::optional<Admin> admin;
     if (admin_at) admin.emplace(loop, *admin_at, life);
-    std::optional<Successor> successor;
+    std::optional<NewProcess> successor;
     if (taken.channel) successor.emplace(loop, std::move(taken), gateway.budget());
-    std::unique_ptr<Membership> membership;
+    std::unique_ptr<ClusterAgent> membership;
     if (bank && options.membership) {
       membership = options.membership(loop, std::move(*bank), gateway, life, std::move(file));
     } else if (bank) {
       membership =
-          std::make_unique<Membership>(loop, std::move(*bank), gateway, life, std::move(file));
+          std::make_unique<ClusterAgent>(loop, std::move(*bank), gateway, life, std::move(file));
     }
     const Parts parts{gateway, membership};
-    Log(Level::kInfo, "{} listens on {}, {} hosts known", name, ToText(gateway.address()), known);
+    Log(LogLevel::kInfo, "{} listens on {}, {} hosts known", name, ToText(gateway.address()), known);
     const Signals signals(loop, parts, signals_set);
     while (!life.accepts() && !loop.stopped()) loop.RunOnce(kReadyLook);
     // One that was told to end meanwhile leaves the old one as it was.
-    const bool serves = !loop.stopped() && life.stage() != Stage::kEnding;
-    if (successor && serves) successor->Ready();
+    const bool serves = !loop.stopped() && life.stage() != LifecycleStage::kEnding;
+    if (successor && serves) successor->ReportReady();
     // From now on this process can itself be followed by a newer one.
-    std::optional<Predecessor> predecessor;
+    std::optional<OldProcess> predecessor;
     if (admin_at && serves) {
-      predecessor.emplace(loop, path_over, life, gateway.clients(), gateway.budget(),
-                          [&] { return gateway.Know(); });
+      predecessor.emplace(loop, path_over, life, gateway.downstream(), gateway.budget(),
+                          [&] { return gateway.ExportLearnedState(); });
     }
     const Beat beat(loop, parts, options.counters_every);
     loop.Run();
     PrintCounters(parts);
     return 0;
   } catch (const std::exception& error) {
-    LogLine(Level::kError, std::string("paddlestile: ") + error.what());
+    LogLine(LogLevel::kError, std::string("paddlestile: ") + error.what());
     return 1;
   }
 }
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -12,10 +12,10 @@
 
 class EventLoop;
 class Gateway;
-class Life;
-class Membership;
-struct BankConfig;
-struct Config;
+class Lifecycle;
+class ClusterAgent;
+struct ClusterConfig;
+struct GatewayConfig;
 
 struct ServeOptions {
   // Between two lines of counters in the log; 0: on SIGUSR1 and at the end alone.
@@ -24,7 +24,7 @@
   // off.
   std::string operator_file;
   // Of tests: another part in the bank than the honest one.
-  std::function<std::unique_ptr<Membership>(EventLoop&, BankConfig, Gateway&, Life&, Config)>
+  std::function<std::unique_ptr<ClusterAgent>(EventLoop&, ClusterConfig, Gateway&, Lifecycle&, GatewayConfig)>
       membership;
 };
 
--- a/src/gateway/upstream.cpp
+++ b/src/gateway/upstream.cpp
@@ -49,8 +49,8 @@
 
 // ---- Words ----------------------------------------------------------------------------------
 
-std::optional<Report> ParseReport(std::string_view text, const std::vector<std::string>& fields) {
-  Report report(fields.size(), 0);
+std::optional<LoadReport> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields) {
+  LoadReport report(fields.size(), 0);
   std::vector<bool> found(fields.size(), false);
   text = Trim(text);
   while (!text.empty()) {
@@ -74,30 +74,30 @@
   return report;
 }
 
-Outcome OutcomeOf(const Message& message, std::string_view base) {
+Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view base) {
   if (message.status == 200) return Outcome::kOk;
-  const auto rejected = message.Find(base, "X-Rejected");
+  const auto rejected = message.FindHeader(base, "X-Rejected");
   const bool turned_away = rejected && *rejected == "1";
-  if ((message.status == 503 || message.status == 504) && turned_away) return Outcome::kFull;
+  if ((message.status == 503 || message.status == 504) && turned_away) return Outcome::kRejected;
   // Of the request, not of the host; but for those by which a host speaks of its own state.
   const bool own = message.status == 408 || message.status == 425 || message.status == 429;
-  if (message.status >= 400 && message.status < 500 && !own) return Outcome::kUnusable;
+  if (message.status >= 400 && message.status < 500 && !own) return Outcome::kInvalidResponse;
   return Outcome::kError;
 }
 
-std::string HeadForHost(const Held& request, Duration left) {
-  const Message& m = request.message;
+std::string RequestHead(const BufferedMessage& request, Duration left) {
+  const HttpMessage& m = request.message;
   const std::string_view base = request.bytes.view();
   std::string head = fmt::format("{} {} HTTP/1.1\r\n", m.method.In(base), m.target.In(base));
   for (const auto& [key, value] : m.headers) {
     const std::string_view name = key.In(base);
-    if (SameName(name, "X-Budget-Ms") || SameName(name, "Content-Length")) continue;
-    if (HopByHop(m, base, name)) continue;
+    if (HeaderNamesEqual(name, "X-Budget-Ms") || HeaderNamesEqual(name, "Content-Length")) continue;
+    if (IsHopByHop(m, base, name)) continue;
     head += fmt::format("{}: {}\r\n", name, value.In(base));
   }
   const auto ms = std::max<int64_t>(1, left.count() / 1000);
   head += fmt::format("X-Budget-Ms: {}\r\n", ms);
-  const std::optional<uint64_t> length = request.rest ? request.rest->length() : m.body.size;
+  const std::optional<uint64_t> length = request.streaming_body ? request.streaming_body->length() : m.body.size;
   const bool bodiless = m.method.In(base) == "GET" && length == 0;
   if (!length) {
     head += "Transfer-Encoding: chunked\r\n";
@@ -110,8 +110,8 @@
 // ---- Connections ----------------------------------------------------------------------------
 
 // What a connection is busy with: an attempt, or a probe where there is no exchange.
-struct Servers::Job {
-  std::shared_ptr<Exchange> exchange;
+struct Upstream::Exchange {
+  std::shared_ptr<ProxiedRequest> exchange;
   size_t attempt = 0;
   std::string endpoint;
   Time sent{0};
@@ -119,15 +119,15 @@
   bool established = false;
 };
 
-class Servers::Connection final : public Stream::Owner {
+class Upstream::Connection final : public Stream::Listener {
  public:
-  Connection(Servers& servers, Host& host, Socket socket)
+  Connection(Upstream& servers, Host& host, Socket socket)
       : servers_(servers),
         loop_(servers.loop_),
         host_(host),
-        epoch_(host.epoch),
+        epoch_(host.address_version),
         stream_(servers.loop_, std::move(socket), this, true) {
-    stream_.set_most_unread(2 * kMaxBody);
+    stream_.set_max_unread_bytes(2 * kMaxBufferedBodyBytes);
   }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
@@ -136,30 +136,30 @@
   // Before it goes: who takes its answer, or gives its request, is told.
   void Leave() {
     writer_.reset();
-    if (const auto body = std::exchange(body_, nullptr)) body->Cut();
+    if (const auto body = std::exchange(body_, nullptr)) body->OnTruncated();
   }
 
   bool Open() {
     if (!stream_.Start()) return false;
-    connect_timer_ = loop_.After(servers_.options_.connect_timeout, [this] {
+    connect_timer_ = loop_.RunAfter(servers_.options_.connect_timeout, [this] {
       connect_timer_ = {};
-      servers_.End(*this, Outcome::kConnectFailed, std::nullopt, nullptr);
+      servers_.FinishExchange(*this, Outcome::kConnectFailed, std::nullopt, nullptr);
     });
     return true;
   }
 
-  void Start(std::unique_ptr<Job> job) {
+  void Start(std::unique_ptr<Exchange> job) {
     job_ = std::move(job);
     parser_.Reset();
     written_ = heard_ = false;
     // One that is not held whole has its time from its last byte on.
-    if (!job_->exchange || !job_->exchange->request().rest) SetLimit(WriteBy());
+    if (!job_->exchange || !job_->exchange->message().streaming_body) SetLimit(WriteBy());
     if (stream_.connected()) WriteRested();
   }
 
   void SetLimit(Time until) {
-    loop_.Cancel(limit_);
-    limit_ = loop_.After(until - loop_.Now(), [this] {
+    loop_.CancelTimer(limit_);
+    limit_ = loop_.RunAfter(until - loop_.Now(), [this] {
       limit_ = {};
       // With the time up before the connection is, nothing was sent and the host not shown at
       // fault, unless it had the time of a connect.
@@ -167,40 +167,40 @@
           stream_.connected() || loop_.Now() - job_->sent >= servers_.options_.connect_timeout;
       const Outcome outcome = written_ ? Outcome::kTimeout
                               : shown  ? Outcome::kConnectFailed
-                                       : Outcome::kMoot;
-      servers_.End(*this, outcome, std::nullopt, nullptr);
+                                       : Outcome::kNotSent;
+      servers_.FinishExchange(*this, outcome, std::nullopt, nullptr);
     });
   }
 
-  std::unique_ptr<Job> Finish() {
+  std::unique_ptr<Exchange> Finish() {
     CancelTimers();
     return std::move(job_);
   }
 
   void CancelTimers() {
-    loop_.Cancel(limit_);
-    loop_.Cancel(connect_timer_);
-    loop_.Cancel(pause_);
-    loop_.Cancel(rest_);
+    loop_.CancelTimer(limit_);
+    loop_.CancelTimer(connect_timer_);
+    loop_.CancelTimer(pause_);
+    loop_.CancelTimer(rest_);
   }
 
   // How long the last byte may take to be written. What repeats a key was let go for the time of a
   // connect and no longer: behind it the hosts may have forgotten the key.
   [[nodiscard]] Time WriteBy() const {
-    const Exchange* const exchange = job_->exchange.get();
+    const ProxiedRequest* const exchange = job_->exchange.get();
     const bool repeats =
-        exchange != nullptr && job_->attempt > 0 && exchange->cls().effect == Effect::kKeyed;
+        exchange != nullptr && job_->attempt > 0 && exchange->request_class().idempotency == Idempotency::kKeyed;
     return repeats ? std::min(job_->until, job_->sent + servers_.options_.connect_timeout)
                    : job_->until;
   }
 
   // Fit for the next request: nothing half-written and nothing unread.
   [[nodiscard]] bool Reusable() const {
-    return reusable_ && host_.listed && epoch_ == host_.epoch && !stream_.ended() &&
+    return reusable_ && host_.listed && epoch_ == host_.address_version && !stream_.ended() &&
            !stream_.closed() && stream_.flushed();
   }
 
-  [[nodiscard]] Job* job() const { return job_.get(); }
+  [[nodiscard]] Exchange* job() const { return job_.get(); }
   [[nodiscard]] bool written() const { return written_; }
   Stream& stream() { return stream_; }
   Host& host() { return host_; }
@@ -212,17 +212,17 @@
 
  private:
   void OnConnected() override {
-    loop_.Cancel(connect_timer_);
+    loop_.CancelTimer(connect_timer_);
     if (job_) Write();
   }
 
   // Not before it has rested; what comes meanwhile is no answer to this job, which goes elsewhere.
   void WriteRested() {
     if (idled < Duration(0) || idled >= kRest) return Write();
-    rest_ = loop_.After(kRest - idled, [this] {
+    rest_ = loop_.RunAfter(kRest - idled, [this] {
       rest_ = {};
       if (!job_->exchange) job_->sent = loop_.Now();  // a probe measures the way
-      stream_.Quiet() ? Write() : servers_.Again(*this);
+      stream_.IsIdle() ? Write() : servers_.RetryOnAnotherConnection(*this);
     });
   }
 
@@ -234,82 +234,82 @@
       return;
     }
     // It came up too late: for a request that is over, or whose time is.
-    if (job_->exchange->over() || loop_.Now() >= WriteBy()) {
-      return servers_.End(*this, Outcome::kMoot, std::nullopt, nullptr);
+    if (job_->exchange->done() || loop_.Now() >= WriteBy()) {
+      return servers_.FinishExchange(*this, Outcome::kNotSent, std::nullopt, nullptr);
     }
-    const Held& request = job_->exchange->request();
-    if (request.rest) return WriteRest(request);
-    stream_.Write(HeadForHost(request, job_->until - loop_.Now()), job_->exchange, request.body());
+    const BufferedMessage& request = job_->exchange->message();
+    if (request.streaming_body) return WriteRest(request);
+    stream_.Write(RequestHead(request, job_->until - loop_.Now()), job_->exchange, request.body());
   }
 
-  void WriteRest(const Held& request) {
-    writer_ = std::make_unique<BodyWriter>(stream_, request.rest, !request.rest->length(), false,
+  void WriteRest(const BufferedMessage& request) {
+    writer_ = std::make_unique<BodyWriter>(stream_, request.streaming_body, !request.streaming_body->length(), false,
                                            [this](bool whole) {
                                              // A client that has gone is told of by its own side,
                                              // which ends this attempt.
                                              if (whole) Uploaded();
                                            });
-    stream_.Write(HeadForHost(request, job_->until - loop_.Now()));
+    stream_.Write(RequestHead(request, job_->until - loop_.Now()));
     if (writer_) AwaitRoom();
   }
 
   // The last byte is written: from here on it is a request like others.
   void Uploaded() {
-    loop_.Cancel(pause_);
+    loop_.CancelTimer(pause_);
     // It may be told from within the writer.
-    loop_.Defer([kept = std::shared_ptr<BodyWriter>(std::move(writer_))] {});
+    loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(writer_))] {});
     written_ = true;
     job_->sent = loop_.Now();
     job_->until = job_->exchange->deadline();
     SetLimit(job_->until);
   }
 
-  void OnFlushed() override {
+  void OnWriteComplete() override {
     if (!writer_) {
       written_ = true;
       if (job_ && WriteBy() < job_->until) SetLimit(job_->until);
       return;
     }
-    writer_->Go();
+    writer_->Resume();
     if (writer_) AwaitRoom();
   }
 
   // A host that reads nothing for so long is not there.
   void AwaitRoom() {
-    loop_.Cancel(pause_);
-    pause_ = loop_.After(kPauseLarge, [this] {
+    loop_.CancelTimer(pause_);
+    pause_ = loop_.RunAfter(kPauseLarge, [this] {
       pause_ = {};
       if (stream_.flushed()) return AwaitRoom();  // it is the client that is slow
-      servers_.End(*this, Outcome::kConnectFailed, std::nullopt, nullptr);
+      servers_.FinishExchange(*this, Outcome::kConnectFailed, std::nullopt, nullptr);
     });
   }
 
-  void OnRead() override {
+  void OnData() override {
     if (body_) {  // passing on: whoever writes takes it
       AwaitBody();
-      return body_->More();
+      return body_->OnDataAvailable();
     }
     if (!job_) {  // idle: the host closes, or says what nobody asked for
-      ++Count().host_idle_lost;
+      ++GlobalCounters().host_idle_lost;
       servers_.Drop(*this);
       return;
     }
-    if (rest_.number != 0) return servers_.Again(*this);
-    if (!heard_ && !stream_.in().empty()) {
+    if (rest_.number != 0) return servers_.RetryOnAnotherConnection(*this);
+    if (!heard_ && !stream_.input().empty()) {
       heard_ = true;
-      if (idled >= Duration(0)) servers_.CountReuse(idled, false);
+      if (idled >= Duration(0)) servers_.RecordReuse(idled, false);
     }
-    const Progress progress = parser_.Feed(stream_.in());
-    if (progress == Progress::kBad) {
-      ++Count().host_malformed;
+    const ParseProgress progress = parser_.Feed(stream_.input());
+    if (progress == ParseProgress::kMalformed) {
+      ++GlobalCounters().host_malformed;
       // Such answers come from any host alike and say little of this one.
-      return servers_.End(*this, written_ ? Outcome::kUnusable : Outcome::kConnectFailed,
+      return servers_.FinishExchange(*this, written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed,
                           std::nullopt, nullptr);
     }
     MaybeEstablished();
-    if (progress == Progress::kDone) return Done();
-    if (stream_.ended() && parser_.EndsWithConnection(stream_.in())) return Done();
-    if (stream_.ended()) return OnBroken();
+    if (progress == ParseProgress::kDone) return Done();
+    if (stream_.ended() && parser_.EndsWithConnection(stream_.input())) return Done();
+    if (stream_.ended()) return OnError();
     if (IsLarge()) return PassOn();
     AwaitMore();
   }
@@ -317,24 +317,24 @@
   // Not to be held whole, and enough of it has come.
   [[nodiscard]] bool IsLarge() {
     if (!parser_.head_done()) return false;
-    const auto length = parser_.length();
-    if (length && *length <= kMaxBody) return false;
-    return parser_.body_come(stream_.in()) >= (length ? kPassOnFrom : kPassOnUnknown);
+    const auto length = parser_.body_length();
+    if (length && *length <= kMaxBufferedBodyBytes) return false;
+    return parser_.body_bytes_received(stream_.input()) >= (length ? kPassOnFrom : kPassOnUnknown);
   }
 
   void PassOn() {
-    auto held = std::make_shared<Held>();
-    const auto length = parser_.length();
-    held->message = parser_.TakeHead(stream_.in(), held->bytes);
+    auto held = std::make_shared<BufferedMessage>();
+    const auto length = parser_.body_length();
+    held->message = parser_.TakeHead(stream_.input(), held->bytes);
     const Outcome outcome = OutcomeNow(*held);
     auto report = ReportOf(*held, outcome);
     // Of what is not served only the head tells anything; the rest costs the connection.
     if (outcome != Outcome::kOk || !job_->exchange) {
-      return servers_.End(*this, outcome, std::move(report), nullptr);
+      return servers_.FinishExchange(*this, outcome, std::move(report), nullptr);
     }
-    stream_.set_most_unread(kPieceMost);
-    stream_.set_read_at_least(kPieceMost);
-    body_ = held->rest = std::make_shared<Body>(
+    stream_.set_max_unread_bytes(kMaxPieceBytes);
+    stream_.set_min_read_bytes(kMaxPieceBytes);
+    body_ = held->streaming_body = std::make_shared<StreamingBody>(
         length, [this](Buffer& piece) { return TakeBody(piece); },
         [this] {
           body_ = nullptr;
@@ -345,188 +345,188 @@
     writer_.reset();  // a host that answers before it has heard all
     const auto body = body_;
     auto job = std::move(job_);
-    ++Count().answers_passed_on;
-    servers_.Tell(std::move(job), outcome, std::move(report), std::move(held));
-    if (!body->written()) body->Stop();  // nobody waits for it any more
+    ++GlobalCounters().answers_passed_on;
+    servers_.ReportOutcome(std::move(job), outcome, std::move(report), std::move(held));
+    if (!body->has_writer()) body->Cancel();  // nobody waits for it any more
   }
 
-  Progress TakeBody(Buffer& piece) {
-    const Progress progress = parser_.TakeBody(stream_.in(), piece, stream_.ended());
-    if (progress == Progress::kMore) {
+  ParseProgress TakeBody(Buffer& piece) {
+    const ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
+    if (progress == ParseProgress::kNeedMore) {
       // Not within this call: what comes is told to whoever is at work here.
       if (!stream_.readable()) return progress;
-      loop_.Yield([this, alive = std::weak_ptr(alive_)] {
-        if (!alive.expired() && !stream_.closed()) stream_.Resume();
+      loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
+        if (!alive.expired() && !stream_.closed()) stream_.ResumeReading();
       });
       return progress;
     }
-    loop_.Cancel(pause_);
+    loop_.CancelTimer(pause_);
     body_ = nullptr;
-    if (progress == Progress::kBad) {
-      ++Count().bodies_cut;
-      Log(Level::kInfo, "body cut: {} broke off within an answer", host_.id);
+    if (progress == ParseProgress::kMalformed) {
+      ++GlobalCounters().bodies_cut;
+      Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.id);
     }
-    reusable_ = progress == Progress::kDone && parser_.message().keep_alive && written_ &&
-                stream_.in().empty();
+    reusable_ = progress == ParseProgress::kDone && parser_.message().keep_alive && written_ &&
+                stream_.input().empty();
     Reusable() ? Rest() : servers_.Drop(*this);
     return progress;
   }
 
   // Between requests again.
   void Rest() {
-    stream_.set_most_unread(2 * kMaxBody);
-    stream_.set_read_at_least(kReadFirst);
-    servers_.Park(*this);
+    stream_.set_max_unread_bytes(2 * kMaxBufferedBodyBytes);
+    stream_.set_min_read_bytes(kReadFirst);
+    servers_.ReleaseToPool(*this);
   }
 
   void AwaitBody() {
-    loop_.Cancel(pause_);
-    pause_ = loop_.After(kPauseLarge, [this] {
+    loop_.CancelTimer(pause_);
+    pause_ = loop_.RunAfter(kPauseLarge, [this] {
       pause_ = {};
       if (!body_) return;
-      if (!stream_.in().empty()) return AwaitBody();  // it is the client that is slow
-      ++Count().bodies_cut;
-      Log(Level::kInfo, "body cut: {} says nothing more within an answer", host_.id);
+      if (!stream_.input().empty()) return AwaitBody();  // it is the client that is slow
+      ++GlobalCounters().bodies_cut;
+      Log(LogLevel::kInfo, "body cut: {} says nothing more within an answer", host_.id);
       servers_.Drop(*this);
     });
   }
 
-  std::optional<Report> ReportOf(const Held& held, Outcome outcome) {
+  std::optional<LoadReport> ReportOf(const BufferedMessage& held, Outcome outcome) {
     const Options& options = servers_.options_;
     std::optional<std::string_view> text;
-    if (options.reports_in_answers) text = held.message.Find(held.bytes.view(), "X-Load-Report");
+    if (options.reports_in_responses) text = held.message.FindHeader(held.bytes.view(), "X-Load-Report");
     if (!job_->exchange && options.reports_in_probes && outcome == Outcome::kOk) {
       text = held.body();
     }
     if (!text) return std::nullopt;
-    auto report = ParseReport(*text, options.report_fields);
-    if (!report) ++Count().reports_malformed;
+    auto report = ParseLoadReport(*text, options.report_fields);
+    if (!report) ++GlobalCounters().reports_malformed;
     return report;
   }
 
   void AwaitMore() {
-    loop_.Cancel(pause_);
-    if (job_->exchange && job_->exchange->cls().streamed) return;  // its pauses are its own
-    pause_ = loop_.After(kPause, [this] {
+    loop_.CancelTimer(pause_);
+    if (job_->exchange && job_->exchange->request_class().is_streamed) return;  // its pauses are its own
+    pause_ = loop_.RunAfter(kPause, [this] {
       pause_ = {};
-      ++Count().host_malformed;
-      servers_.End(*this, written_ ? Outcome::kUnusable : Outcome::kConnectFailed, std::nullopt,
+      ++GlobalCounters().host_malformed;
+      servers_.FinishExchange(*this, written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed, std::nullopt,
                    nullptr);
     });
   }
 
   // A streamed answer has begun: it belongs to its client, and no time limit runs on.
   void MaybeEstablished() {
-    if (!job_->exchange || job_->established || !job_->exchange->cls().streamed) return;
+    if (!job_->exchange || job_->established || !job_->exchange->request_class().is_streamed) return;
     if (parser_.message().body.at == 0 || parser_.message().status != 200) return;
-    if (!job_->exchange->Establish(job_->attempt)) return;  // another one has begun before
+    if (!job_->exchange->CommitTo(job_->attempt)) return;  // another one has begun before
     job_->established = true;
-    loop_.Cancel(limit_);
-    servers_.listener_->OnEstablished(job_->exchange, job_->attempt, job_->endpoint,
+    loop_.CancelTimer(limit_);
+    servers_.listener_->OnResponseStarted(job_->exchange, job_->attempt, job_->endpoint,
                                       loop_.Now() - job_->sent);
   }
 
   // A host begins with the last byte: what it says to have done before is another request's, and
   // this one never runs. Told of a refusal it may be at any time, and of a body that passes on.
-  [[nodiscard]] Outcome OutcomeNow(const Held& held) const {
-    const Outcome outcome = OutcomeOf(held.message, held.bytes.view());
-    const bool whole = job_->exchange && !job_->exchange->request().rest;
+  [[nodiscard]] Outcome OutcomeNow(const BufferedMessage& held) const {
+    const Outcome outcome = OutcomeOfResponse(held.message, held.bytes.view());
+    const bool whole = job_->exchange && !job_->exchange->message().streaming_body;
     if (written_ || !whole || outcome != Outcome::kOk) return outcome;
-    ++Count().host_malformed;
-    return Outcome::kMoot;
+    ++GlobalCounters().host_malformed;
+    return Outcome::kNotSent;
   }
 
   void Done() {
-    auto held = std::make_shared<Held>();
+    auto held = std::make_shared<BufferedMessage>();
     held->message = parser_.message();
-    held->bytes = stream_.in().TakeFront(held->message.size);
+    held->bytes = stream_.input().TakeFront(held->message.total_bytes);
     // Bytes behind the answer belong to nothing that was asked: the connection is out of step.
-    reusable_ = held->message.keep_alive && written_ && stream_.in().empty();
+    reusable_ = held->message.keep_alive && written_ && stream_.input().empty();
     const Outcome outcome = OutcomeNow(*held);
-    std::optional<Report> report = ReportOf(*held, outcome);
-    const bool pass_on = outcome == Outcome::kOk || outcome == Outcome::kUnusable;
-    servers_.End(*this, outcome, std::move(report), pass_on ? std::move(held) : nullptr);
+    std::optional<LoadReport> report = ReportOf(*held, outcome);
+    const bool pass_on = outcome == Outcome::kOk || outcome == Outcome::kInvalidResponse;
+    servers_.FinishExchange(*this, outcome, std::move(report), pass_on ? std::move(held) : nullptr);
   }
 
-  void OnBroken() override {
+  void OnError() override {
     if (body_) {
-      ++Count().bodies_cut;
-      Log(Level::kInfo, "body cut: {} broke off within an answer", host_.id);
+      ++GlobalCounters().bodies_cut;
+      Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.id);
       return servers_.Drop(*this);
     }
     if (!job_) {
-      ++Count().host_idle_lost;
+      ++GlobalCounters().host_idle_lost;
       servers_.Drop(*this);
       return;
     }
     const bool came_up = stream_.connected();
     if (came_up && !heard_ && idled >= Duration(0)) {
-      servers_.CountReuse(idled, true);
+      servers_.RecordReuse(idled, true);
       // Nothing whole was sent: the same send goes on a connection that lives.
-      if (!written_ && !job_->exchange) return servers_.Again(*this);
-      if (!written_ && !job_->exchange->spent()) return servers_.Again(*this);
+      if (!written_ && !job_->exchange) return servers_.RetryOnAnotherConnection(*this);
+      if (!written_ && !job_->exchange->body_consumed()) return servers_.RetryOnAnotherConnection(*this);
     }
     // One that came up and broke before all was written shows no host at fault.
-    servers_.End(*this,
+    servers_.FinishExchange(*this,
                  written_  ? Outcome::kReset
-                 : came_up ? Outcome::kMoot
+                 : came_up ? Outcome::kNotSent
                            : Outcome::kConnectFailed,
                  std::nullopt, nullptr);
   }
 
-  Servers& servers_;
+  Upstream& servers_;
   EventLoop& loop_;  // may outlive the servers, as what is put off may
   Host& host_;
   uint64_t epoch_;
   Stream stream_;
-  MessageParser parser_{MessageParser::Kind::kAnswer, kMostBody};
-  std::unique_ptr<Job> job_;
+  HttpParser parser_{HttpParser::Kind::kResponse, kMaxBodyBytes};
+  std::unique_ptr<Exchange> job_;
   EventLoop::TimerId limit_, connect_timer_, pause_, rest_;
   bool written_ = false, reusable_ = false;
   std::unique_ptr<BodyWriter> writer_;  // of a request that is not held whole
-  std::shared_ptr<Body> body_;          // of an answer that passes on
+  std::shared_ptr<StreamingBody> body_;          // of an answer that passes on
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
   bool heard_ = false;  // the first byte of the answer has come
 };
 
 // ---- Servers --------------------------------------------------------------------------------
 
-Servers::Servers(EventLoop& loop, Descriptors& budget, Options options, Listener* listener)
+Upstream::Upstream(EventLoop& loop, DescriptorBudget& budget, Options options, Listener* listener)
     : loop_(loop), budget_(budget), options_(std::move(options)), listener_(listener) {
-  Tidy();
+  CloseExpiredIdle();
 }
 
-Servers::~Servers() {
-  loop_.Cancel(tidy_);
+Upstream::~Upstream() {
+  loop_.CancelTimer(idle_timer_);
   connections_.clear();
 }
 
-Servers::Host* Servers::Find(const std::string& endpoint) {
+Upstream::Host* Upstream::Find(const std::string& endpoint) {
   const auto at = hosts_.find(endpoint);
   return at == hosts_.end() ? nullptr : at->second.get();
 }
 
-void Servers::SetAddress(const std::string& endpoint, const Address& address) {
+void Upstream::SetEndpointAddress(const std::string& endpoint, const Address& address) {
   std::unique_ptr<Host>& host = hosts_[endpoint];
   if (!host) host = std::make_unique<Host>(Host{.id = endpoint, .address = address, .idle = {}});
   host->listed = true;
   if (host->address == address) return;
   host->address = address;
-  ++host->epoch;
+  ++host->address_version;
   DropIdle(*host);
 }
 
-void Servers::Left(const std::string& endpoint) {
+void Upstream::RemoveEndpoint(const std::string& endpoint) {
   Host* const host = Find(endpoint);
   if (host == nullptr) return;
   host->listed = false;
   DropIdle(*host);
-  MaybeForget(*host);
+  MaybeEraseHost(*host);
 }
 
-void Servers::Send(std::shared_ptr<Exchange> exchange, size_t attempt, const std::string& endpoint,
+void Upstream::StartAttempt(std::shared_ptr<ProxiedRequest> exchange, size_t attempt, const std::string& endpoint,
                    Time until) {
-  auto job = std::make_unique<Job>();
+  auto job = std::make_unique<Exchange>();
   job->exchange = std::move(exchange);
   job->attempt = attempt;
   job->endpoint = endpoint;
@@ -534,22 +534,22 @@
   job->until = until;
   Host* const host = Find(endpoint);
   if (host == nullptr || until <= job->sent) {
-    return Tell(std::move(job), Outcome::kMoot, std::nullopt, nullptr);
+    return ReportOutcome(std::move(job), Outcome::kNotSent, std::nullopt, nullptr);
   }
   Begin(std::move(job), *host);
 }
 
-void Servers::Probe(const std::string& endpoint) {
-  auto job = std::make_unique<Job>();
+void Upstream::StartProbe(const std::string& endpoint) {
+  auto job = std::make_unique<Exchange>();
   job->endpoint = endpoint;
   job->sent = loop_.Now();
   job->until = job->sent + kProbeTimeouts * options_.connect_timeout;
   Host* const host = Find(endpoint);
-  if (host == nullptr) return Tell(std::move(job), Outcome::kMoot, std::nullopt, nullptr);
+  if (host == nullptr) return ReportOutcome(std::move(job), Outcome::kNotSent, std::nullopt, nullptr);
   Begin(std::move(job), *host);
 }
 
-void Servers::Begin(std::unique_ptr<Job> job, Host& host) {
+void Upstream::Begin(std::unique_ptr<Exchange> job, Host& host) {
   // The last used first, but for those that have just answered; of these the first to have rested.
   auto rested = std::ranges::find_if(host.idle, [&](const Connection* connection) {
     return loop_.Now() - connection->idle_since < kRest;
@@ -562,135 +562,135 @@
     connection.idle = false;
     connection.idled = loop_.Now() - connection.idle_since;
     // The host may have closed it, and the news of that be waiting behind this event.
-    const bool quiet = connection.stream().Quiet();
-    const bool old = TooOld(connection.idled) || connection.idled > IdleMost();
+    const bool quiet = connection.stream().IsIdle();
+    const bool old = IsTooOldToReuse(connection.idled) || connection.idled > MaxIdleTime();
     if (quiet && !old) return connection.Start(std::move(job));
-    ++(quiet ? Count().host_idle_closed : Count().host_idle_lost);
+    ++(quiet ? GlobalCounters().host_idle_closed : GlobalCounters().host_idle_lost);
     Drop(connection);
   }
   // Half of the descriptors are left to clients, without whom no connection to a host is of use.
-  const bool room = connections_.size() < budget_.most() / 2 || CloseOneIdle();
+  const bool room = connections_.size() < budget_.limit() / 2 || CloseOneIdle();
   bool refused = false;
   std::optional<Socket> socket;
   if (room) socket = Connect(host.address, &budget_, refused);
-  if (room && !socket && !refused && listener_->OnShort()) {
+  if (room && !socket && !refused && listener_->OnDescriptorsExhausted()) {
     socket = Connect(host.address, &budget_, refused);
   }
   if (!socket) {
     // A lack of our own says nothing of the host: nothing was transmitted.
-    if (!refused) ++Count().host_no_descriptor;
-    return Tell(std::move(job), refused ? Outcome::kConnectFailed : Outcome::kMoot, std::nullopt,
+    if (!refused) ++GlobalCounters().host_no_descriptor;
+    return ReportOutcome(std::move(job), refused ? Outcome::kConnectFailed : Outcome::kNotSent, std::nullopt,
                 nullptr);
   }
-  ++Count().host_connects;
+  ++GlobalCounters().host_connects;
   const auto connection = std::make_shared<Connection>(*this, host, std::move(*socket));
   connections_.emplace(connection.get(), connection);
-  ++host.open;
+  ++host.connection_count;
   if (!connection->Open()) {
     Drop(*connection);
-    return Tell(std::move(job), Outcome::kMoot, std::nullopt, nullptr);
+    return ReportOutcome(std::move(job), Outcome::kNotSent, std::nullopt, nullptr);
   }
   connection->Start(std::move(job));
 }
 
-void Servers::End(Connection& connection, Outcome outcome, std::optional<Report> report,
-                  std::shared_ptr<const Held> from) {
+void Upstream::FinishExchange(Connection& connection, Outcome outcome, std::optional<LoadReport> report,
+                  std::shared_ptr<const BufferedMessage> from) {
   if (connection.idle) return;  // dropped by its host's address; ended already
   auto job = connection.Finish();
-  const bool whole = from || outcome == Outcome::kError || outcome == Outcome::kFull;
+  const bool whole = from || outcome == Outcome::kError || outcome == Outcome::kRejected;
   if (whole && connection.Reusable()) {
-    Park(connection);
+    ReleaseToPool(connection);
   } else {
     Drop(connection);
   }
   if (PADDLESTILE_CHECK(job != nullptr)) {
-    Tell(std::move(job), outcome, std::move(report), std::move(from));
+    ReportOutcome(std::move(job), outcome, std::move(report), std::move(from));
   }
 }
 
-void Servers::Again(Connection& connection) {
+void Upstream::RetryOnAnotherConnection(Connection& connection) {
   auto job = connection.Finish();
   Host& host = connection.host();
-  ++Count().host_idle_lost;
-  ++host.open;  // stays while the send looks for another connection
+  ++GlobalCounters().host_idle_lost;
+  ++host.connection_count;  // stays while the send looks for another connection
   Drop(connection);
-  --host.open;
-  const bool over = job->exchange && job->exchange->over();
+  --host.connection_count;
+  const bool over = job->exchange && job->exchange->done();
   if (over || !host.listed || job->until <= loop_.Now()) {
-    Tell(std::move(job), Outcome::kMoot, std::nullopt, nullptr);
-    return MaybeForget(host);
+    ReportOutcome(std::move(job), Outcome::kNotSent, std::nullopt, nullptr);
+    return MaybeEraseHost(host);
   }
   Begin(std::move(job), host);
 }
 
-Servers::Reuse& Servers::ReuseAfter(Duration idle) {
+Upstream::ReuseStatistics& Upstream::ReuseAfter(Duration idle) {
   const auto ms = static_cast<uint64_t>(std::max<int64_t>(idle.count() / 1000, 0));
-  Reuse& reuse = reuse_[std::min<size_t>(std::bit_width(ms), reuse_.size() - 1)];
+  ReuseStatistics& reuse = reuse_[std::min<size_t>(std::bit_width(ms), reuse_.size() - 1)];
   const Time now = loop_.Now();
-  const double left = std::exp(-static_cast<double>((now - reuse.at).count()) / kReuseSpan);
-  reuse.tried *= left;
-  reuse.broken *= left;
-  reuse.at = now;
+  const double left = std::exp(-static_cast<double>((now - reuse.updated_at).count()) / kReuseSpan);
+  reuse.attempted *= left;
+  reuse.failed *= left;
+  reuse.updated_at = now;
   return reuse;
 }
 
-void Servers::CountReuse(Duration idle, bool broken) {
-  Reuse& reuse = ReuseAfter(idle);
-  reuse.tried += 1;
-  reuse.broken += broken ? 1 : 0;
+void Upstream::RecordReuse(Duration idle, bool broken) {
+  ReuseStatistics& reuse = ReuseAfter(idle);
+  reuse.attempted += 1;
+  reuse.failed += broken ? 1 : 0;
 }
 
-bool Servers::TooOld(Duration idle) {
-  const Reuse& reuse = ReuseAfter(idle);
-  return reuse.tried >= kTriedLeast && reuse.broken > kBrokenMost * reuse.tried;
+bool Upstream::IsTooOldToReuse(Duration idle) {
+  const ReuseStatistics& reuse = ReuseAfter(idle);
+  return reuse.attempted >= kTriedLeast && reuse.failed > kBrokenMost * reuse.attempted;
 }
 
-void Servers::Tell(std::unique_ptr<Job> job, Outcome outcome, std::optional<Report> report,
-                   std::shared_ptr<const Held> from) {
+void Upstream::ReportOutcome(std::unique_ptr<Exchange> job, Outcome outcome, std::optional<LoadReport> report,
+                   std::shared_ptr<const BufferedMessage> from) {
   const Duration took = loop_.Now() - job->sent;
   if (!job->exchange) {
-    if (outcome == Outcome::kOk) ++Count().probes_ok;
-    listener_->OnProbed(job->endpoint, outcome, took, std::move(report));
+    if (outcome == Outcome::kOk) ++GlobalCounters().probes_ok;
+    listener_->OnProbeFinished(job->endpoint, outcome, took, std::move(report));
     return;
   }
-  if (Logged(Level::kDebug)) {
-    Log(Level::kDebug, "attempt {} of {} at {}: outcome {} after {:.1f} ms", job->attempt,
+  if (IsLogEnabled(LogLevel::kDebug)) {
+    Log(LogLevel::kDebug, "attempt {} of {} at {}: outcome {} after {:.1f} ms", job->attempt,
         job->exchange->id(), job->endpoint, static_cast<int>(outcome), Ms(took));
   }
-  listener_->OnSettled(job->exchange, job->attempt, job->endpoint, outcome, took, std::move(report),
+  listener_->OnAttemptFinished(job->exchange, job->attempt, job->endpoint, outcome, took, std::move(report),
                        std::move(from));
 }
 
-void Servers::Cancel(const Exchange& exchange, size_t attempt) {
+void Upstream::CancelAttempt(const ProxiedRequest& exchange, size_t attempt) {
   for (const auto& [connection, owned] : connections_) {
-    const Job* const job = connection->job();
+    const Exchange* const job = connection->job();
     if (job == nullptr || job->exchange.get() != &exchange || job->attempt != attempt) continue;
     if (job->established) return;  // begun streams belong to their clients
-    return End(*connection, Outcome::kCancelled, std::nullopt, nullptr);
+    return FinishExchange(*connection, Outcome::kCancelled, std::nullopt, nullptr);
   }
 }
 
-void Servers::ClientLeft(const Exchange& exchange) {
+void Upstream::OnClientDisconnected(const ProxiedRequest& exchange) {
   std::vector<Connection*> unwritten, begun;
   for (const auto& [connection, owned] : connections_) {
-    const Job* const job = connection->job();
+    const Exchange* const job = connection->job();
     if (job == nullptr || job->exchange.get() != &exchange) continue;
     // What has not been written whole never runs: not now, and not when its connection comes up.
     if (!connection->written()) unwritten.push_back(connection);
     if (job->established) begun.push_back(connection);
   }
-  for (Connection* const c : unwritten) End(*c, Outcome::kMoot, std::nullopt, nullptr);
-  for (Connection* const c : begun) End(*c, Outcome::kCancelled, std::nullopt, nullptr);
+  for (Connection* const c : unwritten) FinishExchange(*c, Outcome::kNotSent, std::nullopt, nullptr);
+  for (Connection* const c : begun) FinishExchange(*c, Outcome::kCancelled, std::nullopt, nullptr);
 }
 
-void Servers::Park(Connection& connection) {
+void Upstream::ReleaseToPool(Connection& connection) {
   connection.idle = true;
   connection.idle_since = loop_.Now();
   connection.idle_place = idle_.insert(idle_.end(), &connection);
   connection.host().idle.push_back(&connection);
 }
 
-void Servers::Drop(Connection& connection) {
+void Upstream::Drop(Connection& connection) {
   const auto at = connections_.find(&connection);
   if (!PADDLESTILE_CHECK(at != connections_.end())) return;
   if (connection.idle) {
@@ -701,51 +701,51 @@
   connection.CancelTimers();
   connection.stream().Close();
   connection.Leave();
-  --connection.host().open;
-  MaybeForget(connection.host());
+  --connection.host().connection_count;
+  MaybeEraseHost(connection.host());
   // It may be the one whose handler is at work: its memory goes once that has returned.
-  loop_.Defer([kept = std::move(at->second)] {});
+  loop_.RunDeferred([kept = std::move(at->second)] {});
   connections_.erase(at);
 }
 
 // Hosts that are replaced come with new ids: those gone for good must not pile up.
-void Servers::MaybeForget(const Host& host) {
-  if (host.listed || host.open > 0) return;
-  loop_.Defer([this, alive = std::weak_ptr(alive_), id = host.id] {
+void Upstream::MaybeEraseHost(const Host& host) {
+  if (host.listed || host.connection_count > 0) return;
+  loop_.RunDeferred([this, alive = std::weak_ptr(alive_), id = host.id] {
     if (alive.expired()) return;
     const Host* const now = Find(id);
-    if (now != nullptr && !now->listed && now->open == 0) hosts_.erase(id);
+    if (now != nullptr && !now->listed && now->connection_count == 0) hosts_.erase(id);
   });
 }
 
-void Servers::DropIdle(Host& host) {
+void Upstream::DropIdle(Host& host) {
   while (!host.idle.empty()) {
-    ++Count().host_idle_closed;
+    ++GlobalCounters().host_idle_closed;
     Drop(*host.idle.back());
   }
 }
 
-void Servers::CloseIdle(const std::string& endpoint) {
+void Upstream::CloseIdleConnections(const std::string& endpoint) {
   if (Host* const host = Find(endpoint)) DropIdle(*host);
 }
 
-bool Servers::CloseOneIdle() {
+bool Upstream::CloseOneIdle() {
   if (idle_.empty()) return false;
-  ++Count().host_idle_closed;
+  ++GlobalCounters().host_idle_closed;
   Drop(*idle_.front());
   return true;
 }
 
-Duration Servers::IdleMost() const {
-  if (options_.idle_close <= Duration(0)) return kIdleUnknown;
-  return Duration(std::llround(kIdleShare * static_cast<double>(options_.idle_close.count())));
+Duration Upstream::MaxIdleTime() const {
+  if (options_.endpoint_idle_timeout <= Duration(0)) return kIdleUnknown;
+  return Duration(std::llround(kIdleShare * static_cast<double>(options_.endpoint_idle_timeout.count())));
 }
 
-void Servers::Tidy() {
-  const Duration most = IdleMost();
+void Upstream::CloseExpiredIdle() {
+  const Duration most = MaxIdleTime();
   const Duration every = std::clamp(most / kTidyPart, kTidyLeast, kTidyMost);
   while (!idle_.empty() && loop_.Now() - idle_.front()->idle_since + every > most) CloseOneIdle();
-  tidy_ = loop_.After(every, [this] { Tidy(); });
+  idle_timer_ = loop_.RunAfter(every, [this] { CloseExpiredIdle(); });
 }
 
 }  // namespace paddlestile
--- a/src/http/http_parser.cpp
+++ b/src/http/http_parser.cpp
@@ -33,7 +33,7 @@
 bool Lists(std::string_view list, std::string_view word) {
   while (true) {
     const size_t comma = list.find(',');
-    if (SameName(Trim(list.substr(0, comma)), word)) return true;
+    if (HeaderNamesEqual(Trim(list.substr(0, comma)), word)) return true;
     if (comma == std::string_view::npos) return false;
     list.remove_prefix(comma + 1);
   }
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-bool SameName(std::string_view a, std::string_view b) {
+bool HeaderNamesEqual(std::string_view a, std::string_view b) {
   return std::ranges::equal(
       a, b, [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
@@ -54,7 +54,7 @@
 
 // ---- Chunks ---------------------------------------------------------------------------------
 
-Progress ChunkDecoder::Decode(std::string_view in, char* out, size_t& read, size_t& written) {
+ParseProgress ChunkDecoder::Decode(std::string_view in, char* out, size_t& read, size_t& written) {
   constexpr int kMostDigits = 16;          // with zeroes ahead
   constexpr size_t kMostChunk = 1U << 28;  // bytes; none of ours is as long
   constexpr size_t kMostExtension = 256;   // bytes after a size that nobody reads
@@ -73,39 +73,39 @@
         if (std::isxdigit(u)) {
           left_ =
               left_ * 16 + static_cast<size_t>(std::isdigit(u) ? u - '0' : (u | 0x20) - 'a' + 10);
-          if (++digits_ > kMostDigits || left_ > kMostChunk) return Progress::kBad;
+          if (++digits_ > kMostDigits || left_ > kMostChunk) return ParseProgress::kMalformed;
           break;
         }
-        if (digits_ == 0) return Progress::kBad;
-        if (c != ';' && c != ' ' && c != '\t' && c != '\r') return Progress::kBad;
+        if (digits_ == 0) return ParseProgress::kMalformed;
+        if (c != ';' && c != ' ' && c != '\t' && c != '\r') return ParseProgress::kMalformed;
         line_ = 0;
         state_ = c == '\r' ? State::kSizeEnd : State::kExtension;
         break;
       case State::kExtension:
-        if (c == '\n' || ++line_ > kMostExtension) return Progress::kBad;
+        if (c == '\n' || ++line_ > kMostExtension) return ParseProgress::kMalformed;
         if (c == '\r') state_ = State::kSizeEnd;
         break;
       case State::kSizeEnd:
-        if (c != '\n') return Progress::kBad;
+        if (c != '\n') return ParseProgress::kMalformed;
         state_ = left_ > 0 ? State::kData : State::kTrailer;
         digits_ = 0, line_ = 0, last_ = 0;
         break;
       case State::kDataCr:
-        if (c != '\r') return Progress::kBad;
+        if (c != '\r') return ParseProgress::kMalformed;
         state_ = State::kDataLf;
         break;
       case State::kDataLf:
-        if (c != '\n') return Progress::kBad;
+        if (c != '\n') return ParseProgress::kMalformed;
         state_ = State::kSize;
         break;
       case State::kTrailer:
-        if (++trailer_ > kMaxHead) return Progress::kBad;
+        if (++trailer_ > kMaxHeadBytes) return ParseProgress::kMalformed;
         if (c == '\n') {
-          if (last_ != '\r') return Progress::kBad;
+          if (last_ != '\r') return ParseProgress::kMalformed;
           if (line_ == 1) state_ = State::kDone;
           line_ = 0;
         } else {
-          if (last_ == '\r') return Progress::kBad;
+          if (last_ == '\r') return ParseProgress::kMalformed;
           ++line_;
         }
         last_ = c;
@@ -114,243 +114,243 @@
       case State::kDone: break;
     }
   }
-  return state_ == State::kDone ? Progress::kDone : Progress::kMore;
+  return state_ == State::kDone ? ParseProgress::kDone : ParseProgress::kNeedMore;
 }
 
 // ---- Messages -------------------------------------------------------------------------------
 
-std::optional<std::string_view> Message::Find(std::string_view base, std::string_view name) const {
+std::optional<std::string_view> HttpMessage::FindHeader(std::string_view base, std::string_view name) const {
   for (const auto& [key, value] : headers) {
-    if (SameName(key.In(base), name)) return value.In(base);
+    if (HeaderNamesEqual(key.In(base), name)) return value.In(base);
   }
   return std::nullopt;
 }
 
-size_t Message::CountOf(std::string_view base, std::string_view name) const {
+size_t HttpMessage::CountHeader(std::string_view base, std::string_view name) const {
   return static_cast<size_t>(std::ranges::count_if(
-      headers, [&](const auto& header) { return SameName(header.first.In(base), name); }));
+      headers, [&](const auto& header) { return HeaderNamesEqual(header.first.In(base), name); }));
 }
 
-bool HopByHop(const Message& message, std::string_view base, std::string_view name) {
+bool IsHopByHop(const HttpMessage& message, std::string_view base, std::string_view name) {
   static constexpr std::string_view kNames[] = {
       "Connection", "Keep-Alive",      "Proxy-Authenticate", "Proxy-Authorization",
       "TE",         "Trailer",         "Transfer-Encoding",  "Upgrade",
       "Expect",     "Proxy-Connection"};
-  if (std::ranges::any_of(kNames, [&](std::string_view n) { return SameName(n, name); })) {
+  if (std::ranges::any_of(kNames, [&](std::string_view n) { return HeaderNamesEqual(n, name); })) {
     return true;
   }
   return std::ranges::any_of(message.headers, [&](const auto& header) {
-    return SameName(header.first.In(base), "Connection") && Lists(header.second.In(base), name);
+    return HeaderNamesEqual(header.first.In(base), "Connection") && Lists(header.second.In(base), name);
   });
 }
 
-void MessageParser::Reset() { *this = MessageParser(kind_, max_body_); }
+void HttpParser::Reset() { *this = HttpParser(kind_, max_body_); }
 
-Progress MessageParser::Bad(int status) {
-  bad_ = status;
-  return Progress::kBad;
+ParseProgress HttpParser::Fail(int status) {
+  error_status_ = status;
+  return ParseProgress::kMalformed;
 }
 
-Progress MessageParser::StartLine(std::string_view all, Range line) {
+ParseProgress HttpParser::ParseStartLine(std::string_view all, Range line) {
   const std::string_view text = line.In(all);
   const size_t first = text.find(' ');
-  if (first == std::string_view::npos) return Bad(400);
-  if (kind_ == Kind::kAnswer) {
+  if (first == std::string_view::npos) return Fail(400);
+  if (kind_ == Kind::kResponse) {
     const std::string_view version = text.substr(0, first), code = text.substr(first + 1, 3);
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") return Bad(400);
+    if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail(400);
     message_.keep_alive = version == "HTTP/1.1";
-    message_.http10 = !message_.keep_alive;
-    const auto status = ToWhole(code);
-    if (code.size() != 3 || !status || *status < 100 || *status > 599) return Bad(400);
-    if (text.size() > first + 4 && text[first + 4] != ' ') return Bad(400);
+    message_.is_http10 = !message_.keep_alive;
+    const auto status = ParseWholeNumber(code);
+    if (code.size() != 3 || !status || *status < 100 || *status > 599) return Fail(400);
+    if (text.size() > first + 4 && text[first + 4] != ' ') return Fail(400);
     message_.status = static_cast<int>(*status);
-    return Progress::kMore;
+    return ParseProgress::kNeedMore;
   }
   const size_t second = text.find(' ', first + 1);
-  if (second == std::string_view::npos) return Bad(400);
+  if (second == std::string_view::npos) return Fail(400);
   const std::string_view version = text.substr(second + 1);
   message_.method = {line.at, first};
   message_.target = {line.at + first + 1, second - first - 1};
-  if (!IsToken(message_.method.In(all)) || !IsTarget(message_.target.In(all))) return Bad(400);
+  if (!IsToken(message_.method.In(all)) || !IsTarget(message_.target.In(all))) return Fail(400);
   if (version != "HTTP/1.1" && version != "HTTP/1.0") {
-    return Bad(version.starts_with("HTTP/") ? 505 : 400);
+    return Fail(version.starts_with("HTTP/") ? 505 : 400);
   }
   message_.keep_alive = version == "HTTP/1.1";
-  message_.http10 = !message_.keep_alive;
-  return Progress::kMore;
+  message_.is_http10 = !message_.keep_alive;
+  return ParseProgress::kNeedMore;
 }
 
-Progress MessageParser::Header(std::string_view all, Range line) {
+ParseProgress HttpParser::ParseHeaderLine(std::string_view all, Range line) {
   const std::string_view text = line.In(all);
   const size_t colon = text.find(':');
   // Also refuses a folded line and a space before the colon, which peers read differently.
-  if (colon == std::string_view::npos || !IsToken(text.substr(0, colon))) return Bad(400);
+  if (colon == std::string_view::npos || !IsToken(text.substr(0, colon))) return Fail(400);
   const std::string_view value = Trim(text.substr(colon + 1));
-  if (!IsFieldText(value)) return Bad(400);
-  if (message_.headers.size() >= kMaxHeaders) return Bad(431);
+  if (!IsFieldText(value)) return Fail(400);
+  if (message_.headers.size() >= kMaxHeaders) return Fail(431);
   message_.headers.push_back(
       {{line.at, colon}, {static_cast<size_t>(value.data() - all.data()), value.size()}});
-  return Progress::kMore;
+  return ParseProgress::kNeedMore;
 }
 
-Progress MessageParser::EndOfHead(std::string_view all) {
+ParseProgress HttpParser::FinishHead(std::string_view all) {
   bool close = false;
   for (const auto& [key, value] : message_.headers) {
-    if (!SameName(key.In(all), "Connection")) continue;
+    if (!HeaderNamesEqual(key.In(all), "Connection")) continue;
     close = close || Lists(value.In(all), "close");
     message_.keep_alive = message_.keep_alive || Lists(value.In(all), "keep-alive");
   }
   message_.keep_alive = message_.keep_alive && !close;
-  const size_t lengths = message_.CountOf(all, "Content-Length");
-  const size_t codings = message_.CountOf(all, "Transfer-Encoding");
+  const size_t lengths = message_.CountHeader(all, "Content-Length");
+  const size_t codings = message_.CountHeader(all, "Transfer-Encoding");
   // Two lengths, or a length beside chunks, leave open where the message ends: never guessed.
-  if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) return Bad(400);
-  message_.body = {at_, 0};
-  if (kind_ == Kind::kAnswer && message_.status < 200) {  // an interim answer: the real one follows
-    message_ = Message{};
+  if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) return Fail(400);
+  message_.body = {scanned_, 0};
+  if (kind_ == Kind::kResponse && message_.status < 200) {  // an interim answer: the real one follows
+    message_ = HttpMessage{};
     state_ = State::kStart;
-    return Progress::kMore;
+    return ParseProgress::kNeedMore;
   }
   length_ = 0;
   state_ = State::kLength;
   // Whatever the head of these says.
-  const bool none = kind_ == Kind::kAnswer && (message_.status == 204 || message_.status == 304);
-  if (none) return Progress::kMore;
+  const bool none = kind_ == Kind::kResponse && (message_.status == 204 || message_.status == 304);
+  if (none) return ParseProgress::kNeedMore;
   if (codings > 0) {
-    if (!SameName(*message_.Find(all, "Transfer-Encoding"), "chunked")) return Bad(501);
+    if (!HeaderNamesEqual(*message_.FindHeader(all, "Transfer-Encoding"), "chunked")) return Fail(501);
     message_.chunked = true;
     state_ = State::kChunks;
   } else if (lengths > 0) {
-    const auto length = ToWhole(*message_.Find(all, "Content-Length"));
-    if (!length) return Bad(400);
-    if (*length > max_body_) return Bad(413);
+    const auto length = ParseWholeNumber(*message_.FindHeader(all, "Content-Length"));
+    if (!length) return Fail(400);
+    if (*length > max_body_) return Fail(413);
     length_ = static_cast<size_t>(*length);
-  } else if (kind_ == Kind::kAnswer) {
+  } else if (kind_ == Kind::kResponse) {
     // A host that dies resets its connections; one that has said all closes them.
-    message_.until_close = true;
+    message_.body_until_close = true;
     message_.keep_alive = false;
     state_ = State::kUntilClose;
   }
-  return Progress::kMore;
+  return ParseProgress::kNeedMore;
 }
 
-Progress MessageParser::Lines(std::string_view all) {
+ParseProgress HttpParser::ParseHeadLines(std::string_view all) {
   while (state_ == State::kStart || state_ == State::kHeaders) {
-    const size_t end = all.find('\n', at_);
-    if (std::min(end, all.size()) > kMaxHead) return Bad(431);
+    const size_t end = all.find('\n', scanned_);
+    if (std::min(end, all.size()) > kMaxHeadBytes) return Fail(431);
     if (end == std::string_view::npos) {
-      at_ = all.size();
-      return Progress::kMore;
+      scanned_ = all.size();
+      return ParseProgress::kNeedMore;
     }
-    if (end == line_ || all[end - 1] != '\r') return Bad(400);  // a bare line end
-    const Range line{line_, end - 1 - line_};
-    at_ = line_ = end + 1;
+    if (end == line_begin_ || all[end - 1] != '\r') return Fail(400);  // a bare line end
+    const Range line{line_begin_, end - 1 - line_begin_};
+    scanned_ = line_begin_ = end + 1;
     if (state_ == State::kStart) {
       if (line.size == 0 && kind_ == Kind::kRequest && end < 4) continue;  // one before a request
-      if (StartLine(all, line) == Progress::kBad) return Progress::kBad;
+      if (ParseStartLine(all, line) == ParseProgress::kMalformed) return ParseProgress::kMalformed;
       state_ = State::kHeaders;
     } else if (line.size > 0) {
-      if (Header(all, line) == Progress::kBad) return Progress::kBad;
-    } else if (EndOfHead(all) == Progress::kBad) {
-      return Progress::kBad;
+      if (ParseHeaderLine(all, line) == ParseProgress::kMalformed) return ParseProgress::kMalformed;
+    } else if (FinishHead(all) == ParseProgress::kMalformed) {
+      return ParseProgress::kMalformed;
     }
   }
-  return Progress::kDone;
+  return ParseProgress::kDone;
 }
 
-Progress MessageParser::FeedHead(Buffer& in) {
-  if (bad_ != 0) return Progress::kBad;
-  const Progress head = Lines(in.view());
-  if (head == Progress::kDone) message_.size = message_.body.at;
+ParseProgress HttpParser::FeedHead(Buffer& in) {
+  if (error_status_ != 0) return ParseProgress::kMalformed;
+  const ParseProgress head = ParseHeadLines(in.view());
+  if (head == ParseProgress::kDone) message_.total_bytes = message_.body.at;
   return head;
 }
 
-Progress MessageParser::Feed(Buffer& in) {
-  if (bad_ != 0) return Progress::kBad;
-  if (const Progress head = Lines(in.view()); head != Progress::kDone) return head;
+ParseProgress HttpParser::Feed(Buffer& in) {
+  if (error_status_ != 0) return ParseProgress::kMalformed;
+  if (const ParseProgress head = ParseHeadLines(in.view()); head != ParseProgress::kDone) return head;
   if (state_ == State::kUntilClose) {
     message_.body.size = in.size() - message_.body.at;
-    if (message_.body.size > max_body_) return Bad(413);
-    return Progress::kMore;
+    if (message_.body.size > max_body_) return Fail(413);
+    return ParseProgress::kNeedMore;
   }
   if (state_ == State::kLength) {
-    if (in.size() < message_.body.at + length_) return Progress::kMore;
+    if (in.size() < message_.body.at + length_) return ParseProgress::kNeedMore;
     message_.body.size = length_;
-    message_.size = message_.body.at + length_;
+    message_.total_bytes = message_.body.at + length_;
     state_ = State::kDone;
   } else if (state_ == State::kChunks) {
     size_t read = 0, written = 0;
     char* const out = in.data() + message_.body.at + message_.body.size;
-    const Progress body = chunks_.Decode(in.view().substr(at_), out, read, written);
-    at_ += read;
+    const ParseProgress body = chunk_decoder_.Decode(in.view().substr(scanned_), out, read, written);
+    scanned_ += read;
     message_.body.size += written;
-    if (body == Progress::kBad) return Bad(400);
-    if (message_.body.size > max_body_) return Bad(413);
-    if (body == Progress::kMore) {
+    if (body == ParseProgress::kMalformed) return Fail(400);
+    if (message_.body.size > max_body_) return Fail(413);
+    if (body == ParseProgress::kNeedMore) {
       // All was read: its framing need not be kept, or chunks of a byte would hold five more each.
-      at_ = message_.body.at + message_.body.size;
-      in.Truncate(at_);
+      scanned_ = message_.body.at + message_.body.size;
+      in.Truncate(scanned_);
       return body;
     }
-    message_.size = at_;
+    message_.total_bytes = scanned_;
     state_ = State::kDone;
   }
-  return Progress::kDone;
+  return ParseProgress::kDone;
 }
 
-bool MessageParser::EndsWithConnection(Buffer& in) {
-  if (state_ != State::kUntilClose || Feed(in) == Progress::kBad) return false;
-  message_.size = in.size();
+bool HttpParser::EndsWithConnection(Buffer& in) {
+  if (state_ != State::kUntilClose || Feed(in) == ParseProgress::kMalformed) return false;
+  message_.total_bytes = in.size();
   state_ = State::kDone;
   return true;
 }
 
-std::optional<uint64_t> MessageParser::length() const {
+std::optional<uint64_t> HttpParser::body_length() const {
   if (state_ != State::kLength) return std::nullopt;
   return length_;
 }
 
-size_t MessageParser::body_come(const Buffer& in) const {
+size_t HttpParser::body_bytes_received(const Buffer& in) const {
   if (state_ == State::kLength) return in.size() - std::min(in.size(), message_.body.at);
   return message_.body.size;
 }
 
-Message MessageParser::TakeHead(Buffer& in, Buffer& head) {
-  decoded_ = state_ == State::kChunks ? message_.body.size : 0;
+HttpMessage HttpParser::TakeHead(Buffer& in, Buffer& head) {
+  decoded_bytes_ = state_ == State::kChunks ? message_.body.size : 0;
   head.Append(in.view().substr(0, message_.body.at));
   in.Consume(message_.body.at);
   message_.body.size = 0;
-  message_.size = message_.body.at;
+  message_.total_bytes = message_.body.at;
   return message_;
 }
 
-Progress MessageParser::TakeBody(Buffer& in, Buffer& piece, bool ended) {
-  if (bad_ != 0) return Progress::kBad;
-  if (state_ == State::kDone) return Progress::kDone;
-  Progress progress = Progress::kMore;
+ParseProgress HttpParser::TakeBody(Buffer& in, Buffer& piece, bool ended) {
+  if (error_status_ != 0) return ParseProgress::kMalformed;
+  if (state_ == State::kDone) return ParseProgress::kDone;
+  ParseProgress progress = ParseProgress::kNeedMore;
   if (state_ == State::kLength) {
-    const size_t n = std::min(length_ - passed_, in.size());
+    const size_t n = std::min(length_ - body_bytes_taken_, in.size());
     if (n == in.size()) {
       piece = std::exchange(in, Buffer());
     } else {
       piece = in.TakeFront(n);
     }
-    if (passed_ + n == length_) progress = Progress::kDone;
+    if (body_bytes_taken_ + n == length_) progress = ParseProgress::kDone;
   } else if (state_ == State::kUntilClose) {
     piece = std::exchange(in, Buffer());
-    if (ended) progress = Progress::kDone;
+    if (ended) progress = ParseProgress::kDone;
   } else if (!in.empty()) {
     size_t read = 0, written = 0;
-    const size_t before = std::exchange(decoded_, 0);
-    progress = chunks_.Decode(in.view().substr(before), in.data() + before, read, written);
-    if (progress == Progress::kBad) return Bad(400);
+    const size_t before = std::exchange(decoded_bytes_, 0);
+    progress = chunk_decoder_.Decode(in.view().substr(before), in.data() + before, read, written);
+    if (progress == ParseProgress::kMalformed) return Fail(400);
     piece = in.TakeFront(before + read);
     piece.Truncate(before + written);
   }
-  passed_ += piece.size();
-  if (passed_ > max_body_) return Bad(413);
-  if (progress == Progress::kDone) state_ = State::kDone;
-  return progress == Progress::kMore && piece.empty() && ended ? Bad(400) : progress;
+  body_bytes_taken_ += piece.size();
+  if (body_bytes_taken_ > max_body_) return Fail(413);
+  if (progress == ParseProgress::kDone) state_ = State::kDone;
+  return progress == ParseProgress::kNeedMore && piece.empty() && ended ? Fail(400) : progress;
 }
 
 }  // namespace paddlestile
--- a/src/http/proxied_request.h
+++ b/src/http/proxied_request.h
@@ -20,88 +20,88 @@
 
 // A message together with the memory that it lies in. Of one too large to be held it is the head;
 // the body passes on by `rest`.
-struct Held {
+struct BufferedMessage {
   Buffer bytes;
-  Message message;
-  std::shared_ptr<Body> rest{};
+  HttpMessage message;
+  std::shared_ptr<StreamingBody> streaming_body{};
   [[nodiscard]] std::string_view body() const { return message.body.In(bytes.view()); }
 };
 
-struct Answer {
+struct Response {
   int status = 0;
-  std::shared_ptr<const Held> from{};  // a host's answer to pass on, or none
+  std::shared_ptr<const BufferedMessage> upstream_message{};  // a host's answer to pass on, or none
   Duration retry_after{0};             // of a refusal
-  std::string why{};                   // told to a client whose request was not understood
+  std::string reason{};                   // told to a client whose request was not understood
 };
 
-class Exchange {
+class ProxiedRequest {
  public:
-  using Reply = std::function<void(const Answer&)>;
+  using ResponseCallback = std::function<void(const Response&)>;
 
   // `cls` stays as it was when the request came, whatever settings follow.
-  Exchange(std::string id, Held request, Time deadline, std::shared_ptr<const RequestClass> cls,
-           Reply reply)
+  ProxiedRequest(std::string id, BufferedMessage request, Time deadline, std::shared_ptr<const RequestClass> cls,
+           ResponseCallback reply)
       : id_(std::move(id)),
-        request_(std::move(request)),
+        message_(std::move(request)),
         deadline_(deadline),
-        cls_(std::move(cls)),
-        reply_(std::move(reply)) {}
+        request_class_(std::move(cls)),
+        response_callback_(std::move(reply)) {}
 
   [[nodiscard]] const std::string& id() const { return id_; }
-  [[nodiscard]] const Held& request() const { return request_; }
+  [[nodiscard]] const BufferedMessage& message() const { return message_; }
   [[nodiscard]] Time deadline() const { return deadline_; }
   void set_deadline(Time deadline) { deadline_ = deadline; }
   // How long the client waits from its last byte on.
-  [[nodiscard]] Duration patience() const { return patience_; }
-  void set_patience(Duration patience) { patience_ = patience; }
+  [[nodiscard]] Duration client_timeout() const { return client_timeout_; }
+  void set_client_timeout(Duration patience) { client_timeout_ = patience; }
   // Whether a part of the request is no longer held: it cannot be sent again.
-  [[nodiscard]] bool spent() const { return request_.rest && request_.rest->begun(); }
-  [[nodiscard]] const RequestClass& cls() const { return *cls_; }
+  [[nodiscard]] bool body_consumed() const { return message_.streaming_body && message_.streaming_body->begun(); }
+  [[nodiscard]] const RequestClass& request_class() const { return *request_class_; }
 
   // Whether it has had its one answer, or nobody waits for it any more.
-  [[nodiscard]] bool over() const { return over_; }
+  [[nodiscard]] bool done() const { return done_; }
 
   // Gives the one answer; false where there is no more to give one to.
-  bool Finish(const Answer& answer) {
-    if (over_) return false;
-    over_ = true;
-    const Reply reply = std::exchange(reply_, nullptr);
+  bool Respond(const Response& answer) {
+    if (done_) return false;
+    done_ = true;
+    const ResponseCallback reply = std::exchange(response_callback_, nullptr);
     reply(answer);
     return true;
   }
   // The client has gone.
   void Abandon() {
-    over_ = true;
-    reply_ = nullptr;
+    done_ = true;
+    response_callback_ = nullptr;
   }
 
   // Attempts are numbered from 0 in the order of their sends.
-  size_t NextAttempt() {
-    ++out_;
-    return attempts_++;
+  size_t BeginAttempt() {
+    ++attempts_in_flight_;
+    return attempt_count_++;
   }
-  void AttemptEnded() { --out_; }
-  [[nodiscard]] size_t attempts() const { return attempts_; }
+  void EndAttempt() { --attempts_in_flight_; }
+  [[nodiscard]] size_t attempt_count() const { return attempt_count_; }
   // A streamed answer has begun on this attempt, the first to do so: it alone is the client's.
-  bool Establish(size_t attempt) {
-    if (over_ || stream_) return false;
-    stream_ = attempt;
+  bool CommitTo(size_t attempt) {
+    if (done_ || committed_attempt_) return false;
+    committed_attempt_ = attempt;
     return true;
   }
-  [[nodiscard]] const std::optional<size_t>& stream() const { return stream_; }
-  [[nodiscard]] int out() const { return out_; }
+  [[nodiscard]] const std::optional<size_t>& committed_attempt() const { return committed_attempt_; }
+  [[nodiscard]] int attempts_in_flight() const { return attempts_in_flight_; }
 
  private:
   std::string id_;
-  Held request_;
+  BufferedMessage message_;
   Time deadline_;
-  Duration patience_{0};
-  std::shared_ptr<const RequestClass> cls_;
-  Reply reply_;
-  size_t attempts_ = 0;
-  int out_ = 0;
-  std::optional<size_t> stream_;
-  bool over_ = false;
+  Duration client_timeout_{0};
+  std::shared_ptr<const RequestClass> request_class_;
+  ResponseCallback response_callback_;
+  size_t attempt_count_ = 0;
+  int attempts_in_flight_ = 0;
+  std::optional<size_t> committed_attempt_;
+  bool done_ = false;
 };
 
 }  // namespace paddlestile
--- a/src/http/streaming_body.cpp
+++ b/src/http/streaming_body.cpp
@@ -6,38 +6,38 @@
 
 namespace paddlestile {
 
-BodyWriter::BodyWriter(Stream& stream, std::shared_ptr<Body> body, bool chunked, bool last,
+BodyWriter::BodyWriter(Stream& stream, std::shared_ptr<StreamingBody> body, bool chunked, bool last,
                        std::function<void(bool whole)> done)
     : stream_(stream),
       body_(std::move(body)),
       done_(std::move(done)),
       chunked_(chunked),
       last_(last) {
-  body_->OnMore([this] { Go(); });
+  body_->SetDataCallback([this] { Resume(); });
 }
 
 BodyWriter::~BodyWriter() {
   if (!body_) return;
-  body_->OnMore(nullptr);
-  if (last_) body_->Stop();
+  body_->SetDataCallback(nullptr);
+  if (last_) body_->Cancel();
 }
 
 void BodyWriter::Finish(bool whole) {
   // Whoever is told may end this writer.
-  if (whole) body_->OnMore(nullptr);
+  if (whole) body_->SetDataCallback(nullptr);
   if (whole) body_ = nullptr;
   const auto done = std::exchange(done_, nullptr);
   if (done) done(whole);
 }
 
-void BodyWriter::Go() {
+void BodyWriter::Resume() {
   if (busy_ || !done_ || stream_.closed()) return;
   if (!stream_.flushed()) return;
   if (over_) return Finish(true);
   Buffer piece;
-  const Progress progress = body_->Take(piece);
-  if (progress == Progress::kBad) return Finish(false);
-  over_ = progress == Progress::kDone;
+  const ParseProgress progress = body_->Read(piece);
+  if (progress == ParseProgress::kMalformed) return Finish(false);
+  over_ = progress == ParseProgress::kDone;
   std::string head;
   if (chunked_ && !piece.empty()) {
     head = fmt::format("{}{:x}\r\n", first_ ? "" : "\r\n", piece.size());
--- a/src/http/streaming_body.h
+++ b/src/http/streaming_body.h
@@ -17,53 +17,53 @@
 namespace paddlestile {
 
 // Bytes that one transfer reads ahead, and moves in one turn of the loop.
-constexpr size_t kPieceMost = 32'768;
+constexpr size_t kMaxPieceBytes = 32'768;
 
-class Body {
+class StreamingBody {
  public:
   // `take` gives what has come: kMore (also with nothing), kDone with the last, kBad where it was
   // cut. `stop` says that nobody will take more.
-  Body(std::optional<uint64_t> length, std::function<Progress(Buffer&)> take,
+  StreamingBody(std::optional<uint64_t> length, std::function<ParseProgress(Buffer&)> take,
        std::function<void()> stop)
-      : length_(length), take_(std::move(take)), stop_(std::move(stop)) {}
+      : length_(length), read_(std::move(take)), cancel_(std::move(stop)) {}
 
   // Where it is known before the end.
   [[nodiscard]] std::optional<uint64_t> length() const { return length_; }
   // Whether something was taken: it cannot be had again.
   [[nodiscard]] bool begun() const { return begun_; }
   // Whether somebody writes it.
-  [[nodiscard]] bool written() const { return static_cast<bool>(more_); }
+  [[nodiscard]] bool has_writer() const { return static_cast<bool>(data_callback_); }
 
   // ---- Of the reading side: something has come; or it has gone, and what is missing never comes.
-  void More() {
-    if (const auto more = more_) more();
+  void OnDataAvailable() {
+    if (const auto more = data_callback_) more();
   }
-  void Cut() {
-    take_ = nullptr;
-    stop_ = nullptr;
-    More();
+  void OnTruncated() {
+    read_ = nullptr;
+    cancel_ = nullptr;
+    OnDataAvailable();
   }
 
   // ---- Of the writing side.
-  void OnMore(std::function<void()> more) { more_ = std::move(more); }
-  Progress Take(Buffer& piece) {
-    if (!take_) return Progress::kBad;
-    const auto take = take_;
-    const Progress progress = take(piece);
-    begun_ = begun_ || !piece.empty() || progress != Progress::kMore;
-    if (progress != Progress::kMore) take_ = nullptr, stop_ = nullptr;
+  void SetDataCallback(std::function<void()> more) { data_callback_ = std::move(more); }
+  ParseProgress Read(Buffer& piece) {
+    if (!read_) return ParseProgress::kMalformed;
+    const auto take = read_;
+    const ParseProgress progress = take(piece);
+    begun_ = begun_ || !piece.empty() || progress != ParseProgress::kNeedMore;
+    if (progress != ParseProgress::kNeedMore) read_ = nullptr, cancel_ = nullptr;
     return progress;
   }
-  void Stop() {
-    more_ = nullptr;
-    take_ = nullptr;
-    if (const auto stop = std::exchange(stop_, nullptr)) stop();
+  void Cancel() {
+    data_callback_ = nullptr;
+    read_ = nullptr;
+    if (const auto stop = std::exchange(cancel_, nullptr)) stop();
   }
 
  private:
   std::optional<uint64_t> length_;
-  std::function<Progress(Buffer&)> take_;
-  std::function<void()> stop_, more_;
+  std::function<ParseProgress(Buffer&)> read_;
+  std::function<void()> cancel_, data_callback_;
   bool begun_ = false;
 };
 
@@ -72,20 +72,20 @@
  public:
   // `done` tells once whether all of it is with the kernel, or it was cut. `last`: nobody else will
   // take the body, so that it stops where this writer ends before it.
-  BodyWriter(Stream& stream, std::shared_ptr<Body> body, bool chunked, bool last,
+  BodyWriter(Stream& stream, std::shared_ptr<StreamingBody> body, bool chunked, bool last,
              std::function<void(bool whole)> done);
   BodyWriter(const BodyWriter&) = delete;
   BodyWriter& operator=(const BodyWriter&) = delete;
   ~BodyWriter();
 
   // Goes on; to be called when the stream has flushed.
-  void Go();
+  void Resume();
 
  private:
   void Finish(bool whole);
 
   Stream& stream_;
-  std::shared_ptr<Body> body_;
+  std::shared_ptr<StreamingBody> body_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
   std::function<void(bool)> done_;
   bool chunked_, last_, first_ = true, over_ = false, busy_ = false;
--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -50,7 +50,7 @@
 }  // namespace
 
 // One operator's call to a member.
-class BankLab::Call final : public Stream::Owner {
+class BankLab::Call final : public Stream::Listener {
  public:
   Call(EventLoop& loop, const Address& to, const json& call,
        std::function<void(std::optional<json>)> done)
@@ -58,33 +58,33 @@
     bool refused = false;
     auto socket = Connect(to, nullptr, refused);
     if (socket) stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
-    timer_ = loop_.After(kCallWithin, [this] { Tell(std::nullopt); });
+    timer_ = loop_.RunAfter(kCallWithin, [this] { Tell(std::nullopt); });
     if (stream_ && stream_->Start()) {
-      stream_->Write(peer::FrameOf({{"hello", peer::kFormat}, {"call", call}}));
+      stream_->Write(peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", call}}));
     } else {
       Tell(std::nullopt);
     }
   }
   Call(const Call&) = delete;
   Call& operator=(const Call&) = delete;
-  virtual ~Call() { loop_.Cancel(timer_); }
-  void OnRead() override {
+  virtual ~Call() { loop_.CancelTimer(timer_); }
+  void OnData() override {
     json value;
-    switch (peer::TakeFrame(stream_->in(), value)) {
-      case peer::FrameRead::kWhole: return Tell(std::move(value));
-      case peer::FrameRead::kNonsense: return Tell(std::nullopt);
-      case peer::FrameRead::kNone: break;
+    switch (peer::TakeFrame(stream_->input(), value)) {
+      case peer::FrameStatus::kComplete: return Tell(std::move(value));
+      case peer::FrameStatus::kMalformed: return Tell(std::nullopt);
+      case peer::FrameStatus::kIncomplete: break;
     }
     if (stream_->ended()) Tell(std::nullopt);
   }
-  void OnBroken() override { Tell(std::nullopt); }
+  void OnError() override { Tell(std::nullopt); }
 
  private:
   void Tell(std::optional<json> answer) {
     if (std::exchange(told_, true)) return;
-    loop_.Cancel(timer_);
+    loop_.CancelTimer(timer_);
     if (stream_) stream_->Close();
-    loop_.Defer([done = done_, answer = std::move(answer)] { done(answer); });
+    loop_.RunDeferred([done = done_, answer = std::move(answer)] { done(answer); });
   }
   EventLoop& loop_;
   std::function<void(std::optional<json>)> done_;
@@ -104,7 +104,7 @@
       place_(place),
       away_(experiment.gateway.count),
       back_at_(experiment.gateway.count, Time(-10'000'000)),
-      judge_(cluster::BoundOf(raft::Timing(), cluster::kSlack), kSlack) {
+      judge_(cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay), kSlack) {
   const size_t count = e_.gateway.count;
   // Who votes is linked with all; the others have nothing to say to each other.
   for (size_t a = 0; a < std::min(count, e_.bank.voters); ++a) {
@@ -126,7 +126,7 @@
   last_receipt_.assign(count, Time(-1));
   for (size_t i = 0; i < count; ++i) WriteFile(i);
   if (e_.bank.hollow > 0) WriteHollowFile();
-  InitBank(ReadBank(FileOf(0), "g000"), "g000");
+  InitCluster(ReadClusterConfig(FileOf(0), "g000"), "g000");
   Copies();
 }
 
@@ -180,7 +180,7 @@
     judge_.Received(now, host, gateway, ledger_.FactsOf(n).cls, ledger_.HandedAt(n), copy, excused,
                     ledger_.IdOf(n));
   });
-  loop_.After(std::max(kFirstChange, e_.bank.quiet_first), [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(std::max(kFirstChange, e_.bank.quiet_first), [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Submit();
   });
   if (e_.bank.measured || e_.bank.hollow > 0) WatchSize();
@@ -192,7 +192,7 @@
   away_[gateway] += away ? 1 : -1;
   if (away_[gateway] == 0) {
     back_at_[gateway] =
-        Now() + cluster::BoundOf(raft::Timing(), cluster::kSlack) + Duration(2'500'000);
+        Now() + cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay) + Duration(2'500'000);
   }
 }
 
@@ -226,7 +226,7 @@
   for (const auto& [a, b] : pairs) Cut(a, b, fault, on);
   if (!on && Now() >= until) return;
   std::uniform_int_distribution<int64_t> next(50'000, 2'000'000);
-  loop_.After(Duration(next(faults_)), [this, pairs = std::move(pairs), &fault, until, on] {
+  loop_.RunAfter(Duration(next(faults_)), [this, pairs = std::move(pairs), &fault, until, on] {
     Flap(pairs, fault, until, !on);
   });
 }
@@ -248,7 +248,7 @@
               : fault.disk == DiskIs::kSlow ? fmt::format("slow {}", fault.delay_ms.high)
                                             : "sync-fails");
     }
-    loop_.After(fault.lasts, [this, side] {
+    loop_.RunAfter(fault.lasts, [this, side] {
       for (const size_t i : side) std::ofstream(fmt::format("{}/control-{}", folder_, i)) << "";
     });
     return;
@@ -261,12 +261,12 @@
   }
   // Either side may be the smaller: whoever cannot reach a majority is away.
   for (size_t i = 0; i < count; ++i) Kept(i, true);
-  loop_.After(fault.lasts, [this, count] {
+  loop_.RunAfter(fault.lasts, [this, count] {
     for (size_t i = 0; i < count; ++i) Kept(i, false);
   });
   if (fault.kind == FaultKind::kLinkFlap) return Flap(pairs, fault, Now() + fault.lasts, true);
   for (const auto& [a, b] : pairs) Cut(a, b, fault, true);
-  loop_.After(fault.lasts, [this, pairs, &fault] {
+  loop_.RunAfter(fault.lasts, [this, pairs, &fault] {
     for (const auto& [a, b] : pairs) Cut(a, b, fault, false);
   });
 }
@@ -280,7 +280,7 @@
       fs::copy_file(log, log + ".copy", fs::copy_options::overwrite_existing, error);
     }
   }
-  loop_.After(kCopyEvery, [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(kCopyEvery, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Copies();
   });
 }
@@ -303,7 +303,7 @@
 void BankLab::Submit() {
   if (Now() > e_.length - e_.bank.quiet_last) return;
   const auto again = [this](Duration after) {
-    loop_.After(after, [this, alive = std::weak_ptr(alive_)] {
+    loop_.RunAfter(after, [this, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) Submit();
     });
   };
@@ -317,7 +317,7 @@
       figures_.version_bytes = static_cast<double>(WholeOf(*last).dump().size());
     }
     if (e_.bank.measured) {
-      loop_.After(kAside, [this, alive = std::weak_ptr(alive_)] {
+      loop_.RunAfter(kAside, [this, alive = std::weak_ptr(alive_)] {
         if (!alive.expired()) Measure(first_changed_);
       });
     }
@@ -362,15 +362,15 @@
     // The first is the one whom the lab's clients name: none comes near its quota.
     shape.quotas[n * 7919 % tenants] = 2000 + static_cast<int>(n);
   }
-  cluster::Wish wish;
+  cluster::ChangeRequest wish;
   wish.change.id = fmt::format("lab-{}", n);
   wish.change.author = "lab";
   wish.change.reason = fmt::format("change {}", n);
   // As operators of many tenants would; elsewhere by turns, as leaders make deltas of whole ones.
-  wish.change.delta = e_.bank.deltas && last != nullptr && alone &&
+  wish.change.is_delta = e_.bank.deltas && last != nullptr && alone &&
                       (e_.bank.measured || n % 2 == 1 || tenants > kFillWhole);
-  wish.change.rules = (wish.change.delta ? DeltaOf(*last, shape) : WholeOf(shape)).dump();
-  if (!wish.change.delta) figures_.version_bytes = static_cast<double>(wish.change.rules.size());
+  wish.change.document = (wish.change.is_delta ? DeltaOf(*last, shape) : WholeOf(shape)).dump();
+  if (!wish.change.is_delta) figures_.version_bytes = static_cast<double>(wish.change.document.size());
   changes_.emplace_back().wish = cluster::ToJson(wish);
   shapes_.push_back(std::move(shape));
   judge_.Submitted(Now(), std::move(wanted));
@@ -422,9 +422,9 @@
 
 // As operators do, by the program's own command, which goes on asking by itself.
 void BankLab::AskByCommand(size_t n) {
-  const cluster::Wish wish = *cluster::ReadWish(changes_[n].wish);
+  const cluster::ChangeRequest wish = *cluster::ReadWish(changes_[n].wish);
   const std::string path = fmt::format("{}/change-{}", folder_, n);
-  std::ofstream(path + ".json") << wish.change.rules << std::flush;
+  std::ofstream(path + ".json") << wish.change.document << std::flush;
   std::vector<std::string> words = {fs::read_symlink("/proc/self/exe").string(),
                                     "bank",
                                     "change",
@@ -436,7 +436,7 @@
                                     "--reason",
                                     wish.change.reason,
                                     "--json"};
-  if (wish.change.delta) words.emplace_back("--delta");
+  if (wish.change.is_delta) words.emplace_back("--delta");
   const size_t first = Draw(e_.gateway.count);
   for (size_t i = 0; i < e_.gateway.count; ++i) {
     words.insert(words.end(), {"--at", ToText(SeatOf((first + i) % e_.gateway.count))});
@@ -445,7 +445,7 @@
   changes_[n].command = std::make_unique<Process>(
       words, std::vector<std::pair<std::string, std::string>>{}, path + ".log");
   // Not at once: until it runs its own program it holds what this one does.
-  loop_.After(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) AwaitCommand(n);
   });
 }
@@ -456,7 +456,7 @@
   if (!code) {
     const auto mb = static_cast<double>(change.command->Measure().rss_kb) / 1024;
     figures_.command_rss_mb_most = std::max(figures_.command_rss_mb_most, mb);
-    loop_.After(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
+    loop_.RunAfter(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) AwaitCommand(n);
     });
     return;
@@ -479,7 +479,7 @@
   if (changes_[n].done) return;
   const Address at = SeatOf(Draw(e_.gateway.count));
   const auto again = [this, n] {
-    loop_.After(kAgain, [this, n, alive = std::weak_ptr(alive_)] {
+    loop_.RunAfter(kAgain, [this, n, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) Ask(n);
     });
   };
@@ -492,13 +492,13 @@
                                 : std::nullopt;
         if (!answer) return again();
         switch (answer->kind) {
-          case cluster::Answer::Kind::kDone:
+          case cluster::ChangeResult::Kind::kDone:
             // Now and then the answer is lost on its way: it is submitted again, and counts once.
             if (n % kLost == 3 && !std::exchange(changes_[n].answer_lost, true)) return again();
             changes_[n].done = true;
             shapes_[n].version = answer->version;
             return judge_.ToldDone(Now(), n, answer->version);
-          case cluster::Answer::Kind::kRefused:
+          case cluster::ChangeResult::Kind::kRefused:
             changes_[n].done = true;
             return judge_.Refused(Now(), n, answer->text);
           default: return again();
@@ -579,7 +579,7 @@
                   status->value("voters", json::array()).size() == e_.bank.voters &&
                   status->value("linked", json::array()).size() == others;
         if (linked_) figures_.linked_ms = Ms(MachineNow() - started_);
-        loop_.After(kLinkedAgain, [this, alive = std::weak_ptr(alive_)] {
+        loop_.RunAfter(kLinkedAgain, [this, alive = std::weak_ptr(alive_)] {
           if (!alive.expired()) asking_.reset();
         });
       });
@@ -605,7 +605,7 @@
 void BankLab::WatchSize() {
   figures_.on = e_.bank.measured;
   const auto at = [this](Duration when, std::function<void()> then) {
-    loop_.After(when, [then = std::move(then), alive = std::weak_ptr(alive_)] {
+    loop_.RunAfter(when, [then = std::move(then), alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) then();
     });
   };
@@ -629,7 +629,7 @@
   for (const HollowPart& part : hollow_) kb += part.process->Measure().rss_kb;
   figures_.rss_mb_most = std::max(figures_.rss_mb_most, static_cast<double>(kb) / 1024);
   figures_.processes_most = 1 + e_.gateway.count + hollow_.size();
-  loop_.After(kWeighEvery, [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(kWeighEvery, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Weigh();
   });
 }
@@ -640,7 +640,7 @@
   if (e_.bank.hollow_stalls && !hollow_.empty()) Stall(true, Now() + kHollowFaultsFor);
   if (slow_relays_.empty()) return;
   ReadSlowly(true);
-  loop_.After(kHollowFaultsFor, [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(kHollowFaultsFor, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) ReadSlowly(false);
   });
 }
@@ -666,7 +666,7 @@
 void BankLab::Stall(bool stop, Time until) {
   hollow_[stalled_].process->Signal(stop ? SIGSTOP : SIGCONT);
   if (!stop && Now() >= until) return;
-  loop_.After(e_.bank.hollow_stall, [this, stop, until, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(e_.bank.hollow_stall, [this, stop, until, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Stall(!stop, until);
   });
 }
@@ -681,9 +681,9 @@
     ++f.processes;
     const auto grew = [&](const char* key) { return to.value(key, 0.0) - from.value(key, 0.0); };
     // Less the answer to the first of the two questions, and the second question.
-    const auto answer = static_cast<double>(peer::FrameOf(from).size());
+    const auto answer = static_cast<double>(peer::EncodeFrame(from).size());
     const auto question = static_cast<double>(
-        peer::FrameOf({{"hello", peer::kFormat}, {"call", StatusCall()}}).size());
+        peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", StatusCall()}}).size());
     f.cpu_core += (b.used[i].cpu_us - a.used[i].cpu_us) / 1e6 / s;
     f.rss_mb += static_cast<double>(b.used[i].rss_kb) / 1024;
     f.descriptors += static_cast<double>(b.used[i].descriptors);
@@ -765,7 +765,7 @@
   terms.faults = faults_from_ > Duration(0) ? faults_from_ : over_;
   if (filled_ > Time(0)) terms.from = filled_ + zero;
   terms.end = over_;
-  terms.bound = cluster::BoundOf(raft::Timing(), cluster::kSlack);
+  terms.bound = cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay);
   if (e_.bank.hollow_stalls && !hollow_.empty()) {
     terms.stalled_from = hollow_[stalled_].first;
     terms.stalled_to = terms.stalled_from + hollow_[stalled_].count;
