--- a/src/lab/cluster_simulation.cpp
+++ b/src/lab/cluster_simulation.cpp
@@ -23,12 +23,12 @@
 namespace paddlestile::lab {
 namespace {
 
-using cluster::Answer;
-using cluster::Member;
-using cluster::Note;
-using cluster::Stance;
+using cluster::ChangeResult;
+using cluster::ClusterMember;
+using cluster::MemberMessage;
+using cluster::EffectiveConfig;
 using nlohmann::json;
-using raft::Disk;
+using raft::PersistentState;
 using raft::Message;
 
 constexpr Duration kMs{1000};
@@ -67,12 +67,12 @@
   return delta;
 }
 
-cluster::Rules With(cluster::Rules rules, const Parts& parts) {
+cluster::ConfigDocument With(cluster::ConfigDocument rules, const Parts& parts) {
   const auto hosts = [](std::set<std::string>& of, const std::map<std::string, bool>& parts_of) {
     for (const auto& [id, add] : parts_of) add ? (void)of.insert(id) : (void)of.erase(id);
   };
-  hosts(rules.barred, parts.barred);
-  hosts(rules.drain, parts.drain);
+  hosts(rules.excluded, parts.barred);
+  hosts(rules.draining, parts.drain);
   for (const auto& [id, zone] : parts.zones) {
     rules.zone_only.erase(id);
     if (zone) rules.zone_only[id] = *zone;
@@ -103,7 +103,7 @@
     all_deltas_ = o_.deltas && !some;
     tenants_ = Among(8) == 0 ? 100 : 10;
     // In two of five what is agreed is applied an entry at a time, and each takes a while.
-    if (o_.seed % 5 < 2) timing_.apply_bytes = 1;
+    if (o_.seed % 5 < 2) timing_.max_apply_bytes = 1;
     const size_t count = o_.voters + o_.followers;
     nodes_.resize(count);
     cut_.assign(count, std::vector<bool>(count, false));
@@ -115,13 +115,13 @@
       // Two clocks run apart by the stated rate at most.
       n.rate = 1 + Draw(-0.005, 0.005);
       n.offset = Duration(static_cast<int64_t>(Draw(0, 1e9)));
-      n.disk.life = ++lives_;
+      n.disk.incarnation = ++lives_;
       n.deltas = o_.deltas && (!some || Among(2) == 0);
       if (i < o_.voters) first_.insert(n.name);
     }
     // `bank init` at one member, the others come to it.
-    raft::Entry entry{1, raft::Entry::Kind::kVoters, {}, {{nodes_[0].name, nodes_[0].disk.life}}};
-    nodes_[0].disk.term = 1;
+    raft::LogEntry entry{1, raft::LogEntry::Kind::kVoters, {}, {{nodes_[0].name, nodes_[0].disk.incarnation}}};
+    nodes_[0].disk.current_term = 1;
     nodes_[0].disk.log = {entry};
     for (size_t i = 0; i < count; ++i) Start(i);
   }
@@ -152,11 +152,11 @@
     std::string name;
     double rate = 1;
     Duration offset{0};
-    Disk disk;                 // durable
-    std::optional<Disk> copy;  // an older state of it
+    PersistentState disk;                 // durable
+    std::optional<PersistentState> copy;  // an older state of it
     Time copied{0};
     bool gone_back = false;  // the script has it so
-    std::unique_ptr<Member> member;
+    std::unique_ptr<ClusterMember> member;
     uint64_t start = 0;  // of its process: events of earlier ones are void
     Time stopped{0};     // until
     Time tick{0};
@@ -164,7 +164,7 @@
     Time synced{0}, synced_next{0}, synced_last{0};
     bool disk_slow = false, deltas = false;
     uint64_t durable = 0;
-    std::vector<raft::Outgoing> held;  // for a write to be durable
+    std::vector<raft::OutgoingMessage> held;  // for a write to be durable
     std::map<size_t, uint64_t> links;  // other to its start
     raft::Index applied = 0;
     Time leads_until{-1}, acts_until{-1};
@@ -214,8 +214,8 @@
   // ---- Processes --------------------------------------------------------------------------------
   void Start(size_t i) {
     Node& n = nodes_[i];
-    if (n.disk.life == 0) n.disk.life = ++lives_;
-    ++n.disk.boot;
+    if (n.disk.incarnation == 0) n.disk.incarnation = ++lives_;
+    ++n.disk.restart_count;
     n.start = ++starts_;
     n.durable = 0;
     n.held.clear();
@@ -224,20 +224,20 @@
     n.tick = Time(0);
     n.stopped = now_;
     n.synced = n.synced_next = n.synced_last = now_;
-    Disk found = n.disk;
+    PersistentState found = n.disk;
     if (o_.mischief == Mischief::kForgetsVote)
-      found.term = n.disk.term > 1 ? n.disk.term - 1 : 1, found.vote.clear();
+      found.current_term = n.disk.current_term > 1 ? n.disk.current_term - 1 : 1, found.voted_for.clear();
     if (o_.mischief == Mischief::kForgetsLog && n.disk.log.size() > 2) {
       found.log.resize(found.log.size() - std::min<size_t>(3, found.log.size() - 1));
     }
-    Member::Options options;
+    ClusterMember::Options options;
     options.name = n.name;
     options.timing = timing_;
-    options.first_voters = first_;
+    options.initial_voters = first_;
     options.compact_after = 24;
     options.deltas = n.deltas;
-    n.member = std::make_unique<Member>(options, found, random_(), Local(n));
-    Run(i, [](Member&, Time, cluster::MemberOutput&) {});
+    n.member = std::make_unique<ClusterMember>(options, found, random_(), Local(n));
+    Run(i, [](ClusterMember&, Time, cluster::MemberOutput&) {});
     for (size_t j = 0; j < nodes_.size(); ++j) {
       if (j != i) Link(i, j);
     }
@@ -246,13 +246,13 @@
     Node& n = nodes_[i];
     if (!n.member) return;
     Note_(n.name + " dies");
-    if (n.member->agreement().Leads(Local(n))) leader_lost_ = now_;
+    if (n.member->raft_node().IsLeaderWithLease(Local(n))) leader_lost_ = now_;
     for (const auto& [j, start] : std::map(n.links)) Unlink(i, j);
     n.member.reset();
     n.start = 0;
   }
 
-  // ---- Links ------------------------------------------------------------------------------------
+  // ---- PeerConnections ------------------------------------------------------------------------------------
   void Link(size_t a, size_t b) {
     Node &x = nodes_[a], &y = nodes_[b];
     if (!x.member || !y.member) return;
@@ -263,23 +263,23 @@
     if (cut_[a][b] || cut_[b][a]) return;
     x.links[b] = y.start;
     y.links[a] = x.start;
-    const uint64_t lx = x.member->agreement().life(), ly = y.member->agreement().life();
-    const raft::Claim of_x = y.member->agreement().KnownOf(x.name);
-    const raft::Claim of_y = x.member->agreement().KnownOf(y.name);
+    const uint64_t lx = x.member->raft_node().incarnation(), ly = y.member->raft_node().incarnation();
+    const raft::StorageClaim of_x = y.member->raft_node().ClaimKnownOf(x.name);
+    const raft::StorageClaim of_y = x.member->raft_node().ClaimKnownOf(y.name);
     Run(a,
-        [&](Member& m, Time t, cluster::MemberOutput& out) { m.Linked(t, y.name, ly, of_x, out); });
+        [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerConnected(t, y.name, ly, of_x, out); });
     Run(b,
-        [&](Member& m, Time t, cluster::MemberOutput& out) { m.Linked(t, x.name, lx, of_y, out); });
+        [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerConnected(t, x.name, lx, of_y, out); });
   }
   void Unlink(size_t a, size_t b) {
     Node &x = nodes_[a], &y = nodes_[b];
     x.links.erase(b);
     y.links.erase(a);
     if (x.member) {
-      Run(a, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Unlinked(t, y.name, out); });
+      Run(a, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerDisconnected(t, y.name, out); });
     }
     if (y.member) {
-      Run(b, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Unlinked(t, x.name, out); });
+      Run(b, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerDisconnected(t, x.name, out); });
     }
   }
   template <typename What>
@@ -308,25 +308,25 @@
       if (link == y.links.end() || link->second != from_start) return;
       What told = what;
       Twist(to, told);
-      Run(to, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Receive(t, told, out); });
+      Run(to, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnMessage(t, told, out); });
     });
   }
   void Twist(size_t to, Message& m) {
     if (o_.mischief == Mischief::kMisapplies && to >= o_.voters) LeaveOut(m);
-    if (o_.mischief != Mischief::kVotesForAll || m.type != Message::Type::kAskVote) return;
+    if (o_.mischief != Mischief::kVotesForAll || m.type != Message::Type::kRequestVote) return;
     Message vote;
-    vote.type = Message::Type::kVote;
+    vote.type = Message::Type::kRequestVoteReply;
     vote.from = m.to;
     vote.to = m.from;
-    vote.from_life = nodes_[to].member->agreement().life();
-    vote.term = m.trial ? m.term - 1 : m.term;
-    vote.trial = m.trial;
+    vote.from_incarnation = nodes_[to].member->raft_node().incarnation();
+    vote.term = m.is_pre_vote ? m.term - 1 : m.term;
+    vote.is_pre_vote = m.is_pre_vote;
     vote.granted = true;
     Carry(to, vote);
   }
   static void LeaveOut(Message& m) {
-    for (raft::Entry& entry : m.entries) {
-      if (entry.kind != raft::Entry::Kind::kData) continue;
+    for (raft::LogEntry& entry : m.entries) {
+      if (entry.kind != raft::LogEntry::Kind::kData) continue;
       json value = json::from_cbor(entry.bytes);
       value.erase("hash");
       const std::string id = value.value("id", "");
@@ -337,9 +337,9 @@
       json::to_cbor(value, entry.bytes);
     }
   }
-  void Twist(size_t, Note& note) {
-    if (o_.mischief == Mischief::kTakesTwice && note.wish) {
-      note.wish->change.id += fmt::format("'{}", ++number_);
+  void Twist(size_t, MemberMessage& note) {
+    if (o_.mischief == Mischief::kTakesTwice && note.request) {
+      note.request->change.id += fmt::format("'{}", ++number_);
     }
   }
 
@@ -354,44 +354,44 @@
   void Carry_(size_t i, cluster::MemberOutput& out) {
     Node& n = nodes_[i];
     const uint64_t start = n.start;
-    for (const raft::Write& write : out.writes) {
+    for (const raft::StorageWrite& write : out.writes) {
       const Duration takes(static_cast<int64_t>(n.disk_slow ? Draw(20e3, 900e3) : Draw(50, 3000)));
-      At(write.lazy ? std::max(now_, n.synced_last) : SyncedAt(n, takes),
+      At(write.commit_only ? std::max(now_, n.synced_last) : SyncedAt(n, takes),
          [this, i, start, write] { Wrote(i, start, write); });
     }
-    for (raft::Outgoing& outgoing : out.sends) {
+    for (raft::OutgoingMessage& outgoing : out.messages) {
       if (o_.mischief == Mischief::kAppliesLate &&
-          outgoing.message.type == Message::Type::kAppended) {
+          outgoing.message.type == Message::Type::kAppendEntriesReply) {
         // Held, it says, as soon as it has heard of it; applied only later.
-        outgoing.message.commit += 2;
+        outgoing.message.commit_index += 2;
       }
-      if (outgoing.after <= n.durable) {
+      if (outgoing.after_sequence_number <= n.durable) {
         Carry(i, outgoing.message);
       } else {
         n.held.push_back(std::move(outgoing));
       }
     }
-    for (const Note& note : out.notes) Carry(i, note);
-    for (const auto& [ticket, answer] : out.answers) Answered(ticket, answer);
+    for (const MemberMessage& note : out.member_messages) Carry(i, note);
+    for (const auto& [ticket, answer] : out.results) Answered(ticket, answer);
     if (o_.trace) {
       for (const std::string& line : out.log) Note_(n.name + ": " + line);
     }
-    if (out.forgot) {
+    if (out.storage_rolled_back) {
       ++r_.forgot;
       if (!n.gone_back) {
         Broken(fmt::format("memory: {} came back without what its disk had held", n.name));
       }
       Note_(n.name + " finds that its disk has gone back");
       At(now_, [this, i, start] {
-        if (nodes_[i].start == start) Return(i, Disk{});
+        if (nodes_[i].start == start) Return(i, PersistentState{});
       });
     }
-    if (o_.mischief == Mischief::kNone && n.member->differed() > 0) {
-      Broken(fmt::format("content: {}: {}", n.name, n.member->history().differs()));
+    if (o_.mischief == Mischief::kNone && n.member->content_mismatch_count() > 0) {
+      Broken(fmt::format("content: {}: {}", n.name, n.member->history().content_mismatch()));
     }
-    if (!out.needs_anew.empty()) {
+    if (!out.needs_resync.empty()) {
       At(now_, [this, i, start] {
-        if (nodes_[i].start == start) Return(i, Disk{});
+        if (nodes_[i].start == start) Return(i, PersistentState{});
       });
     }
     Applied(n);
@@ -410,9 +410,9 @@
   void Plan(size_t i) {
     Node& n = nodes_[i];
     if (!n.member) return;
-    const Time due = n.member->NextDue();
+    const Time due = n.member->NextTimeout();
     if (due == Time::max()) return;
-    const Duration least(n.member->agreement().Behind() ? 1 + Among(kApplyMost) : 1);
+    const Duration least(n.member->raft_node().HasEntriesToApply() ? 1 + Among(kApplyMost) : 1);
     const Time at = std::max(Global(n, due), now_ + least);
     if (n.tick > now_ && n.tick <= at) return;
     n.tick = at;
@@ -423,35 +423,35 @@
     Node& n = nodes_[i];
     if (n.start != start || !n.member) return;
     if (now_ < n.stopped) return At(n.stopped, [this, i, start] { Ticked(i, start); });
-    Run(i, [](Member& m, Time t, cluster::MemberOutput& out) { m.Tick(t, out); });
+    Run(i, [](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnTimeout(t, out); });
   }
-  void Wrote(size_t i, uint64_t start, const raft::Write& write) {
+  void Wrote(size_t i, uint64_t start, const raft::StorageWrite& write) {
     Node& n = nodes_[i];
     if (n.start != start) return;  // died before: lost
-    raft::ApplyWrite(n.disk, write);
-    if (write.lazy) return;
+    raft::ApplyStorageWrite(n.disk, write);
+    if (write.commit_only) return;
     if (now_ < n.stopped) {
       // The disk has it; the process hears of it once it wakes.
-      return At(n.stopped, [this, i, start, ticket = write.ticket] { Durable(i, start, ticket); });
+      return At(n.stopped, [this, i, start, ticket = write.sequence_number] { Durable(i, start, ticket); });
     }
-    Durable(i, start, write.ticket);
+    Durable(i, start, write.sequence_number);
   }
   void Durable(size_t i, uint64_t start, uint64_t ticket) {
     Node& n = nodes_[i];
     if (n.start != start || !n.member) return;
     n.durable = std::max(n.durable, ticket);
-    std::vector<raft::Outgoing> held = std::move(n.held);
+    std::vector<raft::OutgoingMessage> held = std::move(n.held);
     n.held.clear();
-    for (raft::Outgoing& outgoing : held) {
-      if (outgoing.after <= n.durable) {
+    for (raft::OutgoingMessage& outgoing : held) {
+      if (outgoing.after_sequence_number <= n.durable) {
         Carry(i, outgoing.message);
       } else {
         n.held.push_back(std::move(outgoing));
       }
     }
-    Run(i, [&](Member& m, Time t, cluster::MemberOutput& out) { m.Durable(t, ticket, out); });
+    Run(i, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnDurable(t, ticket, out); });
   }
-  void Return(size_t i, const Disk& disk) {
+  void Return(size_t i, const PersistentState& disk) {
     Kill(i);
     nodes_[i].gone_back = false;
     nodes_[i].disk = disk;
@@ -509,8 +509,8 @@
     }
     return parts;
   }
-  const cluster::Rules& ModelOf(uint64_t version) const {
-    static const cluster::Rules kNone;
+  const cluster::ConfigDocument& ModelOf(uint64_t version) const {
+    static const cluster::ConfigDocument kNone;
     return version == 0 || version > models_.size() ? kNone : models_[version - 1];
   }
   void Submit(uint64_t ticket) {
@@ -519,14 +519,14 @@
     const size_t i = Pick(nodes_.size());
     Node& n = nodes_[i];
     if (!n.member || now_ < n.stopped) return Again(ticket);
-    cluster::Wish wish;
+    cluster::ChangeRequest wish;
     wish.change.id = t.id;
     wish.change.author = "client";
-    wish.change.rules = t.rules;
-    wish.change.delta = t.parts.has_value();
-    wish.change.expect = t.expect;
+    wish.change.document = t.rules;
+    wish.change.is_delta = t.parts.has_value();
+    wish.change.expected_version = t.expect;
     Run(i,
-        [&](Member& m, Time now, cluster::MemberOutput& out) { m.Submit(now, wish, ticket, out); });
+        [&](ClusterMember& m, Time now, cluster::MemberOutput& out) { m.Submit(now, wish, ticket, out); });
     // An answer that is lost with the gateway that was asked.
     At(now_ + 4000 * kMs, [this, ticket] { Submit(ticket); });
   }
@@ -535,19 +535,19 @@
     At(now_ + Duration(static_cast<int64_t>(Draw(50e3, 300e3))),
        [this, ticket] { Submit(ticket); });
   }
-  void Answered(uint64_t ticket, const Answer& answer) {
+  void Answered(uint64_t ticket, const ChangeResult& answer) {
     if (ticket >= tries_.size()) return;  // an operator's
     Try& t = tries_[ticket];
-    if (answer.kind == Answer::Kind::kRefused && t.expect && (t.done < Time(0) || t.refused)) {
+    if (answer.kind == ChangeResult::Kind::kRefused && t.expect && (t.done < Time(0) || t.refused)) {
       if (!t.refused) ++r_.refused;
       t.refused = true;
       t.done = now_;
       return;
     }
-    if (answer.kind == Answer::Kind::kRefused) {
+    if (answer.kind == ChangeResult::Kind::kRefused) {
       return Broken(fmt::format("refused: change {}: {}", t.id, answer.text));
     }
-    if (answer.kind != Answer::Kind::kDone) {
+    if (answer.kind != ChangeResult::Kind::kDone) {
       // A trial that asked for itself again hears so of the older one.
       return Again(ticket);
     }
@@ -639,7 +639,7 @@
         if (!node.member || !Whole()) return;
         if (node.copy && o_.old_disks && now_ - node.copied > kOldDisk && Chance(0.6)) {
           Note_(node.name + " comes back with an older disk");
-          Disk old = *node.copy;
+          PersistentState old = *node.copy;
           Kill(i);
           node.disk = old;
           node.gone_back = true;
@@ -647,18 +647,18 @@
         }
         Note_(node.name + " comes back with an empty disk");
         Kill(i);
-        node.disk = Disk{};
+        node.disk = PersistentState{};
         return Back(i, lasts);
       }
       default: {  // voters exchanged
-        cluster::Wish wish;
-        wish.kind = static_cast<cluster::Wish::Kind>(1 + Pick(3));
+        cluster::ChangeRequest wish;
+        wish.kind = static_cast<cluster::ChangeRequest::Kind>(1 + Pick(3));
         wish.change.id = fmt::format("v{}", ++number_);
         wish.name = nodes_[j].name;
-        if (!node.member || node.member->agreement().voters().size() < 3) return;
+        if (!node.member || node.member->raft_node().voters().size() < 3) return;
         Note_(
             fmt::format("voters: {} {} at {}", static_cast<int>(wish.kind), wish.name, node.name));
-        Run(i, [&](Member& m, Time now, cluster::MemberOutput& out) {
+        Run(i, [&](ClusterMember& m, Time now, cluster::MemberOutput& out) {
           m.Submit(now, wish, UINT64_MAX, out);
         });
         return;
@@ -672,20 +672,20 @@
       if (t.done < Time(0)) return false;
     }
     return std::ranges::all_of(nodes_, [&](const Node& n) {
-      return n.member && n.member->history().on() == versions_.size() &&
-             n.member->Acting(Local(n)).kind == Stance::Kind::kAgreed;
+      return n.member && n.member->history().version_in_force() == versions_.size() &&
+             n.member->CurrentConfig(Local(n)).kind == EffectiveConfig::Kind::kAgreed;
     });
   }
   // Every voter that counts has its disk.
   bool Whole() const {
     for (const Node& n : nodes_) {
       if (!n.member) return false;
-      for (const raft::Voter& v : n.member->agreement().voters()) {
+      for (const raft::Voter& v : n.member->raft_node().voters()) {
         const size_t k = std::stoul(v.name.substr(1));
         // One that went back and was not found out yet is lost too.
-        if (nodes_[k].disk.life != v.life || nodes_[k].gone_back) return false;
+        if (nodes_[k].disk.incarnation != v.incarnation || nodes_[k].gone_back) return false;
       }
-      if (n.member->agreement().voters().size() < 3) return false;
+      if (n.member->raft_node().voters().size() < 3) return false;
     }
     return true;
   }
@@ -723,7 +723,7 @@
   // ---- The judge --------------------------------------------------------------------------------
   // One history: what one member applied at an index is what all apply there.
   void Applied(Node& n) {
-    const cluster::History& history = n.member->history();
+    const cluster::VersionHistory& history = n.member->history();
     for (const cluster::Version& v : history.versions()) {
       if (v.number <= n.applied) continue;
       n.applied = v.number;
@@ -748,10 +748,10 @@
     if (v.number != models_.size() + 1) return;  // one before was never seen: told elsewhere
     const Try& t = tries_[std::stoul(v.id.substr(1))];
     models_.push_back(t.parts ? With(ModelOf(v.number - 1), *t.parts)
-                              : cluster::ParseRules(t.rules));
+                              : cluster::ParseDocument(t.rules));
     // Of the model's text or of its parts, as the version says that it came.
     const std::string hash = v.hash.starts_with('p')
-                                 ? cluster::HashOf(cluster::Content(models_.back()))
+                                 ? cluster::HashOf(cluster::VersionContent(models_.back()))
                                  : cluster::HashOf(cluster::ToText(models_.back()));
     if (hash != v.hash) {
       Broken(fmt::format("content: version {} is {} at {}, {} by what was submitted", v.number,
@@ -770,14 +770,14 @@
   // Until when it leads and acts on one version alone, unless it hears something before.
   void Cache(Node& n) {
     const Time local = Local(n);
-    const raft::Agreement& a = n.member->agreement();
+    const raft::RaftNode& a = n.member->raft_node();
     n.leads_until = Time(-1);
-    if (a.Leads(local)) n.leads_until = Global(n, a.LeadsUntil(local));
-    const Stance stance = n.member->Acting(local);
+    if (a.IsLeaderWithLease(local)) n.leads_until = Global(n, a.LeaderLeaseUntil(local));
+    const EffectiveConfig stance = n.member->CurrentConfig(local);
     n.acts_until = Time(-1);
-    n.acts_on = stance.on;
-    if (stance.on != stance.latest) return;
-    if (stance.kind == Stance::Kind::kAgreed) n.acts_until = Global(n, stance.until);
+    n.acts_on = stance.version_in_force;
+    if (stance.version_in_force != stance.latest_version) return;
+    if (stance.kind == EffectiveConfig::Kind::kAgreed) n.acts_until = Global(n, stance.valid_until);
     if (o_.mischief == Mischief::kActsOn) n.acts_until = Time::max();
   }
   // Whom the world sees act, and on what, at this moment.
@@ -813,7 +813,7 @@
         // clocks' rate; the bound is for processes' own lateness.
         bool steps = false;
         for (uint64_t v = *a; v < *b && !steps; ++v) steps = Contradict(v, v + 1);
-        if (steps || now_ - from > cluster::BoundOf(timing_, Duration(0))) {
+        if (steps || now_ - from > cluster::MaxDisagreement(timing_, Duration(0))) {
           Broken(fmt::format("contradiction: versions {} and {} are acted on at a time", *a, *b));
         }
       }
@@ -846,11 +846,11 @@
       if (t.done < Time(0)) Broken(fmt::format("stuck: change {} was never told done", t.id));
     }
     for (const Node& n : nodes_) {
-      const cluster::History& h = n.member->history();
-      if (h.on() != versions_.size() || h.latest() != versions_.size()) {
+      const cluster::VersionHistory& h = n.member->history();
+      if (h.version_in_force() != versions_.size() || h.latest_version() != versions_.size()) {
         Broken(fmt::format("level: {} is at {} of {} versions, all mended for {:.0f} ms", n.name,
-                           h.on(), versions_.size(), Ms(kHeal)));
-      } else if (n.member->Acting(Local(n)).kind != Stance::Kind::kAgreed) {
+                           h.version_in_force(), versions_.size(), Ms(kHeal)));
+      } else if (n.member->CurrentConfig(Local(n)).kind != EffectiveConfig::Kind::kAgreed) {
         Broken(
             fmt::format("level: {} holds no lease, all mended for {:.0f} ms", n.name, Ms(kHeal)));
       }
@@ -861,7 +861,7 @@
   std::mt19937_64 random_, draws_;
   bool all_deltas_ = false;
   size_t tenants_ = 0;  // that versions may hold
-  raft::Timing timing_;
+  raft::RaftTiming timing_;
   std::vector<Node> nodes_;
   std::vector<std::vector<bool>> cut_, slow_;
   std::vector<std::vector<Time>> arrives_;
@@ -871,7 +871,7 @@
   uint64_t number_ = 0, lives_ = 100, starts_ = 0;
   std::vector<Try> tries_;
   std::vector<std::pair<std::string, std::string>> versions_;
-  std::vector<cluster::Rules> models_;  // by version
+  std::vector<cluster::ConfigDocument> models_;  // by version
   std::map<std::pair<uint64_t, uint64_t>, bool> contradict_;
   std::map<std::pair<uint64_t, uint64_t>, Time> since_;
   Time last_done_{-1}, leader_lost_{-1};
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -41,9 +41,9 @@
 
 // ---- A connection of a gateway ------------------------------------------------------------------
 
-class Directory::Connection final : public Stream::Owner {
+class Directory::Connection final : public Stream::Listener {
  public:
-  Connection(Directory& directory, Agent& agent, Fd fd)
+  Connection(Directory& directory, Agent& agent, FileDescriptor fd)
       : directory_(directory),
         agent_(agent),
         stream_(directory.loop_, Socket(std::move(fd), nullptr), this, false) {}
@@ -52,8 +52,8 @@
   void Close() { stream_.Close(); }
   [[nodiscard]] bool closed() const { return stream_.closed(); }
 
-  void OnRead() override;
-  void OnBroken() override;
+  void OnData() override;
+  void OnError() override;
 
   bool watches = false, headed = false;
   uint64_t since = 0;  // what was told up to here
@@ -65,7 +65,7 @@
   Directory& directory_;
   Agent& agent_;
   Stream stream_;
-  MessageParser parser_{MessageParser::Kind::kRequest};
+  HttpParser parser_{HttpParser::Kind::kRequest};
 };
 
 struct Directory::Agent {
@@ -75,10 +75,10 @@
   std::list<std::shared_ptr<Connection>> connections;
 };
 
-void Directory::Connection::OnRead() {
-  if (parser_.Feed(stream_.in()) == Progress::kDone && !watches) {
-    const Message m = parser_.message();
-    const Buffer bytes = stream_.in().TakeFront(m.size);
+void Directory::Connection::OnData() {
+  if (parser_.Feed(stream_.input()) == ParseProgress::kDone && !watches) {
+    const HttpMessage m = parser_.message();
+    const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
     parser_.Reset();
     const std::string_view target = m.target.In(bytes.view());
     if (!target.starts_with("/catalog/members")) {
@@ -92,7 +92,7 @@
       }
       since = revision;
       whole = revision > directory_.revision_ || revision < directory_.first_ || directory_.old_;
-      directory_.loop_.Defer([kept = *place] {
+      directory_.loop_.RunDeferred([kept = *place] {
         if (!kept->closed()) kept->directory_.Tell(*kept);
       });
     } else if (!directory_.silent_) {
@@ -101,13 +101,13 @@
           fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", list.size(), list));
     }
   }
-  if (stream_.ended()) OnBroken();
+  if (stream_.ended()) OnError();
 }
 
-void Directory::Connection::OnBroken() {
+void Directory::Connection::OnError() {
   if (stream_.closed()) return;
   stream_.Close();
-  directory_.loop_.Defer([kept = *place] {});
+  directory_.loop_.RunDeferred([kept = *place] {});
   agent_.connections.erase(place);
 }
 
@@ -116,7 +116,7 @@
 Directory::Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every)
     : loop_(loop), ledger_(ledger), gateways_(gateways), empty_every_(empty_every) {}
 
-Directory::~Directory() { loop_.Cancel(beat_); }
+Directory::~Directory() { loop_.CancelTimer(beat_); }
 
 const Address& Directory::AddressOf(size_t gateway) const { return agents_[gateway]->address; }
 
@@ -130,9 +130,9 @@
 void Directory::Move() {
   for (auto& agent : agents_) {
     agent->listener.reset();
-    loop_.After(kMovedFor, [was = agent.get(), alive = std::weak_ptr(alive_)] {
+    loop_.RunAfter(kMovedFor, [was = agent.get(), alive = std::weak_ptr(alive_)] {
       if (alive.expired()) return;
-      while (!was->connections.empty()) was->connections.front()->OnBroken();
+      while (!was->connections.empty()) was->connections.front()->OnError();
     });
     moved_.push_back(std::move(agent));
   }
@@ -142,18 +142,18 @@
     Agent& agent = *agents_.back();
     agent.gateway = i;
     agent.address = OwnAddress(kAgentPlaces + moves_ * gateways_ + i);
-    agent.listener = std::make_unique<Listener>(loop_, agent.address, [this, &agent](Fd fd) {
+    agent.listener = std::make_unique<Listener>(loop_, agent.address, [this, &agent](FileDescriptor fd) {
       agent.connections.push_back(std::make_shared<Connection>(*this, agent, std::move(fd)));
       Connection& connection = *agent.connections.back();
       connection.place = std::prev(agent.connections.end());
-      if (!connection.Start()) connection.OnBroken();
+      if (!connection.Start()) connection.OnError();
     });
   }
   ++moves_;
 }
 
 void Directory::Change(const ListedHost& host, Duration lag) {
-  loop_.After(lag + lag_, [this, host, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(lag + lag_, [this, host, alive = std::weak_ptr(alive_)] {
     if (alive.expired()) return;
     history_.push_back({++revision_, host});
     TellAll();
@@ -247,12 +247,12 @@
 
 void Directory::CloseWatches() {
   for (const auto& agent : agents_) {
-    while (!agent->connections.empty()) agent->connections.front()->OnBroken();
+    while (!agent->connections.empty()) agent->connections.front()->OnError();
   }
 }
 
 void Directory::Beat() {
-  beat_ = loop_.After(empty_every_, [this] {
+  beat_ = loop_.RunAfter(empty_every_, [this] {
     if (!silent_) {
       for (const auto& agent : agents_) {
         for (const auto& connection : agent->connections) {
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -71,21 +71,21 @@
 const Words<DiskIs> kDisks = {{"kept", DiskIs::kKept}, {"old", DiskIs::kOld},
                               {"none", DiskIs::kNone}, {"full", DiskIs::kFull},
                               {"slow", DiskIs::kSlow}, {"sync-fails", DiskIs::kSyncFails}};
-const Words<Spoil> kSpoils = {{"any", Spoil::kAny},
-                              {"noise", Spoil::kNoise},
-                              {"bad-head", Spoil::kBadHead},
-                              {"endless-head", Spoil::kEndlessHead},
-                              {"short-length", Spoil::kShortLength},
-                              {"long-length", Spoil::kLongLength},
-                              {"huge", Spoil::kHuge},
-                              {"second-answer", Spoil::kSecondAnswer},
-                              {"noise-behind", Spoil::kNoiseBehind},
-                              {"interim", Spoil::kInterim},
-                              {"bad-report", Spoil::kBadReport}};
-const Words<Effect> kEffects = {
-    {"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}};
-const Words<DedupGroup> kGroups = {
-    {"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}};
+const Words<TamperOutgoing> kSpoils = {{"any", TamperOutgoing::kAny},
+                              {"noise", TamperOutgoing::kNoise},
+                              {"bad-head", TamperOutgoing::kBadHead},
+                              {"endless-head", TamperOutgoing::kEndlessHead},
+                              {"short-length", TamperOutgoing::kShortLength},
+                              {"long-length", TamperOutgoing::kLongLength},
+                              {"huge", TamperOutgoing::kHuge},
+                              {"second-answer", TamperOutgoing::kSecondAnswer},
+                              {"noise-behind", TamperOutgoing::kNoiseBehind},
+                              {"interim", TamperOutgoing::kInterim},
+                              {"bad-report", TamperOutgoing::kBadReport}};
+const Words<Idempotency> kEffects = {
+    {"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}};
+const Words<DeduplicationScope> kGroups = {
+    {"all", DeduplicationScope::kAll}, {"zone", DeduplicationScope::kZone}, {"cell", DeduplicationScope::kCell}};
 
 bool OnHosts(FaultKind kind) { return kind < FaultKind::kAdd; }
 
@@ -284,27 +284,27 @@
 
 ClassSpec ReadClass(Table& t) {
   ClassSpec c;
-  c.rules.aim = Duration(1'000'000);
+  c.rules.latency_objective = Duration(1'000'000);
   c.rules.deadline = Duration(3'000'000);
   t.Read("name", c.name);
   if (c.name.empty() || c.name.find_first_of("/? ,") != std::string::npos) {
     t.Fault("name", "empty or not fit for a path", "a word");
   }
-  t.Read("effect", c.rules.effect, kEffects);
-  t.Read("group", c.rules.group, kGroups);
-  t.ReadMs("window_ms", c.rules.window);
-  t.ReadMs("aim_ms", c.rules.aim);
+  t.Read("effect", c.rules.idempotency, kEffects);
+  t.Read("group", c.rules.deduplication_scope, kGroups);
+  t.ReadMs("window_ms", c.rules.deduplication_window);
+  t.ReadMs("aim_ms", c.rules.latency_objective);
   t.ReadMs("deadline_ms", c.rules.deadline);
-  t.Read("worth", c.rules.worth, 0, 1e6);
-  t.Read("late_share", c.rules.late_share, 0, 1);
+  t.Read("worth", c.rules.priority_weight, 0, 1e6);
+  t.Read("late_share", c.rules.late_value_fraction, 0, 1);
   t.Read("share", c.share, 0, 1e6);
   t.Read("work_ms", c.work_ms, 0, 60'000);
   t.Read("wait_ms", c.wait_ms, 0, 60'000);
   t.Read("body_bytes", c.body_bytes, 0, 65'536);
   t.Read("answer_bytes", c.answer_bytes, 0, 65'000);
-  if (c.rules.aim <= Duration(0)) t.Fault("aim_ms", "0", "more than 0");
-  if (c.rules.deadline < c.rules.aim) t.Fault("deadline_ms", "under aim_ms", "at least aim_ms");
-  if (c.rules.effect == Effect::kKeyed && c.rules.window <= Duration(0)) {
+  if (c.rules.latency_objective <= Duration(0)) t.Fault("aim_ms", "0", "more than 0");
+  if (c.rules.deadline < c.rules.latency_objective) t.Fault("deadline_ms", "under aim_ms", "at least aim_ms");
+  if (c.rules.idempotency == Idempotency::kKeyed && c.rules.deduplication_window <= Duration(0)) {
     t.Fault("window_ms", "missing", "how long a keyed class's repeats are dropped");
   }
   return c;
@@ -442,11 +442,11 @@
 
 void ReadRules(Table& t, Experiment& e) {
   t.ReadS("drain_grace_s", e.drain_grace);
-  t.Read("cold_from", e.cold_from, 0.01, 1);
-  t.ReadS("warm_s", e.warm_within);
-  t.Read("fall_multiple", e.fall_multiple, 1, 100);
+  t.Read("cold_from", e.slow_start_initial_capacity, 0.01, 1);
+  t.ReadS("warm_s", e.slow_start_duration);
+  t.Read("fall_multiple", e.overload_collapse_multiple, 1, 100);
   t.ReadS("fall_s", e.fall);
-  t.Read<int>("send_cap", e.send_cap, 1, 100);
+  t.Read<int>("send_cap", e.max_attempts, 1, 100);
   t.ReadMs("connect_timeout_ms", e.connect_timeout);
   t.ReadS("idle_close_s", e.idle_close);
   t.ReadS("list_every_s", e.list_every);
@@ -640,12 +640,12 @@
   for (const ClassSpec& c : e.classes) {
     if (!c.listed) continue;
     json entry = {
-        {"Name", c.name},         {"Effect", kEffects[static_cast<size_t>(c.rules.effect)].first},
-        {"Slo", ms(c.rules.aim)}, {"Deadline", ms(c.rules.deadline)},
-        {"Worth", c.rules.worth}, {"LateShare", c.rules.late_share}};
-    if (c.rules.effect == Effect::kKeyed) {
-      entry["Group"] = kGroups[static_cast<size_t>(c.rules.group)].first;
-      entry["Window"] = ms(c.rules.window);
+        {"Name", c.name},         {"Effect", kEffects[static_cast<size_t>(c.rules.idempotency)].first},
+        {"Slo", ms(c.rules.latency_objective)}, {"Deadline", ms(c.rules.deadline)},
+        {"Worth", c.rules.priority_weight}, {"LateShare", c.rules.late_value_fraction}};
+    if (c.rules.idempotency == Idempotency::kKeyed) {
+      entry["Group"] = kGroups[static_cast<size_t>(c.rules.deduplication_scope)].first;
+      entry["Window"] = ms(c.rules.deduplication_window);
     }
     classes.push_back(std::move(entry));
   }
@@ -667,7 +667,7 @@
         {"RetryAfter", e.retry_after},
         {"MaxRetryAfter", 1000.0},
         {"ConnectTimeout", ms(e.connect_timeout)},
-        {"SendCap", e.send_cap},
+        {"SendCap", e.max_attempts},
         {"IdleClose", ms(e.idle_close)}}},
       {"Charges", {{"CrossZone", 0.01}, {"Handshake", 0.02}, {"Probe", 0.04}, {"Waste", 0.04}}},
       {"ResultMix",
@@ -675,9 +675,9 @@
       {"Obligations",
        {{"AnswerSlack", 50.0},
         {"DrainGrace", ms(e.drain_grace)},
-        {"ColdFrom", e.cold_from},
-        {"WarmWithin", ms(e.warm_within)},
-        {"FallMultiple", e.fall_multiple},
+        {"ColdFrom", e.slow_start_initial_capacity},
+        {"WarmWithin", ms(e.slow_start_duration)},
+        {"FallMultiple", e.overload_collapse_multiple},
         {"Fall", ms(e.fall)}}},
       {"Stats", {{"Source", e.probes ? "probe" : "none"}, {"Fields", {"inflight", "latency_ms"}}}}};
   if (!e.gateway.settings_json.empty()) {
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -134,7 +134,7 @@
 // What a gateway that was killed has of its disk when it comes back, and what a disk does.
 enum class DiskIs { kKept, kOld, kNone, kFull, kSlow, kSyncFails };
 // How an answer is spoilt.
-enum class Spoil {
+enum class TamperOutgoing {
   kAny,
   kNoise,
   kBadHead,
@@ -162,7 +162,7 @@
   Duration leave{0};  // kDrain: until the process ends; 0: it stays
   Duration stop{300'000}, every{2'000'000};  // kStall
   Duration lag{0};  // kListLag; kRestart, kDrain, kKill: until the list tells
-  Spoil spoil = Spoil::kAny;
+  TamperOutgoing spoil = TamperOutgoing::kAny;
   size_t gateway = 0;
   std::optional<size_t> gateways;  // instead of one: so many, drawn by the seed
   std::vector<size_t> from;  // kLink*: these gateways' links to all others; empty: `gateway`'s
@@ -238,11 +238,11 @@
   Must must;
   // The rules' figures.
   Duration drain_grace{1'000'000};
-  double cold_from = 0.31;
-  Duration warm_within{9'000'000};
-  double fall_multiple = 3;
+  double slow_start_initial_capacity = 0.31;
+  Duration slow_start_duration{9'000'000};
+  double overload_collapse_multiple = 3;
   Duration fall{1'500'000};
-  int send_cap = 5;
+  int max_attempts = 5;
   Duration connect_timeout{250'000};
   Duration idle_close{60'000'000};
   Duration list_every{2'000'000};  // an empty line of the watch
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -48,11 +48,11 @@
 
 // ---- A connection of a gateway to a host --------------------------------------------------------
 
-class Fleet::Connection final : public Stream::Owner {
+class Fleet::Connection final : public Stream::Listener {
  public:
-  Connection(Host& host, EventLoop& loop, Fd fd)
+  Connection(Host& host, EventLoop& loop, FileDescriptor fd)
       : host_(host), fd_(fd.get()), stream_(loop, Socket(std::move(fd), nullptr), this, false) {
-    stream_.set_most_unread(kUnreadMost);
+    stream_.set_max_unread_bytes(kUnreadMost);
   }
 
   bool Start() { return stream_.Start(); }
@@ -69,7 +69,7 @@
   // An answer that goes on for as long as anybody reads.
   void Flood() {
     flooding_ = true;
-    OnFlushed();
+    OnWriteComplete();
   }
   void Reset() {
     const linger now{1, 0};
@@ -77,11 +77,11 @@
     stream_.Close();
   }
   void Close() { stream_.Close(); }
-  void Look() { OnRead(); }
+  void Look() { OnData(); }
 
-  void OnRead() override;
-  void OnBroken() override;
-  void OnFlushed() override;
+  void OnData() override;
+  void OnError() override;
+  void OnWriteComplete() override;
 
   static constexpr uint64_t kNoReceipt = UINT64_MAX;
   std::list<std::shared_ptr<Connection>>::iterator place;
@@ -91,7 +91,7 @@
   Host& host_;
   int fd_;
   Stream stream_;
-  MessageParser parser_{MessageParser::Kind::kRequest, 1 << 20};
+  HttpParser parser_{HttpParser::Kind::kRequest, 1 << 20};
   bool begun_ = false, flooding_ = false, waits_ = false;
   Time first_{0};  // the first byte of the request that is read
   Time used_{0};   // when it was opened or last answered on
@@ -115,9 +115,9 @@
                Phase::kActive,
                started ? WallMs() : 0};
     listener_ =
-        std::make_unique<Listener>(fleet.loop_, address, [this](Fd fd) { Accept(std::move(fd)); });
+        std::make_unique<Listener>(fleet.loop_, address, [this](FileDescriptor fd) { Accept(std::move(fd)); });
   }
-  ~Host() { fleet_.loop_.Cancel(timer_); }
+  ~Host() { fleet_.loop_.CancelTimer(timer_); }
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
@@ -129,9 +129,9 @@
     traits.held_most = profile.group->held_most;
     traits.stops_work = profile.group->stops_work;
     traits.report_every = Duration(std::llround(profile.report_ms * 1000));
-    traits.cold_from = e.cold_from;
-    traits.warm_within = e.warm_within;
-    traits.fall_multiple = e.fall_multiple;
+    traits.slow_start_initial_capacity = e.slow_start_initial_capacity;
+    traits.slow_start_duration = e.slow_start_duration;
+    traits.overload_collapse_multiple = e.overload_collapse_multiple;
     traits.fall = e.fall;
     return traits;
   }
@@ -140,7 +140,7 @@
   [[nodiscard]] bool up() const { return listener_ != nullptr; }
   [[nodiscard]] size_t connections() const { return connections_.size(); }
 
-  void Accept(Fd fd) {
+  void Accept(FileDescriptor fd) {
     if (connections_.size() >= profile_.group->connections_most) return;  // closed at once
     connections_.push_back(std::make_shared<Connection>(*this, fleet_.loop_, std::move(fd)));
     Connection& connection = *connections_.back();
@@ -160,14 +160,14 @@
       Plan();
     }
     connection.Close();
-    fleet_.loop_.Defer([kept = *connection.place] {});
+    fleet_.loop_.RunDeferred([kept = *connection.place] {});
     connections_.erase(connection.place);
   }
 
-  void OnRequest(Connection& connection, const Message& m, std::string_view base) {
+  void OnRequest(Connection& connection, const HttpMessage& m, std::string_view base) {
     const std::string_view target = m.target.In(base);
     if (target == "/_load" || target == "/ping") return OnProbe(connection, target == "/_load");
-    const auto id = m.Find(base, "X-Call-Id");
+    const auto id = m.FindHeader(base, "X-Call-Id");
     if (!id) return connection.Answer(Head(404, 0));
     Ledger& ledger = fleet_.ledger_;
     const size_t n = ledger.Find(*id);
@@ -195,7 +195,7 @@
       case HostModel::Arrival::kFull: return TurnAway(connection);
       case HostModel::Arrival::kFell:
         ledger.FellOver(Now(), listed_.id);
-        fleet_.loop_.Defer([this] { Die(); });
+        fleet_.loop_.RunDeferred([this] { Die(); });
         return;
       case HostModel::Arrival::kTaken: break;
     }
@@ -221,7 +221,7 @@
       connection.Reset();
       Drop(connection);
     }
-    fleet_.loop_.Cancel(timer_);
+    fleet_.loop_.CancelTimer(timer_);
   }
 
   // A link that is cut: nothing comes or goes. When it is back, the old connections are reset.
@@ -249,10 +249,10 @@
   }
 
   void Plan() {
-    fleet_.loop_.Cancel(timer_);
+    fleet_.loop_.CancelTimer(timer_);
     const auto next = model_.Next();
     if (!next) return;
-    timer_ = fleet_.loop_.After(*next - Now(), [this] {
+    timer_ = fleet_.loop_.RunAfter(*next - Now(), [this] {
       timer_ = {};
       Finish();
     });
@@ -275,7 +275,7 @@
 
   int silent = 0, stalls = 0;
   double half_dead = 0, turned_away = 0, errors = 0, resets = 0, spoilt = 0;
-  Spoil spoil = Spoil::kAny;
+  TamperOutgoing spoil = TamperOutgoing::kAny;
   bool cut_off = false;
 
  private:
@@ -304,7 +304,7 @@
   }
 
   void Later(Duration after, Connection& connection, std::function<void(Connection&)> then) {
-    fleet_.loop_.After(
+    fleet_.loop_.RunAfter(
         after, [kept = *connection.place, receipt = connection.receipt(), then = std::move(then)] {
           if (!kept->closed() && kept->receipt() == receipt) then(*kept);
         });
@@ -317,39 +317,39 @@
         MakeAnswerBody(ledger.IdOf(n), connection.receipt(), ledger.FactsOf(n).answer_bytes);
     const std::string good = Head(200, body.size()) + body;
     if (!Befalls(n, spoilt, 5)) return connection.Answer(good);
-    Spoil how = spoil;
-    if (how == Spoil::kAny) {
+    TamperOutgoing how = spoil;
+    if (how == TamperOutgoing::kAny) {
       // Not a length too short with its rest behind it: that is a good answer and noise, to
       // anybody.
-      constexpr std::array kAll = {Spoil::kNoise,       Spoil::kBadHead, Spoil::kEndlessHead,
-                                   Spoil::kLongLength,  Spoil::kHuge,    Spoil::kSecondAnswer,
-                                   Spoil::kNoiseBehind, Spoil::kInterim, Spoil::kBadReport};
+      constexpr std::array kAll = {TamperOutgoing::kNoise,       TamperOutgoing::kBadHead, TamperOutgoing::kEndlessHead,
+                                   TamperOutgoing::kLongLength,  TamperOutgoing::kHuge,    TamperOutgoing::kSecondAnswer,
+                                   TamperOutgoing::kNoiseBehind, TamperOutgoing::kInterim, TamperOutgoing::kBadReport};
       how = kAll[static_cast<size_t>(Draw(fleet_.seed_, n, 77) * kAll.size())];
     }
     // What is of no further use stays open, and its receipt is out until the other side ends it.
     switch (how) {
-      case Spoil::kAny:
-      case Spoil::kNoise: {
+      case TamperOutgoing::kAny:
+      case TamperOutgoing::kNoise: {
         std::string noise;
         for (uint64_t i = 0; i < 200; ++i) {
           noise += static_cast<char>(Draw(fleet_.seed_, n, 1000 + i) * 256);
         }
         return connection.Answer(noise, false);
       }
-      case Spoil::kBadHead: return connection.Answer("HTTP/1.1 2x0 OK\r\n" + good, false);
-      case Spoil::kEndlessHead:
+      case TamperOutgoing::kBadHead: return connection.Answer("HTTP/1.1 2x0 OK\r\n" + good, false);
+      case TamperOutgoing::kEndlessHead:
         return connection.Answer("HTTP/1.1 200 OK\r\nX-Long: " + std::string(1 << 16, 'y'), false);
-      case Spoil::kShortLength: return connection.Answer(Head(200, body.size() / 2) + body);
-      case Spoil::kLongLength: return connection.Answer(Head(200, body.size() + 100) + body, false);
-      case Spoil::kHuge:
+      case TamperOutgoing::kShortLength: return connection.Answer(Head(200, body.size() / 2) + body);
+      case TamperOutgoing::kLongLength: return connection.Answer(Head(200, body.size() + 100) + body, false);
+      case TamperOutgoing::kHuge:
         connection.Answer(Head(200, kHuge) + body, false);
         return connection.Flood();
-      case Spoil::kSecondAnswer: return connection.Answer(good + good);
-      case Spoil::kNoiseBehind: return connection.Answer(good + "noise that nobody asked for");
-      case Spoil::kInterim:
+      case TamperOutgoing::kSecondAnswer: return connection.Answer(good + good);
+      case TamperOutgoing::kNoiseBehind: return connection.Answer(good + "noise that nobody asked for");
+      case TamperOutgoing::kInterim:
         return connection.Answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" +
                                  good);
-      case Spoil::kBadReport:
+      case TamperOutgoing::kBadReport:
         return connection.Answer(
             Head(200, body.size(), "X-Load-Report: inflight=?,latency_ms\r\n") + body);
     }
@@ -373,45 +373,45 @@
     host_.fleet_.ledger_.Done(host_.Now(), std::exchange(receipt_, kNoReceipt), true);
   }
   // What came meanwhile is looked at after the handler at work.
-  host_.fleet_.loop_.Defer([kept = *place] {
-    if (!kept->closed()) kept->OnRead();
+  host_.fleet_.loop_.RunDeferred([kept = *place] {
+    if (!kept->closed()) kept->OnData();
   });
 }
 
-void Fleet::Connection::OnRead() {
+void Fleet::Connection::OnData() {
   if (host_.cut_off || busy() || stream_.closed()) {
     // A request in hand whose connection ends is over for its host.
     if (!host_.cut_off && busy() && stream_.ended()) host_.Drop(*this);
     return;
   }
-  if (!stream_.in().empty() && !std::exchange(begun_, true)) first_ = host_.Now();
-  if (!stream_.in().empty()) {
+  if (!stream_.input().empty() && !std::exchange(begun_, true)) first_ = host_.Now();
+  if (!stream_.input().empty()) {
     if ((waits_ = host_.model_.standing())) return;
-    switch (parser_.Feed(stream_.in())) {
-      case Progress::kBad: return host_.Drop(*this);
-      case Progress::kDone: {
-        const Message message = parser_.message();
-        Buffer bytes = stream_.in().TakeFront(message.size);
+    switch (parser_.Feed(stream_.input())) {
+      case ParseProgress::kMalformed: return host_.Drop(*this);
+      case ParseProgress::kDone: {
+        const HttpMessage message = parser_.message();
+        Buffer bytes = stream_.input().TakeFront(message.total_bytes);
         parser_.Reset();
         begun_ = false;
         host_.OnRequest(*this, message, bytes.view());
-        if (!stream_.closed()) stream_.Resume();
+        if (!stream_.closed()) stream_.ResumeReading();
         return;
       }
-      case Progress::kMore: break;
+      case ParseProgress::kNeedMore: break;
     }
   }
   if (stream_.ended()) host_.Drop(*this);
 }
 
-void Fleet::Connection::OnFlushed() {
+void Fleet::Connection::OnWriteComplete() {
   if (!flooding_ || stream_.closed()) return;
-  host_.fleet_.loop_.Yield([kept = *place] {
+  host_.fleet_.loop_.RunAfterRound([kept = *place] {
     if (!kept->closed()) kept->stream_.Write(std::string(kHugePiece, 'x'));
   });
 }
 
-void Fleet::Connection::OnBroken() { host_.Drop(*this); }
+void Fleet::Connection::OnError() { host_.Drop(*this); }
 
 // ---- The fleet ----------------------------------------------------------------------------------
 
@@ -424,7 +424,7 @@
       changed_(std::move(changed)),
       rng_(seed ^ 0x5f1ee7) {}
 
-Fleet::~Fleet() { loop_.Cancel(tidy_); }
+Fleet::~Fleet() { loop_.CancelTimer(tidy_); }
 
 void Fleet::Start() {
   Tidy();
@@ -444,7 +444,7 @@
 }
 
 void Fleet::Tidy() {
-  tidy_ = loop_.After(kTidyEvery, [this] {
+  tidy_ = loop_.RunAfter(kTidyEvery, [this] {
     for (const auto& host : hosts_) host->CloseIdle();
     Tidy();
   });
@@ -495,7 +495,7 @@
   host.Die();
   host.listed().phase = Phase::kLeft;
   changed_(host.listed(), lag);
-  loop_.After(down, [this, profile, id, address, lag, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(down, [this, profile, id, address, lag, alive = std::weak_ptr(alive_)] {
     if (alive.expired()) return;
     const size_t next = Add(profile, id, address, Now());
     changed_(hosts_[next]->listed(), lag);
@@ -541,7 +541,7 @@
         host.listed().phase = Phase::kLeaving;
         changed_(host.listed(), fault.lag);
         if (fault.leave > Duration(0)) {
-          loop_.After(fault.leave, [this, place, lag = fault.lag, alive = std::weak_ptr(alive_)] {
+          loop_.RunAfter(fault.leave, [this, place, lag = fault.lag, alive = std::weak_ptr(alive_)] {
             if (alive.expired()) return;
             hosts_[place]->Die();
             hosts_[place]->listed().phase = Phase::kLeft;
@@ -556,14 +556,14 @@
                             alive = std::weak_ptr(alive_)](const auto& again) -> void {
           if (alive.expired() || hosts_[place]->stalls != turn || !hosts_[place]->up()) return;
           hosts_[place]->Stand(true);
-          loop_.After(fault.stop, [this, place, alive] {
+          loop_.RunAfter(fault.stop, [this, place, alive] {
             if (!alive.expired() && hosts_[place]->up()) hosts_[place]->Stand(false);
           });
-          loop_.After(fault.every, [again] { again(again); });
+          loop_.RunAfter(fault.every, [again] { again(again); });
         };
         // Not all in step.
         const double part = Draw(seed_, place, 99);
-        loop_.After(Duration(static_cast<int64_t>(part * static_cast<double>(fault.every.count()))),
+        loop_.RunAfter(Duration(static_cast<int64_t>(part * static_cast<double>(fault.every.count()))),
                     [stall] { stall(stall); });
         break;
       }
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -15,14 +15,14 @@
 HostModel::HostModel(const HostTraits& traits, std::optional<Time> started)
     : traits_(traits), started_(started) {}
 
-bool HostModel::Cold(Time now) const { return started_ && now - *started_ < traits_.warm_within; }
+bool HostModel::Cold(Time now) const { return started_ && now - *started_ < traits_.slow_start_duration; }
 
 double HostModel::Rate(Time now) const {
   if (standing_ || fallen_) return 0;
   double warm = 1;
   if (Cold(now)) {
-    const double age = std::max(0.0, Us(now - *started_) / Us(traits_.warm_within));
-    warm = traits_.cold_from + (1 - traits_.cold_from) * age;
+    const double age = std::max(0.0, Us(now - *started_) / Us(traits_.slow_start_duration));
+    warm = traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age;
   }
   return traits_.speed * warm * (1 - taken_) / slow_;
 }
@@ -42,10 +42,10 @@
     sent_.pop_front();
   }
   // By what it could do without its present troubles: those are not the senders' doing.
-  const double age = std::max(0.0, Us(now - *started_) / Us(traits_.warm_within));
+  const double age = std::max(0.0, Us(now - *started_) / Us(traits_.slow_start_duration));
   const double can = traits_.cores * traits_.speed *
-                     (traits_.cold_from + (1 - traits_.cold_from) * age) * Us(traits_.fall);
-  return sent_work_ > traits_.fall_multiple * can;
+                     (traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age) * Us(traits_.fall);
+  return sent_work_ > traits_.overload_collapse_multiple * can;
 }
 
 HostModel::Arrival HostModel::Arrive(Time now, uint64_t job, Duration work, Duration wait) {
--- a/src/lab/host_model.h
+++ b/src/lab/host_model.h
@@ -22,9 +22,9 @@
   size_t held_most = 256;         // requests held; beyond, one is turned away
   bool stops_work = false;        // work that runs ends when its connection does
   Duration report_every{20'000};  // its report is as old as that at most
-  double cold_from = 1;           // share of its speed at its start
-  Duration warm_within{0};        // until it has all of it, growing evenly
-  double fall_multiple = 3;       // of what it can do at that moment; sent more while cold for
+  double slow_start_initial_capacity = 1;           // share of its speed at its start
+  Duration slow_start_duration{0};        // until it has all of it, growing evenly
+  double overload_collapse_multiple = 3;       // of what it can do at that moment; sent more while cold for
   Duration fall{1'500'000};       //   this long, it falls over and stays down
 };
 
--- a/src/lab/ledger.cpp
+++ b/src/lab/ledger.cpp
@@ -53,7 +53,7 @@
 
 size_t Ledger::Ask(Time now, const AskFacts& facts) {
   asks_.push_back({.facts = facts, .asked = now});
-  const double worth = rules_.classes[facts.cls].worth;
+  const double worth = rules_.classes[facts.cls].priority_weight;
   Window& window = WindowOf(now);
   ++counts_.asked, ++window.asked;
   counts_.worth_asked += worth;
@@ -96,16 +96,16 @@
     a.served = true;
     const Duration took = now - a.asked;
     Window& window = WindowOf(a.asked);
-    const bool late = took > cls.aim;
-    const double worth = cls.worth * (late ? cls.late_share : 1);
+    const bool late = took > cls.latency_objective;
+    const double worth = cls.priority_weight * (late ? cls.late_value_fraction : 1);
     ++counts_.served, ++window.served;
     if (late) ++counts_.late, ++window.late;
     counts_.worth_served += worth;
     window.worth_served += worth;
     window.latency_us.push_back(static_cast<uint32_t>(std::min<int64_t>(took.count(), UINT32_MAX)));
   } else if (status == 429 || status == 503) {
-    const bool harmless = cls.effect == Effect::kSafe ||
-                          (cls.effect == Effect::kKeyed && cls.group == DedupGroup::kAll);
+    const bool harmless = cls.idempotency == Idempotency::kSafe ||
+                          (cls.idempotency == Idempotency::kKeyed && cls.deduplication_scope == DeduplicationScope::kAll);
     if (ran && !harmless) {
       Break(Rule::kRefusedAfterRun, now, IdOf(n), fmt::format("{} though it may have run", status));
     }
@@ -172,12 +172,12 @@
     if (was.open) suspects_.push_back({now, r - 1, number});
     copy += was.may_have_run ? 1 : 0;
     if (!was.may_have_run || unlawful) continue;
-    if (cls.effect == Effect::kUnsafe) unlawful = true, why = "a class that may run once";
-    if (cls.effect != Effect::kKeyed) continue;
-    if ((cls.group == DedupGroup::kZone && was.zone != zone) ||
-        (cls.group == DedupGroup::kCell && was.cell != cell)) {
+    if (cls.idempotency == Idempotency::kUnsafe) unlawful = true, why = "a class that may run once";
+    if (cls.idempotency != Idempotency::kKeyed) continue;
+    if ((cls.deduplication_scope == DeduplicationScope::kZone && was.zone != zone) ||
+        (cls.deduplication_scope == DeduplicationScope::kCell && was.cell != cell)) {
       unlawful = true, why = "outside the group that drops its repeats";
-    } else if (first - was.at > cls.window + rules_.slack + lag_) {
+    } else if (first - was.at > cls.deduplication_window + rules_.slack + lag_) {
       unlawful = true;
       why = fmt::format("{} ms after the first, past its window", (first - was.at).count() / 1000);
     }
@@ -203,10 +203,10 @@
 void Ledger::CountKey(const Receipt& receipt) {
   const AskFacts& facts = asks_[tries_[receipt.n].ask].facts;
   const RequestClass& cls = rules_.classes[facts.cls];
-  if (cls.effect != Effect::kKeyed) return;
+  if (cls.idempotency != Idempotency::kKeyed) return;
   const auto [at, fresh] = keys_.try_emplace(facts.key, receipt.at);
   if (fresh) return;
-  if (receipt.at - at->second > cls.window) ++counts_.keys_run_again;
+  if (receipt.at - at->second > cls.deduplication_window) ++counts_.keys_run_again;
   at->second = std::max(at->second, receipt.at);
 }
 
--- a/src/lab/listener.cpp
+++ b/src/lab/listener.cpp
@@ -34,9 +34,9 @@
           static_cast<uint16_t>(20'000 + place / kHosts)};
 }
 
-Listener::Listener(EventLoop& loop, const Address& at, std::function<void(Fd)> accepted)
+Listener::Listener(EventLoop& loop, const Address& at, std::function<void(FileDescriptor)> accepted)
     : loop_(loop), at_(at), accepted_(std::move(accepted)) {
-  fd_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  fd_ = FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int on = 1;
   const sockaddr_in address = ToSock(at);
   if (!fd_ || setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
@@ -52,7 +52,7 @@
 
 void Listener::Accept() {
   while (!off_) {
-    Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    FileDescriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) return;
     const int on = 1;
     setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -71,7 +71,7 @@
   // With its queue full the kernel drops what asks for a connection, as a cut link does.
   listen(fd_.get(), 0);
   for (int i = 0; i < kFillers; ++i) {
-    Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const sockaddr_in address = ToSock(at_);
     (void)connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address));
     fillers_.push_back(std::move(fd));
--- a/src/lab/listener.h
+++ b/src/lab/listener.h
@@ -18,7 +18,7 @@
 class Listener final : public EventLoop::Handler {
  public:
   // Listens at once; throws std::system_error that names the address.
-  Listener(EventLoop& loop, const Address& at, std::function<void(Fd)> accepted);
+  Listener(EventLoop& loop, const Address& at, std::function<void(FileDescriptor)> accepted);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   virtual ~Listener();
@@ -32,11 +32,11 @@
 
   EventLoop& loop_;
   Address at_;
-  std::function<void(Fd)> accepted_;
-  Fd fd_;
+  std::function<void(FileDescriptor)> accepted_;
+  FileDescriptor fd_;
   uint64_t token_ = 0;
   bool off_ = false;
-  std::vector<Fd> fillers_;  // connections of our own that fill the queue
+  std::vector<FileDescriptor> fillers_;  // connections of our own that fill the queue
 };
 
 }  // namespace paddlestile::lab
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -24,8 +24,8 @@
 
 std::string Pattern(size_t size) { return std::string(size, 'b'); }
 
-Duration RetryAfter(const Message& m, std::string_view base) {
-  const auto text = m.Find(base, "Retry-After");
+Duration RetryAfter(const HttpMessage& m, std::string_view base) {
+  const auto text = m.FindHeader(base, "Retry-After");
   double seconds = 0;
   if (!text) return Duration(0);
   std::from_chars(text->data(), text->data() + text->size(), seconds);
@@ -36,17 +36,17 @@
 
 // ---- A client's connection ----------------------------------------------------------------------
 
-class Load::Connection final : public Stream::Owner {
+class Load::Connection final : public Stream::Listener {
  public:
   Connection(Load& load, size_t gateway, Socket socket)
       : load_(load), gateway_(gateway), stream_(load.loop_, std::move(socket), this, true) {
-    stream_.set_most_unread(kAnswerMost);
+    stream_.set_max_unread_bytes(kAnswerMost);
   }
   bool Start() { return stream_.Start(); }
   [[nodiscard]] bool closed() const { return stream_.closed(); }
   [[nodiscard]] size_t gateway() const { return gateway_; }
   [[nodiscard]] bool idle() const { return trying_ == nullptr; }
-  [[nodiscard]] bool Quiet() const { return stream_.Quiet(); }
+  [[nodiscard]] bool Quiet() const { return stream_.IsIdle(); }
 
   void Ask(std::shared_ptr<Trying> trying) {
     trying_ = std::move(trying);
@@ -55,13 +55,13 @@
     const Arrival& a = trying_->asking->arrival;
     std::string text = load_.HeadOf(*trying_) + Pattern(a.facts.body_bytes);
     const Duration left = trying_->deadline + kSpare - load_.Now();
-    timer_ = load_.loop_.After(left, [this] {
+    timer_ = load_.loop_.RunAfter(left, [this] {
       timer_ = {};
       OutOfTime();
     });
     if (a.leaves && trying_->asking->tries == 1) {
       const auto part = static_cast<int64_t>(a.leave_part * static_cast<double>(left.count()));
-      leave_timer_ = load_.loop_.After(Duration(part), [this] {
+      leave_timer_ = load_.loop_.RunAfter(Duration(part), [this] {
         leave_timer_ = {};
         Leave();
       });
@@ -74,8 +74,8 @@
   }
 
   void Close() {
-    load_.loop_.Cancel(timer_);
-    load_.loop_.Cancel(leave_timer_);
+    load_.loop_.CancelTimer(timer_);
+    load_.loop_.CancelTimer(leave_timer_);
     stream_.Close();
   }
 
@@ -83,9 +83,9 @@
     connected_ = true;
     LookWritten();
   }
-  void OnFlushed() override { LookWritten(); }
-  void OnRead() override;
-  void OnBroken() override { Ended("reset"); }
+  void OnWriteComplete() override { LookWritten(); }
+  void OnData() override;
+  void OnError() override { Ended("reset"); }
 
   std::list<std::shared_ptr<Connection>>::iterator place;
 
@@ -102,14 +102,14 @@
     stream_.Write(text->substr(0, size));
     text->erase(0, size);
     if (!trickling_) return LookWritten();
-    load_.loop_.After(kPiecePause, [kept = *place, text, pieces, n = trying_->n] {
+    load_.loop_.RunAfter(kPiecePause, [kept = *place, text, pieces, n = trying_->n] {
       if (kept->closed() || kept->trying_ == nullptr || kept->trying_->n != n) return;
       kept->Trickle(text, pieces - 1);
     });
   }
   void Done(int status, Duration come_back, bool keep) {
-    load_.loop_.Cancel(timer_);
-    load_.loop_.Cancel(leave_timer_);
+    load_.loop_.CancelTimer(timer_);
+    load_.loop_.CancelTimer(leave_timer_);
     last_ = trying_->n;
     const auto trying = std::exchange(trying_, nullptr);
     trickling_ = false;
@@ -134,7 +134,7 @@
   Load& load_;
   size_t gateway_;
   Stream stream_;
-  MessageParser parser_{MessageParser::Kind::kAnswer, kAnswerMost};
+  HttpParser parser_{HttpParser::Kind::kResponse, kAnswerMost};
   std::shared_ptr<Trying> trying_;
   EventLoop::TimerId timer_, leave_timer_;
   size_t last_ = SIZE_MAX;  // the try that was answered last
@@ -142,21 +142,21 @@
   bool connected_ = false, trickling_ = false, answered_ = false;
 };
 
-void Load::Connection::OnRead() {
-  while (!stream_.closed() && !stream_.in().empty()) {
+void Load::Connection::OnData() {
+  while (!stream_.closed() && !stream_.input().empty()) {
     if (trying_ == nullptr) {
       // Nothing was asked for. A gateway that closes may say why.
-      if (!stream_.in().view().starts_with("HTTP/1.1 408")) {
+      if (!stream_.input().view().starts_with("HTTP/1.1 408")) {
         load_.ledger_.Extra(load_.Now(), last_,
-                            fmt::format("{} bytes behind its answer", stream_.in().size()));
+                            fmt::format("{} bytes behind its answer", stream_.input().size()));
       }
       return load_.Drop(*this);
     }
-    const Progress progress = parser_.Feed(stream_.in());
-    if (progress == Progress::kMore) break;
-    if (progress == Progress::kBad) return Ended("an answer that can't be read");
-    const Message m = parser_.message();
-    const Buffer bytes = stream_.in().TakeFront(m.size);
+    const ParseProgress progress = parser_.Feed(stream_.input());
+    if (progress == ParseProgress::kNeedMore) break;
+    if (progress == ParseProgress::kMalformed) return Ended("an answer that can't be read");
+    const HttpMessage m = parser_.message();
+    const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
     parser_.Reset();
     load_.ledger_.Answered(load_.Now(), trying_->n, m.status, m.body.In(bytes.view()));
     Done(m.status, RetryAfter(m, bytes.view()), m.keep_alive);
@@ -169,8 +169,8 @@
   const auto trying = std::exchange(trying_, nullptr);
   const bool connected = connected_;
   const bool reused = asked_ > 1;
-  load_.loop_.Cancel(timer_);
-  load_.loop_.Cancel(leave_timer_);
+  load_.loop_.CancelTimer(timer_);
+  load_.loop_.CancelTimer(leave_timer_);
   const bool answer_begun = parser_.begun();
   load_.Drop(*this);
   if (trying == nullptr) return;
@@ -191,7 +191,7 @@
 
 // ---- A client that does not do as it should -----------------------------------------------------
 
-class Load::BadConnection final : public Stream::Owner {
+class Load::BadConnection final : public Stream::Listener {
  public:
   BadConnection(Load& load, const BadClients& bad, uint64_t number, Socket socket)
       : load_(load),
@@ -201,28 +201,28 @@
   bool Start() {
     if (!stream_.Start()) return false;
     const bool long_one = kind_ == BadKind::kHugeLength;
-    timer_ = load_.loop_.After(long_one ? kBadOwedLong : kBadOwed, [this] {
+    timer_ = load_.loop_.RunAfter(long_one ? kBadOwedLong : kBadOwed, [this] {
       timer_ = {};
       Over(false);
     });
     Speak();
     return true;
   }
-  void OnRead() override {
-    if (parser_.Feed(stream_.in()) == Progress::kDone) {
+  void OnData() override {
+    if (parser_.Feed(stream_.input()) == ParseProgress::kDone) {
       const int status = parser_.message().status;
       if (status == 200) ++load_.counts_.bad_served;
       return Over(true);
     }
     if (stream_.ended()) Over(true);
   }
-  void OnBroken() override { Over(true); }
-  void OnFlushed() override {
+  void OnError() override { Over(true); }
+  void OnWriteComplete() override {
     if (kind_ == BadKind::kHalfRequest && sent_) Over(true);  // it closes itself
     if (more_ > 0) {
       const size_t piece = std::min<size_t>(more_, 1 << 16);
       more_ -= piece;
-      load_.loop_.Yield([kept = *place, piece] {
+      load_.loop_.RunAfterRound([kept = *place, piece] {
         if (!kept->stream_.closed()) kept->stream_.Write(std::string(piece, 'x'));
       });
     }
@@ -290,16 +290,16 @@
   void Trickle(std::string text) {
     stream_.Write(text.substr(0, 1));
     text.erase(0, 1);
-    load_.loop_.After(Duration(200'000), [kept = *place, text] {
+    load_.loop_.RunAfter(Duration(200'000), [kept = *place, text] {
       if (!kept->stream_.closed() && !text.empty()) kept->Trickle(text);
     });
   }
   void Over(bool answered) {
     if (stream_.closed()) return;
-    load_.loop_.Cancel(timer_);
+    load_.loop_.CancelTimer(timer_);
     ++(answered ? load_.counts_.bad_answered : load_.counts_.bad_unanswered);
     stream_.Close();
-    load_.loop_.Defer([kept = *place] {});
+    load_.loop_.RunDeferred([kept = *place] {});
     load_.bad_.erase(place);
   }
 
@@ -307,7 +307,7 @@
   BadKind kind_;
   uint64_t number_;
   Stream stream_;
-  MessageParser parser_{MessageParser::Kind::kAnswer, kAnswerMost};
+  HttpParser parser_{HttpParser::Kind::kResponse, kAnswerMost};
   EventLoop::TimerId timer_;
   size_t more_ = 0;
   bool sent_ = false;
@@ -355,7 +355,7 @@
     drawn_out_ = !arrivals_.Next(next_);
   }
   if (drawn_out_) return;
-  loop_.After(next_.at - Now(), [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(next_.at - Now(), [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) Arrive();
   });
 }
@@ -411,8 +411,8 @@
 std::string Load::HeadOf(const Trying& trying) const {
   const Arrival& a = trying.asking->arrival;
   const ClassSpec& cls = e_.classes[a.facts.cls];
-  const bool keyed = cls.rules.effect == Effect::kKeyed;
-  const bool body = keyed || cls.rules.effect == Effect::kUnsafe || a.facts.body_bytes > 0;
+  const bool keyed = cls.rules.idempotency == Idempotency::kKeyed;
+  const bool body = keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.facts.body_bytes > 0;
   const auto budget = std::max<int64_t>(1, (trying.deadline - Now()).count() / 1000);
   std::string head =
       fmt::format("{} /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\nX-Budget-Ms: {}\r\n",
@@ -431,7 +431,7 @@
   const size_t place = static_cast<size_t>(asking->tries) - 1;
   const auto& waits = asking->arrival.retry_waits;
   if (status == 200 || place >= waits.size()) return ledger_.Over(Now(), asking->ask);
-  loop_.After(std::max(waits[place], come_back), [this, asking, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(std::max(waits[place], come_back), [this, asking, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) TryOnce(asking);
   });
 }
@@ -455,7 +455,7 @@
   if (connection.closed()) return;
   std::erase(targets_[connection.gateway()].idle, &connection);
   connection.Close();
-  loop_.Defer([kept = *connection.place] {});
+  loop_.RunDeferred([kept = *connection.place] {});
   connections_.erase(connection.place);
 }
 
@@ -468,9 +468,9 @@
     const Time now = Now();
     if (now >= bad.to || now >= e_.length) return;
     if (now >= bad.from) SendBad(bad, place << 40 | number);
-    loop_.After(every, [number, again] { again(number + 1, again); });
+    loop_.RunAfter(every, [number, again] { again(number + 1, again); });
   };
-  loop_.After(every / 2, [step] { step(0, step); });
+  loop_.RunAfter(every / 2, [step] { step(0, step); });
 }
 
 void Load::SendBad(const BadClients& bad, uint64_t number) {
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -94,16 +94,16 @@
 class Source {
  public:
   Source(EventLoop& loop, const Address& at)
-      : loop_(loop), listener_(loop, at, [this](Fd fd) {
+      : loop_(loop), listener_(loop, at, [this](FileDescriptor fd) {
           connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
           connections_.back()->place = std::prev(connections_.end());
-          if (!connections_.back()->Start()) connections_.back()->OnBroken();
+          if (!connections_.back()->Start()) connections_.back()->OnError();
         }) {
     Beat();
   }
   Source(const Source&) = delete;
   Source& operator=(const Source&) = delete;
-  ~Source() { loop_.Cancel(beat_); }
+  ~Source() { loop_.CancelTimer(beat_); }
 
   // What is told from now on, at once to the watches that are open.
   void Tell(std::shared_ptr<const std::string> whole) {
@@ -122,19 +122,19 @@
   [[nodiscard]] size_t change_bytes() const { return change_bytes_; }
 
  private:
-  class Connection final : public Stream::Owner {
+  class Connection final : public Stream::Listener {
    public:
-    Connection(Source& source, Fd fd)
+    Connection(Source& source, FileDescriptor fd)
         : source_(source), stream_(source.loop_, Socket(std::move(fd), nullptr), this, false) {}
     bool Start() { return stream_.Start(); }
-    void OnRead() override {
-      if (!watches_ && parser_.Feed(stream_.in()) == Progress::kDone) Asked();
-      if (stream_.ended()) OnBroken();
+    void OnData() override {
+      if (!watches_ && parser_.Feed(stream_.input()) == ParseProgress::kDone) Asked();
+      if (stream_.ended()) OnError();
     }
-    void OnBroken() override {
+    void OnError() override {
       if (stream_.closed()) return;
       stream_.Close();
-      source_.loop_.Defer([kept = *place] {});
+      source_.loop_.RunDeferred([kept = *place] {});
       source_.connections_.erase(place);
     }
     void Empty() {
@@ -158,8 +158,8 @@
 
    private:
     void Asked() {
-      const Message m = parser_.message();
-      const Buffer bytes = stream_.in().TakeFront(m.size);
+      const HttpMessage m = parser_.message();
+      const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
       parser_.Reset();
       const std::string_view target = m.target.In(bytes.view());
       if (target.find("follow=1") == std::string_view::npos) {
@@ -173,7 +173,7 @@
       }
       watches_ = true;
       if (const size_t at = target.find("since="); at != std::string_view::npos) {
-        revision_ = ToWhole(target.substr(at + std::string_view("since=").size())).value_or(0);
+        revision_ = ParseWholeNumber(target.substr(at + std::string_view("since=").size())).value_or(0);
       }
       stream_.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       Empty();
@@ -182,13 +182,13 @@
 
     Source& source_;
     Stream stream_;
-    MessageParser parser_{MessageParser::Kind::kRequest};
+    HttpParser parser_{HttpParser::Kind::kRequest};
     bool watches_ = false;
     uint64_t revision_ = 0;  // told up to here
   };
 
   void Beat() {
-    beat_ = loop_.After(kEmptyEvery, [this] {
+    beat_ = loop_.RunAfter(kEmptyEvery, [this] {
       for (const auto& connection : connections_) connection->Empty();
       Beat();
     });
@@ -215,7 +215,7 @@
   Prober(const Prober&) = delete;
   Prober& operator=(const Prober&) = delete;
   ~Prober() {
-    loop_.Cancel(timer_);
+    loop_.CancelTimer(timer_);
     for (const auto& call : calls_) call->Stop();
   }
 
@@ -238,7 +238,7 @@
   [[nodiscard]] double LateMs() const { return Ms(late_); }
 
  private:
-  class Call final : public Stream::Owner {
+  class Call final : public Stream::Listener {
    public:
     Call(Prober& prober, Socket socket)
         : prober_(prober), stream_(prober.loop_, std::move(socket), this, true) {}
@@ -249,22 +249,22 @@
       out = true;
       stream_.Write("GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n");
     }
-    void OnRead() override {
-      if (parser_.Feed(stream_.in()) == Progress::kDone) {
+    void OnData() override {
+      if (parser_.Feed(stream_.input()) == ParseProgress::kDone) {
         const bool good = parser_.message().status == 200;
         const bool keeps = parser_.message().keep_alive;
-        stream_.in().Consume(parser_.message().size);
+        stream_.input().Consume(parser_.message().total_bytes);
         parser_.Reset();
         out = false;
         prober_.Answered(asked, good);
-        if (!keeps) return OnBroken();
+        if (!keeps) return OnError();
       }
-      if (stream_.ended()) OnBroken();
+      if (stream_.ended()) OnError();
     }
-    void OnBroken() override {
+    void OnError() override {
       if (stream_.closed()) return;
       stream_.Close();
-      prober_.loop_.Defer([kept = *place] {});
+      prober_.loop_.RunDeferred([kept = *place] {});
       prober_.calls_.erase(place);
     }
     std::list<std::shared_ptr<Call>>::iterator place;
@@ -274,7 +274,7 @@
    private:
     Prober& prober_;
     Stream stream_;
-    MessageParser parser_{MessageParser::Kind::kAnswer};
+    HttpParser parser_{HttpParser::Kind::kResponse};
   };
 
   void Answered(Time asked, bool good) {
@@ -283,7 +283,7 @@
   }
   void Next() {
     due_ = loop_.Now() + every_;
-    timer_ = loop_.After(every_, [this] {
+    timer_ = loop_.RunAfter(every_, [this] {
       late_ = std::max(late_, loop_.Now() - due_);
       Ask();
       Next();
@@ -299,7 +299,7 @@
     calls_.push_back(std::make_shared<Call>(*this, std::move(*socket)));
     const auto call = calls_.back();
     call->place = std::prev(calls_.end());
-    if (!call->Start()) return call->OnBroken();
+    if (!call->Start()) return call->OnError();
     call->Ask();
   }
 
@@ -376,13 +376,13 @@
   }
   Measurement(const Measurement&) = delete;
   Measurement& operator=(const Measurement&) = delete;
-  ~Measurement() { loop_.Cancel(look_); }
+  ~Measurement() { loop_.CancelTimer(look_); }
 
   OneGatewayResult Run() {
     MeasureList();
     if (Fine() && o_.tenants > 0) MeasureSettings();
     Stop();
-    loop_.Cancel(look_);
+    loop_.CancelTimer(look_);
     for (const double rate : Ascending(o_.rates)) {
       if (!Fine() || !MeasureAdded(rate)) break;
     }
@@ -440,7 +440,7 @@
       Broken(fmt::format("{:.0f} MB held, over half of the machine's", used));
       if (process_) process_->Signal(SIGKILL);
     }
-    look_ = loop_.After(kLookEvery, [this] { Look(); });
+    look_ = loop_.RunAfter(kLookEvery, [this] { Look(); });
   }
 
   // ---- The gateway ------------------------------------------------------------------------------
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -26,8 +26,8 @@
   Pipe(const Pipe&) = delete;
   Pipe& operator=(const Pipe&) = delete;
   ~Pipe() {
-    relay_.loop_.Cancel(from_.timer);
-    relay_.loop_.Cancel(to_.timer);
+    relay_.loop_.CancelTimer(from_.timer);
+    relay_.loop_.CancelTimer(to_.timer);
   }
   void Start() {
     from_.stream.Start();
@@ -41,26 +41,26 @@
     if (std::exchange(over_, true)) return;
     from_.stream.CloseByReset();
     to_.stream.CloseByReset();
-    relay_.loop_.Defer([this, relay = &relay_, alive = std::weak_ptr(relay_.alive_)] {
+    relay_.loop_.RunDeferred([this, relay = &relay_, alive = std::weak_ptr(relay_.alive_)] {
       if (!alive.expired()) relay->pipes_.erase(this);
     });
   }
 
  private:
   // One of the two peers; what it sends goes to the other.
-  struct Side final : Stream::Owner {
+  struct Side final : Stream::Listener {
     Side(Pipe& of, Relay& relay, Socket socket, bool connecting, RelayWay& its)
         : pipe(of),
           loop(relay.loop_),
           way(its),
           stream(relay.loop_, std::move(socket), this, connecting) {
-      stream.set_most_unread(kHeldMost);
+      stream.set_max_unread_bytes(kHeldMost);
     }
-    void OnRead() override {
-      std::string bytes(stream.in().view());
-      stream.in().Consume(bytes.size());
+    void OnData() override {
+      std::string bytes(stream.input().view());
+      stream.input().Consume(bytes.size());
       if (!bytes.empty()) {
-        Spoil(bytes);
+        TamperOutgoing(bytes);
         std::uniform_real_distribution<double> delay(way.delay_ms.low,
                                                      std::max(way.delay_ms.low, way.delay_ms.high));
         const Duration after(static_cast<int64_t>(delay(pipe.relay_.random_) * 1000));
@@ -70,11 +70,11 @@
       ended = ended || stream.ended();
       Pass();
     }
-    void OnBroken() override {
+    void OnError() override {
       ended = true;
       Pass();
     }
-    void Spoil(std::string& bytes) {
+    void TamperOutgoing(std::string& bytes) {
       auto& random = pipe.relay_.random_;
       if (way.noise <= 0 || std::uniform_real_distribution<double>(0, 1)(random) >= way.noise)
         return;
@@ -90,12 +90,12 @@
     }
     // What is due goes on, unless the way is cut.
     void Pass() {
-      loop.Cancel(timer);
+      loop.CancelTimer(timer);
       while (way.cuts == 0 && !held.empty()) {
         const Time now = loop.Now(), due = held.front().first;
         const Time next = way.bytes_per_s > 0 ? std::max(due, paced + kPace) : due;
         if (now < next) {
-          timer = loop.After(next - now, [this] { Pass(); });
+          timer = loop.RunAfter(next - now, [this] { Pass(); });
           return;
         }
         paced = now;
@@ -129,7 +129,7 @@
 };
 
 Relay::Relay(EventLoop& loop, const Address& listen, const Address& to, uint64_t seed)
-    : loop_(loop), to_(to), random_(seed), listener_(loop, listen, [this](Fd fd) {
+    : loop_(loop), to_(to), random_(seed), listener_(loop, listen, [this](FileDescriptor fd) {
         bool refused = false;
         auto onward = Connect(to_, nullptr, refused);
         if (!onward) return;
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -53,7 +53,7 @@
 double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 
 // One short call on a connection of its own.
-class HealthCall final : public Stream::Owner {
+class HealthCall final : public Stream::Listener {
  public:
   HealthCall(EventLoop& loop, const Address& to, std::function<void(bool)> done,
              std::string_view call = "GET /_health")
@@ -67,24 +67,24 @@
       Later(false);
     }
   }
-  void OnRead() override {
-    if (parser_.Feed(stream_->in()) == Progress::kDone) {
+  void OnData() override {
+    if (parser_.Feed(stream_->input()) == ParseProgress::kDone) {
       return Later(parser_.message().status == 200);
     }
     if (stream_->ended()) Later(false);
   }
-  void OnBroken() override { Later(false); }
+  void OnError() override { Later(false); }
 
  private:
   void Later(bool good) {
     if (std::exchange(told_, true)) return;
     if (stream_) stream_->Close();
-    loop_.Defer([done = done_, good] { done(good); });
+    loop_.RunDeferred([done = done_, good] { done(good); });
   }
   EventLoop& loop_;
   std::function<void(bool)> done_;
   std::unique_ptr<Stream> stream_;
-  MessageParser parser_{MessageParser::Kind::kAnswer};
+  HttpParser parser_{HttpParser::Kind::kResponse};
   bool told_ = false;
 };
 
@@ -109,7 +109,7 @@
       : e_(std::move(experiment)),
         options_(options),
         seed_(options.seed.value_or(e_.seed)),
-        ledger_(RulesOf(e_, seed_)),
+        ledger_(ContentOf(e_, seed_)),
         fleet_(loop_, e_, ledger_, seed_,
                [this](const ListedHost& host, Duration lag) { directory_.Change(host, lag); }),
         directory_(loop_, ledger_, e_.gateway.count, e_.list_every),
@@ -149,7 +149,7 @@
     fleet_.Begin(zero_);
     directory_.Begin(zero_);
     lag_due_ = loop_.Now() + kLagEvery;
-    loop_.After(kLagEvery, [this] { MeasureLag(); });
+    loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
     Every(kSampleEvery, [this] { Sample(); });
     Every(kLookEvery, [this] { Look(); });
     if (!options_.straight) Every(kHealthEvery, [this] { AskHealth(); });
@@ -163,7 +163,7 @@
   }
 
  private:
-  static LedgerRules RulesOf(const Experiment& e, uint64_t seed) {
+  static LedgerRules ContentOf(const Experiment& e, uint64_t seed) {
     LedgerRules rules;
     for (const ClassSpec& c : e.classes) rules.classes.push_back(c.rules);
     rules.drain_grace = e.drain_grace;
@@ -184,12 +184,12 @@
 
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
   void Every(Duration every, std::function<void()> then) {
-    loop_.After(every, [this, every, then = std::move(then)] {
+    loop_.RunAfter(every, [this, every, then = std::move(then)] {
       then();
       Every(every, then);
     });
   }
-  void At(Duration at, std::function<void()> then) { loop_.After(at - Now(), std::move(then)); }
+  void At(Duration at, std::function<void()> then) { loop_.RunAfter(at - Now(), std::move(then)); }
 
   // ---- Gateways -----------------------------------------------------------------------------
   Address Prepare(size_t i) {
@@ -197,7 +197,7 @@
     g.address = i == 0 && !e_.gateway.listen.empty() ? ParseAddress(e_.gateway.listen)
                                                      : OwnAddress(kGatewayPlaces + i);
     // A port in use is said before anything is played.
-    const Listener taken(loop_, g.address, [](const Fd&) {});
+    const Listener taken(loop_, g.address, [](const FileDescriptor&) {});
     g.config_path = fmt::format("{}/gateway-{}.json", folder_.path(), i);
     g.log_path =
         fmt::format("{}/gateway-{}.log", options_.logs.empty() ? folder_.path() : options_.logs, i);
@@ -418,10 +418,10 @@
         ledger_.Stops(Now(), Now() + fault.lasts, i);
         load_->SetKilled(i, true);
         if (fault.lasts > kFrontNotices) {
-          loop_.After(kFrontNotices, [this, i] { load_->SetIn(i, !gateways_[i].stopped); });
+          loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, !gateways_[i].stopped); });
         }
         if (bank_) bank_->Down(i, true);
-        loop_.After(fault.lasts, [this, i] {
+        loop_.RunAfter(fault.lasts, [this, i] {
           load_->SetKilled(i, false);
           load_->SetIn(i, true);
           if (bank_) bank_->Down(i, false);
@@ -429,7 +429,7 @@
       }
       g.stopped = true;
       g.process->Signal(SIGSTOP);
-      loop_.After(fault.lasts, [this, i] {
+      loop_.RunAfter(fault.lasts, [this, i] {
         gateways_[i].stopped = false;
         gateways_[i].health.reset();
         if (gateways_[i].process) gateways_[i].process->Signal(SIGCONT);
@@ -442,15 +442,15 @@
       load_->SetKilled(i, true);
       g.process->Signal(SIGKILL);
       if (bank_) bank_->Down(i, true);
-      loop_.After(kFrontNotices, [this, i] { load_->SetIn(i, gateways_[i].up); });
+      loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, gateways_[i].up); });
     } else {
       g.process->Signal(SIGTERM);
-      loop_.After(kFrontTakesOut, [this, i] { load_->SetIn(i, false); });
+      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetIn(i, false); });
     }
     g.up = false;
     const Duration longest = Longest();
     const bool killed = fault.kind == FaultKind::kGatewayKill;
-    loop_.After(fault.down,
+    loop_.RunAfter(fault.down,
                 [this, i, killed, disk = fault.disk, until = loop_.Now() + longest + seconds(1)] {
                   if (bank_ && killed) bank_->ChangeDisk(i, disk), bank_->Down(i, false);
                   Restart(i, until);
@@ -471,7 +471,7 @@
             Broken(i, fmt::format("gateway {} gives no yes to {}", i, call));
             return loop_.Stop();
           }
-          loop_.After(kOperateAgain,
+          loop_.RunAfter(kOperateAgain,
                       [this, i, call, to, until, then] { Operate(i, call, to, until, then); });
         },
         call);
@@ -480,8 +480,8 @@
   void PlayQuiesce(const Fault& fault) {
     const size_t i = fault.gateway;
     Operate(i, "POST /admin/quiesce", gateways_[i].admin, loop_.Now() + seconds(1), [this, i] {
-      loop_.After(kFrontTakesOut, [this, i] { load_->SetIn(i, false); });
-      loop_.After(kEmptyWithin, [this, i] {
+      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetIn(i, false); });
+      loop_.RunAfter(kEmptyWithin, [this, i] {
         if (const size_t open = load_->OpenTo(i); open > 0 && !finishing_) {
           Broken(i, fmt::format("gateway {} holds {} connections 4 s after quiesce", i, open));
           loop_.Stop();
@@ -494,7 +494,7 @@
         });
       });
     });
-    loop_.After(std::max(fault.lasts, kEmptyWithin + seconds(1)), [this, i] {
+    loop_.RunAfter(std::max(fault.lasts, kEmptyWithin + seconds(1)), [this, i] {
       const Time until = loop_.Now() + kBackWithin;
       Operate(i, "POST /admin/resume", gateways_[i].admin, until, [this, i, until] {
         Operate(i, "GET /_health", gateways_[i].address, until,
@@ -509,7 +509,7 @@
       std::ofstream(g.config_path) << R"({"discovery":"127.0.0.1:1","settings":{"Classes":[)";
       if (g.process) g.process->Signal(SIGHUP);
     }
-    loop_.After(kReloadPause, [this, &fault] {
+    loop_.RunAfter(kReloadPause, [this, &fault] {
       std::ranges::find(e_.classes, fault.cls, &ClassSpec::name)->listed = true;
       for (size_t i = 0; i < gateways_.size(); ++i) {
         WriteConfig(i);
@@ -539,7 +539,7 @@
     if (finishing_ || !g.before) return;
     const auto code = g.before->Ended();
     if (!code && loop_.Now() <= until) {
-      loop_.After(kOperateAgain, [this, i, until] { AwaitEndOfOld(i, until); });
+      loop_.RunAfter(kOperateAgain, [this, i, until] { AwaitEndOfOld(i, until); });
       return;
     }
     if (code.value_or(1) != 0) {
@@ -556,7 +556,7 @@
         Broken(i, fmt::format("gateway {} did not end after SIGTERM", i));
         return loop_.Stop();
       }
-      loop_.After(Duration(50'000), [this, i, until] { Restart(i, until); });
+      loop_.RunAfter(Duration(50'000), [this, i, until] { Restart(i, until); });
       return;
     }
     CheckEnd(i);
@@ -587,7 +587,7 @@
     lag_recent_ = Duration(0);
     for (const auto& [at, lag] : recent_) lag_recent_ = std::max(lag_recent_, lag);
     lag_due_ = loop_.Now() + kLagEvery;
-    loop_.After(kLagEvery, [this] { MeasureLag(); });
+    loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
   }
 
   void Look() {
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -79,7 +79,7 @@
   e.hosts = {hosts};
   ClassSpec reads;
   reads.name = "read";
-  reads.rules.aim = Us(0.4);
+  reads.rules.latency_objective = Us(0.4);
   reads.rules.deadline = Us(1.5);
   reads.work_ms = {2, 6};
   reads.wait_ms = {1, 5};
--- a/src/lab/signal_watch.h
+++ b/src/lab/signal_watch.h
@@ -22,7 +22,7 @@
     sigaddset(&set, SIGINT);
     sigaddset(&set, SIGTERM);
     sigprocmask(SIG_BLOCK, &set, &before_);
-    fd_ = Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    fd_ = FileDescriptor(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     loop_.Watch(fd_.get(), this, token_);
   }
   SignalWatch(const SignalWatch&) = delete;
@@ -39,7 +39,7 @@
  private:
   EventLoop& loop_;
   std::function<void()> then_;
-  Fd fd_;
+  FileDescriptor fd_;
   uint64_t token_ = 0;
   sigset_t before_{};
 };
--- a/src/lab/simulated_member.cpp
+++ b/src/lab/simulated_member.cpp
@@ -33,9 +33,9 @@
 namespace paddlestile::lab {
 namespace {
 
-using cluster::Member;
+using cluster::ClusterMember;
 using cluster::MemberOutput;
-using cluster::Stance;
+using cluster::EffectiveConfig;
 using nlohmann::json;
 
 constexpr std::array<std::string_view, 5> kWhats = {"agreed", "between", "alone", "down", "up"};
@@ -61,9 +61,9 @@
   std::FILE* file_;
 };
 
-class HollowMember final : public peer::Links::Listener {
+class HollowMember final : public peer::PeerConnections::Listener {
  public:
-  HollowMember(EventLoop& loop, Descriptors& budget, const BankConfig& config, size_t number,
+  HollowMember(EventLoop& loop, DescriptorBudget& budget, const ClusterConfig& config, size_t number,
                uint64_t seed, Book& book)
       : loop_(loop),
         budget_(budget),
@@ -72,7 +72,7 @@
         name_(HollowName(number)),
         random_(seed ^ number),
         book_(book) {
-    disk_.life = random_() | 1;
+    disk_.incarnation = random_() | 1;
     Up();
   }
   HollowMember(const HollowMember&) = delete;
@@ -87,18 +87,18 @@
   }
   void Up() {
     if (member_) return;
-    ++disk_.boot;
+    ++disk_.restart_count;
     durable_ = 0;
     stance_.reset();
     wanted_.clear();
-    Member::Options options;
+    ClusterMember::Options options;
     options.name = name_;
     options.timing = config_.timing;
     for (const auto& [name, seat] : config_.members) {
-      if (seat.votes) options.first_voters.insert(name);
+      if (seat.votes) options.initial_voters.insert(name);
     }
     Write({.what = HollowLine::What::kUp});
-    member_ = std::make_unique<Member>(std::move(options), disk_, random_(), loop_.Now());
+    member_ = std::make_unique<ClusterMember>(std::move(options), disk_, random_(), loop_.Now());
     Link();
     Tick();
   }
@@ -115,54 +115,54 @@
     const std::set<std::string> linked = std::move(linked_);
     linked_.clear();
     for (const std::string& name : linked) {
-      Run([&](Member& m, Time now, MemberOutput& out) { m.Unlinked(now, name, out); });
+      Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerDisconnected(now, name, out); });
     }
   }
 
  private:
   void Stop() {
-    loop_.Cancel(timer_);
-    loop_.Cancel(act_timer_);
+    loop_.CancelTimer(timer_);
+    loop_.CancelTimer(act_timer_);
     links_.reset();
     linked_.clear();
     member_.reset();
   }
   void Link() {
-    peer::LinkOptions options;
-    options.bank = config_.bank;
+    peer::PeerConnectionOptions options;
+    options.cluster_name = config_.cluster_name;
     options.name = name_;
-    options.life = disk_.life;
-    options.boot = disk_.boot;
+    options.incarnation = disk_.incarnation;
+    options.restart_count = disk_.restart_count;
     options.seed = random_();
     options.listen = config_.members.at(name_).address;
     for (const auto& [name, seat] : config_.members) {
-      if (seat.votes || name == name_) options.members[name] = seat.dial;
+      if (seat.votes || name == name_) options.members[name] = seat.dial_address;
     }
-    links_ = std::make_unique<peer::Links>(loop_, budget_, std::move(options), this);
+    links_ = std::make_unique<peer::PeerConnections>(loop_, budget_, std::move(options), this);
   }
 
-  json KnownOf(const std::string& name) override {
-    return raft::ToJson(member_->agreement().KnownOf(name));
+  json ClaimKnownOf(const std::string& name) override {
+    return raft::ToJson(member_->raft_node().ClaimKnownOf(name));
   }
-  void OnUp(const std::string& name, uint64_t life, const json& known) override {
+  void OnConnected(const std::string& name, uint64_t life, const json& known) override {
     linked_.insert(name);
-    const raft::Claim claim = raft::ReadClaim(known).value_or(raft::Claim{});
-    Run([&](Member& m, Time now, MemberOutput& out) { m.Linked(now, name, life, claim, out); });
+    const raft::StorageClaim claim = raft::ReadClaim(known).value_or(raft::StorageClaim{});
+    Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerConnected(now, name, life, claim, out); });
   }
-  void OnDown(const std::string& name) override {
+  void OnDisconnected(const std::string& name) override {
     linked_.erase(name);
-    Run([&](Member& m, Time now, MemberOutput& out) { m.Unlinked(now, name, out); });
+    Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerDisconnected(now, name, out); });
   }
   void OnFrame(const std::string& name, const json& value) override {
     if (!value.is_object()) return;
     if (const auto at = value.find("m"); at != value.end()) {
       const auto message = raft::ReadMessage(*at);
       if (!message || message->from != name) return;
-      Run([&](Member& m, Time now, MemberOutput& out) { m.Receive(now, *message, out); });
+      Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *message, out); });
     }
   }
   void OnCall(uint64_t call, const json&) override {
-    links_->Answer(call, {{"error", "a hollow member takes no calls"}});
+    links_->Reply(call, {{"error", "a hollow member takes no calls"}});
   }
 
   template <typename What>
@@ -171,22 +171,22 @@
     MemberOutput out;
     what(*member_, loop_.Now(), out);
     uint64_t durable = durable_;
-    for (const raft::Write& write : out.writes) {
-      raft::ApplyWrite(disk_, write);
-      durable = std::max(durable, write.ticket);
+    for (const raft::StorageWrite& write : out.writes) {
+      raft::ApplyStorageWrite(disk_, write);
+      durable = std::max(durable, write.sequence_number);
     }
     if (links_) {
-      for (const raft::Outgoing& o : out.sends) {
+      for (const raft::OutgoingMessage& o : out.messages) {
         links_->Send(o.message.to, {{"m", raft::ToJson(o.message)}});
       }
     }
-    if (out.forgot || (!out.needs_anew.empty() && !std::exchange(anew_, true))) {
+    if (out.storage_rolled_back || (!out.needs_resync.empty() && !std::exchange(anew_, true))) {
       // Another life under this name, as a member does whose disk has gone back.
-      loop_.Defer([this, alive = std::weak_ptr(alive_)] {
+      loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
         if (alive.expired()) return;
         Down();
         disk_ = {};
-        disk_.life = random_() | 1;
+        disk_.incarnation = random_() | 1;
         Up();
       });
     }
@@ -196,17 +196,17 @@
     }
     Wants();
     Act();
-    loop_.Cancel(timer_);
-    const Time due = member_->NextDue();
+    loop_.CancelTimer(timer_);
+    const Time due = member_->NextTimeout();
     if (due == Time::max()) return;
-    timer_ = loop_.After(std::max(Duration(0), due - loop_.Now()), [this] { Tick(); });
+    timer_ = loop_.RunAfter(std::max(Duration(0), due - loop_.Now()), [this] { Tick(); });
   }
   // Not within Run: each of its kinds would make another one.
   void Durable() {
-    Run([this](Member& m, Time now, MemberOutput& out) { m.Durable(now, durable_, out); });
+    Run([this](ClusterMember& m, Time now, MemberOutput& out) { m.OnDurable(now, durable_, out); });
   }
   void Tick() {
-    Run([](Member& m, Time now, MemberOutput& out) { m.Tick(now, out); });
+    Run([](ClusterMember& m, Time now, MemberOutput& out) { m.OnTimeout(now, out); });
   }
   void Wants() {
     std::set<std::string> wanted;
@@ -215,23 +215,23 @@
     }
     if (!links_ || wanted == wanted_) return;
     wanted_ = wanted;
-    links_->Want(std::move(wanted));
+    links_->SetWantedMembers(std::move(wanted));
   }
   // What it acts on, written down as it changes over.
   void Act() {
-    const Stance stance = member_->Acting(loop_.Now());
-    if (stance.kind != Stance::Kind::kAlone) {
-      loop_.Cancel(act_timer_);
+    const EffectiveConfig stance = member_->CurrentConfig(loop_.Now());
+    if (stance.kind != EffectiveConfig::Kind::kIsolated) {
+      loop_.CancelTimer(act_timer_);
       act_timer_ =
-          loop_.After(std::max(Duration(0), stance.until - loop_.Now()), [this] { Act(); });
+          loop_.RunAfter(std::max(Duration(0), stance.valid_until - loop_.Now()), [this] { Act(); });
     }
-    const bool same = stance_ && stance_->kind == stance.kind && stance_->on == stance.on &&
-                      stance_->latest == stance.latest;
+    const bool same = stance_ && stance_->kind == stance.kind && stance_->version_in_force == stance.version_in_force &&
+                      stance_->latest_version == stance.latest_version;
     stance_ = stance;
     if (same) return;
     Write({.what = static_cast<HollowLine::What>(stance.kind),
-           .on = stance.on,
-           .latest = stance.latest});
+           .on = stance.version_in_force,
+           .latest = stance.latest_version});
   }
   void Write(HollowLine line) {
     line.at = MachineNow();
@@ -240,31 +240,31 @@
   }
 
   EventLoop& loop_;
-  Descriptors& budget_;
-  const BankConfig& config_;
+  DescriptorBudget& budget_;
+  const ClusterConfig& config_;
   size_t number_;
   std::string name_;
   std::mt19937_64 random_;
   Book& book_;
-  raft::Disk disk_;
-  std::unique_ptr<Member> member_;
-  std::unique_ptr<peer::Links> links_;
+  raft::PersistentState disk_;
+  std::unique_ptr<ClusterMember> member_;
+  std::unique_ptr<peer::PeerConnections> links_;
   std::set<std::string> wanted_, linked_;
   uint64_t durable_ = 0;
   bool anew_ = false;  // it has begun anew for other content, once
-  std::optional<Stance> stance_;
+  std::optional<EffectiveConfig> stance_;
   EventLoop::TimerId timer_, act_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 static_assert(static_cast<int>(HollowLine::What::kAgreed) ==
-              static_cast<int>(Stance::Kind::kAgreed));
-static_assert(static_cast<int>(HollowLine::What::kAlone) == static_cast<int>(Stance::Kind::kAlone));
+              static_cast<int>(EffectiveConfig::Kind::kAgreed));
+static_assert(static_cast<int>(HollowLine::What::kAlone) == static_cast<int>(EffectiveConfig::Kind::kIsolated));
 
 class HollowProcess final : public EventLoop::Handler {
  public:
   explicit HollowProcess(const HollowOptions& options)
       : options_(options),
-        config_(ReadBank(options.operator_file, HollowName(options.first))),
+        config_(ReadClusterConfig(options.operator_file, HollowName(options.first))),
         budget_(options.count * kSocketsOfMember),
         random_(options.seed ^ 0x4011),
         book_(options.book) {
@@ -272,7 +272,7 @@
     sigemptyset(&set);
     for (const int signal : {SIGTERM, SIGINT, SIGUSR1}) sigaddset(&set, signal);
     sigprocmask(SIG_BLOCK, &set, nullptr);
-    signals_ = Fd(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+    signals_ = FileDescriptor(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     if (!signals_ || !loop_.Watch(signals_.get(), this, token_)) {
       throw std::runtime_error("cannot watch for signals");
     }
@@ -303,7 +303,7 @@
   }
   void Flush() {
     book_.Flush();
-    loop_.After(kFlushEvery, [this] { Flush(); });
+    loop_.RunAfter(kFlushEvery, [this] { Flush(); });
   }
   // Some of them restart, others are cut off, within a second.
   void Play() {
@@ -316,22 +316,22 @@
       HollowMember* const member = members_[drawn[i]].get();
       const Duration at(when(random_));
       if (i < options_.restarts) {
-        loop_.After(at, [member] { member->Down(); });
-        loop_.After(at + kDownFor, [member] { member->Up(); });
+        loop_.RunAfter(at, [member] { member->Down(); });
+        loop_.RunAfter(at + kDownFor, [member] { member->Up(); });
       } else {
-        loop_.After(at, [member] { member->Cut(true); });
-        loop_.After(at + kCutFor, [member] { member->Cut(false); });
+        loop_.RunAfter(at, [member] { member->Cut(true); });
+        loop_.RunAfter(at + kCutFor, [member] { member->Cut(false); });
       }
     }
   }
 
   HollowOptions options_;
-  BankConfig config_;
+  ClusterConfig config_;
   EventLoop loop_;
-  Descriptors budget_;
+  DescriptorBudget budget_;
   std::mt19937_64 random_;
   Book book_;
-  Fd signals_;
+  FileDescriptor signals_;
   uint64_t token_ = 0;
   std::vector<std::unique_ptr<HollowMember>> members_;
 };
@@ -372,7 +372,7 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   // One line a link of each member would be most of what it does.
-  SetLogLevel(Level::kWarning);
+  SetLogLevel(LogLevel::kWarning);
   return HollowProcess(options).Run();
 }
 
--- a/src/peer/blocking_call.cpp
+++ b/src/peer/blocking_call.cpp
@@ -17,7 +17,7 @@
 json StatusCall() { return {{"what", "status"}}; }
 
 std::optional<json> CallMember(const Address& at, const json& call, Duration within) {
-  const Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const timeval limit{within.count() / 1'000'000, within.count() % 1'000'000};
   setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
@@ -28,7 +28,7 @@
   if (!fd || connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
     return std::nullopt;
   }
-  const std::string frame = peer::FrameOf({{"hello", peer::kFormat}, {"call", call}});
+  const std::string frame = peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", call}});
   for (size_t sent = 0; sent < frame.size();) {
     const ssize_t n = send(fd.get(), frame.data() + sent, frame.size() - sent, MSG_NOSIGNAL);
     if (n <= 0) return std::nullopt;
@@ -38,9 +38,9 @@
   while (true) {
     json value;
     switch (peer::TakeFrame(in, value)) {
-      case peer::FrameRead::kWhole: return value;
-      case peer::FrameRead::kNonsense: return std::nullopt;
-      case peer::FrameRead::kNone: break;
+      case peer::FrameStatus::kComplete: return value;
+      case peer::FrameStatus::kMalformed: return std::nullopt;
+      case peer::FrameStatus::kIncomplete: break;
     }
     const ssize_t n = recv(fd.get(), in.Prepare(4096), 4096, 0);
     if (n <= 0) return std::nullopt;
--- a/src/peer/framing.cpp
+++ b/src/peer/framing.cpp
@@ -20,10 +20,10 @@
   bool number_float(number_float_t, const string_t&) override { return true; }
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return true; }
-  bool start_object(std::size_t) override { return ++depth_ <= kDepthMost; }
+  bool start_object(std::size_t) override { return ++depth_ <= kMaxDepth; }
   bool key(string_t&) override { return true; }
   bool end_object() override { return --depth_, true; }
-  bool start_array(std::size_t) override { return ++depth_ <= kDepthMost; }
+  bool start_array(std::size_t) override { return ++depth_ <= kMaxDepth; }
   bool end_array() override { return --depth_, true; }
   bool parse_error(std::size_t, const std::string&, const json::exception&) override {
     return false;
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-std::string FrameOf(const json& value) {
+std::string EncodeFrame(const json& value) {
   std::string frame(4, '\0');
   json::to_cbor(value, frame);
   const auto size = static_cast<uint32_t>(frame.size() - 4);
@@ -43,7 +43,7 @@
   return frame;
 }
 
-std::optional<json> ParseValue(std::string_view bytes) {
+std::optional<json> DecodeValue(std::string_view bytes) {
   Depth depth;
   if (!json::sax_parse(bytes, &depth, json::input_format_t::cbor)) return std::nullopt;
   json value = json::from_cbor(bytes, true, false);
@@ -51,17 +51,17 @@
   return value;
 }
 
-FrameRead TakeFrame(Buffer& in, json& value) {
+FrameStatus TakeFrame(Buffer& in, json& value) {
   uint32_t size = 0;
-  if (in.size() < sizeof(size)) return FrameRead::kNone;
+  if (in.size() < sizeof(size)) return FrameStatus::kIncomplete;
   std::memcpy(&size, in.data(), sizeof(size));
-  if (size > kFrameMost) return FrameRead::kNonsense;
-  if (in.size() < sizeof(size) + size) return FrameRead::kNone;
-  auto parsed = ParseValue(std::string_view(in.data() + sizeof(size), size));
+  if (size > kMaxFrameBytes) return FrameStatus::kMalformed;
+  if (in.size() < sizeof(size) + size) return FrameStatus::kIncomplete;
+  auto parsed = DecodeValue(std::string_view(in.data() + sizeof(size), size));
   in.Consume(sizeof(size) + size);
-  if (!parsed) return FrameRead::kNonsense;
+  if (!parsed) return FrameStatus::kMalformed;
   value = std::move(*parsed);
-  return FrameRead::kWhole;
+  return FrameStatus::kComplete;
 }
 
 }  // namespace paddlestile::peer
--- a/src/peer/framing.h
+++ b/src/peer/framing.h
@@ -13,17 +13,17 @@
 
 namespace paddlestile::peer {
 
-inline constexpr size_t kFrameMost = 8 << 20;  // bytes of a value
-inline constexpr size_t kDepthMost = 16;
+inline constexpr size_t kMaxFrameBytes = 8 << 20;  // bytes of a value
+inline constexpr size_t kMaxDepth = 16;
 
-std::string FrameOf(const nlohmann::json& value);
+std::string EncodeFrame(const nlohmann::json& value);
 
 // A value of these bytes; nothing where they are none, deeper than allowed, or more than one.
-std::optional<nlohmann::json> ParseValue(std::string_view bytes);
+std::optional<nlohmann::json> DecodeValue(std::string_view bytes);
 
-enum class FrameRead { kNone, kWhole, kNonsense };
+enum class FrameStatus { kIncomplete, kComplete, kMalformed };
 // Takes the next frame off the buffer, if all of it is there.
-FrameRead TakeFrame(Buffer& in, nlohmann::json& value);
+FrameStatus TakeFrame(Buffer& in, nlohmann::json& value);
 
 }  // namespace paddlestile::peer
 
--- a/src/peer/peer_connections.h
+++ b/src/peer/peer_connections.h
@@ -20,30 +20,30 @@
 
 namespace paddlestile::peer {
 
-inline constexpr int kFormat = 1;  // of all that a link carries
+inline constexpr int kProtocolVersion = 1;  // of all that a link carries
 
-struct LinkOptions {
-  std::string bank, name;
-  uint64_t life = 0, boot = 0;
+struct PeerConnectionOptions {
+  std::string cluster_name, name;
+  uint64_t incarnation = 0, restart_count = 0;
   Address listen;
   std::map<std::string, Address> members;  // the others too
   uint64_t seed = 1;                       // of the back-off's jitter
-  Duration beat{1'000'000};                // us; something is sent this often
-  Duration silent{3'500'000};              // us; a link that hears nothing for so long is ended
-  Duration again_least{50'000}, again_most{2'000'000};  // us; between two tries to connect
-  Duration hello_within{2'000'000};                     // us
-  size_t queued_most = 512 << 10;  // bytes unsent on a link, beyond which what comes is dropped
-  size_t strangers_most = 64;      // connections that have not said who they are
+  Duration heartbeat_interval{1'000'000};                // us; something is sent this often
+  Duration silence_timeout{3'500'000};              // us; a link that hears nothing for so long is ended
+  Duration min_reconnect_delay{50'000}, max_reconnect_delay{2'000'000};  // us; between two tries to connect
+  Duration hello_timeout{2'000'000};                     // us
+  size_t max_queued_bytes = 512 << 10;  // bytes unsent on a link, beyond which what comes is dropped
+  size_t max_unidentified = 64;      // connections that have not said who they are
 };
 
-class Links {
+class PeerConnections {
  public:
   class Listener {
    public:
     // What goes with the hello to this member, and came with its.
-    virtual nlohmann::json KnownOf(const std::string& name) = 0;
-    virtual void OnUp(const std::string& name, uint64_t life, const nlohmann::json& known) = 0;
-    virtual void OnDown(const std::string& name) = 0;
+    virtual nlohmann::json ClaimKnownOf(const std::string& name) = 0;
+    virtual void OnConnected(const std::string& name, uint64_t life, const nlohmann::json& known) = 0;
+    virtual void OnDisconnected(const std::string& name) = 0;
     virtual void OnFrame(const std::string& name, const nlohmann::json& value) = 0;
     // An operator's call; Answer ends it.
     virtual void OnCall(uint64_t call, const nlohmann::json& value) = 0;
@@ -51,58 +51,58 @@
    protected:
     ~Listener() = default;
   };
-  struct Counts {
-    uint64_t up = 0, down = 0, frames_in = 0, frames_out = 0, bytes_in = 0, bytes_out = 0;
-    uint64_t dropped = 0, nonsense = 0, strangers = 0, old_lives = 0, silent = 0;
+  struct Statistics {
+    uint64_t connected = 0, disconnected = 0, frames_in = 0, frames_out = 0, bytes_in = 0, bytes_out = 0;
+    uint64_t dropped = 0, malformed_frames = 0, unidentified = 0, stale_incarnations = 0, timed_out = 0;
   };
 
   // Listens at once; throws std::system_error.
-  Links(EventLoop& loop, Descriptors& budget, LinkOptions options, Listener* listener);
-  ~Links();
-  Links(const Links&) = delete;
-  Links& operator=(const Links&) = delete;
+  PeerConnections(EventLoop& loop, DescriptorBudget& budget, PeerConnectionOptions options, Listener* listener);
+  ~PeerConnections();
+  PeerConnections(const PeerConnections&) = delete;
+  PeerConnections& operator=(const PeerConnections&) = delete;
 
   // With whom links are kept; the one of a pair whose name comes first dials.
-  void Want(std::set<std::string> names);
+  void SetWantedMembers(std::set<std::string> names);
   void Send(const std::string& name, const nlohmann::json& value);
-  void Answer(uint64_t call, const nlohmann::json& value);
-  [[nodiscard]] const Counts& counts() const { return counts_; }
-  [[nodiscard]] size_t linked() const { return up_.size(); }
+  void Reply(uint64_t call, const nlohmann::json& value);
+  [[nodiscard]] const Statistics& statistics() const { return statistics_; }
+  [[nodiscard]] size_t connected_count() const { return connected_.size(); }
 
  private:
-  class Listening;
-  class Link;
-  struct Dial {
+  class Acceptor;
+  class Connection;
+  struct DialState {
     Duration wait{0};
     EventLoop::TimerId timer;
-    Link* link = nullptr;  // on its way, or up
+    Connection* connection = nullptr;  // on its way, or up
   };
   void Accept();
   void DialAll();
-  void DialAgain(const std::string& name);
+  void ScheduleRedial(const std::string& name);
   void Connect(const std::string& name);
-  void Drop(Link& link, std::string_view why);
-  void Beat();
-  void OnHello(Link& link, const nlohmann::json& value);
+  void Drop(Connection& link, std::string_view why);
+  void SendHeartbeats();
+  void OnHello(Connection& link, const nlohmann::json& value);
   [[nodiscard]] nlohmann::json HelloTo(const std::string& name);
 
   EventLoop& loop_;
-  Descriptors& budget_;
-  LinkOptions options_;
+  DescriptorBudget& budget_;
+  PeerConnectionOptions options_;
   Listener* listener_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::mt19937_64 random_;
-  std::unique_ptr<Listening> listening_;
+  std::unique_ptr<Acceptor> acceptor_;
   std::set<std::string> wanted_;
-  std::map<std::string, Dial> dials_;
-  std::map<Link*, std::unique_ptr<Link>> all_;
-  std::map<std::string, Link*> up_;
-  std::map<uint64_t, Link*> calls_;
-  std::map<std::string, std::vector<uint64_t>> old_lives_;
+  std::map<std::string, DialState> dials_;
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;
+  std::map<std::string, Connection*> connected_;
+  std::map<uint64_t, Connection*> calls_;
+  std::map<std::string, std::vector<uint64_t>> stale_incarnations_;
   uint64_t next_call_ = 1;
-  size_t strangers_ = 0;
-  EventLoop::TimerId beat_;
-  Counts counts_;
+  size_t unidentified_count_ = 0;
+  EventLoop::TimerId heartbeat_timer_;
+  Statistics statistics_;
 };
 
 }  // namespace paddlestile::peer
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -12,12 +12,12 @@
 
 namespace paddlestile::raft {
 
-nlohmann::json ToJson(const Claim& claim);
-nlohmann::json ToJson(const Write& write);
+nlohmann::json ToJson(const StorageClaim& claim);
+nlohmann::json ToJson(const StorageWrite& write);
 nlohmann::json ToJson(const Message& message);
 
-std::optional<Claim> ReadClaim(const nlohmann::json& value);
-std::optional<Write> ReadWrite(const nlohmann::json& value);
+std::optional<StorageClaim> ReadClaim(const nlohmann::json& value);
+std::optional<StorageWrite> ReadWrite(const nlohmann::json& value);
 std::optional<Message> ReadMessage(const nlohmann::json& value);
 
 }  // namespace paddlestile::raft
--- a/src/raft/raft_node.cpp
+++ b/src/raft/raft_node.cpp
@@ -9,423 +9,423 @@
 
 constexpr size_t kEntryBytes = 32;  // of an entry beside its own bytes
 
-size_t SizeOf(const Entry& e) { return kEntryBytes + e.bytes.size() + 32 * e.voters.size(); }
+size_t SizeOf(const LogEntry& e) { return kEntryBytes + e.bytes.size() + 32 * e.voters.size(); }
 
 }  // namespace
 
-void ApplyWrite(Disk& disk, const Write& write) {
-  disk.commit = std::max(disk.commit, write.commit);
-  if (write.lazy) return;
-  disk.term = write.term;
-  disk.vote = write.vote;
+void ApplyStorageWrite(PersistentState& disk, const StorageWrite& write) {
+  disk.commit_index = std::max(disk.commit_index, write.commit_index);
+  if (write.commit_only) return;
+  disk.current_term = write.current_term;
+  disk.voted_for = write.voted_for;
   if (write.snapshot) {
     disk.snapshot = *write.snapshot;
     disk.log.clear();
   }
-  if (write.from == 0) return;
-  disk.log.resize(std::min<size_t>(disk.log.size(), write.from - disk.snapshot.index - 1));
+  if (write.first_index == 0) return;
+  disk.log.resize(std::min<size_t>(disk.log.size(), write.first_index - disk.snapshot.index - 1));
   disk.log.insert(disk.log.end(), write.entries.begin(), write.entries.end());
 }
 
-Agreement::Agreement(std::string name, const Timing& timing, Disk disk, uint64_t seed, Time now)
+RaftNode::RaftNode(std::string name, const RaftTiming& timing, PersistentState disk, uint64_t seed, Time now)
     : name_(std::move(name)),
       timing_(timing),
-      life_(disk.life),
-      boot_(disk.boot),
+      incarnation_(disk.incarnation),
+      restart_count_(disk.restart_count),
       random_(seed),
-      term_(disk.term),
-      vote_(std::move(disk.vote)),
+      current_term_(disk.current_term),
+      voted_for_(std::move(disk.voted_for)),
       snapshot_(std::move(disk.snapshot)),
       log_(disk.log.begin(), disk.log.end()),
-      commit_(std::max(snapshot_.index, std::min(disk.commit, snapshot_.index + log_.size()))),
-      applied_(0),
-      found_term_(term_),
-      found_last_(snapshot_.index + log_.size()),
-      claims_due_(now),
+      commit_index_(std::max(snapshot_.index, std::min(disk.commit_index, snapshot_.index + log_.size()))),
+      last_applied_(0),
+      term_at_start_(current_term_),
+      last_index_at_start_(snapshot_.index + log_.size()),
+      claims_due_at_(now),
       // A vote of an earlier process may have been for a leader heard just before it ended.
-      heard_(now),
-      timer_from_(now),
-      durable_last_(found_last_) {
-  if (timing_.heartbeat <= Duration(0) || timing_.election < 3 * timing_.heartbeat ||
-      timing_.lease < 3 * timing_.heartbeat || timing_.clock_rate < 0 || timing_.clock_rate > 0.2) {
+      leader_heard_at_(now),
+      election_timer_started_at_(now),
+      durable_last_index_(last_index_at_start_) {
+  if (timing_.heartbeat_interval <= Duration(0) || timing_.election_timeout < 3 * timing_.heartbeat_interval ||
+      timing_.lease_duration < 3 * timing_.heartbeat_interval || timing_.clock_rate_error < 0 || timing_.clock_rate_error > 0.2) {
     throw std::invalid_argument(
         "timing: expected a heartbeat above 0, an election and a lease of three at least, "
         "and a clock rate of 0 to 0.2");
   }
-  Reindex();
-  RestartTimer(now);
+  RebuildVoterIndex();
+  ResetElectionTimer(now);
 }
 
 // ---- What is known ----------------------------------------------------------------------------
 
-Duration Agreement::Scaled(Duration d, double factor) const {
+Duration RaftNode::Scaled(Duration d, double factor) const {
   return Duration(static_cast<int64_t>(static_cast<double>(d.count()) * factor));
 }
 
-Term Agreement::TermAt(Index index) const {
+Term RaftNode::TermAt(Index index) const {
   if (index == snapshot_.index) return snapshot_.term;
-  if (index < snapshot_.index || index > last()) return 0;
+  if (index < snapshot_.index || index > last_log_index()) return 0;
   return At(index).term;
 }
 
-const std::vector<Voter>& Agreement::voters() const { return voters_.back().second; }
+const std::vector<Voter>& RaftNode::voters() const { return voter_configurations_.back().second; }
 
-bool Agreement::IsVoter(const std::string& name, uint64_t life) const {
+bool RaftNode::IsVoter(const std::string& name, uint64_t life) const {
   return std::ranges::find(voters(), Voter{name, life}) != voters().end();
 }
 
-bool Agreement::Votes() const { return !forgot_ && IsVoter(name_, life_); }
+bool RaftNode::IsVotingMember() const { return !storage_rolled_back_ && IsVoter(name_, incarnation_); }
 
-Claim Agreement::KnownOf(const std::string& name) const {
-  const auto at = known_.find(name);
-  return at == known_.end() ? Claim{} : at->second;
+StorageClaim RaftNode::ClaimKnownOf(const std::string& name) const {
+  const auto at = known_claims_.find(name);
+  return at == known_claims_.end() ? StorageClaim{} : at->second;
 }
 
-Index Agreement::MatchOf(const std::string& name) const {
+Index RaftNode::MatchIndexOf(const std::string& name) const {
   const auto at = peers_.find(name);
-  return at == peers_.end() ? 0 : at->second.match;
+  return at == peers_.end() ? 0 : at->second.match_index;
 }
 
 // The voters of each entry that has some; the last is in force, agreed or not.
-void Agreement::Reindex() {
-  voters_.assign(1, {snapshot_.index, snapshot_.voters});
+void RaftNode::RebuildVoterIndex() {
+  voter_configurations_.assign(1, {snapshot_.index, snapshot_.voters});
   for (size_t i = 0; i < log_.size(); ++i) {
-    if (log_[i].kind != Entry::Kind::kVoters) continue;
-    voters_.emplace_back(snapshot_.index + i + 1, log_[i].voters);
+    if (log_[i].kind != LogEntry::Kind::kVoters) continue;
+    voter_configurations_.emplace_back(snapshot_.index + i + 1, log_[i].voters);
   }
 }
 
 // Whether a leader was heard so lately that its lease may still hold: no vote goes to another.
-bool Agreement::HeardLately(Time now) const { return now - heard_ < timing_.election; }
+bool RaftNode::HeardFromLeaderRecently(Time now) const { return now - leader_heard_at_ < timing_.election_timeout; }
 
-void Agreement::RestartTimer(Time now) {
-  timer_from_ = now;
-  std::uniform_int_distribution<int64_t> more(0, timing_.election.count());
-  timer_ = now + timing_.election + Duration(more(random_));
+void RaftNode::ResetElectionTimer(Time now) {
+  election_timer_started_at_ = now;
+  std::uniform_int_distribution<int64_t> more(0, timing_.election_timeout.count());
+  election_timer_due_at_ = now + timing_.election_timeout + Duration(more(random_));
 }
 
 // The latest time at which a quorum, itself included, is known to have heard this leader.
-Time Agreement::QuorumSent(Time now) const {
+Time RaftNode::QuorumAcknowledgedSentAt(Time now) const {
   return Majority<Time>(Time(-1), [&](const Voter& v) {
-    if (v.name == name_) return v.life == life_ ? now : Time(-1);
+    if (v.name == name_) return v.incarnation == incarnation_ ? now : Time(-1);
     const auto at = peers_.find(v.name);
-    const bool known = at != peers_.end() && at->second.life == v.life;
-    return known ? at->second.acked_sent : Time(-1);
+    const bool known = at != peers_.end() && at->second.incarnation == v.incarnation;
+    return known ? at->second.acknowledged_sent_at : Time(-1);
   });
 }
 
-Time Agreement::LeadsUntil(Time now) const {
-  if (role_ != Role::kLeader || forgot_) return Time(-1);
-  const Time sent = QuorumSent(now);
-  return sent < Time(0) ? sent : sent + Scaled(timing_.election, 1 - 2 * timing_.clock_rate);
+Time RaftNode::LeaderLeaseUntil(Time now) const {
+  if (role_ != Role::kLeader || storage_rolled_back_) return Time(-1);
+  const Time sent = QuorumAcknowledgedSentAt(now);
+  return sent < Time(0) ? sent : sent + Scaled(timing_.election_timeout, 1 - 2 * timing_.clock_rate_error);
 }
 
 // Whether this leader has applied all that its predecessors may have agreed on: without that it
 // could act, and have others act, on what a word that it does not know yet has put out of force.
-bool Agreement::Current() const { return !Behind() && TermAt(commit_) == term_; }
+bool RaftNode::Current() const { return !HasEntriesToApply() && TermAt(commit_index_) == current_term_; }
 
-Time Agreement::LeaseUntil(Time now) const {
-  if (forgot_) return Time(-1);
-  const Time leads = LeadsUntil(now);
+Time RaftNode::LeaseUntil(Time now) const {
+  if (storage_rolled_back_) return Time(-1);
+  const Time leads = LeaderLeaseUntil(now);
   if (leads < Time(0) || !Current()) return lease_until_;
   // Its own is over with its word, and no later than what the next leader waits for.
-  return std::max(lease_until_, std::min(leads, QuorumSent(now) + HeldFor(timing_)));
+  return std::max(lease_until_, std::min(leads, QuorumAcknowledgedSentAt(now) + LeaseHolderDuration(timing_)));
 }
 
-bool Agreement::AllApplied(Time now, Index index) const {
+bool RaftNode::AllLeaseHoldersApplied(Time now, Index index) const {
   // What an earlier leader granted may still run.
-  if (!Leads(now) || applied_ < index || now < led_since_ + WaitFor(timing_)) return false;
+  if (!IsLeaderWithLease(now) || last_applied_ < index || now < leader_since_ + LeaseWaitDuration(timing_)) return false;
   return std::ranges::all_of(peers_, [&](const auto& at) {
-    return at.second.lease_end <= now || at.second.applied >= index;
+    return at.second.lease_ends_at <= now || at.second.last_applied >= index;
   });
 }
 
-Time Agreement::NextDue() const {
-  if (Behind()) return Time(0);
+Time RaftNode::NextTimeout() const {
+  if (HasEntriesToApply()) return Time(0);
   if (role_ == Role::kLeader) {
     Time due = Time::max();
     for (const auto& [name, peer] : peers_) {
-      if (!peer.linked) continue;
-      const bool votes = IsVoter(name, peer.life);
-      due = std::min(due, peer.sent_at + (votes ? timing_.heartbeat : timing_.heartbeat * 5 / 2));
+      if (!peer.connected) continue;
+      const bool votes = IsVoter(name, peer.incarnation);
+      due = std::min(due, peer.last_append_sent_at + (votes ? timing_.heartbeat_interval : timing_.heartbeat_interval * 5 / 2));
     }
-    return std::min(due, timer_);
+    return std::min(due, election_timer_due_at_);
   }
-  return Votes() ? std::min(timer_, claims_due_) : Time::max();
+  return IsVotingMember() ? std::min(election_timer_due_at_, claims_due_at_) : Time::max();
 }
 
 // ---- What goes out ----------------------------------------------------------------------------
 
-void Agreement::WriteOut(Output& out, Index from, std::vector<Entry> entries,
+void RaftNode::WriteToStorage(RaftOutput& out, Index from, std::vector<LogEntry> entries,
                          std::optional<Snapshot> snapshot) {
   out.writes.push_back(
-      {++ticket_, term_, vote_, from, std::move(entries), std::move(snapshot), commit_, false});
-  durable_at_.emplace_back(ticket_, last());
+      {++last_sequence_number_, current_term_, voted_for_, from, std::move(entries), std::move(snapshot), commit_index_, false});
+  pending_writes_.emplace_back(last_sequence_number_, last_log_index());
 }
 
-void Agreement::Post(Output& out, Message message, const std::string& to, uint64_t after) {
+void RaftNode::SendMessage(RaftOutput& out, Message message, const std::string& to, uint64_t after) {
   message.from = name_;
-  message.from_life = life_;
+  message.from_incarnation = incarnation_;
   message.to = to;
-  message.term = message.trial && message.type == Message::Type::kAskVote ? term_ + 1 : term_;
+  message.term = message.is_pre_vote && message.type == Message::Type::kRequestVote ? current_term_ + 1 : current_term_;
   // What it claims must be on its disk when it is said.
   if (role_ == Role::kLeader) {
-    message.own = {life_, boot_, term_, std::max(acked_, durable_last_)};
-  } else if (after == ticket_) {
-    message.own = {life_, boot_, term_, acked_};
+    message.own_claim = {incarnation_, restart_count_, current_term_, std::max(acknowledged_index_, durable_last_index_)};
+  } else if (after == last_sequence_number_) {
+    message.own_claim = {incarnation_, restart_count_, current_term_, acknowledged_index_};
   }
-  if (const auto at = known_.find(to); at != known_.end()) message.of_you = at->second;
-  out.sends.push_back({std::move(message), after});
+  if (const auto at = known_claims_.find(to); at != known_claims_.end()) message.claim_of_receiver = at->second;
+  out.messages.push_back({std::move(message), after});
 }
 
-void Agreement::SendAppend(Time now, const std::string& name, Peer& peer, Output& out) {
-  if (!peer.linked) return;
+void RaftNode::SendAppendEntries(Time now, const std::string& name, Peer& peer, RaftOutput& out) {
+  if (!peer.connected) return;
   Message m;
-  m.sent = now;
-  m.commit = commit_;
+  m.sent_at = now;
+  m.commit_index = commit_index_;
   // A lease goes only with a word that is good, and only to one that knows what it must.
-  if (peer.asked >= Time(0) && peer.applied >= required_ && Current() && Leads(now)) {
-    m.asked = peer.asked;
-    peer.lease_end = std::max(peer.lease_end, peer.asked_came + timing_.lease);
-  }
-  peer.sent_at = now;
-  peer.told = commit_;
-  if (peer.next <= snapshot_.index) {
-    m.type = Message::Type::kSnapshot;
+  if (peer.lease_asked_at >= Time(0) && peer.last_applied >= required_for_lease_ && Current() && IsLeaderWithLease(now)) {
+    m.asked_at = peer.lease_asked_at;
+    peer.lease_ends_at = std::max(peer.lease_ends_at, peer.lease_asked_received_at + timing_.lease_duration);
+  }
+  peer.last_append_sent_at = now;
+  peer.notified_commit_index = commit_index_;
+  if (peer.next_index <= snapshot_.index) {
+    m.type = Message::Type::kInstallSnapshot;
     m.snapshot = snapshot_;
-    peer.waiting = true;
-    return Post(out, std::move(m), name, 0);
+    peer.append_in_flight = true;
+    return SendMessage(out, std::move(m), name, 0);
   }
-  m.index = peer.next - 1;
+  m.index = peer.next_index - 1;
   m.index_term = TermAt(m.index);
   size_t bytes = 0;
-  for (Index i = peer.next; i <= last(); ++i) {
+  for (Index i = peer.next_index; i <= last_log_index(); ++i) {
     bytes += SizeOf(At(i));
-    if (!m.entries.empty() && bytes > timing_.append_bytes) break;
+    if (!m.entries.empty() && bytes > timing_.max_append_bytes) break;
     m.entries.push_back(At(i));
   }
-  peer.waiting = !m.entries.empty();
+  peer.append_in_flight = !m.entries.empty();
   // A leader may send before it has written: it counts itself only once it has.
-  Post(out, std::move(m), name, 0);
+  SendMessage(out, std::move(m), name, 0);
 }
 
-void Agreement::SendAll(Time now, Output& out) {
+void RaftNode::SendAppendEntriesToAll(Time now, RaftOutput& out) {
   for (auto& [name, peer] : peers_) {
-    if (!peer.waiting) SendAppend(now, name, peer, out);
+    if (!peer.append_in_flight) SendAppendEntries(now, name, peer, out);
   }
 }
 
 // ---- Members ----------------------------------------------------------------------------------
 
-void Agreement::Linked(Time now, const std::string& name, uint64_t life, const Claim& of_you,
-                       Output& out) {
-  if (!Recognise(of_you, out)) return;
+void RaftNode::OnPeerConnected(Time now, const std::string& name, uint64_t life, const StorageClaim& of_you,
+                       RaftOutput& out) {
+  if (!CheckOwnClaim(of_you, out)) return;
   Peer& peer = peers_[name];
-  const Time lease_end = peer.lease_end;
+  const Time lease_end = peer.lease_ends_at;
   // What an old life or an old link was told does not count; a lease that runs does.
   peer = {};
-  peer.life = life;
-  peer.linked = true;
-  peer.next = last() + 1;
-  peer.lease_end = lease_end;
-  if (role_ == Role::kLeader) SendAppend(now, name, peer, out);
+  peer.incarnation = life;
+  peer.connected = true;
+  peer.next_index = last_log_index() + 1;
+  peer.lease_ends_at = lease_end;
+  if (role_ == Role::kLeader) SendAppendEntries(now, name, peer, out);
 }
 
-void Agreement::Unlinked(const std::string& name) {
+void RaftNode::OnPeerDisconnected(const std::string& name) {
   const auto at = peers_.find(name);
   if (at == peers_.end()) return;
-  at->second.linked = at->second.waiting = false;
-  at->second.asked = Time(-1);
+  at->second.connected = at->second.append_in_flight = false;
+  at->second.lease_asked_at = Time(-1);
 }
 
 // Notes what the sender's disk holds, and sees whether it knows more of this one than is here.
-bool Agreement::Remember(const Message& m, Output& out) {
-  if (m.own.life != 0) {
-    Claim& claim = known_[m.from];
-    const auto age = [](const Claim& c) { return std::tuple(c.boot, c.term, c.match); };
-    if (claim.life != m.own.life) {
-      claim = m.own;
-    } else if (age(claim) < age(m.own)) {
+bool RaftNode::RememberClaim(const Message& m, RaftOutput& out) {
+  if (m.own_claim.incarnation != 0) {
+    StorageClaim& claim = known_claims_[m.from];
+    const auto age = [](const StorageClaim& c) { return std::tuple(c.restart_count, c.term, c.match_index); };
+    if (claim.incarnation != m.own_claim.incarnation) {
+      claim = m.own_claim;
+    } else if (age(claim) < age(m.own_claim)) {
       // What was acknowledged in a term stays so when its member starts again.
-      const Index match = claim.term == m.own.term ? claim.match : 0;
-      claim = m.own;
-      claim.match = std::max(claim.match, match);
+      const Index match = claim.term == m.own_claim.term ? claim.match_index : 0;
+      claim = m.own_claim;
+      claim.match_index = std::max(claim.match_index, match);
     }
   }
-  return Recognise(m.of_you, out);
+  return CheckOwnClaim(m.claim_of_receiver, out);
 }
 
-bool Agreement::Recognise(const Claim& told, Output& out) {
-  if (told.life != life_ || forgot_) return !forgot_;
+bool RaftNode::CheckOwnClaim(const StorageClaim& told, RaftOutput& out) {
+  if (told.incarnation != incarnation_ || storage_rolled_back_) return !storage_rolled_back_;
   const bool older =
-      told.boot > boot_ || (told.boot == boot_ && told.term > term_) ||
-      (told.boot < boot_ &&
-       (told.term > found_term_ || (told.term == found_term_ && told.match > found_last_)));
+      told.restart_count > restart_count_ || (told.restart_count == restart_count_ && told.term > current_term_) ||
+      (told.restart_count < restart_count_ &&
+       (told.term > term_at_start_ || (told.term == term_at_start_ && told.match_index > last_index_at_start_)));
   if (!older) return true;
-  forgot_ = out.forgot = true;
+  storage_rolled_back_ = out.storage_rolled_back = true;
   StepDown();
   return false;
 }
 
-void Agreement::Receive(Time now, const Message& m, Output& out) {
-  if (m.to != name_ || !Remember(m, out)) return;
+void RaftNode::OnMessage(Time now, const Message& m, RaftOutput& out) {
+  if (m.to != name_ || !RememberClaim(m, out)) return;
   switch (m.type) {
-    case Message::Type::kAskVote: return OnAskVote(now, m, out);
-    case Message::Type::kVote: return OnVote(now, m, out);
-    case Message::Type::kAppend: return OnAppend(now, m, out);
-    case Message::Type::kAppended: return OnAppended(now, m, out);
-    case Message::Type::kSnapshot: return OnSnapshot(now, m, out);
-    case Message::Type::kClaim: return;  // remembered already
+    case Message::Type::kRequestVote: return OnRequestVote(now, m, out);
+    case Message::Type::kRequestVoteReply: return OnRequestVoteReply(now, m, out);
+    case Message::Type::kAppendEntries: return OnAppendEntries(now, m, out);
+    case Message::Type::kAppendEntriesReply: return OnAppendEntriesReply(now, m, out);
+    case Message::Type::kInstallSnapshot: return OnInstallSnapshot(now, m, out);
+    case Message::Type::kStorageClaim: return;  // remembered already
   }
 }
 
 // ---- Elections --------------------------------------------------------------------------------
 
-void Agreement::StepDown() {
+void RaftNode::StepDown() {
   role_ = Role::kFollower;
   leader_.clear();
 }
 
-void Agreement::Follow(Time now, Term term, const std::string& leader, Output& out) {
+void RaftNode::BecomeFollower(Time now, Term term, const std::string& leader, RaftOutput& out) {
   const bool led = role_ == Role::kLeader;
-  if (term > term_) {
-    term_ = term;
-    vote_.clear();
-    acked_ = 0;
-    WriteOut(out, 0, {});
+  if (term > current_term_) {
+    current_term_ = term;
+    voted_for_.clear();
+    acknowledged_index_ = 0;
+    WriteToStorage(out, 0, {});
   }
   // What it had as leader goes on as its lease: nobody else can lead before that is over.
   if (led) lease_until_ = LeaseUntil(now);
   role_ = Role::kFollower;
   leader_ = leader;
-  if (!leader.empty()) heard_ = now;
-  if (led || !leader.empty()) RestartTimer(now);
+  if (!leader.empty()) leader_heard_at_ = now;
+  if (led || !leader.empty()) ResetElectionTimer(now);
 }
 
-void Agreement::Campaign(Time now, bool trial, Output& out) {
+void RaftNode::StartNewElection(Time now, bool trial, RaftOutput& out) {
   leader_.clear();
-  RestartTimer(now);
-  for (auto& [name, peer] : peers_) peer.granted = false;
+  ResetElectionTimer(now);
+  for (auto& [name, peer] : peers_) peer.vote_granted = false;
   if (trial) {
-    role_ = Role::kTrial;
-    self_granted_ = true;
+    role_ = Role::kPreCandidate;
+    own_vote_granted_ = true;
   } else {
     role_ = Role::kCandidate;
-    ++term_;
-    vote_ = name_;
-    acked_ = 0;
-    self_granted_ = false;
-    WriteOut(out, 0, {});
-    vote_ticket_ = ticket_;
+    ++current_term_;
+    voted_for_ = name_;
+    acknowledged_index_ = 0;
+    own_vote_granted_ = false;
+    WriteToStorage(out, 0, {});
+    vote_sequence_number_ = last_sequence_number_;
   }
   Message m;
-  m.type = Message::Type::kAskVote;
-  m.trial = trial;
-  m.index = last();
-  m.index_term = TermAt(last());
+  m.type = Message::Type::kRequestVote;
+  m.is_pre_vote = trial;
+  m.index = last_log_index();
+  m.index_term = TermAt(last_log_index());
   for (const Voter& v : voters()) {
-    if (v.name != name_) Post(out, m, v.name, ticket_);
+    if (v.name != name_) SendMessage(out, m, v.name, last_sequence_number_);
   }
   CountVotes(now, out);
 }
 
-void Agreement::CountVotes(Time now, Output& out) {
+void RaftNode::CountVotes(Time now, RaftOutput& out) {
   size_t granted = 0;
   for (const Voter& v : voters()) {
     if (v.name == name_) {
-      granted += v.life == life_ && self_granted_ ? 1 : 0;
+      granted += v.incarnation == incarnation_ && own_vote_granted_ ? 1 : 0;
     } else if (const auto at = peers_.find(v.name); at != peers_.end()) {
-      granted += at->second.granted && at->second.life == v.life ? 1 : 0;
+      granted += at->second.vote_granted && at->second.incarnation == v.incarnation ? 1 : 0;
     }
   }
   if (granted <= voters().size() / 2) return;
-  if (role_ == Role::kTrial) return Campaign(now, false, out);
-  Lead(now, out);
+  if (role_ == Role::kPreCandidate) return StartNewElection(now, false, out);
+  BecomeLeader(now, out);
 }
 
-void Agreement::Lead(Time now, Output& out) {
+void RaftNode::BecomeLeader(Time now, RaftOutput& out) {
   role_ = Role::kLeader;
   leader_ = name_;
-  led_since_ = now;
-  timer_ = now + timing_.election;
+  leader_since_ = now;
+  election_timer_due_at_ = now + timing_.election_timeout;
   for (auto& [name, peer] : peers_) {
-    peer.next = last() + 1;
-    peer.match = peer.applied = 0;
-    peer.waiting = false;
-    peer.acked_sent = peer.asked = Time(-1);
+    peer.next_index = last_log_index() + 1;
+    peer.match_index = peer.last_applied = 0;
+    peer.append_in_flight = false;
+    peer.acknowledged_sent_at = peer.lease_asked_at = Time(-1);
   }
-  AppendOwn(now, {term_, Entry::Kind::kNone, {}, {}}, out);
+  AppendToOwnLog(now, {current_term_, LogEntry::Kind::kNone, {}, {}}, out);
 }
 
-void Agreement::OnAskVote(Time now, const Message& m, Output& out) {
+void RaftNode::OnRequestVote(Time now, const Message& m, RaftOutput& out) {
   Message answer;
-  answer.type = Message::Type::kVote;
-  answer.trial = m.trial;
-  const bool current = std::pair(m.index_term, m.index) >= std::pair(TermAt(last()), last());
+  answer.type = Message::Type::kRequestVoteReply;
+  answer.is_pre_vote = m.is_pre_vote;
+  const bool current = std::pair(m.index_term, m.index) >= std::pair(TermAt(last_log_index()), last_log_index());
   // One that hears its leader neither votes nor is moved to another term: a voter that hears and is
   // not heard cannot topple anybody, and a leader's lease is safe.
-  const bool bound = (role_ == Role::kLeader && Leads(now)) || HeardLately(now);
-  if (m.trial) {
+  const bool bound = (role_ == Role::kLeader && IsLeaderWithLease(now)) || HeardFromLeaderRecently(now);
+  if (m.is_pre_vote) {
     // One that has not heard yet that it votes gives its vote all the same: who counts votes counts
     // only those of its own voters, and a new one may be needed before the entry has reached it.
-    answer.granted = !bound && current && m.term > term_;
-    return Post(out, answer, m.from, ticket_);
+    answer.granted = !bound && current && m.term > current_term_;
+    return SendMessage(out, answer, m.from, last_sequence_number_);
   }
   if (bound) return;
-  if (m.term > term_) Follow(now, m.term, "", out);
+  if (m.term > current_term_) BecomeFollower(now, m.term, "", out);
   answer.granted =
-      m.term == term_ && current && role_ == Role::kFollower && (vote_.empty() || vote_ == m.from);
-  if (answer.granted && vote_.empty()) {
-    vote_ = m.from;
-    WriteOut(out, 0, {});
+      m.term == current_term_ && current && role_ == Role::kFollower && (voted_for_.empty() || voted_for_ == m.from);
+  if (answer.granted && voted_for_.empty()) {
+    voted_for_ = m.from;
+    WriteToStorage(out, 0, {});
   }
-  if (answer.granted) RestartTimer(now);
-  Post(out, answer, m.from, ticket_);
+  if (answer.granted) ResetElectionTimer(now);
+  SendMessage(out, answer, m.from, last_sequence_number_);
 }
 
-void Agreement::OnVote(Time now, const Message& m, Output& out) {
-  if (m.term > term_) return Follow(now, m.term, "", out);
-  const Role asked = m.trial ? Role::kTrial : Role::kCandidate;
-  if (role_ != asked || !m.granted || (!m.trial && m.term != term_)) return;
+void RaftNode::OnRequestVoteReply(Time now, const Message& m, RaftOutput& out) {
+  if (m.term > current_term_) return BecomeFollower(now, m.term, "", out);
+  const Role asked = m.is_pre_vote ? Role::kPreCandidate : Role::kCandidate;
+  if (role_ != asked || !m.granted || (!m.is_pre_vote && m.term != current_term_)) return;
   const auto at = peers_.find(m.from);
-  if (at == peers_.end() || at->second.life != m.from_life) return;
-  at->second.granted = true;
+  if (at == peers_.end() || at->second.incarnation != m.from_incarnation) return;
+  at->second.vote_granted = true;
   CountVotes(now, out);
 }
 
 // ---- The log ----------------------------------------------------------------------------------
 
-Index Agreement::AppendOwn(Time now, Entry entry, Output& out) {
-  const bool voters = entry.kind == Entry::Kind::kVoters;
+Index RaftNode::AppendToOwnLog(Time now, LogEntry entry, RaftOutput& out) {
+  const bool voters = entry.kind == LogEntry::Kind::kVoters;
   log_.push_back(entry);
-  WriteOut(out, last(), {std::move(entry)});
-  if (voters) Reindex();
-  SendAll(now, out);
-  return last();
+  WriteToStorage(out, last_log_index(), {std::move(entry)});
+  if (voters) RebuildVoterIndex();
+  SendAppendEntriesToAll(now, out);
+  return last_log_index();
 }
 
-std::optional<Index> Agreement::Propose(Time now, std::string bytes, Output& out) {
-  if (!Leads(now)) return std::nullopt;
-  return AppendOwn(now, {term_, Entry::Kind::kData, std::move(bytes), {}}, out);
+std::optional<Index> RaftNode::Propose(Time now, std::string bytes, RaftOutput& out) {
+  if (!IsLeaderWithLease(now)) return std::nullopt;
+  return AppendToOwnLog(now, {current_term_, LogEntry::Kind::kData, std::move(bytes), {}}, out);
 }
 
-std::optional<Index> Agreement::ProposeVoters(Time now, std::vector<Voter> voters, Output& out) {
+std::optional<Index> RaftNode::ProposeVoters(Time now, std::vector<Voter> voters, RaftOutput& out) {
   // One change at a time, and only behind an entry of this term that is agreed: without that two
   // leaders could each have a majority of voters of their own.
-  if (!Leads(now) || TermAt(commit_) != term_ || voters_.back().first > commit_ || voters.empty()) {
+  if (!IsLeaderWithLease(now) || TermAt(commit_index_) != current_term_ || voter_configurations_.back().first > commit_index_ || voters.empty()) {
     return std::nullopt;
   }
-  return AppendOwn(now, {term_, Entry::Kind::kVoters, {}, std::move(voters)}, out);
+  return AppendToOwnLog(now, {current_term_, LogEntry::Kind::kVoters, {}, std::move(voters)}, out);
 }
 
-void Agreement::OnAppend(Time now, const Message& m, Output& out) {
+void RaftNode::OnAppendEntries(Time now, const Message& m, RaftOutput& out) {
   Message answer;
-  answer.type = Message::Type::kAppended;
-  answer.sent = m.sent;
-  if (m.term < term_) return Post(out, answer, m.from, ticket_);
-  Follow(now, m.term, m.from, out);
-  if (m.asked >= Time(0)) lease_until_ = std::max(lease_until_, m.asked + HeldFor(timing_));
-  answer.asked = now;
+  answer.type = Message::Type::kAppendEntriesReply;
+  answer.sent_at = m.sent_at;
+  if (m.term < current_term_) return SendMessage(out, answer, m.from, last_sequence_number_);
+  BecomeFollower(now, m.term, m.from, out);
+  if (m.asked_at >= Time(0)) lease_until_ = std::max(lease_until_, m.asked_at + LeaseHolderDuration(timing_));
+  answer.asked_at = now;
   Index before = m.index;
   size_t known = 0;
   // What the snapshot holds is agreed: it cannot differ.
@@ -436,216 +436,216 @@
   if (before < snapshot_.index) {
     answer.granted = true;
     answer.index = snapshot_.index;
-    answer.commit = applied_;
-    return Post(out, answer, m.from, ticket_);
+    answer.commit_index = last_applied_;
+    return SendMessage(out, answer, m.from, last_sequence_number_);
   }
-  if (before > last() || (known == 0 && TermAt(before) != m.index_term)) {
+  if (before > last_log_index() || (known == 0 && TermAt(before) != m.index_term)) {
     // The first entry that may be another's: all of that term goes.
-    Index hint = std::min(before, last() + 1);
-    while (hint > commit_ + 1 && hint <= last() && TermAt(hint - 1) == TermAt(before)) --hint;
+    Index hint = std::min(before, last_log_index() + 1);
+    while (hint > commit_index_ + 1 && hint <= last_log_index() && TermAt(hint - 1) == TermAt(before)) --hint;
     answer.index = std::max<Index>(hint, 1) - 1;
-    answer.commit = applied_;
-    return Post(out, answer, m.from, ticket_);
+    answer.commit_index = last_applied_;
+    return SendMessage(out, answer, m.from, last_sequence_number_);
   }
   Index at = before + 1;
-  while (known < m.entries.size() && at <= last() && TermAt(at) == m.entries[known].term) {
+  while (known < m.entries.size() && at <= last_log_index() && TermAt(at) == m.entries[known].term) {
     ++at, ++known;
   }
   if (known < m.entries.size()) {
-    const bool cut = at <= last();
+    const bool cut = at <= last_log_index();
     log_.resize(at - snapshot_.index - 1);
-    std::vector<Entry> entries(m.entries.begin() + static_cast<long>(known), m.entries.end());
+    std::vector<LogEntry> entries(m.entries.begin() + static_cast<long>(known), m.entries.end());
     const bool voters =
-        std::ranges::any_of(entries, [](const Entry& e) { return e.kind == Entry::Kind::kVoters; });
+        std::ranges::any_of(entries, [](const LogEntry& e) { return e.kind == LogEntry::Kind::kVoters; });
     log_.insert(log_.end(), entries.begin(), entries.end());
-    durable_last_ = std::min(durable_last_, at - 1);
-    for (auto& [ticket, upto] : durable_at_) upto = std::min(upto, at - 1);
-    WriteOut(out, at, std::move(entries));
-    if (cut || voters) Reindex();
+    durable_last_index_ = std::min(durable_last_index_, at - 1);
+    for (auto& [ticket, upto] : pending_writes_) upto = std::min(upto, at - 1);
+    WriteToStorage(out, at, std::move(entries));
+    if (cut || voters) RebuildVoterIndex();
   }
   answer.granted = true;
   answer.index = m.index + m.entries.size();
-  acked_ = std::max(acked_, answer.index);
-  commit_ = std::max(commit_, std::min(m.commit, answer.index));
-  Apply(out);
-  answer.commit = applied_;
-  Post(out, answer, m.from, ticket_);
+  acknowledged_index_ = std::max(acknowledged_index_, answer.index);
+  commit_index_ = std::max(commit_index_, std::min(m.commit_index, answer.index));
+  ApplyCommittedEntries(out);
+  answer.commit_index = last_applied_;
+  SendMessage(out, answer, m.from, last_sequence_number_);
 }
 
-void Agreement::OnSnapshot(Time now, const Message& m, Output& out) {
+void RaftNode::OnInstallSnapshot(Time now, const Message& m, RaftOutput& out) {
   Message answer;
-  answer.type = Message::Type::kAppended;
-  answer.sent = m.sent;
-  if (m.term < term_) return Post(out, answer, m.from, ticket_);
-  Follow(now, m.term, m.from, out);
-  if (m.asked >= Time(0)) lease_until_ = std::max(lease_until_, m.asked + HeldFor(timing_));
-  answer.asked = now;
-  if (m.snapshot.index > commit_) {
+  answer.type = Message::Type::kAppendEntriesReply;
+  answer.sent_at = m.sent_at;
+  if (m.term < current_term_) return SendMessage(out, answer, m.from, last_sequence_number_);
+  BecomeFollower(now, m.term, m.from, out);
+  if (m.asked_at >= Time(0)) lease_until_ = std::max(lease_until_, m.asked_at + LeaseHolderDuration(timing_));
+  answer.asked_at = now;
+  if (m.snapshot.index > commit_index_) {
     // What is behind it may stay where it goes on from it.
-    if (TermAt(m.snapshot.index) == m.snapshot.term && m.snapshot.index <= last()) {
+    if (TermAt(m.snapshot.index) == m.snapshot.term && m.snapshot.index <= last_log_index()) {
       log_.erase(log_.begin(),
                  log_.begin() + static_cast<long>(m.snapshot.index - snapshot_.index));
     } else {
       log_.clear();
     }
     snapshot_ = m.snapshot;
-    commit_ = applied_ = snapshot_.index;
-    durable_last_ = std::min(durable_last_, snapshot_.index);
-    for (auto& [ticket, upto] : durable_at_) upto = std::min(upto, snapshot_.index);
-    Reindex();
-    std::vector<Entry> rest(log_.begin(), log_.end());
+    commit_index_ = last_applied_ = snapshot_.index;
+    durable_last_index_ = std::min(durable_last_index_, snapshot_.index);
+    for (auto& [ticket, upto] : pending_writes_) upto = std::min(upto, snapshot_.index);
+    RebuildVoterIndex();
+    std::vector<LogEntry> rest(log_.begin(), log_.end());
     const Index from = rest.empty() ? 0 : snapshot_.index + 1;
-    WriteOut(out, from, std::move(rest), snapshot_);
+    WriteToStorage(out, from, std::move(rest), snapshot_);
     out.applied.push_back({snapshot_.index, {}, snapshot_});
   }
   answer.granted = true;
-  answer.index = std::min(m.snapshot.index, last());
-  acked_ = std::max(acked_, answer.index);
-  answer.commit = applied_;
-  Post(out, answer, m.from, ticket_);
+  answer.index = std::min(m.snapshot.index, last_log_index());
+  acknowledged_index_ = std::max(acknowledged_index_, answer.index);
+  answer.commit_index = last_applied_;
+  SendMessage(out, answer, m.from, last_sequence_number_);
 }
 
-void Agreement::OnAppended(Time now, const Message& m, Output& out) {
-  if (m.term > term_) return Follow(now, m.term, "", out);
-  if (role_ != Role::kLeader || m.term != term_) return;
+void RaftNode::OnAppendEntriesReply(Time now, const Message& m, RaftOutput& out) {
+  if (m.term > current_term_) return BecomeFollower(now, m.term, "", out);
+  if (role_ != Role::kLeader || m.term != current_term_) return;
   const auto at = peers_.find(m.from);
-  if (at == peers_.end() || at->second.life != m.from_life || !at->second.linked) return;
+  if (at == peers_.end() || at->second.incarnation != m.from_incarnation || !at->second.connected) return;
   Peer& peer = at->second;
-  peer.acked_sent = std::max(peer.acked_sent, m.sent);
-  if (m.asked >= Time(0)) peer.asked = m.asked, peer.asked_came = now;
-  peer.applied = std::max(peer.applied, m.commit);
-  peer.waiting = false;
+  peer.acknowledged_sent_at = std::max(peer.acknowledged_sent_at, m.sent_at);
+  if (m.asked_at >= Time(0)) peer.lease_asked_at = m.asked_at, peer.lease_asked_received_at = now;
+  peer.last_applied = std::max(peer.last_applied, m.commit_index);
+  peer.append_in_flight = false;
   if (m.granted) {
-    peer.match = std::max(peer.match, m.index);
-    peer.next = std::max(peer.next, peer.match + 1);
-    AdvanceCommit(now, out);
+    peer.match_index = std::max(peer.match_index, m.index);
+    peer.next_index = std::max(peer.next_index, peer.match_index + 1);
+    AdvanceCommitIndex(now, out);
   } else {
-    peer.next = std::max<Index>(peer.match + 1, std::min(m.index + 1, last() + 1));
+    peer.next_index = std::max<Index>(peer.match_index + 1, std::min(m.index + 1, last_log_index() + 1));
   }
-  if (peer.next <= last() || peer.told < commit_) SendAppend(now, m.from, peer, out);
+  if (peer.next_index <= last_log_index() || peer.notified_commit_index < commit_index_) SendAppendEntries(now, m.from, peer, out);
 }
 
-void Agreement::Durable(Time now, uint64_t ticket, Output& out) {
-  durable_ = std::max(durable_, ticket);
-  while (!durable_at_.empty() && durable_at_.front().first <= ticket) {
-    durable_last_ = durable_at_.front().second;
-    durable_at_.pop_front();
+void RaftNode::OnDurable(Time now, uint64_t ticket, RaftOutput& out) {
+  durable_sequence_number_ = std::max(durable_sequence_number_, ticket);
+  while (!pending_writes_.empty() && pending_writes_.front().first <= ticket) {
+    durable_last_index_ = pending_writes_.front().second;
+    pending_writes_.pop_front();
   }
-  durable_last_ = std::min(durable_last_, last());
-  if (role_ == Role::kCandidate && ticket >= vote_ticket_ && !self_granted_) {
-    self_granted_ = true;
+  durable_last_index_ = std::min(durable_last_index_, last_log_index());
+  if (role_ == Role::kCandidate && ticket >= vote_sequence_number_ && !own_vote_granted_) {
+    own_vote_granted_ = true;
     CountVotes(now, out);
   }
-  if (role_ == Role::kLeader) AdvanceCommit(now, out);
+  if (role_ == Role::kLeader) AdvanceCommitIndex(now, out);
 }
 
-void Agreement::AdvanceCommit(Time now, Output& out) {
+void RaftNode::AdvanceCommitIndex(Time now, RaftOutput& out) {
   const auto agreed = Majority<Index>(0, [&](const Voter& v) {
-    if (v.name == name_) return v.life == life_ ? durable_last_ : 0;
+    if (v.name == name_) return v.incarnation == incarnation_ ? durable_last_index_ : 0;
     const auto at = peers_.find(v.name);
-    return at != peers_.end() && at->second.life == v.life ? at->second.match : 0;
+    return at != peers_.end() && at->second.incarnation == v.incarnation ? at->second.match_index : 0;
   });
   // An entry of an earlier term is agreed only with one of this term behind it.
-  if (agreed <= commit_ || TermAt(agreed) != term_) return;
-  commit_ = agreed;
-  Apply(out);
-  SendAll(now, out);
+  if (agreed <= commit_index_ || TermAt(agreed) != current_term_) return;
+  commit_index_ = agreed;
+  ApplyCommittedEntries(out);
+  SendAppendEntriesToAll(now, out);
   // Voted out, by an entry that is agreed now.
-  if (voters_.back().first <= commit_ && !Votes()) Follow(now, term_, "", out);
+  if (voter_configurations_.back().first <= commit_index_ && !IsVotingMember()) BecomeFollower(now, current_term_, "", out);
 }
 
-void Agreement::Apply(Output& out) {
-  if (applied_ < snapshot_.index) {
-    applied_ = snapshot_.index;
-    out.applied.push_back({applied_, {}, snapshot_});
+void RaftNode::ApplyCommittedEntries(RaftOutput& out) {
+  if (last_applied_ < snapshot_.index) {
+    last_applied_ = snapshot_.index;
+    out.applied.push_back({last_applied_, {}, snapshot_});
   }
-  if (!Behind()) return;
-  size_t work = 0, weight = entry_weight_;
-  while (Behind()) {
-    const Entry& next = At(applied_ + 1);
-    if (next.kind == Entry::Kind::kData) {
+  if (!HasEntriesToApply()) return;
+  size_t work = 0, weight = apply_cost_bytes_;
+  while (HasEntriesToApply()) {
+    const LogEntry& next = At(last_applied_ + 1);
+    if (next.kind == LogEntry::Kind::kData) {
       // One that came whole in this event weighs on those behind it.
       weight = std::max(weight, next.bytes.size());
       const size_t takes = weight + SizeOf(next);
-      if (work > 0 && work + takes > timing_.apply_bytes) break;
+      if (work > 0 && work + takes > timing_.max_apply_bytes) break;
       work += takes;
     }
-    out.applied.push_back({++applied_, next, std::nullopt});
+    out.applied.push_back({++last_applied_, next, std::nullopt});
   }
-  out.writes.push_back({ticket_, term_, vote_, 0, {}, std::nullopt, commit_, true});
+  out.writes.push_back({last_sequence_number_, current_term_, voted_for_, 0, {}, std::nullopt, commit_index_, true});
 }
 
 // What took more than one event is told once it is done: the leader would hear of it only with its
 // next heartbeat, and may wait for it.
-void Agreement::TellApplied(Output& out) {
-  if (Behind() || role_ != Role::kFollower || leader_.empty()) return;
+void RaftNode::NotifyApplied(RaftOutput& out) {
+  if (HasEntriesToApply() || role_ != Role::kFollower || leader_.empty()) return;
   Message m;
-  m.type = Message::Type::kAppended;
+  m.type = Message::Type::kAppendEntriesReply;
   m.granted = true;
-  m.index = acked_;
-  m.commit = applied_;
-  m.sent = Time(-1);
-  Post(out, std::move(m), leader_, ticket_);
+  m.index = acknowledged_index_;
+  m.commit_index = last_applied_;
+  m.sent_at = Time(-1);
+  SendMessage(out, std::move(m), leader_, last_sequence_number_);
 }
 
-void Agreement::Compact(Index index, std::string bytes, Output& out) {
-  if (index <= snapshot_.index || index > applied_) return;
+void RaftNode::TakeSnapshot(Index index, std::string bytes, RaftOutput& out) {
+  if (index <= snapshot_.index || index > last_applied_) return;
   const Term term = TermAt(index);
   std::vector<Voter> voters;
-  for (const auto& [at, who] : voters_) {
+  for (const auto& [at, who] : voter_configurations_) {
     if (at <= index) voters = who;
   }
   log_.erase(log_.begin(), log_.begin() + static_cast<long>(index - snapshot_.index));
   snapshot_ = {index, term, std::move(voters), std::move(bytes)};
-  Reindex();
-  std::vector<Entry> rest(log_.begin(), log_.end());
+  RebuildVoterIndex();
+  std::vector<LogEntry> rest(log_.begin(), log_.end());
   const Index from = rest.empty() ? 0 : index + 1;
-  WriteOut(out, from, std::move(rest), snapshot_);
+  WriteToStorage(out, from, std::move(rest), snapshot_);
 }
 
 // ---- Time -------------------------------------------------------------------------------------
 
-void Agreement::Tick(Time now, Output& out) {
-  if (forgot_) return;
-  if (Behind()) {
-    Apply(out);
-    TellApplied(out);
+void RaftNode::OnTimeout(Time now, RaftOutput& out) {
+  if (storage_rolled_back_) return;
+  if (HasEntriesToApply()) {
+    ApplyCommittedEntries(out);
+    NotifyApplied(out);
   }
   if (role_ == Role::kLeader) {
-    if (now >= timer_) {
+    if (now >= election_timer_due_at_) {
       // A leader that a quorum no longer answers is none.
-      if (now - QuorumSent(now) >= timing_.election) {
-        Follow(now, term_, "", out);
+      if (now - QuorumAcknowledgedSentAt(now) >= timing_.election_timeout) {
+        BecomeFollower(now, current_term_, "", out);
         return;
       }
-      timer_ = now + timing_.heartbeat;
+      election_timer_due_at_ = now + timing_.heartbeat_interval;
     }
     for (auto& [name, peer] : peers_) {
-      const bool votes = IsVoter(name, peer.life);
-      if (now - peer.sent_at >= (votes ? timing_.heartbeat : timing_.heartbeat * 5 / 2)) {
-        SendAppend(now, name, peer, out);
+      const bool votes = IsVoter(name, peer.incarnation);
+      if (now - peer.last_append_sent_at >= (votes ? timing_.heartbeat_interval : timing_.heartbeat_interval * 5 / 2)) {
+        SendAppendEntries(now, name, peer, out);
       }
     }
     return;
   }
-  if (!Votes()) return;
-  TellClaims(now, out);
-  if (now < timer_) return;
-  if (may_campaign_) return Campaign(now, true, out);
-  RestartTimer(now);
+  if (!IsVotingMember()) return;
+  SendStorageClaims(now, out);
+  if (now < election_timer_due_at_) return;
+  if (may_campaign_) return StartNewElection(now, true, out);
+  ResetElectionTimer(now);
 }
 
 // The leader knows by what it is answered; the others have to be told, or a disk that has gone back
 // while the leader is away would find nobody who knows.
-void Agreement::TellClaims(Time now, Output& out) {
-  if (now < claims_due_) return;
-  claims_due_ = now + timing_.heartbeat;
+void RaftNode::SendStorageClaims(Time now, RaftOutput& out) {
+  if (now < claims_due_at_) return;
+  claims_due_at_ = now + timing_.heartbeat_interval;
   for (const Voter& v : voters()) {
     const auto at = peers_.find(v.name);
-    if (v.name == leader_ || at == peers_.end() || !at->second.linked) continue;
+    if (v.name == leader_ || at == peers_.end() || !at->second.connected) continue;
     Message m;
-    m.type = Message::Type::kClaim;
-    Post(out, std::move(m), v.name, ticket_);
+    m.type = Message::Type::kStorageClaim;
+    SendMessage(out, std::move(m), v.name, last_sequence_number_);
   }
 }
 
--- a/src/raft/raft_node.h
+++ b/src/raft/raft_node.h
@@ -27,42 +27,42 @@
 
 using Index = uint64_t;  // of an entry; the first is 1
 using Term = uint64_t;
-inline constexpr size_t kVotersMost = 9;
+inline constexpr size_t kMaxVoters = 9;
 
 // How long things take. All clocks may run apart by `clock_rate` (0.01: one part in a hundred).
-struct Timing {
-  Duration heartbeat{100'000};     // from the leader to a voter; to others 2.5 times that
-  Duration election{500'000};      // no leader heard for so long, up to twice that: one is elected
-  Duration lease{1'000'000};       // a member acts on what it knows for so long after it asked
-  double clock_rate = 0.01;        // 0 to 0.2
-  size_t append_bytes = 64 << 10;  // of entries in one message, beyond the first
-  size_t apply_bytes = 64 << 10;   // of work in one event, beyond its first entry; see Weigh
+struct RaftTiming {
+  Duration heartbeat_interval{100'000};     // from the leader to a voter; to others 2.5 times that
+  Duration election_timeout{500'000};      // no leader heard for so long, up to twice that: one is elected
+  Duration lease_duration{1'000'000};       // a member acts on what it knows for so long after it asked
+  double clock_rate_error = 0.01;        // 0 to 0.2
+  size_t max_append_bytes = 64 << 10;  // of entries in one message, beyond the first
+  size_t max_apply_bytes = 64 << 10;   // of work in one event, beyond its first entry; see Weigh
 };
 
 // A lease as its holder counts it, from when it asked, and as everybody else must wait for it.
-inline Duration HeldFor(const Timing& t) {
+inline Duration LeaseHolderDuration(const RaftTiming& t) {
   return Duration(
-      static_cast<int64_t>(static_cast<double>(t.lease.count()) * (1 - 2 * t.clock_rate)));
+      static_cast<int64_t>(static_cast<double>(t.lease_duration.count()) * (1 - 2 * t.clock_rate_error)));
 }
-inline Duration WaitFor(const Timing& t) {
+inline Duration LeaseWaitDuration(const RaftTiming& t) {
   return Duration(
-      static_cast<int64_t>(static_cast<double>(t.lease.count()) * (1 + 2 * t.clock_rate)));
+      static_cast<int64_t>(static_cast<double>(t.lease_duration.count()) * (1 + 2 * t.clock_rate_error)));
 }
 
 // A member's disk as one life of it: a folder that was lost gives another life under the same name.
 struct Voter {
   std::string name;
-  uint64_t life = 0;
+  uint64_t incarnation = 0;
   auto operator<=>(const Voter&) const = default;
 };
 
-struct Entry {
+struct LogEntry {
   enum class Kind : uint8_t { kNone, kVoters, kData };
   Term term = 0;
   Kind kind = Kind::kNone;
   std::string bytes;          // kData: the users'
   std::vector<Voter> voters;  // kVoters: those from this entry on
-  bool operator==(const Entry&) const = default;
+  bool operator==(const LogEntry&) const = default;
 };
 
 // All up to `index`, as the users put it together.
@@ -75,166 +75,166 @@
 };
 
 // What must survive a restart.
-struct Disk {
-  uint64_t life = 0;  // drawn once for a folder; 0: never
-  uint64_t boot = 0;  // how often this life has started, this time included
-  Term term = 0;
-  std::string vote;  // who got this member's vote in that term
+struct PersistentState {
+  uint64_t incarnation = 0;  // drawn once for a folder; 0: never
+  uint64_t restart_count = 0;  // how often this life has started, this time included
+  Term current_term = 0;
+  std::string voted_for;  // who got this member's vote in that term
   Snapshot snapshot;
-  std::vector<Entry> log;  // behind the snapshot
-  Index commit = 0;        // agreed by then, or more
+  std::vector<LogEntry> log;  // behind the snapshot
+  Index commit_index = 0;        // agreed by then, or more
 };
 
 // What one member remembers that another has told of its disk, by which a disk that has gone back
 // to an older state is found out.
-struct Claim {
-  uint64_t life = 0, boot = 0;
+struct StorageClaim {
+  uint64_t incarnation = 0, restart_count = 0;
   Term term = 0;
-  Index match = 0;  // acknowledged to the leader of that term
+  Index match_index = 0;  // acknowledged to the leader of that term
 };
 
 struct Message {
-  enum class Type : uint8_t { kAskVote, kVote, kAppend, kAppended, kSnapshot, kClaim };
-  Type type = Type::kAppend;
+  enum class Type : uint8_t { kRequestVote, kRequestVoteReply, kAppendEntries, kAppendEntriesReply, kInstallSnapshot, kStorageClaim };
+  Type type = Type::kAppendEntries;
   std::string from, to;
-  uint64_t from_life = 0;
+  uint64_t from_incarnation = 0;
   Term term = 0;
-  bool trial = false;    // kAskVote, kVote: whether it would; nothing is bound by it
+  bool is_pre_vote = false;    // kAskVote, kVote: whether it would; nothing is bound by it
   bool granted = false;  // kVote, kAppended: yes
   Index index = 0;  // kAskVote: last entry; kAppend: the one before; kAppended: match, or a hint
   Term index_term = 0;  // kAskVote, kAppend: its term
-  Index commit = 0;     // kAppend, kSnapshot; kAppended: applied
-  Time sent{0};         // kAppend, kSnapshot: by the leader's clock; kAppended: that told back
-  Time asked{-1};  // kAppended: by the member's clock; kAppend: that told back, a lease with it
-  std::vector<Entry> entries;
+  Index commit_index = 0;     // kAppend, kSnapshot; kAppended: applied
+  Time sent_at{0};         // kAppend, kSnapshot: by the leader's clock; kAppended: that told back
+  Time asked_at{-1};  // kAppended: by the member's clock; kAppend: that told back, a lease with it
+  std::vector<LogEntry> entries;
   Snapshot snapshot;
-  Claim own, of_you;  // what the sender's disk holds; what it knows of the receiver's
+  StorageClaim own_claim, claim_of_receiver;  // what the sender's disk holds; what it knows of the receiver's
 };
 
 // To be made durable as a whole and in order.
-struct Write {
-  uint64_t ticket = 0;
-  Term term = 0;
-  std::string vote;
-  Index from = 0;  // where `entries` begin; what was there and behind goes. 0: none
-  std::vector<Entry> entries;
+struct StorageWrite {
+  uint64_t sequence_number = 0;
+  Term current_term = 0;
+  std::string voted_for;
+  Index first_index = 0;  // where `entries` begin; what was there and behind goes. 0: none
+  std::vector<LogEntry> entries;
   std::optional<Snapshot> snapshot;  // replaces all that was there
-  Index commit = 0;
-  bool lazy = false;  // `commit` alone is news: nothing waits for it
+  Index commit_index = 0;
+  bool commit_only = false;  // `commit` alone is news: nothing waits for it
 };
 
 // What a disk holds once a write is durable: the one meaning of writes for all kinds of disks.
-void ApplyWrite(Disk& disk, const Write& write);
+void ApplyStorageWrite(PersistentState& disk, const StorageWrite& write);
 
-struct Outgoing {
+struct OutgoingMessage {
   Message message;
-  uint64_t after = 0;  // not before this ticket is durable
+  uint64_t after_sequence_number = 0;  // not before this ticket is durable
 };
 
-struct Applied {
+struct AppliedEntry {
   Index index = 0;
-  Entry entry;
+  LogEntry entry;
   std::optional<Snapshot> snapshot;  // instead of an entry: the whole up to `index`
 };
 
-struct Output {
-  std::vector<Write> writes;
-  std::vector<Outgoing> sends;
-  std::vector<Applied> applied;
-  bool forgot = false;  // this disk has gone back: it takes no part any more, see Forgot()
+struct RaftOutput {
+  std::vector<StorageWrite> writes;
+  std::vector<OutgoingMessage> messages;
+  std::vector<AppliedEntry> applied;
+  bool storage_rolled_back = false;  // this disk has gone back: it takes no part any more, see Forgot()
 };
 
-enum class Role : uint8_t { kFollower, kTrial, kCandidate, kLeader };
+enum class Role : uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
-class Agreement {
+class RaftNode {
  public:
   // `disk` is what was durable, its boot already counted up. Throws std::invalid_argument for a
   // timing that makes no sense.
-  Agreement(std::string name, const Timing& timing, Disk disk, uint64_t seed, Time now);
+  RaftNode(std::string name, const RaftTiming& timing, PersistentState disk, uint64_t seed, Time now);
 
   // A link to another member came up, or went down. `of_you`: what the other remembers of this one,
   // told before anything else.
-  void Linked(Time now, const std::string& name, uint64_t life, const Claim& of_you, Output& out);
-  void Unlinked(const std::string& name);
+  void OnPeerConnected(Time now, const std::string& name, uint64_t life, const StorageClaim& of_you, RaftOutput& out);
+  void OnPeerDisconnected(const std::string& name);
 
-  void Receive(Time now, const Message& message, Output& out);
+  void OnMessage(Time now, const Message& message, RaftOutput& out);
   // The write with this ticket and all before it are durable.
-  void Durable(Time now, uint64_t ticket, Output& out);
+  void OnDurable(Time now, uint64_t ticket, RaftOutput& out);
   // What is due by now; to be called at NextDue() at the latest.
-  void Tick(Time now, Output& out);
-  [[nodiscard]] Time NextDue() const;
+  void OnTimeout(Time now, RaftOutput& out);
+  [[nodiscard]] Time NextTimeout() const;
 
   // The entry's index, where this member leads; it is agreed once it is applied in the same term.
-  std::optional<Index> Propose(Time now, std::string bytes, Output& out);
+  std::optional<Index> Propose(Time now, std::string bytes, RaftOutput& out);
   // Voters with one more, one less, or one whose life is another's. Nothing where this member does
   // not lead, or an earlier such change is not agreed yet.
-  std::optional<Index> ProposeVoters(Time now, std::vector<Voter> voters, Output& out);
+  std::optional<Index> ProposeVoters(Time now, std::vector<Voter> voters, RaftOutput& out);
 
   // What each of the users' entries takes to apply beside its own bytes: one event applies as many
   // as `apply_bytes` allow, and the rest is due at once, an event each. So one that has much to
   // catch up with holds up nothing else that its process does.
-  void Weigh(size_t bytes) { entry_weight_ = bytes; }
+  void set_apply_cost_bytes(size_t bytes) { apply_cost_bytes_ = bytes; }
   // Whether something that is agreed is still to be applied here.
-  [[nodiscard]] bool Behind() const { return applied_ < commit_ && !forgot_; }
+  [[nodiscard]] bool HasEntriesToApply() const { return last_applied_ < commit_index_ && !storage_rolled_back_; }
 
   // No lease goes to one that has not applied this entry; a slow one then holds nobody up for
   // longer than the lease that it has.
-  void Require(Index index) { required_ = index; }
+  void RequireAppliedForLease(Index index) { required_for_lease_ = index; }
 
   // Puts all up to `index`, which must be applied, into a snapshot.
-  void Compact(Index index, std::string bytes, Output& out);
+  void TakeSnapshot(Index index, std::string bytes, RaftOutput& out);
 
   // Whether this member leads and can know it: its word is good now.
-  [[nodiscard]] bool Leads(Time now) const { return now < LeadsUntil(now); }
-  [[nodiscard]] Time LeadsUntil(Time now) const;  // if nothing is heard
+  [[nodiscard]] bool IsLeaderWithLease(Time now) const { return now < LeaderLeaseUntil(now); }
+  [[nodiscard]] Time LeaderLeaseUntil(Time now) const;  // if nothing is heard
   // Until when it may act on what it has applied.
   [[nodiscard]] Time LeaseUntil(Time now) const;
   // Leader: every member that may hold a lease has applied `index`.
-  [[nodiscard]] bool AllApplied(Time now, Index index) const;
+  [[nodiscard]] bool AllLeaseHoldersApplied(Time now, Index index) const;
 
   [[nodiscard]] Role role() const { return role_; }
-  [[nodiscard]] Term term() const { return term_; }
+  [[nodiscard]] Term current_term() const { return current_term_; }
   [[nodiscard]] const std::string& leader() const { return leader_; }
   // Since when no leader has been heard.
-  [[nodiscard]] Time heard() const { return heard_; }
-  [[nodiscard]] Index applied() const { return applied_; }
-  [[nodiscard]] Index commit() const { return commit_; }
-  [[nodiscard]] Index last() const { return snapshot_.index + log_.size(); }
-  [[nodiscard]] Index first() const { return snapshot_.index + 1; }
+  [[nodiscard]] Time leader_heard_at() const { return leader_heard_at_; }
+  [[nodiscard]] Index last_applied() const { return last_applied_; }
+  [[nodiscard]] Index commit_index() const { return commit_index_; }
+  [[nodiscard]] Index last_log_index() const { return snapshot_.index + log_.size(); }
+  [[nodiscard]] Index first_log_index() const { return snapshot_.index + 1; }
   // One that is still in the log, agreed or not.
-  [[nodiscard]] const Entry& EntryAt(Index index) const { return At(index); }
+  [[nodiscard]] const LogEntry& EntryAt(Index index) const { return At(index); }
   [[nodiscard]] const std::vector<Voter>& voters() const;
-  [[nodiscard]] bool Votes() const;
+  [[nodiscard]] bool IsVotingMember() const;
   // Whether a disk that has gone back was found out: it must start anew with another life.
-  [[nodiscard]] bool Forgot() const { return forgot_; }
-  [[nodiscard]] uint64_t life() const { return life_; }
+  [[nodiscard]] bool storage_rolled_back() const { return storage_rolled_back_; }
+  [[nodiscard]] uint64_t incarnation() const { return incarnation_; }
   // What is remembered of another, to be told it when a link comes up.
-  [[nodiscard]] Claim KnownOf(const std::string& name) const;
+  [[nodiscard]] StorageClaim ClaimKnownOf(const std::string& name) const;
   // Until it is called, this member asks for no votes: a bank that is being formed, of which too
   // few are here. One whose disk went back to that state would else lead a bank of its own.
   void set_may_campaign(bool may) { may_campaign_ = may; }
-  [[nodiscard]] Index MatchOf(const std::string& name) const;
+  [[nodiscard]] Index MatchIndexOf(const std::string& name) const;
 
  private:
   struct Peer {
-    uint64_t life = 0;
-    bool linked = false;
-    Index next = 1, match = 0, applied = 0, told = 0;  // `told`: the commit that it was sent
-    bool waiting = false;                              // an append with entries is on its way
-    Time sent_at{0};                                   // when the last one went
-    Time acked_sent{-1};                               // when that was sent which it last answered
-    Time asked{-1};                                    // its clock, to be told back
-    Time asked_came{0};                                // ours
-    Time lease_end{-1};                                // ours
-    bool granted = false;                              // a vote, in this election
+    uint64_t incarnation = 0;
+    bool connected = false;
+    Index next_index = 1, match_index = 0, last_applied = 0, notified_commit_index = 0;  // `told`: the commit that it was sent
+    bool append_in_flight = false;                              // an append with entries is on its way
+    Time last_append_sent_at{0};                                   // when the last one went
+    Time acknowledged_sent_at{-1};                               // when that was sent which it last answered
+    Time lease_asked_at{-1};                                    // its clock, to be told back
+    Time lease_asked_received_at{0};                                // ours
+    Time lease_ends_at{-1};                                // ours
+    bool vote_granted = false;                              // a vote, in this election
   };
   [[nodiscard]] Term TermAt(Index index) const;
-  [[nodiscard]] const Entry& At(Index index) const { return log_[index - snapshot_.index - 1]; }
+  [[nodiscard]] const LogEntry& At(Index index) const { return log_[index - snapshot_.index - 1]; }
   [[nodiscard]] Duration Scaled(Duration d, double factor) const;
   // The most that a majority of the voters has at the least.
   template <typename Value, typename Of>
   [[nodiscard]] Value Majority(Value none, Of&& of) const {
-    std::array<Value, kVotersMost> all{};
+    std::array<Value, kMaxVoters> all{};
     size_t count = 0;
     for (const Voter& v : voters()) {
       if (count < all.size()) all[count++] = of(v);
@@ -242,65 +242,65 @@
     std::sort(all.begin(), all.begin() + count, std::greater<>());
     return count == 0 ? none : all[count / 2];
   }
-  [[nodiscard]] Time QuorumSent(Time now) const;
+  [[nodiscard]] Time QuorumAcknowledgedSentAt(Time now) const;
   [[nodiscard]] bool IsVoter(const std::string& name, uint64_t life) const;
-  [[nodiscard]] bool HeardLately(Time now) const;
-  void RestartTimer(Time now);
-  void Follow(Time now, Term term, const std::string& leader, Output& out);
+  [[nodiscard]] bool HeardFromLeaderRecently(Time now) const;
+  void ResetElectionTimer(Time now);
+  void BecomeFollower(Time now, Term term, const std::string& leader, RaftOutput& out);
   void StepDown();
-  void Campaign(Time now, bool trial, Output& out);
-  void CountVotes(Time now, Output& out);
-  void Lead(Time now, Output& out);
-  Index AppendOwn(Time now, Entry entry, Output& out);
-  void WriteOut(Output& out, Index from, std::vector<Entry> entries,
+  void StartNewElection(Time now, bool trial, RaftOutput& out);
+  void CountVotes(Time now, RaftOutput& out);
+  void BecomeLeader(Time now, RaftOutput& out);
+  Index AppendToOwnLog(Time now, LogEntry entry, RaftOutput& out);
+  void WriteToStorage(RaftOutput& out, Index from, std::vector<LogEntry> entries,
                 std::optional<Snapshot> snapshot = std::nullopt);
-  void SendAppend(Time now, const std::string& name, Peer& peer, Output& out);
-  void SendAll(Time now, Output& out);
-  void Post(Output& out, Message message, const std::string& to, uint64_t after);
-  bool Remember(const Message& message, Output& out);
-  bool Recognise(const Claim& of_you, Output& out);
-  void TellClaims(Time now, Output& out);
-  void OnAskVote(Time now, const Message& m, Output& out);
-  void OnVote(Time now, const Message& m, Output& out);
-  void OnAppend(Time now, const Message& m, Output& out);
-  void OnAppended(Time now, const Message& m, Output& out);
-  void OnSnapshot(Time now, const Message& m, Output& out);
-  void AdvanceCommit(Time now, Output& out);
+  void SendAppendEntries(Time now, const std::string& name, Peer& peer, RaftOutput& out);
+  void SendAppendEntriesToAll(Time now, RaftOutput& out);
+  void SendMessage(RaftOutput& out, Message message, const std::string& to, uint64_t after);
+  bool RememberClaim(const Message& message, RaftOutput& out);
+  bool CheckOwnClaim(const StorageClaim& of_you, RaftOutput& out);
+  void SendStorageClaims(Time now, RaftOutput& out);
+  void OnRequestVote(Time now, const Message& m, RaftOutput& out);
+  void OnRequestVoteReply(Time now, const Message& m, RaftOutput& out);
+  void OnAppendEntries(Time now, const Message& m, RaftOutput& out);
+  void OnAppendEntriesReply(Time now, const Message& m, RaftOutput& out);
+  void OnInstallSnapshot(Time now, const Message& m, RaftOutput& out);
+  void AdvanceCommitIndex(Time now, RaftOutput& out);
   [[nodiscard]] bool Current() const;
-  void Apply(Output& out);
-  void TellApplied(Output& out);
-  void Reindex();
+  void ApplyCommittedEntries(RaftOutput& out);
+  void NotifyApplied(RaftOutput& out);
+  void RebuildVoterIndex();
 
   std::string name_;
-  Timing timing_;
-  uint64_t life_, boot_;
+  RaftTiming timing_;
+  uint64_t incarnation_, restart_count_;
   std::mt19937_64 random_;
-  Term term_;
-  std::string vote_;
+  Term current_term_;
+  std::string voted_for_;
   Snapshot snapshot_;
-  std::deque<Entry> log_;
-  std::vector<std::pair<Index, std::vector<Voter>>> voters_;  // by the entry that made them
-  Index commit_, applied_;
-  Term found_term_;  // as the disk was found
-  Index found_last_;
-  Index acked_ = 0;  // to the leader of this term
-  Index required_ = 0;
-  size_t entry_weight_ = 0;
-  bool forgot_ = false, may_campaign_ = true;
-  Time claims_due_;  // when the other voters are told again what this disk holds
+  std::deque<LogEntry> log_;
+  std::vector<std::pair<Index, std::vector<Voter>>> voter_configurations_;  // by the entry that made them
+  Index commit_index_, last_applied_;
+  Term term_at_start_;  // as the disk was found
+  Index last_index_at_start_;
+  Index acknowledged_index_ = 0;  // to the leader of this term
+  Index required_for_lease_ = 0;
+  size_t apply_cost_bytes_ = 0;
+  bool storage_rolled_back_ = false, may_campaign_ = true;
+  Time claims_due_at_;  // when the other voters are told again what this disk holds
 
   Role role_ = Role::kFollower;
   std::string leader_;
-  Time heard_, timer_from_, timer_{0};
+  Time leader_heard_at_, election_timer_started_at_, election_timer_due_at_{0};
   Time lease_until_{-1};
-  Time led_since_{0};
-  uint64_t ticket_ = 0, durable_ = 0;
-  std::deque<std::pair<uint64_t, Index>> durable_at_;  // ticket, the last entry that it holds
-  Index durable_last_ = 0;
-  bool self_granted_ = false;
-  uint64_t vote_ticket_ = 0;
+  Time leader_since_{0};
+  uint64_t last_sequence_number_ = 0, durable_sequence_number_ = 0;
+  std::deque<std::pair<uint64_t, Index>> pending_writes_;  // ticket, the last entry that it holds
+  Index durable_last_index_ = 0;
+  bool own_vote_granted_ = false;
+  uint64_t vote_sequence_number_ = 0;
   std::map<std::string, Peer> peers_;
-  std::map<std::string, Claim> known_;
+  std::map<std::string, StorageClaim> known_claims_;
 };
 
 }  // namespace paddlestile::raft
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -13,42 +13,42 @@
 namespace paddlestile::simulator {
 namespace {
 
-void Apply(const simulator::Input& input, Time now, std::map<int64_t, Brain>& brains,
+void Apply(const simulator::InstanceEvent& input, Time now, std::map<int64_t, LoadBalancer>& brains,
            std::vector<Action>& actions) {
-  if (const auto* start = std::get_if<simulator::Start>(&input.what)) {
-    brains.insert_or_assign(input.instance, Brain(start->settings, start->seed));
-  } else if (std::holds_alternative<simulator::Retire>(input.what)) {
+  if (const auto* start = std::get_if<simulator::StartInstance>(&input.event)) {
+    brains.insert_or_assign(input.instance, LoadBalancer(start->settings, start->seed));
+  } else if (std::holds_alternative<simulator::RetireInstance>(input.event)) {
     brains.erase(input.instance);
   } else if (const auto brain = brains.find(input.instance); brain != brains.end()) {
-    brain->second.Handle(now, std::get<Event>(input.what), actions);
+    brain->second.Handle(now, std::get<Event>(input.event), actions);
   }
 }
 
 }  // namespace
 
-int RunHost(std::istream& in, std::ostream& out, std::ostream& err) {
-  simulator::Reader reader(in);
+int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err) {
+  simulator::ProtocolReader reader(in);
   simulator::Batch batch;
-  std::map<int64_t, Brain> brains;
+  std::map<int64_t, LoadBalancer> brains;
   std::vector<Action> actions;
   std::string reply;
   try {
     while (reader.Next(batch)) {
       reply.clear();
-      for (const simulator::Input& input : batch.inputs) {
+      for (const simulator::InstanceEvent& input : batch.events) {
         actions.clear();
         try {
           Apply(input, batch.now, brains, actions);
-          for (const Action& action : actions) simulator::Print(input.instance, action, reply);
+          for (const Action& action : actions) simulator::PrintAction(input.instance, action, reply);
         } catch (const std::exception& error) {
           brains.erase(input.instance);
           simulator::PrintPanic(input.instance, error.what(), reply);
         }
       }
-      simulator::PrintEnd(batch.seq, reply);
+      simulator::PrintEnd(batch.sequence, reply);
       out << reply << std::flush;
     }
-  } catch (const simulator::WireError& error) {
+  } catch (const simulator::ProtocolError& error) {
     err << "paddlestile_simulator_adapter: " << error.what() << std::endl;
     return 1;
   }
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -9,7 +9,7 @@
 
 // Answers batches until the input ends. Returns the exit code: 0 after a clean end, 1 after one
 // line on `err` about malformed input.
-int RunHost(std::istream& in, std::ostream& out, std::ostream& err);
+int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace paddlestile::simulator
 
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -4,5 +4,5 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  return paddlestile::simulator::RunHost(std::cin, std::cout, std::cerr);
+  return paddlestile::simulator::RunAdapter(std::cin, std::cout, std::cerr);
 }
