--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -75,9 +75,9 @@
   return std::string(text);
 }
 
-std::optional<Report> ToReport(std::string_view text) {
+std::optional<LoadReport> ToReport(std::string_view text) {
   if (Absent(text)) return std::nullopt;
-  Report report;
+  LoadReport report;
   for (const std::string_view part : Split(text, ',')) {
     report.push_back(ToNumber("load report", part));
   }
@@ -88,12 +88,12 @@
   static constexpr std::pair<std::string_view, Outcome> kOutcomes[] = {
       {"OK", Outcome::kOk},
       {"INTERNAL", Outcome::kError},
-      {"RESOURCE_EXHAUSTED", Outcome::kFull},
+      {"RESOURCE_EXHAUSTED", Outcome::kRejected},
       {"DEADLINE_EXCEEDED", Outcome::kTimeout},
       {"UNAVAILABLE", Outcome::kConnectFailed},
       {"ABORTED", Outcome::kReset},
       {"CANCELLED", Outcome::kCancelled},
-      {"TOO_LATE", Outcome::kMoot}};
+      {"TOO_LATE", Outcome::kNotSent}};
   for (const auto& [word, outcome] : kOutcomes) {
     if (word == text) return outcome;
   }
@@ -129,11 +129,11 @@
   }
 }
 
-ListKind ToListKind(std::string_view text) {
-  if (text == "incr") return ListKind::kDelta;
-  if (text == "total") return ListKind::kFull;
-  if (text == "warm_copy") return ListKind::kCached;
-  if (text == "lost") return ListKind::kFailed;
+EndpointUpdateKind ToListKind(std::string_view text) {
+  if (text == "incr") return EndpointUpdateKind::kDelta;
+  if (text == "total") return EndpointUpdateKind::kFull;
+  if (text == "warm_copy") return EndpointUpdateKind::kCached;
+  if (text == "lost") return EndpointUpdateKind::kFailed;
   throw Bad("Mode", text);
 }
 
@@ -141,10 +141,10 @@
   if (parts[0] != "host") throw Bad("list entry", parts[0]);
   NeedParts(parts, 8);
   EndpointInfo info;
-  info.launched = Absent(parts[1]) ? Time(0) : ToTime("Launched", parts[1]);
+  info.started_at = Absent(parts[1]) ? Time(0) : ToTime("Launched", parts[1]);
   info.id = ToWord("Host", parts[2]);
   if (!Absent(parts[3])) info.zone = static_cast<int>(ToIndex("FailureDomain", parts[3]));
-  if (!Absent(parts[4])) info.kind = ToIndex("Hw", parts[4]);
+  if (!Absent(parts[4])) info.machine_kind = ToIndex("Hw", parts[4]);
   info.weight = Absent(parts[5]) ? 1 : ToNumber("PowerHint", parts[5]);
   if (!Absent(parts[6])) info.cell = static_cast<int>(ToIndex("Group", parts[6]));
   if (parts[7] == "up") {
@@ -159,30 +159,30 @@
   return info;
 }
 
-Submit ToSubmit(const Parts& parts) {
+RequestArrived ToSubmit(const Parts& parts) {
   NeedParts(parts, 10);
-  Submit submit;
+  RequestArrived submit;
   submit.id = ToWord("RequestId", parts[2]);
   submit.deadline = ToTime("ClientDeadline", parts[3]);
   submit.tenant = Absent(parts[4]) ? 0 : ToIndex("Org", parts[4]);
   submit.is_write = !Absent(parts[5]) && ToBool("IsWrite", parts[5]);
-  submit.cls = ToIndex("Band", parts[6]);
+  submit.request_class = ToIndex("Band", parts[6]);
   if (!Absent(parts[7])) submit.key = std::string(parts[7]);
-  if (!Absent(parts[8])) submit.expected = ToTime("Expected", parts[8]);
-  submit.again = !Absent(parts[9]) && ToBool("AgainByClient", parts[9]);
+  if (!Absent(parts[8])) submit.expected_work = ToTime("Expected", parts[8]);
+  submit.is_client_retry = !Absent(parts[9]) && ToBool("AgainByClient", parts[9]);
   return submit;
 }
 
-Settled ToSettled(const Parts& parts) {
+AttemptFinished ToSettled(const Parts& parts) {
   NeedParts(parts, 9);
-  Settled settled;
+  AttemptFinished settled;
   settled.id = ToWord("RequestId", parts[2]);
   settled.attempt = ToIndex("Trial", parts[3]);
   settled.endpoint = ToWord("Host", parts[4]);
   settled.outcome = ToOutcome(parts[5]);
-  settled.took = Absent(parts[6]) ? Duration(0) : ToTime("TimeTaken", parts[6]);
-  settled.final = ToBool("Final", parts[7]);
-  settled.report = ToReport(parts[8]);
+  settled.elapsed = Absent(parts[6]) ? Duration(0) : ToTime("TimeTaken", parts[6]);
+  settled.request_finished = ToBool("Final", parts[7]);
+  settled.load_report = ToReport(parts[8]);
   return settled;
 }
 
@@ -284,96 +284,96 @@
 
 Settings Parse(const Facts& facts) {
   Settings s;
-  facts.Read("Me", s.me);
-  facts.Read("NInstances", s.instances);
+  facts.Read("Me", s.instance_index);
+  facts.Read("NInstances", s.instance_count);
   facts.Read("Zone", s.zone);
-  s.zones = std::max<int>(1, static_cast<int>(facts.List("FailureDomains").size()));
+  s.zone_count = std::max<int>(1, static_cast<int>(facts.List("FailureDomains").size()));
   for (int i = 0, n = facts.Count("Classes"); i < n; ++i) {
     const std::string at = "Classes." + std::to_string(i) + ".";
     RequestClass c;
-    facts.Read<Effect>(
-        at + "Effect", c.effect,
-        {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}});
-    facts.Read<DedupGroup>(
-        at + "Group", c.group,
-        {{"all", DedupGroup::kAll}, {"zone", DedupGroup::kZone}, {"cell", DedupGroup::kCell}});
-    facts.Read(at + "Window", c.window);
-    facts.Read(at + "Slo", c.aim);
+    facts.Read<Idempotency>(
+        at + "Effect", c.idempotency,
+        {{"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}});
+    facts.Read<DeduplicationScope>(
+        at + "Group", c.deduplication_scope,
+        {{"all", DeduplicationScope::kAll}, {"zone", DeduplicationScope::kZone}, {"cell", DeduplicationScope::kCell}});
+    facts.Read(at + "Window", c.deduplication_window);
+    facts.Read(at + "Slo", c.latency_objective);
     facts.Read(at + "Deadline", c.deadline);
-    facts.Read(at + "AimStretch", c.aim_stretch);
-    facts.Read(at + "Worth", c.worth);
-    facts.Read(at + "LateShare", c.late_share);
-    facts.Read(at + "Streamed", c.streamed);
+    facts.Read(at + "AimStretch", c.latency_objective_stretch);
+    facts.Read(at + "Worth", c.priority_weight);
+    facts.Read(at + "LateShare", c.late_value_fraction);
+    facts.Read(at + "Streamed", c.is_streamed);
     s.classes.push_back(c);
   }
   for (int i = 0, n = facts.Count("Tenants"); i < n; ++i) {
     const std::string at = "Tenants." + std::to_string(i) + ".";
-    Tenant t;
-    facts.Read(at + "QuotaPerS", t.quota_per_s);
+    TenantQuota t;
+    facts.Read(at + "QuotaPerS", t.requests_per_second);
     facts.Read(at + "Share", t.share);
     s.tenants.push_back(t);
   }
-  facts.Read("OverShareWorth", s.over_share_worth);
+  facts.Read("OverShareWorth", s.over_quota_priority_factor);
   enum class Value { kRequest, kWork } value_by = Value::kRequest;
   facts.Read<Value>("ValueBy", value_by, {{"request", Value::kRequest}, {"work", Value::kWork}});
-  s.worth_by_work = value_by == Value::kWork;
+  s.priority_scales_with_work = value_by == Value::kWork;
   facts.Read<DiscoveryMode>(
-      "RegistryMode", s.discovery,
-      {{"automatic", DiscoveryMode::kPush}, {"subscribe", DiscoveryMode::kAsk}});
+      "RegistryMode", s.discovery_mode,
+      {{"automatic", DiscoveryMode::kPush}, {"subscribe", DiscoveryMode::kPoll}});
   facts.Read<WeightKind>("WeightKind", s.weight_kind,
                          {{"none", WeightKind::kNone},
                           {"nominal", WeightKind::kNominal},
                           {"rough", WeightKind::kRough},
                           {"live", WeightKind::kLive}});
-  facts.Read("Callers.MarksRetry", s.callers_mark_retry);
-  facts.Read("FamilyInfo.WarmKeys", s.warm_keys);
+  facts.Read("Callers.MarksRetry", s.clients_mark_retries);
+  facts.Read("FamilyInfo.WarmKeys", s.key_affinity);
   facts.Read("Allowed.Cancel", s.allowed.cancel);
-  facts.Read("Allowed.ParallelTries", s.allowed.parallel_tries);
+  facts.Read("Allowed.ParallelTries", s.allowed.parallel_attempts);
   facts.Read("Allowed.Probes", s.allowed.probes);
   facts.Read("Allowed.PeerMessages", s.allowed.peer_messages);
   facts.Read("Allowed.RetryAfter", s.allowed.retry_after);
   facts.Read("Allowed.MaxRetryAfter", s.allowed.max_retry_after);
   facts.Read("Allowed.ConnectTimeout", s.allowed.connect_timeout);
-  facts.Read("Allowed.SendCap", s.allowed.send_cap);
-  facts.Read("Allowed.MostHeld", s.allowed.most_held);
+  facts.Read("Allowed.SendCap", s.allowed.max_attempts);
+  facts.Read("Allowed.MostHeld", s.allowed.max_held_requests);
   facts.Read("Allowed.MaxStreams", s.allowed.max_streams);
   facts.Read("Allowed.CpuUsPerS", s.allowed.cpu_us_per_s);
-  facts.Read("Charges.CrossZone", s.charges.cross_zone);
-  facts.Read("Charges.Handshake", s.charges.handshake);
-  facts.Read("Charges.LateFail", s.charges.late_fail);
-  facts.Read("Charges.Probe", s.charges.probe);
-  facts.Read("Charges.Waste", s.charges.waste);
-  facts.Read("Charges.Connection", s.charges.connection);
-  facts.Read("ResultMix.Whole", s.mix.whole);
-  facts.Read("ResultMix.WorstClass", s.mix.worst_class);
-  facts.Read("ResultMix.WorstTenant", s.mix.worst_tenant);
-  facts.Read("ResultMix.WorstWindow", s.mix.worst_window);
-  facts.Read("ResultMix.NinesPart", s.mix.nines);
-  facts.Read("ResultMix.TopNines", s.mix.top_nines);
-  if (facts.Has("ResultMix.NinesPart") && s.mix.nines < 0) {
-    throw Bad("ResultMix.NinesPart", std::to_string(s.mix.nines), "0 or more");
+  facts.Read("Charges.CrossZone", s.costs.cross_zone);
+  facts.Read("Charges.Handshake", s.costs.handshake);
+  facts.Read("Charges.LateFail", s.costs.late_failure);
+  facts.Read("Charges.Probe", s.costs.probe);
+  facts.Read("Charges.Waste", s.costs.wasted_work);
+  facts.Read("Charges.Connection", s.costs.connection);
+  facts.Read("ResultMix.Whole", s.score_weights.whole);
+  facts.Read("ResultMix.WorstClass", s.score_weights.worst_class);
+  facts.Read("ResultMix.WorstTenant", s.score_weights.worst_tenant);
+  facts.Read("ResultMix.WorstWindow", s.score_weights.worst_window);
+  facts.Read("ResultMix.NinesPart", s.score_weights.nines);
+  facts.Read("ResultMix.TopNines", s.score_weights.top_nines);
+  if (facts.Has("ResultMix.NinesPart") && s.score_weights.nines < 0) {
+    throw Bad("ResultMix.NinesPart", std::to_string(s.score_weights.nines), "0 or more");
   }
-  if (facts.Has("ResultMix.TopNines") && s.mix.top_nines <= 0) {
-    throw Bad("ResultMix.TopNines", std::to_string(s.mix.top_nines), "a number above 0");
+  if (facts.Has("ResultMix.TopNines") && s.score_weights.top_nines <= 0) {
+    throw Bad("ResultMix.TopNines", std::to_string(s.score_weights.top_nines), "a number above 0");
   }
-  if (s.mix.nines > 0 && !facts.Has("ResultMix.TopNines")) {
-    throw Bad("ResultMix.NinesPart", std::to_string(s.mix.nines), "ResultMix.TopNines beside it");
+  if (s.score_weights.nines > 0 && !facts.Has("ResultMix.TopNines")) {
+    throw Bad("ResultMix.NinesPart", std::to_string(s.score_weights.nines), "ResultMix.TopNines beside it");
   }
-  facts.Read("Obligations.AnswerSlack", s.obligations.answer_slack);
-  facts.Read("Obligations.DrainGrace", s.obligations.drain_grace);
-  facts.Read("Obligations.MustAskIn", s.obligations.must_ask_in);
-  facts.Read("Obligations.ColdFrom", s.obligations.cold_from);
-  facts.Read("Obligations.WarmWithin", s.obligations.warm_within);
-  facts.Read("Obligations.FallMultiple", s.obligations.fall_multiple);
-  facts.Read("Obligations.Fall", s.obligations.fall);
-  facts.Read<ReportSource>("Stats.Source", s.report.source,
-                           {{"answers", ReportSource::kAnswers},
-                            {"probe", ReportSource::kProbe},
-                            {"none", ReportSource::kNone}});
+  facts.Read("Obligations.AnswerSlack", s.rules.response_slack);
+  facts.Read("Obligations.DrainGrace", s.rules.drain_grace);
+  facts.Read("Obligations.MustAskIn", s.rules.discovery_interval);
+  facts.Read("Obligations.ColdFrom", s.rules.slow_start_initial_capacity);
+  facts.Read("Obligations.WarmWithin", s.rules.slow_start_duration);
+  facts.Read("Obligations.FallMultiple", s.rules.overload_collapse_multiple);
+  facts.Read("Obligations.Fall", s.rules.overload_collapse_duration);
+  facts.Read<LoadReportSource>("Stats.Source", s.load_report.source,
+                           {{"answers", LoadReportSource::kResponses},
+                            {"probe", LoadReportSource::kProbes},
+                            {"none", LoadReportSource::kNone}});
   const Parts fields = facts.List("Stats.Fields");
   for (size_t i = 0; i < fields.size(); ++i) {
-    if (fields[i] == "inflight") s.report.inflight = i;
-    if (fields[i] == "latency_ms") s.report.latency_ms = i;
+    if (fields[i] == "inflight") s.load_report.inflight = i;
+    if (fields[i] == "latency_ms") s.load_report.latency_ms = i;
   }
   return s;
 }
@@ -390,16 +390,16 @@
 
 // ---- Reading --------------------------------------------------------------------------------
 
-bool Reader::GetLine() {
+bool ProtocolReader::GetLine() {
   ++line_no_;
   if (!std::getline(in_, line_)) return false;
-  if (in_.eof()) throw WireError(line_no_, "the input ends in the middle of a line");
+  if (in_.eof()) throw ProtocolError(line_no_, "the input ends in the middle of a line");
   if (!line_.empty() && line_.back() == '\r') line_.pop_back();
   return true;
 }
 
-bool Reader::Next(Batch& batch) {
-  batch.inputs.clear();
+bool ProtocolReader::Next(Batch& batch) {
+  batch.events.clear();
   do {
     if (!GetLine()) return false;
   } while (line_.empty());
@@ -408,19 +408,19 @@
     if (parts[0] != "clock") throw Bad("message before clock", parts[0]);
     NeedParts(parts, 3);
     batch.now = ToTime("clock", parts[1]);
-    batch.seq = std::to_string(ToInt<uint64_t>("batch number", parts[2]));
+    batch.sequence = std::to_string(ToInt<uint64_t>("batch number", parts[2]));
     while (GetLine()) {
       if (line_ == "eob") return true;
       if (line_.empty()) throw std::invalid_argument("an empty line inside a batch");
       ParseEvent(batch);
     }
   } catch (const std::invalid_argument& error) {
-    throw WireError(line_no_, error.what());
+    throw ProtocolError(line_no_, error.what());
   }
-  throw WireError(line_no_, "the input ends in the middle of a batch");
+  throw ProtocolError(line_no_, "the input ends in the middle of a batch");
 }
 
-void Reader::ReadRoster(const Parts& parts) {
+void ProtocolReader::ReadRoster(const Parts& parts) {
   NeedParts(parts, 3);
   const uint32_t bank = ToIndex("Bank", parts[1]);
   if (bank >= kMaxRosters) throw Bad("Bank", parts[1]);
@@ -428,14 +428,14 @@
   std::vector<EndpointInfo> entries;
   std::set<std::string> seen;
   for (uint32_t i = 0; i < count; ++i) {
-    if (!GetLine()) throw WireError(line_no_, "the input ends in the middle of a list");
+    if (!GetLine()) throw ProtocolError(line_no_, "the input ends in the middle of a list");
     entries.push_back(ToEndpoint(Split(line_, ' ')));
     if (!seen.insert(entries.back().id).second) throw Bad("repeated host", entries.back().id);
   }
   rosters_[bank] = std::move(entries);
 }
 
-void Reader::ParseEvent(Batch& batch) {
+void ProtocolReader::ParseEvent(Batch& batch) {
   // The line is kept apart, since reading a list overwrites it.
   const std::string held = line_;
   const std::string_view line = held;
@@ -445,11 +445,11 @@
     const size_t seed = who == std::string_view::npos ? who : line.find(' ', who + 1);
     if (seed == std::string_view::npos) throw std::invalid_argument("start lacks a value");
     const size_t facts = std::min(line.find(' ', seed + 1), line.size());
-    Start start;
+    StartInstance start;
     start.seed = ToInt<uint64_t>("Prng", line.substr(seed + 1, facts - seed - 1));
     start.settings = ParseSettings(facts < line.size() ? line.substr(facts + 1) : "");
     const auto instance = ToInt<int64_t>("Who", line.substr(who + 1, seed - who - 1));
-    batch.inputs.push_back({instance, std::move(start)});
+    batch.events.push_back({instance, std::move(start)});
     return;
   }
   const Parts parts = Split(line, ' ');
@@ -463,44 +463,44 @@
   if (known == std::end(kTags)) throw Bad("message", tag);
   NeedParts(parts, known->second);
   const auto who = ToInt<int64_t>("Who", parts[1]);
-  const auto add = [&](auto event) { batch.inputs.push_back({who, Event(std::move(event))}); };
+  const auto add = [&](auto event) { batch.events.push_back({who, Event(std::move(event))}); };
   if (tag == "retire") {
-    batch.inputs.push_back({who, Retire{}});
+    batch.events.push_back({who, RetireInstance{}});
   } else if (tag == "announce") {
-    Members members;
+    EndpointUpdate members;
     members.kind = ToListKind(parts[2]);
     if (!Absent(parts[3])) ToInt<int64_t>("SeqNo", parts[3]);
-    if (members.kind != ListKind::kFailed) {
+    if (members.kind != EndpointUpdateKind::kFailed) {
       const auto at = rosters_.find(ToIndex("Bank", parts[4]));
       if (at == rosters_.end()) throw Bad("unknown list", parts[4]);
-      members.entries = at->second;
+      members.endpoints = at->second;
     }
     add(std::move(members));
   } else if (tag == "submit") {
     add(ToSubmit(parts));
   } else if (tag == "established") {
-    add(Established{ToWord("RequestId", parts[2]), ToIndex("Trial", parts[3]),
+    add(ResponseStarted{ToWord("RequestId", parts[2]), ToIndex("Trial", parts[3]),
                     ToWord("Host", parts[4]),
                     Absent(parts[5]) ? Duration(0) : ToTime("TimeTaken", parts[5])});
   } else if (tag == "settled") {
     add(ToSettled(parts));
   } else if (tag == "client_left") {
-    add(ClientLeft{ToWord("RequestId", parts[2])});
+    add(ClientDisconnected{ToWord("RequestId", parts[2])});
   } else if (tag == "deadline_hit") {
     add(TimerFired{std::string(parts[2])});
   } else if (tag == "health_result") {
-    add(ProbeResult{ToWord("Host", parts[2]), ToOutcome(parts[3]),
+    add(ProbeFinished{ToWord("Host", parts[2]), ToOutcome(parts[3]),
                     Absent(parts[4]) ? Duration(0) : ToTime("TimeTaken", parts[4]),
                     ToReport(parts[5])});
   } else {
     const uint32_t from = Absent(parts[2]) ? 0 : ToIndex("OriginPeer", parts[2]);
-    add(PeerNote{static_cast<int>(from), FromBase64(parts[3])});
+    add(PeerMessage{static_cast<int>(from), FromBase64(parts[3])});
   }
 }
 
 // ---- Printing -------------------------------------------------------------------------------
 
-void Print(int64_t instance, const Action& action, std::string& out) {
+void PrintAction(int64_t instance, const Action& action, std::string& out) {
   const auto begin = [&](std::string_view tag) {
     out += tag;
     out += ' ';
@@ -517,19 +517,19 @@
   std::visit(
       [&](const auto& a) {
         using T = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<T, Send>) {
+        if constexpr (std::is_same_v<T, StartAttempt>) {
           begin("place");
           word(a.id);
           word(a.endpoint);
           millis(a.timeout);
-        } else if constexpr (std::is_same_v<T, Refuse>) {
+        } else if constexpr (std::is_same_v<T, RejectRequest>) {
           begin("push_back");
           word(a.id);
-          millis(a.stay_away);
-        } else if constexpr (std::is_same_v<T, Fail>) {
+          millis(a.retry_after);
+        } else if constexpr (std::is_same_v<T, FailRequest>) {
           begin("surrender");
           word(a.id);
-        } else if constexpr (std::is_same_v<T, Cancel>) {
+        } else if constexpr (std::is_same_v<T, CancelAttempt>) {
           begin("revoke");
           word(a.id);
           word(std::to_string(a.attempt));
@@ -537,16 +537,16 @@
           begin("arm");
           millis(a.after);
           word(a.token);
-        } else if constexpr (std::is_same_v<T, Probe>) {
+        } else if constexpr (std::is_same_v<T, StartProbe>) {
           begin("ping");
           word(a.endpoint);
-        } else if constexpr (std::is_same_v<T, CloseIdle>) {
+        } else if constexpr (std::is_same_v<T, CloseIdleConnections>) {
           begin("free_links");
           word(a.endpoint);
-        } else if constexpr (std::is_same_v<T, Follow>) {
+        } else if constexpr (std::is_same_v<T, WatchEndpoints>) {
           begin("follow");
           word(a.on ? "1" : "0");
-        } else if constexpr (std::is_same_v<T, FetchList>) {
+        } else if constexpr (std::is_same_v<T, PollEndpoints>) {
           begin("read_list");
         } else {
           static_assert(std::is_same_v<T, LogMessage>);
--- a/src/simulator/protocol.h
+++ b/src/simulator/protocol.h
@@ -17,35 +17,35 @@
 namespace paddlestile::simulator {
 
 // Malformed input: what() says the line number and the reason.
-class WireError : public std::runtime_error {
+class ProtocolError : public std::runtime_error {
  public:
-  WireError(uint64_t line, const std::string& reason)
+  ProtocolError(uint64_t line, const std::string& reason)
       : std::runtime_error("line " + std::to_string(line) + ": " + reason) {}
 };
 
-struct Start {
+struct StartInstance {
   Settings settings;
   uint64_t seed = 0;
 };
-struct Retire {};
+struct RetireInstance {};
 
 // One event as it stood on the wire, for one instance.
-struct Input {
+struct InstanceEvent {
   int64_t instance = 0;
-  std::variant<Start, Retire, Event> what;
+  std::variant<StartInstance, RetireInstance, Event> event;
 };
 
 struct Batch {
   Time now{0};
-  std::string seq;
-  std::vector<Input> inputs;
+  std::string sequence;
+  std::vector<InstanceEvent> events;
 };
 
 // Reads batches from a stream. Numbered lists outlive a batch, so the reader keeps them.
-class Reader {
+class ProtocolReader {
  public:
-  explicit Reader(std::istream& in) : in_(in) {}
-  // False at a clean end of input between two batches; throws WireError on anything malformed.
+  explicit ProtocolReader(std::istream& in) : in_(in) {}
+  // False at a clean end of input between two batches; throws ProtocolError on anything malformed.
   bool Next(Batch& batch);
 
  private:
@@ -66,7 +66,7 @@
 std::vector<std::string> UnreadSettings(std::string_view facts);
 
 // Appends the line of an action for an instance, newline included.
-void Print(int64_t instance, const Action& action, std::string& out);
+void PrintAction(int64_t instance, const Action& action, std::string& out);
 void PrintPanic(int64_t instance, std::string_view reason, std::string& out);
 void PrintEnd(std::string_view seq, std::string& out);
 
--- a/src/storage/controlled_files.cpp
+++ b/src/storage/controlled_files.cpp
@@ -10,7 +10,7 @@
 namespace paddlestile::storage {
 namespace {
 
-class Controlled final : public Files {
+class Controlled final : public FileSystem {
  public:
   explicit Controlled(std::string control) : control_(std::move(control)) {}
   bool Exists(const std::string& path) override { return real_.Exists(path); }
@@ -54,12 +54,12 @@
   }
 
   std::string control_;
-  Files& real_ = RealFiles();
+  FileSystem& real_ = SystemFiles();
 };
 
 }  // namespace
 
-std::unique_ptr<Files> ControlledFiles(std::string control) {
+std::unique_ptr<FileSystem> ControlledFileSystem(std::string control) {
   return std::make_unique<Controlled>(std::move(control));
 }
 
--- a/src/storage/controlled_files.h
+++ b/src/storage/controlled_files.h
@@ -11,7 +11,7 @@
 
 namespace paddlestile::storage {
 
-std::unique_ptr<Files> ControlledFiles(std::string control);
+std::unique_ptr<FileSystem> ControlledFileSystem(std::string control);
 
 }  // namespace paddlestile::storage
 
--- a/src/storage/faulty_files.cpp
+++ b/src/storage/faulty_files.cpp
@@ -8,9 +8,9 @@
 constexpr size_t kPage = 64;  // bytes that reach the disk or not as one
 }  // namespace
 
-class FaultyFiles::Handle final : public File {
+class FaultyFileSystem::Handle final : public File {
  public:
-  Handle(FaultyFiles& disk, std::shared_ptr<Content> content)
+  Handle(FaultyFileSystem& disk, std::shared_ptr<Content> content)
       : disk_(disk), content_(std::move(content)) {}
   void Append(std::string_view bytes) override {
     disk_.Changes();
@@ -26,15 +26,15 @@
   }
 
  private:
-  FaultyFiles& disk_;
+  FaultyFileSystem& disk_;
   std::shared_ptr<Content> content_;
 };
 
-void FaultyFiles::Changes() {
+void FaultyFileSystem::Changes() {
   if (calls++ >= power_after) throw FileError("no power", EIO);
 }
 
-void FaultyFiles::Restore() {
+void FaultyFileSystem::Restore() {
   power_after = SIZE_MAX;
   // A name whose folder was not synced may be the old one or the new one.
   std::map<std::string, std::shared_ptr<Content>> names = durable_names_;
@@ -73,26 +73,26 @@
   locks_.clear();
 }
 
-void FaultyFiles::Flip(const std::string& path, size_t byte, int bit) {
+void FaultyFileSystem::Flip(const std::string& path, size_t byte, int bit) {
   Content& content = *names_.at(path);
   for (std::string* const text : {&content.now, &content.durable}) {
     if (byte < text->size()) (*text)[byte] = static_cast<char>((*text)[byte] ^ (1 << bit));
   }
 }
 
-void FaultyFiles::Cut(const std::string& path, size_t size) {
+void FaultyFileSystem::Cut(const std::string& path, size_t size) {
   Content& content = *names_.at(path);
   content.now.resize(std::min(content.now.size(), size));
   content.durable = content.now;
 }
 
-std::string FaultyFiles::Read(const std::string& path) {
+std::string FaultyFileSystem::Read(const std::string& path) {
   const auto at = names_.find(path);
   if (at == names_.end()) throw FileError(path + ": no such file", ENOENT);
   return at->second->now;
 }
 
-std::unique_ptr<File> FaultyFiles::Open(const std::string& path, uint64_t keep) {
+std::unique_ptr<File> FaultyFileSystem::Open(const std::string& path, uint64_t keep) {
   Changes();
   auto& content = names_[path];
   if (!content) content = std::make_shared<Content>();
@@ -100,23 +100,23 @@
   return std::make_unique<Handle>(*this, content);
 }
 
-void FaultyFiles::Rename(const std::string& from, const std::string& to) {
+void FaultyFileSystem::Rename(const std::string& from, const std::string& to) {
   Changes();
   names_[to] = names_.at(from);
   names_.erase(from);
 }
 
-void FaultyFiles::Remove(const std::string& path) {
+void FaultyFileSystem::Remove(const std::string& path) {
   Changes();
   names_.erase(path);
 }
 
-void FaultyFiles::SyncFolder(const std::string&) {
+void FaultyFileSystem::SyncFolder(const std::string&) {
   Changes();
   durable_names_ = names_;
 }
 
-std::shared_ptr<void> FaultyFiles::Lock(const std::string& path) {
+std::shared_ptr<void> FaultyFileSystem::Lock(const std::string& path) {
   if (!locks_[path].expired()) return nullptr;
   auto lock = std::make_shared<int>(0);
   locks_[path] = lock;
--- a/src/storage/faulty_files.h
+++ b/src/storage/faulty_files.h
@@ -17,9 +17,9 @@
 
 namespace paddlestile::storage {
 
-class FaultyFiles final : public Files {
+class FaultyFileSystem final : public FileSystem {
  public:
-  explicit FaultyFiles(uint64_t seed) : random_(seed) {}
+  explicit FaultyFileSystem(uint64_t seed) : random_(seed) {}
 
   // ---- What goes wrong ------------------------------------------------------------------------
   // After so many calls that change something, power is lost: every later call fails with EIO until
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -62,7 +62,7 @@
   uint64_t size_;
 };
 
-class SystemFiles final : public Files {
+class PosixFileSystem final : public FileSystem {
  public:
   bool Exists(const std::string& path) override { return access(path.c_str(), F_OK) == 0; }
   std::string Read(const std::string& path) override {
@@ -109,8 +109,8 @@
 
 }  // namespace
 
-Files& RealFiles() {
-  static SystemFiles files;
+FileSystem& SystemFiles() {
+  static PosixFileSystem files;
   return files;
 }
 
--- a/src/storage/files.h
+++ b/src/storage/files.h
@@ -31,9 +31,9 @@
 };
 
 // Paths are the caller's; a folder holds files alone.
-class Files {
+class FileSystem {
  public:
-  virtual ~Files() = default;
+  virtual ~FileSystem() = default;
   [[nodiscard]] virtual bool Exists(const std::string& path) = 0;
   virtual std::string Read(const std::string& path) = 0;
   // Opens for appending behind the first `keep` bytes; the rest goes. Created where it is not
@@ -49,7 +49,7 @@
 };
 
 // The system's own.
-Files& RealFiles();
+FileSystem& SystemFiles();
 
 }  // namespace paddlestile::storage
 
--- a/src/storage/write_ahead_log.cpp
+++ b/src/storage/write_ahead_log.cpp
@@ -44,7 +44,7 @@
 }
 
 std::string HeadOf(uint64_t first) {
-  FileHead head{{}, Log::kFormat, 0, first};
+  FileHead head{{}, WriteAheadLog::kFormatVersion, 0, first};
   std::memcpy(head.magic, kMagic.data(), kMagic.size());
   head.check = CheckOf(head);
   return {reinterpret_cast<const char*>(&head), sizeof(head)};
@@ -61,17 +61,17 @@
 
 }  // namespace
 
-Log::Found Log::Scan(const std::string& path, const std::string& bytes,
+WriteAheadLog::Found WriteAheadLog::Scan(const std::string& path, const std::string& bytes,
                      const std::function<void(std::string_view)>& record) {
   FileHead file{};
   if (bytes.size() < sizeof(file)) return {};
   std::memcpy(&file, bytes.data(), sizeof(file));
   if (std::string_view(file.magic, sizeof(file.magic)) != kMagic || file.check != CheckOf(file)) {
-    throw DamageError(path + " at 0: no head of a log");
+    throw CorruptionError(path + " at 0: no head of a log");
   }
-  if (file.format != kFormat) {
-    throw DamageError(path + " at 8: format " + std::to_string(file.format) + ", expected " +
-                      std::to_string(kFormat));
+  if (file.format != kFormatVersion) {
+    throw CorruptionError(path + " at 8: format " + std::to_string(file.format) + ", expected " +
+                      std::to_string(kFormatVersion));
   }
   Found found{file.first, sizeof(file), 0};
   RecordHead head{};
@@ -85,7 +85,7 @@
   // durable.
   for (size_t at = found.good; at + sizeof(head) <= bytes.size(); ++at) {
     if (RecordAt(bytes, at, head) && head.number >= found.next && head.synced > found.good) {
-      throw DamageError(path + " at " + std::to_string(found.good) +
+      throw CorruptionError(path + " at " + std::to_string(found.good) +
                         ": a record that does not check out, with whole ones behind it");
     }
   }
@@ -93,7 +93,7 @@
   return found;
 }
 
-Log::Log(Files& files, std::string folder, const std::function<void(std::string_view)>& record)
+WriteAheadLog::WriteAheadLog(FileSystem& files, std::string folder, const std::function<void(std::string_view)>& record)
     : files_(files), folder_(std::move(folder)) {
   const std::string path = PathIn(folder_);
   const std::string bytes = files_.Exists(path) ? files_.Read(path) : std::string();
@@ -119,22 +119,22 @@
   synced_ = size_;
 }
 
-void Log::Read(Files& files, const std::string& folder,
+void WriteAheadLog::Read(FileSystem& files, const std::string& folder,
                const std::function<void(std::string_view)>& record) {
   const std::string path = PathIn(folder);
   if (files.Exists(path)) Scan(path, files.Read(path), record);
 }
 
-void Log::Append(std::string_view record) {
+void WriteAheadLog::Append(std::string_view record) {
   if (broken_) throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
-  if (record.size() > kRecordMost) throw FileError("a record over 64 MiB", 0);
+  if (record.size() > kMaxRecordBytes) throw FileError("a record over 64 MiB", 0);
   const std::string bytes = Whole(record, next_, synced_);
   file_->Append(bytes);
   ++next_;
   size_ += bytes.size();
 }
 
-void Log::Sync() {
+void WriteAheadLog::Sync() {
   if (broken_) throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
   try {
     file_->Sync();
@@ -145,7 +145,7 @@
   synced_ = size_;
 }
 
-void Log::Replace(const std::vector<std::string>& records) {
+void WriteAheadLog::Replace(const std::vector<std::string>& records) {
   if (broken_) throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
   const std::string path = PathIn(folder_), part = path + ".new";
   std::string bytes = HeadOf(next_);
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -15,24 +15,24 @@
 namespace paddlestile::storage {
 
 // A record that was durable and no longer checks out: file, offset, what was found.
-class DamageError : public std::runtime_error {
+class CorruptionError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-class Log {
+class WriteAheadLog {
  public:
-  static constexpr size_t kRecordMost = 64 << 20;  // bytes
-  static constexpr uint32_t kFormat = 1;
+  static constexpr size_t kMaxRecordBytes = 64 << 20;  // bytes
+  static constexpr uint32_t kFormatVersion = 1;
 
   // Opens or makes the log in `folder`, which is there, and tells its records in order. A last
   // record that was cut while it was written is cut off: that was never promised. Throws
-  // DamageError and changes nothing where one before the end does not check out, or the format is
+  // CorruptionError and changes nothing where one before the end does not check out, or the format is
   // another; FileError.
-  Log(Files& files, std::string folder, const std::function<void(std::string_view)>& record);
+  WriteAheadLog(FileSystem& files, std::string folder, const std::function<void(std::string_view)>& record);
 
   // The same without a change to it: what a reader beside the owner may do.
-  static void Read(Files& files, const std::string& folder,
+  static void Read(FileSystem& files, const std::string& folder,
                    const std::function<void(std::string_view)>& record);
   [[nodiscard]] static std::string PathIn(const std::string& folder) { return folder + "/log"; }
 
@@ -57,7 +57,7 @@
   static Found Scan(const std::string& path, const std::string& bytes,
                     const std::function<void(std::string_view)>& record);
 
-  Files& files_;
+  FileSystem& files_;
   std::string folder_;
   std::unique_ptr<File> file_;
   uint64_t next_ = 0, size_ = 0, synced_ = 0, cut_off_ = 0;
--- a/tests/balancer/affinity_test.cpp
+++ b/tests/balancer/affinity_test.cpp
@@ -15,9 +15,9 @@
 
 Settings MakeThin() {
   Settings s = MakeSettings();
-  s.instances = 900;
-  s.warm_keys = true;
-  s.charges.probe = 0.004;
+  s.instance_count = 900;
+  s.key_affinity = true;
+  s.costs.probe = 0.004;
   return s;
 }
 
@@ -29,19 +29,19 @@
 
   std::vector<Action> AskKey(const std::string& id, const std::string& key, size_t cls = 0,
                              Duration patience = Ms(1000)) {
-    Submit submit;
+    RequestArrived submit;
     submit.id = id;
-    submit.cls = cls;
+    submit.request_class = cls;
     submit.deadline = now + patience;
     submit.key = key;
-    submit.expected = Ms(50);
+    submit.expected_work = Ms(50);
     return Give(submit);
   }
 
   // Answers all probes that are out, by what each endpoint holds; one round brings the next.
   void Answer(const std::map<std::string, double>& held = {}, double others = 1) {
     for (; answered < log.size(); ++answered) {
-      const auto* const probe = std::get_if<Probe>(&log[answered]);
+      const auto* const probe = std::get_if<StartProbe>(&log[answered]);
       if (probe == nullptr) continue;
       const std::string id = probe->endpoint;
       Probed(id, held.contains(id) ? held.at(id) : others, 20);
@@ -63,8 +63,8 @@
   // Whether a request got its one answer of the module's own.
   [[nodiscard]] bool GivenUp(const std::string& id) const {
     return std::ranges::any_of(log, [&](const Action& a) {
-      const auto* const refuse = std::get_if<Refuse>(&a);
-      const auto* const fail = std::get_if<Fail>(&a);
+      const auto* const refuse = std::get_if<RejectRequest>(&a);
+      const auto* const fail = std::get_if<FailRequest>(&a);
       return (refuse != nullptr && refuse->id == id) || (fail != nullptr && fail->id == id);
     });
   }
@@ -89,7 +89,7 @@
 
 TEST(Homes, WithoutWarmKeysNothingWaitsForProbes) {
   Settings s = MakeThin();
-  s.warm_keys = false;
+  s.key_affinity = false;
   Thin g(s);
   g.AskKey("r", "key");
   EXPECT_EQ(g.sends.size(), 1u);
@@ -124,7 +124,7 @@
     g.Answer();
     ASSERT_EQ(g.sends.back().id, "r");
     g.Pass(Ms(100 - left));
-    g.End("r", 0, g.sends.back().endpoint, Outcome::kFull, Ms(1));
+    g.End("r", 0, g.sends.back().endpoint, Outcome::kRejected, Ms(1));
     g.Pass(Ms(left));  // no probe answers any more
     EXPECT_TRUE(g.GivenUp("r") || g.sends.back().endpoint != g.sends.front().endpoint) << left;
     Thin first(MakeThin());
@@ -170,12 +170,12 @@
 TEST(Homes, IdleConnectionsAreClosedWhereTheyAreCharged) {
   for (const double charge : {0.0, 0.02}) {
     Settings s = MakeThin();
-    s.charges.connection = charge;
+    s.costs.connection = charge;
     Thin g(s);
     const std::string home = g.HomeOf("key");
-    const auto closed = LoadBalancerHarness::All<CloseIdle>(g.log);
+    const auto closed = LoadBalancerHarness::All<CloseIdleConnections>(g.log);
     ASSERT_EQ(closed.size(), charge > 0 ? 1u : 0u);
-    for (const CloseIdle& close : closed) EXPECT_EQ(close.endpoint, home);
+    for (const CloseIdleConnections& close : closed) EXPECT_EQ(close.endpoint, home);
   }
 }
 
@@ -215,23 +215,23 @@
   s.allowed.probes = false;  // forbidden, so none is sent; the request goes by the fallback
   Thin blind(s);
   blind.AskKey("r", "key");
-  EXPECT_TRUE(LoadBalancerHarness::All<Probe>(blind.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<StartProbe>(blind.log).empty());
   EXPECT_EQ(blind.sends.size(), 1u);
 
   LoadBalancerHarness empty(
       MakeThin());  // no list yet: refused within a tenth of its aim, and not lost
-  Submit submit;
+  RequestArrived submit;
   submit.id = "early";
   submit.deadline = empty.now + Ms(1000);
   submit.key = "key";
   empty.Give(submit);
   empty.Pass(Ms(200));
-  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(empty.log).size(), 1u);
+  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(empty.log).size(), 1u);
 
   LoadBalancerHarness one(MakeThin());
   one.Endpoints(1);
   one.Give(submit);
-  one.Give(PeerNote{4711, std::string("\xff\x00wrong", 7)});  // none of ours: ignored
+  one.Give(PeerMessage{4711, std::string("\xff\x00wrong", 7)});  // none of ours: ignored
   one.Probed("e0", 1, 20);
   EXPECT_EQ(one.sends.size(), 1u);
 }
--- a/tests/balancer/fleet_invariants_test.cpp
+++ b/tests/balancer/fleet_invariants_test.cpp
@@ -45,13 +45,13 @@
   };
 
   explicit Fleet(size_t count = 100, int host_count = 60) : settings(MakeSettings()) {
-    settings.instances = static_cast<int>(count);
+    settings.instance_count = static_cast<int>(count);
     gateways.resize(count), taken.resize(count), lives.resize(count), bad_sends.resize(count);
-    settings.zones = 4;
-    settings.classes = {MakeClass(Effect::kSafe)};
-    settings.classes[0].aim = Ms(700);
-    settings.allowed.parallel_tries = false;
-    settings.charges.probe = 0.08;
+    settings.zone_count = 4;
+    settings.classes = {MakeClass(Idempotency::kSafe)};
+    settings.classes[0].latency_objective = Ms(700);
+    settings.allowed.parallel_attempts = false;
+    settings.costs.probe = 0.08;
     for (int i = 0; i < host_count; ++i) hosts["h" + std::to_string(i)];
     for (size_t i = 0; i < count; ++i) Restart(i);
   }
@@ -72,14 +72,14 @@
     hosts[host].launched = now;
   }
 
-  Members List() const {
-    Members m;
+  EndpointUpdate List() const {
+    EndpointUpdate m;
     for (const auto& [id, host] : hosts) {
       EndpointInfo info;
       info.id = id;
       info.zone = std::stoi(id.substr(1)) % 4;
-      info.launched = host.launched;
-      if (!leaving.contains(id)) m.entries.push_back(info);
+      info.started_at = host.launched;
+      if (!leaving.contains(id)) m.endpoints.push_back(info);
     }
     return m;
   }
@@ -89,17 +89,17 @@
 
   double Warmth(const Host& h) const {
     if (h.launched == Time(0)) return 1;
-    const auto& o = settings.obligations;
+    const auto& o = settings.rules;
     const double age = static_cast<double>((now - h.launched).count()) /
-                       static_cast<double>(o.warm_within.count());
-    return o.cold_from + (1 - o.cold_from) * std::min(1.0, age);
+                       static_cast<double>(o.slow_start_duration.count());
+    return o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * std::min(1.0, age);
   }
 
   void Take(size_t i) {
     LoadBalancerHarness& g = *gateways[i];
     for (; taken[i] < g.log.size(); ++taken[i]) {
       const Action action = g.log[taken[i]];
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<StartAttempt>(&action)) {
         Host& h = hosts[send->endpoint];
         h.sends.push_back(now);
         h.shut_sends += h.silent ? 1 : 0;
@@ -110,18 +110,18 @@
         const Time at = h.silent ? now + Ms(2000) : h.failing ? now + Ms(5) : h.leaves.back();
         due.emplace(at, Done{i, send->id, send->endpoint, now});
         ++sends;
-      } else if (const auto* probe = std::get_if<Probe>(&action)) {
+      } else if (const auto* probe = std::get_if<StartProbe>(&action)) {
         ++probes;
         Host& h = hosts[probe->endpoint];
         while (!h.leaves.empty() && h.leaves.front() <= now) h.leaves.pop_front();
         const auto held = static_cast<double>(h.leaves.size());
         if (!h.silent) g.Probed(probe->endpoint, held, 150);
-      } else if (std::holds_alternative<Refuse>(action)) {
+      } else if (std::holds_alternative<RejectRequest>(action)) {
         ++refused;
-      } else if (std::holds_alternative<Follow>(action)) {
+      } else if (std::holds_alternative<WatchEndpoints>(action)) {
         calls.push_back(now);
         // Discovery is short of room for all that ask at once.
-        if (refuse_calls) g.Give(Members{ListKind::kFailed, {}});
+        if (refuse_calls) g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
       }
     }
   }
@@ -165,18 +165,18 @@
   // The most that any cold host was sent in a window, as a part of what fells it: with N what the
   // settings allow it then, N + 2 x root of N + 2.
   double WorstFall() const {
-    const auto& o = settings.obligations;
+    const auto& o = settings.rules;
     double worst = 0;
     for (const auto& [id, h] : hosts) {
       if (h.launched == Time(0)) continue;
       for (size_t k = 0, end = 0; k < h.sends.size(); ++k) {
         const double age = static_cast<double>((h.sends[k] - h.launched).count()) /
-                           static_cast<double>(o.warm_within.count());
+                           static_cast<double>(o.slow_start_duration.count());
         if (age >= 1) continue;
-        while (end < h.sends.size() && h.sends[end] < h.sends[k] + o.fall) ++end;
-        const double share = o.cold_from + (1 - o.cold_from) * age;
+        while (end < h.sends.size() && h.sends[end] < h.sends[k] + o.overload_collapse_duration) ++end;
+        const double share = o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * age;
         const double n =
-            o.fall_multiple * share * kPerSecond * std::chrono::duration<double>(o.fall).count();
+            o.overload_collapse_multiple * share * kPerSecond * std::chrono::duration<double>(o.overload_collapse_duration).count();
         worst = std::max(worst, static_cast<double>(end - k) / (n + 2 * std::sqrt(n) + 2));
       }
     }
@@ -184,20 +184,20 @@
   }
   // The most that any cold host was sent in a window, as a part of what the rule allows.
   double WorstCold() const {
-    const auto& o = settings.obligations;
+    const auto& o = settings.rules;
     double worst = 0;
     for (const auto& [id, h] : hosts) {
       if (h.launched == Time(0)) continue;
       for (size_t k = 0; k < h.sends.size(); ++k) {
         const double age = static_cast<double>((h.sends[k] - h.launched).count()) /
-                           static_cast<double>(o.warm_within.count());
+                           static_cast<double>(o.slow_start_duration.count());
         if (age >= 1) continue;
-        const double share = o.cold_from + (1 - o.cold_from) * age;
+        const double share = o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * age;
         const auto sent = std::count_if(h.sends.begin(), h.sends.end(), [&](Time t) {
-          return t >= h.sends[k] && t < h.sends[k] + o.fall;
+          return t >= h.sends[k] && t < h.sends[k] + o.overload_collapse_duration;
         });
         worst = std::max(worst,
-                         static_cast<double>(sent) / (o.fall_multiple * share * kPerSecond * 1.5));
+                         static_cast<double>(sent) / (o.overload_collapse_multiple * share * kPerSecond * 1.5));
       }
     }
     return worst;
@@ -391,9 +391,9 @@
 // room, refused most of them, and they sent to hosts that had drained meanwhile.
 TEST(WholeFleet, AMassStartDoesNotAskForListsAtOnce) {
   Fleet f(300, 200);
-  f.settings.discovery = DiscoveryMode::kAsk;
+  f.settings.discovery_mode = DiscoveryMode::kPoll;
   for (size_t i = 0; i < 210; ++i) f.Restart(i);
-  f.Play(f.settings.obligations.must_ask_in / 4);
+  f.Play(f.settings.rules.discovery_interval / 4);
   EXPECT_EQ(f.calls.size(), 210U);  // each once
   EXPECT_LE(Fleet::MostWithin(f.calls, Ms(100)), 30U);
 }
@@ -401,7 +401,7 @@
 // The trouble: a discovery short of room refuses all that ask, and they ask again in step.
 TEST(WholeFleet, CallsForListsThinOutWhereTheyAreRefused) {
   Fleet f(300, 200);
-  f.settings.discovery = DiscoveryMode::kAsk;
+  f.settings.discovery_mode = DiscoveryMode::kPoll;
   f.refuse_calls = true;
   for (size_t i = 0; i < 300; ++i) f.Restart(i);
   f.Play(Ms(10'000));
@@ -419,9 +419,9 @@
 // `guess`: the gateways that each takes the fleet to have, as a part of those that there are.
 double FallOfUnevenGateways(size_t count, double guess, double* cold_share = nullptr) {
   Fleet f(count, static_cast<int>(count * 2 / 3));  // 0.89 of what they do
-  f.settings.instances = static_cast<int>(std::lround(guess * static_cast<double>(count)));
-  f.settings.obligations.cold_from = 0.12;  // low: the less, the sooner one falls
-  f.settings.obligations.warm_within = Ms(20'000);
+  f.settings.instance_count = static_cast<int>(std::lround(guess * static_cast<double>(count)));
+  f.settings.rules.slow_start_initial_capacity = 0.12;  // low: the less, the sooner one falls
+  f.settings.rules.slow_start_duration = Ms(20'000);
   f.DealUnevenly();
   for (size_t i = 0; i < count; ++i) f.Restart(i);
   f.Play(Ms(6000));
--- a/tests/balancer/invariants_test.cpp
+++ b/tests/balancer/invariants_test.cpp
@@ -37,14 +37,14 @@
       : s_(std::move(settings)), rng_(seed), brain_(s_, seed + 1) {}
 
   void Run(int steps) {
-    Members all{ListKind::kCached, {}};
+    EndpointUpdate all{EndpointUpdateKind::kCached, {}};
     for (int i = 0; i < 8; ++i) {
       EndpointInfo info;
       info.id = "e" + std::to_string(i);
       info.zone = i % 2;
       info.cell = i % 3;
       info_[info.id] = info;
-      all.entries.push_back(info);
+      all.endpoints.push_back(info);
     }
     Give(all);
     for (int i = 0; i < steps; ++i) Step();
@@ -67,9 +67,9 @@
     if (what < 0.6) {
       const std::string id = "r" + std::to_string(next_++);
       Known& r = requests_[id];
-      Submit submit;
+      RequestArrived submit;
       submit.id = id;
-      r.cls = submit.cls = static_cast<size_t>(Draw() * static_cast<double>(s_.classes.size()));
+      r.cls = submit.request_class = static_cast<size_t>(Draw() * static_cast<double>(s_.classes.size()));
       r.deadline = submit.deadline = now_ + Ms(10 + Draw() * 900);
       Give(submit);
     } else if (what < 0.63) {
@@ -79,16 +79,16 @@
         told_[info.id] = now_;
       } else {
         info.state = EndpointState::kUp;
-        info.launched = now_;
+        info.started_at = now_;
         told_.erase(info.id);
       }
-      Give(Members{ListKind::kDelta, {info}});
+      Give(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
     } else if (what < 0.65 && !requests_.empty()) {
       auto at = requests_.begin();
       std::advance(at, static_cast<long>(Draw() * static_cast<double>(requests_.size())));
       if (!at->second.answered) {
         at->second.answered = true;
-        Give(ClientLeft{at->first});
+        Give(ClientDisconnected{at->first});
       }
     }
   }
@@ -99,24 +99,24 @@
       const Event event = queue_.begin()->second;
       queue_.erase(queue_.begin());
       Event give = event;
-      if (auto* settled = std::get_if<Settled>(&give)) {
+      if (auto* settled = std::get_if<AttemptFinished>(&give)) {
         Known& r = requests_[settled->id];
         Sent& sent = r.sent[settled->attempt];
         if (!sent.out) continue;
         sent.out = false;
         if (sent.called_off) settled->outcome = Outcome::kCancelled;
-        settled->took = now_ - sent.at;
+        settled->elapsed = now_ - sent.at;
         if (now_ >= r.deadline) settled->outcome = Outcome::kTimeout;
-        sent.may_have_run = settled->outcome != Outcome::kFull &&
+        sent.may_have_run = settled->outcome != Outcome::kRejected &&
                             settled->outcome != Outcome::kConnectFailed &&
-                            settled->outcome != Outcome::kMoot;
+                            settled->outcome != Outcome::kNotSent;
         if (settled->outcome == Outcome::kOk) r.answered = true;
-        settled->final = r.answered;
+        settled->request_finished = r.answered;
       }
       Give(give);
     }
     for (const auto& [id, r] : requests_) {
-      EXPECT_FALSE(!r.answered && now_ > r.deadline + s_.obligations.answer_slack) << id;
+      EXPECT_FALSE(!r.answered && now_ > r.deadline + s_.rules.response_slack) << id;
     }
   }
 
@@ -127,71 +127,71 @@
   }
 
   void Take(const Action& action) {
-    if (const auto* send = std::get_if<Send>(&action)) {
+    if (const auto* send = std::get_if<StartAttempt>(&action)) {
       trace.push_back(send->id + ">" + send->endpoint);
       TakeSend(*send);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
       trace.push_back(refuse->id + " refused");
       Known& r = requests_.at(refuse->id);
       EXPECT_FALSE(r.answered) << "two answers";
       r.answered = true;
       const RequestClass& c = s_.classes[r.cls];
       const bool free =
-          c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.group == DedupGroup::kAll);
+          c.idempotency == Idempotency::kSafe || (c.idempotency == Idempotency::kKeyed && c.deduplication_scope == DeduplicationScope::kAll);
       for (const Sent& a : r.sent) EXPECT_TRUE(free || !a.may_have_run) << "refused what may run";
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       trace.push_back(fail->id + " failed");
       EXPECT_FALSE(requests_.at(fail->id).answered) << "two answers";
       requests_.at(fail->id).answered = true;
-    } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+    } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       Known& r = requests_.at(cancel->id);
       ASSERT_LT(cancel->attempt, r.sent.size());
       r.sent[cancel->attempt].called_off = true;
       queue_.emplace(now_ + Ms(1),
-                     Settled{cancel->id, cancel->attempt, r.sent[cancel->attempt].endpoint,
+                     AttemptFinished{cancel->id, cancel->attempt, r.sent[cancel->attempt].endpoint,
                              Outcome::kCancelled, Ms(0), false, std::nullopt});
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       queue_.emplace(now_ + timer->after + Ms(Draw() * 2), TimerFired{timer->token});
-    } else if (const auto* probe = std::get_if<Probe>(&action)) {
+    } else if (const auto* probe = std::get_if<StartProbe>(&action)) {
       queue_.emplace(now_ + Ms(1 + Draw() * 5),
-                     ProbeResult{probe->endpoint, Draw() < 0.9 ? Outcome::kOk : Outcome::kTimeout,
-                                 Ms(2), Report{Draw() * 6, 5 + Draw() * 40}});
+                     ProbeFinished{probe->endpoint, Draw() < 0.9 ? Outcome::kOk : Outcome::kTimeout,
+                                 Ms(2), LoadReport{Draw() * 6, 5 + Draw() * 40}});
     }
   }
 
-  void TakeSend(const Send& send) {
+  void TakeSend(const StartAttempt& send) {
     Known& r = requests_.at(send.id);
     const RequestClass& c = s_.classes[r.cls];
     EXPECT_FALSE(r.answered) << "sent for a request that is over";
-    EXPECT_LT(r.sent.size(), static_cast<size_t>(s_.allowed.send_cap));
+    EXPECT_LT(r.sent.size(), static_cast<size_t>(s_.allowed.max_attempts));
     const auto told = told_.find(send.endpoint);
-    EXPECT_TRUE(told == told_.end() || now_ <= told->second + s_.obligations.drain_grace);
+    EXPECT_TRUE(told == told_.end() || now_ <= told->second + s_.rules.drain_grace);
     const EndpointInfo& to = info_.at(send.endpoint);
     for (const Sent& a : r.sent) {
-      EXPECT_TRUE(s_.allowed.parallel_tries || !a.out) << "two attempts out";
+      EXPECT_TRUE(s_.allowed.parallel_attempts || !a.out) << "two attempts out";
       if (!a.may_have_run) continue;
-      EXPECT_NE(c.effect, Effect::kUnsafe) << "an unsafe request sent twice";
-      if (c.effect != Effect::kKeyed) continue;
+      EXPECT_NE(c.idempotency, Idempotency::kUnsafe) << "an unsafe request sent twice";
+      if (c.idempotency != Idempotency::kKeyed) continue;
       const EndpointInfo& was = info_.at(a.endpoint);
-      EXPECT_TRUE(c.group != DedupGroup::kZone || was.zone == to.zone);
-      EXPECT_TRUE(c.group != DedupGroup::kCell || was.cell == to.cell);
-      EXPECT_LT(now_, a.at + c.window);
+      EXPECT_TRUE(c.deduplication_scope != DeduplicationScope::kZone || was.zone == to.zone);
+      EXPECT_TRUE(c.deduplication_scope != DeduplicationScope::kCell || was.cell == to.cell);
+      EXPECT_LT(now_, a.at + c.deduplication_window);
     }
     r.sent.push_back({send.endpoint, now_});
     static constexpr Outcome kDrawn[] = {
         Outcome::kOk,    Outcome::kOk,     Outcome::kOk,   Outcome::kOk,
-        Outcome::kOk,    Outcome::kError,  Outcome::kFull, Outcome::kConnectFailed,
+        Outcome::kOk,    Outcome::kError,  Outcome::kRejected, Outcome::kConnectFailed,
         Outcome::kReset, Outcome::kTimeout};
     const Outcome outcome = kDrawn[static_cast<size_t>(Draw() * 10)];
     Time at = now_ + Ms(1 + Draw() * (Draw() < 0.1 ? 900 : 60));
     if (outcome == Outcome::kTimeout || at > r.deadline) at = std::max(now_, r.deadline);
-    queue_.emplace(at, Settled{send.id, r.sent.size() - 1, send.endpoint, outcome, Ms(0), false,
+    queue_.emplace(at, AttemptFinished{send.id, r.sent.size() - 1, send.endpoint, outcome, Ms(0), false,
                                std::nullopt});
   }
 
   Settings s_;
   std::mt19937_64 rng_;
-  Brain brain_;
+  LoadBalancer brain_;
   Time now_ = Ms(5'000'000);
   std::multimap<Time, Event> queue_;
   std::map<std::string, Known> requests_;
@@ -241,7 +241,7 @@
     g.Ask("r", 4);
     ASSERT_EQ(g.sends.size(), 1U);
     EXPECT_TRUE(best.contains(g.sends[0].endpoint)) << "round " << round;
-    ++(g.brain.stats().last == Regime::kCold ? cold : hot);
+    ++(g.brain.statistics().last_selection == SelectionMethod::kCold ? cold : hot);
   }
   EXPECT_GT(cold, 200);
 }
@@ -250,9 +250,9 @@
 
 TEST_P(Rules, HoldOverRandomLegalEvents) {
   Settings s = MakeSettings();
-  s.allowed.parallel_tries = GetParam() % 2 == 0;
+  s.allowed.parallel_attempts = GetParam() % 2 == 0;
   s.allowed.cancel = GetParam() % 3 != 0;
-  if (GetParam() >= 6) s.allowed.send_cap = 2;
+  if (GetParam() >= 6) s.allowed.max_attempts = 2;
   World world(s, GetParam());
   world.Run(3000);
   EXPECT_GT(world.trace.size(), 500U);
--- a/tests/balancer/load_balancer_fixture.h
+++ b/tests/balancer/load_balancer_fixture.h
@@ -14,41 +14,41 @@
 
 constexpr Duration Ms(double ms) { return Duration(static_cast<int64_t>(ms * 1000)); }
 
-inline RequestClass MakeClass(Effect effect, DedupGroup group = DedupGroup::kAll) {
+inline RequestClass MakeClass(Idempotency effect, DeduplicationScope group = DeduplicationScope::kAll) {
   RequestClass c;
-  c.effect = effect;
-  c.group = group;
-  c.window = Ms(1500);
-  c.aim = Ms(400);
+  c.idempotency = effect;
+  c.deduplication_scope = group;
+  c.deduplication_window = Ms(1500);
+  c.latency_objective = Ms(400);
   c.deadline = Ms(2000);
-  c.worth = 1;
+  c.priority_weight = 1;
   return c;
 }
 
 // Classes 0 safe, 1 keyed over all, 2 keyed by zone, 3 keyed by cell, 4 unsafe.
 inline Settings MakeSettings() {
   Settings s;
-  s.instances = 3;
-  s.zones = 2;
-  s.classes = {MakeClass(Effect::kSafe), MakeClass(Effect::kKeyed, DedupGroup::kAll),
-               MakeClass(Effect::kKeyed, DedupGroup::kZone),
-               MakeClass(Effect::kKeyed, DedupGroup::kCell), MakeClass(Effect::kUnsafe)};
+  s.instance_count = 3;
+  s.zone_count = 2;
+  s.classes = {MakeClass(Idempotency::kSafe), MakeClass(Idempotency::kKeyed, DeduplicationScope::kAll),
+               MakeClass(Idempotency::kKeyed, DeduplicationScope::kZone),
+               MakeClass(Idempotency::kKeyed, DeduplicationScope::kCell), MakeClass(Idempotency::kUnsafe)};
   s.allowed.cancel = true;
-  s.allowed.parallel_tries = true;
+  s.allowed.parallel_attempts = true;
   s.allowed.probes = true;
-  s.allowed.send_cap = 5;
+  s.allowed.max_attempts = 5;
   s.allowed.connect_timeout = Ms(50);
-  s.allowed.most_held = 1000;
-  s.obligations.answer_slack = Ms(20);
-  s.obligations.drain_grace = Ms(1000);
-  s.obligations.must_ask_in = Ms(10000);
-  s.obligations.cold_from = 0.25;
-  s.obligations.warm_within = Ms(10000);
-  s.obligations.fall_multiple = 3;
-  s.obligations.fall = Ms(1500);
-  s.report.source = ReportSource::kProbe;
-  s.report.inflight = 0;
-  s.report.latency_ms = 1;
+  s.allowed.max_held_requests = 1000;
+  s.rules.response_slack = Ms(20);
+  s.rules.drain_grace = Ms(1000);
+  s.rules.discovery_interval = Ms(10000);
+  s.rules.slow_start_initial_capacity = 0.25;
+  s.rules.slow_start_duration = Ms(10000);
+  s.rules.overload_collapse_multiple = 3;
+  s.rules.overload_collapse_duration = Ms(1500);
+  s.load_report.source = LoadReportSource::kProbes;
+  s.load_report.inflight = 0;
+  s.load_report.latency_ms = 1;
   return s;
 }
 
@@ -62,7 +62,7 @@
     std::vector<Action> actions;
     brain.Handle(now, event, actions);
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) sends.push_back(*send);
+      if (const auto* send = std::get_if<StartAttempt>(&a)) sends.push_back(*send);
       if (const auto* timer = std::get_if<SetTimer>(&a)) {
         timers.emplace(now + timer->after, timer->token);
       }
@@ -71,15 +71,15 @@
     return actions;
   }
 
-  void Endpoints(int count, ListKind kind = ListKind::kCached) {
-    Members m;
+  void Endpoints(int count, EndpointUpdateKind kind = EndpointUpdateKind::kCached) {
+    EndpointUpdate m;
     m.kind = kind;
     for (int i = 0; i < count; ++i) {
       EndpointInfo info;
       info.id = "e" + std::to_string(i);
       info.zone = i % 2;
       info.cell = i % 3;
-      m.entries.push_back(info);
+      m.endpoints.push_back(info);
     }
     Give(m);
   }
@@ -89,16 +89,16 @@
     EndpointInfo info;
     info.id = id;
     info.state = state;
-    info.launched = launched;
+    info.started_at = launched;
     info.zone = zone;
-    return Give(Members{ListKind::kDelta, {info}});
+    return Give(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
   }
 
   std::vector<Action> Ask(const std::string& id, size_t cls = 0, Duration patience = Ms(1000),
                           size_t tenant = 0) {
-    Submit submit;
+    RequestArrived submit;
     submit.id = id;
-    submit.cls = cls;
+    submit.request_class = cls;
     submit.tenant = tenant;
     submit.deadline = now + patience;
     return Give(submit);
@@ -106,11 +106,11 @@
 
   std::vector<Action> End(const std::string& id, size_t attempt, const std::string& endpoint,
                           Outcome outcome, Duration took, bool final = false) {
-    return Give(Settled{id, attempt, endpoint, outcome, took, final, std::nullopt});
+    return Give(AttemptFinished{id, attempt, endpoint, outcome, took, final, std::nullopt});
   }
 
   std::vector<Action> Probed(const std::string& endpoint, double inflight, double latency_ms) {
-    return Give(ProbeResult{endpoint, Outcome::kOk, Ms(1), Report{inflight, latency_ms}});
+    return Give(ProbeFinished{endpoint, Outcome::kOk, Ms(1), LoadReport{inflight, latency_ms}});
   }
 
   // Moves the clock, handing over the timers that come due.
@@ -145,10 +145,10 @@
     return out;
   }
 
-  Brain brain;
+  LoadBalancer brain;
   Time now = Ms(1'000'000);
   std::multimap<Time, std::string> timers;
-  std::vector<Send> sends;
+  std::vector<StartAttempt> sends;
   std::vector<Action> log;
   int warmed = 0;
 };
--- a/tests/balancer/load_balancer_test.cpp
+++ b/tests/balancer/load_balancer_test.cpp
@@ -30,18 +30,18 @@
     Settings s = MakeSettings();
     change(s);
     try {
-      Brain brain(s, 1);
+      LoadBalancer brain(s, 1);
     } catch (const std::invalid_argument& e) {
       return e.what();
     }
     return "";
   };
   EXPECT_EQ(error([](Settings&) {}), "");
-  EXPECT_NE(error([](Settings& s) { s.instances = 0; }).find("NInstances"), std::string::npos);
+  EXPECT_NE(error([](Settings& s) { s.instance_count = 0; }).find("NInstances"), std::string::npos);
   EXPECT_NE(error([](Settings& s) { s.classes.clear(); }).find("Classes"), std::string::npos);
-  EXPECT_NE(error([](Settings& s) { s.classes[1].aim = Ms(0); }).find("Slo"), std::string::npos);
-  EXPECT_NE(error([](Settings& s) { s.allowed.send_cap = 0; }).find("SendCap"), std::string::npos);
-  EXPECT_NE(error([](Settings& s) { s.obligations.cold_from = 2; }).find("ColdFrom"),
+  EXPECT_NE(error([](Settings& s) { s.classes[1].latency_objective = Ms(0); }).find("Slo"), std::string::npos);
+  EXPECT_NE(error([](Settings& s) { s.allowed.max_attempts = 0; }).find("SendCap"), std::string::npos);
+  EXPECT_NE(error([](Settings& s) { s.rules.slow_start_initial_capacity = 2; }).find("ColdFrom"),
             std::string::npos);
 }
 
@@ -53,33 +53,33 @@
   LoadBalancerHarness g(s);
   g.Endpoints(4);
   g.WarmUp(60);
-  const auto fallbacks = g.brain.stats().picks;
+  const auto fallbacks = g.brain.statistics().selections;
   g.Ask("before", 0);
   ASSERT_EQ(g.sends.back().id, "before");
   Settings next = s;
-  next.classes[0].effect = Effect::kUnsafe;
-  next.classes.push_back(MakeClass(Effect::kSafe));
+  next.classes[0].idempotency = Idempotency::kUnsafe;
+  next.classes.push_back(MakeClass(Idempotency::kSafe));
   g.Give(next);
   // Safe as it began: it may be repeated though it may have run.
   const auto repeated = g.End("before", 0, g.sends.back().endpoint, Outcome::kReset, Ms(5));
-  EXPECT_EQ(LoadBalancerHarness::All<Send>(repeated).size(), 1u);
+  EXPECT_EQ(LoadBalancerHarness::All<StartAttempt>(repeated).size(), 1u);
   g.Ask("after", 0);
   ASSERT_EQ(g.sends.back().id, "after");
   const auto failed = g.End("after", 0, g.sends.back().endpoint, Outcome::kReset, Ms(5));
-  EXPECT_EQ(LoadBalancerHarness::All<Fail>(failed).size(), 1u);
+  EXPECT_EQ(LoadBalancerHarness::All<FailRequest>(failed).size(), 1u);
   g.Ask("new", 5);
   EXPECT_EQ(g.sends.back().id, "new");
   // Fewer attempts hold at once.
-  next.allowed.send_cap = 1;
+  next.allowed.max_attempts = 1;
   g.Give(next);
-  const auto none = g.End("new", 0, g.sends.back().endpoint, Outcome::kFull, Ms(5));
-  EXPECT_TRUE(LoadBalancerHarness::All<Send>(none).empty());
+  const auto none = g.End("new", 0, g.sends.back().endpoint, Outcome::kRejected, Ms(5));
+  EXPECT_TRUE(LoadBalancerHarness::All<StartAttempt>(none).empty());
   // Many at once as before: what the endpoints can do is still known.
   size_t sent = 0;
   for (int i = 0; i < 12; ++i)
-    sent += LoadBalancerHarness::All<Send>(g.Ask("m" + std::to_string(i), 1)).size();
+    sent += LoadBalancerHarness::All<StartAttempt>(g.Ask("m" + std::to_string(i), 1)).size();
   EXPECT_GE(sent, 12u);
-  EXPECT_GT(g.brain.stats().picks, fallbacks);
+  EXPECT_GT(g.brain.statistics().selections, fallbacks);
 }
 
 // A request too large to be held cannot be sent again: asking for it would cost the client its
@@ -92,11 +92,11 @@
     const std::string id = spent ? "large" : "held";
     g.Ask(id);
     ASSERT_EQ(g.sends.back().id, id);
-    Settled turned{id, 0, g.sends.back().endpoint, Outcome::kFull, Ms(5), false, std::nullopt};
-    turned.spent = spent;
+    AttemptFinished turned{id, 0, g.sends.back().endpoint, Outcome::kRejected, Ms(5), false, std::nullopt};
+    turned.request_consumed = spent;
     const auto told = g.Give(turned);
-    EXPECT_EQ(LoadBalancerHarness::All<Send>(told).size(), spent ? 0u : 1u);
-    EXPECT_EQ(LoadBalancerHarness::All<Refuse>(told).size(), spent ? 1u : 0u);
+    EXPECT_EQ(LoadBalancerHarness::All<StartAttempt>(told).size(), spent ? 0u : 1u);
+    EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(told).size(), spent ? 1u : 0u);
   }
 }
 
@@ -104,15 +104,15 @@
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(3);
   g.Change("e0", EndpointState::kDraining);
-  Members full;
-  full.kind = ListKind::kFull;
+  EndpointUpdate full;
+  full.kind = EndpointUpdateKind::kFull;
   EndpointInfo kept;
   kept.id = "e1";
-  full.entries = {kept};
+  full.endpoints = {kept};
   g.Give(full);  // e2 is absent from a full list, so it is gone
   g.WarmUp(60);
   ASSERT_FALSE(g.sends.empty());
-  for (const Send& send : g.sends) EXPECT_EQ(send.endpoint, "e1");
+  for (const StartAttempt& send : g.sends) EXPECT_EQ(send.endpoint, "e1");
 }
 
 TEST(Membership, PooledAnswersOfADrainingEndpointAreNotPicked) {
@@ -120,7 +120,7 @@
   g.Endpoints(4);
   for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, id[1] == '0' ? 1 : 50);
   g.Change("e0", EndpointState::kDraining);
-  const auto sends = LoadBalancerHarness::All<Send>(g.Ask("r"));
+  const auto sends = LoadBalancerHarness::All<StartAttempt>(g.Ask("r"));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_NE(sends[0].endpoint, "e0");
 }
@@ -129,45 +129,45 @@
   Settings s = MakeSettings();
   LoadBalancerHarness pushed(s);
   pushed.Endpoints(2);
-  EXPECT_TRUE(LoadBalancerHarness::All<Follow>(pushed.log).empty());
-  s.discovery = DiscoveryMode::kAsk;
+  EXPECT_TRUE(LoadBalancerHarness::All<WatchEndpoints>(pushed.log).empty());
+  s.discovery_mode = DiscoveryMode::kPoll;
   LoadBalancerHarness g(s);
   g.Endpoints(2);
-  g.Pass(s.obligations.must_ask_in / 5);  // where there are others it waits a little
-  EXPECT_EQ(LoadBalancerHarness::All<Follow>(g.log).size(), 1U);
-  const auto failed = g.Give(Members{ListKind::kFailed, {}});
+  g.Pass(s.rules.discovery_interval / 5);  // where there are others it waits a little
+  EXPECT_EQ(LoadBalancerHarness::All<WatchEndpoints>(g.log).size(), 1U);
+  const auto failed = g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
   EXPECT_TRUE(
-      LoadBalancerHarness::All<Follow>(failed).empty());  // not at once: the registry is small
-  g.Pass(s.obligations.must_ask_in / 2);
-  EXPECT_EQ(LoadBalancerHarness::All<Follow>(g.log).size(), 2U);
+      LoadBalancerHarness::All<WatchEndpoints>(failed).empty());  // not at once: the registry is small
+  g.Pass(s.rules.discovery_interval / 2);
+  EXPECT_EQ(LoadBalancerHarness::All<WatchEndpoints>(g.log).size(), 2U);
 }
 
 // A gateway alone crowds nobody: it must not start with an old list for longer than it needs.
 TEST(Membership, AGatewayAloneFollowsAtOnce) {
   Settings s = MakeSettings();
-  s.discovery = DiscoveryMode::kAsk;
-  s.instances = 1;
+  s.discovery_mode = DiscoveryMode::kPoll;
+  s.instance_count = 1;
   LoadBalancerHarness g(s);
   g.Endpoints(2);
   g.Pass(Ms(0));
-  EXPECT_EQ(LoadBalancerHarness::All<Follow>(g.log).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<WatchEndpoints>(g.log).size(), 1U);
 }
 
 TEST(Membership, BackOffGrowsAndStaysWithinTheObligation) {
   Settings s = MakeSettings();
-  s.discovery = DiscoveryMode::kAsk;
+  s.discovery_mode = DiscoveryMode::kPoll;
   LoadBalancerHarness g(s);
   g.Endpoints(2);
-  g.Pass(s.obligations.must_ask_in / 5);
+  g.Pass(s.rules.discovery_interval / 5);
   Duration longest{0};
   for (int i = 0; i < 8; ++i) {
     for (const SetTimer& t :
-         LoadBalancerHarness::All<SetTimer>(g.Give(Members{ListKind::kFailed, {}}))) {
+         LoadBalancerHarness::All<SetTimer>(g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}}))) {
       longest = std::max(longest, t.after);
-      EXPECT_LT(t.after, s.obligations.must_ask_in);
+      EXPECT_LT(t.after, s.rules.discovery_interval);
     }
   }
-  EXPECT_GT(longest, s.obligations.must_ask_in / 10);
+  EXPECT_GT(longest, s.rules.discovery_interval / 10);
 }
 
 TEST(Membership, ARestartedEndpointStartsWithACleanName) {
@@ -183,7 +183,7 @@
   const size_t before = g.sends.size();
   for (int i = 0; i < 8; ++i) g.Ask("s" + std::to_string(i), 4);
   EXPECT_TRUE(std::any_of(g.sends.begin() + static_cast<long>(before), g.sends.end(),
-                          [](const Send& s) { return s.endpoint == "e0"; }));
+                          [](const StartAttempt& s) { return s.endpoint == "e0"; }));
 }
 
 // ---- The hot-cold pick ----------------------------------------------------------------------
@@ -193,11 +193,11 @@
   g.Endpoints(4);
   g.Probed("e0", 0, 10);
   g.Ask("r0");
-  EXPECT_EQ(g.brain.stats().last, Regime::kFallback);
+  EXPECT_EQ(g.brain.statistics().last_selection, SelectionMethod::kFallback);
   g.Probed("e0", 0, 10);
   g.Probed("e1", 0, 10);
   g.Ask("r1");
-  EXPECT_EQ(g.brain.stats().last, Regime::kCold);
+  EXPECT_EQ(g.brain.statistics().last_selection, SelectionMethod::kCold);
 }
 
 TEST(Pick, ColdTakesTheLowestLatencyNotTheFewestInFlight) {
@@ -208,7 +208,7 @@
   g.Probed("e2", 3, 5);  // hot: over the cut
   g.Probed("e3", 3, 6);
   g.Probed("e4", 3, 7);
-  const auto sends = LoadBalancerHarness::All<Send>(g.Ask("r"));
+  const auto sends = LoadBalancerHarness::All<StartAttempt>(g.Ask("r"));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends[0].endpoint, "e1");
 }
@@ -219,7 +219,7 @@
   for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, id[1] == '0' ? 5 : 20);
   std::multiset<std::string> met;
   for (int i = 0; i < 4; ++i) {
-    for (const Send& s : LoadBalancerHarness::All<Send>(g.Ask("r" + std::to_string(i))))
+    for (const StartAttempt& s : LoadBalancerHarness::All<StartAttempt>(g.Ask("r" + std::to_string(i))))
       met.insert(s.endpoint);
   }
   // The quickest is over the cut once it was sent one; the others get their turns.
@@ -234,15 +234,15 @@
   for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, 10);
   g.Pass(Ms(1500));
   g.Ask("r");
-  EXPECT_EQ(g.brain.stats().last, Regime::kFallback);
+  EXPECT_EQ(g.brain.statistics().last_selection, SelectionMethod::kFallback);
 }
 
 // The trouble: at five requests a second an age of one second left the pool empty, and nearly every
 // pick of a large bank was the fallback's.
 TEST(Pick, AnswersServeLongerWhereRequestsAreFew) {
   Settings s = MakeSettings();
-  s.instances = 400;
-  s.charges.probe = 0.04;
+  s.instance_count = 400;
+  s.costs.probe = 0.04;
   LoadBalancerHarness g(s);
   g.Endpoints(68);
   size_t met = 0;
@@ -250,12 +250,12 @@
     const std::string id = "r" + std::to_string(i);
     const size_t before = g.sends.size();
     const auto actions = g.Ask(id);
-    for (const Probe& probe : LoadBalancerHarness::All<Probe>(actions))
+    for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(actions))
       g.Probed(probe.endpoint, 1, 20);
     g.Pass(Ms(20));
     if (g.sends.size() > before) g.End(id, 0, g.sends[before].endpoint, Outcome::kOk, Ms(20), true);
     g.Pass(Ms(180));
-    if (i >= 100 && g.brain.stats().last != Regime::kFallback) ++met;
+    if (i >= 100 && g.brain.statistics().last_selection != SelectionMethod::kFallback) ++met;
   }
   EXPECT_GT(met, 150U);
 }
@@ -269,7 +269,7 @@
     const std::string id = "r" + std::to_string(i);
     const size_t before = g.sends.size();
     g.Ask(id);
-    if (g.brain.stats().last != Regime::kFallback) ++pooled;
+    if (g.brain.statistics().last_selection != SelectionMethod::kFallback) ++pooled;
     if (g.sends.size() > before) g.End(id, 0, g.sends.back().endpoint, Outcome::kOk, Ms(10), true);
   }
   EXPECT_GT(pooled, 0);
@@ -290,16 +290,16 @@
 
 TEST(Probes, RideOnRequestsAtTheirRateAndGoToAll) {
   Settings s = MakeSettings();
-  s.charges.probe = 0.03;
+  s.costs.probe = 0.03;
   LoadBalancerHarness g(s);
   g.Endpoints(5);
   g.Pass(Ms(5000));
-  EXPECT_TRUE(LoadBalancerHarness::All<Probe>(g.log).empty());  // no request, no probe
+  EXPECT_TRUE(LoadBalancerHarness::All<StartProbe>(g.log).empty());  // no request, no probe
   std::set<std::string> met;
   for (int i = 0; i < 100; ++i) {
     g.WarmUp(1);
-    for (const Probe& p : LoadBalancerHarness::All<Probe>(g.log)) met.insert(p.endpoint);
-    for (const Probe& p : LoadBalancerHarness::All<Probe>(g.log)) g.Probed(p.endpoint, 0, 10);
+    for (const StartProbe& p : LoadBalancerHarness::All<StartProbe>(g.log)) met.insert(p.endpoint);
+    for (const StartProbe& p : LoadBalancerHarness::All<StartProbe>(g.log)) g.Probed(p.endpoint, 0, 10);
     g.log.clear();
   }
   EXPECT_EQ(met.size(), 5U);
@@ -311,7 +311,7 @@
   LoadBalancerHarness g(s);
   g.Endpoints(5);
   g.WarmUp(50);
-  EXPECT_TRUE(LoadBalancerHarness::All<Probe>(g.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<StartProbe>(g.log).empty());
   EXPECT_EQ(g.sends.size(), 50U);
 }
 
@@ -324,7 +324,7 @@
     g.Probed("e1", 30, 10);
   }
   g.Probed("e0", 0, 10);
-  EXPECT_TRUE(LoadBalancerHarness::All<Send>(g.Ask("r")).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<StartAttempt>(g.Ask("r")).empty());
 }
 
 // The trouble: a report of ten seconds ago still counted as now. What looked full was never tried
@@ -363,24 +363,24 @@
 // The trouble: what is slow by nature needs near the target when idle, and its limit shrank away.
 TEST(Capacity, ASlowEndpointIsNotStarvedBesideQuickOnes) {
   Settings s = MakeSettings();
-  s.instances = 1;
+  s.instance_count = 1;
   LoadBalancerHarness g(s);
   g.Endpoints(4);
-  const auto serve = [&](const Send& send) {
+  const auto serve = [&](const StartAttempt& send) {
     const bool slow = send.endpoint == "e0";
     g.End(send.id, 0, send.endpoint, Outcome::kOk, slow ? Ms(220) : Ms(60), true);
   };
-  std::vector<Send> batch;
+  std::vector<StartAttempt> batch;
   for (int round = 0; round < 60; ++round) {  // sixteen at a time, so that limits are learned
     const size_t before = g.sends.size();
     for (int i = 0; i < 16; ++i) g.Ask(std::to_string(round) + "-" + std::to_string(i));
     g.now += Ms(10);
     for (size_t k = before; k < g.sends.size(); ++k) batch.push_back(g.sends[k]);
-    for (const Send& send : batch) serve(send);
+    for (const StartAttempt& send : batch) serve(send);
     batch.clear();
   }
   size_t on_slow = 0;
-  for (const Send& send : g.sends) g.Probed(send.endpoint, 0, 1);
+  for (const StartAttempt& send : g.sends) g.Probed(send.endpoint, 0, 1);
   const size_t before = g.sends.size();
   for (int i = 0; i < 60; ++i) g.Ask("last" + std::to_string(i));
   for (size_t k = before; k < g.sends.size(); ++k) on_slow += g.sends[k].endpoint == "e0" ? 1 : 0;
@@ -398,11 +398,11 @@
   std::vector<PoolEntry> pool;
   std::set<size_t> left;
   for (int i = 0; i < 5000; ++i) {
-    const size_t place = PlaceOf("e" + std::to_string(i), eps, index, open, pool, left);
+    const size_t place = EndpointSlotFor("e" + std::to_string(i), eps, index, open, pool, left);
     left.erase(place);
     EXPECT_EQ(eps[place].info.id, "e" + std::to_string(i));
-    EXPECT_EQ(eps[place].err, 0);  // nothing of who was there before
-    eps[place].err = 1;
+    EXPECT_EQ(eps[place].error_rate, 0);  // nothing of who was there before
+    eps[place].error_rate = 1;
     if (i < 10) continue;
     const size_t old = index.at("e" + std::to_string(i - 10));
     eps[old].info.state = EndpointState::kRemoved;
@@ -415,20 +415,20 @@
   for (Endpoint& e : eps) e.info.state = EndpointState::kUp;
   eps[gone].info.state = EndpointState::kRemoved;
   left = {gone};
-  open[1].attempts.push_back({.ep = gone});
-  EXPECT_NE(PlaceOf("x", eps, index, open, pool, left), gone);
+  open[1].attempts.push_back({.endpoint = gone});
+  EXPECT_NE(EndpointSlotFor("x", eps, index, open, pool, left), gone);
   open.clear();
-  pool.push_back({.ep = gone});
-  EXPECT_NE(PlaceOf("y", eps, index, open, pool, left), gone);
+  pool.push_back({.endpoint = gone});
+  EXPECT_NE(EndpointSlotFor("y", eps, index, open, pool, left), gone);
   pool.clear();
-  EXPECT_EQ(PlaceOf("z", eps, index, open, pool, left), gone);
+  EXPECT_EQ(EndpointSlotFor("z", eps, index, open, pool, left), gone);
 }
 
 // Each probe goes to an endpoint of the set without one out, as evenly as ever, though no list of
 // those is made; also after endpoints came, went and were replaced.
 TEST(Probing, GoesEvenlyToThoseWithoutOneOut) {
   Settings s = MakeSettings();
-  s.instances = 1;
+  s.instance_count = 1;
   LoadBalancerHarness g(s);
   g.Endpoints(40);
   for (int i = 0; i < 10; ++i) {
@@ -440,11 +440,11 @@
   for (int i = 0; i < 4000; ++i) {
     const std::string id = "r" + std::to_string(i);
     for (const Action& action : g.Ask(id)) {
-      if (const auto* const probe = std::get_if<Probe>(&action)) {
+      if (const auto* const probe = std::get_if<StartProbe>(&action)) {
         EXPECT_EQ(std::ranges::count(out, probe->endpoint), 0) << probe->endpoint;
         out.push_back(probe->endpoint);
         ++count[probe->endpoint];
-      } else if (const auto* const send = std::get_if<Send>(&action)) {
+      } else if (const auto* const send = std::get_if<StartAttempt>(&action)) {
         g.End(id, 0, send->endpoint, Outcome::kOk, Ms(10), true);
       }
     }
@@ -462,17 +462,17 @@
 // The trouble: an id that a list held twice took two places of the set, and twice the work.
 TEST(Membership, AnIdThatAListHoldsTwiceTakesOnePlace) {
   Settings s = MakeSettings();
-  s.instances = 1;
+  s.instance_count = 1;
   s.allowed.probes = false;
   LoadBalancerHarness g(s);
   g.Endpoints(40);
   EndpointInfo info;
   info.id = "twice";
-  g.Give(Members{ListKind::kDelta, {info, info}});
+  g.Give(EndpointUpdate{EndpointUpdateKind::kDelta, {info, info}});
   std::map<std::string, int> count;
   for (int i = 0; i < 8000; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const auto sends = LoadBalancerHarness::All<Send>(g.Ask(id));
+    const auto sends = LoadBalancerHarness::All<StartAttempt>(g.Ask(id));
     ASSERT_EQ(sends.size(), 1U);
     ++count[sends[0].endpoint];
     g.End(id, 0, sends[0].endpoint, Outcome::kOk, Ms(10), true);
@@ -485,7 +485,7 @@
 // Out of a large set the two choices of the fallback are drawn, not looked for one by one.
 TEST(Pick, TheFallbackKeepsToTheAllowedOfALargeSet) {
   Settings s = MakeSettings();
-  s.instances = 1;
+  s.instance_count = 1;
   s.allowed.probes = false;
   LoadBalancerHarness g(s);
   g.Endpoints(300);
@@ -496,7 +496,7 @@
   std::set<std::string> met;
   for (int i = 0; i < 200; ++i) {
     const std::string id = "r" + std::to_string(i);
-    const auto sends = LoadBalancerHarness::All<Send>(g.Ask(id));
+    const auto sends = LoadBalancerHarness::All<StartAttempt>(g.Ask(id));
     ASSERT_EQ(sends.size(), 1U);
     EXPECT_EQ(std::stoi(sends[0].endpoint.substr(1)) % 2, 1);
     met.insert(sends[0].endpoint);
@@ -508,7 +508,7 @@
   for (int i = 1; i < 150; ++i) {
     g.Change("e" + std::to_string(2 * i + 1), EndpointState::kUp, g.now);
   }
-  const auto last = LoadBalancerHarness::All<Send>(g.Ask("last"));
+  const auto last = LoadBalancerHarness::All<StartAttempt>(g.Ask("last"));
   ASSERT_EQ(last.size(), 1U);
   EXPECT_EQ(last[0].endpoint, "e1");
 }
@@ -544,8 +544,8 @@
     g.Ask(id);
     for (size_t k = before; k < g.sends.size(); ++k) {
       const bool full = k < before + 2;
-      refused += LoadBalancerHarness::All<Refuse>(g.End(id, k - before, g.sends[k].endpoint,
-                                                        full ? Outcome::kFull : Outcome::kOk, Ms(1),
+      refused += LoadBalancerHarness::All<RejectRequest>(g.End(id, k - before, g.sends[k].endpoint,
+                                                        full ? Outcome::kRejected : Outcome::kOk, Ms(1),
                                                         !full))
                      .size();
     }
@@ -574,7 +574,7 @@
         to_bad += here ? 1 : 0;
         const bool bad = here && (always || spoilt < 2);  // two in a row, then well again
         spoilt = bad ? spoilt + 1 : to_bad % 8 == 0 ? 0 : spoilt;
-        g.End(id, k - before, g.sends[k].endpoint, bad ? Outcome::kUnusable : Outcome::kOk, Ms(10),
+        g.End(id, k - before, g.sends[k].endpoint, bad ? Outcome::kInvalidResponse : Outcome::kOk, Ms(10),
               !bad);
       }
       g.Pass(Ms(5));
@@ -662,48 +662,48 @@
   g.Endpoints(2);
   for (int i = 0; i < 100; ++i) g.Ask("r" + std::to_string(i));
   g.Pass(Ms(150));
-  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(g.log).size() + g.sends.size(), 100U);
+  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(g.log).size() + g.sends.size(), 100U);
 }
 
 // The trouble: a fleet refused a fifth of its requests, and nothing told which filter did it.
 TEST(GivenUp, IsCountedByWhatBarredMostEndpoints) {
-  const auto counted = [](LoadBalancerHarness& g, Bar bar) {
-    return g.brain.stats().given_up[static_cast<size_t>(bar)];
+  const auto counted = [](LoadBalancerHarness& g, ExclusionReason bar) {
+    return g.brain.statistics().unserved_by_reason[static_cast<size_t>(bar)];
   };
   LoadBalancerHarness none(MakeSettings());
   none.Ask("r");
   none.Pass(Ms(100));
-  EXPECT_EQ(counted(none, Bar::kNone), 1U);
-  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(none.log).size(), 1U);
+  EXPECT_EQ(counted(none, ExclusionReason::kNone), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(none.log).size(), 1U);
 
   LoadBalancerHarness cold(MakeSettings());
   cold.Change("new", EndpointState::kUp, cold.now - Ms(10));
   cold.Ask("r");
   cold.Pass(Ms(100));
-  EXPECT_EQ(counted(cold, Bar::kCold), 1U);
+  EXPECT_EQ(counted(cold, ExclusionReason::kWarmingUp), 1U);
 
   LoadBalancerHarness fresh(MakeSettings());
   fresh.Endpoints(2);
   for (int i = 0; i < 40; ++i) fresh.Ask("r" + std::to_string(i));
   fresh.Pass(Ms(100));
-  EXPECT_GT(counted(fresh, Bar::kNew), 20U);
-  EXPECT_EQ(counted(fresh, Bar::kFull), 0U);
+  EXPECT_GT(counted(fresh, ExclusionReason::kCapacityUnknown), 20U);
+  EXPECT_EQ(counted(fresh, ExclusionReason::kAtConcurrencyLimit), 0U);
 
   LoadBalancerHarness full(MakeSettings());
   full.Endpoints(2);
   full.WarmUp(100);
   for (int i = 0; i < 400; ++i) full.Ask("r" + std::to_string(i));
   full.Pass(Ms(100));
-  EXPECT_GT(counted(full, Bar::kFull), 10U);
+  EXPECT_GT(counted(full, ExclusionReason::kAtConcurrencyLimit), 10U);
 
   Settings once = MakeSettings();
-  once.allowed.send_cap = 1;
+  once.allowed.max_attempts = 1;
   LoadBalancerHarness spent(once);
   spent.Endpoints(2);
   spent.Ask("r", 4);
   spent.Pass(Ms(390));
   spent.End("r", 0, spent.sends[0].endpoint, Outcome::kError, Ms(390));
-  EXPECT_EQ(counted(spent, Bar::kSpent), 1U);
+  EXPECT_EQ(counted(spent, ExclusionReason::kRetryBudgetExhausted), 1U);
 }
 
 // The trouble: in a busy fleet a gateway just started held itself to half of what hosts held, so it
@@ -717,7 +717,7 @@
     g.Pass(Ms(60));
   }
   EXPECT_GE(g.sends.size(), 5U);
-  for (const Send& send : g.sends) EXPECT_NE(send.endpoint, "e7");  // crowded beside the others
+  for (const StartAttempt& send : g.sends) EXPECT_NE(send.endpoint, "e7");  // crowded beside the others
 }
 
 // The trouble: time-outs left out of the average flatter an endpoint, and its limit runs away.
@@ -747,12 +747,12 @@
 TEST(Admission, TheClassServedWorstGainsWhatTheResultMixAdds) {
   const auto sent_of_lesser = [](double worst_class) {
     Settings s = MakeSettings();
-    s.instances = 1;
+    s.instance_count = 1;
     s.classes = {s.classes[4], s.classes[4]};
-    s.classes[0].worth = 3;
-    s.classes[1].worth = 1;
-    s.worth_by_work = true;
-    s.mix.worst_class = worst_class;
+    s.classes[0].priority_weight = 3;
+    s.classes[1].priority_weight = 1;
+    s.priority_scales_with_work = true;
+    s.score_weights.worst_class = worst_class;
     LoadBalancerHarness g(s);
     g.Endpoints(1);
     std::map<std::string, Time> out;
@@ -782,9 +782,9 @@
 
 TEST(Admission, OnlyATenantsExcessLosesRank) {
   Settings s = MakeSettings();
-  s.instances = 1;
+  s.instance_count = 1;
   s.tenants = {{180, 0.9}, {20, 0.1}};
-  s.over_share_worth = 0.01;
+  s.over_quota_priority_factor = 0.01;
   LoadBalancerHarness g(s);
   g.Endpoints(1);
   std::map<size_t, size_t> sent;
@@ -833,7 +833,7 @@
     for (; seen < g.sends.size(); ++seen) out[g.sends[seen].id] = g.now;
   }
   std::vector<std::string> sent;
-  for (const Send& send : g.sends) sent.push_back(send.id + " " + send.endpoint);
+  for (const StartAttempt& send : g.sends) sent.push_back(send.id + " " + send.endpoint);
   return sent;
 }
 
@@ -842,15 +842,15 @@
 // changes nothing.
 TEST(Admission, TenantsToldAloneAreAsInSettingsToldWhole) {
   Settings before = MakeSettings();
-  before.instances = 1;
-  before.over_share_worth = 0.01;
+  before.instance_count = 1;
+  before.over_quota_priority_factor = 0.01;
   before.tenants = {{20, 0.1}};
   Settings after = before;
   after.tenants = {{180, 0.9}, {20, 0.1}};
   const auto whole = SentOfTwoTenants(before, [&](LoadBalancerHarness& g) { g.Give(after); });
   const auto alone = SentOfTwoTenants(before, [&](LoadBalancerHarness& g) {
-    g.Give(TenantFigures{{{0, {180, 0.9}}, {1, {20, 0.1}}}});
-    EXPECT_THROW(g.Give(TenantFigures{{{0, {1, 0.01}}, {1, {1, -1}}}}), std::invalid_argument);
+    g.Give(TenantQuotaUpdate{{{0, {180, 0.9}}, {1, {20, 0.1}}}});
+    EXPECT_THROW(g.Give(TenantQuotaUpdate{{{0, {1, 0.01}}, {1, {1, -1}}}}), std::invalid_argument);
   });
   EXPECT_EQ(alone, whole);
   EXPECT_NE(SentOfTwoTenants(before, [](LoadBalancerHarness&) {}), whole);
@@ -867,7 +867,7 @@
     took[many ? 1 : 0] = 1e18;
     for (int turn = 0; turn < 5; ++turn) {
       const auto from = std::chrono::steady_clock::now();
-      for (size_t i = 0; i < 200; ++i) g.Give(TenantFigures{{{i * 3, {2, 0.002}}}});
+      for (size_t i = 0; i < 200; ++i) g.Give(TenantQuotaUpdate{{{i * 3, {2, 0.002}}}});
       const std::chrono::duration<double, std::micro> us = std::chrono::steady_clock::now() - from;
       took[many ? 1 : 0] = std::min(took[many ? 1 : 0], us.count() / 200);
     }
@@ -922,23 +922,23 @@
   other.id = "o";
   other.zone = 1;
   other.cell = 1;
-  g.Give(Members{ListKind::kDelta, {other}});
+  g.Give(EndpointUpdate{EndpointUpdateKind::kDelta, {other}});
   g.Pass(Ms(5));
   const auto then = g.End("r", 0, "e0", c.outcome, Ms(5));
-  EXPECT_EQ(LoadBalancerHarness::All<Send>(then).size(), c.other_zone_ok ? 1U : 0U);
+  EXPECT_EQ(LoadBalancerHarness::All<StartAttempt>(then).size(), c.other_zone_ok ? 1U : 0U);
   if (!c.other_zone_ok) {
-    EXPECT_EQ(LoadBalancerHarness::All<Refuse>(then).size(), c.refusable ? 1U : 0U);
-    EXPECT_EQ(LoadBalancerHarness::All<Fail>(then).size(), c.refusable ? 0U : 1U);
+    EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(then).size(), c.refusable ? 1U : 0U);
+    EXPECT_EQ(LoadBalancerHarness::All<FailRequest>(then).size(), c.refusable ? 0U : 1U);
   }
 }
 
 std::vector<LegalCase> LegalCases() {
   std::vector<LegalCase> cases;
   for (const Outcome o :
-       {Outcome::kError, Outcome::kReset, Outcome::kTimeout, Outcome::kCancelled, Outcome::kFull,
-        Outcome::kConnectFailed, Outcome::kMoot, Outcome::kUnusable}) {
+       {Outcome::kError, Outcome::kReset, Outcome::kTimeout, Outcome::kCancelled, Outcome::kRejected,
+        Outcome::kConnectFailed, Outcome::kNotSent, Outcome::kInvalidResponse}) {
     const bool never_ran =
-        o == Outcome::kFull || o == Outcome::kConnectFailed || o == Outcome::kMoot;
+        o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
     cases.push_back({0, o, true, true});
     cases.push_back({1, o, true, true});
     cases.push_back({2, o, never_ran, never_ran});
@@ -953,33 +953,33 @@
 TEST(Gate, AKeyedRepeatStaysInItsWindow) {
   for (const bool late : {false, true}) {
     Settings s = MakeSettings();
-    s.classes[1].window = Ms(150);
-    s.classes[1].aim = Ms(1000);
-    s.allowed.parallel_tries = false;
+    s.classes[1].deduplication_window = Ms(150);
+    s.classes[1].latency_objective = Ms(1000);
+    s.allowed.parallel_attempts = false;
     LoadBalancerHarness g(s);
     g.Endpoints(4);
     g.Ask("r", 1);
     g.now += late ? Ms(120) : Ms(50);  // 50 ms of the window are kept for the way
     const auto then = g.End("r", 0, g.sends[0].endpoint, Outcome::kError, Ms(50));
-    EXPECT_EQ(LoadBalancerHarness::All<Send>(then).size(), late ? 0U : 1U);
+    EXPECT_EQ(LoadBalancerHarness::All<StartAttempt>(then).size(), late ? 0U : 1U);
   }
 }
 
 TEST(Gate, NoMoreAttemptsThanAllowed) {
   Settings s = MakeSettings();
-  s.allowed.send_cap = 1;
+  s.allowed.max_attempts = 1;
   LoadBalancerHarness g(s);
   g.Endpoints(4);
   g.Ask("r");
   const auto then = g.End("r", 0, g.sends[0].endpoint, Outcome::kError, Ms(5));
-  EXPECT_TRUE(LoadBalancerHarness::All<Send>(then).empty());
-  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(then).size(), 1U);
+  EXPECT_TRUE(LoadBalancerHarness::All<StartAttempt>(then).empty());
+  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(then).size(), 1U);
 }
 
 TEST(Gate, NoSecondCopyWhileTheFirstIsOut) {
   for (const bool parallel : {true, false}) {
     Settings s = MakeSettings();
-    s.allowed.parallel_tries = parallel;
+    s.allowed.parallel_attempts = parallel;
     LoadBalancerHarness g(s);
     g.Endpoints(4);
     g.WarmUp(100);
@@ -997,7 +997,7 @@
   g.Endpoints(4);
   g.WarmUp(100);
   g.Ask("r");
-  g.Give(ClientLeft{"r"});
+  g.Give(ClientDisconnected{"r"});
   const size_t sent = g.sends.size();
   g.Pass(Ms(500));
   g.End("r", 0, g.sends.back().endpoint, Outcome::kError, Ms(500), true);
@@ -1010,10 +1010,10 @@
   g.WarmUp(100);
   g.Ask("r");
   const size_t sent = g.sends.size();
-  g.Give(Established{"r", 0, g.sends.back().endpoint, Ms(5)});
+  g.Give(ResponseStarted{"r", 0, g.sends.back().endpoint, Ms(5)});
   g.Pass(Ms(5000));
   EXPECT_EQ(g.sends.size(), sent);
-  EXPECT_TRUE(LoadBalancerHarness::All<Cancel>(g.log).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<CancelAttempt>(g.log).empty());
 }
 
 // The trouble: a client's last try comes with only milliseconds left, and no timer comes early.
@@ -1024,19 +1024,19 @@
   g.log.clear();
   g.Ask("r", 0, Ms(18));
   g.Pass(Ms(18));
-  const auto refused = LoadBalancerHarness::All<Refuse>(g.log);
+  const auto refused = LoadBalancerHarness::All<RejectRequest>(g.log);
   EXPECT_TRUE(
-      std::any_of(refused.begin(), refused.end(), [](const Refuse& x) { return x.id == "r"; }));
+      std::any_of(refused.begin(), refused.end(), [](const RejectRequest& x) { return x.id == "r"; }));
 }
 
 TEST(Gate, ADeadlineAlreadyPastAndNoEndpointAtAll) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(0);
-  EXPECT_TRUE(LoadBalancerHarness::All<Send>(g.Ask("a")).empty());
+  EXPECT_TRUE(LoadBalancerHarness::All<StartAttempt>(g.Ask("a")).empty());
   g.Pass(Ms(200));
-  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(g.log).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(g.log).size(), 1U);
   g.Endpoints(0);
-  EXPECT_EQ(LoadBalancerHarness::All<Refuse>(g.Ask("b", 0, Ms(-5))).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(g.Ask("b", 0, Ms(-5))).size(), 1U);
 }
 
 TEST(Gate, TimeOutAtTheDeadlineIsAnsweredAtOnce) {
@@ -1045,7 +1045,7 @@
   g.Ask("r", 4, Ms(500));
   g.now += Ms(500);
   const auto then = g.End("r", 0, "e0", Outcome::kTimeout, Ms(500));
-  EXPECT_EQ(LoadBalancerHarness::All<Fail>(then).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<FailRequest>(then).size(), 1U);
 }
 
 // ---- Cold endpoints -------------------------------------------------------------------------
@@ -1054,15 +1054,15 @@
 // more, where `pace` is what a warm endpoint takes a second.
 void ExpectWithinColdBudget(const std::vector<Time>& cold, Time born, const Settings& s,
                             double pace) {
-  const double window = static_cast<double>(s.obligations.fall.count()) / 1e6;
+  const double window = static_cast<double>(s.rules.overload_collapse_duration.count()) / 1e6;
   for (size_t i = 0; i < cold.size(); ++i) {
     const auto sent = std::count_if(cold.begin(), cold.end(), [&](Time t) {
-      return t >= cold[i] && t < cold[i] + s.obligations.fall;
+      return t >= cold[i] && t < cold[i] + s.rules.overload_collapse_duration;
     });
     const double age = static_cast<double>((cold[i] - born).count()) /
-                       static_cast<double>(s.obligations.warm_within.count());
-    const double from = s.obligations.cold_from, share = from + (1 - from) * std::min(1.0, age);
-    EXPECT_LE(static_cast<double>(sent), s.obligations.fall_multiple * share * pace * window + 1)
+                       static_cast<double>(s.rules.slow_start_duration.count());
+    const double from = s.rules.slow_start_initial_capacity, share = from + (1 - from) * std::min(1.0, age);
+    EXPECT_LE(static_cast<double>(sent), s.rules.overload_collapse_multiple * share * pace * window + 1)
         << "at " << age;
   }
 }
@@ -1102,7 +1102,7 @@
 TEST(Cold, AGatewayJustStartedKnowsItsTrafficWithinASecond) {
   const auto to_new = [](int seconds_before) {
     Settings s = MakeSettings();
-    s.allowed.send_cap = 1;
+    s.allowed.max_attempts = 1;
     LoadBalancerHarness g(s);
     g.Endpoints(4);
     g.WarmUp(40 * seconds_before, Ms(20), Ms(25));
@@ -1125,7 +1125,7 @@
 TEST(Cold, TheSumOfManyGatewaysStaysWithinTheBudget) {
   constexpr int kGateways = 200, kEndpoints = 80;
   Settings s = MakeSettings();
-  s.instances = kGateways;
+  s.instance_count = kGateways;
   std::vector<LoadBalancerHarness> bank;
   for (int i = 0; i < kGateways; ++i) bank.emplace_back(s, static_cast<uint64_t>(i) + 1);
   for (LoadBalancerHarness& g : bank) g.Endpoints(kEndpoints);
@@ -1161,7 +1161,7 @@
 // connection to each.
 TEST(Set, AGatewayOfALargeBankWorksWithAShareAndAllTogetherWithEveryEndpoint) {
   Settings s = MakeSettings();
-  s.instances = 200;
+  s.instance_count = 200;
   std::set<std::string> by_all;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     s.zone = static_cast<int>(seed % 2);
@@ -1169,7 +1169,7 @@
     g.Endpoints(120);
     g.WarmUp(100);
     std::set<std::string> met;
-    for (const Send& send : g.sends) met.insert(send.endpoint);
+    for (const StartAttempt& send : g.sends) met.insert(send.endpoint);
     EXPECT_LE(met.size(), 16U);
     EXPECT_GE(met.size(), 3U);
     by_all.insert(met.begin(), met.end());
@@ -1179,19 +1179,19 @@
 
 TEST(Set, AloneAGatewayUsesTheWholeFleet) {
   Settings s = MakeSettings();
-  s.instances = 1;
+  s.instance_count = 1;
   LoadBalancerHarness g(s);
   g.Endpoints(100);
   g.WarmUp(3000);
   std::set<std::string> met;
-  for (const Send& send : g.sends) met.insert(send.endpoint);
+  for (const StartAttempt& send : g.sends) met.insert(send.endpoint);
   EXPECT_GT(met.size(), 95U);
 }
 
 // The trouble: a full connection table shows only as failed connects, again and again.
 TEST(Set, AnEndpointThatGivesNoConnectionIsReplaced) {
   Settings s = MakeSettings();
-  s.instances = 200;
+  s.instance_count = 200;
   LoadBalancerHarness g(s);
   g.Endpoints(120);
   g.WarmUp(20);
@@ -1215,7 +1215,7 @@
 // The trouble: after a release the new endpoints were in nobody's set.
 TEST(Set, ReleasedEndpointsComeIntoUse) {
   Settings s = MakeSettings();
-  s.instances = 200;
+  s.instance_count = 200;
   int users = 0;
   for (uint64_t seed = 1; seed <= 100; ++seed) {
     LoadBalancerHarness g(s, seed);
@@ -1224,7 +1224,7 @@
     g.Change("new", EndpointState::kUp);
     g.WarmUp(200);
     users += std::any_of(g.sends.begin(), g.sends.end(),
-                         [](const Send& send) { return send.endpoint == "new"; });
+                         [](const StartAttempt& send) { return send.endpoint == "new"; });
   }
   EXPECT_GT(users, 10);
   EXPECT_LT(users, 50);
@@ -1234,11 +1234,11 @@
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(60);
   g.WarmUp(20);
-  g.Give(Members{ListKind::kFull, {}});
+  g.Give(EndpointUpdate{EndpointUpdateKind::kFull, {}});
   const size_t before = g.sends.size();
   g.WarmUp(20);
   EXPECT_EQ(g.sends.size(), before);
-  g.Endpoints(60, ListKind::kFull);
+  g.Endpoints(60, EndpointUpdateKind::kFull);
   g.WarmUp(20);
   EXPECT_GT(g.sends.size(), before);
 }
@@ -1246,13 +1246,13 @@
 // The trouble: in the first seconds a gateway had seen two of its endpoints and crowded the rest.
 TEST(Probes, FillTheSetAtTheStartWhereTheyArePriced) {
   Settings s = MakeSettings();
-  s.instances = 300;
-  s.charges.probe = 0.04;
+  s.instance_count = 300;
+  s.costs.probe = 0.04;
   LoadBalancerHarness g(s);
   g.Endpoints(68);
   size_t first = 0, later = 0;
   for (int i = 0; i < 104; ++i) {
-    for (const Probe& probe : LoadBalancerHarness::All<Probe>(g.Ask("r" + std::to_string(i)))) {
+    for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(g.Ask("r" + std::to_string(i)))) {
       g.Probed(probe.endpoint, 1, 20);
       ++(i < 4 ? first : later);
     }
@@ -1266,11 +1266,11 @@
 // after it came, when those it replaces had gone.
 TEST(Probes, ANewcomerIsProbedBeforeTheOthers) {
   Settings s = MakeSettings();
-  s.charges.probe = 0.08;
+  s.costs.probe = 0.08;
   LoadBalancerHarness g(s);
   g.Endpoints(10);
   for (int i = 0; i < 100; ++i) {
-    for (const Probe& probe : LoadBalancerHarness::All<Probe>(g.Ask("r" + std::to_string(i)))) {
+    for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(g.Ask("r" + std::to_string(i)))) {
       g.Probed(probe.endpoint, 1, 20);
     }
   }
@@ -1279,7 +1279,7 @@
     g.Change(id, EndpointState::kUp);
     std::string first;
     for (int i = 0; i < 20 && first.empty(); ++i) {
-      for (const Probe& probe : LoadBalancerHarness::All<Probe>(g.Ask(id + std::to_string(i)))) {
+      for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(g.Ask(id + std::to_string(i)))) {
         if (first.empty()) first = probe.endpoint;
         g.Probed(probe.endpoint, 1, 20);
       }
@@ -1292,9 +1292,9 @@
 // sheds all or nothing. The least worth meets the limit first.
 TEST(Admission, TheLimitStretchesWithWorth) {
   Settings s = MakeSettings();
-  s.classes = {MakeClass(Effect::kSafe), MakeClass(Effect::kSafe)};
-  s.classes[1].worth = 5;
-  s.mix.worst_class = 0;
+  s.classes = {MakeClass(Idempotency::kSafe), MakeClass(Idempotency::kSafe)};
+  s.classes[1].priority_weight = 5;
+  s.score_weights.worst_class = 0;
   LoadBalancerHarness g(s);
   g.Endpoints(4);
   int sent[2] = {0, 0};
@@ -1305,9 +1305,9 @@
     g.Ask(id, cls);
     if (g.sends.size() > before) {
       ++sent[cls];
-      g.End(id, 0, g.sends.back().endpoint, Outcome::kFull, Ms(1));
+      g.End(id, 0, g.sends.back().endpoint, Outcome::kRejected, Ms(1));
     } else {
-      g.Give(ClientLeft{id});
+      g.Give(ClientDisconnected{id});
     }
   }
   EXPECT_GT(sent[1], 150);
@@ -1321,26 +1321,26 @@
   s.allowed.retry_after = true;
   s.allowed.max_retry_after = Ms(3000);
   LoadBalancerHarness g(s);
-  g.Give(Members{});  // no endpoint at all
+  g.Give(EndpointUpdate{});  // no endpoint at all
   g.Ask("r");
   g.Pass(Ms(300));
-  const auto refused = LoadBalancerHarness::All<Refuse>(g.log);
+  const auto refused = LoadBalancerHarness::All<RejectRequest>(g.log);
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_GT(refused[0].stay_away, Duration(0));
-  EXPECT_LT(refused[0].stay_away, Ms(100));  // a quarter of the aim
+  EXPECT_GT(refused[0].retry_after, Duration(0));
+  EXPECT_LT(refused[0].retry_after, Ms(100));  // a quarter of the aim
 }
 
 // The trouble: two thirds of the picks of a small set crossed zones, at a price.
 TEST(Set, PrefersTheOwnZoneButNotOnly) {
   Settings s = MakeSettings();
-  s.instances = 200;
+  s.instance_count = 200;
   int own = 0, all = 0;
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     LoadBalancerHarness g(s, seed);
     g.Endpoints(120);  // even ones in zone 0, this gateway's
     g.WarmUp(100);
     std::set<std::string> met;
-    for (const Send& send : g.sends) met.insert(send.endpoint);
+    for (const StartAttempt& send : g.sends) met.insert(send.endpoint);
     for (const std::string& id : met) own += (id.back() - '0') % 2 == 0;
     all += static_cast<int>(met.size());
   }
@@ -1350,16 +1350,16 @@
 
 TEST(Odd, AKindOutOfAnyBoundAndAClusterOfHundreds) {
   Settings s = MakeSettings();
-  s.instances = 4000;  // far more than endpoints, and than are there
+  s.instance_count = 4000;  // far more than endpoints, and than are there
   LoadBalancerHarness g(s);
-  Members m;
-  m.kind = ListKind::kCached;
+  EndpointUpdate m;
+  m.kind = EndpointUpdateKind::kCached;
   for (int i = 0; i < 300; ++i) {
     EndpointInfo info;
     info.id = "e" + std::to_string(i);
     info.zone = i;  // one endpoint a zone
-    info.kind = i % 2 ? SIZE_MAX : 0;
-    m.entries.push_back(info);
+    info.machine_kind = i % 2 ? SIZE_MAX : 0;
+    m.endpoints.push_back(info);
   }
   g.Give(m);
   for (int i = 0; i < 50; ++i) {
@@ -1376,28 +1376,28 @@
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
   EXPECT_TRUE(g.End("nobody", 0, "e0", Outcome::kOk, Ms(1), true).empty());
-  EXPECT_TRUE(g.Give(ClientLeft{"nobody"}).empty());
+  EXPECT_TRUE(g.Give(ClientDisconnected{"nobody"}).empty());
   EXPECT_TRUE(g.Give(TimerFired{"unknown"}).empty());
-  EXPECT_TRUE(g.Give(PeerNote{1, "x"}).empty());
-  EXPECT_TRUE(g.Give(ProbeResult{"nowhere", Outcome::kOk, Ms(1), Report{1, 1}}).empty());
-  EXPECT_TRUE(g.Give(Established{"nobody", 0, "e0", Ms(1)}).empty());
+  EXPECT_TRUE(g.Give(PeerMessage{1, "x"}).empty());
+  EXPECT_TRUE(g.Give(ProbeFinished{"nowhere", Outcome::kOk, Ms(1), LoadReport{1, 1}}).empty());
+  EXPECT_TRUE(g.Give(ResponseStarted{"nobody", 0, "e0", Ms(1)}).empty());
   g.Ask("r");
   g.End("r", 0, g.sends[0].endpoint, Outcome::kOk, Ms(10), true);
   EXPECT_TRUE(g.End("r", 0, g.sends[0].endpoint, Outcome::kError, Ms(10), true).empty());
-  EXPECT_TRUE(g.Give(ProbeResult{"e0", Outcome::kOk, Ms(1), Report{}}).empty());
-  EXPECT_TRUE(g.Give(ProbeResult{"e0", Outcome::kOk, Ms(1), std::nullopt}).empty());
+  EXPECT_TRUE(g.Give(ProbeFinished{"e0", Outcome::kOk, Ms(1), LoadReport{}}).empty());
+  EXPECT_TRUE(g.Give(ProbeFinished{"e0", Outcome::kOk, Ms(1), std::nullopt}).empty());
 }
 
 // Another customer's time to ask in, a minute: a watch that fell silent was begun anew 3 s after
 // that was found out, when what it had missed counted as told long since.
 TEST(Discovery, ABrokenWatchIsBegunAnewSoonHoweverLongTheTimeToAskIn) {
   Settings s = MakeSettings();
-  s.discovery = DiscoveryMode::kAsk;
-  s.obligations.must_ask_in = Ms(60000);
+  s.discovery_mode = DiscoveryMode::kPoll;
+  s.rules.discovery_interval = Ms(60000);
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     LoadBalancerHarness g(s, seed);
     g.Endpoints(3);
-    const auto timers = LoadBalancerHarness::All<SetTimer>(g.Give(Members{ListKind::kFailed, {}}));
+    const auto timers = LoadBalancerHarness::All<SetTimer>(g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}}));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_LE(timers[0].after, Ms(750));
   }
@@ -1406,7 +1406,7 @@
 TEST(Odd, UnknownClassAndTenantAreServed) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
-  EXPECT_EQ(LoadBalancerHarness::All<Send>(g.Ask("r", 99, Ms(1000), 42)).size(), 1U);
+  EXPECT_EQ(LoadBalancerHarness::All<StartAttempt>(g.Ask("r", 99, Ms(1000), 42)).size(), 1U);
 }
 
 }  // namespace
--- a/tests/base/log_test.cpp
+++ b/tests/base/log_test.cpp
@@ -13,9 +13,9 @@
 TEST(LogLines, AFloodIsCutOffAndCounted) {
   usleep(1'100'000);  // a second of its own
   ::testing::internal::CaptureStderr();
-  for (int i = 0; i < 250; ++i) LogLine(Level::kInfo, "one of many");
+  for (int i = 0; i < 250; ++i) LogLine(LogLevel::kInfo, "one of many");
   usleep(1'100'000);
-  LogLine(Level::kInfo, "and another\nerror: forged\x1b[2J");
+  LogLine(LogLevel::kInfo, "and another\nerror: forged\x1b[2J");
   const std::string text = ::testing::internal::GetCapturedStderr();
   EXPECT_EQ(std::ranges::count(text, '\n'), 102);
   EXPECT_NE(text.find("\nwarning: 150 log lines dropped\ninfo: and another?error: forged?[2J\n"),
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -12,17 +12,17 @@
 
 TEST(Counters, PrintOnlyWhatWasCounted) {
   Counters counters;
-  EXPECT_EQ(counters.Text(), "");
+  EXPECT_EQ(counters.ToText(), "");
   counters.sends = 3;
   counters.answers_served = 2;
-  EXPECT_EQ(counters.Text(), "answers_served=2 sends=3");
+  EXPECT_EQ(counters.ToText(), "answers_served=2 sends=3");
 }
 
 TEST(Counters, AFailedCheckIsCountedAndTold) {
-  const uint64_t before = Count().checks_failed;
+  const uint64_t before = GlobalCounters().checks_failed;
   ::testing::internal::CaptureStderr();
   EXPECT_FALSE(CheckFailed("a == b", "file.cpp", 7));
-  EXPECT_EQ(Count().checks_failed, before + 1);
+  EXPECT_EQ(GlobalCounters().checks_failed, before + 1);
   EXPECT_NE(::testing::internal::GetCapturedStderr().find("check failed: a == b at file.cpp:7"),
             std::string::npos);
 }
@@ -36,21 +36,21 @@
 
 TEST(Log, NoPeerCanForgeALine) {
   ::testing::internal::CaptureStderr();
-  Log(Level::kError, "id {}", "x\nerror: forged\r");
+  Log(LogLevel::kError, "id {}", "x\nerror: forged\r");
   const std::string text = ::testing::internal::GetCapturedStderr();
   EXPECT_EQ(text.find('\n'), text.size() - 1);
 }
 
 TEST(Log, AFloodIsCutOff) {
   ::testing::internal::CaptureStderr();
-  for (int i = 0; i < 5000; ++i) Log(Level::kError, "line {}", i);
+  for (int i = 0; i < 5000; ++i) Log(LogLevel::kError, "line {}", i);
   const std::string text = ::testing::internal::GetCapturedStderr();
   EXPECT_LT(std::count(text.begin(), text.end(), '\n'), 500);
 }
 
 TEST(Log, LevelsBelowTheLeastAreDropped) {
   ::testing::internal::CaptureStderr();
-  Log(Level::kDebug, "quiet");
+  Log(LogLevel::kDebug, "quiet");
   EXPECT_EQ(::testing::internal::GetCapturedStderr(), "");
 }
 
--- a/tests/cluster/delta_test.cpp
+++ b/tests/cluster/delta_test.cpp
@@ -22,9 +22,9 @@
 using nlohmann::json;
 
 std::string Applied(const std::string& base, const std::string& delta) {
-  return ToText(ApplyDelta(ParseRules(base), delta));
+  return ToText(ApplyDelta(ParseDocument(base), delta));
 }
-std::string Canonical(const std::string& rules) { return ToText(ParseRules(rules)); }
+std::string Canonical(const std::string& rules) { return ToText(ParseDocument(rules)); }
 
 // Each part is set and removed alone: one that touched its neighbours would undo what others agreed
 // on meanwhile.
@@ -51,23 +51,23 @@
 
 // A line each with its key: an operator's delta is refused before anybody acts on half of it.
 TEST(CheckDelta, NamesEveryFault) {
-  const auto faults = CheckDelta(
+  const auto faults = ValidateDelta(
       R"({"bared":{},"barred":["h"],"drain":{"add":["h",""],"ad":[]},"zone_only":{"h":1},
           "settings":{"Tenants":[],"Classes":{"c":{"Name":"d"},"e":3},"Odd":1},
           "replace":{"Odd":2}})");
   EXPECT_EQ(faults.size(), 9U) << json(faults).dump(1);
-  EXPECT_EQ(CheckDelta(R"({"barred":{"add":["h"],"remove":["h"]}})").size(), 1U);
-  for (const char* const text : {"", "[]", "{\"barred\":"}) EXPECT_EQ(CheckDelta(text).size(), 1U);
-  EXPECT_EQ(CheckDelta(std::string(kDeltaMost + 1, ' ')).size(), 1U);
+  EXPECT_EQ(ValidateDelta(R"({"barred":{"add":["h"],"remove":["h"]}})").size(), 1U);
+  for (const char* const text : {"", "[]", "{\"barred\":"}) EXPECT_EQ(ValidateDelta(text).size(), 1U);
+  EXPECT_EQ(ValidateDelta(std::string(kMaxDeltaBytes + 1, ' ')).size(), 1U);
   const std::string deep = std::string(40, '[') + std::string(40, ']');
-  EXPECT_EQ(CheckDelta(R"({"settings":{"a":)" + deep + "}}").size(), 1U);
-  EXPECT_TRUE(CheckDelta("{}").empty());
+  EXPECT_EQ(ValidateDelta(R"({"settings":{"a":)" + deep + "}}").size(), 1U);
+  EXPECT_TRUE(ValidateDelta("{}").empty());
 }
 
 // The version that comes of it is bounded and checked like one that was submitted whole.
 TEST(ApplyDelta, MakesNoVersionThatIsRefusedWhole) {
-  const Content base =
-      ParseVersion(R"({"settings":{"A":")" + std::string(kVersionMost - 1000, 'x') + "\"}}");
+  const VersionContent base =
+      ParseVersion(R"({"settings":{"A":")" + std::string(kMaxVersionBytes - 1000, 'x') + "\"}}");
   EXPECT_NO_THROW(ApplyDelta(base, R"({"settings":{"B":")" + std::string(200, 'x') + "\"}}"));
   EXPECT_THROW(ApplyDelta(base, R"({"settings":{"B":")" + std::string(2000, 'x') + "\"}}"),
                std::invalid_argument);
@@ -113,18 +113,18 @@
     }
     return list;
   }
-  Rules Any() {
-    Rules rules;
+  ConfigDocument Any() {
+    ConfigDocument rules;
     for (size_t i = Pick(4); i > 0; --i) rules.settings["S" + std::to_string(Pick(3))] = Value();
     if (Pick(2) == 0) rules.settings["Tenants"] = List();
     if (Pick(2) == 0) rules.settings["Classes"] = List();
     if (Pick(2) == 0) rules.settings["Allowed"] = {{"SendCap", 1 + Pick(3)}, {"Odd", Value()}};
-    for (size_t i = Pick(4); i > 0; --i) rules.barred.insert("h" + std::to_string(Pick(5)));
-    for (size_t i = Pick(3); i > 0; --i) rules.drain.insert("h" + std::to_string(Pick(5)));
+    for (size_t i = Pick(4); i > 0; --i) rules.excluded.insert("h" + std::to_string(Pick(5)));
+    for (size_t i = Pick(3); i > 0; --i) rules.draining.insert("h" + std::to_string(Pick(5)));
     for (size_t i = Pick(4); i > 0; --i) {
       rules.zone_only["h" + std::to_string(Pick(4))] = "z" + std::to_string(Pick(2));
     }
-    return ParseRules(ToText(rules));
+    return ParseDocument(ToText(rules));
   }
 
  private:
@@ -137,13 +137,13 @@
   size_t smaller = 0;
   for (uint64_t seed = 1; seed <= 4000; ++seed) {
     Draws draws(seed);
-    const Rules a = draws.Any(), b = seed % 5 == 0 ? a : draws.Any();
-    const std::string delta = Difference(a, b);
-    ASSERT_TRUE(CheckDelta(delta).empty()) << seed << ": " << CheckDelta(delta).front() << delta;
-    const Content made = ApplyDelta(a, delta);
+    const ConfigDocument a = draws.Any(), b = seed % 5 == 0 ? a : draws.Any();
+    const std::string delta = ComputeDelta(a, b);
+    ASSERT_TRUE(ValidateDelta(delta).empty()) << seed << ": " << ValidateDelta(delta).front() << delta;
+    const VersionContent made = ApplyDelta(a, delta);
     ASSERT_EQ(ToText(made), ToText(b)) << seed << ": " << delta;
-    ASSERT_EQ(HashOf(made), HashOf(Content(b))) << seed << ": " << delta;
-    ASSERT_EQ(BytesOf(made), ToText(b).size()) << seed << ": " << delta;
+    ASSERT_EQ(HashOf(made), HashOf(VersionContent(b))) << seed << ": " << delta;
+    ASSERT_EQ(TextBytes(made), ToText(b).size()) << seed << ": " << delta;
     // Of the same two nothing is left to do.
     if (seed % 5 == 0) {
       ASSERT_EQ(delta, "{}") << seed;
@@ -155,14 +155,14 @@
 
 // A delta has the size of the change, whatever the version's: that is what it is for.
 TEST(Difference, IsAsLargeAsTheChange) {
-  Rules a;
+  ConfigDocument a;
   for (int i = 0; i < 4000; ++i) {
     a.settings["Tenants"].push_back({{"Name", "t" + std::to_string(i)}, {"QuotaPerS", i}});
   }
-  Rules b = a;
+  ConfigDocument b = a;
   b.settings["Tenants"][77]["QuotaPerS"] = 9000;
   EXPECT_GT(ToText(b).size(), 100'000U);
-  EXPECT_EQ(Difference(a, b), R"({"settings":{"Tenants":{"t77":{"QuotaPerS":9000}}}})");
+  EXPECT_EQ(ComputeDelta(a, b), R"({"settings":{"Tenants":{"t77":{"QuotaPerS":9000}}}})");
 }
 
 // ---- The history ------------------------------------------------------------------------------
@@ -170,22 +170,22 @@
 std::string Whole(const std::string& id, const std::string& rules) {
   Change change;
   change.id = id;
-  change.rules = rules;
-  return History::ChangeEntry(change);
+  change.document = rules;
+  return VersionHistory::ChangeEntry(change);
 }
 // As an honest leader whose history is `h` proposes it.
-std::string DeltaOf(const History& h, const std::string& id, const std::string& delta,
+std::string DeltaOf(const VersionHistory& h, const std::string& id, const std::string& delta,
                     std::optional<uint64_t> expect = {}) {
   Change change;
   change.id = id;
-  change.rules = delta;
-  change.expect = expect;
-  change.delta = true;
-  return History::ChangeEntry(change, {h.latest(), HashOf(ApplyDelta(h.latest_content(), delta))});
+  change.document = delta;
+  change.expected_version = expect;
+  change.is_delta = true;
+  return VersionHistory::ChangeEntry(change, {h.latest_version(), HashOf(ApplyDelta(h.latest_content(), delta))});
 }
-std::vector<std::string> Texts(const History& h) {
+std::vector<std::string> Texts(const VersionHistory& h) {
   std::vector<std::string> texts;
-  h.Walk(0, [&](const Version&, const Content& content) { texts.push_back(ToText(content)); });
+  h.ForEachVersion(0, [&](const Version&, const VersionContent& content) { texts.push_back(ToText(content)); });
   return texts;
 }
 std::string Bars(int i) { return R"({"barred":{"add":["h)" + std::to_string(i) + "\"]}}"; }
@@ -194,31 +194,31 @@
 TEST(Deltas, MakeTheVersionsThatWholeOnesDo) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     Draws draws(seed);
-    History whole, deltas;
+    VersionHistory whole, deltas;
     for (int i = 0; i < 60; ++i) {
       const std::string id = "c" + std::to_string(i);
-      const Rules next = draws.Any();
-      const std::string delta = Difference(deltas.latest_content(), next);
+      const ConfigDocument next = draws.Any();
+      const std::string delta = ComputeDelta(deltas.latest_content(), next);
       const std::string entry = i % 7 == 3 ? Whole(id, ToText(next)) : DeltaOf(deltas, id, delta);
       ASSERT_GT(deltas.Apply(2 * i + 1, entry).version, 0U) << seed;
       whole.Apply(2 * i + 1, Whole(id, ToText(next)));
       if (draws.Pick(3) > 0) {
-        deltas.Apply(2 * i + 2, History::OnEntry(deltas.latest(), deltas.versions().back().hash));
-        whole.Apply(2 * i + 2, History::OnEntry(whole.latest()));
+        deltas.Apply(2 * i + 2, VersionHistory::InForceEntry(deltas.latest_version(), deltas.versions().back().hash));
+        whole.Apply(2 * i + 2, VersionHistory::InForceEntry(whole.latest_version()));
       }
       if (i % 9 == 8) {
-        History copy;
+        VersionHistory copy;
         copy.Load(deltas.Save());
         ASSERT_EQ(copy.Save(), deltas.Save());
         deltas = copy;
       }
-      ASSERT_EQ(deltas.on(), whole.on());
-      ASSERT_EQ(deltas.acting(), whole.acting()) << seed << " " << i;
+      ASSERT_EQ(deltas.version_in_force(), whole.version_in_force());
+      ASSERT_EQ(deltas.effective_content(), whole.effective_content()) << seed << " " << i;
       ASSERT_EQ(ToText(deltas.latest_content()), ToText(whole.latest_content()));
       if (i % 4 == 0) {
         ASSERT_EQ(Texts(deltas), Texts(whole)) << seed << " " << i;
       }
-      ASSERT_EQ(deltas.differs(), "");
+      ASSERT_EQ(deltas.content_mismatch(), "");
       // One that came whole has the hash of its text, one that came as a delta that of its parts.
       const Version &one = deltas.versions().back(), &other = whole.versions().back();
       ASSERT_EQ(HashOf(*one.content), HashOf(*other.content));
@@ -229,7 +229,7 @@
 
 // Sixteen versions were kept whole each: with deltas one is, and the rest by their own size.
 TEST(Deltas, AreKeptByTheirOwnSize) {
-  History h;
+  VersionHistory h;
   json rules;
   for (int i = 0; i < 1500; ++i) {
     rules["settings"]["Tenants"].push_back({{"Name", "t" + std::to_string(i)}, {"QuotaPerS", i}});
@@ -237,30 +237,30 @@
   h.Apply(1, Whole("first", rules.dump()));
   for (int i = 0; i < 50; ++i) {
     h.Apply(2 * i + 2, DeltaOf(h, "c" + std::to_string(i), Bars(i)));
-    h.Apply(2 * i + 3, History::OnEntry(h.latest(), h.versions().back().hash));
+    h.Apply(2 * i + 3, VersionHistory::InForceEntry(h.latest_version(), h.versions().back().hash));
   }
-  EXPECT_EQ(Texts(h).size(), History::kWhole);
+  EXPECT_EQ(Texts(h).size(), VersionHistory::kFullVersions);
   EXPECT_GT(h.latest_bytes(), 40'000U);
   EXPECT_LT(h.Save().size(), 2 * h.latest_bytes());
 }
 
 TEST(Deltas, AreRefusedWhereTheyMakeNoSense) {
-  History h;
+  VersionHistory h;
   h.Apply(1, Whole("x", R"({"barred":["h"]})"));
   EXPECT_EQ(h.Apply(2, DeltaOf(h, "late", Bars(1), 0)).version, 0U);  // from a stale version
   EXPECT_EQ(h.Apply(3, DeltaOf(h, "y", Bars(1), 1)).version, 2U);
-  EXPECT_TRUE(h.Apply(4, DeltaOf(h, "y", Bars(2))).again);
+  EXPECT_TRUE(h.Apply(4, DeltaOf(h, "y", Bars(2))).is_repeat);
   Change bad;
-  bad.id = "bad", bad.delta = true, bad.rules = R"({"settings":{"Allowed":3}})";
-  EXPECT_EQ(h.Apply(5, History::ChangeEntry(bad, {2, ""})).version, 0U);
-  EXPECT_EQ(h.differs(), "");
-  EXPECT_EQ(h.latest(), 2U);
+  bad.id = "bad", bad.is_delta = true, bad.document = R"({"settings":{"Allowed":3}})";
+  EXPECT_EQ(h.Apply(5, VersionHistory::ChangeEntry(bad, {2, ""})).version, 0U);
+  EXPECT_EQ(h.content_mismatch(), "");
+  EXPECT_EQ(h.latest_version(), 2U);
 }
 
 // One that has missed a delta, or made something else of it, must find out by itself: what it acts
 // on contradicts the others, and nothing else tells it.
 TEST(Deltas, ThatWereMissedOrMisappliedAreFoundOut) {
-  History h, missed, misapplied;
+  VersionHistory h, missed, misapplied;
   std::vector<std::string> entries;
   for (int i = 0; i < 3; ++i) {
     entries.push_back(DeltaOf(h, "c" + std::to_string(i), Bars(i)));
@@ -268,71 +268,71 @@
   }
   missed.Apply(1, entries[0]);
   missed.Apply(3, entries[2]);
-  EXPECT_NE(missed.differs().find("a delta to version 2, the latest is 1 here"), std::string::npos)
-      << missed.differs();
+  EXPECT_NE(missed.content_mismatch().find("a delta to version 2, the latest is 1 here"), std::string::npos)
+      << missed.content_mismatch();
   Change other;
-  other.id = "c0", other.delta = true, other.rules = Bars(7);
-  misapplied.Apply(1, History::ChangeEntry(other, {0, h.versions()[0].hash}));
-  EXPECT_NE(misapplied.differs().find("version 1 is"), std::string::npos);
+  other.id = "c0", other.is_delta = true, other.document = Bars(7);
+  misapplied.Apply(1, VersionHistory::ChangeEntry(other, {0, h.versions()[0].hash}));
+  EXPECT_NE(misapplied.content_mismatch().find("version 1 is"), std::string::npos);
   misapplied.Apply(2, entries[1]);
-  EXPECT_NE(misapplied.differs(), "");
+  EXPECT_NE(misapplied.content_mismatch(), "");
   // The word that turns a version on tells it too, of a version that came whole as well.
-  History on;
+  VersionHistory on;
   on.Apply(1, Whole("w", R"({"barred":["h"]})"));
-  on.Apply(2, History::OnEntry(1, "0"));
-  EXPECT_NE(on.differs(), "");
-  History without;
-  without.Apply(1, History::OnEntry(4, "0"));
-  EXPECT_NE(without.differs(), "");
+  on.Apply(2, VersionHistory::InForceEntry(1, "0"));
+  EXPECT_NE(on.content_mismatch(), "");
+  VersionHistory without;
+  without.Apply(1, VersionHistory::InForceEntry(4, "0"));
+  EXPECT_NE(without.content_mismatch(), "");
   // An entry of a program that tells no hash speaks against nothing.
   on = {};
   on.Apply(1, Whole("w", "{}"));
-  on.Apply(2, History::OnEntry(1));
-  EXPECT_EQ(on.differs(), "");
+  on.Apply(2, VersionHistory::InForceEntry(1));
+  EXPECT_EQ(on.content_mismatch(), "");
   // A later version with the right hash settles it, an earlier one does not.
-  misapplied.Apply(3, History::OnEntry(2, h.versions()[1].hash));
-  EXPECT_NE(misapplied.differs(), "");
-  misapplied.Apply(4, History::OnEntry(1, misapplied.versions()[0].hash));
-  EXPECT_NE(misapplied.differs(), "") << "version 2 is the one in question";
+  misapplied.Apply(3, VersionHistory::InForceEntry(2, h.versions()[1].hash));
+  EXPECT_NE(misapplied.content_mismatch(), "");
+  misapplied.Apply(4, VersionHistory::InForceEntry(1, misapplied.versions()[0].hash));
+  EXPECT_NE(misapplied.content_mismatch(), "") << "version 2 is the one in question";
   misapplied.Apply(5, Whole("c2", ToText(h.latest_content())));
-  misapplied.Apply(6, History::OnEntry(3, h.versions()[2].hash));
-  EXPECT_EQ(misapplied.differs(), "");
+  misapplied.Apply(6, VersionHistory::InForceEntry(3, h.versions()[2].hash));
+  EXPECT_EQ(misapplied.content_mismatch(), "");
 }
 
 // One that has misread a delta is right again once a whole version is on, also where nobody tells a
 // hash: where all but the leader think so, they could else never agree again. One that has missed a
 // version counts wrong from then on, and only a snapshot helps.
 TEST(Deltas, AreForgottenBehindAWholeVersion) {
-  History h, misapplied, missed;
+  VersionHistory h, misapplied, missed;
   const std::string first = DeltaOf(h, "c0", Bars(0));
   h.Apply(1, first);
   Change other;
-  other.id = "c0", other.delta = true, other.rules = Bars(7);
-  misapplied.Apply(1, History::ChangeEntry(other, {0, h.versions()[0].hash}));
+  other.id = "c0", other.is_delta = true, other.document = Bars(7);
+  misapplied.Apply(1, VersionHistory::ChangeEntry(other, {0, h.versions()[0].hash}));
   missed.Apply(2, DeltaOf(h, "c1", Bars(1)));
-  for (History* const one : {&misapplied, &missed}) {
-    ASSERT_NE(one->differs(), "");
+  for (VersionHistory* const one : {&misapplied, &missed}) {
+    ASSERT_NE(one->content_mismatch(), "");
     one->Apply(3, Whole("w", R"({"barred":["h"]})"));
-    EXPECT_NE(one->differs(), "") << "it is not on";
-    one->Apply(4, History::OnEntry(one->latest()));
+    EXPECT_NE(one->content_mismatch(), "") << "it is not on";
+    one->Apply(4, VersionHistory::InForceEntry(one->latest_version()));
   }
-  EXPECT_EQ(misapplied.differs(), "");
-  EXPECT_FALSE(misapplied.miscounts());
-  EXPECT_EQ(ToText(misapplied.acting()), Canonical(R"({"barred":["h"]})"));
-  EXPECT_NE(missed.differs(), "");
-  EXPECT_TRUE(missed.miscounts());
+  EXPECT_EQ(misapplied.content_mismatch(), "");
+  EXPECT_FALSE(misapplied.numbering_mismatch());
+  EXPECT_EQ(ToText(misapplied.effective_content()), Canonical(R"({"barred":["h"]})"));
+  EXPECT_NE(missed.content_mismatch(), "");
+  EXPECT_TRUE(missed.numbering_mismatch());
   missed.Load(h.Save());
-  EXPECT_EQ(missed.differs(), "");
+  EXPECT_EQ(missed.content_mismatch(), "");
 }
 
 // A snapshot whose last version does not have the hash that it tells is other content.
 TEST(Deltas, ASnapshotIsHeldAgainstItsHash) {
-  History h, copy;
+  VersionHistory h, copy;
   h.Apply(1, DeltaOf(h, "c", R"({"barred":{"add":["hhhh"]}})"));
   std::string saved = h.Save();
   saved.replace(saved.find("hhhh"), 4, "hhhg");
   copy.Load(saved);
-  EXPECT_NE(copy.differs(), "");
+  EXPECT_NE(copy.content_mismatch(), "");
 }
 
 // ---- One member -------------------------------------------------------------------------------
@@ -341,18 +341,18 @@
 struct Alone {
   explicit Alone(bool deltas, size_t compact_after = 8)
       : member(OptionsOf(deltas, compact_after), DiskOf(), 7, Time(0)) {}
-  static Member::Options OptionsOf(bool deltas, size_t compact_after) {
-    Member::Options options;
+  static ClusterMember::Options OptionsOf(bool deltas, size_t compact_after) {
+    ClusterMember::Options options;
     options.name = "a";
-    options.first_voters = {"a"};
+    options.initial_voters = {"a"};
     options.compact_after = compact_after;
     options.deltas = deltas;
     return options;
   }
-  static raft::Disk DiskOf() {
-    raft::Disk disk;
-    disk.life = 1, disk.boot = 1, disk.term = 1;
-    disk.log = {{1, raft::Entry::Kind::kVoters, {}, {{"a", 1}}}};
+  static raft::PersistentState DiskOf() {
+    raft::PersistentState disk;
+    disk.incarnation = 1, disk.restart_count = 1, disk.current_term = 1;
+    disk.log = {{1, raft::LogEntry::Kind::kVoters, {}, {{"a", 1}}}};
     return disk;
   }
   template <typename What>
@@ -361,44 +361,44 @@
     what(out);
     while (true) {
       const auto writes = std::move(out.writes);
-      for (const raft::Write& w : writes) {
+      for (const raft::StorageWrite& w : writes) {
         json::to_cbor(ToJson(w), bytes);
-        if (!w.lazy) durable = w.ticket;
+        if (!w.commit_only) durable = w.sequence_number;
       }
-      for (const raft::Outgoing& s : out.sends) {
+      for (const raft::OutgoingMessage& s : out.messages) {
         json::to_cbor(ToJson(s.message), bytes);
         sent.push_back(s.message);
       }
-      for (auto& answer : out.answers) answers.push_back(std::move(answer.second));
+      for (auto& answer : out.results) answers.push_back(std::move(answer.second));
       if (writes.empty()) return;
       out = {};
-      member.Durable(now, durable, out);
+      member.OnDurable(now, durable, out);
     }
   }
   void Tick() {
     now += Time(100'000);
-    Run([&](MemberOutput& out) { member.Tick(now, out); });
+    Run([&](MemberOutput& out) { member.OnTimeout(now, out); });
   }
   void Lead() {
     for (int i = 0; i < 30; ++i) Tick();
-    ASSERT_TRUE(member.agreement().Leads(now));
+    ASSERT_TRUE(member.raft_node().IsLeaderWithLease(now));
   }
-  Answer Submit(const std::string& id, const std::string& rules, bool delta = false) {
-    Wish w;
+  ChangeResult Submit(const std::string& id, const std::string& rules, bool delta = false) {
+    ChangeRequest w;
     w.change.id = id;
-    w.change.rules = rules;
-    w.change.delta = delta;
+    w.change.document = rules;
+    w.change.is_delta = delta;
     answers.clear();
     Run([&](MemberOutput& out) { member.Submit(now, w, 1, out); });
     for (int i = 0; i < 3 && answers.empty(); ++i) Tick();
-    return answers.empty() ? Answer{} : answers.back();
+    return answers.empty() ? ChangeResult{} : answers.back();
   }
-  Member member;
+  ClusterMember member;
   Time now{0};
   uint64_t durable = 0;
   std::string bytes;
   std::vector<raft::Message> sent;
-  std::vector<Answer> answers;
+  std::vector<ChangeResult> answers;
 };
 
 // Whole changes are on the wire and on the disk as they were before there were deltas, to the byte:
@@ -407,13 +407,13 @@
   Alone a(false);
   for (int i = 0; i < 40; ++i) {
     a.Tick();
-    if (i == 20) a.Run([&](MemberOutput& out) { a.member.Linked(a.now, "b", 2, {}, out); });
+    if (i == 20) a.Run([&](MemberOutput& out) { a.member.OnPeerConnected(a.now, "b", 2, {}, out); });
     if (i < 12 || i > 32) continue;
-    Wish w;
+    ChangeRequest w;
     w.change.id = "c" + std::to_string(i);
-    w.change.author = "x", w.change.reason = "r", w.change.unix_s = i;
-    if (i % 3 == 0) w.change.expect = a.member.history().latest();
-    w.change.rules = R"({"barred":["h)" + std::to_string(i) +
+    w.change.author = "x", w.change.reason = "r", w.change.submitted_unix_s = i;
+    if (i % 3 == 0) w.change.expected_version = a.member.history().latest_version();
+    w.change.document = R"({"barred":["h)" + std::to_string(i) +
                      R"("],"settings":{"Tenants":[{"Name":"t","QuotaPerS":)" +
                      std::to_string(i / 4) + "}]}}";
     json::to_cbor(ToJson(w), a.bytes);
@@ -422,8 +422,8 @@
   // Of the text before deltas, 3defdbd.
   EXPECT_EQ(a.bytes.size(), 28276U);
   EXPECT_EQ(HashOf(a.bytes), "e433ba2e999c9310121c999c3df930db");
-  EXPECT_EQ(a.member.history().latest(), 21U);
-  EXPECT_GT(a.member.agreement().first(), 1U);  // a snapshot is among them
+  EXPECT_EQ(a.member.history().latest_version(), 21U);
+  EXPECT_GT(a.member.raft_node().first_log_index(), 1U);  // a snapshot is among them
 }
 
 // A whole version that a submitter sends goes on as the delta that it is, where that is smaller.
@@ -434,16 +434,16 @@
   for (int i = 0; i < 1000; ++i) {
     rules["settings"]["Tenants"].push_back({{"Name", "t" + std::to_string(i)}, {"QuotaPerS", i}});
   }
-  ASSERT_EQ(a.Submit("one", rules.dump()).kind, Answer::Kind::kDone);
+  ASSERT_EQ(a.Submit("one", rules.dump()).kind, ChangeResult::Kind::kDone);
   const size_t before = a.bytes.size();
   rules["settings"]["Tenants"][5]["QuotaPerS"] = 7777;
-  const Answer told = a.Submit("two", rules.dump());
-  EXPECT_EQ(told.kind, Answer::Kind::kDone) << told.text;
+  const ChangeResult told = a.Submit("two", rules.dump());
+  EXPECT_EQ(told.kind, ChangeResult::Kind::kDone) << told.text;
   EXPECT_EQ(told.version, 2U);
   EXPECT_LT(a.bytes.size() - before, 2000U);
   // What the leader made of it is told, or nobody who applies it otherwise finds that out.
   const json entry = json::from_cbor(
-      a.member.agreement().EntryAt(a.member.history().versions().back().index).bytes);
+      a.member.raft_node().EntryAt(a.member.history().versions().back().index).bytes);
   EXPECT_EQ(entry.value("hash", ""), HashOf(a.member.history().latest_content()));
   EXPECT_EQ(ToText(a.member.history().latest_content()), Canonical(rules.dump()));
   const json status = a.member.Status(a.now);
@@ -452,12 +452,12 @@
   EXPECT_GT(status["version_bytes"], 20'000);
   EXPECT_EQ(status["content"], "agreed");
   // Another version altogether: the whole is smaller, and goes.
-  EXPECT_EQ(a.Submit("three", "{}").kind, Answer::Kind::kDone);
+  EXPECT_EQ(a.Submit("three", "{}").kind, ChangeResult::Kind::kDone);
   EXPECT_EQ(a.member.Status(a.now)["change_bytes"], Canonical("{}").size());
-  EXPECT_EQ(a.Submit("four", Bars(1), true).kind, Answer::Kind::kDone);
-  EXPECT_TRUE(a.member.history().latest_content().barred.contains("h1"));
-  const Answer refused = a.Submit("five", R"({"settings":{"Allowed":3}})", true);
-  EXPECT_EQ(refused.kind, Answer::Kind::kRefused);
+  EXPECT_EQ(a.Submit("four", Bars(1), true).kind, ChangeResult::Kind::kDone);
+  EXPECT_TRUE(a.member.history().latest_content().excluded.contains("h1"));
+  const ChangeResult refused = a.Submit("five", R"({"settings":{"Allowed":3}})", true);
+  EXPECT_EQ(refused.kind, ChangeResult::Kind::kRefused);
   EXPECT_EQ(refused.text, "the version that it makes: settings.Allowed: expected an object");
 }
 
@@ -471,18 +471,18 @@
                                                 {R"({"barred":{"remove":["a2"]}})", true}};
   uint64_t ticket = 10;
   for (const auto& [rules, delta] : tries) {
-    Wish w;
+    ChangeRequest w;
     w.change.id = std::to_string(++ticket);
-    w.change.rules = rules;
-    w.change.delta = delta;
+    w.change.document = rules;
+    w.change.is_delta = delta;
     a.member.Submit(a.now, w, ticket, out);
   }
-  EXPECT_EQ(a.member.history().latest(), 0U);
+  EXPECT_EQ(a.member.history().latest_version(), 0U);
   a.Run([&](MemberOutput& into) { into = std::move(out); });
-  EXPECT_EQ(a.member.history().latest(), 3U);
+  EXPECT_EQ(a.member.history().latest_version(), 3U);
   EXPECT_EQ(ToText(a.member.history().latest_content()),
             Canonical(R"({"barred":["a1","a3","a4"]})"));
-  EXPECT_EQ(a.member.history().differs(), "");
+  EXPECT_EQ(a.member.history().content_mismatch(), "");
 }
 
 // A leader that proposes whole changes takes no delta, and says so in a line; as a program that
@@ -490,19 +490,19 @@
 TEST(DeltaChanges, AreRefusedWhereTheLeaderHasWholeOnes) {
   Alone a(false);
   a.Lead();
-  const Answer told = a.Submit("one", Bars(1), true);
-  EXPECT_EQ(told.kind, Answer::Kind::kRefused);
+  const ChangeResult told = a.Submit("one", Bars(1), true);
+  EXPECT_EQ(told.kind, ChangeResult::Kind::kRefused);
   EXPECT_EQ(told.text,
             "a delta, and a leads with whole changes, expected changes = \"delta\" in its "
             "operator's file");
-  Wish w;
-  w.change.id = "x", w.change.delta = true, w.change.rules = R"({"zone_only":{"h":"z"}})";
+  ChangeRequest w;
+  w.change.id = "x", w.change.is_delta = true, w.change.document = R"({"zone_only":{"h":"z"}})";
   const json wish = ToJson(w);
-  EXPECT_FALSE(CheckRules(wish[7].get<std::string>()).empty());
+  EXPECT_FALSE(ValidateDocument(wish[7].get<std::string>()).empty());
   const auto read = ReadWish(wish);
   ASSERT_TRUE(read.has_value());
-  EXPECT_TRUE(read->change.delta);
-  EXPECT_EQ(read->change.rules, w.change.rules);
+  EXPECT_TRUE(read->change.is_delta);
+  EXPECT_EQ(read->change.document, w.change.document);
 }
 
 // A follower whose own mode is whole follows a leader that proposes deltas, acts on them, and
@@ -511,44 +511,44 @@
 struct Follower {
   explicit Follower(bool votes = false)
       : member(Alone::OptionsOf(false, 512), DiskOf(votes), 3, Time(0)) {}
-  static raft::Disk DiskOf(bool votes) {
-    raft::Disk disk;
-    disk.life = 5, disk.boot = 1, disk.term = 1;
-    disk.log = {{1, raft::Entry::Kind::kVoters, {}, {{"l", 9}}}};
+  static raft::PersistentState DiskOf(bool votes) {
+    raft::PersistentState disk;
+    disk.incarnation = 5, disk.restart_count = 1, disk.current_term = 1;
+    disk.log = {{1, raft::LogEntry::Kind::kVoters, {}, {{"l", 9}}}};
     if (votes) disk.log[0].voters = {{"l", 9}, {"a", 5}, {"c", 6}};
     return disk;
   }
   MemberOutput Take(std::vector<std::string> entries) {
     raft::Message m;
-    m.from = "l", m.to = "a", m.from_life = 9, m.term = 1;
+    m.from = "l", m.to = "a", m.from_incarnation = 9, m.term = 1;
     m.index = index, m.index_term = 1;
     now += Time(1000);
-    m.asked = now;
+    m.asked_at = now;
     for (std::string& bytes : entries)
-      m.entries.push_back({1, raft::Entry::Kind::kData, bytes, {}});
+      m.entries.push_back({1, raft::LogEntry::Kind::kData, bytes, {}});
     index += m.entries.size();
-    m.commit = index;
+    m.commit_index = index;
     MemberOutput out;
-    member.Receive(now, m, out);
+    member.OnMessage(now, m, out);
     return out;
   }
-  Member member;
+  ClusterMember member;
   Time now{0};
   raft::Index index = 1;
 };
 
 TEST(DeltaChanges, AreFollowedByOneWhoseOwnAreWhole) {
   Follower f;
-  History leader;
+  VersionHistory leader;
   for (int i = 0; i < 3; ++i) {
     const std::string entry = DeltaOf(leader, "c" + std::to_string(i), Bars(i));
     leader.Apply(i + 1, entry);
-    f.Take({entry, History::OnEntry(leader.latest(), leader.versions().back().hash)});
-    leader.Apply(100 + i, History::OnEntry(leader.latest()));
+    f.Take({entry, VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash)});
+    leader.Apply(100 + i, VersionHistory::InForceEntry(leader.latest_version()));
   }
-  EXPECT_EQ(f.member.Acting(f.now).kind, Stance::Kind::kAgreed);
-  EXPECT_EQ(f.member.Acting(f.now).on, 3U);
-  EXPECT_EQ(f.member.RulesOf(f.member.Acting(f.now)), leader.latest_content());
+  EXPECT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kAgreed);
+  EXPECT_EQ(f.member.CurrentConfig(f.now).version_in_force, 3U);
+  EXPECT_EQ(f.member.ContentOf(f.member.CurrentConfig(f.now)), leader.latest_content());
 }
 
 std::string Quotas(int tenants, int first) {
@@ -564,27 +564,27 @@
 // however many come at once. All in one stand cost requests their time.
 TEST(WholeChanges, ALongLogOfLargeVersionsIsAppliedInParts) {
   Follower f;
-  History leader;
+  VersionHistory leader;
   std::vector<std::string> entries;
   for (int i = 0; i < 30; ++i) {
     entries.push_back(Whole("c" + std::to_string(i), Quotas(2000, i)));
     leader.Apply(2 * i + 2, entries.back());
-    entries.push_back(History::OnEntry(leader.latest(), leader.versions().back().hash));
+    entries.push_back(VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
     leader.Apply(2 * i + 3, entries.back());
   }
   f.Take(entries);
-  EXPECT_LE(f.member.history().latest(), 1U);
+  EXPECT_LE(f.member.history().latest_version(), 1U);
   int events = 1;
-  for (; f.member.agreement().Behind(); ++events) {
-    ASSERT_EQ(f.member.NextDue(), Time(0));
-    const uint64_t before = f.member.history().latest();
+  for (; f.member.raft_node().HasEntriesToApply(); ++events) {
+    ASSERT_EQ(f.member.NextTimeout(), Time(0));
+    const uint64_t before = f.member.history().latest_version();
     MemberOutput out;
-    f.member.Tick(f.now, out);
-    EXPECT_LE(f.member.history().latest(), before + 1);
+    f.member.OnTimeout(f.now, out);
+    EXPECT_LE(f.member.history().latest_version(), before + 1);
   }
   EXPECT_GE(events, 30);
-  EXPECT_EQ(f.member.Acting(f.now).on, 30U);
-  EXPECT_EQ(f.member.RulesOf(f.member.Acting(f.now)), leader.latest_content());
+  EXPECT_EQ(f.member.CurrentConfig(f.now).version_in_force, 30U);
+  EXPECT_EQ(f.member.ContentOf(f.member.CurrentConfig(f.now)), leader.latest_content());
 }
 
 std::string QuotaDelta(int quota) {
@@ -596,7 +596,7 @@
 TEST(DeltaChanges, ALongLogOfThemIsAppliedInParts) {
   for (const int tenants : {10, 4000}) {
     Follower f;
-    History leader;
+    VersionHistory leader;
     std::vector<std::string> entries = {Whole("first", Quotas(tenants, 0))};
     leader.Apply(2, entries.back());
     f.Take(entries);
@@ -604,21 +604,21 @@
     for (int i = 1; i <= 200; ++i) {
       entries.push_back(DeltaOf(leader, "c" + std::to_string(i), QuotaDelta(i)));
       leader.Apply(2 * i + 2, entries.back());
-      entries.push_back(History::OnEntry(leader.latest(), leader.versions().back().hash));
+      entries.push_back(VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
       leader.Apply(2 * i + 3, entries.back());
     }
     f.Take(entries);
     int events = 1;
-    for (uint64_t before = 1; f.member.agreement().Behind(); ++events) {
-      EXPECT_LE(f.member.history().latest(), before + 8) << tenants;
-      before = f.member.history().latest();
+    for (uint64_t before = 1; f.member.raft_node().HasEntriesToApply(); ++events) {
+      EXPECT_LE(f.member.history().latest_version(), before + 8) << tenants;
+      before = f.member.history().latest_version();
       MemberOutput out;
-      f.member.Tick(f.now, out);
+      f.member.OnTimeout(f.now, out);
     }
     EXPECT_GE(events, 25) << tenants;
     EXPECT_LE(events, 60) << tenants;
-    EXPECT_EQ(f.member.Acting(f.now).on, 201U);
-    EXPECT_EQ(f.member.RulesOf(f.member.Acting(f.now)), leader.latest_content());
+    EXPECT_EQ(f.member.CurrentConfig(f.now).version_in_force, 201U);
+    EXPECT_EQ(f.member.ContentOf(f.member.CurrentConfig(f.now)), leader.latest_content());
   }
 }
 
@@ -629,53 +629,53 @@
   a.Lead();
   MemberOutput out;
   for (int i = 0; i < 3; ++i) {
-    Wish w;
+    ChangeRequest w;
     w.change.id = "c" + std::to_string(i);
-    w.change.rules = Quotas(1000, 1000 + i);
+    w.change.document = Quotas(1000, 1000 + i);
     a.member.Submit(a.now, w, 10 + i, out);
   }
-  const uint64_t last = out.writes.back().ticket;
+  const uint64_t last = out.writes.back().sequence_number;
   out = {};
-  a.member.Durable(a.now, last, out);
-  ASSERT_TRUE(a.member.agreement().Behind());
-  Wish w;
-  w.change.id = "late", w.change.rules = "{}";
+  a.member.OnDurable(a.now, last, out);
+  ASSERT_TRUE(a.member.raft_node().HasEntriesToApply());
+  ChangeRequest w;
+  w.change.id = "late", w.change.document = "{}";
   a.durable = last;
   out = {};
   a.member.Submit(a.now, w, 20, out);
-  ASSERT_EQ(out.answers.size(), 1U);
-  EXPECT_EQ(out.answers[0].second.kind, Answer::Kind::kNobody);
-  EXPECT_EQ(out.answers[0].second.text, "a leads, and catches up");
-  while (a.member.agreement().Behind()) a.Tick();
-  EXPECT_EQ(a.Submit("late", "{}").kind, Answer::Kind::kDone);
+  ASSERT_EQ(out.results.size(), 1U);
+  EXPECT_EQ(out.results[0].second.kind, ChangeResult::Kind::kNoLeader);
+  EXPECT_EQ(out.results[0].second.text, "a leads, and catches up");
+  while (a.member.raft_node().HasEntriesToApply()) a.Tick();
+  EXPECT_EQ(a.Submit("late", "{}").kind, ChangeResult::Kind::kDone);
 }
 
 TEST(OtherContent, IsNotActedOnAndSaidOnce) {
   for (const bool votes : {false, true}) {
     Follower f(votes);
-    History leader;
+    VersionHistory leader;
     const std::string first = DeltaOf(leader, "c0", Bars(0));
     leader.Apply(1, first);
     const std::string second = DeltaOf(leader, "c1", Bars(1));
     leader.Apply(2, second);
-    f.Take({first, History::OnEntry(1, leader.versions().front().hash)});
-    ASSERT_EQ(f.member.Acting(f.now).kind, Stance::Kind::kAgreed);
+    f.Take({first, VersionHistory::InForceEntry(1, leader.versions().front().hash)});
+    ASSERT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kAgreed);
     Change other;
-    other.id = "c1", other.delta = true, other.rules = Bars(8);
-    MemberOutput out = f.Take({History::ChangeEntry(other, {1, leader.versions().back().hash})});
-    EXPECT_EQ(f.member.Acting(f.now).kind, Stance::Kind::kAlone);
-    EXPECT_TRUE(f.member.RulesOf(f.member.Acting(f.now)).strict);
-    EXPECT_EQ(f.member.differed(), 1U);
+    other.id = "c1", other.is_delta = true, other.document = Bars(8);
+    MemberOutput out = f.Take({VersionHistory::ChangeEntry(other, {1, leader.versions().back().hash})});
+    EXPECT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kIsolated);
+    EXPECT_TRUE(f.member.ContentOf(f.member.CurrentConfig(f.now)).strict);
+    EXPECT_EQ(f.member.content_mismatch_count(), 1U);
     const auto said = [](const MemberOutput& o) {
       return std::ranges::count_if(
           o.log, [](const std::string& l) { return l.find("not what was agreed") != l.npos; });
     };
     EXPECT_EQ(said(out), 1);
     // One that votes keeps its disk, which others may need: an operator lets it in anew.
-    EXPECT_EQ(out.needs_anew.empty(), votes);
+    EXPECT_EQ(out.needs_resync.empty(), votes);
     out = f.Take({DeltaOf(leader, "c2", Bars(2))});
     EXPECT_EQ(said(out), 0);
-    EXPECT_EQ(f.member.differed(), 1U);
+    EXPECT_EQ(f.member.content_mismatch_count(), 1U);
     EXPECT_NE(f.member.Status(f.now)["content"], "agreed");
   }
 }
--- a/tests/cluster/persistent_map_test.cpp
+++ b/tests/cluster/persistent_map_test.cpp
@@ -21,10 +21,10 @@
 
 using Texts = std::map<std::string, std::string>;
 
-Texts All(const Parts& parts) {
+Texts All(const PersistentMap& parts) {
   Texts all;
   std::string last;
-  parts.ForEach([&](const Part& part) {
+  parts.ForEach([&](const MapEntry& part) {
     EXPECT_TRUE(all.empty() || last < part.name);  // by name
     last = part.name;
     all[part.name] = part.text;
@@ -39,10 +39,10 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     const size_t names = seed % 2 == 0 ? 40 : 2000;
-    Parts parts;
+    PersistentMap parts;
     Texts model;
     std::vector<std::string> order;
-    std::vector<std::pair<Parts, Texts>> copies;
+    std::vector<std::pair<PersistentMap, Texts>> copies;
     for (int step = 0; step < 4000; ++step) {
       const std::string name = Name(random() % names);
       // Filled, emptied, filled again.
@@ -63,10 +63,10 @@
       ASSERT_EQ(All(parts), model) << seed << " " << step;
       ASSERT_EQ(parts.size(), model.size());
       std::vector<std::string> ordered;
-      for (const Part* const part : parts.Ordered()) ordered.push_back(part->name);
+      for (const MapEntry* const part : parts.EntriesInOrder()) ordered.push_back(part->name);
       ASSERT_EQ(ordered, order);
       // The same from nothing, whatever way it came.
-      std::vector<Part> list;
+      std::vector<MapEntry> list;
       size_t texts = 0, written = 0;
       for (const auto& [n, text] : model) {
         list.push_back({n, text});
@@ -74,9 +74,9 @@
         written += n.size() + 2;
       }
       std::shuffle(list.begin(), list.end(), random);
-      const Parts fresh(std::move(list));
+      const PersistentMap fresh(std::move(list));
       ASSERT_EQ(fresh, parts);
-      ASSERT_EQ(fresh.sum(), parts.sum());
+      ASSERT_EQ(fresh.hash(), parts.hash());
       ASSERT_EQ(parts.text_bytes(), texts);
       ASSERT_EQ(parts.name_bytes(), written);
     }
@@ -84,7 +84,7 @@
     for (const auto& [copy, was] : copies) {
       ASSERT_EQ(All(copy), was);
       Texts told, differs;
-      Parts::ForEachDifference(
+      PersistentMap::ForEachDifference(
           copy, parts, [&](const std::string& n, const std::string* a, const std::string* b) {
             told[n] = (a != nullptr ? *a : "-") + "/" + (b != nullptr ? *b : "-");
           });
@@ -104,15 +104,15 @@
 
 // A part that moved to another name, or two that exchanged their texts, is other content.
 TEST(Parts, HashesTellPartsApart) {
-  Parts a, b, c, d;
+  PersistentMap a, b, c, d;
   a.Set("x", "1"), a.Set("y", "2");
   b.Set("x", "2"), b.Set("y", "1");
   c.Set("x", "12"), c.Set("y", "");
   d.Set("xy", "12");
-  const Parts* const all[] = {&a, &b, &c, &d};
-  for (const Parts* const one : all) {
-    for (const Parts* const other : all) {
-      EXPECT_EQ(one->sum() == other->sum(), one == other);
+  const PersistentMap* const all[] = {&a, &b, &c, &d};
+  for (const PersistentMap* const one : all) {
+    for (const PersistentMap* const other : all) {
+      EXPECT_EQ(one->hash() == other->hash(), one == other);
       EXPECT_EQ(*one == *other, one == other);
     }
   }
@@ -120,8 +120,8 @@
 
 // ---- What it is for ---------------------------------------------------------------------------
 
-Rules Quotas(size_t tenants) {
-  Rules rules;
+ConfigDocument Quotas(size_t tenants) {
+  ConfigDocument rules;
   rules.settings["Tenants"] = nlohmann::json::array();
   for (size_t i = 0; i < tenants; ++i) {
     rules.settings["Tenants"].push_back({{"Name", Name(i)}, {"QuotaPerS", i}});
@@ -146,29 +146,29 @@
       R"({"settings":{"Tenants":[{"Name":"a","QuotaPerS":1.0},{"Name":"b"}]}})"};
   for (const std::string& a : texts) {
     for (const std::string& b : texts) {
-      EXPECT_EQ(HashOf(Content(ParseRules(a))) == HashOf(Content(ParseRules(b))), a == b) << a << b;
+      EXPECT_EQ(HashOf(VersionContent(ParseDocument(a))) == HashOf(VersionContent(ParseDocument(b))), a == b) << a << b;
     }
-    const Content content = ParseRules(a);
-    EXPECT_EQ(BytesOf(content), ToText(content).size());
-    EXPECT_EQ(ToText(content), ToText(ParseRules(a)));
-    EXPECT_EQ(ToText(content.ToRules()), ToText(content));
+    const VersionContent content = ParseDocument(a);
+    EXPECT_EQ(TextBytes(content), ToText(content).size());
+    EXPECT_EQ(ToText(content), ToText(ParseDocument(a)));
+    EXPECT_EQ(ToText(content.ToDocument()), ToText(content));
   }
-  const Content turned =
-      ParseRules(R"({"settings":{"Tenants":[{"Name":"b"},{"QuotaPerS":1,"Name":"a"}]}})");
-  EXPECT_EQ(HashOf(turned), HashOf(Content(ParseRules(texts[9]))));
-  EXPECT_NE(ToText(turned), ToText(ParseRules(texts[9])));
+  const VersionContent turned =
+      ParseDocument(R"({"settings":{"Tenants":[{"Name":"b"},{"QuotaPerS":1,"Name":"a"}]}})");
+  EXPECT_EQ(HashOf(turned), HashOf(VersionContent(ParseDocument(texts[9]))));
+  EXPECT_NE(ToText(turned), ToText(ParseDocument(texts[9])));
 }
 
 // Keys of the settings stand in their order, the lists among them: another order is another text,
 // and a version's text is what operators and older programs read.
 TEST(Content, WritesTheTextOfItsRules) {
-  const Rules rules = ParseRules(
+  const ConfigDocument rules = ParseDocument(
       R"({"settings":{"Zone":1,"Tenants":[{"Name":"q\"\u00e9"}],"Classes":[{"Name":"z"},
           {"Name":"a"}],"Allowed":{"SendCap":2},"D":{"x":null},"A":3,"U\n":-0.0},"barred":["b","a"],
           "zone_only":{"h\"":"z","g":""},"drain":["\u00fc"]})");
-  EXPECT_EQ(ToText(Content(rules)), ToText(rules));
-  EXPECT_EQ(BytesOf(rules), ToText(rules).size());
-  EXPECT_EQ(Content(rules).ToRules(), rules);
+  EXPECT_EQ(ToText(VersionContent(rules)), ToText(rules));
+  EXPECT_EQ(TextBytes(rules), ToText(rules).size());
+  EXPECT_EQ(VersionContent(rules).ToDocument(), rules);
 }
 
 // The least of several looks, in us: the machine may be busy.
@@ -191,17 +191,17 @@
   double took[2] = {};
   for (const bool large : {false, true}) {
     const size_t tenants = large ? 64 * 1000 : 1000;
-    const Content base = Quotas(tenants);
+    const VersionContent base = Quotas(tenants);
     int turn = 0;
     took[large ? 1 : 0] = Least([&] {
-      Content next = base;
+      VersionContent next = base;
       const size_t at = static_cast<size_t>(++turn) * 7919 % tenants;
       next.tenants->Set(Name(at), R"({"Name":")" + Name(at) + R"(","QuotaPerS":0.5})");
       EXPECT_EQ(Contradictions(base, next).size(), 1U);
-      const Content both = Stricter(base, next);
+      const VersionContent both = StricterOf(base, next);
       EXPECT_NE(both, base);
       EXPECT_NE(HashOf(next), HashOf(base));
-      EXPECT_GT(BytesOf(next), 0U);
+      EXPECT_GT(TextBytes(next), 0U);
     });
   }
   EXPECT_LT(took[1], 16 * took[0]) << "at 1,000: " << took[0] << " us, at 64,000: " << took[1];
@@ -213,27 +213,27 @@
   double took[2] = {};
   for (const bool large : {false, true}) {
     const size_t tenants = large ? 7000 : 100;
-    History h;
+    VersionHistory h;
     Change whole;
     whole.id = "whole";
-    whole.rules = ToText(Quotas(tenants));
-    ASSERT_EQ(h.Apply(1, History::ChangeEntry(whole)).version, 1U);
-    h.Apply(2, History::OnEntry(1));
+    whole.document = ToText(Quotas(tenants));
+    ASSERT_EQ(h.Apply(1, VersionHistory::ChangeEntry(whole)).version, 1U);
+    h.Apply(2, VersionHistory::InForceEntry(1));
     raft::Index index = 2;
     took[large ? 1 : 0] = Least([&] {
       Change change;
       change.id = std::to_string(index);
-      change.delta = true;
-      change.rules = R"({"settings":{"Tenants":{")" + Name(index * 7919 % tenants) +
+      change.is_delta = true;
+      change.document = R"({"settings":{"Tenants":{")" + Name(index * 7919 % tenants) +
                      R"(":{"QuotaPerS":)" + std::to_string(index) + "}}}}";
-      const Content next = ApplyDelta(h.latest_content(), change.rules);
+      const VersionContent next = ApplyDelta(h.latest_content(), change.document);
       ++index;
-      ASSERT_GT(h.Apply(index, History::ChangeEntry(change, {h.latest(), HashOf(next)})).version,
+      ASSERT_GT(h.Apply(index, VersionHistory::ChangeEntry(change, {h.latest_version(), HashOf(next)})).version,
                 1U);
       ++index;
-      h.Apply(index, History::OnEntry(h.latest(), HashOf(next)));
-      ASSERT_EQ(h.on(), h.latest());
-      ASSERT_EQ(h.differs(), "");
+      h.Apply(index, VersionHistory::InForceEntry(h.latest_version(), HashOf(next)));
+      ASSERT_EQ(h.version_in_force(), h.latest_version());
+      ASSERT_EQ(h.content_mismatch(), "");
     });
   }
   EXPECT_LT(took[1], 6 * took[0]) << "at 100: " << took[0] << " us, at 7,000: " << took[1];
--- a/tests/config/gateway_config_test.cpp
+++ b/tests/config/gateway_config_test.cpp
@@ -38,8 +38,8 @@
     std::ofstream(path_, std::ios::binary) << text;
     env_["LB_CONFIG"] = path_;
   }
-  Config Read() {
-    return ReadConfig(
+  GatewayConfig Read() {
+    return ReadGatewayConfig(
         [this](const char* name) {
           const auto at = env_.find(name);
           return at == env_.end() ? nullptr : at->second.c_str();
@@ -66,28 +66,28 @@
   Write(File(kSettings,
              R"([{"id":"h1","host_port":"127.0.0.2:80","locality":"south east","flavor":"small",)"
              R"("cell":3,"phase":"active","size":1.5,"up_since_ms":7,"extra":{}}])"));
-  const Config c = Read();
+  const GatewayConfig c = Read();
   EXPECT_EQ(c.name, "n1");
   EXPECT_EQ(ToText(c.listen), "127.0.0.4:5000");
   EXPECT_EQ(ToText(c.discovery), "127.0.0.9:8500");
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
-  EXPECT_EQ(c.sockets, 512u);
-  EXPECT_EQ(c.idle_close, Duration(60'000'000));
-  EXPECT_EQ(c.settings.instances, 3);
+  EXPECT_EQ(c.max_sockets, 512u);
+  EXPECT_EQ(c.endpoint_idle_timeout, Duration(60'000'000));
+  EXPECT_EQ(c.settings.instance_count, 3);
   ASSERT_EQ(c.settings.classes.size(), 2u);
-  EXPECT_EQ(c.settings.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(c.settings.classes[1].window, Duration(1'500'000));
-  EXPECT_EQ(c.settings.report.latency_ms, 1u);
+  EXPECT_EQ(c.settings.classes[1].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(c.settings.classes[1].deduplication_window, Duration(1'500'000));
+  EXPECT_EQ(c.settings.load_report.latency_ms, 1u);
   EXPECT_EQ(c.names.classes.Find("book"), 1u);
   EXPECT_EQ(c.names.tenants.Find("t one"), 0u);
   EXPECT_EQ(c.names.tenants.Find("three"), 2u);
   EXPECT_EQ(c.names.report_fields, (std::vector<std::string>{"inflight", "latency_ms"}));
-  ASSERT_EQ(c.known.members.size(), 1u);
-  const HostEntry& host = c.known.members[0];
+  ASSERT_EQ(c.initial_endpoints.endpoints.size(), 1u);
+  const EndpointListEntry& host = c.initial_endpoints.endpoints[0];
   EXPECT_EQ(host.info.zone, 1);
-  EXPECT_EQ(host.info.kind, 1u);
+  EXPECT_EQ(host.info.machine_kind, 1u);
   EXPECT_EQ(host.info.cell, 3);
-  EXPECT_EQ(host.info.launched, Time(7));
+  EXPECT_EQ(host.info.started_at, Time(7));
   EXPECT_EQ(ToText(host.address), "127.0.0.2:80");
 }
 
@@ -99,12 +99,12 @@
       "Classes.1.Group=all Classes.1.Window=1500 Classes.1.Slo=300 Classes.1.Deadline=900 "
       "Allowed.Probes=true Allowed.SendCap=3");
   const Settings nested = simulator::ParseSettings(FlattenSettings(Json::Parse(kSettings)));
-  EXPECT_EQ(nested.me, wire.me);
-  EXPECT_EQ(nested.zones, wire.zones);
+  EXPECT_EQ(nested.instance_index, wire.instance_index);
+  EXPECT_EQ(nested.zone_count, wire.zone_count);
   EXPECT_EQ(nested.zone, wire.zone);
   EXPECT_EQ(nested.allowed.probes, wire.allowed.probes);
-  EXPECT_EQ(nested.allowed.send_cap, wire.allowed.send_cap);
-  EXPECT_EQ(nested.classes[0].aim, wire.classes[0].aim);
+  EXPECT_EQ(nested.allowed.max_attempts, wire.allowed.max_attempts);
+  EXPECT_EQ(nested.classes[0].latency_objective, wire.classes[0].latency_objective);
   EXPECT_EQ(nested.classes[1].deadline, wire.classes[1].deadline);
 }
 
@@ -112,12 +112,12 @@
 TEST_F(ConfigFile, SettingsOfTheNewShapeAreCheckedAndDefaultToTheOld) {
   const auto with = [](const std::string& more) { return "{" + more + "," + kSettings.substr(1); };
   Write(File(kSettings));
-  EXPECT_FALSE(Read().settings.warm_keys);
-  EXPECT_EQ(Read().settings.mix.nines, 0);
+  EXPECT_FALSE(Read().settings.key_affinity);
+  EXPECT_EQ(Read().settings.score_weights.nines, 0);
   Write(File(with(R"("FamilyInfo":{"WarmKeys":true},"ResultMix":{"NinesPart":0.2,"TopNines":3})")));
-  EXPECT_TRUE(Read().settings.warm_keys);
-  EXPECT_EQ(Read().settings.mix.nines, 0.2);
-  EXPECT_EQ(Read().settings.mix.top_nines, 3);
+  EXPECT_TRUE(Read().settings.key_affinity);
+  EXPECT_EQ(Read().settings.score_weights.nines, 0.2);
+  EXPECT_EQ(Read().settings.score_weights.top_nines, 3);
   const std::pair<std::string, std::string> wrong[] = {
       {R"({"NinesPart":-0.2,"TopNines":3})",
        "bad ResultMix.NinesPart '-0.200000', expected 0 or more"},
@@ -127,7 +127,7 @@
   for (const auto& [mix, what] : wrong) {
     Write(File(with(R"("ResultMix":)" + mix)));
     EXPECT_NE(Error().find(what), std::string::npos) << Error();
-    const auto faults = CheckConfig(path_);
+    const auto faults = ValidateGatewayConfig(path_);
     ASSERT_EQ(faults.size(), 1u) << mix;
     EXPECT_NE(faults[0].find(what), std::string::npos) << faults[0];
   }
@@ -136,12 +136,12 @@
 // What sockets cannot do is told, never silently taken.
 TEST_F(ConfigFile, WhatSocketsDoNotCarryOutIsNamed) {
   Settings settings;
-  EXPECT_TRUE(NotCarriedOut(settings).empty());
+  EXPECT_TRUE(UnsupportedSettings(settings).empty());
   settings.allowed.peer_messages = true;
   settings.allowed.max_streams = 8;
-  ASSERT_EQ(NotCarriedOut(settings).size(), 2u);
-  EXPECT_NE(NotCarriedOut(settings)[0].find("Allowed.PeerMessages"), std::string::npos);
-  EXPECT_NE(NotCarriedOut(settings)[1].find("Allowed.MaxStreams"), std::string::npos);
+  ASSERT_EQ(UnsupportedSettings(settings).size(), 2u);
+  EXPECT_NE(UnsupportedSettings(settings)[0].find("Allowed.PeerMessages"), std::string::npos);
+  EXPECT_NE(UnsupportedSettings(settings)[1].find("Allowed.MaxStreams"), std::string::npos);
 }
 
 TEST_F(ConfigFile, NamesEachMissingOrMalformedVariable) {
@@ -238,33 +238,33 @@
 }
 
 TEST(HostList, PhasesAndUnknownNames) {
-  Names names;
+  NameTables names;
   names.zones.Add("a");
   names.kinds.Add("k");
-  const HostList list = ParseHostList(
+  const EndpointList list = ParseEndpointList(
       Json::Parse(R"({"revision":5,"members":[)"
                   R"({"id":"1","host_port":"127.0.0.1:1","phase":"leaving","locality":"a"},)"
                   R"({"id":"2","host_port":"127.0.0.1:1","phase":"resting","locality":"zz"},)"
                   R"({"id":"3","phase":"left","flavor":"new"}]})"),
       names, [](double) { return Time(0); });
   EXPECT_FALSE(list.complete);
-  ASSERT_EQ(list.members.size(), 3u);
-  EXPECT_EQ(list.members[0].info.state, EndpointState::kDraining);
+  ASSERT_EQ(list.endpoints.size(), 3u);
+  EXPECT_EQ(list.endpoints[0].info.state, EndpointState::kDraining);
   // A phase that nobody knows here is none that asks for work.
-  EXPECT_EQ(list.members[1].info.state, EndpointState::kDraining);
-  EXPECT_EQ(list.members[1].info.zone, 1);  // in no zone of ours
-  EXPECT_EQ(list.members[2].info.state, EndpointState::kRemoved);
-  EXPECT_EQ(list.members[2].info.kind, 1u);
+  EXPECT_EQ(list.endpoints[1].info.state, EndpointState::kDraining);
+  EXPECT_EQ(list.endpoints[1].info.zone, 1);  // in no zone of ours
+  EXPECT_EQ(list.endpoints[2].info.state, EndpointState::kRemoved);
+  EXPECT_EQ(list.endpoints[2].info.machine_kind, 1u);
 }
 
 // `check` names all that is wrong at once, with the line of what is no JSON.
 TEST_F(ConfigFile, CheckNamesEveryFault) {
   Write(File(kSettings));
-  EXPECT_TRUE(CheckConfig(path_).empty());
+  EXPECT_TRUE(ValidateGatewayConfig(path_).empty());
   Write(R"({"seed":"1","discovery":"here","known":{"revision":1,"members":[{"id":"a"},)"
         R"({"id":"b","phase":"active"}]},"settings":{"NInstances":"many",)"
         R"("Classes":[{"Name":"a","Effect":"maybe","Slo":1,"Deadline":"x"}]}})");
-  const auto faults = CheckConfig(path_);
+  const auto faults = ValidateGatewayConfig(path_);
   const auto named = [&](const std::string& part) {
     return std::ranges::any_of(faults,
                                [&](const std::string& f) { return f.find(part) != f.npos; });
@@ -276,9 +276,9 @@
   EXPECT_TRUE(named("known.members.0: 'phase' is missing"));
   EXPECT_TRUE(named("known.members.1: no 'host_port'"));
   Write("{\n\"seed\":\n\n}");
-  ASSERT_EQ(CheckConfig(path_).size(), 1u);
-  EXPECT_EQ(CheckConfig(path_)[0].substr(0, 7), "line 4:");
-  EXPECT_EQ(CheckConfig("/no/such").size(), 1u);
+  ASSERT_EQ(ValidateGatewayConfig(path_).size(), 1u);
+  EXPECT_EQ(ValidateGatewayConfig(path_)[0].substr(0, 7), "line 4:");
+  EXPECT_EQ(ValidateGatewayConfig("/no/such").size(), 1u);
 }
 
 // Where operators call: the variable goes before the file, and neither is needed.
@@ -313,9 +313,9 @@
     EXPECT_NE(at, std::string::npos) << from;
     return text.replace(at, from.size(), to);
   }
-  Config Again(const std::string& text) {
+  GatewayConfig Again(const std::string& text) {
     Write(text);
-    return ReadAgain(was, Time(5'000'000),
+    return ReloadGatewayConfig(was, Time(5'000'000),
                      [](double ms) { return Time(static_cast<int64_t>(ms)); });
   }
   std::string Refused(const std::string& text) {
@@ -326,7 +326,7 @@
       return error.what();
     }
   }
-  Config was;
+  GatewayConfig was;
 };
 
 // The trouble: classes are told to the module by place. In a file of another order each request
@@ -341,50 +341,50 @@
   text.replace(from, to - from, classes);
   text.replace(text.find(R"(["north","south east"])"), 22, R"(["south east","north"])");
   text.replace(text.find(R"("Zone":1)"), 8, R"("Zone":0)");
-  const Config now = Again(text);
+  const GatewayConfig now = Again(text);
   EXPECT_EQ(now.names.classes.Find("read"), 0u);
   EXPECT_EQ(now.names.classes.Find("book"), 1u);
   EXPECT_EQ(now.names.classes.Find("new"), 2u);
   EXPECT_EQ(now.settings.classes[0], was.settings.classes[0]);
-  EXPECT_EQ(now.settings.classes[1].effect, Effect::kUnsafe);
-  EXPECT_EQ(now.settings.classes[2].worth, 2);
+  EXPECT_EQ(now.settings.classes[1].idempotency, Idempotency::kUnsafe);
+  EXPECT_EQ(now.settings.classes[2].priority_weight, 2);
   EXPECT_EQ(now.settings.tenants[0].share, 0.1);
   EXPECT_EQ(now.settings.zone, 1);
   EXPECT_EQ(now.names.zones.Find("south east"), 1u);
-  EXPECT_EQ(Changes(was, now), "class book changed, class new new, class read gone");
+  EXPECT_EQ(DescribeChanges(was, now), "class book changed, class new new, class read gone");
   // What has gone is taken a little longer; what is there, for good.
-  EXPECT_FALSE(Over(now.names.classes_until, 0, Time(5'500'000)));
-  EXPECT_TRUE(Over(now.names.classes_until, 0, Time(6'200'000)));
-  EXPECT_FALSE(Over(now.names.classes_until, 1, Time(1'000'000'000)));
+  EXPECT_FALSE(HasExpired(now.names.classes_expire_at, 0, Time(5'500'000)));
+  EXPECT_TRUE(HasExpired(now.names.classes_expire_at, 0, Time(6'200'000)));
+  EXPECT_FALSE(HasExpired(now.names.classes_expire_at, 1, Time(1'000'000'000)));
   // And comes back to its place.
   was = now;
-  const Config back = Again(File(kSettings));
+  const GatewayConfig back = Again(File(kSettings));
   EXPECT_EQ(back.names.classes.Find("read"), 0u);
-  EXPECT_FALSE(Over(back.names.classes_until, 0, Time(1'000'000'000)));
-  EXPECT_TRUE(Over(back.names.classes_until, 2, Time(1'000'000'000)));
+  EXPECT_FALSE(HasExpired(back.names.classes_expire_at, 0, Time(1'000'000'000)));
+  EXPECT_TRUE(HasExpired(back.names.classes_expire_at, 2, Time(1'000'000'000)));
 }
 
 // ---- The bank's rules over the file -----------------------------------------------------------
 
 class UnderRules : public ReadAgainTest {
  protected:
-  static cluster::Content Of(const std::string& text) { return cluster::ParseRules(text); }
-  static void ExpectSame(const Config& a, const Config& b) {
-    EXPECT_EQ(a.names.tenants.places(), b.names.tenants.places());
-    EXPECT_EQ(a.names.tenants_until, b.names.tenants_until);
-    EXPECT_EQ(a.names.classes.places(), b.names.classes.places());
-    EXPECT_EQ(a.names.classes_until, b.names.classes_until);
+  static cluster::VersionContent Of(const std::string& text) { return cluster::ParseDocument(text); }
+  static void ExpectSame(const GatewayConfig& a, const GatewayConfig& b) {
+    EXPECT_EQ(a.names.tenants.positions(), b.names.tenants.positions());
+    EXPECT_EQ(a.names.tenants_expire_at, b.names.tenants_expire_at);
+    EXPECT_EQ(a.names.classes.positions(), b.names.classes.positions());
+    EXPECT_EQ(a.names.classes_expire_at, b.names.classes_expire_at);
     EXPECT_EQ(a.settings.classes, b.settings.classes);
     ASSERT_EQ(a.settings.tenants.size(), b.settings.tenants.size());
     for (size_t i = 0; i < a.settings.tenants.size(); ++i) {
-      EXPECT_EQ(a.settings.tenants[i].quota_per_s, b.settings.tenants[i].quota_per_s) << i;
+      EXPECT_EQ(a.settings.tenants[i].requests_per_second, b.settings.tenants[i].requests_per_second) << i;
       EXPECT_EQ(a.settings.tenants[i].share, b.settings.tenants[i].share) << i;
     }
-    EXPECT_EQ(a.settings.allowed.send_cap, b.settings.allowed.send_cap);
-    EXPECT_EQ(a.settings.over_share_worth, b.settings.over_share_worth);
+    EXPECT_EQ(a.settings.allowed.max_attempts, b.settings.allowed.max_attempts);
+    EXPECT_EQ(a.settings.over_quota_priority_factor, b.settings.over_quota_priority_factor);
     EXPECT_EQ(a.discovery, b.discovery);
-    EXPECT_EQ(a.idle_close, b.idle_close);
-    EXPECT_EQ(a.sockets, b.sockets);
+    EXPECT_EQ(a.endpoint_idle_timeout, b.endpoint_idle_timeout);
+    EXPECT_EQ(a.max_sockets, b.max_sockets);
     EXPECT_EQ(a.name, b.name);
   }
   const Time kNow{7'000'000};
@@ -406,19 +406,19 @@
       R"({"settings":{"Tenants":[{"Name":"x","Share":0.5}],"Allowed":{"SendCap":2}},"barred":["h"]})",
       R"({"settings":{"Tenants":[{"Name":"x","Share":0.6}],"OverShareWorth":0.5}})",
       R"({"settings":{"Classes":[{"Name":"read","Slo":10,"Deadline":20}]}})"};
-  const SettingsUnderRules file(was);
-  std::optional<cluster::Content> before;
+  const VersionedSettings file(was);
+  std::optional<cluster::VersionContent> before;
   for (const char* const from : versions) {
     for (const char* const to : versions) {
       for (const bool strict : {false, true}) {
         for (const char* const text : {from, to}) {
-          cluster::Content rules = Of(text);
+          cluster::VersionContent rules = Of(text);
           rules.strict = strict;
-          const Config whole = file.With(rules, was, nullptr, kNow);
-          const Config now = file.With(rules, was, before ? &*before : nullptr, kNow);
+          const GatewayConfig whole = file.ApplyVersion(rules, was, nullptr, kNow);
+          const GatewayConfig now = file.ApplyVersion(rules, was, before ? &*before : nullptr, kNow);
           SCOPED_TRACE(std::string(from) + " to " + to);
           ExpectSame(now, whole);
-          EXPECT_EQ(now.settings.allowed.send_cap == 1, strict);
+          EXPECT_EQ(now.settings.allowed.max_attempts == 1, strict);
           was = now;
           before = rules;
         }
@@ -429,31 +429,31 @@
 
 // A gateway that reads all of its settings again for one tenant's quota stands for all tenants.
 TEST_F(UnderRules, AChangeOfATenantLooksAtThatTenantAlone) {
-  const SettingsUnderRules file(was);
-  const cluster::Content a =
+  const VersionedSettings file(was);
+  const cluster::VersionContent a =
       Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},{"Name":"two"}]}})");
-  const cluster::Content b =
+  const cluster::VersionContent b =
       Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":6},{"Name":"two"}]}})");
-  Config now = file.With(a, was, nullptr, kNow);
-  now.settings.tenants[1].quota_per_s = 77;  // as no version says: seen to be left alone
-  const Config next = file.With(b, now, &a, kNow);
-  EXPECT_EQ(next.settings.tenants[0].quota_per_s, 6);
-  EXPECT_EQ(next.settings.tenants[1].quota_per_s, 77);
-  EXPECT_EQ(file.With(b, now, nullptr, kNow).settings.tenants[1].quota_per_s, 0);
+  GatewayConfig now = file.ApplyVersion(a, was, nullptr, kNow);
+  now.settings.tenants[1].requests_per_second = 77;  // as no version says: seen to be left alone
+  const GatewayConfig next = file.ApplyVersion(b, now, &a, kNow);
+  EXPECT_EQ(next.settings.tenants[0].requests_per_second, 6);
+  EXPECT_EQ(next.settings.tenants[1].requests_per_second, 77);
+  EXPECT_EQ(file.ApplyVersion(b, now, nullptr, kNow).settings.tenants[1].requests_per_second, 0);
   // What makes no sense is refused by this way as by the other.
   for (const char* const bad : {R"("soon")", "{}"}) {
-    const cluster::Content odd = Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
+    const cluster::VersionContent odd = Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
                                     R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
-    cluster::Content wrong = odd;
+    cluster::VersionContent wrong = odd;
     wrong.tenants->Set("two", R"({"Name":"two","OddShare":1,"Share":)" + std::string(bad) + "}");
     std::string whole, part;
     try {
-      static_cast<void>(file.With(wrong, now, nullptr, kNow));
+      static_cast<void>(file.ApplyVersion(wrong, now, nullptr, kNow));
     } catch (const ConfigError& error) {
       whole = error.what();
     }
     try {
-      static_cast<void>(file.With(wrong, now, &odd, kNow));
+      static_cast<void>(file.ApplyVersion(wrong, now, &odd, kNow));
     } catch (const ConfigError& error) {
       part = error.what();
     }
@@ -473,14 +473,14 @@
     }
     return Of(nlohmann::json{{"settings", settings}}.dump());
   };
-  const SettingsUnderRules file(was);
-  was = file.With(named(0, 3000), was, nullptr, kNow);
+  const VersionedSettings file(was);
+  was = file.ApplyVersion(named(0, 3000), was, nullptr, kNow);
   EXPECT_GE(was.names.tenants.size(), 3000u);
-  const Config some = file.With(named(1000, 3000), was, nullptr, kNow);
+  const GatewayConfig some = file.ApplyVersion(named(1000, 3000), was, nullptr, kNow);
   for (const bool part : {false, true}) {
-    const cluster::Content before = named(1000, 3000);
-    const auto with = [&](const cluster::Content& rules) {
-      return file.With(rules, some, part ? &before : nullptr, kNow);
+    const cluster::VersionContent before = named(1000, 3000);
+    const auto with = [&](const cluster::VersionContent& rules) {
+      return file.ApplyVersion(rules, some, part ? &before : nullptr, kNow);
     };
     EXPECT_NO_THROW(static_cast<void>(with(named(1010, 3000))));
     try {
@@ -503,7 +503,7 @@
   NameTable a;
   a.Add("x");
   NameTable b = a;
-  EXPECT_EQ(&a.places(), &b.places());
+  EXPECT_EQ(&a.positions(), &b.positions());
   b.Add("y");
   EXPECT_EQ(a.Find("y"), a.size());
   EXPECT_EQ(b.Find("y"), 1u);
@@ -516,11 +516,11 @@
 // text kept, with each.
 TEST_F(UnderRules, TheFilesHostsAreNotReadAgain) {
   Write(File(kSettings, R"([{"id":"h1","host_port":"127.0.0.2:80","phase":"active"}])"));
-  const Config file = Read();
-  ASSERT_EQ(file.known.members.size(), 1u);
-  const Config now = SettingsUnderRules(file).With({}, file, nullptr, kNow);
-  EXPECT_TRUE(now.known.members.empty());
-  EXPECT_TRUE(now.text.empty());
+  const GatewayConfig file = Read();
+  ASSERT_EQ(file.initial_endpoints.endpoints.size(), 1u);
+  const GatewayConfig now = VersionedSettings(file).ApplyVersion({}, file, nullptr, kNow);
+  EXPECT_TRUE(now.initial_endpoints.endpoints.empty());
+  EXPECT_TRUE(now.file_text.empty());
   EXPECT_EQ(now.settings.classes, file.settings.classes);
 }
 
--- a/tests/config/json_test.cpp
+++ b/tests/config/json_test.cpp
@@ -11,14 +11,14 @@
 TEST(Json, ReadsValues) {
   const Json v = Json::Parse(R"( {"a":[1,-2.5e3,true,null],"b":{"c":"x"}} )");
   ASSERT_EQ(v.type(), Json::Type::kObject);
-  const Json& a = v.Need("a", Json::Type::kArray);
+  const Json& a = v.Require("a", Json::Type::kArray);
   ASSERT_EQ(a.items().size(), 4u);
   EXPECT_EQ(a.items()[0].number(), 1);
   EXPECT_EQ(a.items()[1].number(), -2500);
   EXPECT_EQ(a.items()[1].text(), "-2.5e3");
   EXPECT_TRUE(a.items()[2].boolean());
   EXPECT_EQ(a.items()[3].type(), Json::Type::kNull);
-  EXPECT_EQ(v.Find("b")->Need("c", Json::Type::kString).text(), "x");
+  EXPECT_EQ(v.Find("b")->Require("c", Json::Type::kString).text(), "x");
   EXPECT_EQ(v.Find("d"), nullptr);
 }
 
@@ -63,12 +63,12 @@
 TEST(Json, NamesWhatIsMissing) {
   const Json v = Json::Parse(R"({"a":1})");
   try {
-    (void)v.Need("b", Json::Type::kNumber);
+    (void)v.Require("b", Json::Type::kNumber);
     FAIL();
   } catch (const JsonError& error) {
     EXPECT_STREQ(error.what(), "'b' is missing");
   }
-  EXPECT_THROW((void)v.Need("a", Json::Type::kString), JsonError);
+  EXPECT_THROW((void)v.Require("a", Json::Type::kString), JsonError);
 }
 
 TEST(Json, EveryPrefixOfAnObjectIsRefused) {
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -38,14 +38,14 @@
 }
 const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-class ListTest : public ::testing::Test, public List::Listener {
+class ListTest : public ::testing::Test, public DiscoveryClient::Listener {
  protected:
   ListTest() { names.zones.Add("a"); }
-  void OnList(HostList list) override { lists.push_back(std::move(list)); }
-  void OnListFailed() override { ++failed; }
+  void OnEndpointList(EndpointList list) override { lists.push_back(std::move(list)); }
+  void OnDiscoveryFailed() override { ++failed; }
 
   void Begin(bool own_watch, double revision = 40) {
-    list = std::make_unique<List>(loop, port.address(), names, revision, own_watch, this);
+    list = std::make_unique<DiscoveryClient>(loop, port.address(), names, revision, own_watch, this);
     list->Start();
   }
   // The next call to discovery, with its request read.
@@ -56,11 +56,11 @@
   }
 
   EventLoop loop;
-  Names names;
+  NameTables names;
   testing::Port port;
-  std::vector<HostList> lists;
+  std::vector<EndpointList> lists;
   int failed = 0;
-  std::unique_ptr<List> list;
+  std::unique_ptr<DiscoveryClient> list;
 };
 
 TEST_F(ListTest, WatchesFromTheRevisionHeld) {
@@ -71,8 +71,8 @@
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(lists[0].revision, 41);
   EXPECT_FALSE(lists[0].complete);
-  ASSERT_EQ(lists[0].members.size(), 1u);
-  EXPECT_EQ(lists[0].members[0].info.id, "h1");
+  ASSERT_EQ(lists[0].endpoints.size(), 1u);
+  EXPECT_EQ(lists[0].endpoints[0].info.id, "h1");
   EXPECT_EQ(failed, 0);
 }
 
@@ -90,7 +90,7 @@
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[0].revision, 41);
-  EXPECT_EQ(lists[1].members[0].info.id, "h2");
+  EXPECT_EQ(lists[1].endpoints[0].info.id, "h2");
   EXPECT_EQ(failed, 0);
 }
 
@@ -127,14 +127,14 @@
   agent.Say(kHead + Chunk(Line(38, true, Entry("gone"))) + Chunk(Line(39, false, Entry("gone"))));
   agent.Say(Chunk(Line(41, false, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
-  EXPECT_EQ(lists[0].members[0].info.id, "h1");
+  EXPECT_EQ(lists[0].endpoints[0].info.id, "h1");
   EXPECT_EQ(failed, 0);
 }
 
 // It counts by itself: passed over for ever, the list held would never change again.
 TEST_F(ListTest, AnAgentThatStaysBehindIsBelievedInTheEnd) {
   Begin(true);
-  list->set_most_behind(Ms(300));
+  list->set_max_staleness(Ms(300));
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(3, true, Entry("h1"))));
   testing::RunFor(loop, Ms(100));
@@ -212,14 +212,14 @@
   list->Redirect(elsewhere.address());
   testing::RunFor(loop, Ms(20));
   EXPECT_FALSE(elsewhere.TryTake());  // nobody has asked for one
-  list->Follow(true);
+  list->SetWatching(true);
   Peer old = elsewhere.Take(loop);
   old.Say(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(20));
   list->Redirect(port.address());
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("follow=1"));
-  list->Follow(false);
+  list->SetWatching(false);
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended() && agent.Ended(); }));
 }
 
@@ -252,36 +252,36 @@
   Begin(false);
   testing::RunFor(loop, Ms(30));
   EXPECT_FALSE(port.TryTake());
-  list->Follow(true);
+  list->SetWatching(true);
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("follow=1"));
   agent.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
   testing::RunFor(loop, Ms(300));
   EXPECT_FALSE(port.TryTake());  // it asks again itself, when it wants to
-  list->Follow(true);
+  list->SetWatching(true);
   Peer next = Call();
-  list->Follow(false);
+  list->SetWatching(false);
   EXPECT_TRUE(RunUntil(loop, [&] { return next.Ended(); }));
   EXPECT_EQ(failed, 1);
 }
 
 TEST_F(ListTest, FetchesTheWholeListOnce) {
   Begin(false);
-  list->Fetch();
+  list->Poll();
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("GET /catalog/members HTTP/1.1\r\n"));
   const std::string body = Line(50, true, Entry("h1") + "," + Entry("h2", "leaving"));
   agent.Say(testing::Http200(body));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_TRUE(lists[0].complete);
-  EXPECT_EQ(lists[0].members.size(), 2u);
+  EXPECT_EQ(lists[0].endpoints.size(), 2u);
   EXPECT_EQ(list->revision(), 50);
 }
 
 TEST_F(ListTest, AListFetchedInPartIsNone) {
   Begin(false);
-  list->Fetch();
+  list->Poll();
   Peer agent = Call();
   const std::string whole = testing::Http200(Line(50, true, Entry("h1")));
   agent.Say(whole.substr(0, whole.size() - 5));
@@ -296,7 +296,7 @@
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(41, true, "")));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
-  EXPECT_TRUE(lists[0].members.empty());
+  EXPECT_TRUE(lists[0].endpoints.empty());
   EXPECT_EQ(failed, 0);
 }
 
@@ -327,11 +327,11 @@
       {"in a chunk's size", whole + "1", false},
       {"in a chunk", whole + "40\r\n" + line.substr(0, 10), false},
   };
-  struct Agent final : List::Listener {
-    void OnList(HostList) override { ++lists; }
-    void OnListFailed() override { ++failed; }
+  struct Agent final : DiscoveryClient::Listener {
+    void OnEndpointList(EndpointList) override { ++lists; }
+    void OnDiscoveryFailed() override { ++failed; }
     testing::Port port;
-    std::unique_ptr<List> watch;
+    std::unique_ptr<DiscoveryClient> watch;
     Peer peer, again;
     Time silent{0}, anew{0};
     int lists = 0, failed = 0;
@@ -340,7 +340,7 @@
   for (const Case& c : cases) {
     agents.push_back(std::make_unique<Agent>());
     Agent& agent = *agents.back();
-    agent.watch = std::make_unique<List>(loop, agent.port.address(), names, 40, true, &agent);
+    agent.watch = std::make_unique<DiscoveryClient>(loop, agent.port.address(), names, 40, true, &agent);
     agent.watch->Start();
     agent.peer = agent.port.Take(loop);
     ASSERT_TRUE(RunUntil(loop, [&] { return agent.peer.Has("\r\n\r\n"); }));
@@ -396,7 +396,7 @@
     loop.RunOnce(Duration(0));
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
-  EXPECT_EQ(lists[0].members.size(), 1u);
+  EXPECT_EQ(lists[0].endpoints.size(), 1u);
   EXPECT_EQ(lists[1].revision, 42);
   EXPECT_EQ(failed, 0);
 }
@@ -423,15 +423,15 @@
 // Two ask for the whole list: the first call serves both, and neither is left without a word.
 TEST_F(ListTest, ASecondFetchIsServedByTheFirst) {
   Begin(false);
-  list->Fetch();
+  list->Poll();
   Peer agent = Call();
-  list->Fetch();
+  list->Poll();
   testing::RunFor(loop, Ms(20));
   EXPECT_FALSE(agent.Ended());
   agent.Say(testing::Http200(Line(41, true, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(failed, 0);
-  list->Fetch();
+  list->Poll();
   Peer next = Call();
   EXPECT_TRUE(next.Has("GET /catalog/members HTTP/1.1\r\n"));
 }
@@ -448,7 +448,7 @@
   EXPECT_TRUE(again.Has("since=41"));
   again.Say(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
-  EXPECT_EQ(lists[1].members[0].info.state, EndpointState::kDraining);
+  EXPECT_EQ(lists[1].endpoints[0].info.state, EndpointState::kDraining);
   EXPECT_LT(loop.Now() - began, Ms(300));
 }
 
@@ -479,15 +479,15 @@
  protected:
   static constexpr size_t kMost = 20'000;
   void BeginShort(bool own_watch) {
-    list = std::make_unique<List>(loop, port.address(), names, 40, own_watch, this);
-    list->set_most_list(kMost);
-    list->set_too_long_waits(Ms(60), Ms(480));
+    list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, own_watch, this);
+    list->set_max_list_bytes(kMost);
+    list->set_oversize_backoff(Ms(60), Ms(480));
     list->Start();
   }
   // Where the module asks, it does so soon after each failure, again and again.
-  void OnListFailed() override {
+  void OnDiscoveryFailed() override {
     ++failed;
-    loop.After(Ms(10), [this] {
+    loop.RunAfter(Ms(10), [this] {
       if (ask) ask();
     });
   }
@@ -552,14 +552,14 @@
 };
 
 TEST_F(LongLists, APushedWatchIsBegunAgainLaterAndLater) {
-  const uint64_t too_long = Count().list_too_long, malformed = Count().list_malformed;
+  const uint64_t too_long = GlobalCounters().list_too_long, malformed = GlobalCounters().list_malformed;
   ::testing::internal::CaptureStderr();
   BeginShort(true);
   const auto gaps = Gaps(6, kHead + Chunk(Long(kMost)));
   const std::string log = ::testing::internal::GetCapturedStderr();
   ExpectPace(gaps, {60, 120, 240, 480, 480, 480});
-  EXPECT_EQ(Count().list_too_long, too_long + 7);
-  EXPECT_EQ(Count().list_malformed, malformed);
+  EXPECT_EQ(GlobalCounters().list_too_long, too_long + 7);
+  EXPECT_EQ(GlobalCounters().list_malformed, malformed);
   EXPECT_EQ(failed, 7);
   EXPECT_TRUE(lists.empty());
   EXPECT_EQ(list->revision(), 40);
@@ -569,29 +569,29 @@
 
 TEST_F(LongLists, AWatchThatTheModuleAsksForIsPutOffLikewise) {
   BeginShort(false);
-  ask = [this] { list->Follow(true); };
-  list->Follow(true);
+  ask = [this] { list->SetWatching(true); };
+  list->SetWatching(true);
   ExpectPace(Gaps(5, kHead + Chunk(Long(kMost))), {60, 120, 240, 480, 480});
   // Given up, it does not come by itself.
   ask = nullptr;
-  list->Follow(true);
-  list->Follow(false);
+  list->SetWatching(true);
+  list->SetWatching(false);
   testing::RunFor(loop, Ms(700));
   EXPECT_FALSE(port.TryTake());
 }
 
 TEST_F(LongLists, AFetchIsPutOffLikewise) {
-  const uint64_t too_long = Count().list_too_long;
+  const uint64_t too_long = GlobalCounters().list_too_long;
   ::testing::internal::CaptureStderr();
   BeginShort(false);
-  ask = [this] { list->Fetch(); };
-  list->Fetch();
+  ask = [this] { list->Poll(); };
+  list->Poll();
   const auto gaps = Gaps(3, testing::Http200(Long(kMost)));
   const auto chunked = Gaps(1, kHead + Chunk(Long(kMost)) + "0\r\n\r\n");
   const std::string log = ::testing::internal::GetCapturedStderr();
   ExpectPace(gaps, {60, 120, 240});
   ExpectPace(chunked, {480});
-  EXPECT_EQ(Count().list_too_long, too_long + 6);
+  EXPECT_EQ(GlobalCounters().list_too_long, too_long + 6);
   EXPECT_EQ(CountOf(log, "discovery"), 1u) << log;
 }
 
@@ -620,9 +620,9 @@
 
 // A change counts as told 6 s after discovery had it: only for lists that are too long is it later.
 TEST_F(LongLists, OtherFailuresKeepTheirPace) {
-  list = std::make_unique<List>(loop, port.address(), names, 40, true, this);
-  list->set_most_list(kMost);
-  list->set_too_long_waits(Ms(700), Ms(1500));
+  list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, true, this);
+  list->set_max_list_bytes(kMost);
+  list->set_oversize_backoff(Ms(700), Ms(1500));
   list->Start();
   Gaps(1, kHead + Chunk(Long(kMost)));
   Call().Reset();  // the wait for it was that of the list
@@ -637,13 +637,13 @@
 
 // A fetch that is too long says nothing of the watch, which may be told of changes alone.
 TEST_F(LongLists, AFetchThatIsTooLongLeavesTheWatchItsPace) {
-  list = std::make_unique<List>(loop, port.address(), names, 40, false, this);
-  list->set_most_list(kMost);
-  list->set_too_long_waits(Ms(5000), Ms(5000));
-  list->Fetch();
+  list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, false, this);
+  list->set_max_list_bytes(kMost);
+  list->set_oversize_backoff(Ms(5000), Ms(5000));
+  list->Poll();
   Peer agent = Call();
   SayUntilCut(agent, testing::Http200(Long(kMost)));
-  list->Follow(true);
+  list->SetWatching(true);
   const Time asked = loop.Now();
   Call();
   EXPECT_LT(loop.Now() - asked, Ms(250));
@@ -651,12 +651,12 @@
 
 TEST_F(LongLists, ANewAddressIsAskedAtOnce) {
   for (const bool own_watch : {true, false}) {
-    list = std::make_unique<List>(loop, port.address(), names, 40, own_watch, this);
-    list->set_most_list(kMost);
-    list->set_too_long_waits(Ms(300), Ms(20'000));
+    list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, own_watch, this);
+    list->set_max_list_bytes(kMost);
+    list->set_oversize_backoff(Ms(300), Ms(20'000));
     list->Start();
-    ask = own_watch ? std::function<void()>() : [this] { list->Follow(true); };
-    if (!own_watch) list->Follow(true);
+    ask = own_watch ? std::function<void()>() : [this] { list->SetWatching(true); };
+    if (!own_watch) list->SetWatching(true);
     Gaps(2, kHead + Chunk(Long(kMost)));  // waits 1.2 s now
     testing::RunFor(loop, Ms(30));
     testing::Port elsewhere;
@@ -732,10 +732,10 @@
     return out.load();
   };
   Begin(false);
-  list->Fetch();
+  list->Poll();
   EXPECT_LT(said(testing::Http200(text)), spare);
   Begin(false);
-  list->Fetch();
+  list->Poll();
   EXPECT_LT(said(kHead + Chunk(text) + "0\r\n\r\n"), bound + spare);
   Begin(true);
   EXPECT_LT(said(kHead + Chunk(text)), bound + spare);
@@ -750,11 +750,11 @@
   Say(agent, kHead + Chunk(text), [&] { return lists.size() == 1; });
   ASSERT_EQ(lists.size(), 1u);
   EXPECT_EQ(failed, 0);
-  list->Fetch();
+  list->Poll();
   Peer other = Call();
   Say(other, testing::Http200(text), [&] { return lists.size() == 2; });
   ASSERT_EQ(lists.size(), 2u);
-  EXPECT_EQ(lists[0].members.size(), lists[1].members.size());
+  EXPECT_EQ(lists[0].endpoints.size(), lists[1].endpoints.size());
   EXPECT_EQ(failed, 0);
 }
 
--- a/tests/event/event_loop_test.cpp
+++ b/tests/event/event_loop_test.cpp
@@ -29,10 +29,10 @@
 TEST(EventLoop, TimersFireInOrderOfTheirTime) {
   EventLoop loop;
   std::vector<int> order;
-  loop.After(Ms(6), [&] { order.push_back(2); });
-  loop.After(Ms(1), [&] { order.push_back(1); });
-  EventLoop::TimerId gone = loop.After(Ms(3), [&] { order.push_back(9); });
-  loop.Cancel(gone);
+  loop.RunAfter(Ms(6), [&] { order.push_back(2); });
+  loop.RunAfter(Ms(1), [&] { order.push_back(1); });
+  EventLoop::TimerId gone = loop.RunAfter(Ms(3), [&] { order.push_back(9); });
+  loop.CancelTimer(gone);
   EXPECT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 2; }));
   EXPECT_EQ(order, (std::vector<int>{1, 2}));
 }
@@ -41,7 +41,7 @@
   EventLoop loop;
   const Time begun = loop.Now();
   Time fired{0};
-  loop.After(Ms(7), [&] { fired = loop.Now(); });
+  loop.RunAfter(Ms(7), [&] { fired = loop.Now(); });
   ASSERT_TRUE(testing::RunUntil(loop, [&] { return fired > Time(0); }));
   EXPECT_GE(fired - begun, Ms(7));
 }
@@ -51,7 +51,7 @@
 TEST(EventLoop, TimersWaitForAllThatHasCome) {
   EventLoop loop;
   constexpr size_t kSockets = 600;
-  std::vector<std::pair<Fd, testing::Peer>> pairs;
+  std::vector<std::pair<FileDescriptor, testing::Peer>> pairs;
   std::vector<Recorder> recorders(kSockets);
   std::vector<uint64_t> tokens(kSockets);
   for (size_t i = 0; i < kSockets; ++i) {
@@ -60,7 +60,7 @@
     pairs[i].second.Say("x");
   }
   size_t heard = 0;
-  loop.After(Duration(0), [&] {
+  loop.RunAfter(Duration(0), [&] {
     for (const Recorder& recorder : recorders) heard += (recorder.seen & EPOLLIN) != 0 ? 1 : 0;
   });
   loop.RunOnce(Ms(5));
@@ -75,7 +75,7 @@
   Recorder recorder;
   uint64_t token = 0;
   ASSERT_TRUE(loop.Watch(fd.get(), &recorder, token));
-  std::function<void()> again = [&] { loop.After(Duration(0), again); };
+  std::function<void()> again = [&] { loop.RunAfter(Duration(0), again); };
   again();
   peer.Say("x");
   EXPECT_TRUE(testing::RunUntil(loop, [&] { return (recorder.seen & EPOLLIN) != 0; }));
@@ -93,7 +93,7 @@
   ASSERT_TRUE(loop.Watch(fd.get(), &recorder, token));
   loop.RunOnce(Duration(0));  // the edge of being writable
   recorder.then = [&] { order.push_back(1); };
-  loop.After(Duration(0), [&] { order.push_back(2); });
+  loop.RunAfter(Duration(0), [&] { order.push_back(2); });
   peer.Say("x");
   ASSERT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 2; }));
   EXPECT_EQ(order, (std::vector<int>{1, 2}));
@@ -112,7 +112,7 @@
   loop.RunOnce(Duration(0));
   const auto handle = [&] {
     order.push_back(1);
-    loop.Defer([&] { order.push_back(2); });
+    loop.RunDeferred([&] { order.push_back(2); });
   };
   one.then = two.then = handle;
   peer1.Say("x");
@@ -137,7 +137,7 @@
   auto [fd3, peer3] = Pair();
   const int before = one.calls + two.calls;
   bool swapped = false;
-  const auto close_other = [&](Fd& fd, uint64_t token) {
+  const auto close_other = [&](FileDescriptor& fd, uint64_t token) {
     if (std::exchange(swapped, true)) return;
     loop.Unwatch(fd.get(), token);
     ASSERT_TRUE(loop.Watch(fd3.get(), &heir, token3));  // takes the slot just freed
@@ -156,17 +156,17 @@
   const double now_ms = static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                 std::chrono::system_clock::now().time_since_epoch())
                                                 .count());
-  const Time first = clock.FromWall(now_ms - 5000);
-  EXPECT_EQ(first, clock.FromWall(now_ms - 5000));
+  const Time first = clock.FromUnixMillis(now_ms - 5000);
+  EXPECT_EQ(first, clock.FromUnixMillis(now_ms - 5000));
   EXPECT_NEAR(static_cast<double>((clock.Now() - first).count()), 5e6, 1e5);
 }
 
 TEST(Clock, LongAgoIsZero) {
   const Clock clock;
-  EXPECT_EQ(clock.FromWall(0), Time(0));
-  EXPECT_EQ(clock.FromWall(-5), Time(0));
-  EXPECT_EQ(clock.FromWall(1000), Time(0));
-  EXPECT_EQ(clock.FromWall(1e300), Time(0));
+  EXPECT_EQ(clock.FromUnixMillis(0), Time(0));
+  EXPECT_EQ(clock.FromUnixMillis(-5), Time(0));
+  EXPECT_EQ(clock.FromUnixMillis(1000), Time(0));
+  EXPECT_EQ(clock.FromUnixMillis(1e300), Time(0));
   EXPECT_GT(clock.Now(), Time(0));
 }
 
--- a/tests/event/stream_test.cpp
+++ b/tests/event/stream_test.cpp
@@ -15,14 +15,14 @@
 using testing::Peer;
 using testing::RunUntil;
 
-struct Owner : Stream::Owner {
+struct Owner : Stream::Listener {
   void OnConnected() override { ++connected; }
-  void OnRead() override {
+  void OnData() override {
     ++reads;
     if (then) then();
   }
-  void OnFlushed() override { ++flushed; }
-  void OnBroken() override { ++broken; }
+  void OnWriteComplete() override { ++flushed; }
+  void OnError() override { ++broken; }
   int connected = 0, reads = 0, flushed = 0, broken = 0;
   std::function<void()> then;
 };
@@ -44,9 +44,9 @@
 
 TEST_F(StreamTest, ReadsAllThatIsThereOnOneEdge) {
   peer.Say(std::string(50000, 'x'));
-  ASSERT_TRUE(RunUntil(loop, [&] { return stream->in().size() == 50000; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return stream->input().size() == 50000; }));
   peer.Say("y");
-  EXPECT_TRUE(RunUntil(loop, [&] { return stream->in().size() == 50001; }));
+  EXPECT_TRUE(RunUntil(loop, [&] { return stream->input().size() == 50001; }));
 }
 
 TEST_F(StreamTest, WritesWhatDoesNotFitAtOnceLater) {
@@ -72,7 +72,7 @@
   peer.Say("last");
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->ended(); }));
-  EXPECT_EQ(stream->in().view(), "last");
+  EXPECT_EQ(stream->input().view(), "last");
   EXPECT_EQ(owner.broken, 0);
 }
 
@@ -83,16 +83,16 @@
 }
 
 TEST_F(StreamTest, StopsReadingAtItsLimitAndGoesOn) {
-  stream->set_most_unread(10000);
+  stream->set_max_unread_bytes(10000);
   peer.Say(std::string(60000, 'x'));
-  ASSERT_TRUE(RunUntil(loop, [&] { return stream->in().size() >= 10000; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return stream->input().size() >= 10000; }));
   testing::RunFor(loop, Ms(20));
-  EXPECT_LT(stream->in().size(), 30000u);
+  EXPECT_LT(stream->input().size(), 30000u);
   size_t got = 0;
   ASSERT_TRUE(RunUntil(loop, [&] {
-    got += stream->in().size();
-    stream->in().Consume(stream->in().size());
-    stream->Resume();
+    got += stream->input().size();
+    stream->input().Consume(stream->input().size());
+    stream->ResumeReading();
     return got >= 60000;
   }));
   EXPECT_EQ(got, 60000u);
@@ -108,19 +108,19 @@
 }
 
 TEST_F(StreamTest, IsQuietOnlyWithNothingWaiting) {
-  EXPECT_TRUE(stream->Quiet());
+  EXPECT_TRUE(stream->IsIdle());
   peer.Say("x");
-  EXPECT_FALSE(stream->Quiet());  // seen before the loop brings the event
+  EXPECT_FALSE(stream->IsIdle());  // seen before the loop brings the event
 }
 
 TEST_F(StreamTest, IsNotQuietAfterThePeersEnd) {
   peer.Close();
-  EXPECT_FALSE(stream->Quiet());
+  EXPECT_FALSE(stream->IsIdle());
 }
 
 TEST(Connect, ReachesAListener) {
   EventLoop loop;
-  Descriptors budget(1024);
+  DescriptorBudget budget(1024);
   testing::Port port;
   bool refused = true;
   std::optional<Socket> socket = Connect(port.address(), &budget, refused);
@@ -134,7 +134,7 @@
 
 TEST(Connect, ARefusalBreaks) {
   EventLoop loop;
-  Descriptors budget(1024);
+  DescriptorBudget budget(1024);
   testing::Port port;
   port.Close();
   bool refused = false;
@@ -151,8 +151,8 @@
 }
 
 TEST(Descriptors, CountsWhatIsOpen) {
-  Descriptors budget(Descriptors::kReserve * 2 + 1);
-  EXPECT_EQ(budget.most(), Descriptors::kReserve + 1);
+  DescriptorBudget budget(DescriptorBudget::kReserve * 2 + 1);
+  EXPECT_EQ(budget.limit(), DescriptorBudget::kReserve + 1);
   testing::Port port;
   bool refused = false;
   {
@@ -166,13 +166,13 @@
 }
 
 TEST(Descriptors, GivesNoMoreThanItHas) {
-  Descriptors budget(Descriptors::kReserve + 34);
+  DescriptorBudget budget(DescriptorBudget::kReserve + 34);
   testing::Port port;
   bool refused = false;
   std::vector<Socket> held;
   while (auto socket = Connect(port.address(), &budget, refused))
     held.push_back(std::move(*socket));
-  EXPECT_EQ(held.size(), budget.most());
+  EXPECT_EQ(held.size(), budget.limit());
   EXPECT_FALSE(refused);
 }
 
--- a/tests/gateway/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -30,7 +30,7 @@
     return Call(method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
   }
   EventLoop loop;
-  Life life{false};
+  Lifecycle life{false};
   Admin admin{loop, Address{INADDR_LOOPBACK, 0}, life};
 };
 
@@ -40,16 +40,16 @@
   EXPECT_EQ(Call("GET", "/admin/health"), "200");
   EXPECT_EQ(Call("POST", "/admin/quiesce"), "200");
   EXPECT_EQ(Call("POST", "/admin/quiesce"), "200");
-  EXPECT_EQ(life.stage(), Stage::kDrained);
-  EXPECT_FALSE(life.wants_clients());
+  EXPECT_EQ(life.stage(), LifecycleStage::kDrained);
+  EXPECT_FALSE(life.healthy());
   EXPECT_EQ(Call("GET", "/admin/health"), "200");
   EXPECT_EQ(Call("POST", "/admin/resume"), "200");
-  EXPECT_TRUE(life.wants_clients());
+  EXPECT_TRUE(life.healthy());
   // Clients' address is the new process's by then.
-  life.set_handed_over(true);
+  life.set_replaced(true);
   EXPECT_EQ(Call("POST", "/admin/resume"), "409");
   EXPECT_EQ(Call("GET", "/admin/health"), "503");
-  EXPECT_TRUE(life.wants_clients());
+  EXPECT_TRUE(life.healthy());
 }
 
 TEST_F(AdminTest, WhatIsNoCallIsToldSo) {
@@ -59,21 +59,21 @@
   EXPECT_EQ(Call("what is this\r\n\r\n"), "400");
   EXPECT_EQ(Call("GET /" + std::string(20'000, 'x') + " HTTP/1.1\r\n\r\n"), "431");
   EXPECT_EQ(Call("POST /admin/quiesce HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"), "413");
-  EXPECT_EQ(life.stage(), Stage::kStarting);
+  EXPECT_EQ(life.stage(), LifecycleStage::kStarting);
   // One call to a connection: the second is not followed.
   Call("GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n");
   life.set_ready();
-  EXPECT_EQ(life.stage(), Stage::kServing);
+  EXPECT_EQ(life.stage(), LifecycleStage::kServing);
 }
 
 TEST_F(AdminTest, CallersWhoSayNothingDelayNobodyAndAreBounded) {
   std::vector<Peer> silent;
-  for (size_t i = 0; i < 3 * Admin::kMostCallers; ++i) {
+  for (size_t i = 0; i < 3 * Admin::kMaxCallers; ++i) {
     silent.push_back(Peer::To(admin.address()));
     silent.back().Say("GET /adm");
   }
   EXPECT_EQ(Call("GET", "/admin/health"), "503");
-  EXPECT_LE(admin.callers(), Admin::kMostCallers);
+  EXPECT_LE(admin.callers(), Admin::kMaxCallers);
 }
 
 // A round of the loop may have hundreds of clients to look after; the operator's call, which came
@@ -91,7 +91,7 @@
   };
   Peer caller = Peer::To(admin.address());
   Slow slow(caller);
-  std::vector<Fd> ends;
+  std::vector<FileDescriptor> ends;
   for (int i = 0; i < 40; ++i) {
     int pair[2];
     ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair), 0);
--- a/tests/gateway/child_process.h
+++ b/tests/gateway/child_process.h
@@ -44,7 +44,7 @@
       _exit(127);
     }
     close(ends[1]);
-    err_ = Fd(ends[0]);
+    err_ = FileDescriptor(ends[0]);
     fcntl(err_.get(), F_SETFL, O_NONBLOCK);
   }
   // Its log so far.
@@ -88,7 +88,7 @@
 
  private:
   pid_t pid_ = -1;
-  Fd err_;
+  FileDescriptor err_;
   std::string text_;
 };
 
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -363,12 +363,12 @@
       {head + "[[bank.members]]\nname = \"a\"\naddress = \"here\"\nvotes = true\n",
        "f:6: bank.members.0.address: 'here', expected an address"}};
   for (const auto& [text, line] : bad) {
-    const auto faults = CheckBank(text, "f");
+    const auto faults = ValidateClusterConfig(text, "f");
     bool named = false;
     for (const std::string& fault : faults) named = named || fault.find(line) != std::string::npos;
     EXPECT_TRUE(named) << text << (faults.empty() ? "no fault" : faults.front());
   }
-  EXPECT_TRUE(CheckBank(head + one, "f").empty());
+  EXPECT_TRUE(ValidateClusterConfig(head + one, "f").empty());
   EXPECT_EQ(Run("check " PADDLESTILE_SOURCE "/deploy/bank.toml").code, 0);
 }
 
@@ -406,7 +406,7 @@
       << said;
   // An address in use, a name that is no member.
   std::ofstream(file) << text;
-  const Fd taken = Listen(ParseAddress(At(0, 7000)), 1, false);
+  const FileDescriptor taken = Listen(ParseAddress(At(0, 7000)), 1, false);
   ASSERT_TRUE(taken);
   std::tie(code, said) = start(0);
   EXPECT_EQ(code, 1);
