--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -72,7 +72,7 @@
     Open(full ? 0 : 256);
     // The backlog is full from here on: the kernel drops what comes.
     for (int i = 0; full && i < 4; ++i) {
-      Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+      FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
       sockaddr_in to = Name();
       (void)connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof(to));
       filling_.push_back(std::move(fd));
@@ -86,7 +86,7 @@
   // Takes what has come.
   void Play() {
     while (listening_ && (back_ || how_ != Ending::kNeverUp)) {
-      Fd fd(accept4(listening_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+      FileDescriptor fd(accept4(listening_.get(), nullptr, nullptr, SOCK_CLOEXEC));
       if (!fd) break;
       (back_ ? answered_ : fresh_).emplace_back(std::move(fd));
     }
@@ -116,7 +116,7 @@
     return name;
   }
   void Open(int backlog) {
-    listening_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    listening_ = FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     setsockopt(listening_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     sockaddr_in name = Name();
@@ -128,8 +128,8 @@
   Ending how_ = Ending::kRefused;
   bool back_ = false;
   int seen_ = 0;
-  Fd listening_;
-  std::vector<Fd> filling_;
+  FileDescriptor listening_;
+  std::vector<FileDescriptor> filling_;
   std::vector<Peer> fresh_, kept_, answered_;
 };
 
@@ -138,17 +138,17 @@
 // discovery has is held 2.4 s after it can be reached.
 TEST(Told, WherePushedAnyFailedCallIsFollowedInTime) {
   constexpr int kCalls = 3;  // the third is followed by the longest wait
-  struct Watcher final : List::Listener {
-    void OnList(HostList) override { held = true; }
-    void OnListFailed() override { ++failed; }
+  struct Watcher final : DiscoveryClient::Listener {
+    void OnEndpointList(EndpointList) override { held = true; }
+    void OnDiscoveryFailed() override { ++failed; }
     bool held = false;
     int failed = 0, failed_before = 0;
     Time failed_at{0}, back{-1}, told{-1};
     std::unique_ptr<Discovery> discovery;
-    std::unique_ptr<List> list;
+    std::unique_ptr<DiscoveryClient> list;
   };
   EventLoop loop;
-  const Names names;
+  const NameTables names;
   constexpr Ending kEndings[] = {Ending::kRefused, Ending::kReset,  Ending::kNoWord,
                                  Ending::kNoRoom,  Ending::kSilent, Ending::kSilentInHead,
                                  Ending::kNeverUp};
@@ -158,7 +158,7 @@
     Watcher& w = *watchers.back();
     w.discovery = std::make_unique<Discovery>(static_cast<uint16_t>(5000 + watchers.size()));
     w.discovery->Set(how);
-    w.list = std::make_unique<List>(loop, w.discovery->address(), names, 40, true, &w);
+    w.list = std::make_unique<DiscoveryClient>(loop, w.discovery->address(), names, 40, true, &w);
     w.list->Start();
   }
   const bool all = RunUntil(
@@ -197,28 +197,28 @@
 // A gateway that asks by itself, and the discovery that it asks.
 struct Asker {
   Asker(EventLoop& loop, const Address& discovery, uint64_t seed) {
-    Config config;
+    GatewayConfig config;
     config.listen = {INADDR_LOOPBACK, 0};
     config.discovery = discovery;
     config.seed = seed;
     config.settings = paddlestile::testing::MakeSettings();
-    config.settings.discovery = DiscoveryMode::kAsk;
-    config.settings.obligations.must_ask_in = Ms(10'000);  // the longest waits
-    config.settings.instances = 1;                         // begins at once
+    config.settings.discovery_mode = DiscoveryMode::kPoll;
+    config.settings.rules.discovery_interval = Ms(10'000);  // the longest waits
+    config.settings.instance_count = 1;                         // begins at once
     for (const char* const name : {"safe", "keyed", "zoned", "celled", "unsafe"}) {
       config.names.classes.Add(name);
     }
     config.names.zones.Add("a");
     config.names.zones.Add("b");
     config.names.report_fields = {"inflight", "latency_ms"};
-    config.known.revision = 40;
-    config.known.complete = true;
+    config.initial_endpoints.revision = 40;
+    config.initial_endpoints.complete = true;
     gateway = std::make_unique<Gateway>(loop, config, life);
   }
   [[nodiscard]] bool Holds() const {
-    return gateway->StateText().find(" revision=41 ") != std::string::npos;
+    return gateway->DescribeState().find(" revision=41 ") != std::string::npos;
   }
-  Life life;
+  Lifecycle life;
   std::unique_ptr<Gateway> gateway;
   Time back{-1}, told{-1};
 };
@@ -279,12 +279,12 @@
   for (const Ending how : {Ending::kRefused, Ending::kNeverUp}) {
     Discovery discovery(static_cast<uint16_t>(5200 + static_cast<int>(how)));
     discovery.Set(Ending::kRefused);
-    const uint64_t failures = Count().list_failures;
+    const uint64_t failures = GlobalCounters().list_failures;
     std::vector<std::unique_ptr<Asker>> askers;
     for (uint64_t seed = 1; seed <= 8; ++seed) {
       askers.push_back(std::make_unique<Asker>(loop, discovery.address(), seed));
     }
-    const auto failed = [&] { return Count().list_failures - failures; };
+    const auto failed = [&] { return GlobalCounters().list_failures - failures; };
     ASSERT_TRUE(RunUntil(
         loop, [&] { return failed() >= 3 * askers.size(); }, Ms(10'000)));
     discovery.Set(how);
@@ -309,7 +309,7 @@
 class Gone : public GatewayTest {
  protected:
   Gone() {
-    for (RequestClass& c : config.settings.classes) c.aim = Ms(6000), c.deadline = Ms(8000);
+    for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(6000), c.deadline = Ms(8000);
     config.settings.allowed.connect_timeout = Ms(3000);
   }
   // A host that says nothing until the test does.
@@ -346,7 +346,7 @@
         SayAll(says);
         Until([] { return false; }, Ms(60));
         EXPECT_EQ(Requests(), before + 1) << how << says << at_once;
-        EXPECT_EQ(gateway->in_hand(), 0u) << how << says << at_once;
+        EXPECT_EQ(gateway->request_count(), 0u) << how << says << at_once;
       }
     }
   }
@@ -385,7 +385,7 @@
   void ExpectNoFurther(const std::string& which) {
     Until([] { return false; }, Ms(60));
     EXPECT_EQ(Requests(), before_ + 1) << which;
-    EXPECT_EQ(gateway->in_hand(), 0u) << which;
+    EXPECT_EQ(gateway->request_count(), 0u) << which;
   }
 
  private:
@@ -421,7 +421,7 @@
   ASSERT_NE(peer, nullptr);
   // Something else of the round comes first and holds it up.
   bool held = false;
-  loop.Yield([&] {
+  loop.RunAfterRound([&] {
     held = true;
     usleep(5'000);
     client.Close();
@@ -437,7 +437,7 @@
 // it asked, and its client leaves meanwhile. Nothing is sent on, neither by those answers nor by
 // the end of that wait.
 TEST_F(Gone, AFurtherAttemptThatWaitsForProbesIsNotSentOn) {
-  config.settings.warm_keys = true;
+  config.settings.key_affinity = true;
   for (const char* const id : {"h1", "h2", "h3"}) AddHost(id, Full);
   // Whether a peer of any host has heard this and was not answered.
   const auto heard = [&](std::string_view text) {
@@ -467,7 +467,7 @@
     turn % 2 == 0 ? client.Reset() : client.Close();
     loop.RunOnce(Duration(0));
     Until([] { return false; }, Ms(150));
-    EXPECT_TRUE(Until([&] { return gateway->in_hand() == 0; })) << turn;
+    EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; })) << turn;
     if (!out || sent_on || sent != before + 1) continue;  // it did not wait
     EXPECT_EQ(Requests(), sent) << turn;
     ++held;
@@ -562,7 +562,7 @@
   }
   // A connection, or none where nobody listens.
   Peer TryDial() const {
-    Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in to{};
     to.sin_family = AF_INET;
     to.sin_port = htons(address.port);
--- a/tests/gateway/downstream_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -23,26 +23,26 @@
   return "GET /read/1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 900\r\n\r\n";
 }
 
-class ClientsTest : public ::testing::Test, public Clients::Listener {
+class ClientsTest : public ::testing::Test, public Downstream::Listener {
  protected:
   explicit ClientsTest(size_t descriptors = 1024) : budget(descriptors) {
-    clients = std::make_unique<Clients>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this);
+    clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this);
   }
-  Taken OnRequest(Held request, Exchange::Reply reply) override {
+  AdmissionResult OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) override {
     const std::string_view base = request.bytes.view();
-    std::string id(request.message.Find(base, "X-Call-Id").value_or("none"));
+    std::string id(request.message.FindHeader(base, "X-Call-Id").value_or("none"));
     if (id == "bad") return {nullptr, 400, "bad"};
-    taken.push_back(std::make_shared<Exchange>(std::move(id), std::move(request), Time(0), cls,
+    taken.push_back(std::make_shared<ProxiedRequest>(std::move(id), std::move(request), Time(0), cls,
                                                std::move(reply)));
     return {taken.back(), 0, {}};
   }
-  void OnClientLeft(const std::shared_ptr<Exchange>& exchange) override {
+  void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) override {
     left.push_back(exchange->id());
   }
-  void OnWhole(const std::shared_ptr<Exchange>& exchange) override {
+  void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) override {
     whole.push_back(exchange->id());
   }
-  bool OnShort() override { return clients && clients->CloseOneIdle(); }
+  bool OnDescriptorsExhausted() override { return clients && clients->CloseOneIdle(); }
 
   Peer Dial() { return Peer::To(clients->address()); }
   bool HasTaken(size_t count) {
@@ -51,23 +51,23 @@
   bool Hears(Peer& peer, std::string_view text) {
     return RunUntil(loop, [&] { return peer.Has(text); });
   }
-  static std::shared_ptr<const Held> HostAnswer(const std::string& text) {
-    auto held = std::make_shared<Held>();
-    MessageParser parser(MessageParser::Kind::kAnswer);
+  static std::shared_ptr<const BufferedMessage> HostAnswer(const std::string& text) {
+    auto held = std::make_shared<BufferedMessage>();
+    HttpParser parser(HttpParser::Kind::kResponse);
     held->bytes.Append(text);
-    EXPECT_EQ(parser.Feed(held->bytes), Progress::kDone);
+    EXPECT_EQ(parser.Feed(held->bytes), ParseProgress::kDone);
     held->message = parser.message();
     return held;
   }
 
   EventLoop loop;
-  Life life;
-  Descriptors budget;
+  Lifecycle life;
+  DescriptorBudget budget;
   std::shared_ptr<RequestClass> cls =
-      std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Effect::kSafe));
-  std::vector<std::shared_ptr<Exchange>> taken;
+      std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kSafe));
+  std::vector<std::shared_ptr<ProxiedRequest>> taken;
   std::vector<std::string> left, whole;
-  std::unique_ptr<Clients> clients;
+  std::unique_ptr<Downstream> clients;
 };
 
 TEST_F(ClientsTest, HealthIsAnsweredWithoutTheModule) {
@@ -81,9 +81,9 @@
   Peer peer = Dial();
   peer.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish(
+  taken[0]->Respond(
       {.status = 200,
-       .from = HostAnswer("HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\n"
+       .upstream_message = HostAnswer("HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\n"
                           "X-Load-Report: inflight=1\r\nTransfer-Encoding: chunked\r\n\r\n"
                           "4\r\nbody\r\n0\r\n\r\n")});
   ASSERT_TRUE(Hears(peer, "body"));
@@ -94,7 +94,7 @@
   Peer peer = Dial();
   peer.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 503, .retry_after = Ms(75)});
+  taken[0]->Respond({.status = 503, .retry_after = Ms(75)});
   ASSERT_TRUE(Hears(peer, "\r\n\r\n"));
   EXPECT_EQ(peer.Heard(),
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.075\r\nContent-Length: 0\r\n\r\n");
@@ -117,14 +117,14 @@
   ASSERT_TRUE(HasTaken(1));
   RunFor(loop, Ms(20));
   EXPECT_EQ(taken.size(), 1u);
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   ASSERT_TRUE(HasTaken(2));
   EXPECT_EQ(taken[1]->id(), "b");
-  taken[1]->Finish({.status = 502});
+  taken[1]->Respond({.status = 502});
   ASSERT_TRUE(HasTaken(3));
-  taken[2]->Finish({.status = 502});
+  taken[2]->Respond({.status = 502});
   RunFor(loop, Ms(10));
-  EXPECT_EQ(clients->connections(), 1u);
+  EXPECT_EQ(clients->connection_count(), 1u);
 }
 
 TEST_F(ClientsTest, LostFramingIsAnsweredAndClosed) {
@@ -176,10 +176,10 @@
   greedy.Say(all);
   Peer peer = Dial();
   peer.Say(Get("a"));
-  const uint64_t before = Count().health_checks;
+  const uint64_t before = GlobalCounters().health_checks;
   ASSERT_TRUE(HasTaken(1));
-  EXPECT_LT(Count().health_checks - before, 20u);
-  EXPECT_TRUE(RunUntil(loop, [&] { return Count().health_checks - before == 400; }));
+  EXPECT_LT(GlobalCounters().health_checks - before, 20u);
+  EXPECT_TRUE(RunUntil(loop, [&] { return GlobalCounters().health_checks - before == 400; }));
 }
 
 // Connections by hundreds: the requests of those let in come between.
@@ -188,8 +188,8 @@
   for (int i = 0; i < 200; ++i) peers.push_back(Dial());
   peers[0].Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  EXPECT_LT(clients->connections(), 100u);
-  EXPECT_TRUE(RunUntil(loop, [&] { return clients->connections() == 200; }));
+  EXPECT_LT(clients->connection_count(), 100u);
+  EXPECT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 200; }));
 }
 
 // Owed within 3 s of connecting: an error or a close, whatever little comes meanwhile.
@@ -222,12 +222,12 @@
   Peer peer = Dial();
   peer.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   RunFor(loop, Ms(1500));
   EXPECT_FALSE(peer.Ended());
   EXPECT_TRUE(RunUntil(
       loop, [&] { return peer.Ended(); }, Ms(1500)));
-  EXPECT_EQ(clients->connections(), 0u);
+  EXPECT_EQ(clients->connection_count(), 0u);
 }
 
 // Sixty megabytes behind a refused head are not read to their end.
@@ -243,7 +243,7 @@
   }));
   EXPECT_TRUE(peer.Has("HTTP/1.1 413 "));
   RunFor(loop, Ms(1500));
-  EXPECT_EQ(clients->connections(), 0u);
+  EXPECT_EQ(clients->connection_count(), 0u);
   EXPECT_LT(sent, 16u << 20);
 }
 
@@ -251,7 +251,7 @@
   Peer peer = Dial();
   peer.Say("GET /read/1 HTTP/1.1\r\nConnection: close\r\nX-Call-Id: a\r\n\r\n");
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
   EXPECT_TRUE(peer.Has("Connection: close\r\n"));
 }
@@ -262,8 +262,8 @@
   ASSERT_TRUE(HasTaken(1));
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return left.size() == 1; }));
-  EXPECT_FALSE(taken[0]->Finish({.status = 502}));
-  EXPECT_EQ(clients->connections(), 0u);
+  EXPECT_FALSE(taken[0]->Respond({.status = 502}));
+  EXPECT_EQ(clients->connection_count(), 0u);
 }
 
 TEST_F(ClientsTest, AClientThatResetsHasLeft) {
@@ -279,7 +279,7 @@
   peer.Say(Get("a").substr(0, 30));
   RunFor(loop, Ms(10));
   peer.Close();
-  ASSERT_TRUE(RunUntil(loop, [&] { return clients->connections() == 0; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 0; }));
   EXPECT_TRUE(taken.empty());
   EXPECT_TRUE(left.empty());
 }
@@ -307,7 +307,7 @@
     loop.RunOnce(Duration(0));
   }
   EXPECT_LT(sent, 12'000'000u);  // the kernel's part and 80 KiB; 20 MB were offered
-  EXPECT_EQ(clients->connections(), 1u);
+  EXPECT_EQ(clients->connection_count(), 1u);
 }
 
 // Requests behind one another and nothing read: no next one is taken before the last answer has
@@ -321,7 +321,7 @@
   size_t answered = 0;
   const auto serve = [&] {
     for (; answered < taken.size(); ++answered) {
-      taken[answered]->Finish({.status = 200, .from = answer});
+      taken[answered]->Respond({.status = 200, .upstream_message = answer});
     }
   };
   peer.Say(all);
@@ -340,8 +340,8 @@
   ASSERT_TRUE(Hears(peer, "HTTP/1.1 100 Continue\r\n\r\n"));
   peer.Say("ok");
   ASSERT_TRUE(HasTaken(1));
-  EXPECT_EQ(taken[0]->request().body(), "ok");
-  taken[0]->Finish({.status = 502});
+  EXPECT_EQ(taken[0]->message().body(), "ok");
+  taken[0]->Respond({.status = 502});
   EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
 }
 
@@ -355,7 +355,7 @@
   ASSERT_TRUE(HasTaken(1));
   for (int twice = 0; twice < 2; ++twice) {
     life.set_drained(true);
-    clients->LifeChanged();
+    clients->OnLifecycleChanged();
   }
   Peer front = Dial();
   front.Say("GET /_health HTTP/1.1\r\n\r\n");
@@ -363,15 +363,15 @@
   EXPECT_TRUE(RunUntil(
       loop, [&] { return idle.Ended(); }, Ms(1000)));
   EXPECT_FALSE(busy.Ended());
-  taken[0]->Finish({.status = 200});
+  taken[0]->Respond({.status = 200});
   EXPECT_TRUE(Hears(busy, "Connection: close"));
   EXPECT_TRUE(RunUntil(loop, [&] { return busy.Ended(); }));
   life.set_drained(false);
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   Peer again = Dial();
   again.Say(Get("b"));
   ASSERT_TRUE(HasTaken(2));
-  taken[1]->Finish({.status = 200});
+  taken[1]->Respond({.status = 200});
   EXPECT_TRUE(Hears(again, "200 OK"));
   EXPECT_FALSE(again.Has("Connection: close"));
 }
@@ -381,9 +381,9 @@
   old.Say("GET /_health HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(Hears(old, "\r\n\r\n"));
   bool done = false;
-  clients->End(Ms(3600), [&] { done = true; });
+  clients->Shutdown(Ms(3600), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   old.Say(Get("a"));
   Peer fresh = Dial();  // still let in
   fresh.Say(Get("b"));
@@ -391,7 +391,7 @@
   RunFor(loop, Ms(700));
   EXPECT_TRUE(idle.Ended());  // closed between requests
   EXPECT_FALSE(done);         // two are in hand
-  for (const auto& exchange : taken) exchange->Finish({.status = 502});
+  for (const auto& exchange : taken) exchange->Respond({.status = 502});
   ASSERT_TRUE(Hears(old, "Connection: close\r\n"));
   ASSERT_TRUE(Hears(fresh, "Connection: close\r\n"));
   old.Close();
@@ -401,15 +401,15 @@
 
 TEST_F(ClientsTest, DrainingKeepsAcceptingForAWhile) {
   bool done = false;
-  clients->End(Ms(3600), [&] { done = true; });
+  clients->Shutdown(Ms(3600), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   RunFor(loop, Ms(400));
   EXPECT_FALSE(done);
   Peer late = Dial();
   late.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   EXPECT_TRUE(RunUntil(loop, [&] { return late.Ended(); }));
   late.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
@@ -420,9 +420,9 @@
   stuck.Say(Get("a").substr(0, 20));
   bool done = false;
   const Time begun = loop.Now();
-  clients->End(Ms(800), [&] { done = true; });
+  clients->Shutdown(Ms(800), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   ASSERT_TRUE(RunUntil(loop, [&] { return done; }));
   EXPECT_LT(loop.Now() - begun, Ms(1000));
 }
@@ -433,12 +433,12 @@
   client.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
   bool done = false;
-  clients->End(Ms(500), [&] { done = true; });
+  clients->Shutdown(Ms(500), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   RunFor(loop, Ms(800));
   EXPECT_FALSE(done);
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
   EXPECT_TRUE(client.Has("HTTP/1.1 502 "));
 }
@@ -456,22 +456,22 @@
   }
   rlimit held{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &held), 0);
-  const Fd probe(dup(0));
+  const FileDescriptor probe(dup(0));
   rlimit none = held;
   none.rlim_cur = static_cast<rlim_t>(probe.get()) + 1;  // not one more than there are
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
-  const uint64_t waits = Count().accept_waits;
+  const uint64_t waits = GlobalCounters().accept_waits;
   RunFor(loop, Ms(60));
   EXPECT_EQ(taken.size(), 0u);
-  EXPECT_GT(Count().accept_waits, waits);
-  EXPECT_LT(Count().accept_waits - waits, 40u);  // and did not spin
+  EXPECT_GT(GlobalCounters().accept_waits, waits);
+  EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);  // and did not spin
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &held), 0);
   EXPECT_TRUE(HasTaken(5));
 }
 
 class FewDescriptors : public ClientsTest {
  protected:
-  FewDescriptors() : ClientsTest(Descriptors::kReserve + 55) {}  // 33 connections of clients
+  FewDescriptors() : ClientsTest(DescriptorBudget::kReserve + 55) {}  // 33 connections of clients
 };
 
 // With every descriptor in use by a request, the next connection waits in the backlog and is
@@ -483,18 +483,18 @@
     peers.back().Say(Get("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasTaken(33));
-  const uint64_t waits = Count().accept_waits;
+  const uint64_t waits = GlobalCounters().accept_waits;
   RunFor(loop, Ms(60));
   EXPECT_EQ(taken.size(), 33u);
-  EXPECT_LT(Count().accept_waits - waits, 40u);
-  for (size_t i = 0; i < 33; ++i) taken[i]->Finish({.status = 502});
+  EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);
+  for (size_t i = 0; i < 33; ++i) taken[i]->Respond({.status = 502});
   EXPECT_TRUE(HasTaken(40));
 }
 
 TEST_F(FewDescriptors, IdleConnectionsMakeRoom) {
   std::vector<Peer> idle;
   for (int i = 0; i < 33; ++i) idle.push_back(Dial());
-  ASSERT_TRUE(RunUntil(loop, [&] { return clients->connections() == 33; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 33; }));
   Peer fresh = Dial();
   fresh.Say(Get("a"));
   EXPECT_TRUE(HasTaken(1));
@@ -525,12 +525,12 @@
     kept.push_back(Dial());
     kept.back().Say(Get("id" + std::to_string(i)));
     ASSERT_TRUE(HasTaken(i + 1));
-    taken[i]->Finish({.status = 502});
+    taken[i]->Respond({.status = 502});
     ASSERT_TRUE(Hears(kept.back(), "HTTP/1.1 502"));
   }
   RunFor(loop, Ms(10));
-  EXPECT_LE(clients->connections(), 14u);  // a quarter of 55
-  EXPECT_GE(clients->connections(), 10u);
+  EXPECT_LE(clients->connection_count(), 14u);  // a quarter of 55
+  EXPECT_GE(clients->connection_count(), 10u);
   EXPECT_TRUE(kept[0].Ended());
   EXPECT_FALSE(kept[29].Ended());
 }
@@ -540,7 +540,7 @@
   Peer usual = Dial();
   usual.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   std::vector<Peer> silent;
   for (int i = 0; i < 32; ++i) silent.push_back(Dial());
   RunFor(loop, Ms(250));
@@ -572,7 +572,7 @@
     EXPECT_TRUE(RunUntil(
         loop, [&] { return left.size() == 1; }, Ms(300)))
         << how;
-    EXPECT_FALSE(taken[0]->Finish({.status = 502}));
+    EXPECT_FALSE(taken[0]->Respond({.status = 502}));
   }
 }
 
@@ -618,9 +618,9 @@
   half.ShutWrite();
   RunFor(loop, Ms(30));
   EXPECT_EQ(taken.size(), 33u);
-  for (size_t i = 0; i < 33; ++i) taken[i]->Finish({.status = 502});
+  for (size_t i = 0; i < 33; ++i) taken[i]->Respond({.status = 502});
   RunFor(loop, Ms(100));
-  for (size_t i = 33; i < taken.size(); ++i) EXPECT_FALSE(taken[i]->Finish({.status = 502}));
+  for (size_t i = 33; i < taken.size(); ++i) EXPECT_FALSE(taken[i]->Respond({.status = 502}));
   EXPECT_EQ(left.size(), taken.size() - 33);
 }
 
@@ -629,9 +629,9 @@
   Peer late = Dial();
   late.Say(Get("a").substr(0, 20));
   bool done = false;
-  clients->End(Ms(600), [&] { done = true; });
+  clients->Shutdown(Ms(600), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   RunFor(loop, Ms(560));
   // Its rest and the end of the drain come while the loop is elsewhere.
   late.Say(Get("a").substr(20));
@@ -640,7 +640,7 @@
   usleep(60'000);
   ASSERT_TRUE(HasTaken(2));
   EXPECT_FALSE(done);
-  for (const auto& exchange : taken) exchange->Finish({.status = 502});
+  for (const auto& exchange : taken) exchange->Respond({.status = 502});
   EXPECT_TRUE(Hears(late, "HTTP/1.1 502 "));
   EXPECT_TRUE(Hears(later, "HTTP/1.1 502 "));
   late.Close();
@@ -653,14 +653,14 @@
   Peer peer = Dial();
   peer.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   ASSERT_TRUE(Hears(peer, "HTTP/1.1 502 "));
   peer.Forget();
   RunFor(loop, Ms(1960));
   peer.Say(Get("b"));
   usleep(80'000);
   ASSERT_TRUE(HasTaken(2));
-  taken[1]->Finish({.status = 502});
+  taken[1]->Respond({.status = 502});
   EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
 }
 
@@ -670,16 +670,16 @@
   slow.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
   const std::string body(6 << 20, 'b');
-  auto held = std::make_shared<Held>();
+  auto held = std::make_shared<BufferedMessage>();
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   held->bytes.Append(head + body);
   held->message = HostAnswer(head)->message;
   held->message.body = {head.size(), body.size()};
   bool done = false;
-  clients->End(Ms(500), [&] { done = true; });
+  clients->Shutdown(Ms(500), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
-  taken[0]->Finish({.status = 200, .from = held});
+  clients->OnLifecycleChanged();
+  taken[0]->Respond({.status = 200, .upstream_message = held});
   RunFor(loop, Ms(700));
   EXPECT_FALSE(done);
   EXPECT_TRUE(RunUntil(loop, [&] { return slow.Heard().size() > body.size(); }));
@@ -691,18 +691,18 @@
 // from then, as at any end.
 TEST_F(ClientsTest, EndedAfterItWasDrainedItKeepsAcceptingForAWhile) {
   life.set_drained(true);
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   RunFor(loop, Ms(700));
   bool done = false;
-  clients->End(Ms(3600), [&] { done = true; });
+  clients->Shutdown(Ms(3600), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   RunFor(loop, Ms(300));
   EXPECT_FALSE(done);
   Peer late = Dial();
   late.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Finish({.status = 502});
+  taken[0]->Respond({.status = 502});
   EXPECT_TRUE(Hears(late, "HTTP/1.1 502 "));
   late.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
@@ -713,7 +713,7 @@
 class SharedFewDescriptors : public FewDescriptors {
  protected:
   SharedFewDescriptors() {
-    clients = std::make_unique<Clients>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this, Fd(),
+    clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this, FileDescriptor(),
                                         true);
   }
 };
@@ -725,13 +725,13 @@
   }
   ASSERT_TRUE(HasTaken(33));
   bool done = false;
-  clients->End(Ms(3600), [&] { done = true; });
+  clients->Shutdown(Ms(3600), [&] { done = true; });
   life.set_ending();
-  clients->LifeChanged();
+  clients->OnLifecycleChanged();
   RunFor(loop, Ms(750));
-  for (size_t i = 0; i < 33; ++i) taken[i]->Finish({.status = 502});
+  for (size_t i = 0; i < 33; ++i) taken[i]->Respond({.status = 502});
   ASSERT_TRUE(HasTaken(40));
-  for (size_t i = 33; i < 40; ++i) taken[i]->Finish({.status = 502});
+  for (size_t i = 33; i < 40; ++i) taken[i]->Respond({.status = 502});
   for (Peer& peer : peers) EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
   peers.clear();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
@@ -744,50 +744,50 @@
   UnderstandTest() {
     settings = paddlestile::testing::MakeSettings();
     settings.classes.resize(2);  // 0 safe, 1 keyed
-    settings.callers_mark_retry = true;
+    settings.clients_mark_retries = true;
     names.classes.Add("read");
     names.classes.Add("book");
     names.tenants.Add("acme");
     names.tenants.Add("other");
   }
-  Understood Of(const std::string& text) {
-    Held held;
-    MessageParser parser(MessageParser::Kind::kRequest);
+  ParsedRequest Of(const std::string& text) {
+    BufferedMessage held;
+    HttpParser parser(HttpParser::Kind::kRequest);
     held.bytes.Append(text);
-    EXPECT_EQ(parser.Feed(held.bytes), Progress::kDone) << text;
+    EXPECT_EQ(parser.Feed(held.bytes), ParseProgress::kDone) << text;
     held.message = parser.message();
-    return Understand(held, names, settings, Time(1'000'000));
+    return ParseRequest(held, names, settings, Time(1'000'000));
   }
   Settings settings;
-  Names names;
+  NameTables names;
 };
 
 const std::string kGood = "X-Call-Id: 9b1f\r\nX-Caller: other\r\nX-Budget-Ms: 480\r\n";
 
 TEST_F(UnderstandTest, ReadsWhatTheModuleNeeds) {
-  const Understood u =
+  const ParsedRequest u =
       Of("POST /book/x?y HTTP/1.1\r\n" + kGood +
          "Idempotency-Key: k\r\nX-Again: 1\r\nX-Call-Info: Expected=12.5,Subject=s1,IsWrite=1,z=2"
          "\r\n\r\n");
-  ASSERT_EQ(u.bad_status, 0) << u.why;
-  EXPECT_EQ(u.submit.id, "9b1f");
-  EXPECT_EQ(u.submit.cls, 1u);
-  EXPECT_EQ(u.submit.tenant, 1u);
-  EXPECT_EQ(u.submit.deadline, Time(1'480'000));
-  EXPECT_TRUE(u.submit.again);
-  EXPECT_TRUE(u.submit.is_write);
-  EXPECT_EQ(u.submit.key, "s1");
-  EXPECT_EQ(u.submit.expected, Duration(12'500));
+  ASSERT_EQ(u.error_status, 0) << u.reason;
+  EXPECT_EQ(u.arrival.id, "9b1f");
+  EXPECT_EQ(u.arrival.request_class, 1u);
+  EXPECT_EQ(u.arrival.tenant, 1u);
+  EXPECT_EQ(u.arrival.deadline, Time(1'480'000));
+  EXPECT_TRUE(u.arrival.is_client_retry);
+  EXPECT_TRUE(u.arrival.is_write);
+  EXPECT_EQ(u.arrival.key, "s1");
+  EXPECT_EQ(u.arrival.expected_work, Duration(12'500));
 }
 
 TEST_F(UnderstandTest, RepeatsAreMarkedOnlyWhereClientsMarkThem) {
-  settings.callers_mark_retry = false;
-  EXPECT_FALSE(Of("GET /read HTTP/1.1\r\n" + kGood + "X-Again: 1\r\n\r\n").submit.again);
+  settings.clients_mark_retries = false;
+  EXPECT_FALSE(Of("GET /read HTTP/1.1\r\n" + kGood + "X-Again: 1\r\n\r\n").arrival.is_client_retry);
 }
 
 TEST_F(UnderstandTest, TenantsAreNotAskedForWhereThereAreNone) {
   names.tenants = NameTable();
-  EXPECT_EQ(Of("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 5\r\n\r\n").bad_status, 0);
+  EXPECT_EQ(Of("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 5\r\n\r\n").error_status, 0);
 }
 
 TEST_F(UnderstandTest, RefusesWhatItCannotPlace) {
@@ -813,7 +813,7 @@
       {"CONNECT /read HTTP/1.1\r\n" + kGood + "\r\n", 405},
       {"HEAD /read HTTP/1.1\r\n" + kGood + "\r\n", 405},
   };
-  for (const auto& [text, status] : cases) EXPECT_EQ(Of(text).bad_status, status) << text;
+  for (const auto& [text, status] : cases) EXPECT_EQ(Of(text).error_status, status) << text;
 }
 
 }  // namespace
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -41,7 +41,7 @@
     config.listen = {INADDR_LOOPBACK, 0};
     config.discovery = agent.address();
     config.seed = 5;
-    config.idle_close = Ms(60000);
+    config.endpoint_idle_timeout = Ms(60000);
     config.settings = paddlestile::testing::MakeSettings();
     for (const char* const name : {"safe", "keyed", "zoned", "celled", "unsafe"}) {
       config.names.classes.Add(name);
@@ -49,18 +49,18 @@
     config.names.zones.Add("a");
     config.names.zones.Add("b");
     config.names.report_fields = {"inflight", "latency_ms"};
-    config.known.revision = 40;
-    config.known.complete = true;
+    config.initial_endpoints.revision = 40;
+    config.initial_endpoints.complete = true;
   }
 
   Host& AddHost(const std::string& id, Script script) {
     hosts.push_back(std::make_unique<Host>());
     hosts.back()->id = id;
     hosts.back()->script = std::move(script);
-    HostEntry entry;
+    EndpointListEntry entry;
     entry.info.id = id;
     entry.address = hosts.back()->port.address();
-    config.known.members.push_back(entry);
+    config.initial_endpoints.endpoints.push_back(entry);
     return *hosts.back();
   }
   void Start() {
@@ -119,9 +119,9 @@
 
   std::string report = "inflight=1,latency_ms=5";  // of all hosts
   EventLoop loop;
-  Life life;
+  Lifecycle life;
   Port agent;
-  Config config;
+  GatewayConfig config;
   Address address;
   std::vector<std::unique_ptr<Host>> hosts;
   std::unique_ptr<Gateway> gateway;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -27,8 +27,8 @@
 TEST_F(GatewayTest, GatewaysOfWarmHostsAskFirstAndAgreeOnAKeysHost) {
   for (int i = 0; i < 5; ++i) AddHost("h" + std::to_string(i), Ok);
   report = "inflight=1,latency_ms=100";
-  config.settings.warm_keys = true;
-  config.settings.instances = 900;
+  config.settings.key_affinity = true;
+  config.settings.instance_count = 900;
   for (const uint64_t seed : {5, 6}) {
     config.seed = seed;
     Start();
@@ -54,7 +54,7 @@
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
   EXPECT_EQ(client.Heard().substr(0, 15), "HTTP/1.1 200 OK");
   EXPECT_EQ(hosts[0]->requests, 1);
-  EXPECT_TRUE(Until([&] { return gateway->in_hand() == 0; }));
+  EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
 TEST_F(GatewayTest, ServesWhereTheSettingsNameNoConnectTimeOut) {
@@ -108,7 +108,7 @@
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_LT(loop.Now() - begun, Ms(350));
   EXPECT_EQ(client.Heard().substr(0, 10), "HTTP/1.1 5");
-  EXPECT_TRUE(Until([&] { return gateway->in_hand() == 0; }));
+  EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
 TEST_F(GatewayTest, AnEmptyFleetRefuses) {
@@ -151,7 +151,7 @@
   EXPECT_EQ(client.Heard().substr(0, 13), "HTTP/1.1 400 ");
   RunFor(loop, Ms(30));
   EXPECT_EQ(Requests(), 1);
-  ASSERT_TRUE(Until([&] { return gateway->in_hand() == 0; }));
+  ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
 // What spoilt answers leave undone is done again elsewhere, where that is lawful.
@@ -170,7 +170,7 @@
 TEST_F(GatewayTest, MalformedRequestsReachNoHost) {
   AddHost("h1", Ok);
   Start();
-  const uint64_t taken = Count().requests_taken;
+  const uint64_t taken = GlobalCounters().requests_taken;
   for (const std::string& text :
        {Request("a", "nothing"), Request("a b"), std::string("GET /safe HTTP/1.1\r\n\r\n"),
         std::string("POST /safe HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx")}) {
@@ -179,18 +179,18 @@
   }
   RunFor(loop, Ms(20));
   EXPECT_EQ(Requests(), 0);
-  EXPECT_EQ(Count().requests_taken, taken);
+  EXPECT_EQ(GlobalCounters().requests_taken, taken);
 }
 
 TEST_F(GatewayTest, MoreThanMayBeHeldAreTurnedAway) {
-  config.settings.allowed.most_held = 2;
+  config.settings.allowed.max_held_requests = 2;
   AddHost("h1", Nothing);
   Start();
   Peer one = Ask(Request("a")), two = Ask(Request("b"));
-  ASSERT_TRUE(Until([&] { return gateway->in_hand() == 2; }));
+  ASSERT_TRUE(Until([&] { return gateway->request_count() == 2; }));
   Peer three = Ask(Request("c"));
   ASSERT_TRUE(Until([&] { return three.Has("HTTP/1.1 503"); }));
-  EXPECT_EQ(gateway->in_hand(), 2u);
+  EXPECT_EQ(gateway->request_count(), 2u);
 }
 
 TEST_F(GatewayTest, TheOutcomeAfterTheClientLeftIsStillTold) {
@@ -198,14 +198,14 @@
   Start();
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return Requests() == 1; }));
-  const uint64_t ok = Count().settled_ok, served = Count().answers_served;
+  const uint64_t ok = GlobalCounters().settled_ok, served = GlobalCounters().answers_served;
   client.Close();
   RunFor(loop, Ms(20));
-  EXPECT_EQ(gateway->in_hand(), 1u);  // its attempt is out
+  EXPECT_EQ(gateway->request_count(), 1u);  // its attempt is out
   for (Peer& peer : host.peers) peer.Say(Http200("late"));
-  ASSERT_TRUE(Until([&] { return gateway->in_hand() == 0; }));
-  EXPECT_EQ(Count().settled_ok, ok + 1);
-  EXPECT_EQ(Count().answers_served, served);
+  ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
+  EXPECT_EQ(GlobalCounters().settled_ok, ok + 1);
+  EXPECT_EQ(GlobalCounters().answers_served, served);
 }
 
 TEST_F(GatewayTest, TheListReachesTheModuleAndItsHostsAreUsed) {
@@ -258,8 +258,8 @@
 }
 
 TEST_F(GatewayTest, WhereTheListMustBeAskedForTheModuleAsks) {
-  config.settings.discovery = DiscoveryMode::kAsk;
-  config.settings.obligations.must_ask_in = Ms(400);
+  config.settings.discovery_mode = DiscoveryMode::kPoll;
+  config.settings.rules.discovery_interval = Ms(400);
   AddHost("h1", Ok);
   Start();
   Peer watch = agent.Take(loop);
@@ -271,7 +271,7 @@
 
 TEST_F(GatewayTest, WithoutProbesNoneAreSent) {
   config.settings.allowed.probes = false;
-  config.settings.report.source = ReportSource::kAnswers;
+  config.settings.load_report.source = LoadReportSource::kResponses;
   AddHost("h1", [](const std::string&) {
     return Http200("served", "X-Load-Report: inflight=2,latency_ms=4\r\n");
   });
@@ -285,7 +285,7 @@
 }
 
 TEST_F(GatewayTest, AStreamThatBreaksIsTheEndOfItsRequest) {
-  config.settings.classes[0].streamed = true;
+  config.settings.classes[0].is_streamed = true;
   AddHost("h1",
           [](const std::string&) { return "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"; });
   AddHost("h2", hosts[0]->script);
@@ -300,7 +300,7 @@
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(Requests(), 1);
-  EXPECT_TRUE(Until([&] { return gateway->in_hand() == 0; }));
+  EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
 TEST_F(GatewayTest, DrainsWithARequestInHand) {
@@ -322,14 +322,14 @@
 // A module that forgets a request must not leave its client without an answer.
 TEST_F(GatewayTest, AnOverdueRequestIsEndedAndCounted) {
   // With less than no slack the request counts as overdue before the module has reason to end it.
-  config.settings.obligations.answer_slack = Ms(-300);
+  config.settings.rules.response_slack = Ms(-300);
   AddHost("h1", Nothing);
   Start();
-  const uint64_t overdue = Count().answers_overdue;
+  const uint64_t overdue = GlobalCounters().answers_overdue;
   Peer client = Ask(Request("a", "safe", 400));
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(Count().answers_overdue, overdue + 1);
+  EXPECT_EQ(GlobalCounters().answers_overdue, overdue + 1);
 }
 
 TEST_F(GatewayTest, TellsItsState) {
@@ -337,7 +337,7 @@
   Start();
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
-  const std::string text = gateway->StateText();
+  const std::string text = gateway->DescribeState();
   EXPECT_NE(text.find("clients=1 "), std::string::npos) << text;
   EXPECT_NE(text.find("answers_served="), std::string::npos) << text;
   EXPECT_NE(text.find("picks_"), std::string::npos) << text;
@@ -352,21 +352,21 @@
   Start();
   Peer slow = Ask(Request("slow"));
   ASSERT_TRUE(Until([&] { return Requests() == 1; }));
-  Config next = config;
-  next.settings.classes.push_back(paddlestile::testing::MakeClass(Effect::kSafe));
+  GatewayConfig next = config;
+  next.settings.classes.push_back(paddlestile::testing::MakeClass(Idempotency::kSafe));
   next.names.classes.Add("later");
-  next.names.classes_until.assign(next.settings.classes.size(), Time::max());
-  next.names.classes_until[0] = loop.Now();  // "safe" has gone
-  gateway->Adopt(next);
+  next.names.classes_expire_at.assign(next.settings.classes.size(), Time::max());
+  next.names.classes_expire_at[0] = loop.Now();  // "safe" has gone
+  gateway->ApplyConfig(next);
   Peer later = Ask(Request("b", "later")), gone = Ask(Request("c", "safe"));
   ASSERT_TRUE(Until([&] { return later.Has("served") && gone.Has("404 "); }));
   for (Peer& peer : hosts[0]->peers) peer.Say(Http200("late but whole"));
   EXPECT_TRUE(Until([&] { return slow.Has("late but whole"); }));
   // Settings that the module does not take change nothing.
-  Config bad = next;
-  bad.settings.allowed.send_cap = 0;
-  EXPECT_THROW(gateway->Adopt(bad), std::invalid_argument);
-  EXPECT_EQ(gateway->config().settings.allowed.send_cap, next.settings.allowed.send_cap);
+  GatewayConfig bad = next;
+  bad.settings.allowed.max_attempts = 0;
+  EXPECT_THROW(gateway->ApplyConfig(bad), std::invalid_argument);
+  EXPECT_EQ(gateway->config().settings.allowed.max_attempts, next.settings.allowed.max_attempts);
 }
 
 // Settings that come twice within one handler, as when a version and the word that turns it on are
@@ -375,16 +375,16 @@
   for (const char* const id : {"h1", "h2"}) AddHost(id, Error);
   Start();
   ASSERT_TRUE(Until([&] { return life.accepts(); }));
-  Config once = config;
-  once.settings.allowed.send_cap = 1;
-  ASSERT_GT(config.settings.allowed.send_cap, 1);
-  gateway->Adopt(once);
-  gateway->Adopt(config);
+  GatewayConfig once = config;
+  once.settings.allowed.max_attempts = 1;
+  ASSERT_GT(config.settings.allowed.max_attempts, 1);
+  gateway->ApplyConfig(once);
+  gateway->ApplyConfig(config);
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_GE(Requests(), 2);
-  gateway->Adopt(config);
-  gateway->Adopt(once);
+  gateway->ApplyConfig(config);
+  gateway->ApplyConfig(once);
   const int before = Requests();
   Peer other = Ask(Request("b"));
   ASSERT_TRUE(Until([&] { return other.Has("\r\n\r\n"); }));
@@ -401,8 +401,8 @@
   for (int n = 1; n <= 4; ++n) AddHost("h" + std::to_string(n), Full);
   Start();
   ASSERT_TRUE(Until([&] { return life.accepts(); }));
-  Config once = config;
-  once.settings.allowed.send_cap = 1;
+  GatewayConfig once = config;
+  once.settings.allowed.max_attempts = 1;
   int id = 0;
   const auto attempts = [&](const std::string& tenant) {
     std::string text = Request("r" + std::to_string(id++));
@@ -412,20 +412,20 @@
     EXPECT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
     return Requests() - before;
   };
-  gateway->Adopt(once);
-  gateway->AdoptTenants({{"new", Tenant{5, 0.2}}});
+  gateway->ApplyConfig(once);
+  gateway->ApplyTenantChanges({{"new", TenantQuota{5, 0.2}}});
   EXPECT_EQ(attempts("new"), 1);
-  gateway->AdoptTenants({{"old", Tenant{5, 0.2}}});
-  gateway->Adopt(config);
+  gateway->ApplyTenantChanges({{"old", TenantQuota{5, 0.2}}});
+  gateway->ApplyConfig(config);
   EXPECT_GE(attempts("old"), 2);
-  gateway->AdoptTenants({{"old", Tenant{5, 0.1}}});
-  gateway->AdoptTenants({{"old", Tenant{5, 0.3}}});
+  gateway->ApplyTenantChanges({{"old", TenantQuota{5, 0.1}}});
+  gateway->ApplyTenantChanges({{"old", TenantQuota{5, 0.3}}});
   EXPECT_GE(attempts("old"), 2);
   // The module has the fewer attempts by now, and is told of more with a tenant's change behind it.
-  gateway->Adopt(once);
+  gateway->ApplyConfig(once);
   EXPECT_EQ(attempts("old"), 1);
-  gateway->Adopt(config);
-  gateway->AdoptTenants({{"old", Tenant{5, 0.3}}});
+  gateway->ApplyConfig(config);
+  gateway->ApplyTenantChanges({{"old", TenantQuota{5, 0.3}}});
   EXPECT_GE(attempts("old"), 2);
   EXPECT_EQ(gateway->config().settings.tenants.at(0).share, 0.3);
 }
@@ -446,20 +446,20 @@
   };
   EXPECT_TRUE(ask("a", "old"));
   EXPECT_FALSE(ask("b", "new"));
-  const Config* const there = &gateway->config();
-  gateway->AdoptTenants({{"new", Tenant{5, 0.2}}, {"old", Tenant{20, 0.5}}});
+  const GatewayConfig* const there = &gateway->config();
+  gateway->ApplyTenantChanges({{"new", TenantQuota{5, 0.2}}, {"old", TenantQuota{20, 0.5}}});
   EXPECT_EQ(&gateway->config(), there);
-  EXPECT_EQ(gateway->config().settings.tenants.at(0).quota_per_s, 20);
+  EXPECT_EQ(gateway->config().settings.tenants.at(0).requests_per_second, 20);
   EXPECT_EQ(gateway->config().settings.tenants.at(1).share, 0.2);
   EXPECT_TRUE(ask("c", "new"));
-  EXPECT_THROW(gateway->AdoptTenants({{"new", std::nullopt}, {"old", Tenant{1, -1}}}), ConfigError);
+  EXPECT_THROW(gateway->ApplyTenantChanges({{"new", std::nullopt}, {"old", TenantQuota{1, -1}}}), ConfigError);
   EXPECT_TRUE(ask("d", "new"));
-  gateway->AdoptTenants({{"new", std::nullopt}});
+  gateway->ApplyTenantChanges({{"new", std::nullopt}});
   EXPECT_TRUE(ask("e", "new"));
   Until([] { return false; }, Ms(1100));
   EXPECT_FALSE(ask("f", "new"));
   EXPECT_TRUE(ask("g", "old"));
-  gateway->AdoptTenants({{"new", Tenant{5, 0.2}}});
+  gateway->ApplyTenantChanges({{"new", TenantQuota{5, 0.2}}});
   EXPECT_TRUE(ask("h", "new"));
   EXPECT_EQ(gateway->config().names.tenants.size(), 2u);
 }
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -252,7 +252,7 @@
   at.sun_family = AF_UNIX;
   ASSERT_LT(Socket().size(), sizeof(at.sun_path));
   Socket().copy(at.sun_path, Socket().size());
-  const Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
   ASSERT_EQ(connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
   const std::string take = "paddlestile 1 take " + ToText(address) + "\n";
   send(fd.get(), take.data(), take.size(), MSG_NOSIGNAL);
@@ -282,7 +282,7 @@
   std::filesystem::remove(Socket());
   // One that listens and speaks no sense, and one that says nothing.
   for (const char* const said : {"paddlestile 9 listen 1\n", ""}) {
-    const Fd fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    const FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
     ASSERT_LT(Socket().size(), sizeof(at.sun_path));
@@ -290,7 +290,7 @@
     ASSERT_EQ(bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
     ASSERT_EQ(listen(fd.get(), 1), 0);
     std::thread answer([&] {
-      const Fd caller(accept(fd.get(), nullptr, nullptr));
+      const FileDescriptor caller(accept(fd.get(), nullptr, nullptr));
       send(caller.get(), said, std::string(said).size(), MSG_NOSIGNAL);
       usleep(700'000);
     });
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -46,7 +46,7 @@
  protected:
   CrossingsTest() {
     // Long enough to wait in: holding, connecting.
-    for (RequestClass& c : config.settings.classes) c.aim = Ms(6000), c.deadline = Ms(8000);
+    for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(6000), c.deadline = Ms(8000);
     config.settings.allowed.connect_timeout = Ms(3000);
   }
   // A host that counts ids and answers when told.
@@ -57,17 +57,17 @@
     });
   }
   void AddCutOff(const std::string& id, const Address& address) {
-    HostEntry entry;
+    EndpointListEntry entry;
     entry.info.id = id;
     entry.address = address;
-    config.known.members.push_back(entry);
+    config.initial_endpoints.endpoints.push_back(entry);
   }
   bool Whole(const std::string& id) { return got[id] == 1; }
   // Discovery says a line, and the gateway has taken it.
   void Tell(Peer& call, const std::string& line, int revision) {
     call.Say(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
     EXPECT_TRUE(Until([&] {
-      return gateway->StateText().find(fmt::format(" revision={} ", revision)) != std::string::npos;
+      return gateway->DescribeState().find(fmt::format(" revision={} ", revision)) != std::string::npos;
     }));
   }
 
@@ -82,7 +82,7 @@
   Start();
   std::vector<Peer> clients;
   for (int i = 0; i < 12; ++i) clients.push_back(Ask(Request(std::to_string(i), "safe", 8000)));
-  ASSERT_TRUE(Until([&] { return gateway->in_hand() == 12 && !got.empty(); }));
+  ASSERT_TRUE(Until([&] { return gateway->request_count() == 12 && !got.empty(); }));
   Until([] { return false; }, Ms(30));
   const std::set<std::string> sent = [&] {
     std::set<std::string> ids;
@@ -121,7 +121,7 @@
     loop.RunOnce(Ms(2));
   }
   for (Peer& peer : late) EXPECT_FALSE(peer.Has("POST"));
-  EXPECT_EQ(gateway->in_hand(), 0u);
+  EXPECT_EQ(gateway->request_count(), 0u);
 }
 
 // Between two attempts: the first is reset while the second's connection does not come up.
@@ -149,7 +149,7 @@
   Until([] { return false; }, Ms(50));
   EXPECT_FALSE(late && late.Has("POST"));
   EXPECT_EQ(got["a"], 1);
-  EXPECT_EQ(gateway->in_hand(), 0u);
+  EXPECT_EQ(gateway->request_count(), 0u);
 }
 
 // It left in the same turn in which the module decided, or behind another request in its buffer.
@@ -167,7 +167,7 @@
     EXPECT_EQ(got["first" + id], 0) << id;
     EXPECT_EQ(got["behind" + id], 0) << id;
   }
-  EXPECT_EQ(gateway->in_hand(), 0u);
+  EXPECT_EQ(gateway->request_count(), 0u);
 }
 
 // The second of two in a client's buffer begins when the first is answered: not once it has left.
@@ -189,14 +189,14 @@
     Until([] { return false; }, Ms(100));
     EXPECT_EQ(got["behind" + id], 0) << id;
   }
-  EXPECT_EQ(gateway->in_hand(), 0u);
+  EXPECT_EQ(gateway->request_count(), 0u);
 }
 
 // ---- Told to end --------------------------------------------------------------------------------
 
 // Against each state that a request can be in; clients go on sending, hosts hang.
 TEST_F(CrossingsTest, ToldToEndEachRequestHasItsAnswer) {
-  for (RequestClass& c : config.settings.classes) c.aim = Ms(1000), c.deadline = Ms(2000);
+  for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(1000), c.deadline = Ms(2000);
   config.settings.allowed.connect_timeout = Ms(1500);
   CutOff slow_to_come(loop);
   AddHost("h1", [this](const std::string& text) {
@@ -227,7 +227,7 @@
   ask("late", Request("late"));
   clients["half"].Say(Request("half").substr(40));
   clients["upload"].Say(std::string(1998, 'x') + "dy");
-  gateway->Adopt(config);
+  gateway->ApplyConfig(config);
   Until([] { return false; }, Ms(200));
   ask("last", Request("last"));
   EXPECT_TRUE(Until([&] {
@@ -258,9 +258,9 @@
   ASSERT_TRUE(Until([&] { return Whole("a"); }));
   bool done = false;
   gateway->Drain([&] { done = true; });
-  Config next = config;
+  GatewayConfig next = config;
   for (RequestClass& c : next.settings.classes) c.deadline = Ms(100);
-  gateway->Adopt(next);
+  gateway->ApplyConfig(next);
   Until([] { return false; }, Ms(1300));
   EXPECT_FALSE(done);
   for (Peer& peer : hosts[0]->peers) peer.Say(Http200("served"));
@@ -299,7 +299,7 @@
 // Each outcome that does not surely prove that it never ran ends it; the others let it go on, and
 // never are two out.
 TEST_F(CrossingsTest, AnUnsafeRequestGoesOnOnlyWhereItSurelyNeverRan) {
-  for (RequestClass& c : config.settings.classes) c.aim = Ms(400), c.deadline = Ms(2000);
+  for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(400), c.deadline = Ms(2000);
   config.settings.allowed.connect_timeout = Ms(250);
   struct Case {
     std::string says;
@@ -396,10 +396,10 @@
   Start();
   Peer held = Ask(Request("held"));
   ASSERT_TRUE(Until([&] { return Whole("held"); }));
-  Config next = config;
-  next.settings.classes[0].effect = Effect::kUnsafe;
+  GatewayConfig next = config;
+  next.settings.classes[0].idempotency = Idempotency::kUnsafe;
   next.settings.classes[0].deadline = Ms(400);
-  gateway->Adopt(next);
+  gateway->ApplyConfig(next);
   Peer later = Ask(Request("later"));
   ASSERT_TRUE(Until([&] { return later.Has("HTTP/1.1 502"); }));
   EXPECT_EQ(got["later"], 1);
@@ -416,16 +416,16 @@
 // attempt, unsafe classes, deadlines and idle times far under a second.
 TEST_F(CrossingsTest, SettingsAtTheirEdgesServeAndEndInTime) {
   Settings& s = config.settings;
-  s.classes = {paddlestile::testing::MakeClass(Effect::kUnsafe)};
-  s.classes[0].aim = Ms(60);
+  s.classes = {paddlestile::testing::MakeClass(Idempotency::kUnsafe)};
+  s.classes[0].latency_objective = Ms(60);
   s.classes[0].deadline = Ms(120);
-  s.instances = s.zones = 1;
+  s.instance_count = s.zone_count = 1;
   s.tenants.clear();
-  s.allowed.send_cap = 1;
-  s.allowed.probes = s.allowed.cancel = s.allowed.parallel_tries = s.allowed.retry_after = false;
+  s.allowed.max_attempts = 1;
+  s.allowed.probes = s.allowed.cancel = s.allowed.parallel_attempts = s.allowed.retry_after = false;
   s.allowed.connect_timeout = Ms(40);
-  s.report = {};
-  config.idle_close = Ms(200);
+  s.load_report = {};
+  config.endpoint_idle_timeout = Ms(200);
   AddHost("h1", [this](const std::string& text) {
     const std::string id = IdOf(text);
     ++got[id];
@@ -438,7 +438,7 @@
     EXPECT_EQ(got["x" + std::to_string(i)], 1);
     if (i % 10 == 9) {
       Until([] { return false; }, Ms(180));
-      EXPECT_NE(gateway->StateText().find("hosts_connected=0 "), std::string::npos);
+      EXPECT_NE(gateway->DescribeState().find("hosts_connected=0 "), std::string::npos);
     }
   }
   const Time began = loop.Now();
--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -23,23 +23,23 @@
 class LargeTest : public ::testing::Test {
  protected:
   LargeTest() {
-    Config config;
+    GatewayConfig config;
     config.listen = {INADDR_LOOPBACK, 0};
     config.discovery = agent.address();
     config.seed = 5;
-    config.idle_close = Ms(60000);
+    config.endpoint_idle_timeout = Ms(60000);
     config.settings = paddlestile::testing::MakeSettings();
     config.settings.allowed.probes = false;
     for (const char* const name : {"safe", "keyed", "zoned", "celled", "unsafe"}) {
       config.names.classes.Add(name);
     }
     config.names.report_fields = {"inflight", "latency_ms"};
-    config.known.complete = true;
+    config.initial_endpoints.complete = true;
     for (int i = 0; i < 2; ++i) {
-      HostEntry entry;
+      EndpointListEntry entry;
       entry.info.id = "h" + std::to_string(i);
       entry.address = port.address();  // one port: the next attempt comes to it too
-      config.known.members.push_back(entry);
+      config.initial_endpoints.endpoints.push_back(entry);
     }
     gateway = std::make_unique<Gateway>(loop, std::move(config), life);
     client = Peer::To(gateway->address());
@@ -63,7 +63,7 @@
   static std::string BodyOf(const std::string& text) {
     Buffer in;
     in.Append(text);
-    MessageParser parser(MessageParser::Kind::kAnswer, kMostBody);
+    HttpParser parser(HttpParser::Kind::kResponse, kMaxBodyBytes);
     parser.Feed(in);
     parser.EndsWithConnection(in);
     return std::string(parser.message().body.In(in.view()));
@@ -84,7 +84,7 @@
   }
 
   EventLoop loop;
-  Life life;
+  Lifecycle life;
   Port agent, port;
   std::unique_ptr<Gateway> gateway;
   Peer client, host;
@@ -158,7 +158,7 @@
     EXPECT_FALSE(client.Heard().ends_with("0\r\n\r\n"));
     EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryTake()); }, Ms(100)));
   }
-  EXPECT_EQ(Count().bodies_cut, 2u);
+  EXPECT_EQ(GlobalCounters().bodies_cut, 2u);
 }
 
 // A client that takes nothing stops its host, and nobody else.
@@ -212,8 +212,8 @@
   ASSERT_TRUE(Until([&] { return host.Heard().ends_with("\r\n0\r\n\r\n"); }));
   Buffer in;
   in.Append(host.Heard());
-  MessageParser parser(MessageParser::Kind::kRequest, kMostBody);
-  ASSERT_EQ(parser.Feed(in), Progress::kDone);
+  HttpParser parser(HttpParser::Kind::kRequest, kMaxBodyBytes);
+  ASSERT_EQ(parser.Feed(in), ParseProgress::kDone);
   EXPECT_EQ(parser.message().body.In(in.view()), part + part + part + part);
   host.Say(testing::Http200("served"));
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
@@ -256,7 +256,7 @@
   ASSERT_TRUE(Host(Noise(50'000).substr(40'000)));
   client.Close();
   EXPECT_TRUE(Until([&] { return host.Ended(); }));
-  EXPECT_EQ(gateway->in_hand(), 0u);
+  EXPECT_EQ(gateway->request_count(), 0u);
 }
 
 TEST_F(LargeTest, BadChunksMidwayAreAnsweredAndNotPassedOn) {
@@ -305,12 +305,12 @@
       "5;a=b\r\nhello\r\n00006\r\n world\r\n0\r\nA: b\r\n\r\nnext";
   for (size_t split = 0; split <= wire.size(); ++split) {
     Buffer in, head;
-    MessageParser parser(MessageParser::Kind::kAnswer, kMostBody);
+    HttpParser parser(HttpParser::Kind::kResponse, kMaxBodyBytes);
     in.Append(wire.substr(0, split));
     parser.Feed(in);
     std::string body;
     bool taken = false;
-    Progress progress = Progress::kMore;
+    ParseProgress progress = ParseProgress::kNeedMore;
     const auto take = [&] {
       if (!taken && !parser.head_done()) return;
       if (!std::exchange(taken, true)) parser.TakeHead(in, head);
@@ -320,9 +320,9 @@
     };
     take();
     in.Append(wire.substr(split));
-    if (!taken && parser.Feed(in) == Progress::kDone) continue;  // whole at once
+    if (!taken && parser.Feed(in) == ParseProgress::kDone) continue;  // whole at once
     take();
-    EXPECT_EQ(progress, Progress::kDone) << split;
+    EXPECT_EQ(progress, ParseProgress::kDone) << split;
     EXPECT_EQ(body, "hello world") << split;
     EXPECT_EQ(in.view(), "next") << split;
   }
@@ -332,8 +332,8 @@
   for (const char* const status : {"204 No", "304 Not"}) {
     Buffer in;
     in.Append("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: 9\r\n\r\nHTTP");
-    MessageParser parser(MessageParser::Kind::kAnswer);
-    EXPECT_EQ(parser.Feed(in), Progress::kDone);
+    HttpParser parser(HttpParser::Kind::kResponse);
+    EXPECT_EQ(parser.Feed(in), ParseProgress::kDone);
     EXPECT_EQ(parser.message().body.size, 0u);
   }
 }
--- a/tests/gateway/test_peers.h
+++ b/tests/gateway/test_peers.h
@@ -48,12 +48,12 @@
 class Peer {
  public:
   Peer() = default;
-  explicit Peer(Fd fd) : fd_(std::move(fd)) { MakeNonBlocking(fd_.get()); }
+  explicit Peer(FileDescriptor fd) : fd_(std::move(fd)) { MakeNonBlocking(fd_.get()); }
   explicit operator bool() const { return static_cast<bool>(fd_); }
 
   // Connects to a listener on loopback.
   static Peer To(const Address& to) {
-    Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(to.port);
@@ -104,7 +104,7 @@
   [[nodiscard]] int fd() const { return fd_.get(); }
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
   std::string heard_;
   bool ended_ = false;
 };
@@ -128,7 +128,7 @@
 
   // The next connection, or none yet.
   Peer TryTake() {
-    Fd fd(accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    FileDescriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     return fd ? Peer(std::move(fd)) : Peer();
   }
   Peer Take(EventLoop& loop) {
@@ -139,7 +139,7 @@
   void Close() { fd_.Reset(); }
 
  private:
-  Fd fd_;
+  FileDescriptor fd_;
   Address address_;
 };
 
@@ -148,7 +148,7 @@
  public:
   explicit CutOff(EventLoop& loop) {
     for (int i = 0; i < 4; ++i) {
-      Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+      FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
       sockaddr_in address{};
       address.sin_family = AF_INET;
       address.sin_port = htons(port_.address().port);
@@ -174,11 +174,11 @@
 };
 
 // Two ends of one connection, the first on a loop.
-inline std::pair<Fd, Peer> Pair() {
+inline std::pair<FileDescriptor, Peer> Pair() {
   int fds[2] = {-1, -1};
   EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, fds), 0);
   MakeNonBlocking(fds[0]);
-  return {Fd(fds[0]), Peer(Fd(fds[1]))};
+  return {FileDescriptor(fds[0]), Peer(FileDescriptor(fds[1]))};
 }
 
 inline std::string Http200(std::string_view body, std::string_view headers = "") {
--- a/tests/gateway/upstream_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -19,11 +19,11 @@
 using testing::Peer;
 using testing::RunUntil;
 
-Held MakeRequest(const std::string& text) {
-  Held held;
-  MessageParser parser(MessageParser::Kind::kRequest);
+BufferedMessage MakeRequest(const std::string& text) {
+  BufferedMessage held;
+  HttpParser parser(HttpParser::Kind::kRequest);
   held.bytes.Append(text);
-  EXPECT_EQ(parser.Feed(held.bytes), Progress::kDone);
+  EXPECT_EQ(parser.Feed(held.bytes), ParseProgress::kDone);
   held.message = parser.message();
   return held;
 }
@@ -33,51 +33,51 @@
     "Idempotency-Key: k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\n"
     "body";
 
-class ServersTest : public ::testing::Test, public Servers::Listener {
+class ServersTest : public ::testing::Test, public Upstream::Listener {
  protected:
   struct End {
     std::string id;
     size_t attempt = 0;
     Outcome outcome = Outcome::kOk;
-    std::optional<Report> report;
+    std::optional<LoadReport> report;
     std::string body;
   };
 
-  void OnSettled(const std::shared_ptr<Exchange>& exchange, size_t attempt, const std::string&,
-                 Outcome outcome, Duration, std::optional<Report> report,
-                 std::shared_ptr<const Held> from) override {
+  void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt, const std::string&,
+                 Outcome outcome, Duration, std::optional<LoadReport> report,
+                 std::shared_ptr<const BufferedMessage> from) override {
     ends.push_back({exchange->id(), attempt, outcome, std::move(report),
                     from ? std::string(from->body()) : std::string()});
   }
-  void OnEstablished(const std::shared_ptr<Exchange>&, size_t, const std::string&,
+  void OnResponseStarted(const std::shared_ptr<ProxiedRequest>&, size_t, const std::string&,
                      Duration) override {
     ++established;
   }
-  void OnProbed(const std::string&, Outcome outcome, Duration,
-                std::optional<Report> report) override {
+  void OnProbeFinished(const std::string&, Outcome outcome, Duration,
+                std::optional<LoadReport> report) override {
     probes.emplace_back(outcome, std::move(report));
   }
-  bool OnShort() override { return servers->CloseOneIdle(); }
+  bool OnDescriptorsExhausted() override { return servers->CloseOneIdle(); }
 
-  void Make(Servers::Options options) {
-    servers = std::make_unique<Servers>(loop, budget, std::move(options), this);
-    servers->SetAddress("h1", port.address());
+  void Make(Upstream::Options options) {
+    servers = std::make_unique<Upstream>(loop, budget, std::move(options), this);
+    servers->SetEndpointAddress("h1", port.address());
   }
-  Servers::Options Plain() {
-    Servers::Options options;
+  Upstream::Options Plain() {
+    Upstream::Options options;
     options.connect_timeout = Ms(100);
-    options.idle_close = Ms(60000);
+    options.endpoint_idle_timeout = Ms(60000);
     options.report_fields = {"inflight", "latency_ms"};
     options.reports_in_probes = true;
     return options;
   }
-  std::shared_ptr<Exchange> Request(const std::string& id = "id1", Duration time = Ms(2000)) {
-    return std::make_shared<Exchange>(id, MakeRequest(kPost), loop.Now() + time, cls,
-                                      [](const Answer&) {});
+  std::shared_ptr<ProxiedRequest> Request(const std::string& id = "id1", Duration time = Ms(2000)) {
+    return std::make_shared<ProxiedRequest>(id, MakeRequest(kPost), loop.Now() + time, cls,
+                                      [](const Response&) {});
   }
-  std::shared_ptr<Exchange> Send(const std::string& id = "id1", Duration time = Ms(2000)) {
+  std::shared_ptr<ProxiedRequest> Send(const std::string& id = "id1", Duration time = Ms(2000)) {
     auto exchange = Request(id, time);
-    servers->Send(exchange, exchange->NextAttempt(), "h1", exchange->deadline());
+    servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
     return exchange;
   }
   // Takes the host's end of the next connection and reads the request on it.
@@ -103,14 +103,14 @@
     return host;
   }
   // A request that no socket takes at once.
-  std::shared_ptr<Exchange> Big(const std::string& id, Duration time = Ms(2000)) {
+  std::shared_ptr<ProxiedRequest> Big(const std::string& id, Duration time = Ms(2000)) {
     const std::string head = "POST /book HTTP/1.1\r\nX-Call-Id: big\r\n\r\n";
-    Held request;
+    BufferedMessage request;
     request.bytes.Append(head + std::string(16 << 20, 'x'));
     request.message = MakeRequest(head).message;
     request.message.body = {head.size(), 16 << 20};
-    return std::make_shared<Exchange>(id, std::move(request), loop.Now() + time, cls,
-                                      [](const Answer&) {});
+    return std::make_shared<ProxiedRequest>(id, std::move(request), loop.Now() + time, cls,
+                                      [](const Response&) {});
   }
   // All that a host gets until its gateway's side ends, counted: bodies of what was sent whole.
   static size_t AllOf(EventLoop& loop, Peer& host) {
@@ -119,14 +119,14 @@
   }
 
   EventLoop loop;
-  Descriptors budget{1024};
+  DescriptorBudget budget{1024};
   std::shared_ptr<RequestClass> cls =
-      std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Effect::kKeyed));
+      std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kKeyed));
   testing::Port port;
   std::vector<End> ends;
-  std::vector<std::pair<Outcome, std::optional<Report>>> probes;
+  std::vector<std::pair<Outcome, std::optional<LoadReport>>> probes;
   int established = 0;
-  std::unique_ptr<Servers> servers;
+  std::unique_ptr<Upstream> servers;
 };
 
 TEST_F(ServersTest, SendsTheRequestOnUnchangedButForItsTime) {
@@ -150,26 +150,26 @@
       {Http200("yes"), Outcome::kOk},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", Outcome::kOk},
       {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
-      {"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome::kFull},
-      {"HTTP/1.1 504 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome::kFull},
+      {"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome::kRejected},
+      {"HTTP/1.1 504 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome::kRejected},
       {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
       {"HTTP/1.1 503 No\r\nX-Rejected: 0\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
       {"HTTP/1.1 500 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
       {"HTTP/1.1 201 Made\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
-      {"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", Outcome::kUnusable},
-      {"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", Outcome::kUnusable},
+      {"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", Outcome::kInvalidResponse},
+      {"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", Outcome::kInvalidResponse},
       {"HTTP/1.1 408 Slow\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
       {"HTTP/1.1 429 Many\r\nContent-Length: 0\r\n\r\n", Outcome::kError},
       {"HTTP/1.1 204 None\r\n\r\n", Outcome::kError},
-      {"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", Outcome::kUnusable},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", Outcome::kUnusable},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes", Outcome::kUnusable},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 9\r\n\r\nyes", Outcome::kUnusable},
-      {"HTTP/1.1 200 OK\r\nX-Pad: " + std::string(20000, 'p'), Outcome::kUnusable},
+      {"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", Outcome::kInvalidResponse},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", Outcome::kInvalidResponse},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes", Outcome::kInvalidResponse},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 9\r\n\r\nyes", Outcome::kInvalidResponse},
+      {"HTTP/1.1 200 OK\r\nX-Pad: " + std::string(20000, 'p'), Outcome::kInvalidResponse},
       {"HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 On it\r\n\r\n" + Http200("yes"),
        Outcome::kOk},
-      {"ICY 200 OK\r\nContent-Length: 3\r\n\r\nyes", Outcome::kUnusable},
-      {"garbage\r\n\r\n", Outcome::kUnusable},
+      {"ICY 200 OK\r\nContent-Length: 3\r\n\r\nyes", Outcome::kInvalidResponse},
+      {"garbage\r\n\r\n", Outcome::kInvalidResponse},
   };
   for (const auto& [answer, outcome] : cases) {
     ends.clear();
@@ -196,7 +196,7 @@
     const Time began = loop.Now();
     host.Say(part);
     ASSERT_TRUE(Ended(1));
-    EXPECT_EQ(ends[0].outcome, Outcome::kUnusable);
+    EXPECT_EQ(ends[0].outcome, Outcome::kInvalidResponse);
     EXPECT_LT(loop.Now() - began, Ms(1500));
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   }
@@ -244,7 +244,7 @@
   host.Close();
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->idle(), 0u);
+  EXPECT_EQ(servers->idle_count(), 0u);
 }
 
 TEST_F(ServersTest, RefusedConnectionsNeverRan) {
@@ -258,7 +258,7 @@
 TEST_F(ServersTest, ConnectionsThatNeverComeUpEndByTheSettingsTimeOut) {
   Make(Plain());
   const CutOff host(loop);
-  servers->SetAddress("h1", host.address());
+  servers->SetEndpointAddress("h1", host.address());
   const Time begun = loop.Now();
   Send();
   ASSERT_TRUE(Ended(1));
@@ -271,10 +271,10 @@
 TEST_F(ServersTest, ADeadlineWhileConnectingBlamesNobody) {
   Make(Plain());
   const CutOff host(loop);
-  servers->SetAddress("h1", host.address());
+  servers->SetEndpointAddress("h1", host.address());
   Send("id1", Ms(40));
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
 }
 
 TEST_F(ServersTest, SilenceEndsAtTheDeadlineAndClosesTheConnection) {
@@ -292,11 +292,11 @@
   Make(Plain());
   Send("id1", Ms(0));
   auto exchange = Request("id2");
-  servers->Send(exchange, exchange->NextAttempt(), "nobody", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "nobody", exchange->deadline());
   ASSERT_EQ(ends.size(), 2u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
-  EXPECT_EQ(ends[1].outcome, Outcome::kMoot);
-  EXPECT_EQ(servers->connections(), 0u);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
+  EXPECT_EQ(ends[1].outcome, Outcome::kNotSent);
+  EXPECT_EQ(servers->connection_count(), 0u);
 }
 
 // The trouble: hosts hold few connections, and a thousand gateways met each of them.
@@ -308,10 +308,10 @@
   Peer second = Host();
   first.Say(testing::Http200("ok"));
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(servers->idle(), 1u);
-  servers->CloseIdle("h1");
-  servers->CloseIdle("nobody");
-  EXPECT_EQ(servers->idle(), 0u);
+  EXPECT_EQ(servers->idle_count(), 1u);
+  servers->CloseIdleConnections("h1");
+  servers->CloseIdleConnections("nobody");
+  EXPECT_EQ(servers->idle_count(), 0u);
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
   second.Say(testing::Http200("ok"));
   ASSERT_TRUE(Ended(2));
@@ -322,12 +322,12 @@
   Make(Plain());
   const auto exchange = Send();
   Peer host = Host();
-  servers->Cancel(*exchange, 0);
+  servers->CancelAttempt(*exchange, 0);
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].outcome, Outcome::kCancelled);
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   host.Say(Http200("late"));
-  servers->Cancel(*exchange, 0);
+  servers->CancelAttempt(*exchange, 0);
   testing::RunFor(loop, Ms(20));
   EXPECT_EQ(ends.size(), 1u);
 }
@@ -337,21 +337,21 @@
 TEST_F(ServersTest, TwoAttemptsOfOneRequestEndEachForItself) {
   Make(Plain());
   testing::Port other;
-  servers->SetAddress("h2", other.address());
+  servers->SetEndpointAddress("h2", other.address());
   const auto exchange = Send();
-  servers->Send(exchange, exchange->NextAttempt(), "h2", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h2", exchange->deadline());
   Peer one = Host();
   Peer two = other.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return two.Has("body"); }));
   two.Say(Http200("second"));
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].attempt, 1u);
-  EXPECT_TRUE(exchange->Finish({.status = 200}));
+  EXPECT_TRUE(exchange->Respond({.status = 200}));
   one.Say(Http200("first"));
   ASSERT_TRUE(Ended(2));
   EXPECT_EQ(ends[1].attempt, 0u);
   EXPECT_EQ(ends[1].outcome, Outcome::kOk);
-  EXPECT_FALSE(exchange->Finish({.status = 200}));
+  EXPECT_FALSE(exchange->Respond({.status = 200}));
 }
 
 TEST_F(ServersTest, KeepsAConnectionForTheNextRequest) {
@@ -366,7 +366,7 @@
   host.Say(Http200("2"));
   ASSERT_TRUE(Ended(2));
   EXPECT_EQ(ends[1].body, "2");
-  EXPECT_EQ(servers->connections(), 1u);
+  EXPECT_EQ(servers->connection_count(), 1u);
 }
 
 TEST_F(ServersTest, OneRequestAtATimeOnAConnection) {
@@ -374,7 +374,7 @@
   Send("id1");
   Send("id2");
   Peer one = Host(), two = Host();
-  EXPECT_EQ(servers->connections(), 2u);
+  EXPECT_EQ(servers->connection_count(), 2u);
 }
 
 // The close has reached the kernel but not yet the loop: writing there would end as a reset.
@@ -384,7 +384,7 @@
   Peer host = Host();
   host.Say(Http200("1"));
   ASSERT_TRUE(Ended(1));
-  ASSERT_EQ(servers->idle(), 1u);
+  ASSERT_EQ(servers->idle_count(), 1u);
   host.Close();
   Send("id2");  // before the loop has run
   Peer next = Host();
@@ -400,7 +400,7 @@
   host.Say(Http200("1"));
   ASSERT_TRUE(Ended(1));
   host.Say(Http200("nobody asked"));
-  EXPECT_TRUE(RunUntil(loop, [&] { return servers->connections() == 0; }));
+  EXPECT_TRUE(RunUntil(loop, [&] { return servers->connection_count() == 0; }));
 }
 
 TEST_F(ServersTest, BytesBehindAnAnswerEndTheConnection) {
@@ -410,12 +410,12 @@
   host.Say(Http200("1") + "more");
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->connections(), 0u);
+  EXPECT_EQ(servers->connection_count(), 0u);
 }
 
 TEST_F(ServersTest, ClosesIdleConnectionsBeforeTheHostDoes) {
-  Servers::Options options = Plain();
-  options.idle_close = Ms(2500);
+  Upstream::Options options = Plain();
+  options.endpoint_idle_timeout = Ms(2500);
   Make(options);
   Send("id1");
   Peer host = Host();
@@ -434,12 +434,12 @@
   one.Say(Http200("1"));
   ASSERT_TRUE(Ended(1));
   testing::Port moved;
-  servers->SetAddress("h1", moved.address());
+  servers->SetEndpointAddress("h1", moved.address());
   EXPECT_TRUE(RunUntil(loop, [&] { return one.Ended(); }));  // it was idle
   two.Say(Http200("2"));  // what was out goes on, but is not kept
   ASSERT_TRUE(Ended(2));
   EXPECT_EQ(ends[1].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->idle(), 0u);
+  EXPECT_EQ(servers->idle_count(), 0u);
   Send("id3");
   EXPECT_TRUE(moved.Take(loop));
 }
@@ -448,31 +448,31 @@
   Make(Plain());
   Send("id1");
   Peer host = Host();
-  servers->Left("h1");
+  servers->RemoveEndpoint("h1");
   host.Say(Http200("1"));
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->connections(), 0u);
+  EXPECT_EQ(servers->connection_count(), 0u);
   loop.RunOnce(Duration(0));
-  EXPECT_EQ(servers->hosts(), 0u);
+  EXPECT_EQ(servers->host_count(), 0u);
 }
 
 TEST_F(ServersTest, ARequestNotWrittenWholeNeverRan) {
   Make(Plain());
   // A body that no socket takes at once, to a host that reads nothing.
   std::string head = "POST /book HTTP/1.1\r\nX-Call-Id: big\r\n\r\n";
-  Held request;
+  BufferedMessage request;
   request.bytes.Append(head + std::string(16 << 20, 'x'));
   request.message = MakeRequest(head).message;
   request.message.body = {head.size(), 16 << 20};
-  auto exchange = std::make_shared<Exchange>("big", std::move(request), loop.Now() + Ms(300), cls,
-                                             [](const Answer&) {});
-  servers->Send(exchange, exchange->NextAttempt(), "h1", exchange->deadline());
+  auto exchange = std::make_shared<ProxiedRequest>("big", std::move(request), loop.Now() + Ms(300), cls,
+                                             [](const Response&) {});
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
   Peer host = port.Take(loop);
   testing::RunFor(loop, Ms(50));
   host.Reset();
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);  // which shows no host at fault
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);  // which shows no host at fault
 }
 
 // Another host has taken over the address of one that is gone: nothing of that one serves it.
@@ -482,10 +482,10 @@
   Peer host = Host();
   host.Say(Http200("1"));
   ASSERT_TRUE(Ended(1));
-  servers->Left("h1");
-  servers->SetAddress("h2", port.address());
+  servers->RemoveEndpoint("h1");
+  servers->SetEndpointAddress("h2", port.address());
   const auto exchange = Request("id2");
-  servers->Send(exchange, exchange->NextAttempt(), "h2", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h2", exchange->deadline());
   Peer next = Host();
   EXPECT_TRUE(next.Has("body"));
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
@@ -495,12 +495,12 @@
 TEST_F(ServersTest, ThousandsOfHostsThatCameAndWentLeaveNothing) {
   Make(Plain());
   for (int i = 0; i < 5000; ++i) {
-    servers->SetAddress("n" + std::to_string(i), port.address());
-    servers->Left("n" + std::to_string(i));
+    servers->SetEndpointAddress("n" + std::to_string(i), port.address());
+    servers->RemoveEndpoint("n" + std::to_string(i));
     if (i % 100 == 0) loop.RunOnce(Duration(0));
   }
   loop.RunOnce(Duration(0));
-  EXPECT_EQ(servers->hosts(), 1u);
+  EXPECT_EQ(servers->host_count(), 1u);
 }
 
 // A kept connection that breaks under a send says nothing of the host: the same send goes on.
@@ -508,7 +508,7 @@
   Make(Plain());
   Peer host = Kept();
   const auto exchange = Big("big");
-  servers->Send(exchange, exchange->NextAttempt(), "h1", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
   testing::RunFor(loop, Ms(30));
   host.Reset();
   Peer next = port.Take(loop);
@@ -562,21 +562,21 @@
 
 TEST_F(ServersTest, ProbesAskForTheReport) {
   Make(Plain());
-  servers->Probe("h1");
+  servers->StartProbe("h1");
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("GET /_load HTTP/1.1\r\n"); }));
   host.Say(Http200("latency_ms=2.5,new=1,inflight=7"));
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_EQ(probes[0].first, Outcome::kOk);
-  EXPECT_EQ(probes[0].second, (Report{7, 2.5}));
-  EXPECT_EQ(servers->idle(), 1u);
+  EXPECT_EQ(probes[0].second, (LoadReport{7, 2.5}));
+  EXPECT_EQ(servers->idle_count(), 1u);
 }
 
 TEST_F(ServersTest, ProbesWithoutReportsPing) {
-  Servers::Options options = Plain();
+  Upstream::Options options = Plain();
   options.reports_in_probes = false;
   Make(options);
-  servers->Probe("h1");
+  servers->StartProbe("h1");
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("GET /ping HTTP/1.1\r\n"); }));
   host.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
@@ -587,18 +587,18 @@
 
 TEST_F(ServersTest, ASilentProbeTimesOut) {
   Make(Plain());
-  servers->Probe("h1");
+  servers->StartProbe("h1");
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_EQ(probes[0].first, Outcome::kTimeout);
 }
 
 TEST_F(ServersTest, ReportsComeOnAnswersWhereTheSettingsSaySo) {
-  Servers::Options options = Plain();
-  options.reports_in_answers = true;
+  Upstream::Options options = Plain();
+  options.reports_in_responses = true;
   Make(options);
-  const std::pair<std::string, std::optional<Report>> cases[] = {
-      {"X-Load-Report: inflight=3,latency_ms=9\r\n", Report{3, 9}},
+  const std::pair<std::string, std::optional<LoadReport>> cases[] = {
+      {"X-Load-Report: inflight=3,latency_ms=9\r\n", LoadReport{3, 9}},
       {"X-Load-Report: inflight=3\r\n", std::nullopt},
       {"X-Load-Report: inflight=3,latency_ms=x\r\n", std::nullopt},
       {"X-Load-Report: inflight=3,latency_ms=inf\r\n", std::nullopt},
@@ -630,7 +630,7 @@
 
 // A streamed answer belongs to its client once begun: no time limit ends it.
 TEST_F(ServersTest, AStreamedAnswerOutlivesTheDeadline) {
-  cls->streamed = true;
+  cls->is_streamed = true;
   Make(Plain());
   const auto exchange = Send("id1", Ms(60));
   Peer host = Host();
@@ -638,7 +638,7 @@
   ASSERT_TRUE(RunUntil(loop, [&] { return established == 1; }));
   testing::RunFor(loop, Ms(100));
   EXPECT_TRUE(ends.empty());
-  servers->Cancel(*exchange, 0);  // is not called off
+  servers->CancelAttempt(*exchange, 0);  // is not called off
   EXPECT_TRUE(ends.empty());
   host.Say("en");
   ASSERT_TRUE(Ended(1));
@@ -646,35 +646,35 @@
 }
 
 TEST_F(ServersTest, AStreamedAnswerEndsWithItsClient) {
-  cls->streamed = true;
+  cls->is_streamed = true;
   Make(Plain());
   const auto exchange = Send();
   Peer host = Host();
   host.Say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
   ASSERT_TRUE(RunUntil(loop, [&] { return established == 1; }));
-  servers->ClientLeft(*exchange);
+  servers->OnClientDisconnected(*exchange);
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].outcome, Outcome::kCancelled);
 }
 
 // Our own lack of descriptors says nothing of the host, and idle connections make room first.
 TEST_F(ServersTest, WithoutDescriptorsNothingIsTransmitted) {
-  Descriptors small(Descriptors::kReserve + 40);  // 40 in all, 20 for hosts
-  servers = std::make_unique<Servers>(loop, small, Plain(), this);
-  servers->SetAddress("h1", port.address());
+  DescriptorBudget small(DescriptorBudget::kReserve + 40);  // 40 in all, 20 for hosts
+  servers = std::make_unique<Upstream>(loop, small, Plain(), this);
+  servers->SetEndpointAddress("h1", port.address());
   testing::Port other;
-  servers->SetAddress("h2", other.address());
-  servers->Probe("h2");
+  servers->SetEndpointAddress("h2", other.address());
+  servers->StartProbe("h2");
   Peer probed = other.Take(loop);
   probed.Say(Http200("inflight=1,latency_ms=1"));
-  ASSERT_TRUE(RunUntil(loop, [&] { return servers->idle() == 1; }));
-  std::vector<std::shared_ptr<Exchange>> held;
+  ASSERT_TRUE(RunUntil(loop, [&] { return servers->idle_count() == 1; }));
+  std::vector<std::shared_ptr<ProxiedRequest>> held;
   for (int i = 0; i < 20; ++i) held.push_back(Send("id" + std::to_string(i)));
   EXPECT_TRUE(ends.empty());
-  EXPECT_EQ(servers->idle(), 0u);
+  EXPECT_EQ(servers->idle_count(), 0u);
   held.push_back(Send("one more"));
   ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
   servers.reset();
 }
 
@@ -682,36 +682,36 @@
 
 // The new term's room: a connection that comes up late carried the request of a client long gone.
 TEST_F(ServersTest, WhatWaitsForItsConnectionEndsWithItsClient) {
-  Servers::Options options = Plain();
+  Upstream::Options options = Plain();
   options.connect_timeout = Ms(3000);
   Make(options);
   CutOff host(loop);
-  servers->SetAddress("h1", host.address());
+  servers->SetEndpointAddress("h1", host.address());
   const auto exchange = Send("id1", Ms(4000));
   testing::RunFor(loop, Ms(50));
   exchange->Abandon();
-  servers->ClientLeft(*exchange);
-  EXPECT_TRUE(ends.size() == 1 && ends[0].outcome == Outcome::kMoot);
+  servers->OnClientDisconnected(*exchange);
+  EXPECT_TRUE(ends.size() == 1 && ends[0].outcome == Outcome::kNotSent);
   host.LetIn();
   Peer late;
   RunUntil(
       loop, [&] { return static_cast<bool>(late = host.TryTake()); }, Ms(1800));
   EXPECT_FALSE(late && late.Has("POST"));
   EXPECT_EQ(ends.size(), 1u);
-  EXPECT_EQ(servers->connections(), 0u);
+  EXPECT_EQ(servers->connection_count(), 0u);
 }
 
 // Within the writing of its first bytes: the host is left with a part, which never runs.
 TEST_F(ServersTest, WhatIsHalfWrittenEndsWithItsClient) {
   Make(Plain());
   const auto exchange = Big("big");
-  servers->Send(exchange, exchange->NextAttempt(), "h1", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("X-Call-Id: big"); }));
   exchange->Abandon();
-  servers->ClientLeft(*exchange);
+  servers->OnClientDisconnected(*exchange);
   ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
   EXPECT_LT(AllOf(loop, host), 16U << 20);
 }
 
@@ -721,7 +721,7 @@
   const auto exchange = Send();
   Peer host = Host();
   exchange->Abandon();
-  servers->ClientLeft(*exchange);
+  servers->OnClientDisconnected(*exchange);
   EXPECT_TRUE(ends.empty());
   host.Say(Http200("done"));
   ASSERT_TRUE(Ended(1));
@@ -733,12 +733,12 @@
   Make(Plain());
   Peer host = Kept();
   const auto exchange = Big("big");
-  servers->Send(exchange, exchange->NextAttempt(), "h1", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
   testing::RunFor(loop, Ms(30));
-  exchange->Finish({.status = 502});
+  exchange->Respond({.status = 502});
   host.Reset();
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
   testing::RunFor(loop, Ms(50));
   EXPECT_FALSE(static_cast<bool>(port.TryTake()));
 }
@@ -752,7 +752,7 @@
   usleep(60'000);
   loop.RunOnce(Duration(0));
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
   EXPECT_EQ(AllOf(loop, host), 0u);
 }
 
@@ -775,7 +775,7 @@
   Peer host = Host();
   host.Say(Http200("late"));
   usleep(5000);
-  servers->Cancel(*exchange, 0);
+  servers->CancelAttempt(*exchange, 0);
   Send("id2");
   Peer next = Host();
   next.Say(Http200("own"));
@@ -814,7 +814,7 @@
     ends.clear();
     const auto exchange = Big("big", Ms(700));
     const Time began = loop.Now();
-    servers->Send(exchange, attempt, "h1", exchange->deadline());
+    servers->StartAttempt(exchange, attempt, "h1", exchange->deadline());
     Peer host = port.Take(loop);
     ASSERT_TRUE(Ended(1));
     EXPECT_EQ(ends[0].outcome, Outcome::kConnectFailed);
@@ -825,7 +825,7 @@
   // One that is written in time has all of its own.
   ends.clear();
   const auto exchange = Request();
-  servers->Send(exchange, 1, "h1", exchange->deadline());
+  servers->StartAttempt(exchange, 1, "h1", exchange->deadline());
   Peer host = Host();
   testing::RunFor(loop, Ms(300));
   EXPECT_TRUE(ends.empty());
@@ -838,9 +838,9 @@
 TEST_F(ServersTest, ARepeatOfAKeyWhoseConnectionNeverComesUpBlamesItsHost) {
   Make(Plain());
   const CutOff host(loop);
-  servers->SetAddress("h1", host.address());
+  servers->SetEndpointAddress("h1", host.address());
   const auto exchange = Request();
-  servers->Send(exchange, 1, "h1", exchange->deadline());
+  servers->StartAttempt(exchange, 1, "h1", exchange->deadline());
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].outcome, Outcome::kConnectFailed);
 }
@@ -881,9 +881,9 @@
     testing::RunFor(loop, Ms(3));
     if (leaves) {
       exchange->Abandon();
-      servers->ClientLeft(*exchange);
+      servers->OnClientDisconnected(*exchange);
       ASSERT_EQ(ends.size(), 1u);
-      EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+      EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
       testing::RunFor(loop, Ms(30));
       EXPECT_EQ(host.Heard(), "");
       Send("id1");  // on another, the first of which nobody knows what it got
@@ -892,7 +892,7 @@
     }
     ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
     EXPECT_GE(loop.Now() - began, Ms(9));
-    EXPECT_EQ(servers->connections(), 1u);
+    EXPECT_EQ(servers->connection_count(), 1u);
   }
 }
 
@@ -901,21 +901,21 @@
   Make(Plain());
   Peer host = Kept();
   const auto exchange = Big("big");
-  servers->Send(exchange, exchange->NextAttempt(), "h1", exchange->deadline());
+  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
   testing::RunFor(loop, Ms(30));
   host.Say(Http200("1"));
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kMoot);
+  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
   EXPECT_EQ(ends[0].body, "");
   EXPECT_LT(AllOf(loop, host), 16U << 20);
   // Being turned away may come as early.
   ends.clear();
   const auto other = Big("big");
-  servers->Send(other, other->NextAttempt(), "h1", other->deadline());
+  servers->StartAttempt(other, other->BeginAttempt(), "h1", other->deadline());
   Peer full = port.Take(loop);
   full.Say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kFull);
+  EXPECT_EQ(ends[0].outcome, Outcome::kRejected);
 }
 
 // New settings with a shorter time to idle: what has idled past it is not used before it is closed.
@@ -923,9 +923,9 @@
   Make(Plain());
   Peer host = Kept();
   testing::RunFor(loop, Ms(100));
-  Servers::Options options = Plain();
-  options.idle_close = Ms(100);
-  servers->SetOptions(options);
+  Upstream::Options options = Plain();
+  options.endpoint_idle_timeout = Ms(100);
+  servers->set_options(options);
   Send("id2");
   Peer next = Host();
   EXPECT_FALSE(host.Has("body"));
@@ -941,9 +941,9 @@
   Peer kept = Kept();
   Send("out");
   ASSERT_TRUE(RunUntil(loop, [&] { return kept.Has("body"); }));
-  servers->Left("h1");
+  servers->RemoveEndpoint("h1");
   testing::Port elsewhere;
-  servers->SetAddress("h1", elsewhere.address());
+  servers->SetEndpointAddress("h1", elsewhere.address());
   kept.Say(Http200("old"));
   ASSERT_TRUE(Ended(1));
   EXPECT_EQ(ends[0].body, "old");
--- a/tests/http/http_parser_test.cpp
+++ b/tests/http/http_parser_test.cpp
@@ -10,34 +10,34 @@
 namespace {
 
 struct Parsed {
-  Progress progress = Progress::kMore;
+  ParseProgress progress = ParseProgress::kNeedMore;
   int bad = 0;
-  Message message;
+  HttpMessage message;
   std::string base, body, rest;
 };
 
 // Feeds the pieces one by one until the parser has had enough.
-Parsed Parse(MessageParser::Kind kind, const std::vector<std::string>& pieces) {
+Parsed Parse(HttpParser::Kind kind, const std::vector<std::string>& pieces) {
   Parsed out;
   Buffer in;
-  MessageParser parser(kind);
+  HttpParser parser(kind);
   for (const std::string& piece : pieces) {
     in.Append(piece);
-    if (out.progress == Progress::kMore) out.progress = parser.Feed(in);
+    if (out.progress == ParseProgress::kNeedMore) out.progress = parser.Feed(in);
   }
-  out.bad = parser.status_for_bad();
+  out.bad = parser.error_status();
   out.message = parser.message();
   out.base = std::string(in.view());
-  if (out.progress == Progress::kDone) {
+  if (out.progress == ParseProgress::kDone) {
     out.body = std::string(out.message.body.In(out.base));
-    out.rest = out.base.substr(out.message.size);
+    out.rest = out.base.substr(out.message.total_bytes);
   }
   return out;
 }
 Parsed ParseRequest(const std::string& text) {
-  return Parse(MessageParser::Kind::kRequest, {text});
+  return Parse(HttpParser::Kind::kRequest, {text});
 }
-Parsed ParseAnswer(const std::string& text) { return Parse(MessageParser::Kind::kAnswer, {text}); }
+Parsed ParseAnswer(const std::string& text) { return Parse(HttpParser::Kind::kResponse, {text}); }
 
 std::vector<std::string> Bytes(const std::string& text) {
   std::vector<std::string> bytes;
@@ -53,10 +53,10 @@
 
 TEST(Http, ReadsARequest) {
   const Parsed p = ParseRequest(kPost + "GET");
-  ASSERT_EQ(p.progress, Progress::kDone);
+  ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.message.method.In(p.base), "POST");
   EXPECT_EQ(p.message.target.In(p.base), "/order/7?x=1");
-  EXPECT_EQ(p.message.Find(p.base, "x-call-ID"), "abc");
+  EXPECT_EQ(p.message.FindHeader(p.base, "x-call-ID"), "abc");
   EXPECT_EQ(p.body, "hello");
   EXPECT_EQ(p.rest, "GET");  // the next request's first bytes
   EXPECT_TRUE(p.message.keep_alive);
@@ -65,17 +65,17 @@
 TEST(Http, ReadsTheSameSplitAtEveryByte) {
   for (const std::string& text : {kPost, kChunked}) {
     const Parsed whole = ParseRequest(text);
-    ASSERT_EQ(whole.progress, Progress::kDone);
+    ASSERT_EQ(whole.progress, ParseProgress::kDone);
     for (size_t at = 1; at < text.size(); ++at) {
       const Parsed split =
-          Parse(MessageParser::Kind::kRequest, {text.substr(0, at), text.substr(at)});
-      ASSERT_EQ(split.progress, Progress::kDone) << at;
+          Parse(HttpParser::Kind::kRequest, {text.substr(0, at), text.substr(at)});
+      ASSERT_EQ(split.progress, ParseProgress::kDone) << at;
       EXPECT_EQ(split.body, whole.body) << at;
       EXPECT_EQ(split.message.headers.size(), whole.message.headers.size()) << at;
       EXPECT_EQ(split.message.target.In(split.base), whole.message.target.In(whole.base)) << at;
     }
-    const Parsed bytes = Parse(MessageParser::Kind::kRequest, Bytes(text));
-    ASSERT_EQ(bytes.progress, Progress::kDone);
+    const Parsed bytes = Parse(HttpParser::Kind::kRequest, Bytes(text));
+    ASSERT_EQ(bytes.progress, ParseProgress::kDone);
     EXPECT_EQ(bytes.body, whole.body);
   }
 }
@@ -83,14 +83,14 @@
 TEST(Http, IsNotDoneBeforeTheLastByte) {
   for (const std::string& text : {kPost, kChunked}) {
     for (size_t size = 0; size < text.size(); ++size) {
-      EXPECT_EQ(ParseRequest(text.substr(0, size)).progress, Progress::kMore) << size;
+      EXPECT_EQ(ParseRequest(text.substr(0, size)).progress, ParseProgress::kNeedMore) << size;
     }
   }
 }
 
 TEST(Http, UndoesChunksInPlace) {
   const Parsed p = ParseRequest(kChunked + "next");
-  ASSERT_EQ(p.progress, Progress::kDone);
+  ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.body, "abc0123456789");
   EXPECT_EQ(p.rest, "next");
 }
@@ -98,16 +98,16 @@
 // A body of one-byte chunks is six times as long on the wire; only its content may be kept.
 TEST(Http, KeepsNoFramingOfChunks) {
   Buffer in;
-  MessageParser parser(MessageParser::Kind::kRequest);
+  HttpParser parser(HttpParser::Kind::kRequest);
   in.Append("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
   const size_t head = in.size();
   for (int i = 0; i < 1000; ++i) {
     in.Append("1\r\nx\r\n");
-    ASSERT_EQ(parser.Feed(in), Progress::kMore);
+    ASSERT_EQ(parser.Feed(in), ParseProgress::kNeedMore);
   }
   EXPECT_EQ(in.size(), head + 1000);
   in.Append("0\r\n\r\n");
-  ASSERT_EQ(parser.Feed(in), Progress::kDone);
+  ASSERT_EQ(parser.Feed(in), ParseProgress::kDone);
   EXPECT_EQ(parser.message().body.In(in.view()), std::string(1000, 'x'));
 }
 
@@ -143,21 +143,21 @@
   };
   for (const auto& [text, status] : bad) {
     const Parsed p = ParseRequest(text);
-    EXPECT_EQ(p.progress, Progress::kBad) << text;
+    EXPECT_EQ(p.progress, ParseProgress::kMalformed) << text;
     EXPECT_EQ(p.bad, status) << text;
-    const Parsed slow = Parse(MessageParser::Kind::kRequest, Bytes(text));
-    EXPECT_EQ(slow.progress, Progress::kBad) << text;
+    const Parsed slow = Parse(HttpParser::Kind::kRequest, Bytes(text));
+    EXPECT_EQ(slow.progress, ParseProgress::kMalformed) << text;
     EXPECT_EQ(slow.bad, status) << text;
   }
 }
 
 TEST(Http, LimitsHeadAndBody) {
-  EXPECT_EQ(ParseRequest("GET /" + std::string(kMaxHead, 'a')).bad, 431);
+  EXPECT_EQ(ParseRequest("GET /" + std::string(kMaxHeadBytes, 'a')).bad, 431);
   std::string many = "GET /a HTTP/1.1\r\n";
   for (size_t i = 0; i <= kMaxHeaders; ++i) many += "A: b\r\n";
   EXPECT_EQ(ParseRequest(many + "\r\n").bad, 431);
-  const std::string most(kMaxBody, 'b');
-  const std::string head = "POST /a HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBody);
+  const std::string most(kMaxBufferedBodyBytes, 'b');
+  const std::string head = "POST /a HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBufferedBodyBytes);
   EXPECT_EQ(ParseRequest(head + "\r\n\r\n" + most).body, most);
   std::string chunks = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int i = 0; i < 17; ++i) chunks += "1000\r\n" + std::string(4096, 'c') + "\r\n";
@@ -175,10 +175,10 @@
 
 TEST(Http, ReadsAnswers) {
   const Parsed p = ParseAnswer("HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno");
-  ASSERT_EQ(p.progress, Progress::kDone);
+  ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.message.status, 503);
   EXPECT_EQ(p.body, "no");
-  EXPECT_EQ(ParseAnswer("HTTP/1.1 204\r\n\r\n").progress, Progress::kDone);
+  EXPECT_EQ(ParseAnswer("HTTP/1.1 204\r\n\r\n").progress, ParseProgress::kDone);
   EXPECT_EQ(
       ParseAnswer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n").body,
       "x");
@@ -187,7 +187,7 @@
 TEST(Http, PassesOverInterimAnswers) {
   const Parsed p =
       ParseAnswer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
-  ASSERT_EQ(p.progress, Progress::kDone);
+  ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.message.status, 200);
   EXPECT_EQ(p.body, "x");
 }
@@ -195,18 +195,18 @@
 // The end of the connection is also what a host's death looks like: half a body must not pass.
 // Such an answer ends with its connection and not before; a request never does.
 TEST(Http, AnAnswerWithoutALengthEndsWithItsConnection) {
-  EXPECT_EQ(ParseAnswer("HTTP/1.1 200 OK\r\n\r\nhalf").progress, Progress::kMore);
+  EXPECT_EQ(ParseAnswer("HTTP/1.1 200 OK\r\n\r\nhalf").progress, ParseProgress::kNeedMore);
   Buffer in;
   in.Append("HTTP/1.1 200 OK\r\n\r\nall");
-  MessageParser parser(MessageParser::Kind::kAnswer);
-  EXPECT_EQ(parser.Feed(in), Progress::kMore);
+  HttpParser parser(HttpParser::Kind::kResponse);
+  EXPECT_EQ(parser.Feed(in), ParseProgress::kNeedMore);
   ASSERT_TRUE(parser.EndsWithConnection(in));
   EXPECT_EQ(parser.message().body.In(in.view()), "all");
   EXPECT_FALSE(parser.message().keep_alive);
   Buffer cut;
   cut.Append("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall");
-  MessageParser other(MessageParser::Kind::kAnswer);
-  EXPECT_EQ(other.Feed(cut), Progress::kMore);
+  HttpParser other(HttpParser::Kind::kResponse);
+  EXPECT_EQ(other.Feed(cut), ParseProgress::kNeedMore);
   EXPECT_FALSE(other.EndsWithConnection(cut));
 }
 
@@ -215,16 +215,16 @@
        {"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 999 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n",
         "ICY 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", "HTTP/1.1 200 OK\n\n"}) {
-    EXPECT_EQ(ParseAnswer(text).progress, Progress::kBad) << text;
+    EXPECT_EQ(ParseAnswer(text).progress, ParseProgress::kMalformed) << text;
   }
 }
 
 TEST(Http, HeadersOfOneConnectionOnly) {
   const Parsed p =
       ParseRequest("GET /a HTTP/1.1\r\nConnection: X-Mine, close\r\nX-Mine: 1\r\n\r\n");
-  EXPECT_TRUE(HopByHop(p.message, p.base, "x-mine"));
-  EXPECT_TRUE(HopByHop(p.message, p.base, "Keep-Alive"));
-  EXPECT_FALSE(HopByHop(p.message, p.base, "X-Call-Id"));
+  EXPECT_TRUE(IsHopByHop(p.message, p.base, "x-mine"));
+  EXPECT_TRUE(IsHopByHop(p.message, p.base, "Keep-Alive"));
+  EXPECT_FALSE(IsHopByHop(p.message, p.base, "X-Call-Id"));
 }
 
 // Seeded changes of good messages: whatever comes, the parser neither runs on for ever nor reads
@@ -248,7 +248,7 @@
         default: text.erase(at, 1); break;
       }
     }
-    const auto kind = request ? MessageParser::Kind::kRequest : MessageParser::Kind::kAnswer;
+    const auto kind = request ? HttpParser::Kind::kRequest : HttpParser::Kind::kResponse;
     const Parsed whole = Parse(kind, {text}), bytes = Parse(kind, Bytes(text));
     ASSERT_EQ(whole.progress, bytes.progress) << text;
     ASSERT_EQ(whole.body, bytes.body) << text;
--- a/tests/lab/experiment_test.cpp
+++ b/tests/lab/experiment_test.cpp
@@ -63,19 +63,19 @@
           "[gateway]\ncount = 3\n[gateway.settings.Allowed]\nMostHeld = 17\n",
       "x.toml");
   const Settings s = simulator::ParseSettings(FlattenSettings(Json::Parse(SettingsJson(e, 2))));
-  EXPECT_EQ(s.me, 2);
-  EXPECT_EQ(s.instances, 3);
+  EXPECT_EQ(s.instance_index, 2);
+  EXPECT_EQ(s.instance_count, 3);
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].group, DedupGroup::kZone);
-  EXPECT_EQ(s.classes[0].window, Duration(700'000));
-  EXPECT_EQ(s.classes[0].aim, Duration(90'000));
-  EXPECT_EQ(s.obligations.drain_grace, Duration(400'000));
-  EXPECT_EQ(s.obligations.fall, Duration(900'000));
-  EXPECT_EQ(s.allowed.send_cap, 2);
-  EXPECT_EQ(s.allowed.most_held, 17);
-  EXPECT_EQ(s.report.source, ReportSource::kProbe);
-  EXPECT_EQ(s.report.latency_ms, 1u);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
+  EXPECT_EQ(s.classes[0].deduplication_window, Duration(700'000));
+  EXPECT_EQ(s.classes[0].latency_objective, Duration(90'000));
+  EXPECT_EQ(s.rules.drain_grace, Duration(400'000));
+  EXPECT_EQ(s.rules.overload_collapse_duration, Duration(900'000));
+  EXPECT_EQ(s.allowed.max_attempts, 2);
+  EXPECT_EQ(s.allowed.max_held_requests, 17);
+  EXPECT_EQ(s.load_report.source, LoadReportSource::kProbes);
+  EXPECT_EQ(s.load_report.latency_ms, 1u);
 }
 
 TEST(ExperimentFile, TheProjectsOwnAreGood) {
--- a/tests/lab/faulty_cluster_member.cpp
+++ b/tests/lab/faulty_cluster_member.cpp
@@ -24,40 +24,40 @@
 constexpr Duration kLate{3'000'000};  // us
 constexpr size_t kForgets = 8;        // records
 
-class Breaker final : public Membership {
+class Breaker final : public ClusterAgent {
  public:
-  Breaker(std::string how, EventLoop& loop, BankConfig config, Gateway& gateway, Life& life,
-          Config file)
-      : Membership(loop, std::move(config), gateway, life, std::move(file)), how_(std::move(how)) {}
+  Breaker(std::string how, EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
+          GatewayConfig file)
+      : ClusterAgent(loop, std::move(config), gateway, life, std::move(file)), how_(std::move(how)) {}
 
  private:
-  cluster::Stance Acting() const override {
-    cluster::Stance stance = Membership::Acting();
-    if (how_ == "acts-on" && stance.kind == cluster::Stance::Kind::kAlone) {
-      stance.kind = cluster::Stance::Kind::kAgreed;
-      stance.until = Now() + kLate;
+  cluster::EffectiveConfig CurrentConfig() const override {
+    cluster::EffectiveConfig stance = ClusterAgent::CurrentConfig();
+    if (how_ == "acts-on" && stance.kind == cluster::EffectiveConfig::Kind::kIsolated) {
+      stance.kind = cluster::EffectiveConfig::Kind::kAgreed;
+      stance.valid_until = Now() + kLate;
     }
     // Looked at again and again, or nothing would come late.
-    if (how_ == "applies-late") stance.latest = static_cast<uint64_t>(Now().count());
+    if (how_ == "applies-late") stance.latest_version = static_cast<uint64_t>(Now().count());
     return stance;
   }
-  cluster::Content RulesOf(const cluster::Stance& stance) const override {
-    cluster::Content rules = Membership::RulesOf(stance);
+  cluster::VersionContent ContentOf(const cluster::EffectiveConfig& stance) const override {
+    cluster::VersionContent rules = ClusterAgent::ContentOf(stance);
     if (how_ != "applies-late") return rules;
     past_.emplace_back(Now(), rules);
     while (past_.size() > 1 && past_[1].first <= Now() - kLate) past_.pop_front();
     return past_.front().second;
   }
-  void Spoil(cluster::Wish& wish) override {
+  void TamperOutgoing(cluster::ChangeRequest& wish) override {
     if (how_ == "takes-twice") wish.change.id += "'" + std::to_string(Now().count());
   }
-  void Spoil(raft::Message& message) override {
-    if (how_ == "forgets") message.of_you = {};
+  void TamperOutgoing(raft::Message& message) override {
+    if (how_ == "forgets") message.claim_of_receiver = {};
   }
-  void SpoilHeard(raft::Message& message) override {
+  void TamperIncoming(raft::Message& message) override {
     if (how_ != "misapplies") return;
-    for (raft::Entry& entry : message.entries) {
-      if (entry.kind != raft::Entry::Kind::kData) continue;
+    for (raft::LogEntry& entry : message.entries) {
+      if (entry.kind != raft::LogEntry::Kind::kData) continue;
       nlohmann::json value = nlohmann::json::from_cbor(entry.bytes);
       value.erase("hash");
       if (value.contains("delta")) {
@@ -69,20 +69,20 @@
       nlohmann::json::to_cbor(value, entry.bytes);
     }
   }
-  nlohmann::json KnownOf(const std::string& name) override {
-    return how_ == "forgets" ? nlohmann::json() : Membership::KnownOf(name);
+  nlohmann::json ClaimKnownOf(const std::string& name) override {
+    return how_ == "forgets" ? nlohmann::json() : ClusterAgent::ClaimKnownOf(name);
   }
 
   std::string how_;
-  mutable std::deque<std::pair<Time, cluster::Content>> past_;
+  mutable std::deque<std::pair<Time, cluster::VersionContent>> past_;
 };
 
 void Forget() {
-  const BankConfig config = ReadBank(std::getenv("LB_OPERATOR"), std::getenv("LB_NAME"));
-  storage::Files& files = storage::RealFiles();
-  if (!files.Exists(storage::Log::PathIn(config.folder))) return;
+  const ClusterConfig config = ReadClusterConfig(std::getenv("LB_OPERATOR"), std::getenv("LB_NAME"));
+  storage::FileSystem& files = storage::SystemFiles();
+  if (!files.Exists(storage::WriteAheadLog::PathIn(config.folder))) return;
   std::vector<std::string> records;
-  storage::Log log(files, config.folder, [&](std::string_view r) { records.emplace_back(r); });
+  storage::WriteAheadLog log(files, config.folder, [&](std::string_view r) { records.emplace_back(r); });
   if (records.size() < 4 * kForgets) return;
   records.resize(records.size() - kForgets);
   log.Replace(records);
@@ -96,8 +96,8 @@
   const std::string how = argc > 1 ? argv[1] : "";
   if (how == "forgets") Forget();
   ServeOptions options;
-  options.membership = [how](EventLoop& loop, BankConfig config, Gateway& gateway, Life& life,
-                             Config file) -> std::unique_ptr<Membership> {
+  options.membership = [how](EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
+                             GatewayConfig file) -> std::unique_ptr<ClusterAgent> {
     return std::make_unique<Breaker>(how, loop, std::move(config), gateway, life, std::move(file));
   };
   return Serve(options);
--- a/tests/lab/faulty_gateway.cpp
+++ b/tests/lab/faulty_gateway.cpp
@@ -55,23 +55,23 @@
   std::string id, cls, text;  // as it goes on
 };
 
-class Breaker final : public List::Listener {
+class Breaker final : public DiscoveryClient::Listener {
  public:
-  Breaker(EventLoop& loop, Config config, How how, int every)
+  Breaker(EventLoop& loop, GatewayConfig config, How how, int every)
       : loop_(loop), config_(std::move(config)), how_(how), every_(every) {
-    OnList(std::move(config_.known));
-    list_ = std::make_unique<List>(loop_, config_.discovery, config_.names, 0, true, this);
+    OnEndpointList(std::move(config_.initial_endpoints));
+    list_ = std::make_unique<DiscoveryClient>(loop_, config_.discovery, config_.names, 0, true, this);
     list_->Start();
-    listener_ = std::make_unique<lab::Listener>(loop_, config_.listen, [this](Fd fd) {
+    listener_ = std::make_unique<lab::Listener>(loop_, config_.listen, [this](FileDescriptor fd) {
       clients_.push_back(std::make_shared<Client>(*this, std::move(fd)));
       clients_.back()->place = std::prev(clients_.end());
       clients_.back()->stream.Start();
     });
   }
 
-  void OnList(HostList list) override {
+  void OnEndpointList(EndpointList list) override {
     if (list.complete) hosts_.clear();
-    for (HostEntry& entry : list.members) {
+    for (EndpointListEntry& entry : list.endpoints) {
       std::erase_if(hosts_, [&](const auto& h) { return h.info.id == entry.info.id; });
       const bool up = entry.info.state == EndpointState::kUp;
       // Its breach: what drains is as good as any.
@@ -80,48 +80,48 @@
       }
     }
   }
-  void OnListFailed() override {}
+  void OnDiscoveryFailed() override {}
 
  private:
   struct Client;
   // One attempt on a connection of its own. `then` hears the body of a 200, or nothing.
-  struct Attempt final : Stream::Owner {
+  struct Attempt final : Stream::Listener {
     Attempt(Breaker& b, Socket socket, std::function<void(bool, std::string)> t)
         : breaker(b), stream(b.loop_, std::move(socket), this, true), then(std::move(t)) {}
-    void OnRead() override {
-      if (parser.Feed(stream.in()) == Progress::kDone) {
-        const Message& m = parser.message();
-        return End(m.status == 200, std::string(m.body.In(stream.in().view())));
+    void OnData() override {
+      if (parser.Feed(stream.input()) == ParseProgress::kDone) {
+        const HttpMessage& m = parser.message();
+        return End(m.status == 200, std::string(m.body.In(stream.input().view())));
       }
       if (stream.ended()) End(false, "");
     }
-    void OnBroken() override { End(false, ""); }
+    void OnError() override { End(false, ""); }
     void End(bool good, std::string body) {
       if (stream.closed()) return;
       stream.Close();
-      breaker.loop_.Defer([kept = *place] {});
+      breaker.loop_.RunDeferred([kept = *place] {});
       breaker.attempts_.erase(place);
       then(good, std::move(body));
     }
     Breaker& breaker;
     Stream stream;
-    MessageParser parser{MessageParser::Kind::kAnswer, 1 << 20};
+    HttpParser parser{HttpParser::Kind::kResponse, 1 << 20};
     std::function<void(bool, std::string)> then;
     std::list<std::shared_ptr<Attempt>>::iterator place;
   };
 
-  struct Client final : Stream::Owner {
-    Client(Breaker& b, Fd fd)
+  struct Client final : Stream::Listener {
+    Client(Breaker& b, FileDescriptor fd)
         : breaker(b), stream(b.loop_, Socket(std::move(fd), nullptr), this, false) {}
-    void OnRead() override {
-      if (!busy && parser.Feed(stream.in()) == Progress::kDone) {
-        const Message m = parser.message();
-        const Buffer bytes = stream.in().TakeFront(m.size);
+    void OnData() override {
+      if (!busy && parser.Feed(stream.input()) == ParseProgress::kDone) {
+        const HttpMessage m = parser.message();
+        const Buffer bytes = stream.input().TakeFront(m.total_bytes);
         parser.Reset();
         const std::string_view base = bytes.view();
         if (m.target.In(base) == "/_health") return Answer(200, "");
         Request request;
-        request.id = m.Find(base, "X-Call-Id").value_or("");
+        request.id = m.FindHeader(base, "X-Call-Id").value_or("");
         request.cls = m.target.In(base).substr(1);
         request.text = std::string(base);
         busy = true;
@@ -129,11 +129,11 @@
       }
       if (stream.ended()) Close();
     }
-    void OnBroken() override { Close(); }
+    void OnError() override { Close(); }
     void Close() {
       if (stream.closed()) return;
       stream.Close();
-      breaker.loop_.Defer([kept = *place] {});
+      breaker.loop_.RunDeferred([kept = *place] {});
       breaker.clients_.erase(place);
     }
     void Answer(int status, const std::string& body) {
@@ -144,20 +144,20 @@
     }
     Breaker& breaker;
     Stream stream;
-    MessageParser parser{MessageParser::Kind::kRequest};
+    HttpParser parser{HttpParser::Kind::kRequest};
     bool busy = false;
     std::list<std::shared_ptr<Client>>::iterator place;
   };
 
-  const HostEntry& Next(int zone_not = -1) {
+  const EndpointListEntry& Next(int zone_not = -1) {
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      const HostEntry& host = hosts_[turn_++ % hosts_.size()];
+      const EndpointListEntry& host = hosts_[turn_++ % hosts_.size()];
       if (zone_not < 0 || host.info.zone != zone_not) return host;
     }
     return hosts_[0];
   }
 
-  void Send(const HostEntry& host, std::string text, std::function<void(bool, std::string)> then) {
+  void Send(const EndpointListEntry& host, std::string text, std::function<void(bool, std::string)> then) {
     bool refused = false;
     auto socket = Connect(host.address, nullptr, refused);
     if (!socket) return then(false, "");
@@ -181,10 +181,10 @@
     }
     if (how_ == How::kLeak) leaked_.emplace_back(1 << 20, 'x');
     if (how_ == How::kLeakFds) dup(STDERR_FILENO);
-    HostEntry host = Next();
+    EndpointListEntry host = Next();
     if (how_ == How::kCold) {
       // All to the one that started last.
-      host = *std::ranges::max_element(hosts_, {}, [](const auto& h) { return h.info.launched; });
+      host = *std::ranges::max_element(hosts_, {}, [](const auto& h) { return h.info.started_at; });
     }
     if (now && how_ == How::kInvent) {
       std::string text = request.text;
@@ -198,7 +198,7 @@
          [this, client, request, now, zone = host.info.zone](bool good, std::string body) {
            if (now && (how_ == How::kKeyLate || how_ == How::kKeyGroup || how_ == How::kUnsafe)) {
              const Duration wait(how_ == How::kKeyLate ? 700'000 : 0);
-             loop_.After(wait, [this, client, request, zone] {
+             loop_.RunAfter(wait, [this, client, request, zone] {
                Send(Next(how_ == How::kKeyGroup ? zone : -1), request.text,
                     [client](bool second, const std::string& text) {
                       client->Answer(second ? 200 : 502, text);
@@ -216,16 +216,16 @@
   }
 
   EventLoop& loop_;
-  Config config_;
+  GatewayConfig config_;
   How how_;
   int every_, count_ = 0;
-  std::vector<HostEntry> hosts_;
+  std::vector<EndpointListEntry> hosts_;
   size_t turn_ = 0;
   std::string last_ = "nothing yet";
   std::vector<std::string> leaked_;
   std::list<std::shared_ptr<Client>> clients_;
   std::list<std::shared_ptr<Attempt>> attempts_;
-  std::unique_ptr<List> list_;
+  std::unique_ptr<DiscoveryClient> list_;
   std::unique_ptr<lab::Listener> listener_;
 };
 
@@ -238,8 +238,8 @@
   signal(SIGPIPE, SIG_IGN);
   signal(SIGTERM, [](int) { _exit(0); });
   EventLoop loop;
-  Config config = ReadConfig([](const char* name) { return std::getenv(name); },
-                             [&](double ms) { return loop.clock().FromWall(ms); });
+  GatewayConfig config = ReadGatewayConfig([](const char* name) { return std::getenv(name); },
+                             [&](double ms) { return loop.clock().FromUnixMillis(ms); });
   Breaker breaker(loop, std::move(config), kHows.at(argv[1]), argc > 2 ? std::atoi(argv[2]) : 100);
   loop.Run();
 }
--- a/tests/lab/host_model_test.cpp
+++ b/tests/lab/host_model_test.cpp
@@ -46,9 +46,9 @@
 TEST(HostModel, FallsOverOnlyWhenPushedWhileCold) {
   const HostTraits traits{.cores = 1,
                           .held_most = 10'000,
-                          .cold_from = 0.3,
-                          .warm_within = Ms(9000),
-                          .fall_multiple = 3,
+                          .slow_start_initial_capacity = 0.3,
+                          .slow_start_duration = Ms(9000),
+                          .overload_collapse_multiple = 3,
                           .fall = Ms(1500)};
   const auto push = [&](std::optional<Time> started, double multiple) {
     HostModel host(traits, started);
--- a/tests/lab/ledger_test.cpp
+++ b/tests/lab/ledger_test.cpp
@@ -11,15 +11,15 @@
 
 using paddlestile::testing::Ms;
 
-LedgerRules Rules(Effect effect, DedupGroup group = DedupGroup::kAll) {
+LedgerRules Rules(Idempotency effect, DeduplicationScope group = DeduplicationScope::kAll) {
   LedgerRules rules;
-  rules.classes.push_back({.effect = effect,
-                           .group = group,
-                           .window = Ms(1000),
-                           .aim = Ms(100),
+  rules.classes.push_back({.idempotency = effect,
+                           .deduplication_scope = group,
+                           .deduplication_window = Ms(1000),
+                           .latency_objective = Ms(100),
                            .deadline = Ms(1000),
-                           .worth = 2,
-                           .late_share = 0.5});
+                           .priority_weight = 2,
+                           .late_value_fraction = 0.5});
   return rules;
 }
 
@@ -34,7 +34,7 @@
 };
 
 TEST(Ledger, AnAnswerCountsByItsTimeAndOnlyIfAHostMadeIt) {
-  Account a(Rules(Effect::kSafe));
+  Account a(Rules(Idempotency::kSafe));
   for (const int took : {90, 300}) {
     const size_t n = a.Begin(Ms(0));
     const uint64_t receipt = a.Received(Ms(1), n, 0, 0, 0, Ms(1));
@@ -51,7 +51,7 @@
 }
 
 TEST(Ledger, ARequestWithoutAnAnswerIsLostOnceItsTimeIsUp) {
-  Account a(Rules(Effect::kSafe));
+  Account a(Rules(Idempotency::kSafe));
   a.Begin(Ms(0));
   a.Advance(Ms(1090), Ms(0));
   EXPECT_EQ(a.Count(Rule::kLost), 0u);
@@ -63,14 +63,14 @@
 
 TEST(Ledger, AKeyGoesOutAgainWithinItsWindowAndGroupOnly) {
   for (const int second : {900, 1100}) {
-    Account a(Rules(Effect::kKeyed));
+    Account a(Rules(Idempotency::kKeyed));
     const size_t n = a.Begin(Ms(0));
     a.Done(Ms(1), a.Received(Ms(0), n, 0, 0, 0, Ms(0)), true);
     a.Received(Ms(second), n, 1, 1, 0, Ms(second));
     EXPECT_EQ(a.Count(Rule::kTwice), second > 1000 ? 1u : 0u);
   }
   for (const int zone : {0, 1}) {
-    Account a(Rules(Effect::kKeyed, DedupGroup::kZone));
+    Account a(Rules(Idempotency::kKeyed, DeduplicationScope::kZone));
     const size_t n = a.Begin(Ms(0));
     a.Done(Ms(1), a.Received(Ms(0), n, 0, 0, 0, Ms(0)), true);
     a.Received(Ms(10), n, 1, zone, 0, Ms(10));
@@ -79,7 +79,7 @@
 }
 
 TEST(Ledger, WhatWasTurnedAwayMayGoOutAgain) {
-  Account a(Rules(Effect::kUnsafe));
+  Account a(Rules(Idempotency::kUnsafe));
   const size_t n = a.Begin(Ms(0));
   const uint64_t first = a.Received(Ms(0), n, 0, 0, 0, Ms(0));
   a.TurnedAway(first);
@@ -93,7 +93,7 @@
 TEST(Ledger, ACopyCountsOnlyWhereTheFirstWasStillOut) {
   enum { kGivenUp, kAnswered, kStays };
   for (const int end : {kGivenUp, kAnswered, kStays}) {
-    Account a(Rules(Effect::kSafe));
+    Account a(Rules(Idempotency::kSafe));
     const size_t n = a.Begin(Ms(0));
     const uint64_t first = a.Received(Ms(0), n, 0, 0, 0, Ms(0));
     a.Received(Ms(10), n, 1, 0, 0, Ms(10));
@@ -105,7 +105,7 @@
 }
 
 TEST(Ledger, ASendCountsByItsFirstByteAfterTheGrace) {
-  Account a(Rules(Effect::kSafe));
+  Account a(Rules(Idempotency::kSafe));
   a.Told(Ms(0), 0, 4);
   a.Told(Ms(500), 0, 4);  // told again: the first time counts
   a.Received(Ms(1200), a.Begin(Ms(1000)), 4, 0, 0, Ms(1040));
--- a/tests/peer/peer_connections_test.cpp
+++ b/tests/peer/peer_connections_test.cpp
@@ -20,30 +20,30 @@
 
 TEST(Frames, DeepOrCutOnesAreNonsense) {
   json deep = 1;
-  for (size_t i = 0; i < kDepthMost; ++i) deep = json::array({deep});
+  for (size_t i = 0; i < kMaxDepth; ++i) deep = json::array({deep});
   std::string bytes;
   json::to_cbor(deep, bytes);
-  EXPECT_TRUE(ParseValue(bytes));
+  EXPECT_TRUE(DecodeValue(bytes));
   // One deeper; and a megabyte of openings, which would take the stack of a reader that follows.
-  EXPECT_FALSE(ParseValue("\x81" + bytes));
-  EXPECT_FALSE(ParseValue(std::string(1 << 20, '\x81')));
+  EXPECT_FALSE(DecodeValue("\x81" + bytes));
+  EXPECT_FALSE(DecodeValue(std::string(1 << 20, '\x81')));
   for (size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_FALSE(ParseValue(bytes.substr(0, size)));
-  EXPECT_FALSE(ParseValue(bytes + bytes));
+    EXPECT_FALSE(DecodeValue(bytes.substr(0, size)));
+  EXPECT_FALSE(DecodeValue(bytes + bytes));
 }
 
 TEST(Frames, AreTakenWholeAndBounded) {
   Buffer in;
   json value;
-  const std::string frame = FrameOf({{"a", 1}});
+  const std::string frame = EncodeFrame({{"a", 1}});
   for (const char c : frame) {
-    EXPECT_EQ(TakeFrame(in, value), FrameRead::kNone);
+    EXPECT_EQ(TakeFrame(in, value), FrameStatus::kIncomplete);
     in.Append({&c, 1});
   }
-  EXPECT_EQ(TakeFrame(in, value), FrameRead::kWhole);
+  EXPECT_EQ(TakeFrame(in, value), FrameStatus::kComplete);
   EXPECT_EQ(value["a"], 1);
   in.Append("\xff\xff\xff\x7f");
-  EXPECT_EQ(TakeFrame(in, value), FrameRead::kNonsense);
+  EXPECT_EQ(TakeFrame(in, value), FrameStatus::kMalformed);
 }
 
 // What goes between members and onto disks comes back as it was; cut or changed it is nothing, or
@@ -51,20 +51,20 @@
 TEST(Codec, ReadsWhatItWrote) {
   using namespace raft;
   Message m;
-  m.type = Message::Type::kSnapshot;
-  m.from = "a", m.to = "b", m.term = 7, m.index = 9, m.commit = 3, m.granted = true;
-  m.sent = Time(5), m.asked = Time(-1);
-  m.entries = {{1, Entry::Kind::kVoters, "", {{"a", 1}}}, {2, Entry::Kind::kData, "\xff\0x", {}}};
+  m.type = Message::Type::kInstallSnapshot;
+  m.from = "a", m.to = "b", m.term = 7, m.index = 9, m.commit_index = 3, m.granted = true;
+  m.sent_at = Time(5), m.asked_at = Time(-1);
+  m.entries = {{1, LogEntry::Kind::kVoters, "", {{"a", 1}}}, {2, LogEntry::Kind::kData, "\xff\0x", {}}};
   m.snapshot = {4, 2, {{"b", 2}}, std::string("\0\x80", 2)};
-  m.own = {1, 2, 3, 4};
+  m.own_claim = {1, 2, 3, 4};
   const json value = ToJson(m);
   const auto back = ReadMessage(value);
   ASSERT_TRUE(back);
   EXPECT_EQ(ToJson(*back), value);
   EXPECT_EQ(back->entries, m.entries);
   EXPECT_EQ(back->snapshot, m.snapshot);
-  Write w;
-  w.ticket = 0, w.term = 3, w.vote = "a", w.from = 2, w.entries = m.entries,
+  StorageWrite w;
+  w.sequence_number = 0, w.current_term = 3, w.voted_for = "a", w.first_index = 2, w.entries = m.entries,
   w.snapshot = m.snapshot;
   EXPECT_EQ(ToJson(*ReadWrite(ToJson(w))), ToJson(w));
   for (size_t i = 0; i < value.size(); ++i) {
@@ -80,33 +80,33 @@
 }
 
 // One end of links, with what it heard.
-struct End final : Links::Listener {
-  End(EventLoop& loop, const std::string& name, LinkOptions options)
+struct End final : PeerConnections::Listener {
+  End(EventLoop& loop, const std::string& name, PeerConnectionOptions options)
       : links(loop, budget, std::move(options), this), name(name) {}
-  json KnownOf(const std::string&) override { return name + " knows"; }
-  void OnUp(const std::string& other, uint64_t life, const json& known) override {
+  json ClaimKnownOf(const std::string&) override { return name + " knows"; }
+  void OnConnected(const std::string& other, uint64_t life, const json& known) override {
     up[other] = life;
     heard += known.get<std::string>() + ";";
   }
-  void OnDown(const std::string& other) override { up.erase(other); }
+  void OnDisconnected(const std::string& other) override { up.erase(other); }
   void OnFrame(const std::string& other, const json& value) override {
     if (value.contains("x")) heard += other + " says " + value["x"].dump() + ";";
   }
-  void OnCall(uint64_t call, const json& value) override { links.Answer(call, {{"to", value}}); }
-  Descriptors budget{512};
-  Links links;
+  void OnCall(uint64_t call, const json& value) override { links.Reply(call, {{"to", value}}); }
+  DescriptorBudget budget{512};
+  PeerConnections links;
   std::string name, heard;
   std::map<std::string, uint64_t> up;
 };
 
 class Linked : public ::testing::Test {
  protected:
-  LinkOptions Options(const std::string& name, uint64_t life, uint64_t boot) {
-    LinkOptions o;
-    o.bank = "north", o.name = name, o.life = life, o.boot = boot;
+  PeerConnectionOptions Options(const std::string& name, uint64_t life, uint64_t boot) {
+    PeerConnectionOptions o;
+    o.cluster_name = "north", o.name = name, o.incarnation = life, o.restart_count = boot;
     for (const char* const member : {"a", "b"}) o.members[member] = At(member[0]);
     o.listen = o.members.at(name);
-    o.beat = Duration(50'000), o.silent = Duration(300'000);
+    o.heartbeat_interval = Duration(50'000), o.silence_timeout = Duration(300'000);
     return o;
   }
   static Address At(char member) {
@@ -123,8 +123,8 @@
 
 TEST_F(Linked, OneConnectionAPairCarriesBothWays) {
   End a(loop, "a", Options("a", 1, 1)), b(loop, "b", Options("b", 2, 1));
-  a.links.Want({"a"});
-  b.links.Want({"a"});
+  a.links.SetWantedMembers({"a"});
+  b.links.SetWantedMembers({"a"});
   ASSERT_TRUE(Until([&] { return !a.up.empty() && !b.up.empty(); }));
   EXPECT_EQ(a.up["b"], 2U);
   a.links.Send("b", {{"x", 1}});
@@ -134,15 +134,15 @@
   })) << a.heard
       << b.heard;
   // Beats keep it up when nobody has anything to say.
-  EXPECT_FALSE(Until([&] { return a.links.counts().down > 0; }, 800));
-  EXPECT_EQ(a.links.counts().up, 1U);
+  EXPECT_FALSE(Until([&] { return a.links.statistics().disconnected > 0; }, 800));
+  EXPECT_EQ(a.links.statistics().connected, 1U);
 }
 
 TEST_F(Linked, StrangersAndOldLivesAreTurnedAway) {
   End b(loop, "b", Options("b", 2, 1));
   const auto hello = [](const char* bank, const char* from, const char* to, int format, int life,
                         int boot) {
-    return FrameOf({{"hello", format},
+    return EncodeFrame({{"hello", format},
                     {"bank", bank},
                     {"from", from},
                     {"to", to},
@@ -150,14 +150,14 @@
                     {"boot", boot},
                     {"known", "x"}});
   };
-  const std::string good = hello("north", "a", "b", kFormat, 7, 3);
-  const std::string strange[] = {hello("south", "a", "b", kFormat, 7, 3),
-                                 hello("north", "z", "b", kFormat, 7, 3),
-                                 hello("north", "a", "c", kFormat, 7, 3),
-                                 hello("north", "a", "b", kFormat + 1, 7, 3),
-                                 hello("north", "b", "b", kFormat, 7, 3),
-                                 FrameOf({{"hello", "x"}}),
-                                 FrameOf(3),
+  const std::string good = hello("north", "a", "b", kProtocolVersion, 7, 3);
+  const std::string strange[] = {hello("south", "a", "b", kProtocolVersion, 7, 3),
+                                 hello("north", "z", "b", kProtocolVersion, 7, 3),
+                                 hello("north", "a", "c", kProtocolVersion, 7, 3),
+                                 hello("north", "a", "b", kProtocolVersion + 1, 7, 3),
+                                 hello("north", "b", "b", kProtocolVersion, 7, 3),
+                                 EncodeFrame({{"hello", "x"}}),
+                                 EncodeFrame(3),
                                  std::string("\xff\xff\xff\xff")};
   for (const std::string& bytes : strange) {
     Peer peer = Peer::To(At('b'));
@@ -171,25 +171,25 @@
   // The same life from before its last start; then another life, after which the first is an old
   // one.
   Peer before = Peer::To(At('b'));
-  before.Say(hello("north", "a", "b", kFormat, 7, 2));
+  before.Say(hello("north", "a", "b", kProtocolVersion, 7, 2));
   EXPECT_TRUE(Until([&] { return before.Ended(); }));
   Peer other = Peer::To(At('b'));
-  other.Say(hello("north", "a", "b", kFormat, 8, 1));
+  other.Say(hello("north", "a", "b", kProtocolVersion, 8, 1));
   EXPECT_TRUE(Until([&] { return b.up["a"] == 8; }));
   Peer old = Peer::To(At('b'));
   old.Say(good);
   EXPECT_TRUE(Until([&] { return old.Ended(); }));
   EXPECT_EQ(b.up["a"], 8U);
-  EXPECT_EQ(b.links.counts().old_lives, 2U);
+  EXPECT_EQ(b.links.statistics().stale_incarnations, 2U);
 }
 
 // A peer that stops reading, or says nothing, must cost no more than its link.
 TEST_F(Linked, ASlowReaderAndASilentOneCostTheirLinkAlone) {
-  LinkOptions options = Options("b", 2, 1);
-  options.queued_most = 64 << 10;
+  PeerConnectionOptions options = Options("b", 2, 1);
+  options.max_queued_bytes = 64 << 10;
   End b(loop, "b", options);
   Peer slow = Peer::To(At('b'));
-  slow.Say(FrameOf({{"hello", kFormat},
+  slow.Say(EncodeFrame({{"hello", kProtocolVersion},
                     {"bank", "north"},
                     {"from", "a"},
                     {"to", "b"},
@@ -198,9 +198,9 @@
                     {"known", "x"}}));
   ASSERT_TRUE(Until([&] { return b.up.contains("a"); }));
   for (int i = 0; i < 2000; ++i) b.links.Send("a", {{"x", std::string(10'000, 'y')}});
-  EXPECT_GT(b.links.counts().dropped, 1000U);
+  EXPECT_GT(b.links.statistics().dropped, 1000U);
   EXPECT_TRUE(Until([&] { return b.up.empty(); }));
-  EXPECT_EQ(b.links.counts().silent, 1U);
+  EXPECT_EQ(b.links.statistics().timed_out, 1U);
   Peer mute = Peer::To(At('b'));
   EXPECT_TRUE(Until([&] { return mute.Ended(); }));
 }
@@ -211,7 +211,7 @@
   End b(loop, "b", Options("b", 2, 1));
   for (int i = 0; i < 20; ++i) {
     Peer peer = Peer::To(At('b'));
-    peer.Say(FrameOf({{"hello", kFormat},
+    peer.Say(EncodeFrame({{"hello", kProtocolVersion},
                       {"bank", "north"},
                       {"from", "a"},
                       {"to", "b"},
@@ -222,18 +222,18 @@
     Until([] { return false; }, 20);
     b.links.Send("a", {{"x", 1}});
     EXPECT_TRUE(b.up.empty());
-    EXPECT_EQ(b.links.linked(), 0U);
+    EXPECT_EQ(b.links.connected_count(), 0U);
   }
 }
 
 TEST_F(Linked, AnOperatorsCallIsAnsweredOnce) {
   End b(loop, "b", Options("b", 2, 1));
   Peer caller = Peer::To(At('b'));
-  caller.Say(FrameOf({{"hello", kFormat}, {"call", "now"}}));
+  caller.Say(EncodeFrame({{"hello", kProtocolVersion}, {"call", "now"}}));
   EXPECT_TRUE(Until([&] { return caller.Ended(); }));
   const std::string heard = caller.Heard();
   ASSERT_GT(heard.size(), 4U);
-  EXPECT_EQ(ParseValue(std::string_view(heard).substr(4))->at("to"), "now");
+  EXPECT_EQ(DecodeValue(std::string_view(heard).substr(4))->at("to"), "now");
 }
 
 }  // namespace
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -24,7 +24,7 @@
   std::istringstream in(text);
   std::ostringstream out, err;
   Result result;
-  result.code = RunHost(in, out, err);
+  result.code = RunAdapter(in, out, err);
   result.out = out.str();
   result.err = err.str();
   return result;
--- a/tests/simulator/protocol_test.cpp
+++ b/tests/simulator/protocol_test.cpp
@@ -10,7 +10,7 @@
 
 Batch ReadOne(const std::string& text) {
   std::istringstream in(text);
-  Reader reader(in);
+  ProtocolReader reader(in);
   Batch batch;
   EXPECT_TRUE(reader.Next(batch));
   return batch;
@@ -18,11 +18,11 @@
 
 std::string Failure(const std::string& text) {
   std::istringstream in(text);
-  Reader reader(in);
+  ProtocolReader reader(in);
   Batch batch;
   try {
     while (reader.Next(batch)) {}
-  } catch (const WireError& error) {
+  } catch (const ProtocolError& error) {
     return error.what();
   }
   return "";
@@ -30,17 +30,17 @@
 
 template <typename T>
 const T& EventOf(const Batch& batch, size_t at = 0) {
-  return std::get<T>(std::get<Event>(batch.inputs.at(at).what));
+  return std::get<T>(std::get<Event>(batch.events.at(at).event));
 }
 
 TEST(Read, EmptyBatchThenCleanEnd) {
   std::istringstream in("clock 8412.25 1\neob\n");
-  Reader reader(in);
+  ProtocolReader reader(in);
   Batch batch;
   ASSERT_TRUE(reader.Next(batch));
   EXPECT_EQ(batch.now, Time(8412250));
-  EXPECT_EQ(batch.seq, "1");
-  EXPECT_TRUE(batch.inputs.empty());
+  EXPECT_EQ(batch.sequence, "1");
+  EXPECT_TRUE(batch.events.empty());
   EXPECT_FALSE(reader.Next(batch));
 }
 
@@ -48,19 +48,19 @@
   const Batch batch = ReadOne(
       "clock 1 2\nsubmit 3 id-1 8652.25 4 1 2 91f03b7c55d20a64 12.5 1\n"
       "submit 3 id-2 9 - - 0 - - -\neob\n");
-  const auto& a = EventOf<Submit>(batch, 0);
+  const auto& a = EventOf<RequestArrived>(batch, 0);
   EXPECT_EQ(a.id, "id-1");
   EXPECT_EQ(a.deadline, Time(8652250));
   EXPECT_EQ(a.tenant, 4U);
   EXPECT_TRUE(a.is_write);
-  EXPECT_EQ(a.cls, 2U);
+  EXPECT_EQ(a.request_class, 2U);
   EXPECT_EQ(a.key, "91f03b7c55d20a64");
-  EXPECT_EQ(a.expected, Duration(12500));
-  EXPECT_TRUE(a.again);
-  const auto& b = EventOf<Submit>(batch, 1);
+  EXPECT_EQ(a.expected_work, Duration(12500));
+  EXPECT_TRUE(a.is_client_retry);
+  const auto& b = EventOf<RequestArrived>(batch, 1);
   EXPECT_FALSE(b.key.has_value());
-  EXPECT_FALSE(b.expected.has_value());
-  EXPECT_FALSE(b.again);
+  EXPECT_FALSE(b.expected_work.has_value());
+  EXPECT_FALSE(b.is_client_retry);
 }
 
 TEST(Read, EveryOtherEvent) {
@@ -73,31 +73,31 @@
       "health_result 1 host.a OK 2 3,17.25\n"
       "note_from 1 4 aGkgNw==\n"
       "retire 1\neob\n");
-  EXPECT_EQ(EventOf<Established>(batch, 0).took, Duration(3500));
-  const auto& settled = EventOf<Settled>(batch, 1);
+  EXPECT_EQ(EventOf<ResponseStarted>(batch, 0).elapsed, Duration(3500));
+  const auto& settled = EventOf<AttemptFinished>(batch, 1);
   EXPECT_EQ(settled.attempt, 2U);
   EXPECT_EQ(settled.outcome, Outcome::kConnectFailed);
-  EXPECT_EQ(settled.report, (Report{2.5, 40}));
-  EXPECT_EQ(EventOf<ClientLeft>(batch, 2).id, "id");
+  EXPECT_EQ(settled.load_report, (LoadReport{2.5, 40}));
+  EXPECT_EQ(EventOf<ClientDisconnected>(batch, 2).id, "id");
   EXPECT_EQ(EventOf<TimerFired>(batch, 3).token, "sweep");
-  EXPECT_EQ(EventOf<ProbeResult>(batch, 4).report, (Report{3, 17.25}));
-  EXPECT_EQ(EventOf<PeerNote>(batch, 5).bytes, "hi 7");
-  EXPECT_TRUE(std::holds_alternative<Retire>(batch.inputs[6].what));
+  EXPECT_EQ(EventOf<ProbeFinished>(batch, 4).load_report, (LoadReport{3, 17.25}));
+  EXPECT_EQ(EventOf<PeerMessage>(batch, 5).bytes, "hi 7");
+  EXPECT_TRUE(std::holds_alternative<RetireInstance>(batch.events[6].event));
 }
 
 TEST(Read, EveryOutcome) {
   const std::pair<const char*, Outcome> all[] = {{"OK", Outcome::kOk},
                                                  {"INTERNAL", Outcome::kError},
-                                                 {"RESOURCE_EXHAUSTED", Outcome::kFull},
+                                                 {"RESOURCE_EXHAUSTED", Outcome::kRejected},
                                                  {"DEADLINE_EXCEEDED", Outcome::kTimeout},
                                                  {"UNAVAILABLE", Outcome::kConnectFailed},
                                                  {"ABORTED", Outcome::kReset},
                                                  {"CANCELLED", Outcome::kCancelled},
-                                                 {"TOO_LATE", Outcome::kMoot}};
+                                                 {"TOO_LATE", Outcome::kNotSent}};
   for (const auto& [word, outcome] : all) {
     const Batch b = ReadOne("clock 1 2\nsettled 1 id 0 h " + std::string(word) + " 1 0 -\neob\n");
-    EXPECT_EQ(EventOf<Settled>(b).outcome, outcome);
-    EXPECT_FALSE(EventOf<Settled>(b).report.has_value());
+    EXPECT_EQ(EventOf<AttemptFinished>(b).outcome, outcome);
+    EXPECT_FALSE(EventOf<AttemptFinished>(b).load_report.has_value());
   }
 }
 
@@ -106,22 +106,22 @@
       "clock 1 1\nroster 0 1\nhost - a 0 0 1 0 up\nannounce 1 warm_copy 4 0\n"
       "roster 0 1\nhost 6100.5 b 1 2 1.5 3 draining\nannounce 2 incr 5 0\neob\n"
       "clock 2 2\nannounce 3 total 6 0\nannounce 3 lost - -\neob\n");
-  Reader reader(in);
+  ProtocolReader reader(in);
   Batch batch;
   ASSERT_TRUE(reader.Next(batch));
-  EXPECT_EQ(EventOf<Members>(batch, 0).entries.at(0).id, "a");
-  EXPECT_EQ(EventOf<Members>(batch, 0).kind, ListKind::kCached);
-  const EndpointInfo& b = EventOf<Members>(batch, 1).entries.at(0);
+  EXPECT_EQ(EventOf<EndpointUpdate>(batch, 0).endpoints.at(0).id, "a");
+  EXPECT_EQ(EventOf<EndpointUpdate>(batch, 0).kind, EndpointUpdateKind::kCached);
+  const EndpointInfo& b = EventOf<EndpointUpdate>(batch, 1).endpoints.at(0);
   EXPECT_EQ(b.id, "b");
-  EXPECT_EQ(b.launched, Time(6100500));
+  EXPECT_EQ(b.started_at, Time(6100500));
   EXPECT_EQ(b.zone, 1);
-  EXPECT_EQ(b.kind, 2u);
+  EXPECT_EQ(b.machine_kind, 2u);
   EXPECT_DOUBLE_EQ(b.weight, 1.5);
   EXPECT_EQ(b.cell, 3);
   EXPECT_EQ(b.state, EndpointState::kDraining);
   ASSERT_TRUE(reader.Next(batch));
-  EXPECT_EQ(EventOf<Members>(batch, 0).entries.at(0).id, "b");
-  EXPECT_EQ(EventOf<Members>(batch, 1).kind, ListKind::kFailed);
+  EXPECT_EQ(EventOf<EndpointUpdate>(batch, 0).endpoints.at(0).id, "b");
+  EXPECT_EQ(EventOf<EndpointUpdate>(batch, 1).kind, EndpointUpdateKind::kFailed);
 }
 
 TEST(Read, SettingsOfEveryPart) {
@@ -133,20 +133,20 @@
       "Allowed.SendCap=5 Charges.Probe=0.04 Obligations.Fall=1500.0 Obligations.ColdFrom=0.31 "
       "Stats.Fields=util,inflight,latency_ms Stats.Source=probe ResultMix.Whole=0.25 "
       "Brand.New=whatever OverShareWorth=0.05");
-  EXPECT_EQ(s.instances, 4);
-  EXPECT_EQ(s.zones, 4);
+  EXPECT_EQ(s.instance_count, 4);
+  EXPECT_EQ(s.zone_count, 4);
   ASSERT_EQ(s.classes.size(), 1U);
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].group, DedupGroup::kZone);
-  EXPECT_EQ(s.classes[0].window, Duration(2'000'000));
-  EXPECT_DOUBLE_EQ(s.classes[0].worth, 8);
-  EXPECT_DOUBLE_EQ(s.tenants.at(0).quota_per_s, 41.5);
-  EXPECT_EQ(s.discovery, DiscoveryMode::kAsk);
-  EXPECT_TRUE(s.worth_by_work);
-  EXPECT_TRUE(s.allowed.parallel_tries);
-  EXPECT_EQ(s.report.inflight, 1U);
-  EXPECT_EQ(s.report.latency_ms, 2U);
-  EXPECT_DOUBLE_EQ(s.over_share_worth, 0.05);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
+  EXPECT_EQ(s.classes[0].deduplication_window, Duration(2'000'000));
+  EXPECT_DOUBLE_EQ(s.classes[0].priority_weight, 8);
+  EXPECT_DOUBLE_EQ(s.tenants.at(0).requests_per_second, 41.5);
+  EXPECT_EQ(s.discovery_mode, DiscoveryMode::kPoll);
+  EXPECT_TRUE(s.priority_scales_with_work);
+  EXPECT_TRUE(s.allowed.parallel_attempts);
+  EXPECT_EQ(s.load_report.inflight, 1U);
+  EXPECT_EQ(s.load_report.latency_ms, 2U);
+  EXPECT_DOUBLE_EQ(s.over_quota_priority_factor, 0.05);
 }
 
 struct Malformed {
@@ -196,15 +196,15 @@
 
 TEST(Write, EveryAction) {
   std::string out;
-  Print(3, Send{"id", "host.a", Duration(80'000)}, out);
-  Print(3, Refuse{"id", Duration(1'500'250)}, out);
-  Print(3, Fail{"id"}, out);
-  Print(3, Cancel{"id", 1}, out);
-  Print(3, SetTimer{Duration(500'000), "sweep"}, out);
-  Print(3, Probe{"host.a"}, out);
-  Print(3, Follow{true}, out);
-  Print(3, FetchList{}, out);
-  Print(3, LogMessage{"two servers known"}, out);
+  PrintAction(3, StartAttempt{"id", "host.a", Duration(80'000)}, out);
+  PrintAction(3, RejectRequest{"id", Duration(1'500'250)}, out);
+  PrintAction(3, FailRequest{"id"}, out);
+  PrintAction(3, CancelAttempt{"id", 1}, out);
+  PrintAction(3, SetTimer{Duration(500'000), "sweep"}, out);
+  PrintAction(3, StartProbe{"host.a"}, out);
+  PrintAction(3, WatchEndpoints{true}, out);
+  PrintAction(3, PollEndpoints{}, out);
+  PrintAction(3, LogMessage{"two servers known"}, out);
   PrintPanic(3, "it\nbroke", out);
   PrintEnd("12", out);
   EXPECT_EQ(out,
--- a/tests/storage/write_ahead_log_test.cpp
+++ b/tests/storage/write_ahead_log_test.cpp
@@ -17,9 +17,9 @@
 
 using Records = std::vector<std::string>;
 
-Records Told(Files& files) {
+Records Told(FileSystem& files) {
   Records told;
-  const Log log(files, "f", [&](std::string_view r) { told.emplace_back(r); });
+  const WriteAheadLog log(files, "f", [&](std::string_view r) { told.emplace_back(r); });
   return told;
 }
 
@@ -42,14 +42,14 @@
 TEST(Log, HoldsWhatIsDurableWheneverPowerIsLost) {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     for (size_t power = 0; power < 60; ++power) {
-      FaultyFiles files(seed * 1000 + power);
+      FaultyFileSystem files(seed * 1000 + power);
       files.power_after = power;
       std::mt19937_64 random(seed);
       Records appended;
       size_t durable = 0;
       std::optional<Records> before;  // an exchange on its way: the old ones or the new ones
       try {
-        Log log(files, "f", [](std::string_view) {});
+        WriteAheadLog log(files, "f", [](std::string_view) {});
         for (int i = 0; i < 20; ++i) {
           appended.push_back(Some(random, i));
           log.Append(appended.back());
@@ -78,9 +78,9 @@
 TEST(Log, CutAtAnyByteTellsABeginning) {
   std::mt19937_64 random(5);
   Records appended;
-  FaultyFiles whole(1);
+  FaultyFileSystem whole(1);
   {
-    Log log(whole, "f", [](std::string_view) {});
+    WriteAheadLog log(whole, "f", [](std::string_view) {});
     for (int i = 0; i < 12; ++i) {
       appended.push_back(Some(random, i));
       log.Append(appended.back());
@@ -90,7 +90,7 @@
   const std::string bytes = whole.Read("f/log");
   size_t most = 0;
   for (size_t size = 0; size <= bytes.size(); ++size) {
-    FaultyFiles files(1);
+    FaultyFileSystem files(1);
     files.Open("f/log", 0)->Append(std::string_view(bytes).substr(0, size));
     const Records told = Told(files);
     EXPECT_TRUE(Begins(told, appended, 0)) << size;
@@ -103,10 +103,10 @@
 // A flipped bit before the last record is refused with its place, not read over and not cut off:
 // a voter that goes on without what it had would vote as if it remembered.
 TEST(Log, RefusesAFlippedBitBeforeTheEnd) {
-  FaultyFiles whole(1);
+  FaultyFileSystem whole(1);
   std::vector<uint64_t> ends;
   {
-    Log log(whole, "f", [](std::string_view) {});
+    WriteAheadLog log(whole, "f", [](std::string_view) {});
     for (int i = 0; i < 6; ++i) {
       log.Append("record " + std::to_string(i));
       log.Sync();
@@ -115,7 +115,7 @@
   }
   const std::string bytes = whole.Read("f/log");
   for (size_t byte = 0; byte < bytes.size(); ++byte) {
-    FaultyFiles files(1);
+    FaultyFileSystem files(1);
     files.Open("f/log", 0)->Append(bytes);
     files.Flip("f/log", byte, static_cast<int>(byte % 8));
     const auto before = std::ranges::upper_bound(ends, byte) - ends.begin();
@@ -126,7 +126,7 @@
     try {
       Told(files);
       ADD_FAILURE() << "byte " << byte;
-    } catch (const DamageError& error) {
+    } catch (const CorruptionError& error) {
       const uint64_t at = byte < 24 ? 0 : before == 0 ? 24 : ends[static_cast<size_t>(before) - 1];
       const std::string where =
           byte >= 8 && byte < 16 ? "f/log at " : "f/log at " + std::to_string(at) + ":";
@@ -137,8 +137,8 @@
 }
 
 TEST(Log, WritesAgainOnceThereIsRoom) {
-  FaultyFiles files(1);
-  Log log(files, "f", [](std::string_view) {});
+  FaultyFileSystem files(1);
+  WriteAheadLog log(files, "f", [](std::string_view) {});
   log.Append("one");
   files.room = 20;
   EXPECT_THROW(log.Append("two"), FileError);
@@ -150,8 +150,8 @@
 
 // After a failed sync nobody knows what the disk has: nothing more is promised.
 TEST(Log, IsOfNoUseAfterAFailedSync) {
-  FaultyFiles files(1);
-  Log log(files, "f", [](std::string_view) {});
+  FaultyFileSystem files(1);
+  WriteAheadLog log(files, "f", [](std::string_view) {});
   log.Append("one");
   files.sync_fails = true;
   EXPECT_THROW(log.Sync(), FileError);
@@ -162,10 +162,10 @@
 
 // A file of before an exchange that comes back behind the new one's records is not theirs.
 TEST(Log, DoesNotTakeRecordsOfAnotherTime) {
-  FaultyFiles files(1);
+  FaultyFileSystem files(1);
   std::string old;
   {
-    Log log(files, "f", [](std::string_view) {});
+    WriteAheadLog log(files, "f", [](std::string_view) {});
     for (const char* const r : {"a", "b", "c"}) log.Append(r), log.Sync();
     old = files.Read("f/log").substr(24);
     log.Replace({"now"});
@@ -177,20 +177,20 @@
 
 TEST(Log, KeepsASecondProcessOutAndIsOnARealDisk) {
   const std::string folder = ::testing::TempDir() + "log-" + std::to_string(getpid());
-  Files& files = RealFiles();
+  FileSystem& files = SystemFiles();
   files.MakeFolder(folder);
   Records told;
   {
     const auto lock = files.Lock(folder + "/lock");
     ASSERT_TRUE(lock);
     EXPECT_FALSE(files.Lock(folder + "/lock"));
-    Log log(files, folder, [](std::string_view) {});
+    WriteAheadLog log(files, folder, [](std::string_view) {});
     log.Append("one");
     log.Sync();
     log.Replace({"one", "two"});
     log.Append("three");
     log.Sync();
-    Log::Read(files, folder, [&](std::string_view r) { told.emplace_back(r); });
+    WriteAheadLog::Read(files, folder, [&](std::string_view r) { told.emplace_back(r); });
   }
   EXPECT_EQ(told, (Records{"one", "two", "three"}));
   EXPECT_TRUE(files.Lock(folder + "/lock"));
