--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -39,7 +39,8 @@
 }
 
 EndpointInfo HostAt(size_t i) {
-  return {.id = "host-" + std::to_string(i), .zone = static_cast<int>(i % 4), .machine_kind = i % 2};
+  return {
+      .id = "host-" + std::to_string(i), .zone = static_cast<int>(i % 4), .machine_kind = i % 2};
 }
 
 // A gateway with eight requests in flight, as a busy one has: the oldest is answered as the next
@@ -50,7 +51,9 @@
   Driven(size_t hosts, int gateways, bool answered = true)
       : brain_(SettingsFor(gateways), 7), answered_(answered) {
     EndpointUpdate all;
-    for (size_t i = 0; i < hosts; ++i) all.endpoints.push_back(HostAt(i));
+    for (size_t i = 0; i < hosts; ++i) {
+      all.endpoints.push_back(HostAt(i));
+    }
     Handle(all);
   }
 
@@ -62,9 +65,13 @@
       Handle(TimerFired{token});
     }
     const std::string id = "r" + std::to_string(++count_);
-    Handle(
-        RequestArrived{.id = id, .deadline = now_ + Ms(3000), .request_class = count_ % 3 == 0 ? 1U : 0U, .key = id});
-    if (out_.size() < 8) return;
+    Handle(RequestArrived{.id = id,
+                          .deadline = now_ + Ms(3000),
+                          .request_class = count_ % 3 == 0 ? 1U : 0U,
+                          .key = id});
+    if (out_.size() < 8) {
+      return;
+    }
     const StartAttempt send = out_.front();
     out_.pop_front();
     Handle(AttemptFinished{send.id, 0, send.endpoint, Outcome::kOk, Ms(30), true, std::nullopt});
@@ -81,15 +88,17 @@
     std::vector<Action> actions;
     brain_.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* const send = std::get_if<StartAttempt>(&action)) out_.push_back(*send);
+      if (const auto* const send = std::get_if<StartAttempt>(&action)) {
+        out_.push_back(*send);
+      }
       if (const auto* const timer = std::get_if<SetTimer>(&action)) {
         timers_.emplace_back(now_ + timer->after, timer->token);
       }
       if (const auto* const probe = std::get_if<StartProbe>(&action)) {
         const double inflight = static_cast<double>(rng_() % 8);
         if (answered_) {
-          Handle(
-              ProbeFinished{probe->endpoint, Outcome::kOk, Ms(1), LoadReport{inflight, 20 + inflight}});
+          Handle(ProbeFinished{probe->endpoint, Outcome::kOk, Ms(1),
+                               LoadReport{inflight, 20 + inflight}});
         } else {
           Handle(ProbeFinished{probe->endpoint, Outcome::kOk, Ms(1), std::nullopt});
         }
@@ -109,8 +118,12 @@
 // All events of one request: its own, its probes', and the timers of its time.
 void BM_Request(benchmark::State& state) {
   Driven driven(static_cast<size_t>(state.range(0)), static_cast<int>(state.range(1)));
-  for (int i = 0; i < 2000; ++i) driven.Request();
-  for (auto _ : state) driven.Request();
+  for (int i = 0; i < 2000; ++i) {
+    driven.Request();
+  }
+  for (auto _ : state) {
+    driven.Request();
+  }
 }
 BENCHMARK(BM_Request)
     ->ArgNames({"hosts", "gateways"})
@@ -118,8 +131,12 @@
 
 void BM_RequestByFallback(benchmark::State& state) {
   Driven driven(static_cast<size_t>(state.range(0)), static_cast<int>(state.range(1)), false);
-  for (int i = 0; i < 2000; ++i) driven.Request();
-  for (auto _ : state) driven.Request();
+  for (int i = 0; i < 2000; ++i) {
+    driven.Request();
+  }
+  for (auto _ : state) {
+    driven.Request();
+  }
 }
 BENCHMARK(BM_RequestByFallback)
     ->ArgNames({"hosts", "gateways"})
@@ -128,8 +145,12 @@
 void BM_UpdateOfOneEntry(benchmark::State& state) {
   const auto hosts = static_cast<size_t>(state.range(0));
   Driven driven(hosts, static_cast<int>(state.range(1)));
-  for (int i = 0; i < 2000; ++i) driven.Request();
-  for (auto _ : state) driven.Update(hosts);
+  for (int i = 0; i < 2000; ++i) {
+    driven.Request();
+  }
+  for (auto _ : state) {
+    driven.Update(hosts);
+  }
 }
 BENCHMARK(BM_UpdateOfOneEntry)
     ->ArgNames({"hosts", "gateways"})
--- a/src/balancer/load_balancer.h
+++ b/src/balancer/load_balancer.h
@@ -19,18 +19,39 @@
 
 // ---- Settings -------------------------------------------------------------------------------
 
-enum class Idempotency { kSafe, kKeyed, kUnsafe };
-enum class DeduplicationScope { kAll, kZone, kCell };  // hosts that drop one another's repeats
-enum class DiscoveryMode { kPush, kPoll };
-enum class LoadReportSource { kResponses, kProbes, kNone };
-enum class WeightKind { kNone, kNominal, kRough, kLive };
+enum class Idempotency {
+  kSafe,
+  kKeyed,
+  kUnsafe
+};
+enum class DeduplicationScope {
+  kAll,
+  kZone,
+  kCell
+};  // hosts that drop one another's repeats
+enum class DiscoveryMode {
+  kPush,
+  kPoll
+};
+enum class LoadReportSource {
+  kResponses,
+  kProbes,
+  kNone
+};
+enum class WeightKind {
+  kNone,
+  kNominal,
+  kRough,
+  kLive
+};
 
 struct RequestClass {
   Idempotency idempotency = Idempotency::kSafe;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
-  Duration deduplication_window{0};    // how long a repeat is dropped, from the first send that may have run
-  Duration latency_objective{0};       // an answer within this earns full worth
-  Duration deadline{0};  // what a client waits in all
+  Duration deduplication_window{
+      0};  // how long a repeat is dropped, from the first send that may have run
+  Duration latency_objective{0};  // an answer within this earns full worth
+  Duration deadline{0};           // what a client waits in all
   double latency_objective_stretch = 0;
   double priority_weight = 1;
   double late_value_fraction = 0;  // share of the worth for an answer after the aim
@@ -70,7 +91,8 @@
     double cpu_us_per_s = 0;
   } allowed;
   struct {  // points taken off, as shares of the result
-    double cross_zone = 0, handshake = 0, late_failure = 0, probe = 0, wasted_work = 0, connection = 0;
+    double cross_zone = 0, handshake = 0, late_failure = 0, probe = 0, wasted_work = 0,
+           connection = 0;
   } costs;
   struct {
     double whole = 1, worst_class = 0, worst_tenant = 0, worst_window = 0;
@@ -80,7 +102,8 @@
     Duration response_slack{0};
     Duration drain_grace{0};
     Duration discovery_interval{0};  // 0: never
-    double slow_start_initial_capacity = 1;     // a started host can do at least this share of its work
+    double slow_start_initial_capacity =
+        1;  // a started host can do at least this share of its work
     Duration slow_start_duration{0};
     double overload_collapse_multiple = 1;
     Duration overload_collapse_duration{0};
@@ -94,7 +117,11 @@
 
 // ---- Events ---------------------------------------------------------------------------------
 
-enum class EndpointState { kUp, kDraining, kRemoved };
+enum class EndpointState {
+  kUp,
+  kDraining,
+  kRemoved
+};
 
 struct EndpointInfo {
   std::string id;
@@ -106,7 +133,12 @@
   EndpointState state = EndpointState::kUp;
 };
 
-enum class EndpointUpdateKind { kDelta, kFull, kCached, kFailed };
+enum class EndpointUpdateKind {
+  kDelta,
+  kFull,
+  kCached,
+  kFailed
+};
 
 struct EndpointUpdate {
   EndpointUpdateKind kind = EndpointUpdateKind::kFull;
@@ -126,14 +158,14 @@
 
 enum class Outcome {
   kOk,
-  kError,          // answered with an error; may have run
-  kRejected,           // turned away unseen
-  kTimeout,        // may have run or still run
-  kConnectFailed,  // never reached the endpoint
-  kReset,          // the connection broke; may have run
-  kCancelled,      // called off; may have run
-  kNotSent,           // never transmitted
-  kInvalidResponse        // an answer that can't be read or blames the request; may have run
+  kError,           // answered with an error; may have run
+  kRejected,        // turned away unseen
+  kTimeout,         // may have run or still run
+  kConnectFailed,   // never reached the endpoint
+  kReset,           // the connection broke; may have run
+  kCancelled,       // called off; may have run
+  kNotSent,         // never transmitted
+  kInvalidResponse  // an answer that can't be read or blames the request; may have run
 };
 
 using LoadReport = std::vector<double>;  // in the order that the settings gave
@@ -153,7 +185,8 @@
   Duration elapsed{0};
   bool request_finished = false;
   std::optional<LoadReport> load_report;
-  bool request_consumed = false;  // the request is no longer held whole: no further attempt can be made
+  bool request_consumed =
+      false;  // the request is no longer held whole: no further attempt can be made
 };
 
 struct ClientDisconnected {
@@ -183,8 +216,9 @@
 
 // Settings: new ones, in force for what comes from now on. A request under way keeps its class;
 // what was learned stays, by the places of classes and tenants. Those that are gone keep theirs.
-using Event = std::variant<EndpointUpdate, RequestArrived, ResponseStarted, AttemptFinished, ClientDisconnected, TimerFired,
-                           ProbeFinished, PeerMessage, Settings, TenantQuotaUpdate>;
+using Event = std::variant<EndpointUpdate, RequestArrived, ResponseStarted, AttemptFinished,
+                           ClientDisconnected, TimerFired, ProbeFinished, PeerMessage, Settings,
+                           TenantQuotaUpdate>;
 
 // ---- Actions --------------------------------------------------------------------------------
 
@@ -222,36 +256,44 @@
   std::string text;
 };
 
-using Action = std::variant<StartAttempt, RejectRequest, FailRequest, CancelAttempt, SetTimer, StartProbe, CloseIdleConnections, WatchEndpoints,
-                            PollEndpoints, LogMessage>;
+using Action =
+    std::variant<StartAttempt, RejectRequest, FailRequest, CancelAttempt, SetTimer, StartProbe,
+                 CloseIdleConnections, WatchEndpoints, PollEndpoints, LogMessage>;
 
 // ---- The module -----------------------------------------------------------------------------
 
 // How a pick was made, for those who watch: by the cold or hot branch of the pool, or without it.
-enum class SelectionMethod { kNone, kCold, kHot, kFallback };
+enum class SelectionMethod {
+  kNone,
+  kCold,
+  kHot,
+  kFallback
+};
 
 // Why an endpoint may not take a request now.
 enum class ExclusionReason {
-  kNone,  // nothing; where a request is given up, there is no endpoint at all
-  kNotPermitted,   // drains, was asked before, or the class, the attempts or the time forbid it
-  kWarmingUp,  // has just started and got its part
-  kUnhealthy,  // silent, on trial, or doubted by a request that may not repeat
-  kAtConcurrencyLimit,  // at its limit as learned
-  kCapacityUnknown,   // at the limit of one of which nothing is known yet
+  kNone,          // nothing; where a request is given up, there is no endpoint at all
+  kNotPermitted,  // drains, was asked before, or the class, the attempts or the time forbid it
+  kWarmingUp,     // has just started and got its part
+  kUnhealthy,     // silent, on trial, or doubted by a request that may not repeat
+  kAtConcurrencyLimit,      // at its limit as learned
+  kCapacityUnknown,         // at the limit of one of which nothing is known yet
   kMissesLatencyObjective,  // would answer too late
-  kRetryBudgetExhausted  // none was looked for: no attempt, no time or nothing in the retry budget is left
+  kRetryBudgetExhausted  // none was looked for: no attempt, no time or nothing in the retry budget
+                         // is left
 };
 constexpr size_t kExclusionReasonCount = 8;
 
 inline const char* ToText(ExclusionReason bar) {
-  constexpr std::array<const char*, kExclusionReasonCount> kNames = {"none", "law", "cold", "sick",
-                                                     "full", "new", "late", "spent"};
+  constexpr std::array<const char*, kExclusionReasonCount> kNames = {
+      "none", "law", "cold", "sick", "full", "new", "late", "spent"};
   return kNames[static_cast<size_t>(bar)];
 }
 
 struct Statistics {
-  std::array<uint64_t, 4> selections{};         // by SelectionMethod
-  std::array<uint64_t, kExclusionReasonCount> unserved_by_reason{};  // refused and failed requests by what barred most
+  std::array<uint64_t, 4> selections{};  // by SelectionMethod
+  std::array<uint64_t, kExclusionReasonCount>
+      unserved_by_reason{};  // refused and failed requests by what barred most
   SelectionMethod last_selection = SelectionMethod::kNone;
 };
 
--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -12,8 +12,12 @@
 
 Address ParseAddress(std::string_view text) {
   const size_t colon = text.rfind(':');
-  const auto bad = [&] { return ConfigError(fmt::format("no address and port: '{}'", text)); };
-  if (colon == std::string_view::npos) throw bad();
+  const auto bad = [&] {
+    return ConfigError(fmt::format("no address and port: '{}'", text));
+  };
+  if (colon == std::string_view::npos) {
+    throw bad();
+  }
   in_addr host{};
   const std::string ip(text.substr(0, colon));
   const auto port = ParseWholeNumber(text.substr(colon + 1));
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -24,11 +24,15 @@
 
 Clock::Clock() : monotonic_origin_us_(Mono() - kBefore), wall_origin_us_(Wall() - kBefore) {}
 
-Time Clock::Now() const { return Time(Mono() - monotonic_origin_us_); }
+Time Clock::Now() const {
+  return Time(Mono() - monotonic_origin_us_);
+}
 
 Time Clock::FromUnixMillis(double unix_ms) const {
   constexpr double kMost = 1e15;  // ms; far inside 64 bits of microseconds
-  if (!(unix_ms > 0) || unix_ms > kMost) return Time(0);
+  if (!(unix_ms > 0) || unix_ms > kMost) {
+    return Time(0);
+  }
   return Time(std::max<int64_t>(0, std::llround(unix_ms * 1000) - wall_origin_us_));
 }
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -19,7 +19,7 @@
 
  private:
   int64_t monotonic_origin_us_ = 0;  // the steady clock's reading at Time(0)
-  int64_t wall_origin_us_ = 0;  // the wall clock's at that moment
+  int64_t wall_origin_us_ = 0;       // the wall clock's at that moment
 };
 
 }  // namespace paddlestile
--- a/src/base/file_descriptor.cpp
+++ b/src/base/file_descriptor.cpp
@@ -6,7 +6,9 @@
 
 void FileDescriptor::Reset() {
   // Not repeated on EINTR: on Linux the descriptor is free by then.
-  if (fd_ >= 0) close(fd_);
+  if (fd_ >= 0) {
+    close(fd_);
+  }
   fd_ = -1;
 }
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -31,7 +31,9 @@
         spdlog::level::debug, spdlog::level::info, spdlog::level::warn, spdlog::level::err};
     std::string line(text);
     for (char& c : line) {
-      if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) c = '?';
+      if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) {
+        c = '?';
+      }
     }
     if (format == LogFormat::kJson) {
       line = nlohmann::json(line).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -54,15 +56,23 @@
 
 }  // namespace
 
-void SetLogLevel(LogLevel level) { state().least = level; }
-bool IsLogEnabled(LogLevel level) { return level >= state().least; }
-void SetLogFormat(LogFormat format) { state().Use(format); }
+void SetLogLevel(LogLevel level) {
+  state().least = level;
+}
+bool IsLogEnabled(LogLevel level) {
+  return level >= state().least;
+}
+void SetLogFormat(LogFormat format) {
+  state().Use(format);
+}
 
 void LogLine(LogLevel level, std::string_view text) {
   State& s = state();
   const auto now = std::chrono::steady_clock::now();
   if (now - s.second >= std::chrono::seconds(1)) {
-    if (s.dropped > 0) s.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", s.dropped));
+    if (s.dropped > 0) {
+      s.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", s.dropped));
+    }
     s.second = now;
     s.lines = s.dropped = 0;
   }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -10,8 +10,16 @@
 
 namespace paddlestile {
 
-enum class LogLevel { kDebug, kInfo, kWarning, kError };
-enum class LogFormat { kText, kJson };
+enum class LogLevel {
+  kDebug,
+  kInfo,
+  kWarning,
+  kError
+};
+enum class LogFormat {
+  kText,
+  kJson
+};
 
 // Lines below this are dropped; kInfo at first.
 void SetLogLevel(LogLevel level);
@@ -26,7 +34,9 @@
 
 template <typename... Args>
 void Log(LogLevel level, fmt::format_string<Args...> format, Args&&... args) {
-  if (IsLogEnabled(level)) LogLine(level, fmt::format(format, std::forward<Args>(args)...));
+  if (IsLogEnabled(level)) {
+    LogLine(level, fmt::format(format, std::forward<Args>(args)...));
+  }
 }
 
 }  // namespace paddlestile
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -9,8 +9,12 @@
 std::string Counters::ToText() const {
   std::string text;
   const auto add = [&](const char* name, uint64_t value) {
-    if (value == 0) return;
-    if (!text.empty()) text += ' ';
+    if (value == 0) {
+      return;
+    }
+    if (!text.empty()) {
+      text += ' ';
+    }
     text += fmt::format("{}={}", name, value);
   };
 #define PADDLESTILE_ADD(name) add(#name, name);
--- a/src/base/parse_number.cpp
+++ b/src/base/parse_number.cpp
@@ -7,9 +7,13 @@
 
 std::optional<uint64_t> ParseWholeNumber(std::string_view text) {
   uint64_t value = 0;
-  if (text.empty() || !std::isdigit(static_cast<unsigned char>(text[0]))) return std::nullopt;
+  if (text.empty() || !std::isdigit(static_cast<unsigned char>(text[0]))) {
+    return std::nullopt;
+  }
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (ec != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  if (ec != std::errc() || end != text.data() + text.size()) {
+    return std::nullopt;
+  }
   return value;
 }
 
--- a/src/cli/cluster_commands.cpp
+++ b/src/cli/cluster_commands.cpp
@@ -55,28 +55,39 @@
 // The members to ask, in turn.
 std::vector<Address> Places(const Words& w) {
   std::vector<Address> places;
-  for (const std::string& text : w.at) places.push_back(ParseAddress(text));
+  for (const std::string& text : w.at) {
+    places.push_back(ParseAddress(text));
+  }
   if (!w.operator_file.empty()) {
     std::ifstream file(w.operator_file, std::ios::binary);
     const std::string text((std::istreambuf_iterator<char>(file)),
                            std::istreambuf_iterator<char>());
-    if (!file)
+    if (!file) {
       throw ConfigError(w.operator_file + ": cannot read it, expected the operator's file");
-    for (const auto& [name, address] : ReadMemberAddresses(text, w.operator_file)) places.push_back(address);
+    }
+    for (const auto& [name, address] : ReadMemberAddresses(text, w.operator_file)) {
+      places.push_back(address);
+    }
+  }
+  if (places.empty()) {
+    throw ConfigError("nobody to ask, expected --at ADDRESS or --operator FILE");
   }
-  if (places.empty()) throw ConfigError("nobody to ask, expected --at ADDRESS or --operator FILE");
   return places;
 }
 
 // The first that answers.
 std::optional<json> AskAny(const Words& w, const json& call) {
   for (const Address& at : Places(w)) {
-    if (auto answer = CallMember(at, call, kCallWithin)) return answer;
+    if (auto answer = CallMember(at, call, kCallWithin)) {
+      return answer;
+    }
   }
   return std::nullopt;
 }
 
-int Nobody() { return Say(kFailed, "no member answers"); }
+int Nobody() {
+  return Say(kFailed, "no member answers");
+}
 
 int Status(const Words& w) {
   json all = json::array();
@@ -108,13 +119,17 @@
                        : leader + " leads",
         one["lease_ms"].get<int64_t>(), one["disk"].get<std::string>());
     // One of an earlier program tells nothing of it.
-    if (!one.contains("changes")) continue;
+    if (!one.contains("changes")) {
+      continue;
+    }
     fmt::print("{:<10} {:<21} changes {}; the last one {} bytes, the version {}; content {}\n", "",
                "", one["changes"].get<std::string>(), one["change_bytes"].get<uint64_t>(),
                one["version_bytes"].get<uint64_t>(), one["content"].get<std::string>());
   }
   for (const json& one : all) {
-    if (one.contains("error")) continue;
+    if (one.contains("error")) {
+      continue;
+    }
     fmt::print(
         "bound: no two gateways act on rules that contradict each other for longer than {} ms\n",
         one["bound_ms"].get<int64_t>());
@@ -126,9 +141,13 @@
 int History(const Words& w) {
   // The versions' texts may be many and large, and are shown as JSON alone.
   json call = {{"what", "history"}};
-  if (!w.as_json) call["texts"] = json::array();
+  if (!w.as_json) {
+    call["texts"] = json::array();
+  }
   const auto answer = AskAny(w, call);
-  if (!answer) return Nobody();
+  if (!answer) {
+    return Nobody();
+  }
   if (w.as_json) {
     fmt::print("{}\n", (*answer)["versions"].dump(2));
     return kDone;
@@ -147,7 +166,9 @@
 int Diff(const Words& w) {
   const uint64_t wanted[2] = {w.a, w.b};
   const auto answer = AskAny(w, {{"what", "history"}, {"texts", wanted}});
-  if (!answer) return Nobody();
+  if (!answer) {
+    return Nobody();
+  }
   json rules[2];
   for (int i = 0; i < 2; ++i) {
     if (wanted[i] == 0) {
@@ -156,7 +177,9 @@
     }
     bool found = false;
     for (const json& v : (*answer)["versions"]) {
-      if (v["version"] != wanted[i]) continue;
+      if (v["version"] != wanted[i]) {
+        continue;
+      }
       rules[i] = json::parse(v["rules"].get<std::string>(), nullptr, false);
       found = !rules[i].is_discarded();
     }
@@ -174,11 +197,15 @@
     const std::string path = step["path"];
     const json::json_pointer at(path);
     const std::string op = step["op"];
-    if (op != "add") fmt::print("- {} {}\n", path, rules[0][at].dump());
-    if (op != "remove") fmt::print("+ {} {}\n", path, step["value"].dump());
+    if (op != "add") {
+      fmt::print("- {} {}\n", path, rules[0][at].dump());
+    }
+    if (op != "remove") {
+      fmt::print("+ {} {}\n", path, step["value"].dump());
+    }
   }
   const cluster::VersionContent contents[] = {cluster::ParseVersion(rules[0].dump()),
-                                       cluster::ParseVersion(rules[1].dump())};
+                                              cluster::ParseVersion(rules[1].dump())};
   for (const std::string& why : cluster::Contradictions(contents[0], contents[1])) {
     fmt::print("contradicts: {}\n", why);
   }
@@ -204,15 +231,21 @@
   const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(w.within);
   std::string last = "no member answers";
   for (size_t turn = 0; turn == 0 || std::chrono::steady_clock::now() < until; ++turn) {
-    if (turn >= places.size()) std::this_thread::sleep_for(kAgainAfter);
+    if (turn >= places.size()) {
+      std::this_thread::sleep_for(kAgainAfter);
+    }
     const auto answer = CallMember(places[turn % places.size()], call, kCallWithin);
-    if (!answer) continue;
+    if (!answer) {
+      continue;
+    }
     if (answer->contains("error")) {
       last = (*answer)["error"].get<std::string>();
       continue;
     }
     const auto told = cluster::ReadAnswer(answer->value("answer", json()));
-    if (!told) continue;
+    if (!told) {
+      continue;
+    }
     if (told->kind == cluster::ChangeResult::Kind::kDone) {
       if (w.as_json) {
         fmt::print("{}\n", json{{"id", told->id}, {"version", told->version}}.dump());
@@ -223,8 +256,9 @@
       }
       return kDone;
     }
-    if (told->kind == cluster::ChangeResult::Kind::kRefused)
+    if (told->kind == cluster::ChangeResult::Kind::kRefused) {
       return Say(kFailed, "refused: " + told->text);
+    }
     last = told->text;
   }
   return Say(kFailed, fmt::format("{}; not told done within {} s: submit it again with --id {}",
@@ -236,12 +270,18 @@
   cluster::ChangeRequest wish;
   wish.change.document =
       std::string((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  if (!file) return Say(kWrongUsage, w.file + ": cannot read it, expected a file of rules (JSON)");
+  if (!file) {
+    return Say(kWrongUsage, w.file + ": cannot read it, expected a file of rules (JSON)");
+  }
   wish.change.is_delta = w.delta;
-  const std::vector<std::string> faults =
-      w.delta ? cluster::ValidateDelta(wish.change.document) : cluster::ValidateDocument(wish.change.document);
-  for (const std::string& fault : faults) fmt::print(stderr, "{}: {}\n", w.file, fault);
-  if (!faults.empty()) return kWrongUsage;
+  const std::vector<std::string> faults = w.delta ? cluster::ValidateDelta(wish.change.document)
+                                                  : cluster::ValidateDocument(wish.change.document);
+  for (const std::string& fault : faults) {
+    fmt::print(stderr, "{}: {}\n", w.file, fault);
+  }
+  if (!faults.empty()) {
+    return kWrongUsage;
+  }
   wish.change.id = w.id;
   wish.change.expected_version = w.expect;
   return Submit(w, std::move(wish));
@@ -256,7 +296,9 @@
 }
 
 int Init(const Words& w) {
-  if (w.operator_file.empty()) return Say(kWrongUsage, "no file, expected --operator FILE");
+  if (w.operator_file.empty()) {
+    return Say(kWrongUsage, "no file, expected --operator FILE");
+  }
   const ClusterConfig config = ReadClusterConfig(w.operator_file, w.name);
   if (!config.members.at(w.name).votes) {
     return Say(kWrongUsage, w.name + ": does not vote, expected one of the voters");
@@ -327,13 +369,25 @@
     c->add_option("NAME", w->name, "the member")->required();
   }
   return [=] {
-    if (!bank->parsed()) return -1;
+    if (!bank->parsed()) {
+      return -1;
+    }
     try {
-      if (init->parsed()) return Init(*w);
-      if (status->parsed()) return Status(*w);
-      if (history->parsed()) return History(*w);
-      if (diff->parsed()) return Diff(*w);
-      if (change->parsed()) return Change(*w);
+      if (init->parsed()) {
+        return Init(*w);
+      }
+      if (status->parsed()) {
+        return Status(*w);
+      }
+      if (history->parsed()) {
+        return History(*w);
+      }
+      if (diff->parsed()) {
+        return Diff(*w);
+      }
+      if (change->parsed()) {
+        return Change(*w);
+      }
       return Voters(*w, add->parsed()      ? cluster::ChangeRequest::Kind::kAddVoter
                         : remove->parsed() ? cluster::ChangeRequest::Kind::kRemoveVoter
                                            : cluster::ChangeRequest::Kind::kReplaceVoter);
--- a/src/cli/lab_commands.cpp
+++ b/src/cli/lab_commands.cpp
@@ -62,7 +62,9 @@
 
 // Before anything is played: a run whose result has nowhere to go is a run for nothing.
 void NeedWritable(const std::string& path) {
-  if (path.empty()) return;
+  if (path.empty()) {
+    return;
+  }
   std::ofstream file(path, std::ios::app);
   if (!file) {
     throw ExperimentError(
@@ -71,15 +73,23 @@
 }
 
 void Write(const std::string& path, const std::string& text) {
-  if (path.empty()) return;
+  if (path.empty()) {
+    return;
+  }
   std::ofstream file(path, std::ios::trunc);
   file << text << std::flush;
-  if (!file) throw std::runtime_error(fmt::format("{}: {}", path, std::strerror(errno)));
+  if (!file) {
+    throw std::runtime_error(fmt::format("{}: {}", path, std::strerror(errno)));
+  }
 }
 
 void WriteReport(const std::string& path, const std::vector<Result>& results) {
-  if (path.empty()) return;
-  if (!HaveGnuplot()) fmt::print(stderr, "no gnuplot here: the report comes without plots\n");
+  if (path.empty()) {
+    return;
+  }
+  if (!HaveGnuplot()) {
+    fmt::print(stderr, "no gnuplot here: the report comes without plots\n");
+  }
   Write(path, RenderReport(results, true));
   fmt::print("report: {}\n", path);
 }
@@ -90,7 +100,9 @@
   const Result result =
       RunExperiment(ReadExperiment(w.file), {w.seed, w.seconds, w.gateway, w.logs, false});
   fmt::print("{}", Summary(result));
-  for (const std::string& log : result.logs) fmt::print("  {}", log);
+  for (const std::string& log : result.logs) {
+    fmt::print("  {}", log);
+  }
   Write(w.json, ToJson(result));
   WriteReport(w.html, {result});
   return result.verdict == Verdict::kHeld ? kDone : kDidNotHold;
@@ -100,9 +112,13 @@
   std::vector<fs::path> files;
   std::error_code error;
   for (const auto& entry : fs::directory_iterator(w.folder, error)) {
-    if (entry.path().extension() == ".toml") files.push_back(entry.path());
+    if (entry.path().extension() == ".toml") {
+      files.push_back(entry.path());
+    }
+  }
+  if (error) {
+    return Fail(fmt::format("{}: {}, expected a folder", w.folder, error.message()));
   }
-  if (error) return Fail(fmt::format("{}: {}, expected a folder", w.folder, error.message()));
   std::ranges::sort(files);
   int code = kDone;
   for (const fs::path& path : files) {
@@ -122,8 +138,12 @@
 int Report(const Words& w) {
   NeedWritable(w.html);
   std::vector<Result> results;
-  for (const std::string& path : w.results) results.push_back(ResultFromJson(path));
-  for (const Result& result : results) fmt::print("{}", Summary(result));
+  for (const std::string& path : w.results) {
+    results.push_back(ResultFromJson(path));
+  }
+  for (const Result& result : results) {
+    fmt::print("{}", Summary(result));
+  }
   WriteReport(w.html, results);
   return kDone;
 }
@@ -131,13 +151,17 @@
 int Fleet(const Words& w) {
   FleetReportOptions options;
   options.expected_gateways = w.gateways;
-  for (const std::string& phase : w.phases) options.phases.push_back(ParsePhase(phase));
+  for (const std::string& phase : w.phases) {
+    options.phases.push_back(ParsePhase(phase));
+  }
   NeedWritable(w.json);
   NeedWritable(w.html);
   const FleetReport report = ReadFleet(w.file, options);
   fmt::print("{}", ToText(report));
   Write(w.json, ToJson(report));
-  if (!w.html.empty()) Write(w.html, ToHtml(report));
+  if (!w.html.empty()) {
+    Write(w.html, ToHtml(report));
+  }
   return kDone;
 }
 
@@ -176,7 +200,9 @@
   std::string program, rest;
   std::getline(file, program, '\0');
   std::string out = fs::path(program).filename().string();
-  while (std::getline(file, rest, '\0')) out += ' ' + rest;
+  while (std::getline(file, rest, '\0')) {
+    out += ' ' + rest;
+  }
   return out;
 }
 
@@ -194,7 +220,9 @@
 
 int Worlds(Words& w) {
   for (const WorldChanges c : {WorldChanges::kMixed, WorldChanges::kWhole, WorldChanges::kDelta}) {
-    if (w.changes == NameOf(c)) w.worlds.changes = c;
+    if (w.changes == NameOf(c)) {
+      w.worlds.changes = c;
+    }
   }
   for (int i = 0; i < kMischiefs; ++i) {
     if (w.mischief == NameOf(static_cast<Mischief>(i))) {
@@ -209,7 +237,9 @@
 std::string ReadText(const std::string& path) {
   std::ifstream file(path);
   std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  if (!file) throw CapacityError(fmt::format("{}: can't be read, expected a file", path));
+  if (!file) {
+    throw CapacityError(fmt::format("{}: can't be read, expected a file", path));
+  }
   return text;
 }
 
@@ -244,7 +274,9 @@
   } catch (const ExperimentError& error) {
     std::vector<std::string> lines;
     std::istringstream text(error.what());
-    for (std::string line; std::getline(text, line);) lines.push_back(line);
+    for (std::string line; std::getline(text, line);) {
+      lines.push_back(line);
+    }
     return lines;
   }
 }
@@ -361,7 +393,9 @@
       ->capture_default_str();
   std::vector<std::string> mischiefs;
   mischiefs.reserve(kMischiefs);
-  for (int i = 0; i < kMischiefs; ++i) mischiefs.emplace_back(NameOf(static_cast<Mischief>(i)));
+  for (int i = 0; i < kMischiefs; ++i) {
+    mischiefs.emplace_back(NameOf(static_cast<Mischief>(i)));
+  }
   world->add_option("--mischief", words->mischief, "members that break a term on purpose")
       ->check(CLI::IsMember(mischiefs))
       ->capture_default_str();
@@ -440,17 +474,37 @@
       "  paddlestile lab capacity --page docs/CAPACITY.md");
 
   return [=] {
-    if (!lab->parsed()) return -1;
+    if (!lab->parsed()) {
+      return -1;
+    }
     try {
-      if (run->parsed()) return Run(*words);
-      if (list->parsed()) return List(*words);
-      if (report->parsed()) return Report(*words);
-      if (fleet->parsed()) return Fleet(*words);
-      if (world->parsed()) return Worlds(*words);
-      if (scale->parsed()) return Scale(*words);
-      if (hollow->parsed()) return RunHollow(words->hollow);
-      if (capacity->parsed()) return words->fit.empty() ? Weigh(*words) : Fit(*words);
-      if (gateway->parsed()) return OneGateway(*words);
+      if (run->parsed()) {
+        return Run(*words);
+      }
+      if (list->parsed()) {
+        return List(*words);
+      }
+      if (report->parsed()) {
+        return Report(*words);
+      }
+      if (fleet->parsed()) {
+        return Fleet(*words);
+      }
+      if (world->parsed()) {
+        return Worlds(*words);
+      }
+      if (scale->parsed()) {
+        return Scale(*words);
+      }
+      if (hollow->parsed()) {
+        return RunHollow(words->hollow);
+      }
+      if (capacity->parsed()) {
+        return words->fit.empty() ? Weigh(*words) : Fit(*words);
+      }
+      if (gateway->parsed()) {
+        return OneGateway(*words);
+      }
       return Bench(*words);
     } catch (const Interrupted& error) {
       fmt::print(stderr, "paddlestile: {}\n", error.what());
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -50,7 +50,9 @@
   for (const std::string& fault : faults) {
     fmt::print(stderr, "{}{}\n", toml ? "" : path + ": ", fault);
   }
-  if (faults.empty()) fmt::print("{}: good\n", path);
+  if (faults.empty()) {
+    fmt::print("{}: good\n", path);
+  }
   return faults.empty() ? kDone : kWrongUsage;
 }
 
@@ -60,12 +62,16 @@
   Migration migration;
   try {
     migration = Migrate(from, options);
-    if (!to.empty()) WriteFileAtomically(to, migration.text, replace);
+    if (!to.empty()) {
+      WriteFileAtomically(to, migration.text, replace);
+    }
   } catch (const ConfigError& error) {
     fmt::print(stderr, "{}\n", error.what());
     return kWrongUsage;
   }
-  for (const std::string& note : migration.notes) fmt::print(stderr, "{}\n", note);
+  for (const std::string& note : migration.notes) {
+    fmt::print(stderr, "{}\n", note);
+  }
   fmt::print("{}", to.empty() ? migration.text : to + ": written\n");
   return kDone;
 }
@@ -85,7 +91,9 @@
 
   std::string log_format = "text", log_level = "info";
   if (const char* const level = std::getenv("LB_LOG"); level != nullptr) {
-    if (std::string_view(level) == "debug") log_level = level;
+    if (std::string_view(level) == "debug") {
+      log_level = level;
+    }
   }
   app.add_option("--log-format", log_format, "text, or json: one object a line")
       ->check(CLI::IsMember({"text", "json"}));
@@ -150,7 +158,9 @@
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     // Help is no error; all else gets one plain line.
-    if (error.get_exit_code() == 0) return app.exit(error);
+    if (error.get_exit_code() == 0) {
+      return app.exit(error);
+    }
     fmt::print(stderr, "paddlestile: {}; see paddlestile --help\n", error.what());
     return kWrongUsage;
   }
@@ -163,7 +173,9 @@
     fmt::print("paddlestile {}\n", PADDLESTILE_VERSION);
     return kDone;
   }
-  if (check->parsed()) return CheckFile(file);
+  if (check->parsed()) {
+    return CheckFile(file);
+  }
   if (migrate->parsed()) {
     if (!dry_run && to.empty()) {
       fmt::print(stderr, "paddlestile: migrate: no target, expected --to FILE or --dry-run\n");
@@ -171,8 +183,12 @@
     }
     return MigrateFile(file, to, options, replace);
   }
-  if (const int code = lab(); code >= 0) return code;
-  if (const int code = bank(); code >= 0) return code;
+  if (const int code = lab(); code >= 0) {
+    return code;
+  }
+  if (const int code = bank(); code >= 0) {
+    return code;
+  }
   return Serve({Duration(std::llround(counters_every * 1e6)), operator_file, nullptr});
 }
 
--- a/src/cluster/cluster_member.h
+++ b/src/cluster/cluster_member.h
@@ -24,7 +24,12 @@
 inline constexpr Duration kDetectionDelay{250'000};  // us; for a process that runs
 
 struct ChangeRequest {
-  enum class Kind : uint8_t { kChange, kAddVoter, kRemoveVoter, kReplaceVoter };
+  enum class Kind : uint8_t {
+    kChange,
+    kAddVoter,
+    kRemoveVoter,
+    kReplaceVoter
+  };
   Kind kind = Kind::kChange;
   Change change;     // kChange; its id and author count for all
   std::string name;  // of the voter
@@ -32,10 +37,10 @@
 
 struct ChangeResult {
   enum class Kind : uint8_t {
-    kDone,     // agreed, and acted on by all that may act
-    kRefused,  // it was not taken, and never will be under this id
-    kNoLeader,   // not taken: nobody can lead
-    kUnknown   // it may have been taken: submit again under the same id
+    kDone,      // agreed, and acted on by all that may act
+    kRefused,   // it was not taken, and never will be under this id
+    kNoLeader,  // not taken: nobody can lead
+    kUnknown    // it may have been taken: submit again under the same id
   };
   Kind kind = Kind::kUnknown;
   std::string id;
@@ -46,14 +51,14 @@
 // From member to member beside the log's messages.
 struct MemberMessage {
   std::string from, to;
-  std::optional<ChangeRequest> request;      // for the leader
-  std::optional<ChangeResult> result;  // to it
+  std::optional<ChangeRequest> request;  // for the leader
+  std::optional<ChangeResult> result;    // to it
 };
 
 struct MemberOutput : raft::RaftOutput {
   std::vector<MemberMessage> member_messages;
   std::vector<std::pair<uint64_t, ChangeResult>> results;  // by the ticket of Submit
-  std::vector<std::string> log;                      // lines for people
+  std::vector<std::string> log;                            // lines for people
   // Why this member, which does not vote, needs all content anew; empty: it does not.
   std::string needs_resync;
 };
@@ -61,7 +66,7 @@
 // What a gateway acts on.
 struct EffectiveConfig {
   enum class Kind : uint8_t {
-    kAgreed,   // the version in force
+    kAgreed,        // the version in force
     kInTransition,  // a newer one is held and not on: the stricter of both
     // Its lease is over, or its content is not what was agreed: nothing that could contradict a
     // version that it does not have.
@@ -85,8 +90,8 @@
   };
   ClusterMember(Options options, raft::PersistentState disk, uint64_t seed, Time now);
 
-  void OnPeerConnected(Time now, const std::string& name, uint64_t life, const raft::StorageClaim& of_you,
-              MemberOutput& out);
+  void OnPeerConnected(Time now, const std::string& name, uint64_t life,
+                       const raft::StorageClaim& of_you, MemberOutput& out);
   void OnPeerDisconnected(Time now, const std::string& name, MemberOutput& out);
   void OnMessage(Time now, const raft::Message& message, MemberOutput& out);
   void OnMessage(Time now, const MemberMessage& note, MemberOutput& out);
@@ -129,7 +134,7 @@
   raft::RaftNode raft_node_;
   VersionHistory history_;
   Time started_;
-  std::map<std::string, uint64_t> linked_;  // name to life
+  std::map<std::string, uint64_t> linked_;                // name to life
   std::map<std::string, PendingChange> pending_changes_;  // by the change's id
   std::pair<raft::Term, uint64_t> on_proposed_{0, 0};
   bool formed_proposed_ = false;
--- a/src/cluster/config_document.cpp
+++ b/src/cluster/config_document.cpp
@@ -14,11 +14,15 @@
 
 void CheckList(const json& rules, const char* key, std::vector<std::string>& faults) {
   const auto at = rules.find(key);
-  if (at == rules.end()) return;
+  if (at == rules.end()) {
+    return;
+  }
   const bool good = at->is_array() && std::ranges::all_of(*at, [](const json& id) {
                       return id.is_string() && !id.get_ref<const std::string&>().empty();
                     });
-  if (!good) faults.push_back(std::string(key) + ": expected a list of hosts' ids");
+  if (!good) {
+    faults.push_back(std::string(key) + ": expected a list of hosts' ids");
+  }
 }
 
 void CheckSettings(const json& settings, std::vector<std::string>& faults) {
@@ -29,14 +33,20 @@
     }
   }
   const auto allowed = settings.find("Allowed");
-  if (allowed != settings.end()) ValidateAllowed(*allowed, faults);
+  if (allowed != settings.end()) {
+    ValidateAllowed(*allowed, faults);
+  }
 }
 
 std::vector<std::string> Check(std::string_view text, size_t most, json& rules) {
   std::vector<std::string> faults = ValidateSize(text.size(), most);
-  if (!faults.empty()) return faults;
+  if (!faults.empty()) {
+    return faults;
+  }
   rules = json::parse(text, nullptr, false);
-  if (rules.is_discarded() || !rules.is_object()) return {"expected one JSON object"};
+  if (rules.is_discarded() || !rules.is_object()) {
+    return {"expected one JSON object"};
+  }
   for (const auto& [key, value] : rules.items()) {
     if (key != "settings" && key != "barred" && key != "drain" && key != "zone_only") {
       faults.push_back(key + ": expected settings, barred, drain or zone_only");
@@ -47,10 +57,14 @@
   if (const auto at = rules.find("zone_only"); at != rules.end()) {
     const bool good = at->is_object() &&
                       std::ranges::all_of(*at, [](const json& zone) { return zone.is_string(); });
-    if (!good) faults.emplace_back("zone_only: expected an object of host to zone");
+    if (!good) {
+      faults.emplace_back("zone_only: expected an object of host to zone");
+    }
   }
   const auto settings = rules.find("settings");
-  if (settings == rules.end()) return faults;
+  if (settings == rules.end()) {
+    return faults;
+  }
   if (!settings->is_object()) {
     faults.emplace_back("settings: expected an object");
     return faults;
@@ -67,12 +81,15 @@
 }
 
 std::vector<std::string> ValidateSize(size_t bytes, size_t most) {
-  if (bytes <= most) return {};
+  if (bytes <= most) {
+    return {};
+  }
   return {"a version of " + std::to_string(bytes) + " bytes, expected " + std::to_string(most) +
           " at most"};
 }
 
-void ValidateNamedObject(const std::string& where, const json& item, std::vector<std::string>& faults) {
+void ValidateNamedObject(const std::string& where, const json& item,
+                         std::vector<std::string>& faults) {
   const auto fault = [&](const char* what, const char* expected) {
     std::string line = where;
     faults.push_back(line.append(what).append(": expected ").append(expected));
@@ -82,15 +99,20 @@
     return fault("", "an object with a Name");
   }
   if (const auto e = item.find("Effect"); e != item.end()) {
-    if (!e->is_string() || std::ranges::find(kIdempotencyLevels, e->get<std::string>()) == kIdempotencyLevels.end()) {
+    if (!e->is_string() ||
+        std::ranges::find(kIdempotencyLevels, e->get<std::string>()) == kIdempotencyLevels.end()) {
       fault(".Effect", "safe, keyed or unsafe");
     }
   }
   const auto numbers = [&](const auto& keys, bool zero, const char* expected) {
     for (const char* const key : keys) {
       const auto d = item.find(key);
-      if (d == item.end()) continue;
-      if (d->is_number() && (d->get<double>() > 0 || (zero && d->get<double>() == 0))) continue;
+      if (d == item.end()) {
+        continue;
+      }
+      if (d->is_number() && (d->get<double>() > 0 || (zero && d->get<double>() == 0))) {
+        continue;
+      }
       fault(std::string(".").append(key).c_str(), expected);
     }
   };
@@ -98,7 +120,8 @@
   numbers(std::array{"Window", "QuotaPerS", "Share"}, true, "a number of 0 or more");
 }
 
-void ValidateNamedList(const std::string& where, const json& list, std::vector<std::string>& faults) {
+void ValidateNamedList(const std::string& where, const json& list,
+                       std::vector<std::string>& faults) {
   if (!list.is_array()) {
     faults.push_back(where + ": expected a list");
     return;
@@ -110,7 +133,9 @@
     at.append(".").append(std::to_string(i));
     ValidateNamedObject(at, item, faults);
     const auto name = item.is_object() ? item.find("Name") : item.end();
-    if (name == item.end() || !name->is_string()) continue;
+    if (name == item.end() || !name->is_string()) {
+      continue;
+    }
     if (!seen.insert(name->get_ref<const std::string&>()).second) {
       faults.push_back(at + ".Name: '" + name->get<std::string>() +
                        "' a second time, expected each once");
@@ -132,7 +157,9 @@
 ConfigDocument Parse(std::string_view text, size_t most) {
   json all;
   const std::vector<std::string> faults = Check(text, most, all);
-  if (!faults.empty()) throw std::invalid_argument(faults.front());
+  if (!faults.empty()) {
+    throw std::invalid_argument(faults.front());
+  }
   ConfigDocument rules;
   rules.settings = all.value("settings", json::object());
   rules.excluded = all.value("barred", std::set<std::string>());
@@ -143,9 +170,13 @@
 
 }  // namespace
 
-ConfigDocument ParseDocument(std::string_view text) { return Parse(text, kMaxDocumentBytes); }
+ConfigDocument ParseDocument(std::string_view text) {
+  return Parse(text, kMaxDocumentBytes);
+}
 
-ConfigDocument ParseVersion(std::string_view text) { return Parse(text, kMaxVersionBytes); }
+ConfigDocument ParseVersion(std::string_view text) {
+  return Parse(text, kMaxVersionBytes);
+}
 
 std::string ToText(const ConfigDocument& rules) {
   const auto dumped = [](const json& value) {
@@ -161,7 +192,9 @@
   const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
   std::string out;
   for (const uint64_t half : {hash.high64, hash.low64}) {
-    for (int shift = 60; shift >= 0; shift -= 4) out += "0123456789abcdef"[(half >> shift) & 15];
+    for (int shift = 60; shift >= 0; shift -= 4) {
+      out += "0123456789abcdef"[(half >> shift) & 15];
+    }
   }
   return out;
 }
--- a/src/cluster/config_document.h
+++ b/src/cluster/config_document.h
@@ -18,11 +18,11 @@
 inline constexpr std::array kIdempotencyLevels = {"safe", "keyed", "unsafe"};
 
 inline constexpr size_t kMaxDocumentBytes = 256 << 10;  // bytes of a version that is sent whole
-inline constexpr size_t kMaxVersionBytes = 3 << 20;  // bytes of one that deltas made
+inline constexpr size_t kMaxVersionBytes = 3 << 20;     // bytes of one that deltas made
 
 struct ConfigDocument {
   nlohmann::json settings = nlohmann::json::object();  // laid over the platform's, RFC 7396
-  std::set<std::string> excluded, draining;                 // ids of hosts
+  std::set<std::string> excluded, draining;            // ids of hosts
   std::map<std::string, std::string> zone_only;        // host to the one zone that may use it
   // Nothing is sent twice, whatever its class allows: what holds when it is not known which rules
   // the others act on.
@@ -39,9 +39,9 @@
 // What is wrong in one part; `where` names it in the lines that are added. A list of objects by
 // name, an object of such a list, the value of `Allowed`.
 void ValidateNamedList(const std::string& where, const nlohmann::json& list,
-                    std::vector<std::string>& faults);
+                       std::vector<std::string>& faults);
 void ValidateNamedObject(const std::string& where, const nlohmann::json& item,
-                std::vector<std::string>& faults);
+                         std::vector<std::string>& faults);
 void ValidateAllowed(const nlohmann::json& allowed, std::vector<std::string>& faults);
 
 // Of a text without faults; throws std::invalid_argument with the first fault otherwise.
--- a/src/cluster/delta.cpp
+++ b/src/cluster/delta.cpp
@@ -25,13 +25,17 @@
 }
 
 // Equal as a version's text is: 5 and 5.0 are one number, and two texts.
-bool Same(const json& a, const json& b) { return a == b && Dumped(a) == Dumped(b); }
+bool Same(const json& a, const json& b) {
+  return a == b && Dumped(a) == Dumped(b);
+}
 
 // ---- What is wrong ----------------------------------------------------------------------------
 
 void CheckHosts(const json& delta, const char* key, std::vector<std::string>& faults) {
   const auto at = delta.find(key);
-  if (at == delta.end()) return;
+  if (at == delta.end()) {
+    return;
+  }
   if (!at->is_object()) {
     faults.push_back(std::string(key) + ": expected an object of add and remove");
     return;
@@ -47,7 +51,9 @@
       faults.push_back(where + ": expected a list of hosts' ids");
     } else {
       for (const json& id : list) {
-        if (seen.insert(id).second) continue;
+        if (seen.insert(id).second) {
+          continue;
+        }
         faults.push_back(where + ": '" + id.get<std::string>() +
                          "' a second time, expected each once");
       }
@@ -56,7 +62,9 @@
 }
 
 void CheckNamedParts(const std::string& key, const json& list, std::vector<std::string>& faults) {
-  if (list.is_null()) return;
+  if (list.is_null()) {
+    return;
+  }
   const std::string where = "settings." + key;
   if (!list.is_object()) {
     faults.push_back(where + ": expected an object of name to what it changes");
@@ -80,8 +88,12 @@
   for (size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
     if (string) {
-      if (c == '\\') ++i;
-      if (c == '"') string = false;
+      if (c == '\\') {
+        ++i;
+      }
+      if (c == '"') {
+        string = false;
+      }
     } else if (c == '"') {
       string = true;
     } else if (c == '{' || c == '[') {
@@ -103,7 +115,9 @@
     return {"nested more than " + std::to_string(kDepthMost) + " deep, expected less"};
   }
   delta = json::parse(text, nullptr, false);
-  if (delta.is_discarded() || !delta.is_object()) return {"expected one JSON object"};
+  if (delta.is_discarded() || !delta.is_object()) {
+    return {"expected one JSON object"};
+  }
   std::vector<std::string> faults;
   const std::set<std::string> keys = {"settings", "replace", "barred", "drain", "zone_only"};
   for (const auto& [key, value] : delta.items()) {
@@ -117,18 +131,24 @@
     const bool good = at->is_object() && std::ranges::all_of(*at, [](const json& zone) {
                         return zone.is_string() || zone.is_null();
                       });
-    if (!good) faults.emplace_back("zone_only: expected an object of host to zone, or to null");
+    if (!good) {
+      faults.emplace_back("zone_only: expected an object of host to zone, or to null");
+    }
   }
   const auto settings = delta.find("settings");
   if (settings != delta.end() && !settings->is_object()) {
     faults.emplace_back("settings: expected an object");
   } else if (settings != delta.end()) {
     for (const auto& [key, value] : settings->items()) {
-      if (IsNamedList(key)) CheckNamedParts(key, value, faults);
+      if (IsNamedList(key)) {
+        CheckNamedParts(key, value, faults);
+      }
     }
   }
   const auto replace = delta.find("replace");
-  if (replace == delta.end()) return faults;
+  if (replace == delta.end()) {
+    return faults;
+  }
   if (!replace->is_object()) {
     faults.emplace_back("replace: expected an object of keys of the settings");
     return faults;
@@ -145,7 +165,9 @@
 
 void ApplyHosts(const json& delta, const char* key, PersistentMap& hosts) {
   const auto at = delta.find(key);
-  if (at == delta.end()) return;
+  if (at == delta.end()) {
+    return;
+  }
   for (const json& id : at->value("remove", json::array())) {
     hosts.Remove(id.get_ref<const std::string&>());
   }
@@ -166,7 +188,9 @@
       std::ranges::all_of(patch, [](const json& item) { return item.is_null(); })) {
     return;
   }
-  if (!list) list.emplace();
+  if (!list) {
+    list.emplace();
+  }
   for (const auto& [name, change] : patch.items()) {
     if (change.is_null()) {
       list->Remove(name);
@@ -192,7 +216,9 @@
       const MapEntry* const there = content.settings.Find(key);
       json value = there != nullptr ? json::parse(there->text) : json();
       value.merge_patch(patch);
-      if (key == "Allowed") ValidateAllowed(value, faults);
+      if (key == "Allowed") {
+        ValidateAllowed(value, faults);
+      }
       content.settings.Set(key, Dumped(value));
     }
   }
@@ -203,7 +229,9 @@
       whole.settings[key] = value;
       *content.NamedList(key) = *VersionContent(whole).NamedList(key);
     } else {
-      if (key == "Allowed") ValidateAllowed(value, faults);
+      if (key == "Allowed") {
+        ValidateAllowed(value, faults);
+      }
       content.settings.Set(key, Dumped(value));
     }
   }
@@ -213,26 +241,36 @@
 
 // Whether a merge patch sets this value as it is.
 bool CanSet(const json& value) {
-  if (value.is_null()) return false;
+  if (value.is_null()) {
+    return false;
+  }
   return !value.is_object() ||
          std::ranges::all_of(value, [](const json& inner) { return CanSet(inner); });
 }
 
 // The merge patch that makes `b` of `a`; nothing where none does.
 std::optional<json> Patch(const json& a, const json& b) {
-  if (!a.is_object() || !b.is_object()) return CanSet(b) ? std::optional(b) : std::nullopt;
+  if (!a.is_object() || !b.is_object()) {
+    return CanSet(b) ? std::optional(b) : std::nullopt;
+  }
   json patch = json::object();
   for (const auto& [key, value] : a.items()) {
-    if (!b.contains(key)) patch[key] = nullptr;
+    if (!b.contains(key)) {
+      patch[key] = nullptr;
+    }
   }
   for (const auto& [key, value] : b.items()) {
     const auto at = a.find(key);
     if (at == a.end()) {
-      if (!CanSet(value)) return std::nullopt;
+      if (!CanSet(value)) {
+        return std::nullopt;
+      }
       patch[key] = value;
     } else if (!Same(*at, value)) {
       auto inner = Patch(*at, value);
-      if (!inner) return std::nullopt;
+      if (!inner) {
+        return std::nullopt;
+      }
       patch[key] = std::move(*inner);
     }
   }
@@ -242,7 +280,9 @@
 // The names of a list in its order.
 std::vector<std::string_view> Names(const PersistentMap& list) {
   std::vector<std::string_view> names;
-  for (const MapEntry* const part : list.EntriesInOrder()) names.push_back(part->name);
+  for (const MapEntry* const part : list.EntriesInOrder()) {
+    names.push_back(part->name);
+  }
   return names;
 }
 
@@ -264,16 +304,24 @@
           inner = Patch(json::parse(*in_a), item);
         } else {
           item.erase("Name");
-          if (CanSet(item)) inner = std::move(item);
+          if (CanSet(item)) {
+            inner = std::move(item);
+          }
           fresh.push_back(b.Find(name)->name);
         }
         can = can && inner.has_value();
-        if (inner) patch[name] = std::move(*inner);
+        if (inner) {
+          patch[name] = std::move(*inner);
+        }
       });
-  if (!can) return std::nullopt;
+  if (!can) {
+    return std::nullopt;
+  }
   std::vector<std::string_view> made;
   for (const std::string_view name : Names(a)) {
-    if (b.Find(name) != nullptr) made.push_back(name);
+    if (b.Find(name) != nullptr) {
+      made.push_back(name);
+    }
   }
   made.insert(made.end(), fresh.begin(), fresh.end());
   return made == Names(b) ? std::optional(std::move(patch)) : std::nullopt;
@@ -281,12 +329,16 @@
 
 json HostsDifference(const PersistentMap& a, const PersistentMap& b) {
   json add = json::array(), remove = json::array(), both = json::object();
-  PersistentMap::ForEachDifference(a, b,
-                           [&](const std::string& id, const std::string* in_a, const std::string*) {
-                             (in_a == nullptr ? add : remove).push_back(id);
-                           });
-  if (!add.empty()) both["add"] = std::move(add);
-  if (!remove.empty()) both["remove"] = std::move(remove);
+  PersistentMap::ForEachDifference(
+      a, b, [&](const std::string& id, const std::string* in_a, const std::string*) {
+        (in_a == nullptr ? add : remove).push_back(id);
+      });
+  if (!add.empty()) {
+    both["add"] = std::move(add);
+  }
+  if (!remove.empty()) {
+    both["remove"] = std::move(remove);
+  }
   return both;
 }
 
@@ -300,7 +352,9 @@
 VersionContent ApplyDelta(VersionContent base, std::string_view text) {
   json delta;
   std::vector<std::string> faults = Check(text, delta);
-  if (!faults.empty()) throw std::invalid_argument(faults.front());
+  if (!faults.empty()) {
+    throw std::invalid_argument(faults.front());
+  }
   VersionContent content = std::move(base);
   constexpr const char* kMade = "the version that it makes: ";
   try {
@@ -320,8 +374,12 @@
     }
   }
   // Of what the delta does not name each part was looked at before.
-  if (faults.empty()) faults = ValidateSize(TextBytes(content), kMaxVersionBytes);
-  if (!faults.empty()) throw std::invalid_argument(kMade + faults.front());
+  if (faults.empty()) {
+    faults = ValidateSize(TextBytes(content), kMaxVersionBytes);
+  }
+  if (!faults.empty()) {
+    throw std::invalid_argument(kMade + faults.front());
+  }
   return content;
 }
 
@@ -344,14 +402,20 @@
       });
   for (const char* const key : kNamedLists) {
     const std::optional<PersistentMap>&was = *a.NamedList(key), &is = *b.NamedList(key);
-    if (was && !is) settings[key] = nullptr;
-    if (!is || (was && *was == *is && Names(*was) == Names(*is))) continue;
+    if (was && !is) {
+      settings[key] = nullptr;
+    }
+    if (!is || (was && *was == *is && Names(*was) == Names(*is))) {
+      continue;
+    }
     std::optional<json> patch = NamedPatch(was.value_or(PersistentMap()), *is);
     if (patch) {
       settings[key] = std::move(*patch);
     } else {
       json& list = replace[key] = json::array();
-      for (const MapEntry* const part : is->EntriesInOrder()) list.push_back(json::parse(part->text));
+      for (const MapEntry* const part : is->EntriesInOrder()) {
+        list.push_back(json::parse(part->text));
+      }
     }
   }
   PersistentMap::ForEachDifference(
@@ -361,7 +425,9 @@
       });
   json delta = json::object();
   const auto put = [&](const char* key, json value) {
-    if (!value.empty()) delta[key] = std::move(value);
+    if (!value.empty()) {
+      delta[key] = std::move(value);
+    }
   };
   put("settings", std::move(settings));
   put("replace", std::move(replace));
--- a/src/cluster/persistent_map.h
+++ b/src/cluster/persistent_map.h
@@ -55,7 +55,9 @@
   template <typename Each>
   void ForEach(Each&& each) const {
     for (const Chunk& chunk : chunks()) {
-      for (const MapEntry& part : *chunk) each(part);
+      for (const MapEntry& part : *chunk) {
+        each(part);
+      }
     }
   }
   // By order.
@@ -67,7 +69,9 @@
 
   // The same names with the same texts.
   friend bool operator==(const PersistentMap& a, const PersistentMap& b) {
-    if (a.size_ != b.size_ || a.hash_ != b.hash_) return false;
+    if (a.size_ != b.size_ || a.hash_ != b.hash_) {
+      return false;
+    }
     bool same = true;
     ForEachDifference(a, b, [&](const auto&, const auto*, const auto*) { same = false; });
     return same;
@@ -96,13 +100,16 @@
 
 template <typename Each>
 void PersistentMap::ForEachDifference(const PersistentMap& a, const PersistentMap& b, Each&& each) {
-  if (a.chunks_ == b.chunks_) return;
+  if (a.chunks_ == b.chunks_) {
+    return;
+  }
   const Chunks &in_a = a.chunks(), &in_b = b.chunks();
   size_t i = 0, j = 0, at_a = 0, at_b = 0;  // chunk, and part within it
   const std::string* const none = nullptr;
   while (i < in_a.size() || j < in_b.size()) {
     if (i < in_a.size() && j < in_b.size() && at_a == 0 && at_b == 0 && in_a[i] == in_b[j]) {
-      ++i, ++j;
+      ++i;
+      ++j;
       continue;
     }
     const bool more_a = i < in_a.size(), more_b = j < in_b.size();
@@ -118,8 +125,14 @@
     } else if (const MapEntry& x = (*in_a[i])[at_a], &y = (*in_b[j])[at_b]; x.text != y.text) {
       each(x.name, &x.text, &y.text);
     }
-    if (way <= 0 && ++at_a == in_a[i]->size()) ++i, at_a = 0;
-    if (way >= 0 && ++at_b == in_b[j]->size()) ++j, at_b = 0;
+    if (way <= 0 && ++at_a == in_a[i]->size()) {
+      ++i;
+      at_a = 0;
+    }
+    if (way >= 0 && ++at_b == in_b[j]->size()) {
+      ++j;
+      at_b = 0;
+    }
   }
 }
 
--- a/src/cluster/version_content.cpp
+++ b/src/cluster/version_content.cpp
@@ -22,17 +22,23 @@
 PersistentMap ParseNamedList(const std::string& key, const json& list) {
   std::vector<std::string> faults;
   ValidateNamedList("settings." + key, list, faults);
-  if (!faults.empty()) throw std::invalid_argument(faults.front());
+  if (!faults.empty()) {
+    throw std::invalid_argument(faults.front());
+  }
   std::vector<MapEntry> parts;
   parts.reserve(list.size());
-  for (const json& item : list) parts.push_back({item["Name"], Dumped(item)});
+  for (const json& item : list) {
+    parts.push_back({item["Name"], Dumped(item)});
+  }
   return PersistentMap(std::move(parts));
 }
 
 PersistentMap Hosts(const std::set<std::string>& ids) {
   std::vector<MapEntry> parts;
   parts.reserve(ids.size());
-  for (const std::string& id : ids) parts.push_back({id, Dumped(id)});
+  for (const std::string& id : ids) {
+    parts.push_back({id, Dumped(id)});
+  }
   return PersistentMap(std::move(parts));
 }
 
@@ -45,18 +51,26 @@
 // ---- Text and size ----------------------------------------------------------------------------
 
 // Of `count` values with commas between them, in brackets.
-size_t Bracketed(size_t count, size_t bytes) { return bytes + (count > 0 ? count - 1 : 0) + 2; }
-size_t ListBytes(const PersistentMap& parts) { return Bracketed(parts.size(), parts.text_bytes()); }
+size_t Bracketed(size_t count, size_t bytes) {
+  return bytes + (count > 0 ? count - 1 : 0) + 2;
+}
+size_t ListBytes(const PersistentMap& parts) {
+  return Bracketed(parts.size(), parts.text_bytes());
+}
 
 void WriteList(const PersistentMap& parts, bool ordered, std::string& out) {
   out += '[';
   bool first = true;
   const auto write = [&](const MapEntry& part) {
-    if (!std::exchange(first, false)) out += ',';
+    if (!std::exchange(first, false)) {
+      out += ',';
+    }
     out += part.text;
   };
   if (ordered) {
-    for (const MapEntry* const part : parts.EntriesInOrder()) write(*part);
+    for (const MapEntry* const part : parts.EntriesInOrder()) {
+      write(*part);
+    }
   } else {
     parts.ForEach(write);
   }
@@ -72,7 +86,9 @@
 
 std::optional<json> SendCap(const VersionContent& content) {
   const MapEntry* const allowed = content.settings.Find("Allowed");
-  if (allowed == nullptr) return std::nullopt;
+  if (allowed == nullptr) {
+    return std::nullopt;
+  }
   const json value = json::parse(allowed->text);
   const auto at = value.is_object() ? value.find("SendCap") : value.end();
   return at == value.end() ? std::nullopt : std::optional<json>(*at);
@@ -80,12 +96,17 @@
 
 // each(name, item of a, item of b) for those that both have and that differ.
 template <typename Each>
-void ForBoth(const std::optional<PersistentMap>& a, const std::optional<PersistentMap>& b, Each&& each) {
-  if (!a || !b) return;
+void ForBoth(const std::optional<PersistentMap>& a, const std::optional<PersistentMap>& b,
+             Each&& each) {
+  if (!a || !b) {
+    return;
+  }
   PersistentMap::ForEachDifference(
       *a, *b, [&](const std::string& name, const std::string* in_a, const std::string* in_b) {
         // One that the other does not have is refused there, and nothing is done twice by that.
-        if (in_a != nullptr && in_b != nullptr) each(name, json::parse(*in_a), json::parse(*in_b));
+        if (in_a != nullptr && in_b != nullptr) {
+          each(name, json::parse(*in_a), json::parse(*in_b));
+        }
       });
 }
 
@@ -102,7 +123,9 @@
     }
   }
   settings = PersistentMap(std::move(keys));
-  for (const auto& [host, zone] : rules.zone_only) zones.push_back({host, Dumped(zone)});
+  for (const auto& [host, zone] : rules.zone_only) {
+    zones.push_back({host, Dumped(zone)});
+  }
   zone_only = PersistentMap(std::move(zones));
 }
 
@@ -111,9 +134,13 @@
   settings.ForEach([&](const MapEntry& p) { rules.settings[p.name] = json::parse(p.text); });
   for (const char* const key : kNamedLists) {
     const std::optional<PersistentMap>& list = *NamedList(key);
-    if (!list) continue;
+    if (!list) {
+      continue;
+    }
     json items = json::array();
-    for (const MapEntry* const p : list->EntriesInOrder()) items.push_back(json::parse(p->text));
+    for (const MapEntry* const p : list->EntriesInOrder()) {
+      items.push_back(json::parse(p->text));
+    }
     rules.settings[key] = std::move(items);
   }
   rules.excluded = Ids(excluded);
@@ -134,7 +161,9 @@
   // The keys in their order, among them those of the lists.
   std::map<std::string_view, std::string> lists;
   for (const char* const key : kNamedLists) {
-    if (const auto& list = *content.NamedList(key)) WriteList(*list, true, lists[key]);
+    if (const auto& list = *content.NamedList(key)) {
+      WriteList(*list, true, lists[key]);
+    }
   }
   std::string out = R"({"barred":)";
   out.reserve(TextBytes(content));
@@ -144,7 +173,9 @@
   out += R"(,"settings":{)";
   bool first = true;
   const auto field = [&](std::string_view key, const std::string& text) {
-    if (!std::exchange(first, false)) out += ',';
+    if (!std::exchange(first, false)) {
+      out += ',';
+    }
     out += Dumped(key);
     out += ':';
     out += text;
@@ -156,7 +187,9 @@
     }
     field(part.name, part.text);
   });
-  for (const auto& [key, text] : lists) field(key, text);
+  for (const auto& [key, text] : lists) {
+    field(key, text);
+  }
   out += R"(},"zone_only":{)";
   first = true;
   content.zone_only.ForEach([&](const MapEntry& part) { field(part.name, part.text); });
@@ -172,7 +205,9 @@
   size_t keys = content.settings.size(), settings = fields(content.settings);
   for (const char* const key : kNamedLists) {
     const auto& list = *content.NamedList(key);
-    if (!list) continue;
+    if (!list) {
+      continue;
+    }
     ++keys;
     settings += std::string_view(key).size() + 3 + ListBytes(*list);
   }
@@ -201,7 +236,9 @@
 std::vector<std::string> Contradictions(const VersionContent& a, const VersionContent& b) {
   std::vector<std::string> why;
   const auto differ = [&](const PersistentMap& x, const PersistentMap& y, const char* what) {
-    if (x != y) why.emplace_back(what);
+    if (x != y) {
+      why.emplace_back(what);
+    }
   };
   differ(a.excluded, b.excluded, "barred: a host that one may use and the other may not");
   differ(a.draining, b.draining, "drain: a host that one may use and the other may not");
@@ -226,7 +263,9 @@
     why.emplace_back("settings.Tenants: said by one alone");
   }
   ForBoth(a.tenants, b.tenants, [&](const std::string& name, const json& x, const json& y) {
-    if (x.value("QuotaPerS", 0.0) == y.value("QuotaPerS", 0.0)) return;
+    if (x.value("QuotaPerS", 0.0) == y.value("QuotaPerS", 0.0)) {
+      return;
+    }
     why.push_back("settings.Tenants." + name + ".QuotaPerS: one lets more through");
   });
   return why;
@@ -239,7 +278,9 @@
     const PersistentMap there = hosts;
     PersistentMap::ForEachDifference(
         more, there, [&](const std::string& id, const std::string* in_more, const std::string*) {
-          if (in_more != nullptr) hosts.Set(id, *in_more);
+          if (in_more != nullptr) {
+            hosts.Set(id, *in_more);
+          }
         });
   };
   bar(a.excluded, both.excluded);
@@ -248,8 +289,12 @@
       a.zone_only, b.zone_only,
       [&](const std::string& host, const std::string* in_a, const std::string* in_b) {
         // Two zones that each rule the other out leave none.
-        if (in_a != nullptr && in_b != nullptr) both.excluded.Set(host, Dumped(host));
-        if (in_a != nullptr && in_b == nullptr) both.zone_only.Set(host, *in_a);
+        if (in_a != nullptr && in_b != nullptr) {
+          both.excluded.Set(host, Dumped(host));
+        }
+        if (in_a != nullptr && in_b == nullptr) {
+          both.zone_only.Set(host, *in_a);
+        }
       });
   const std::optional<json> cap_a = SendCap(a), cap_b = SendCap(b);
   if (a.classes.has_value() != b.classes.has_value() || cap_a.has_value() != cap_b.has_value()) {
@@ -268,7 +313,9 @@
     both.settings.Set("Allowed", Dumped(allowed));
   }
   ForBoth(a.tenants, b.tenants, [&](const std::string& name, const json& x, json t) {
-    if (!x.contains("QuotaPerS")) return;
+    if (!x.contains("QuotaPerS")) {
+      return;
+    }
     t["QuotaPerS"] = std::min(t.value("QuotaPerS", 0.0), x.value("QuotaPerS", 0.0));
     both.tenants->Set(name, Dumped(t));
   });
--- a/src/cluster/version_content.h
+++ b/src/cluster/version_content.h
@@ -28,8 +28,8 @@
 
   PersistentMap settings;                         // by key, but for the lists below
   std::optional<PersistentMap> classes, tenants;  // by name; none: the version does not say
-  PersistentMap excluded, draining, zone_only;         // by host
-  bool strict = false;                    // as in Rules
+  PersistentMap excluded, draining, zone_only;    // by host
+  bool strict = false;                            // as in Rules
 
   // The same parts; the order of a list tells nothing.
   bool operator==(const VersionContent&) const = default;
--- a/src/cluster/version_history.cpp
+++ b/src/cluster/version_history.cpp
@@ -25,9 +25,15 @@
 }  // namespace
 
 std::string VersionHistory::ChangeEntry(const Change& change, const DeltaResult& made) {
-  json value = {{"kind", "change"},        {"id", change.id},         {"author", change.author},
-                {"reason", change.reason}, {"unix_s", change.submitted_unix_s}, {"rules", change.document}};
-  if (change.expected_version) value["expect"] = *change.expected_version;
+  json value = {{"kind", "change"},
+                {"id", change.id},
+                {"author", change.author},
+                {"reason", change.reason},
+                {"unix_s", change.submitted_unix_s},
+                {"rules", change.document}};
+  if (change.expected_version) {
+    value["expect"] = *change.expected_version;
+  }
   if (change.is_delta) {
     // Under a key of its own: a program that knows no deltas refuses it, and takes it for no whole.
     value["delta"] = std::move(value["rules"]);
@@ -40,11 +46,15 @@
 
 std::string VersionHistory::InForceEntry(uint64_t version, const std::string& hash) {
   json value = {{"kind", "on"}, {"version", version}};
-  if (!hash.empty()) value["hash"] = hash;
+  if (!hash.empty()) {
+    value["hash"] = hash;
+  }
   return Packed(value);
 }
 
-std::string VersionHistory::FormedEntry() { return Packed({{"kind", "formed"}}); }
+std::string VersionHistory::FormedEntry() {
+  return Packed({{"kind", "formed"}});
+}
 
 namespace {
 
@@ -69,18 +79,25 @@
   const json value = Unpacked(entry);
   const std::string kind = value.value("kind", "");
   Result result;
-  if (kind == "formed") formed_ = true;
+  if (kind == "formed") {
+    formed_ = true;
+  }
   if (kind == "on") {
     result.is_in_force = true;
     result.version = value.value("version", uint64_t{0});
     const Version* const version = Find(result.version);
     if (version != nullptr || result.version > latest_version()) {
       const std::string agreed = value.value("hash", "");
-      CompareHash(result.version, version != nullptr ? HashAs(agreed, *version) : "missing", agreed);
+      CompareHash(result.version, version != nullptr ? HashAs(agreed, *version) : "missing",
+                  agreed);
+    }
+    if (result.version > version_in_force_ && result.version <= latest_version()) {
+      PutInForce(result.version);
     }
-    if (result.version > version_in_force_ && result.version <= latest_version()) PutInForce(result.version);
   }
-  if (kind != "change") return result;
+  if (kind != "change") {
+    return result;
+  }
   result.is_change = true;
   result.id = value.value("id", "");
   if (auto before = Find(result.id)) {
@@ -105,12 +122,12 @@
   if (!result.refusal_reason.empty()) {
     // Told above.
   } else if (expect != value.end() && *expect != latest_version()) {
-    result.refusal_reason =
-        "the latest version is " + std::to_string(latest_version()) + ", expected " + expect->dump();
+    result.refusal_reason = "the latest version is " + std::to_string(latest_version()) +
+                            ", expected " + expect->dump();
   } else if (base != latest_version()) {
     // The leader knew what comes before it: whoever has another version there has missed one.
     result.refusal_reason = "a delta to version " + std::to_string(base) + ", the latest is " +
-                     std::to_string(latest_version()) + " here";
+                            std::to_string(latest_version()) + " here";
     RecordMismatch(UINT64_MAX, result.refusal_reason);
   } else if (delta) {
     try {
@@ -118,7 +135,9 @@
     } catch (const std::invalid_argument& fault) {
       result.refusal_reason = fault.what();
       // The leader made a version of it.
-      if (!agreed.empty()) RecordMismatch(UINT64_MAX, result.refusal_reason);
+      if (!agreed.empty()) {
+        RecordMismatch(UINT64_MAX, result.refusal_reason);
+      }
     }
   }
   if (result.refusal_reason.empty()) {
@@ -138,7 +157,8 @@
     }
     version.hash = HashOf(version);
     CompareHash(version.number, HashAs(agreed, version), agreed);
-    const bool waits = version_in_force_ != latest_version() || !Contradictions(effective_content_, next).empty();
+    const bool waits =
+        version_in_force_ != latest_version() || !Contradictions(effective_content_, next).empty();
     versions_.push_back(std::move(version));
     latest_content_ = std::move(next);
     if (!waits) {
@@ -154,7 +174,9 @@
 
 std::optional<VersionHistory::Result> VersionHistory::Find(const std::string& id) const {
   const auto at = std::ranges::find(ids_, id, &std::pair<std::string, Result>::first);
-  if (at == ids_.end()) return std::nullopt;
+  if (at == ids_.end()) {
+    return std::nullopt;
+  }
   return at->second;
 }
 
@@ -168,19 +190,26 @@
   mismatch_version_ = std::max(mismatch_version_, version);
 }
 
-void VersionHistory::CompareHash(uint64_t version, const std::string& here, const std::string& agreed) {
-  if (agreed.empty()) return;  // of a bank whose changes are whole
+void VersionHistory::CompareHash(uint64_t version, const std::string& here,
+                                 const std::string& agreed) {
+  if (agreed.empty()) {
+    return;  // of a bank whose changes are whole
+  }
   if (here != agreed) {
-    return RecordMismatch(version, "version " + std::to_string(version) + " is " + here + " here, " +
-                               agreed + " agreed");
+    return RecordMismatch(version, "version " + std::to_string(version) + " is " + here +
+                                       " here, " + agreed + " agreed");
+  }
+  if (version >= mismatch_version_) {
+    content_mismatch_.clear();
   }
-  if (version >= mismatch_version_) content_mismatch_.clear();
 }
 
-void VersionHistory::ForEachVersion(uint64_t first,
-                   const std::function<void(const Version&, const VersionContent&)>& each) const {
+void VersionHistory::ForEachVersion(
+    uint64_t first, const std::function<void(const Version&, const VersionContent&)>& each) const {
   for (const Version& v : versions_) {
-    if (v.content && v.number >= first) each(v, *v.content);
+    if (v.content && v.number >= first) {
+      each(v, *v.content);
+    }
   }
 }
 
@@ -188,30 +217,40 @@
 void VersionHistory::PutInForce(uint64_t version) {
   version_in_force_ = version;
   // What came whole owes nothing to what was here before.
-  if (version_in_force_ >= last_full_version_ && last_full_version_ > mismatch_version_) content_mismatch_.clear();
+  if (version_in_force_ >= last_full_version_ && last_full_version_ > mismatch_version_) {
+    content_mismatch_.clear();
+  }
   if (version_in_force_ == latest_version()) {
     effective_content_ = latest_content_;
     return;
   }
   bool first = true;
   ForEachVersion(version_in_force_, [&](const Version&, const VersionContent& content) {
-    effective_content_ = std::exchange(first, false) ? content : StricterOf(effective_content_, content);
+    effective_content_ =
+        std::exchange(first, false) ? content : StricterOf(effective_content_, content);
   });
 }
 
 void VersionHistory::Trim() {
   // What is in force or to come stays whole.
-  for (size_t i = 0; i + kFullVersions < versions_.size() && versions_[i].number < version_in_force_; ++i) {
+  for (size_t i = 0;
+       i + kFullVersions < versions_.size() && versions_[i].number < version_in_force_; ++i) {
     Version& old = versions_[i];
-    if (!old.content) continue;
+    if (!old.content) {
+      continue;
+    }
     old.content.reset();
     old.document.clear();
     old.delta.clear();
     // The oldest that is kept is told whole, those behind it from it.
     versions_[i + 1].delta.clear();
   }
-  while (versions_.size() > kMaxVersions && versions_.front().number < version_in_force_) versions_.pop_front();
-  while (ids_.size() > kMaxChangeIds) ids_.pop_front();
+  while (versions_.size() > kMaxVersions && versions_.front().number < version_in_force_) {
+    versions_.pop_front();
+  }
+  while (ids_.size() > kMaxChangeIds) {
+    ids_.pop_front();
+  }
 }
 
 std::string VersionHistory::Save() const {
@@ -220,10 +259,15 @@
     const bool untold = v.content && v.document.empty() && v.delta.empty();
     versions.push_back({v.number, v.id, v.author, v.reason, v.hash, v.submitted_unix_s,
                         untold ? ToText(*v.content) : v.document, v.index});
-    if (!v.delta.empty()) versions.back().push_back(v.delta);
+    if (!v.delta.empty()) {
+      versions.back().push_back(v.delta);
+    }
+  }
+  for (const auto& [id, r] : ids_) {
+    ids.push_back({id, r.version, r.refusal_reason});
   }
-  for (const auto& [id, r] : ids_) ids.push_back({id, r.version, r.refusal_reason});
-  return Packed({{"on", version_in_force_}, {"formed", formed_}, {"versions", versions}, {"ids", ids}});
+  return Packed(
+      {{"on", version_in_force_}, {"formed", formed_}, {"versions", versions}, {"ids", ids}});
 }
 
 void VersionHistory::Load(const std::string& saved) {
@@ -232,7 +276,9 @@
   formed_ = value.value("formed", false);
   for (const json& v : value.value("versions", json::array())) {
     versions_.push_back({v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]});
-    if (v.size() > 8) versions_.back().delta = v[8];
+    if (v.size() > 8) {
+      versions_.back().delta = v[8];
+    }
   }
   for (const json& r : value.value("ids", json::array())) {
     Result result;
@@ -243,15 +289,23 @@
     ids_.emplace_back(result.id, result);
   }
   for (Version& v : versions_) {
-    if (v.document.empty() && v.delta.empty()) continue;
-    v.content =
-        v.document.empty() ? ApplyDelta(latest_content_, v.delta) : VersionContent(ParseVersion(v.document));
+    if (v.document.empty() && v.delta.empty()) {
+      continue;
+    }
+    v.content = v.document.empty() ? ApplyDelta(latest_content_, v.delta)
+                                   : VersionContent(ParseVersion(v.document));
     latest_content_ = *v.content;
   }
-  if (!versions_.empty()) CompareHash(latest_version(), HashOf(versions_.back()), versions_.back().hash);
+  if (!versions_.empty()) {
+    CompareHash(latest_version(), HashOf(versions_.back()), versions_.back().hash);
+  }
   const uint64_t on = value.value("on", uint64_t{0});
-  if (on > 0) return PutInForce(on);
-  ForEachVersion(0, [&](const Version&, const VersionContent& content) { effective_content_ = StricterOf(effective_content_, content); });
+  if (on > 0) {
+    return PutInForce(on);
+  }
+  ForEachVersion(0, [&](const Version&, const VersionContent& content) {
+    effective_content_ = StricterOf(effective_content_, content);
+  });
 }
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/version_history.h
+++ b/src/cluster/version_history.h
@@ -22,15 +22,15 @@
   std::string author, reason;
   double submitted_unix_s = 0;               // when it was submitted, for people; decides nothing
   std::optional<uint64_t> expected_version;  // refused where another version is the latest by then
-  std::string document;               // the whole version
-  bool is_delta = false;              // `rules` is a delta to whichever version is the latest by then
+  std::string document;                      // the whole version
+  bool is_delta = false;  // `rules` is a delta to whichever version is the latest by then
 };
 
 // What the leader that proposed a delta made of it: whoever makes another version of it has other
 // content than the bank.
 struct DeltaResult {
   uint64_t base_version = 0;  // the version that it was applied to
-  std::string hash;   // of the version that it makes
+  std::string hash;           // of the version that it makes
 };
 
 struct Version {
@@ -42,7 +42,8 @@
   std::string document;
   raft::Index index = 0;
   std::string delta{};
-  std::optional<VersionContent> content{};  // of the last kWhole; they share what they have in common
+  std::optional<VersionContent>
+      content{};  // of the last kWhole; they share what they have in common
 };
 
 // Of a version that came as a delta by its parts, of one that came whole of its text.
@@ -50,9 +51,9 @@
 
 class VersionHistory {
  public:
-  static constexpr size_t kFullVersions = 16;      // versions kept whole
-  static constexpr size_t kMaxVersions = 256;  // versions remembered
-  static constexpr size_t kMaxChangeIds = 1024;      // changes by whose ids a repeat is known
+  static constexpr size_t kFullVersions = 16;    // versions kept whole
+  static constexpr size_t kMaxVersions = 256;    // versions remembered
+  static constexpr size_t kMaxChangeIds = 1024;  // changes by whose ids a repeat is known
 
   // The entries.
   static std::string ChangeEntry(const Change& change, const DeltaResult& made = {});
@@ -62,9 +63,9 @@
 
   struct Result {
     bool is_change = false, is_in_force = false;  // what the entry was
-    std::string id;                   // of a change
-    bool is_repeat = false;               // it had been taken before
-    uint64_t version = 0;             // 0: refused
+    std::string id;                               // of a change
+    bool is_repeat = false;                       // it had been taken before
+    uint64_t version = 0;                         // 0: refused
     std::string refusal_reason;
   };
   Result Apply(raft::Index index, const std::string& entry);
@@ -78,7 +79,9 @@
   // The version in force, and the last that was taken: it comes into force once every member that
   // may act has it. 0: none yet, the platform's alone.
   [[nodiscard]] uint64_t version_in_force() const { return version_in_force_; }
-  [[nodiscard]] uint64_t latest_version() const { return versions_.empty() ? 0 : versions_.back().number; }
+  [[nodiscard]] uint64_t latest_version() const {
+    return versions_.empty() ? 0 : versions_.back().number;
+  }
   // The entry that every member that holds a lease must have applied.
   [[nodiscard]] raft::Index latest_index() const {
     return versions_.empty() ? 0 : versions_.back().index;
@@ -93,7 +96,8 @@
     return versions_.empty() ? 0 : TextBytes(latest_content_);
   }
   // The kept versions from `first` on, in their order.
-  void ForEachVersion(uint64_t first, const std::function<void(const Version&, const VersionContent&)>& each) const;
+  void ForEachVersion(uint64_t first,
+                      const std::function<void(const Version&, const VersionContent&)>& each) const;
   // Why the content here is not what the bank has agreed on; empty: nothing speaks against it. A
   // later version settles it where its hash is as agreed, or where it came whole and is on.
   [[nodiscard]] const std::string& content_mismatch() const { return content_mismatch_; }
@@ -114,8 +118,9 @@
   bool formed_ = false;
   VersionContent effective_content_, latest_content_;
   std::string content_mismatch_;
-  uint64_t mismatch_version_ = 0;  // the last version of which it is known; UINT64_MAX: it has no number
-  uint64_t last_full_version_ = 0;    // the last version that came whole
+  uint64_t mismatch_version_ =
+      0;  // the last version of which it is known; UINT64_MAX: it has no number
+  uint64_t last_full_version_ = 0;  // the last version that came whole
 };
 
 }  // namespace paddlestile::cluster
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -20,52 +20,70 @@
 std::string Plain(std::string_view text) {
   std::string out(text);
   for (char& c : out) {
-    if (c == ' ' || c == ',') c = '_';
+    if (c == ' ' || c == ',') {
+      c = '_';
+    }
   }
   return out;
 }
 
 std::string Scalar(const Json& value) {
   switch (value.type()) {
-    case Json::Type::kBool: return value.boolean() ? "true" : "false";
-    case Json::Type::kNumber: return value.text();
-    case Json::Type::kString: return Plain(value.text());
-    default: return "-";
+    case Json::Type::kBool:
+      return value.boolean() ? "true" : "false";
+    case Json::Type::kNumber:
+      return value.text();
+    case Json::Type::kString:
+      return Plain(value.text());
+    default:
+      return "-";
   }
 }
 
 void Flatten(const std::string& path, const Json& value, std::string& out) {
   const auto add = [&](std::string_view name, std::string_view text) {
-    if (!out.empty()) out += ' ';
+    if (!out.empty()) {
+      out += ' ';
+    }
     out += fmt::format("{}={}", name, text);
   };
   if (value.type() == Json::Type::kObject) {
     for (const auto& [name, field] : value.fields()) {
       // A name that would read as something else on the wire is none that the settings know.
-      if (name.empty() || name.find_first_of(" =.") != std::string::npos) continue;
+      if (name.empty() || name.find_first_of(" =.") != std::string::npos) {
+        continue;
+      }
       Flatten(path.empty() ? name : fmt::format("{}.{}", path, name), field, out);
     }
     return;
   }
-  if (value.type() != Json::Type::kArray) return add(path, Scalar(value));
+  if (value.type() != Json::Type::kArray) {
+    return add(path, Scalar(value));
+  }
   const auto& items = value.items();
   const bool objects = !items.empty() && items[0].type() == Json::Type::kObject;
   if (!objects) {
     std::string list;
     for (const Json& item : items) {
-      if (!list.empty()) list += ',';
+      if (!list.empty()) {
+        list += ',';
+      }
       list += Scalar(item);
     }
     return add(path, list);
   }
   add(path + ".count", std::to_string(items.size()));
-  for (size_t i = 0; i < items.size(); ++i) Flatten(fmt::format("{}.{}", path, i), items[i], out);
+  for (size_t i = 0; i < items.size(); ++i) {
+    Flatten(fmt::format("{}.{}", path, i), items[i], out);
+  }
 }
 
 // The names in a list of words or of objects with a Name.
 void AddNames(const Json& settings, std::string_view list, NameTable& table) {
   const Json* const found = settings.Find(list);
-  if (found == nullptr) return;
+  if (found == nullptr) {
+    return;
+  }
   for (const Json& item : found->items()) {
     const bool word = item.type() == Json::Type::kString;
     table.Add(word ? item.text() : item.Require("Name", Json::Type::kString).text());
@@ -74,7 +92,9 @@
 
 const char* NeedVariable(const std::function<const char*(const char*)>& env, const char* name) {
   const char* const value = env(name);
-  if (value == nullptr || *value == '\0') throw ConfigError(fmt::format("{} is not set", name));
+  if (value == nullptr || *value == '\0') {
+    throw ConfigError(fmt::format("{} is not set", name));
+  }
   return value;
 }
 
@@ -89,7 +109,9 @@
 
 std::optional<Address> AdminOf(const Json& json) {
   const Json* const admin = json.Find("admin");
-  if (admin == nullptr || admin->type() == Json::Type::kNull) return std::nullopt;
+  if (admin == nullptr || admin->type() == Json::Type::kNull) {
+    return std::nullopt;
+  }
   try {
     return ParseAddress(json.Require("admin", Json::Type::kString).text());
   } catch (const ConfigError& error) {
@@ -108,18 +130,24 @@
 
 // A name or, on some platforms, a place.
 size_t PlaceOf(const Json* value, const NameTable& names) {
-  if (value == nullptr || value->type() == Json::Type::kNull) return 0;
-  if (value->type() == Json::Type::kString) return names.Find(value->text());
+  if (value == nullptr || value->type() == Json::Type::kNull) {
+    return 0;
+  }
+  if (value->type() == Json::Type::kString) {
+    return names.Find(value->text());
+  }
   const double place = value->number();
   return place >= 0 && place < static_cast<double>(names.size()) ? static_cast<size_t>(place)
                                                                  : names.size();
 }
 
 EndpointListEntry ParseHost(const Json& json, const NameTables& names,
-                    const std::function<Time(double)>& from_wall) {
+                            const std::function<Time(double)>& from_wall) {
   EndpointListEntry entry;
   entry.info.id = json.Require("id", Json::Type::kString).text();
-  if (entry.info.id.empty()) throw JsonError("an empty 'id'");
+  if (entry.info.id.empty()) {
+    throw JsonError("an empty 'id'");
+  }
   const std::string& phase = json.Require("phase", Json::Type::kString).text();
   // A phase that is not known is none that asks for work.
   entry.info.state = phase == "active" ? EndpointState::kUp
@@ -148,23 +176,33 @@
 
 // The paths of what is there, by a dot between names; of lists of objects what all items have.
 void CollectKeys(const std::string& path, const Json& value, std::set<std::string>& keys) {
-  if (value.type() == Json::Type::kNull) return;
-  if (!path.empty()) keys.insert(path);
+  if (value.type() == Json::Type::kNull) {
+    return;
+  }
+  if (!path.empty()) {
+    keys.insert(path);
+  }
   for (const auto& [name, field] : value.fields()) {
     // Of hosts and their list nothing is asked twice.
     CollectKeys(path.empty() ? name : fmt::format("{}.{}", path, name),
                 path.empty() && name == "known" ? Json::Parse("true") : field, keys);
   }
   const auto& items = value.items();
-  if (items.empty() || items[0].type() != Json::Type::kObject) return;
+  if (items.empty() || items[0].type() != Json::Type::kObject) {
+    return;
+  }
   std::map<std::string, size_t> found;
   for (const Json& item : items) {
     std::set<std::string> own;
     CollectKeys(path + ".*", item, own);
-    for (const std::string& key : own) ++found[key];
+    for (const std::string& key : own) {
+      ++found[key];
+    }
   }
   for (const auto& [key, times] : found) {
-    if (times == items.size()) keys.insert(key);
+    if (times == items.size()) {
+      keys.insert(key);
+    }
   }
 }
 
@@ -176,7 +214,9 @@
   AddNames(settings, "Kinds", config.names.kinds);
   if (const Json* const stats = settings.Find("Stats")) {
     if (const Json* const fields = stats->Find("Fields")) {
-      for (const Json& field : fields->items()) config.names.report_fields.push_back(field.text());
+      for (const Json& field : fields->items()) {
+        config.names.report_fields.push_back(field.text());
+      }
     }
   }
   if (const Json* const allowed = settings.Find("Allowed")) {
@@ -205,7 +245,8 @@
   }
   TakeSettings(json.Require("settings", Json::Type::kObject), config);
   CollectKeys("", json, config.file_keys);
-  config.initial_endpoints = ParseEndpointList(json.Require("known", Json::Type::kObject), config.names, from_wall);
+  config.initial_endpoints =
+      ParseEndpointList(json.Require("known", Json::Type::kObject), config.names, from_wall);
   return config;
 }
 
@@ -215,7 +256,9 @@
 
 // What goes takes no more room; what is new takes some beside those that are gone.
 void CheckGone(std::string_view what, bool grows, ptrdiff_t gone) {
-  if (!grows || gone <= kGoneMost) return;
+  if (!grows || gone <= kGoneMost) {
+    return;
+  }
   throw ConfigError(
       fmt::format("over {} {} gone since the start, expected a restart", kGoneMost, what));
 }
@@ -228,11 +271,17 @@
     auto kept = old_values;
     std::vector<Time> over(old.size(), now + kTakenOn);
     for (size_t i = 0; i < over.size() && i < old_until.size(); ++i) {
-      if (old_until[i] != Time::max()) over[i] = old_until[i];  // gone before
+      if (old_until[i] != Time::max()) {
+        over[i] = old_until[i];  // gone before
+      }
     }
     for (const auto& [name, place] : table.positions()) {
-      if (place >= values.size()) continue;
-      if (merged.Find(name) == merged.size()) merged.Add(name);
+      if (place >= values.size()) {
+        continue;
+      }
+      if (merged.Find(name) == merged.size()) {
+        merged.Add(name);
+      }
       const size_t at = merged.Find(name);
       kept.resize(std::max(kept.size(), at + 1));
       over.resize(std::max(over.size(), at + 1));
@@ -262,7 +311,9 @@
     NameTable& table = zones ? names.zones : names.kinds;
     NameTable merged = zones ? was.names.zones : was.names.kinds;
     for (const auto& [name, place] : table.positions()) {
-      if (merged.Find(name) == merged.size()) merged.Add(name);
+      if (merged.Find(name) == merged.size()) {
+        merged.Add(name);
+      }
     }
     table = std::move(merged);
   }
@@ -279,13 +330,19 @@
       const std::string what = error.what();
       faults.push_back(fmt::format("settings: {}", what));
       constexpr std::string_view kBad = "bad ";
-      if (!what.starts_with(kBad)) return;
+      if (!what.starts_with(kBad)) {
+        return;
+      }
       const std::string name = what.substr(kBad.size(), what.find(' ', kBad.size()) - kBad.size());
       size_t at = text.starts_with(name + "=") ? 0 : text.find(" " + name + "=");
-      if (at == std::string::npos) return;
+      if (at == std::string::npos) {
+        return;
+      }
       const size_t end = text.find(' ', at + 1);
       text.erase(at, end == std::string::npos ? end : end - at);
-      if (text.starts_with(' ')) text.erase(0, 1);
+      if (text.starts_with(' ')) {
+        text.erase(0, 1);
+      }
     }
   }
 }
@@ -293,7 +350,9 @@
 }  // namespace
 
 void NameTable::Add(std::string name) {
-  if (positions_.use_count() > 1) positions_ = std::make_shared<Positions>(*positions_);
+  if (positions_.use_count() > 1) {
+    positions_ = std::make_shared<Positions>(*positions_);
+  }
   positions_->emplace(std::move(name), size_++);
 }
 
@@ -303,7 +362,7 @@
 }
 
 EndpointList ParseEndpointList(const Json& json, const NameTables& names,
-                       const std::function<Time(double)>& from_wall) {
+                               const std::function<Time(double)>& from_wall) {
   EndpointList list;
   list.revision = json.Require("revision", Json::Type::kNumber).number();
   const Json* const complete = json.Find("complete");
@@ -347,14 +406,16 @@
 }
 
 // What `text` says after `was`, and with all of these keys; throws what is wrong.
-GatewayConfig ParseAgain(const std::string& text, const GatewayConfig& was, const std::set<std::string>& keys,
-                  Time now, const std::function<Time(double)>& from_wall) {
+GatewayConfig ParseAgain(const std::string& text, const GatewayConfig& was,
+                         const std::set<std::string>& keys, Time now,
+                         const std::function<Time(double)>& from_wall) {
   const Json json = Json::Parse(text);
   GatewayConfig config = ParseConfig(json, from_wall);
   for (const std::string& key : keys) {
     // The fields of a list's items are only those of items that are there.
     const size_t item = key.find(".*");
-    const bool none = item != std::string::npos && !config.file_keys.contains(key.substr(0, item + 2));
+    const bool none =
+        item != std::string::npos && !config.file_keys.contains(key.substr(0, item + 2));
     if (!none && !config.file_keys.contains(key)) {
       throw ConfigError(fmt::format("no '{}', expected as before", key));
     }
@@ -378,7 +439,8 @@
 
 }  // namespace
 
-GatewayConfig ReloadGatewayConfig(const GatewayConfig& was, Time now, const std::function<Time(double)>& from_wall) {
+GatewayConfig ReloadGatewayConfig(const GatewayConfig& was, Time now,
+                                  const std::function<Time(double)>& from_wall) {
   const std::string text = ReadFile(was.path);
   try {
     return ParseAgain(text, was, was.file_keys, now, from_wall);
@@ -408,10 +470,14 @@
     }
     const size_t place = table.Find(name);
     grows = grows || (place == table.size() && figures);
-    if (place == table.size() || IsThere(until, place) == figures.has_value()) continue;
+    if (place == table.size() || IsThere(until, place) == figures.has_value()) {
+      continue;
+    }
     gone += figures ? -1 : 1;
   }
-  if (!grows) return;
+  if (!grows) {
+    return;
+  }
   CheckGone("tenants", grows, std::ssize(until) - std::ranges::count(until, Time::max()) + gone);
 }
 
@@ -422,12 +488,18 @@
   for (const auto& [name, figures] : changes) {
     const size_t place = table.Find(name);
     if (place == table.size()) {
-      if (!figures) continue;
+      if (!figures) {
+        continue;
+      }
       table.Add(name);
       config.settings.tenants.emplace_back();
     }
-    if (figures) config.settings.tenants.at(place) = *figures;
-    if (IsThere(until, place) == figures.has_value()) continue;
+    if (figures) {
+      config.settings.tenants.at(place) = *figures;
+    }
+    if (IsThere(until, place) == figures.has_value()) {
+      continue;
+    }
     until.resize(table.size(), Time::max());
     until[place] = figures ? Time::max() : now + kTakenOn;
   }
@@ -440,7 +512,9 @@
     return std::nullopt;
   }
   std::vector<TenantChange> changes;
-  if (!rules.tenants) return changes;
+  if (!rules.tenants) {
+    return changes;
+  }
   std::string list;
   cluster::PersistentMap::ForEachDifference(
       *was.tenants, *rules.tenants,
@@ -452,12 +526,17 @@
         }
       });
   try {
-    if (list.empty()) return changes;
+    if (list.empty()) {
+      return changes;
+    }
     const Json json = Json::Parse(fmt::format("{{\"Tenants\":[{}]}}", list));
-    const std::vector<TenantQuota> figures = simulator::ParseSettings(FlattenSettings(json)).tenants;
+    const std::vector<TenantQuota> figures =
+        simulator::ParseSettings(FlattenSettings(json)).tenants;
     size_t next = 0;
     for (TenantChange& change : changes) {
-      if (change.quota) change.quota = figures.at(next++);
+      if (change.quota) {
+        change.quota = figures.at(next++);
+      }
     }
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("bank: {}", error.what()));
@@ -473,7 +552,8 @@
   }
 }
 
-GatewayConfig VersionedSettings::ApplyWholeVersion(const cluster::VersionContent& rules, const GatewayConfig& was, Time now) const {
+GatewayConfig VersionedSettings::ApplyWholeVersion(const cluster::VersionContent& rules,
+                                                   const GatewayConfig& was, Time now) const {
   nlohmann::json settings = settings_;
   settings.merge_patch(rules.ToDocument().settings);
   GatewayConfig config;
@@ -487,17 +567,25 @@
   config.seed = was.seed;
   config.max_sockets = was.max_sockets;
   KeepPlaces(was, now, config);
-  if (!rules.strict) return config;
-  for (RequestClass& c : config.settings.classes) c.idempotency = Idempotency::kUnsafe;
+  if (!rules.strict) {
+    return config;
+  }
+  for (RequestClass& c : config.settings.classes) {
+    c.idempotency = Idempotency::kUnsafe;
+  }
   config.settings.allowed.max_attempts = 1;
   return config;
 }
 
-GatewayConfig VersionedSettings::ApplyVersion(const cluster::VersionContent& rules, const GatewayConfig& was,
-                                const cluster::VersionContent* was_rules, Time now) const {
+GatewayConfig VersionedSettings::ApplyVersion(const cluster::VersionContent& rules,
+                                              const GatewayConfig& was,
+                                              const cluster::VersionContent* was_rules,
+                                              Time now) const {
   try {
     const auto changes = was_rules == nullptr ? std::nullopt : TenantsChanged(*was_rules, rules);
-    if (!changes) return ApplyWholeVersion(rules, was, now);
+    if (!changes) {
+      return ApplyWholeVersion(rules, was, now);
+    }
     GatewayConfig config = was;
     ApplyTenantChanges(*changes, now, config);
     return config;
@@ -511,7 +599,9 @@
   const auto add = [&](std::string_view what) {
     words += fmt::format("{}{}", words.empty() ? "" : ", ", what);
   };
-  if (was.discovery != now.discovery) add("discovery at " + ToText(now.discovery));
+  if (was.discovery != now.discovery) {
+    add("discovery at " + ToText(now.discovery));
+  }
   const auto gone = [](const GatewayConfig& config, size_t place) {
     const auto& until = config.names.classes_expire_at;
     return place < until.size() && until[place] != Time::max();
@@ -525,7 +615,9 @@
     }
   }
   const int before = was.settings.allowed.max_attempts, after = now.settings.allowed.max_attempts;
-  if (before != after) add(fmt::format("attempts {} to {}", before, after));
+  if (before != after) {
+    add(fmt::format("attempts {} to {}", before, after));
+  }
   return words;
 }
 
@@ -548,7 +640,9 @@
                         error.what())};
   }
   const auto look = [&](std::string_view where, const auto& at) {
-    if (faults.size() >= kMaxReportedFaults) return;
+    if (faults.size() >= kMaxReportedFaults) {
+      return;
+    }
     try {
       at();
     } catch (const std::exception& error) {
@@ -558,7 +652,9 @@
   for (const char* const name : {"listen", "discovery", "admin"}) {
     // A gateway takes them from the environment at its start; a new discovery from here.
     const Json* const address = json.Find(name);
-    if (address == nullptr) continue;
+    if (address == nullptr) {
+      continue;
+    }
     look(name, [&] { ParseAddress(json.Require(name, Json::Type::kString).text()); });
   }
   NameTables names;
@@ -571,13 +667,16 @@
     AddNames(settings, "Tenants", names.tenants);
     for (const auto& [list, table] :
          {std::pair("Classes", &names.classes), std::pair("Tenants", &names.tenants)}) {
-      if (table->positions().size() == table->size()) continue;
+      if (table->positions().size() == table->size()) {
+        continue;
+      }
       faults.push_back(fmt::format("settings.{}: a name twice, expected each once", list));
     }
   });
   look("", [&] {
-    for (const Json& member :
-         json.Require("known", Json::Type::kObject).Require("members", Json::Type::kArray).items()) {
+    for (const Json& member : json.Require("known", Json::Type::kObject)
+                                  .Require("members", Json::Type::kArray)
+                                  .items()) {
       const auto place = &member - json.Find("known")->Find("members")->items().data();
       look(fmt::format("known.members.{}", place),
            [&] { ParseHost(member, names, [](double) { return Time(0); }); });
@@ -585,19 +684,23 @@
   });
   // The whole as a gateway reads it: what is still unsaid.
   const size_t said = faults.size();
-  if (said == 0) look("", [&] { ParseConfig(json, [](double) { return Time(0); }); });
+  if (said == 0) {
+    look("", [&] { ParseConfig(json, [](double) { return Time(0); }); });
+  }
   return faults;
 }
 
 GatewayConfig ReadGatewayConfig(const std::function<const char*(const char*)>& env,
-                  const std::function<Time(double)>& from_wall) {
+                                const std::function<Time(double)>& from_wall) {
   const std::string name = NeedVariable(env, "LB_NAME");
   const Address listen = AddressVariable(env, "LB_LISTEN");
   const Address discovery = AddressVariable(env, "LB_DISCOVERY");
   const std::string path = NeedVariable(env, "LB_CONFIG");
   std::optional<Address> admin;
   const char* const told = env("LB_ADMIN");
-  if (told != nullptr && *told != '\0') admin = AddressVariable(env, "LB_ADMIN");
+  if (told != nullptr && *told != '\0') {
+    admin = AddressVariable(env, "LB_ADMIN");
+  }
   const std::string text = ReadFile(path);
   try {
     const Json json = Json::Parse(text);
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -83,7 +83,7 @@
 
 // Reads a list; throws JsonError or ConfigError. `from_wall` turns Unix milliseconds into a Time.
 EndpointList ParseEndpointList(const Json& json, const NameTables& names,
-                       const std::function<Time(double)>& from_wall);
+                               const std::function<Time(double)>& from_wall);
 
 // The settings, nested, as the path=value pairs of the wire, which owns the mapping of names.
 std::string FlattenSettings(const Json& settings);
@@ -93,7 +93,8 @@
 // what is wrong. Names keep their places; those that have vanished stay, and are taken for a while
 // more. What only a start takes from the file (addresses but discovery's, seed, limits) stays as it
 // was.
-GatewayConfig ReloadGatewayConfig(const GatewayConfig& was, Time now, const std::function<Time(double)>& from_wall);
+GatewayConfig ReloadGatewayConfig(const GatewayConfig& was, Time now,
+                                  const std::function<Time(double)>& from_wall);
 
 // A tenant as a version has it; without figures: it is gone.
 struct TenantChange {
@@ -121,8 +122,10 @@
   // twice. `was` is in force until then, and came of `was_rules` by this function; null: it did
   // not. Holds no hosts and no text of the file. Throws ConfigError where the two make no sense
   // together.
-  [[nodiscard]] GatewayConfig ApplyVersion(const cluster::VersionContent& rules, const GatewayConfig& was,
-                            const cluster::VersionContent* was_rules, Time now) const;
+  [[nodiscard]] GatewayConfig ApplyVersion(const cluster::VersionContent& rules,
+                                           const GatewayConfig& was,
+                                           const cluster::VersionContent* was_rules,
+                                           Time now) const;
 
   // How the settings of `rules` differ from those of `was`, where it is by tenants alone; nothing
   // where it is by more. Throws ConfigError where they make no sense.
@@ -130,7 +133,8 @@
       const cluster::VersionContent& was, const cluster::VersionContent& rules);
 
  private:
-  [[nodiscard]] GatewayConfig ApplyWholeVersion(const cluster::VersionContent& rules, const GatewayConfig& was, Time now) const;
+  [[nodiscard]] GatewayConfig ApplyWholeVersion(const cluster::VersionContent& rules,
+                                                const GatewayConfig& was, Time now) const;
 
   nlohmann::json settings_;
   Address discovery_;
@@ -146,7 +150,7 @@
 
 // `env` gives a variable or null. Throws ConfigError with one line that names what is wrong.
 GatewayConfig ReadGatewayConfig(const std::function<const char*(const char*)>& env,
-                  const std::function<Time(double)>& from_wall);
+                                const std::function<Time(double)>& from_wall);
 
 }  // namespace paddlestile
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -19,7 +19,14 @@
 
 class Json {
  public:
-  enum class Type { kNull, kBool, kNumber, kString, kArray, kObject };
+  enum class Type {
+    kNull,
+    kBool,
+    kNumber,
+    kString,
+    kArray,
+    kObject
+  };
   static constexpr size_t kMaxDepth = 32;
 
   // The one value that a text holds; throws JsonError.
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -42,7 +42,9 @@
     Note(
         "not carried over: settings.Me, seed: each gateway needs its own; both stand for the "
         "first");
-    if (options_.warm_keys) Put(settings["FamilyInfo"], "settings.FamilyInfo.", "WarmKeys", true);
+    if (options_.warm_keys) {
+      Put(settings["FamilyInfo"], "settings.FamilyInfo.", "WarmKeys", true);
+    }
     if (settings.contains("Allowed") && settings["Allowed"].value("PeerMessages", false)) {
       Put(settings["Allowed"], "settings.Allowed.", "PeerMessages", false);
       Note("not carried over: settings.Allowed.PeerMessages: gateways on sockets send none");
@@ -64,14 +66,17 @@
   void Put(Object& at, std::string_view where, const char* name, const T& value) {
     const std::string was = at.contains(name) ? at[name].dump() : "absent";
     at[name] = value;
-    if (was != at[name].dump())
+    if (was != at[name].dump()) {
       Note(fmt::format("changed: {}{}: {} to {}", where, name, was, at[name].dump()));
+    }
   }
 
   // All that this program does not read stays as it is, and is named.
   void Unread() {
     for (const auto& [name, value] : json_.items()) {
-      if (!kTopLevel.contains(name)) Note(fmt::format("kept, but not known here: {}", name));
+      if (!kTopLevel.contains(name)) {
+        Note(fmt::format("kept, but not known here: {}", name));
+      }
     }
     for (const std::string& name :
          simulator::UnreadSettings(FlattenSettings(Json::Parse(json_["settings"].dump())))) {
@@ -88,11 +93,15 @@
 
 Migration Migrate(const std::string& path, const MigrateOptions& options) {
   const std::vector<std::string> faults = ValidateGatewayConfig(path);
-  if (!faults.empty()) throw ConfigError(fmt::format("{}: {}", path, faults.front()));
+  if (!faults.empty()) {
+    throw ConfigError(fmt::format("{}: {}", path, faults.front()));
+  }
   std::ifstream file(path, std::ios::binary);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   Object json = Object::parse(text, nullptr, false);
-  if (!json.is_object()) throw ConfigError(fmt::format("{}: no JSON object, expected one", path));
+  if (!json.is_object()) {
+    throw ConfigError(fmt::format("{}: no JSON object, expected one", path));
+  }
   const Object& settings = json["settings"];
   const std::string shape =
       settings.contains("KindOfService") ? settings["KindOfService"].dump() : "";
@@ -114,14 +123,20 @@
   }
   const std::string beside = fmt::format("{}.{}.new", path, getpid());
   const int fd = open(beside.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
-  if (fd < 0) throw bad("cannot write it");
+  if (fd < 0) {
+    throw bad("cannot write it");
+  }
   size_t done = 0;
   bool good = true;
   while (good && done < text.size()) {
     const ssize_t n = write(fd, text.data() + done, text.size() - done);
-    if (n < 0 && errno == EINTR) continue;
+    if (n < 0 && errno == EINTR) {
+      continue;
+    }
     good = n > 0;
-    if (good) done += static_cast<size_t>(n);
+    if (good) {
+      done += static_cast<size_t>(n);
+    }
   }
   good = good && fsync(fd) == 0;
   int error = errno;
@@ -132,9 +147,13 @@
                    : link(beside.c_str(), path.c_str()) == 0;
     error = errno;
   }
-  if (!good || !replace) unlink(beside.c_str());
+  if (!good || !replace) {
+    unlink(beside.c_str());
+  }
   errno = error;
-  if (!good) throw bad("cannot write it");
+  if (!good) {
+    throw bad("cannot write it");
+  }
 }
 
 }  // namespace paddlestile
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -38,7 +38,9 @@
   std::optional<Address> Place(const toml::table& at, std::string_view key,
                                const std::string& name) {
     const std::string text = Text(at, key, name);
-    if (text.empty()) return std::nullopt;
+    if (text.empty()) {
+      return std::nullopt;
+    }
     try {
       return ParseAddress(text);
     } catch (const ConfigError&) {
@@ -49,7 +51,9 @@
   void Number(const toml::table& at, std::string_view key, double& value, double least,
               double most) {
     const toml::node* const node = at.get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     const auto read = node->value<double>();
     if (!read || !(*read >= least && *read <= most)) {
       return Fault(node, fmt::format("bank.{}", key), "out of range or no number",
@@ -59,7 +63,9 @@
   }
   void Known(const toml::table& at, const std::string& where, const std::set<std::string>& keys) {
     for (const auto& [key, node] : at) {
-      if (keys.contains(std::string(key.str()))) continue;
+      if (keys.contains(std::string(key.str()))) {
+        continue;
+      }
       Fault(&node, fmt::format("{}{}", where, key.str()), "unknown key",
             fmt::format("one of {}", fmt::join(keys, ", ")));
     }
@@ -70,9 +76,12 @@
   std::vector<std::string>& faults_;
 };
 
-Duration Millis(double ms) { return Duration(static_cast<int64_t>(ms * 1000)); }
+Duration Millis(double ms) {
+  return Duration(static_cast<int64_t>(ms * 1000));
+}
 
-ClusterConfig Read(std::string_view text, const std::string& path, std::vector<std::string>& faults) {
+ClusterConfig Read(std::string_view text, const std::string& path,
+                   std::vector<std::string>& faults) {
   ClusterConfig config;
   config.path = path;
   Reader read(path, faults);
@@ -118,7 +127,8 @@
     if (word != "serve" && word != "drain") {
       read.Fault(lost, "bank.when_lost", fmt::format("'{}'", word), "serve or drain");
     }
-    config.when_disconnected = word == "drain" ? WhenDisconnected::kDrain : WhenDisconnected::kServe;
+    config.when_disconnected =
+        word == "drain" ? WhenDisconnected::kDrain : WhenDisconnected::kServe;
   }
   if (const toml::node* const changes = bank->get("changes")) {
     const std::string word = changes->value<std::string>().value_or("");
@@ -145,7 +155,9 @@
     ClusterConfig::MemberAddress seat;
     const std::string name = read.Text(*member, "name", where + "name");
     const auto address = read.Place(*member, "address", where + "address");
-    if (address) seat.address = seat.dial_address = *address;
+    if (address) {
+      seat.address = seat.dial_address = *address;
+    }
     if (address && !taken.emplace(address->host, address->port).second) {
       read.Fault(member->get("address"), where + "address", "another member has it", "its own");
     }
@@ -154,7 +166,9 @@
     }
     if (const toml::node* const node = member->get("votes")) {
       const auto vote = node->value<bool>();
-      if (!vote) read.Fault(node, where + "votes", "no boolean", "true or false");
+      if (!vote) {
+        read.Fault(node, where + "votes", "no boolean", "true or false");
+      }
       seat.votes = vote.value_or(false);
     }
     votes += seat.votes ? 1 : 0;
@@ -181,26 +195,35 @@
 std::map<std::string, Address> ReadMemberAddresses(std::string_view text, const std::string& path) {
   std::vector<std::string> faults;
   const ClusterConfig config = Read(text, path, faults);
-  if (!faults.empty()) throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
+  if (!faults.empty()) {
+    throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
+  }
   std::map<std::string, Address> members;
-  for (const auto& [name, seat] : config.members) members[name] = seat.address;
+  for (const auto& [name, seat] : config.members) {
+    members[name] = seat.address;
+  }
   return members;
 }
 
 ClusterConfig ReadClusterConfig(const std::string& path, const std::string& name) {
   std::ifstream file(path, std::ios::binary);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  if (!file)
+  if (!file) {
     throw ConfigError(fmt::format("{}: cannot read it, expected the operator's file", path));
+  }
   std::vector<std::string> faults;
   ClusterConfig config = Read(text, path, faults);
-  if (!faults.empty()) throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
+  if (!faults.empty()) {
+    throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
+  }
   if (!config.members.contains(name)) {
     throw ConfigError(
         fmt::format("{}: bank.members: no '{}', expected this gateway's LB_NAME", path, name));
   }
   const size_t at = config.folder.find("{name}");
-  if (at != std::string::npos) config.folder.replace(at, 6, name);
+  if (at != std::string::npos) {
+    config.folder.replace(at, 6, name);
+  }
   return config;
 }
 
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -19,7 +19,10 @@
 };
 
 // How a leader proposes a version: as a whole, or by what differs from the one before.
-enum class ChangeEncoding { kWhole, kDelta };
+enum class ChangeEncoding {
+  kWhole,
+  kDelta
+};
 
 struct ClusterConfig {
   std::string path, cluster_name;
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -42,7 +42,9 @@
   virtual ~Call() { loop_.CancelTimer(timer_); }
 
   bool Start() {
-    if (!stream_.Start()) return false;
+    if (!stream_.Start()) {
+      return false;
+    }
     SetTimer(kCallTime);
     return true;
   }
@@ -74,12 +76,20 @@
     } else if (in_body_ || ReadHead()) {
       ReadLines();
     }
-    if (stream_.closed()) return;
-    if (stream_.ended()) return list_.OnCallFailed(*this, "connection ended");
+    if (stream_.closed()) {
+      return;
+    }
+    if (stream_.ended()) {
+      return list_.OnCallFailed(*this, "connection ended");
+    }
     // What is not read is left with discovery, which a list past the bound must not send whole.
-    if (!stream_.readable() || std::exchange(resumes_, true)) return;
+    if (!stream_.readable() || std::exchange(resumes_, true)) {
+      return;
+    }
     loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
-      if (alive.expired()) return;
+      if (alive.expired()) {
+        return;
+      }
       resumes_ = false;
       stream_.ResumeReading();
     });
@@ -88,7 +98,9 @@
   void ReadWhole() {
     const ParseProgress progress = whole_.Feed(stream_.input());
     // The head has been seen, or is as good as: what it says is to come is held whole.
-    if (progress == ParseProgress::kNeedMore) return stream_.set_max_unread_bytes(list_.max_list_bytes_ + kMaxHeadBytes);
+    if (progress == ParseProgress::kNeedMore) {
+      return stream_.set_max_unread_bytes(list_.max_list_bytes_ + kMaxHeadBytes);
+    }
     constexpr int kTooLong = 413;
     if (progress == ParseProgress::kMalformed && whole_.error_status() == kTooLong) {
       return list_.OnOversizedList(*this);
@@ -98,7 +110,8 @@
       return list_.OnCallFailed(*this, "malformed answer");
     }
     JsonParser parser;
-    if (!list_.Read(parser, m.body.In(stream_.input().view())) || !list_.AcceptList(*this, parser, true)) {
+    if (!list_.Read(parser, m.body.In(stream_.input().view())) ||
+        !list_.AcceptList(*this, parser, true)) {
       return list_.OnCallFailed(*this, "malformed list");
     }
     list_.Close(list_.poll_);
@@ -107,8 +120,11 @@
   // True once the lines begin.
   bool ReadHead() {
     const ParseProgress progress = head_.FeedHead(stream_.input());
-    if (progress == ParseProgress::kNeedMore) return false;
-    if (progress == ParseProgress::kMalformed || head_.message().status != 200 || !head_.message().chunked) {
+    if (progress == ParseProgress::kNeedMore) {
+      return false;
+    }
+    if (progress == ParseProgress::kMalformed || head_.message().status != 200 ||
+        !head_.message().chunked) {
       list_.OnCallFailed(*this, "malformed answer");
       return false;
     }
@@ -119,7 +135,9 @@
 
   void ReadLines() {
     Buffer& in = stream_.input();
-    if (in.empty()) return;
+    if (in.empty()) {
+      return;
+    }
     // Lines are split by chunks anywhere; the chunks by reads.
     size_t read = 0, written = 0;
     const ParseProgress progress = chunks_.Decode(in.view(), in.data(), read, written);
@@ -128,22 +146,32 @@
       const bool whole = end != std::string_view::npos;
       const std::string_view piece = text.substr(0, whole ? end + 1 : end);
       blank_ = blank_ && piece.find_first_not_of(" \t\r\n") == std::string_view::npos;
-      if (line_.size() + piece.size() > list_.max_list_bytes_) return list_.OnOversizedList(*this);
+      if (line_.size() + piece.size() > list_.max_list_bytes_) {
+        return list_.OnOversizedList(*this);
+      }
       // Nothing within an object begins so far to the left: it is the next one, and this was cut.
       const bool cut = std::exchange(at_start_, whole) && line_.open() && piece.front() == '{';
       const bool good = !cut && list_.Read(line_, piece) && (!whole || EndOfLine());
-      if (!good) return list_.OnCallFailed(*this, "malformed line");
+      if (!good) {
+        return list_.OnCallFailed(*this, "malformed line");
+      }
       text.remove_prefix(piece.size());
     }
     in.Consume(in.size());
-    if (progress == ParseProgress::kMalformed) return list_.OnCallFailed(*this, "malformed framing");
-    if (progress == ParseProgress::kDone) list_.OnCallFailed(*this, "watch ended");
+    if (progress == ParseProgress::kMalformed) {
+      return list_.OnCallFailed(*this, "malformed framing");
+    }
+    if (progress == ParseProgress::kDone) {
+      list_.OnCallFailed(*this, "watch ended");
+    }
   }
 
   bool EndOfLine() {
     // Lists may come indented: an object goes on behind the ends of lines. An empty line is one of
     // its own, and what came before it was cut.
-    if (line_.open()) return !std::exchange(blank_, true) || list_.Malformed("a line cut short");
+    if (line_.open()) {
+      return !std::exchange(blank_, true) || list_.Malformed("a line cut short");
+    }
     blank_ = true;
     SetTimer(kSilence);
     alive_at_ = loop_.Now();
@@ -152,7 +180,9 @@
         !line_.begun() || list_.AcceptList(*this, line_, false);  // an empty one keeps the watch
     line_ = JsonParser();
     // Its numbers are others than ours: from now on they hold, and it is asked for the whole.
-    if (!good || !list_.StaleForTooLong()) return good;
+    if (!good || !list_.StaleForTooLong()) {
+      return good;
+    }
     list_.revision_ = 0;
     list_.stale_since_ = Time(-1);
     return false;
@@ -183,8 +213,8 @@
   Time alive_at_ = loop_.Now();
 };
 
-DiscoveryClient::DiscoveryClient(EventLoop& loop, const Address& discovery, const NameTables& names, double revision,
-           bool own_watch, Listener* listener)
+DiscoveryClient::DiscoveryClient(EventLoop& loop, const Address& discovery, const NameTables& names,
+                                 double revision, bool own_watch, Listener* listener)
     : loop_(loop),
       discovery_(discovery),
       names_(&names),
@@ -195,20 +225,30 @@
 DiscoveryClient::~DiscoveryClient() {
   loop_.CancelTimer(retry_timer_);
   loop_.CancelTimer(poll_retry_timer_);
-  if (watch_) watch_->Stop();
-  if (previous_watch_) previous_watch_->Stop();
-  if (poll_) poll_->Stop();
+  if (watch_) {
+    watch_->Stop();
+  }
+  if (previous_watch_) {
+    previous_watch_->Stop();
+  }
+  if (poll_) {
+    poll_->Stop();
+  }
 }
 
 void DiscoveryClient::Start() {
-  if (self_renewing_watch_) Open(watch_, true);
+  if (self_renewing_watch_) {
+    Open(watch_, true);
+  }
 }
 
 // Where the file of the configuration names a new address the old agent closes soon, and what it
 // does not tell before that only the new one has: waiting for the old watch's end would lose
 // drains.
 void DiscoveryClient::Redirect(const Address& discovery) {
-  if (discovery == discovery_) return;
+  if (discovery == discovery_) {
+    return;
+  }
   discovery_ = discovery;
   const bool watching = watch_ != nullptr || retry_timer_.number != 0;
   if (watch_ && watch_has_delivered_) {
@@ -219,7 +259,9 @@
   ResetBackoff();
   loop_.CancelTimer(retry_timer_);
   // Where the module asks, one that failed is begun anew at once, at the new address.
-  if (self_renewing_watch_ || watching) Open(watch_, true);
+  if (self_renewing_watch_ || watching) {
+    Open(watch_, true);
+  }
   if (poll_retry_timer_.number != 0) {
     loop_.CancelTimer(poll_retry_timer_);
     Open(poll_, false);
@@ -227,10 +269,14 @@
 }
 
 void DiscoveryClient::SetWatching(bool on) {
-  if (self_renewing_watch_) return;  // it is on already, whatever is asked
+  if (self_renewing_watch_) {
+    return;  // it is on already, whatever is asked
+  }
   loop_.CancelTimer(retry_timer_);
   const bool owed = std::exchange(watch_owed_, false);
-  if (on && owed && watch_) return;  // begun before the module asked for it
+  if (on && owed && watch_) {
+    return;  // begun before the module asked for it
+  }
   if (!on) {
     Close(watch_);
     Close(previous_watch_);
@@ -242,7 +288,9 @@
 }
 
 void DiscoveryClient::OnDelivered(const Call& call) {
-  if (&call != watch_.get()) return;
+  if (&call != watch_.get()) {
+    return;
+  }
   consecutive_watch_failures_ = 0;
   watch_has_delivered_ = true;
   Close(previous_watch_);
@@ -250,9 +298,13 @@
 
 // One that is on its way serves whoever asks meanwhile.
 void DiscoveryClient::Poll() {
-  if (poll_ || poll_retry_timer_.number != 0) return;
+  if (poll_ || poll_retry_timer_.number != 0) {
+    return;
+  }
   const Duration wait = poll_backoff_.until - loop_.Now();
-  if (wait <= Duration(0)) return Open(poll_, false);
+  if (wait <= Duration(0)) {
+    return Open(poll_, false);
+  }
   poll_retry_timer_ = loop_.RunAfter(wait, [this] {
     poll_retry_timer_ = {};
     Open(poll_, false);
@@ -262,22 +314,30 @@
 void DiscoveryClient::Open(std::unique_ptr<Call>& call, bool watch) {
   Close(call);
   ++(watch ? GlobalCounters().list_watches : GlobalCounters().list_fetches);
-  if (watch) watch_has_delivered_ = false;
+  if (watch) {
+    watch_has_delivered_ = false;
+  }
   bool refused = false;
   std::optional<Socket> socket = Connect(discovery_, nullptr, refused);
   if (socket) {
     setsockopt(socket->get(), SOL_SOCKET, SO_RCVBUF, &kReceive, sizeof(kReceive));
     call = std::make_unique<Call>(*this, std::move(*socket), watch);
-    if (call->Start()) return;
+    if (call->Start()) {
+      return;
+    }
     Close(call);
   }
   const Duration wait = WaitAfter(loop_.Now());
-  if (watch) ++consecutive_watch_failures_;
+  if (watch) {
+    ++consecutive_watch_failures_;
+  }
   ReportFailure(watch, wait);
 }
 
 void DiscoveryClient::Close(std::unique_ptr<Call>& call) {
-  if (!call) return;
+  if (!call) {
+    return;
+  }
   call->Stop();
   // It may be the one whose handler is at work.
   loop_.RunDeferred([kept = std::shared_ptr<Call>(std::move(call))] {});
@@ -286,27 +346,36 @@
 void DiscoveryClient::OnCallFailed(Call& call, std::string_view why) {
   const bool watch = call.watch();
   Log(LogLevel::kWarning, "discovery {}: {}", watch ? "watch" : "call", why);
-  if (&call == previous_watch_.get()) return Close(previous_watch_);  // its time was over anyway
+  if (&call == previous_watch_.get()) {
+    return Close(previous_watch_);  // its time was over anyway
+  }
   const Time alive_at = call.alive_at();
   Close(watch ? watch_ : poll_);
   const Duration wait = WaitAfter(alive_at);
-  if (watch) ++consecutive_watch_failures_;
+  if (watch) {
+    ++consecutive_watch_failures_;
+  }
   ReportFailure(watch, wait);
 }
 
 void DiscoveryClient::OnOversizedList(Call& call) {
   ++GlobalCounters().list_too_long;
   const bool watch = call.watch();
-  if (&call == previous_watch_.get()) return OnCallFailed(call, "a list too long");
+  if (&call == previous_watch_.get()) {
+    return OnCallFailed(call, "a list too long");
+  }
   Backoff& off = watch ? watch_backoff_ : poll_backoff_;
   if (off.tries == 0) {
     Log(LogLevel::kWarning,
         "discovery {}: a list of over {} bytes is too long, the one held stays; asked for again "
         "later and later, up to {:.0f} s",
-        watch ? "watch" : "call", max_list_bytes_, static_cast<double>(oversize_backoff_max_.count()) / 1e6);
+        watch ? "watch" : "call", max_list_bytes_,
+        static_cast<double>(oversize_backoff_max_.count()) / 1e6);
   }
   Duration wait = oversize_backoff_first_;
-  for (int i = 0; i < off.tries && wait < oversize_backoff_max_; ++i) wait *= 2;
+  for (int i = 0; i < off.tries && wait < oversize_backoff_max_; ++i) {
+    wait *= 2;
+  }
   wait = std::min(wait, oversize_backoff_max_);
   ++off.tries;
   off.until = loop_.Now() + wait;
@@ -318,7 +387,9 @@
 
 // Until the next watch is begun, after one that failed and last showed life then.
 Duration DiscoveryClient::WaitAfter(Time alive_at) const {
-  if (!self_renewing_watch_) return alive_at + kNextCall - loop_.Now();
+  if (!self_renewing_watch_) {
+    return alive_at + kNextCall - loop_.Now();
+  }
   return kAgainFirst * (1 << std::min(consecutive_watch_failures_, kAgainDoublings));
 }
 
@@ -331,18 +402,24 @@
     watch_owed_ = !self_renewing_watch_;
     ScheduleWatch(wait);
   }
-  if (!told) listener_->OnDiscoveryFailed();
+  if (!told) {
+    listener_->OnDiscoveryFailed();
+  }
 }
 
 void DiscoveryClient::ScheduleWatch(Duration wait) {
-  if (retry_timer_.number != 0) return;
+  if (retry_timer_.number != 0) {
+    return;
+  }
   retry_timer_ = loop_.RunAfter(wait, [this] {
     retry_timer_ = {};
     Open(watch_, true);
   });
 }
 
-void DiscoveryClient::ResetBackoff() { watch_backoff_ = poll_backoff_ = Backoff{}; }
+void DiscoveryClient::ResetBackoff() {
+  watch_backoff_ = poll_backoff_ = Backoff{};
+}
 
 bool DiscoveryClient::StaleForTooLong() const {
   return stale_since_ >= Time(0) && loop_.Now() - stale_since_ >= max_staleness_;
@@ -366,23 +443,29 @@
 bool DiscoveryClient::AcceptList(const Call& from, JsonParser& parser, bool must_be_whole) {
   try {
     const Clock& clock = loop_.clock();
-    EndpointList list =
-        ParseEndpointList(parser.End(), *names_, [&](double ms) { return clock.FromUnixMillis(ms); });
-    if (must_be_whole && !list.complete) throw JsonError("not the whole list");
+    EndpointList list = ParseEndpointList(parser.End(), *names_,
+                                          [&](double ms) { return clock.FromUnixMillis(ms); });
+    if (must_be_whole && !list.complete) {
+      throw JsonError("not the whole list");
+    }
     // An older list would bring back hosts that have gone; the one held stays. An agent that lags
     // catches up on the same watch. One that never does counts by itself, and to pass it over for
     // ever would leave the list held for ever.
     if (list.revision < revision_) {
       ++GlobalCounters().list_old;
       Log(LogLevel::kWarning, "discovery: revision {:.0f} after {:.0f}", list.revision, revision_);
-      if (stale_since_ < Time(0)) stale_since_ = loop_.Now();
+      if (stale_since_ < Time(0)) {
+        stale_since_ = loop_.Now();
+      }
       return !must_be_whole;
     }
     stale_since_ = Time(-1);
     // What the watch at the address before still tells says nothing of the new one, nor does a
     // change that was told before.
     const bool news = list.complete || list.revision > revision_;
-    if (news && &from != previous_watch_.get()) ResetBackoff();
+    if (news && &from != previous_watch_.get()) {
+      ResetBackoff();
+    }
     revision_ = list.revision;
     ++GlobalCounters().list_updates;
     listener_->OnEndpointList(std::move(list));
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -30,8 +30,8 @@
   // `own_watch`: watch from the start and by itself again after each failure, as where changes are
   // delivered unprompted. Else Follow and Fetch ask, and where a watch has failed and Follow comes
   // too late for what discovery has by then, the next one is begun without it.
-  DiscoveryClient(EventLoop& loop, const Address& discovery, const NameTables& names, double revision,
-       bool own_watch, Listener* listener);
+  DiscoveryClient(EventLoop& loop, const Address& discovery, const NameTables& names,
+                  double revision, bool own_watch, Listener* listener);
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
@@ -81,11 +81,12 @@
   bool self_renewing_watch_;
   Listener* listener_;
   std::unique_ptr<Call> watch_, poll_;
-  std::unique_ptr<Call> previous_watch_;         // the watch at the address before, until watch_ has spoken
-  bool watch_has_delivered_ = false;               // watch_ has
-  Time stale_since_{-1};             // what it tells is older than the list held; -1: it is not
+  std::unique_ptr<Call>
+      previous_watch_;                  // the watch at the address before, until watch_ has spoken
+  bool watch_has_delivered_ = false;    // watch_ has
+  Time stale_since_{-1};                // what it tells is older than the list held; -1: it is not
   Duration max_staleness_{15'000'000};  // us; agents lag by some seconds on bad days
-  int consecutive_watch_failures_ = 0;                  // of the watch, in a row
+  int consecutive_watch_failures_ = 0;  // of the watch, in a row
   EventLoop::TimerId retry_timer_, poll_retry_timer_;
   bool watch_owed_ = false;  // a failure was told and Follow has not come since, where that asks
   // Exponential back-off after lists that are too long. They come whole, megabytes each, and are as
@@ -95,8 +96,8 @@
     Time until{0};
   };
   Backoff watch_backoff_, poll_backoff_;
-  size_t max_list_bytes_ = size_t{4} << 20;  // bytes; a list of tens of thousands of hosts
-  Duration oversize_backoff_first_{100'000};    // us
+  size_t max_list_bytes_ = size_t{4} << 20;    // bytes; a list of tens of thousands of hosts
+  Duration oversize_backoff_first_{100'000};   // us
   Duration oversize_backoff_max_{30'000'000};  // us
 };
 
--- a/src/event/buffer.cpp
+++ b/src/event/buffer.cpp
@@ -25,7 +25,9 @@
       const size_t capacity = size() + std::max(least, size() / 4);
       // for_overwrite: what is read next needs no zeroes first.
       auto bytes = std::make_unique_for_overwrite<char[]>(capacity);
-      if (size() > 0) std::memcpy(bytes.get(), bytes_.get() + begin_, size());
+      if (size() > 0) {
+        std::memcpy(bytes.get(), bytes_.get() + begin_, size());
+      }
       bytes_ = std::move(bytes);
       capacity_ = capacity;
     }
@@ -36,29 +38,41 @@
 }
 
 void Buffer::Commit(size_t size) {
-  if (!PADDLESTILE_CHECK(size <= Room())) return;
+  if (!PADDLESTILE_CHECK(size <= Room())) {
+    return;
+  }
   end_ += size;
 }
 
 void Buffer::Append(std::string_view text) {
-  if (text.empty()) return;
+  if (text.empty()) {
+    return;
+  }
   std::memcpy(Prepare(text.size()), text.data(), text.size());
   Commit(text.size());
 }
 
 void Buffer::Truncate(size_t size) {
-  if (!PADDLESTILE_CHECK(size <= this->size())) return;
+  if (!PADDLESTILE_CHECK(size <= this->size())) {
+    return;
+  }
   end_ = begin_ + size;
 }
 
 void Buffer::Consume(size_t size) {
-  if (!PADDLESTILE_CHECK(size <= this->size())) size = this->size();
+  if (!PADDLESTILE_CHECK(size <= this->size())) {
+    size = this->size();
+  }
   begin_ += size;
-  if (begin_ == end_) *this = Buffer();
+  if (begin_ == end_) {
+    *this = Buffer();
+  }
 }
 
 Buffer Buffer::TakeFront(size_t size) {
-  if (!PADDLESTILE_CHECK(size <= this->size())) size = this->size();
+  if (!PADDLESTILE_CHECK(size <= this->size())) {
+    size = this->size();
+  }
   Buffer rest;
   rest.Append(view().substr(size));
   end_ = begin_ + size;
--- a/src/event/descriptor_budget.h
+++ b/src/event/descriptor_budget.h
@@ -10,9 +10,12 @@
 class DescriptorBudget {
  public:
   static constexpr size_t kReserve = 32;
-  explicit DescriptorBudget(size_t limit) : limit_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
+  explicit DescriptorBudget(size_t limit)
+      : limit_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
   bool TryAcquire() {
-    if (used_ + held_by_other_process_ >= limit_) return false;
+    if (used_ + held_by_other_process_ >= limit_) {
+      return false;
+    }
     ++used_;
     return true;
   }
--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -30,7 +30,8 @@
   epoll_event event{};
   event.events = EPOLLIN;  // by level: told as long as anything urgent is left
   event.data.u64 = kUrgentToken;
-  if (!epoll_ || !urgent_epoll_ || epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, urgent_epoll_.get(), &event) != 0) {
+  if (!epoll_ || !urgent_epoll_ ||
+      epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, urgent_epoll_.get(), &event) != 0) {
     throw std::system_error(errno, std::generic_category(), "epoll_create1");
   }
 }
@@ -46,7 +47,9 @@
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = token;
   const FileDescriptor& epoll = urgent ? urgent_epoll_ : epoll_;
-  if (epoll_ctl(epoll.get(), EPOLL_CTL_ADD, fd, &event) != 0) return false;
+  if (epoll_ctl(epoll.get(), EPOLL_CTL_ADD, fd, &event) != 0) {
+    return false;
+  }
   slots_[place].handler = handler;
   slots_[place].urgent = urgent;
   free_slots_.pop_back();
@@ -55,7 +58,9 @@
 
 void EventLoop::Unwatch(int fd, uint64_t token) {
   const auto place = static_cast<uint32_t>(token);
-  if (!PADDLESTILE_CHECK(place < slots_.size() && slots_[place].generation == token >> 32)) return;
+  if (!PADDLESTILE_CHECK(place < slots_.size() && slots_[place].generation == token >> 32)) {
+    return;
+  }
   const FileDescriptor& epoll = slots_[place].urgent ? urgent_epoll_ : epoll_;
   epoll_ctl(epoll.get(), EPOLL_CTL_DEL, fd, nullptr);
   slots_[place].handler = nullptr;
@@ -70,7 +75,9 @@
 }
 
 void EventLoop::CancelTimer(TimerId& timer) {
-  if (timer.number != 0) timers_.erase({timer.due, timer.number});
+  if (timer.number != 0) {
+    timers_.erase({timer.due, timer.number});
+  }
   timer = {};
 }
 
@@ -78,7 +85,9 @@
   while (!deferred_tasks_.empty()) {
     std::vector<std::function<void()>> now;
     now.swap(deferred_tasks_);
-    for (const auto& then : now) then();
+    for (const auto& then : now) {
+      then();
+    }
   }
 }
 
@@ -103,9 +112,13 @@
 
 void EventLoop::RunEvent(uint64_t token, uint32_t events) {
   const auto place = static_cast<uint32_t>(token);
-  if (place >= slots_.size()) return;
+  if (place >= slots_.size()) {
+    return;
+  }
   const Slot slot = slots_[place];
-  if (slot.handler == nullptr || slot.generation != token >> 32) return;  // closed meanwhile
+  if (slot.handler == nullptr || slot.generation != token >> 32) {
+    return;  // closed meanwhile
+  }
   slot.handler->OnEvents(events);
   RunDeferredTasks();
 }
@@ -137,19 +150,29 @@
   for (int looks = 1;; ++looks) {
     for (int i = 0; i < n; ++i) {
       const epoll_event& event = events[static_cast<size_t>(i)];
-      if (event.data.u64 != kUrgentToken) RunEvent(event.data.u64, event.events);
-      if (Now() - urgent_polled_at_ > kUrgentWait) RunUrgent();
+      if (event.data.u64 != kUrgentToken) {
+        RunEvent(event.data.u64, event.events);
+      }
+      if (Now() - urgent_polled_at_ > kUrgentWait) {
+        RunUrgent();
+      }
+    }
+    if (n < kMost || looks == kLooksMost) {
+      break;
     }
-    if (n < kMost || looks == kLooksMost) break;
     n = epoll_wait(epoll_.get(), events.data(), kMost, 0);  // more are ready than one look shows
   }
   // After the sockets: what had come in by the time a limit is reached still counts.
   RunTimers();
-  if (Now() - began > kLag) ++GlobalCounters().loop_lagged;
+  if (Now() - began > kLag) {
+    ++GlobalCounters().loop_lagged;
+  }
 }
 
 void EventLoop::Run() {
-  while (!stopped_) RunOnce(std::chrono::seconds(60));
+  while (!stopped_) {
+    RunOnce(std::chrono::seconds(60));
+  }
 }
 
 }  // namespace paddlestile
--- a/src/event/event_loop.h
+++ b/src/event/event_loop.h
@@ -71,7 +71,7 @@
 
   Clock clock_;
   FileDescriptor epoll_, urgent_epoll_;  // the second is watched by the first
-  Time urgent_polled_at_{0};  // when what is urgent last had its turn
+  Time urgent_polled_at_{0};             // when what is urgent last had its turn
   std::vector<Slot> slots_;
   std::vector<uint32_t> free_slots_;
   std::map<std::pair<Time, uint64_t>, std::function<void()>> timers_;
--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -38,15 +38,22 @@
 Address LocalAddress(int fd) {
   sockaddr_in address{};
   socklen_t size = sizeof(address);
-  if (getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) return {};
+  if (getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
+    return {};
+  }
   return {ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
 
 std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused) {
   refused = false;
-  if (budget != nullptr && !budget->TryAcquire()) return std::nullopt;
-  Socket socket(FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)), budget);
-  if (socket.get() < 0) return std::nullopt;
+  if (budget != nullptr && !budget->TryAcquire()) {
+    return std::nullopt;
+  }
+  Socket socket(FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
+                budget);
+  if (socket.get() < 0) {
+    return std::nullopt;
+  }
   const int on = 1;
   setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   sockaddr_in address{};
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -30,7 +30,9 @@
   ~Socket() { Close(); }
   void Close() {
     fd_.Reset();
-    if (DescriptorBudget* const budget = std::exchange(budget_, nullptr)) budget->Release();
+    if (DescriptorBudget* const budget = std::exchange(budget_, nullptr)) {
+      budget->Release();
+    }
   }
   [[nodiscard]] int get() const { return fd_.get(); }
 
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -26,22 +26,30 @@
 Stream::Stream(EventLoop& loop, Socket socket, Listener* owner, bool connecting)
     : loop_(loop), socket_(std::move(socket)), listener_(owner), connected_(!connecting) {}
 
-Stream::~Stream() { Close(); }
+Stream::~Stream() {
+  Close();
+}
 
 bool Stream::Start(bool urgent) {
   return watched_ = loop_.Watch(socket_.get(), this, token_, urgent);
 }
 
 void Stream::Close() {
-  if (closed_) return;
+  if (closed_) {
+    return;
+  }
   closed_ = true;
-  if (watched_) loop_.Unwatch(socket_.get(), token_);
+  if (watched_) {
+    loop_.Unwatch(socket_.get(), token_);
+  }
   socket_.Close();
   output_.clear();
 }
 
 void Stream::ReportError() {
-  if (closed_ || broken_) return;
+  if (closed_ || broken_) {
+    return;
+  }
   broken_ = true;
   listener_->OnError();
 }
@@ -59,21 +67,31 @@
       discarded_ += static_cast<size_t>(n);
       continue;
     }
-    if (n < 0 && errno == EINTR) continue;
+    if (n < 0 && errno == EINTR) {
+      continue;
+    }
     readable_ = false;
-    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return false;
+    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+      return false;
+    }
     ended_ = n == 0;
-    if (!ended_) ReportError();
+    if (!ended_) {
+      ReportError();
+    }
     return ended_;
   }
   return false;
 }
 
 bool Stream::ReadAvailable() {
-  if (discarding_) return !closed_ && !ended_ && !broken_ && DiscardAvailable();
+  if (discarding_) {
+    return !closed_ && !ended_ && !broken_ && DiscardAvailable();
+  }
   bool news = false;
   while (!closed_ && !ended_ && !broken_) {
-    if (input_.size() >= max_unread_bytes_) return news;  // the edge stays open for Resume
+    if (input_.size() >= max_unread_bytes_) {
+      return news;  // the edge stays open for Resume
+    }
     char* const to = input_.Prepare(min_read_bytes_);
     const ssize_t n = recv(socket_.get(), to, input_.Room(), 0);
     if (n > 0) {
@@ -92,10 +110,14 @@
     } else {
       readable_ = false;
       // An emptied buffer keeps no memory while the connection idles.
-      if (input_.empty()) input_.Consume(0);
+      if (input_.empty()) {
+        input_.Consume(0);
+      }
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
         // What came before the break may still be a whole message.
-        if (news) listener_->OnData();
+        if (news) {
+          listener_->OnData();
+        }
         news = false;
         ReportError();
       }
@@ -106,8 +128,12 @@
 }
 
 void Stream::ResumeReading() {
-  if (closed_ || !readable_) return;
-  if (ReadAvailable()) listener_->OnData();
+  if (closed_ || !readable_) {
+    return;
+  }
+  if (ReadAvailable()) {
+    listener_->OnData();
+  }
 }
 
 void Stream::OnEvents(uint32_t events) {
@@ -115,22 +141,32 @@
     int error = 0;
     socklen_t size = sizeof(error);
     getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return ReportError();
-    if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return;
+    if (error != 0) {
+      return ReportError();
+    }
+    if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
+      return;
+    }
     // A socket that has not begun to connect reports a hang-up too.
     sockaddr_in peer{};
     size = sizeof(peer);
     if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
-      if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) ReportError();
+      if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) {
+        ReportError();
+      }
       return;
     }
     connected_ = true;
     listener_->OnConnected();
-    if (closed_) return;
+    if (closed_) {
+      return;
+    }
   }
   if ((events & EPOLLOUT) != 0 && !output_.empty()) {
     Flush();
-    if (closed_) return;
+    if (closed_) {
+      return;
+    }
   }
   if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
     readable_ = true;
@@ -139,7 +175,9 @@
     const bool news = ReadAvailable();
     // Behind what there is no room to read the end would else be told of by nothing.
     const bool hidden = hung_up_ && !before && !discarding_ && input_.size() >= max_unread_bytes_;
-    if (!closed_ && !broken_ && (news || hidden)) listener_->OnData();
+    if (!closed_ && !broken_ && (news || hidden)) {
+      listener_->OnData();
+    }
   }
 }
 
@@ -148,7 +186,9 @@
     std::array<iovec, kPiecesAtOnce> parts{};
     size_t count = 0;
     for (const WriteSegment& piece : output_) {
-      if (count == parts.size()) break;
+      if (count == parts.size()) {
+        break;
+      }
       parts[count++] = {const_cast<char*>(piece.remaining.data()), piece.remaining.size()};
     }
     msghdr message{};
@@ -156,13 +196,21 @@
     message.msg_iovlen = count;
     const ssize_t n = sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
     if (n < 0) {
-      if (errno == EINTR) continue;
-      if (errno == EAGAIN || errno == EWOULDBLOCK) return;
+      if (errno == EINTR) {
+        continue;
+      }
+      if (errno == EAGAIN || errno == EWOULDBLOCK) {
+        return;
+      }
       // A peer may have answered and closed before it read all: that answer is still there.
       readable_ = hung_up_ = true;
       output_.clear();
-      if (ReadAvailable()) listener_->OnData();
-      if (!closed_) ReportError();
+      if (ReadAvailable()) {
+        listener_->OnData();
+      }
+      if (!closed_) {
+        ReportError();
+      }
       return;
     }
     for (auto left = static_cast<size_t>(n);
@@ -171,15 +219,21 @@
       const size_t part = std::min(left, piece.remaining.size());
       piece.remaining.remove_prefix(part);
       left -= part;
-      if (!piece.remaining.empty()) break;
+      if (!piece.remaining.empty()) {
+        break;
+      }
       output_.pop_front();
     }
   }
-  if (output_.empty() && !broken_) listener_->OnWriteComplete();
+  if (output_.empty() && !broken_) {
+    listener_->OnWriteComplete();
+  }
 }
 
 void Stream::Write(std::string head, std::shared_ptr<const void> keep, std::string_view body) {
-  if (closed_ || broken_) return;
+  if (closed_ || broken_) {
+    return;
+  }
   const bool idle = output_.empty();
   WriteSegment& first = output_.emplace_back();
   first.owned = std::move(head);
@@ -189,17 +243,23 @@
     second.keep_alive = std::move(keep);
     second.remaining = body;
   }
-  if (connected_ && idle) Flush();
+  if (connected_ && idle) {
+    Flush();
+  }
 }
 
 void Stream::CloseByReset() {
   const linger now{1, 0};
-  if (!closed_) setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+  if (!closed_) {
+    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+  }
   Close();
 }
 
 void Stream::ShutdownWrite() {
-  if (!closed_) shutdown(socket_.get(), SHUT_WR);
+  if (!closed_) {
+    shutdown(socket_.get(), SHUT_WR);
+  }
 }
 
 bool Stream::HasUnreadBytes() const {
@@ -209,7 +269,9 @@
 }
 
 bool Stream::IsIdle() const {
-  if (closed_ || ended_ || broken_ || !input_.empty()) return false;
+  if (closed_ || ended_ || broken_ || !input_.empty()) {
+    return false;
+  }
   char byte = 0;
   const ssize_t n = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -21,9 +21,9 @@
   class Listener {
    public:
     virtual void OnConnected() {}
-    virtual void OnData() = 0;    // more is in in(), or ended() or hung_up() has become true
-    virtual void OnWriteComplete() {}   // all that was written is with the kernel
-    virtual void OnError() = 0;  // reset, refused or failed
+    virtual void OnData() = 0;         // more is in in(), or ended() or hung_up() has become true
+    virtual void OnWriteComplete() {}  // all that was written is with the kernel
+    virtual void OnError() = 0;        // reset, refused or failed
 
    protected:
     ~Listener() = default;
--- a/src/gateway/admin.cpp
+++ b/src/gateway/admin.cpp
@@ -69,12 +69,16 @@
   void OnData() override {
     if (answered_) {
       stream_.input().Consume(stream_.input().size());
-      if (stream_.ended()) admin_.Drop(*this);
+      if (stream_.ended()) {
+        admin_.Drop(*this);
+      }
       return;
     }
     const ParseProgress progress = parser_.Feed(stream_.input());
     if (progress == ParseProgress::kNeedMore) {
-      if (stream_.ended()) admin_.Drop(*this);
+      if (stream_.ended()) {
+        admin_.Drop(*this);
+      }
       return;
     }
     AdminResponse said{parser_.error_status(), "malformed call"};
@@ -93,7 +97,9 @@
     stream_.ShutdownWrite();
     loop_.CancelTimer(timer_);
     timer_ = loop_.RunAfter(kLinger, [this] { admin_.Drop(*this); });
-    if (stream_.ended()) admin_.Drop(*this);
+    if (stream_.ended()) {
+      admin_.Drop(*this);
+    }
   }
   void OnError() override { admin_.Drop(*this); }
 
@@ -111,14 +117,18 @@
 }
 
 Admin::~Admin() {
-  for (const auto& caller : callers_) caller->stream().Close();
+  for (const auto& caller : callers_) {
+    caller->stream().Close();
+  }
 }
 
 void Admin::Accept() {
   while (true) {
     FileDescriptor fd(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
-      if (errno == EINTR || errno == ECONNABORTED) continue;
+      if (errno == EINTR || errno == ECONNABORTED) {
+        continue;
+      }
       // The table is full: whoever waits longest makes room, or the timer of one does.
       if ((errno == EMFILE || errno == ENFILE) && !callers_.empty()) {
         Drop(*callers_.front());
@@ -126,16 +136,22 @@
       }
       return;
     }
-    if (callers_.size() >= kMaxCallers) Drop(*callers_.front());
+    if (callers_.size() >= kMaxCallers) {
+      Drop(*callers_.front());
+    }
     callers_.push_back(std::make_shared<Caller>(*this, std::move(fd)));
     Caller& caller = *callers_.back();
     caller.place = std::prev(callers_.end());
-    if (!caller.Start()) Drop(caller);
+    if (!caller.Start()) {
+      Drop(caller);
+    }
   }
 }
 
 void Admin::Drop(Caller& caller) {
-  if (caller.stream().closed()) return;
+  if (caller.stream().closed()) {
+    return;
+  }
   caller.stream().Close();
   // It may be the one whose handler is at work: its memory goes once that has returned.
   loop_.RunDeferred([kept = *caller.place] {});
@@ -146,12 +162,18 @@
   path = path.substr(0, path.find('?'));
   ++GlobalCounters().admin_calls;
   if (path == "/admin/health") {
-    if (method != "GET") return {405, "expected GET"};
+    if (method != "GET") {
+      return {405, "expected GET"};
+    }
     return lifecycle_.can_serve() ? AdminResponse{200, "yes"} : AdminResponse{503, "no"};
   }
   const bool quiesce = path == "/admin/quiesce";
-  if (!quiesce && path != "/admin/resume") return {404, "no such call"};
-  if (method != "POST") return {405, "expected POST"};
+  if (!quiesce && path != "/admin/resume") {
+    return {404, "no such call"};
+  }
+  if (method != "POST") {
+    return {405, "expected POST"};
+  }
   if (!quiesce && (lifecycle_.replaced() || lifecycle_.stage() == LifecycleStage::kEnding)) {
     return {409, lifecycle_.replaced() ? "another process has taken over" : "it is ending"};
   }
--- a/src/gateway/cluster_agent.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -23,8 +23,8 @@
 namespace {
 
 using cluster::ClusterMember;
-using cluster::MemberOutput;
 using cluster::EffectiveConfig;
+using cluster::MemberOutput;
 using nlohmann::json;
 
 constexpr Duration kLookAgain{100'000};  // us; at the folder, while another process has it
@@ -43,8 +43,12 @@
   return (uint64_t{device()} << 32 | device()) | 1;
 }
 
-json Identity(const ClusterConfig& config, const std::string& name, const raft::PersistentState& disk) {
-  return {{"bank", config.cluster_name}, {"name", name}, {"life", disk.incarnation}, {"boot", disk.restart_count}};
+json Identity(const ClusterConfig& config, const std::string& name,
+              const raft::PersistentState& disk) {
+  return {{"bank", config.cluster_name},
+          {"name", name},
+          {"life", disk.incarnation},
+          {"boot", disk.restart_count}};
 }
 
 // One record of the log; throws ConfigError for one of another bank.
@@ -92,7 +96,8 @@
   }
 
   void Add(const raft::StorageWrite& write) {
-    Job job{write.sequence_number, Packed(raft::ToJson(write)), write.commit_only, write.snapshot.has_value()};
+    Job job{write.sequence_number, Packed(raft::ToJson(write)), write.commit_only,
+            write.snapshot.has_value()};
     {
       const std::scoped_lock lock(mutex_);
       jobs_.push_back(std::move(job));
@@ -118,7 +123,8 @@
   };
   void OnEvents(uint32_t) override {
     uint64_t count = 0;
-    while (read(fd_.get(), &count, sizeof(count)) > 0) {}
+    while (read(fd_.get(), &count, sizeof(count)) > 0) {
+    }
     told_();
   }
   void Tell(const State& state) {
@@ -136,7 +142,9 @@
       {
         std::unique_lock lock(mutex_);
         wake_.wait(lock, [this] { return over_ || !jobs_.empty(); });
-        if (jobs_.empty()) return;
+        if (jobs_.empty()) {
+          return;
+        }
         std::swap(batch, jobs_);
       }
       // What is lazy alone waits for company: a sync for nothing wears the disk.
@@ -158,14 +166,22 @@
           state.failed = log_->broken() || error.code() != ENOSPC;
           Tell(state);
           std::unique_lock lock(mutex_);
-          if (over_) return;
-          if (!state.failed) wake_.wait_for(lock, kRoomAgain, [this] { return over_; });
+          if (over_) {
+            return;
+          }
+          if (!state.failed) {
+            wake_.wait_for(lock, kRoomAgain, [this] { return over_; });
+          }
         }
       }
       batch.clear();
-      if (state.failed) continue;
+      if (state.failed) {
+        continue;
+      }
       try {
-        if (sync) log_->Sync();
+        if (sync) {
+          log_->Sync();
+        }
         state.durable = std::max(state.durable, last_);
         state.why.clear();
         state.bytes = log_->size();
@@ -192,7 +208,7 @@
 };
 
 ClusterAgent::ClusterAgent(EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
-                       GatewayConfig file)
+                           GatewayConfig file)
     : loop_(loop),
       config_(std::move(config)),
       gateway_(gateway),
@@ -200,19 +216,24 @@
       file_(std::move(file)),
       settings_(file_),
       zero_(loop.Now()) {
-  if (!config_.disk_control.empty()) controlled_ = storage::ControlledFileSystem(config_.disk_control);
+  if (!config_.disk_control.empty()) {
+    controlled_ = storage::ControlledFileSystem(config_.disk_control);
+  }
   Disk().MakeFolder(config_.folder);
   // Until it takes part it acts on what its disk has, as one that is alone.
   raft::PersistentState disk;
   try {
-    storage::WriteAheadLog::Read(Disk(), config_.folder,
-                       [&](std::string_view record) { Take(config_, file_.name, record, disk); });
+    storage::WriteAheadLog::Read(Disk(), config_.folder, [&](std::string_view record) {
+      Take(config_, file_.name, record, disk);
+    });
   } catch (const storage::CorruptionError&) {
     disk = {};  // said when it is opened
   }
   Begin(std::move(disk));
   // All of it before anything is served: nothing waits yet.
-  while (member_->raft_node().HasEntriesToApply()) Tick();
+  while (member_->raft_node().HasEntriesToApply()) {
+    Tick();
+  }
   TakePart();
   Look();
 }
@@ -224,7 +245,9 @@
 
 // Takes no part any more, and holds no lease: what it has is another process's, or nobody's.
 void ClusterAgent::Leave() {
-  for (EventLoop::TimerId* const timer : {&timer_, &act_timer_}) loop_.CancelTimer(*timer);
+  for (EventLoop::TimerId* const timer : {&timer_, &act_timer_}) {
+    loop_.CancelTimer(*timer);
+  }
   gateway_.RunBeforeEventsFrom(Time::max(), nullptr);
   connections_.reset();
   disk_.reset();
@@ -239,8 +262,9 @@
       Log(LogLevel::kInfo, "bank: leaves it to the newer process");
       Leave();
       raft::PersistentState disk;
-      storage::WriteAheadLog::Read(Disk(), config_.folder,
-                         [&](std::string_view record) { Take(config_, file_.name, record, disk); });
+      storage::WriteAheadLog::Read(Disk(), config_.folder, [&](std::string_view record) {
+        Take(config_, file_.name, record, disk);
+      });
       Begin(std::move(disk));
     } else if (!lifecycle_.replaced() && !lock_) {
       TakePart();
@@ -257,7 +281,9 @@
 }
 
 Time ClusterAgent::Now() const {
-  if (config_.clock_factor == 1) return loop_.Now();
+  if (config_.clock_factor == 1) {
+    return loop_.Now();
+  }
   const auto since = static_cast<double>((loop_.Now() - zero_).count());
   return zero_ + Duration(static_cast<int64_t>(since * config_.clock_factor));
 }
@@ -268,7 +294,9 @@
   options.timing = config_.timing;
   options.deltas = config_.change_encoding == ChangeEncoding::kDelta;
   for (const auto& [name, seat] : config_.members) {
-    if (seat.votes) options.initial_voters.insert(name);
+    if (seat.votes) {
+      options.initial_voters.insert(name);
+    }
   }
   durable_ = 0;
   held_.clear();
@@ -280,7 +308,9 @@
 
 void ClusterAgent::TakePart() {
   lock_ = Disk().Lock(config_.folder + "/lock");
-  if (lock_) OpenDisk();
+  if (lock_) {
+    OpenDisk();
+  }
 }
 
 void ClusterAgent::Link(uint64_t life, uint64_t boot) {
@@ -291,8 +321,11 @@
   options.restart_count = boot;
   options.seed = NewLife();
   options.listen = config_.members.at(file_.name).address;
-  for (const auto& [name, seat] : config_.members) options.members[name] = seat.dial_address;
-  connections_ = std::make_unique<peer::PeerConnections>(loop_, gateway_.budget(), std::move(options), this);
+  for (const auto& [name, seat] : config_.members) {
+    options.members[name] = seat.dial_address;
+  }
+  connections_ =
+      std::make_unique<peer::PeerConnections>(loop_, gateway_.budget(), std::move(options), this);
 }
 
 void ClusterAgent::OpenDisk() {
@@ -300,9 +333,9 @@
   std::unique_ptr<storage::WriteAheadLog> log;
   const auto open = [&] {
     disk = {};
-    log = std::make_unique<storage::WriteAheadLog>(Disk(), config_.folder, [&](std::string_view record) {
-      Take(config_, file_.name, record, disk);
-    });
+    log = std::make_unique<storage::WriteAheadLog>(
+        Disk(), config_.folder,
+        [&](std::string_view record) { Take(config_, file_.name, record, disk); });
   };
   const std::string path = storage::WriteAheadLog::PathIn(config_.folder);
   try {
@@ -319,7 +352,9 @@
       Log(LogLevel::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power", path,
           log->cut_off());
     }
-    if (disk.incarnation == 0) disk.incarnation = NewLife();
+    if (disk.incarnation == 0) {
+      disk.incarnation = NewLife();
+    }
     ++disk.restart_count;
     const std::string identity = Packed(Identity(config_, file_.name, disk));
     log->Append(identity);
@@ -359,15 +394,21 @@
 }
 
 void ClusterAgent::OnDisk() {
-  if (!disk_) return;
+  if (!disk_) {
+    return;
+  }
   const DiskThread::State state = disk_->Look();
   if (state.failed) {
     loop_.RunDeferred([this, why = state.why, alive = std::weak_ptr(lock_)] {
-      if (!alive.expired()) StartAnew(why.c_str(), false);
+      if (!alive.expired()) {
+        StartAnew(why.c_str(), false);
+      }
     });
     return;
   }
-  if (state.durable <= durable_) return;
+  if (state.durable <= durable_) {
+    return;
+  }
   durable_ = state.durable;
   std::vector<raft::OutgoingMessage> held = std::move(held_);
   held_.clear();
@@ -381,17 +422,24 @@
   Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnDurable(now, state.durable, out); });
 }
 
-// ---- PeerConnections ------------------------------------------------------------------------------------
+// ---- PeerConnections
+// ------------------------------------------------------------------------------------
 
 // Those that vote, or did at first, are linked with all; the others have nothing to say to each
 // other.
 void ClusterAgent::Wants() {
   std::set<std::string> wanted;
   for (const auto& [name, seat] : config_.members) {
-    if (seat.votes) wanted.insert(name);
+    if (seat.votes) {
+      wanted.insert(name);
+    }
+  }
+  for (const raft::Voter& v : member_->raft_node().voters()) {
+    wanted.insert(v.name);
+  }
+  if (wanted == wanted_ || !connections_) {
+    return;
   }
-  for (const raft::Voter& v : member_->raft_node().voters()) wanted.insert(v.name);
-  if (wanted == wanted_ || !connections_) return;
   wanted_ = wanted;
   connections_->SetWantedMembers(std::move(wanted));
 }
@@ -402,7 +450,9 @@
 
 void ClusterAgent::OnConnected(const std::string& name, uint64_t life, const json& known) {
   const raft::StorageClaim claim = raft::ReadClaim(known).value_or(raft::StorageClaim{});
-  Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerConnected(now, name, life, claim, out); });
+  Run([&](ClusterMember& m, Time now, MemberOutput& out) {
+    m.OnPeerConnected(now, name, life, claim, out);
+  });
 }
 
 void ClusterAgent::OnDisconnected(const std::string& name) {
@@ -410,17 +460,23 @@
 }
 
 void ClusterAgent::OnFrame(const std::string& name, const json& value) {
-  if (!value.is_object()) return;
+  if (!value.is_object()) {
+    return;
+  }
   if (const auto at = value.find("m"); at != value.end()) {
     auto message = raft::ReadMessage(*at);
     // Nobody speaks for another.
-    if (!message || message->from != name) return;
+    if (!message || message->from != name) {
+      return;
+    }
     TamperIncoming(*message);
     Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *message, out); });
   }
   if (const auto at = value.find("n"); at != value.end()) {
     const auto note = cluster::ReadNote(*at);
-    if (!note || note->from != name) return;
+    if (!note || note->from != name) {
+      return;
+    }
     Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *note, out); });
   }
 }
@@ -443,25 +499,31 @@
 // How the settings in force differ from those of `rules`, where it is by tenants alone.
 std::optional<std::vector<TenantChange>> ClusterAgent::TenantsFor(
     const cluster::VersionContent& rules) const {
-  if (!adopted_) return std::nullopt;
+  if (!adopted_) {
+    return std::nullopt;
+  }
   return VersionedSettings::TenantsChanged(*rules_, rules);
 }
 
 // Of a change with faults of its own nothing is said here: the leader names them all.
 std::string ClusterAgent::CannotTake(const cluster::Change& change) const {
   try {
-    return CannotActOn(change.is_delta
-                           ? cluster::ApplyDelta(member_->history().latest_content(), change.document)
-                           : cluster::ParseDocument(change.document));
+    return CannotActOn(
+        change.is_delta ? cluster::ApplyDelta(member_->history().latest_content(), change.document)
+                        : cluster::ParseDocument(change.document));
   } catch (const std::invalid_argument&) {
     return {};
   }
 }
 
 void ClusterAgent::OnCall(uint64_t call, const json& value) {
-  if (!connections_) return;
+  if (!connections_) {
+    return;
+  }
   const std::string what = value.is_object() ? value.value("what", "") : "";
-  if (what == "status") return connections_->Reply(call, Status());
+  if (what == "status") {
+    return connections_->Reply(call, Status());
+  }
   if (what == "history") {
     // The texts that are asked for; where none is named, of as many of the last as a frame bears.
     const json wanted = value.value("texts", json());
@@ -474,7 +536,9 @@
         continue;
       }
       bytes += cluster::TextBytes(*v->content);
-      if (bytes > kTextsMost) break;
+      if (bytes > kTextsMost) {
+        break;
+      }
       texts[v->number] = cluster::ToText(*v->content);
     }
     json all = json::array();
@@ -492,15 +556,19 @@
   }
   auto wish =
       value.is_object() && value.contains("wish") ? cluster::ReadWish(value["wish"]) : std::nullopt;
-  if (!wish) return connections_->Reply(call, {{"error", "no such call"}});
+  if (!wish) {
+    return connections_->Reply(call, {{"error", "no such call"}});
+  }
   if (wish->kind == cluster::ChangeRequest::Kind::kChange) {
     if (const std::string why = CannotTake(wish->change); !why.empty()) {
-      const cluster::ChangeResult refused{cluster::ChangeResult::Kind::kRefused, wish->change.id, 0, why};
+      const cluster::ChangeResult refused{cluster::ChangeResult::Kind::kRefused, wish->change.id, 0,
+                                          why};
       return connections_->Reply(call, {{"answer", cluster::ToJson(refused)}});
     }
   }
-  if (calls_.size() >= kCallsMost)
+  if (calls_.size() >= kCallsMost) {
     return connections_->Reply(call, {{"error", "too many calls at once"}});
+  }
   TamperOutgoing(*wish);
   const uint64_t ticket = next_ticket_++;
   calls_[ticket] = call;
@@ -514,14 +582,20 @@
   if (disk_) {
     const DiskThread::State state = disk_->Look();
     status["log_bytes"] = state.bytes;
-    if (!state.why.empty()) status["disk"] = state.why;
+    if (!state.why.empty()) {
+      status["disk"] = state.why;
+    }
   }
   if (connections_) {
     const peer::PeerConnections::Statistics& c = connections_->statistics();
-    status["frames_in"] = c.frames_in, status["frames_out"] = c.frames_out;
-    status["bytes_in"] = c.bytes_in, status["bytes_out"] = c.bytes_out;
-    status["dropped"] = c.dropped, status["nonsense"] = c.malformed_frames;
-    status["strangers"] = c.unidentified, status["old_lives"] = c.stale_incarnations;
+    status["frames_in"] = c.frames_in;
+    status["frames_out"] = c.frames_out;
+    status["bytes_in"] = c.bytes_in;
+    status["bytes_out"] = c.bytes_out;
+    status["dropped"] = c.dropped;
+    status["nonsense"] = c.malformed_frames;
+    status["strangers"] = c.unidentified;
+    status["old_lives"] = c.stale_incarnations;
   }
   return status;
 }
@@ -535,7 +609,8 @@
       kStances[static_cast<size_t>(stance.kind)], stance.version_in_force, stance.latest_version,
       member_->raft_node().current_term(),
       member_->raft_node().leader().empty() ? "none" : member_->raft_node().leader(),
-      connections_ ? connections_->connected_count() : 0, changes_, lost_, disk_failures_, content_differed_);
+      connections_ ? connections_->connected_count() : 0, changes_, lost_, disk_failures_,
+      content_differed_);
 }
 
 // ---- The decider ------------------------------------------------------------------------------
@@ -550,7 +625,9 @@
 }
 
 void ClusterAgent::CarryOut(MemberOutput& out) {
-  for (const std::string& line : out.log) Log(LogLevel::kInfo, "{}", line);
+  for (const std::string& line : out.log) {
+    Log(LogLevel::kInfo, "{}", line);
+  }
   // Before it takes part it only looks at what its disk has.
   if (!connections_) {
     Act();
@@ -577,7 +654,9 @@
   }
   for (const auto& [ticket, answer] : out.results) {
     const auto at = calls_.find(ticket);
-    if (at == calls_.end()) continue;
+    if (at == calls_.end()) {
+      continue;
+    }
     connections_->Reply(at->second, {{"answer", cluster::ToJson(answer)}});
     calls_.erase(at);
   }
@@ -591,7 +670,9 @@
   // Once for a process: where the fault lies with what is sent, more of it mends nothing.
   if (!out.needs_resync.empty() && !std::exchange(anew_, true)) {
     loop_.RunDeferred([this, alive = std::weak_ptr(lock_)] {
-      if (!alive.expired()) StartAnew("its content is not what was agreed", true);
+      if (!alive.expired()) {
+        StartAnew("its content is not what was agreed", true);
+      }
     });
   }
   Wants();
@@ -602,12 +683,16 @@
 void ClusterAgent::Plan() {
   loop_.CancelTimer(timer_);
   // One that takes no part has nothing else to do in time.
-  if (!connections_ && !member_->raft_node().HasEntriesToApply()) return;
+  if (!connections_ && !member_->raft_node().HasEntriesToApply()) {
+    return;
+  }
   const Time due = member_->NextTimeout();
-  if (due == Time::max()) return;
+  if (due == Time::max()) {
+    return;
+  }
   const auto wait = static_cast<double>((due - Now()).count()) / config_.clock_factor;
-  timer_ =
-      loop_.RunAfter(std::max(Duration(0), Duration(static_cast<int64_t>(wait))), [this] { Tick(); });
+  timer_ = loop_.RunAfter(std::max(Duration(0), Duration(static_cast<int64_t>(wait))),
+                          [this] { Tick(); });
 }
 
 void ClusterAgent::Tick() {
@@ -628,7 +713,8 @@
   const bool held = stance.kind != EffectiveConfig::Kind::kIsolated;
   if (held) {
     // Asked again before anything is decided past this, however late the loop is.
-    const auto left = static_cast<double>((stance.valid_until - Now()).count()) / config_.clock_factor;
+    const auto left =
+        static_cast<double>((stance.valid_until - Now()).count()) / config_.clock_factor;
     const Duration wait(static_cast<int64_t>(left));
     gateway_.RunBeforeEventsFrom(loop_.Now() + wait, [this] { Act(); });
     loop_.CancelTimer(act_timer_);
@@ -636,7 +722,9 @@
   }
   const bool was_held = stance_ && stance_->kind != EffectiveConfig::Kind::kIsolated;
   if (held != was_held) {
-    if (!held) ++lost_;
+    if (!held) {
+      ++lost_;
+    }
     Log(held ? LogLevel::kInfo : LogLevel::kWarning, "bank: {}",
         held ? fmt::format("in touch, version {}", stance.version_in_force)
              : "out of touch: strict rules, nothing is sent twice");
@@ -645,7 +733,8 @@
   // come and gone since would hold up its requests for nothing.
   const bool keeps = rules_ && !held && member_->raft_node().HasEntriesToApply();
   const bool same = rules_ && stance_ && stance_->kind == stance.kind && kept_ == keeps &&
-                    (keeps || (stance_->version_in_force == stance.version_in_force && stance_->latest_version == stance.latest_version));
+                    (keeps || (stance_->version_in_force == stance.version_in_force &&
+                               stance_->latest_version == stance.latest_version));
   stance_ = stance;
   kept_ = keeps;
   if (config_.when_disconnected == WhenDisconnected::kDrain && drained_ == held) {
@@ -655,9 +744,13 @@
   }
   // Where the bound goes before service nothing may go to a host that may be barred by now.
   const bool nowhere = config_.when_disconnected == WhenDisconnected::kDrain && !held;
-  if (same) return;
+  if (same) {
+    return;
+  }
   cluster::VersionContent rules = keeps ? cluster::StrictestFor(*rules_) : ContentOf(stance);
-  if (rules_ && *rules_ == rules && nowhere_ == nowhere) return;
+  if (rules_ && *rules_ == rules && nowhere_ == nowhere) {
+    return;
+  }
   const Time now = loop_.Now();
   try {
     const auto tenants = TenantsFor(rules);
@@ -669,11 +762,14 @@
     // Whoever is to be kept off is told by their names, and by the own zone's place.
     const bool hosts = !tenants || nowhere != nowhere_ || rules.excluded != rules_->excluded ||
                        rules.draining != rules_->draining || rules.zone_only != rules_->zone_only;
-    if (hosts) gateway_.ExcludeHosts(KeptOff(rules), nowhere);
+    if (hosts) {
+      gateway_.ExcludeHosts(KeptOff(rules), nowhere);
+    }
     ++changes_;
     adopted_ = true;
   } catch (const std::exception& error) {
-    Log(LogLevel::kError, "bank: version {} cannot be acted on here: {}", stance.latest_version, error.what());
+    Log(LogLevel::kError, "bank: version {} cannot be acted on here: {}", stance.latest_version,
+        error.what());
     cluster::VersionContent strict = cluster::StrictestFor(rules);
     strict.settings = {};
     strict.classes.reset();
@@ -691,13 +787,17 @@
 // The hosts that take no work from this gateway.
 std::set<std::string> ClusterAgent::KeptOff(const cluster::VersionContent& rules) const {
   std::set<std::string> off;
-  const auto add = [&](const cluster::MapEntry& part) { off.insert(part.name); };
+  const auto add = [&](const cluster::MapEntry& part) {
+    off.insert(part.name);
+  };
   rules.excluded.ForEach(add);
   rules.draining.ForEach(add);
   const GatewayConfig& config = gateway_.config();
   const auto mine = static_cast<size_t>(config.settings.zone);
   rules.zone_only.ForEach([&](const cluster::MapEntry& part) {
-    if (config.names.zones.Find(json::parse(part.text).get<std::string>()) != mine) add(part);
+    if (config.names.zones.Find(json::parse(part.text).get<std::string>()) != mine) {
+      add(part);
+    }
   });
   return off;
 }
@@ -707,11 +807,15 @@
   try {
     files.MakeFolder(config.folder);
     const auto lock = files.Lock(config.folder + "/lock");
-    if (!lock) throw ConfigError(config.folder + ": a process has it, expected none");
+    if (!lock) {
+      throw ConfigError(config.folder + ": a process has it, expected none");
+    }
     bool there = false;
     raft::PersistentState disk;
     storage::WriteAheadLog log(files, config.folder, [&](std::string_view) { there = true; });
-    if (there) throw ConfigError(config.folder + ": a log is there already, expected none");
+    if (there) {
+      throw ConfigError(config.folder + ": a log is there already, expected none");
+    }
     disk.incarnation = NewLife();
     raft::StorageWrite write;
     write.current_term = 1;
--- a/src/gateway/cluster_agent.h
+++ b/src/gateway/cluster_agent.h
@@ -29,7 +29,8 @@
  public:
   // Reads what the disk has and acts on that at once, under strict rules; takes part once no other
   // process has the folder. Throws ConfigError or std::system_error with one line.
-  ClusterAgent(EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life, GatewayConfig file);
+  ClusterAgent(EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
+               GatewayConfig file);
   virtual ~ClusterAgent();
   ClusterAgent(const ClusterAgent&) = delete;
   ClusterAgent& operator=(const ClusterAgent&) = delete;
@@ -43,8 +44,11 @@
 
  protected:
   // What tests put wrong, to see that a judge finds it out.
-  [[nodiscard]] virtual cluster::EffectiveConfig CurrentConfig() const { return member_->CurrentConfig(Now()); }
-  [[nodiscard]] virtual cluster::VersionContent ContentOf(const cluster::EffectiveConfig& stance) const {
+  [[nodiscard]] virtual cluster::EffectiveConfig CurrentConfig() const {
+    return member_->CurrentConfig(Now());
+  }
+  [[nodiscard]] virtual cluster::VersionContent ContentOf(
+      const cluster::EffectiveConfig& stance) const {
     return member_->ContentOf(stance);
   }
   virtual void TamperOutgoing(raft::Message&) {}
