--- a/src/gateway/downstream.cpp
+++ b/src/gateway/downstream.cpp
@@ -57,20 +57,34 @@
 
 std::string_view Reason(int status) {
   switch (status) {
-    case 200: return "OK";
-    case 400: return "Bad Request";
-    case 403: return "Forbidden";
-    case 404: return "Not Found";
-    case 405: return "Method Not Allowed";
-    case 408: return "Request Timeout";
-    case 409: return "Conflict";
-    case 413: return "Content Too Large";
-    case 431: return "Request Header Fields Too Large";
-    case 501: return "Not Implemented";
-    case 502: return "Bad Gateway";
-    case 503: return "Service Unavailable";
-    case 505: return "HTTP Version Not Supported";
-    default: return "Error";
+    case 200:
+      return "OK";
+    case 400:
+      return "Bad Request";
+    case 403:
+      return "Forbidden";
+    case 404:
+      return "Not Found";
+    case 405:
+      return "Method Not Allowed";
+    case 408:
+      return "Request Timeout";
+    case 409:
+      return "Conflict";
+    case 413:
+      return "Content Too Large";
+    case 431:
+      return "Request Header Fields Too Large";
+    case 501:
+      return "Not Implemented";
+    case 502:
+      return "Bad Gateway";
+    case 503:
+      return "Service Unavailable";
+    case 505:
+      return "HTTP Version Not Supported";
+    default:
+      return "Error";
   }
 }
 
@@ -81,10 +95,16 @@
     const std::string_view pair = Trim(info.substr(0, comma));
     info.remove_prefix(comma == std::string_view::npos ? info.size() : comma + 1);
     const size_t eq = pair.find('=');
-    if (eq == std::string_view::npos) continue;
+    if (eq == std::string_view::npos) {
+      continue;
+    }
     const std::string_view name = pair.substr(0, eq), value = pair.substr(eq + 1);
-    if (HeaderNamesEqual(name, "Subject") && !value.empty()) submit.key = std::string(value);
-    if (HeaderNamesEqual(name, "IsWrite")) submit.is_write = value == "1" || value == "true";
+    if (HeaderNamesEqual(name, "Subject") && !value.empty()) {
+      submit.key = std::string(value);
+    }
+    if (HeaderNamesEqual(name, "IsWrite")) {
+      submit.is_write = value == "1" || value == "true";
+    }
     double ms = 0;
     const auto read = std::from_chars(value.data(), value.data() + value.size(), ms);
     const bool number = read.ec == std::errc() && read.ptr == value.data() + value.size();
@@ -108,8 +128,12 @@
     const std::string_view base = answer.upstream_message->bytes.view();
     for (const auto& [key, value] : m.headers) {
       const std::string_view name = key.In(base);
-      if (IsHopByHop(m, base, name) || HeaderNamesEqual(name, "Content-Length")) continue;
-      if (HeaderNamesEqual(name, "X-Load-Report")) continue;  // between the hosts and us
+      if (IsHopByHop(m, base, name) || HeaderNamesEqual(name, "Content-Length")) {
+        continue;
+      }
+      if (HeaderNamesEqual(name, "X-Load-Report")) {
+        continue;  // between the hosts and us
+      }
       head += fmt::format("{}: {}\r\n", name, value.In(base));
     }
   }
@@ -117,19 +141,27 @@
     head += fmt::format("Retry-After: {:.3f}\r\n",
                         static_cast<double>(answer.retry_after.count()) / 1e6);
   }
-  if (!answer.reason.empty()) head += "Content-Type: text/plain\r\n";
-  std::optional<uint64_t> size = answer.upstream_message ? answer.upstream_message->message.body.size : answer.reason.size();
-  if (answer.upstream_message && answer.upstream_message->streaming_body) size = answer.upstream_message->streaming_body->length();
+  if (!answer.reason.empty()) {
+    head += "Content-Type: text/plain\r\n";
+  }
+  std::optional<uint64_t> size =
+      answer.upstream_message ? answer.upstream_message->message.body.size : answer.reason.size();
+  if (answer.upstream_message && answer.upstream_message->streaming_body) {
+    size = answer.upstream_message->streaming_body->length();
+  }
   if (size) {
     head += fmt::format("Content-Length: {}\r\n", *size);
   } else if (keep_alive || !to_http10) {
     head += "Transfer-Encoding: chunked\r\n";
   }
-  if (!keep_alive) head += "Connection: close\r\n";
+  if (!keep_alive) {
+    head += "Connection: close\r\n";
+  }
   return head + "\r\n";
 }
 
-ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names, const Settings& settings, Time now) {
+ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names,
+                           const Settings& settings, Time now) {
   const HttpMessage& m = request.message;
   const std::string_view base = request.bytes.view();
   const auto bad = [](int status, std::string why) {
@@ -142,7 +174,9 @@
   // A header that decides and stands there twice could be read differently further on.
   for (const std::string_view name :
        {"X-Call-Id", "X-Budget-Ms", "X-Caller", "X-Again", "Idempotency-Key"}) {
-    if (m.CountHeader(base, name) > 1) return bad(400, fmt::format("{} twice", name));
+    if (m.CountHeader(base, name) > 1) {
+      return bad(400, fmt::format("{} twice", name));
+    }
   }
   ParsedRequest out;
   RequestArrived& submit = out.arrival;
@@ -153,10 +187,13 @@
   }
   submit.id = *id;
   const auto budget = ParseWholeNumber(m.FindHeader(base, "X-Budget-Ms").value_or(""));
-  if (!budget || *budget == 0 || *budget > kBudgetMost) return bad(400, "X-Budget-Ms");
+  if (!budget || *budget == 0 || *budget > kBudgetMost) {
+    return bad(400, "X-Budget-Ms");
+  }
   submit.deadline = now + Duration(static_cast<int64_t>(*budget) * 1000);
   submit.request_class = names.classes.Find(FirstOfPath(m.target.In(base)));
-  if (submit.request_class >= settings.classes.size() || HasExpired(names.classes_expire_at, submit.request_class, now)) {
+  if (submit.request_class >= settings.classes.size() ||
+      HasExpired(names.classes_expire_at, submit.request_class, now)) {
     return bad(404, "unknown class");
   }
   if (settings.classes[submit.request_class].idempotency == Idempotency::kKeyed &&
@@ -165,14 +202,20 @@
   }
   if (names.tenants.size() > 0) {
     const auto caller = m.FindHeader(base, "X-Caller");
-    if (!caller) return bad(400, "X-Caller");
+    if (!caller) {
+      return bad(400, "X-Caller");
+    }
     submit.tenant = names.tenants.Find(*caller);
-    if (submit.tenant >= names.tenants.size() || HasExpired(names.tenants_expire_at, submit.tenant, now)) {
+    if (submit.tenant >= names.tenants.size() ||
+        HasExpired(names.tenants_expire_at, submit.tenant, now)) {
       return bad(403, "unknown X-Caller");
     }
   }
-  submit.is_client_retry = settings.clients_mark_retries && m.FindHeader(base, "X-Again").value_or("") == "1";
-  if (const auto info = m.FindHeader(base, "X-Call-Info")) ReadInfo(*info, submit);
+  submit.is_client_retry =
+      settings.clients_mark_retries && m.FindHeader(base, "X-Again").value_or("") == "1";
+  if (const auto info = m.FindHeader(base, "X-Call-Info")) {
+    ReadInfo(*info, submit);
+  }
   return out;
 }
 
@@ -195,8 +238,12 @@
   // Whether connections are told of; what waits already is told at once. False where the kernel
   // refuses.
   bool Watch(bool on) {
-    if (on == watched_) return true;
-    if (!on) loop_.Unwatch(fd_.get(), token_);
+    if (on == watched_) {
+      return true;
+    }
+    if (!on) {
+      loop_.Unwatch(fd_.get(), token_);
+    }
     watched_ = on && loop_.Watch(fd_.get(), this, token_);
     return watched_ == on;
   }
@@ -226,7 +273,9 @@
   virtual ~Connection() { loop_.CancelTimer(timer_); }
 
   bool Start() {
-    if (!stream_.Start()) return false;
+    if (!stream_.Start()) {
+      return false;
+    }
     opened_ = loop_.Now();
     SetTimer(kSilentTime, [this] { OutOfTime(); });
     BecomeIdle(clients_.never_used_);
@@ -247,7 +296,9 @@
     loop_.CancelTimer(timer_);
     StopIdling();
     GiveBack();
-    if (const auto body = std::exchange(body_, nullptr)) body->OnTruncated();
+    if (const auto body = std::exchange(body_, nullptr)) {
+      body->OnTruncated();
+    }
     if (const auto exchange = std::exchange(exchange_, nullptr); exchange && !exchange->done()) {
       exchange->Abandon();
       clients_.listener_->OnClientDisconnected(exchange);
@@ -259,10 +310,18 @@
   std::list<std::shared_ptr<Connection>>::iterator place;
 
  private:
-  enum class State { kReading, kUploading, kWaiting, kWriting, kLingering };
+  enum class State {
+    kReading,
+    kUploading,
+    kWaiting,
+    kWriting,
+    kLingering
+  };
 
   void OnData() override {
-    if (state_ == State::kReading) Read();
+    if (state_ == State::kReading) {
+      Read();
+    }
     if (state_ == State::kUploading && body_ && !stream_.ended()) {
       body_->OnDataAvailable();
       return;
@@ -273,13 +332,19 @@
   // The end of what the client sends is taken for its leaving: it closes when it has gone. While
   // its request waits the end counts also behind further ones that nobody has read yet.
   void DropIfLeft() {
-    if (stream_.closed() || state_ == State::kReading) return;
-    if (stream_.ended() || (state_ == State::kWaiting && stream_.hung_up())) clients_.Drop(*this);
+    if (stream_.closed() || state_ == State::kReading) {
+      return;
+    }
+    if (stream_.ended() || (state_ == State::kWaiting && stream_.hung_up())) {
+      clients_.Drop(*this);
+    }
   }
 
   void Read() {
     if (stream_.input().empty()) {
-      if (stream_.ended()) clients_.Drop(*this);
+      if (stream_.ended()) {
+        clients_.Drop(*this);
+      }
       return;
     }
     StopIdling();
@@ -290,11 +355,19 @@
     }
     spoken_ = true;
     const ParseProgress progress = parser_.Feed(stream_.input());
-    if (progress == ParseProgress::kMalformed) return Refuse(parser_.error_status(), "malformed request");
-    if (progress == ParseProgress::kDone) return Take();
-    if (stream_.ended()) return clients_.Drop(*this);  // it broke off in the middle
+    if (progress == ParseProgress::kMalformed) {
+      return Refuse(parser_.error_status(), "malformed request");
+    }
+    if (progress == ParseProgress::kDone) {
+      return Take();
+    }
+    if (stream_.ended()) {
+      return clients_.Drop(*this);  // it broke off in the middle
+    }
     Continue();
-    if (parser_.head_done()) ReadLarge();
+    if (parser_.head_done()) {
+      ReadLarge();
+    }
   }
 
   // A body that may be past what is held of each.
@@ -305,21 +378,30 @@
       SetTimer(std::max(kRequestTime - passed, kBodyLook), [this] { LookAtRate(); });
     }
     const size_t come = parser_.body_bytes_received(stream_.input());
-    if (come > came_) last_byte_ = loop_.Now();
+    if (come > came_) {
+      last_byte_ = loop_.Now();
+    }
     came_ = std::max(came_, come);
     const auto length = parser_.body_length();
-    if (length ? *length <= kMaxBufferedBodyBytes : come < kMaxBufferedBodyBytes) return;
-    if (length && held_ == 0 && *length <= kHeldOne && clients_.buffered_bytes_ + *length <= kHeldMost) {
+    if (length ? *length <= kMaxBufferedBodyBytes : come < kMaxBufferedBodyBytes) {
+      return;
+    }
+    if (length && held_ == 0 && *length <= kHeldOne &&
+        clients_.buffered_bytes_ + *length <= kHeldMost) {
       held_ = static_cast<size_t>(*length);
       clients_.buffered_bytes_ += held_;
       stream_.set_max_unread_bytes(kMaxHeadBytes + held_);
       stream_.set_min_read_bytes(kMaxPieceBytes);
       // What was left unread by the bound before has told of itself already.
       loop_.RunAfterRound([self = Self()] {
-        if (!self->stream_.closed()) self->stream_.ResumeReading();
+        if (!self->stream_.closed()) {
+          self->stream_.ResumeReading();
+        }
       });
     }
-    if (held_ == 0 && come >= kPassOnFrom) TakeLarge();
+    if (held_ == 0 && come >= kPassOnFrom) {
+      TakeLarge();
+    }
   }
 
   // By its rate: one that is slow sends on, one that stalls or drips holds a descriptor for ever.
@@ -330,21 +412,30 @@
         static_cast<double>(came_) < kBodyRate * static_cast<double>(since.count()) / 1e6;
     // What waits here unread, or to be written, is no fault of the client's.
     const bool unread = state_ == State::kUploading && !stream_.input().empty();
-    if (unread) last_byte_ = now, body_at_ = std::max(body_at_, now - kBodyGrace);
-    if (!unread && (slow || now - last_byte_ > kBodyGrace)) return TooSlow();
+    if (unread) {
+      last_byte_ = now;
+      body_at_ = std::max(body_at_, now - kBodyGrace);
+    }
+    if (!unread && (slow || now - last_byte_ > kBodyGrace)) {
+      return TooSlow();
+    }
     SetTimer(kBodyLook, [this] { LookAtRate(); });
   }
 
   void TooSlow() {
     ++GlobalCounters().bodies_cut;
-    if (state_ == State::kReading) return Refuse(408, "request too slow");
+    if (state_ == State::kReading) {
+      return Refuse(408, "request too slow");
+    }
     Log(LogLevel::kInfo, "body cut: request {} came too slowly", exchange_ ? exchange_->id() : "");
     BreakOff(408, "request too slow");
   }
 
   // The rest of a request that passes on cannot be had: nobody works for it any more.
   void BreakOff(int status, std::string_view why) {
-    if (const auto body = std::exchange(body_, nullptr)) body->OnTruncated();
+    if (const auto body = std::exchange(body_, nullptr)) {
+      body->OnTruncated();
+    }
     if (const auto exchange = std::exchange(exchange_, nullptr); exchange && !exchange->done()) {
       exchange->Abandon();
       clients_.listener_->OnClientDisconnected(exchange);
@@ -373,12 +464,18 @@
   ParseProgress TakeBody(Buffer& piece) {
     const ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
     came_ += piece.size();
-    if (!piece.empty()) last_byte_ = loop_.Now();
+    if (!piece.empty()) {
+      last_byte_ = loop_.Now();
+    }
     // Not within this call: what comes is told to whoever is at work here.
     if (progress == ParseProgress::kNeedMore) {
-      if (!stream_.readable()) return progress;
+      if (!stream_.readable()) {
+        return progress;
+      }
       loop_.RunAfterRound([self = Self()] {
-        if (!self->stream_.closed() && self->state_ == State::kUploading) self->stream_.ResumeReading();
+        if (!self->stream_.closed() && self->state_ == State::kUploading) {
+          self->stream_.ResumeReading();
+        }
       });
       return progress;
     }
@@ -386,14 +483,18 @@
     if (progress == ParseProgress::kMalformed) {
       const int status = parser_.error_status();
       loop_.RunDeferred([self = Self(), status] {
-        if (!self->stream_.closed()) self->BreakOff(status, "malformed request");
+        if (!self->stream_.closed()) {
+          self->BreakOff(status, "malformed request");
+        }
       });
       return progress;
     }
     loop_.CancelTimer(timer_);
     EndOfRequest();
     state_ = State::kWaiting;
-    if (exchange_) clients_.listener_->OnRequestComplete(exchange_);
+    if (exchange_) {
+      clients_.listener_->OnRequestComplete(exchange_);
+    }
     return progress;
   }
 
@@ -409,18 +510,25 @@
   }
 
   void OutOfTime() {
-    if (parser_.begun()) return Refuse(408, "request too slow");
+    if (parser_.begun()) {
+      return Refuse(408, "request too slow");
+    }
     // One whose request has come and was not read yet is about to be read.
-    if (stream_.IsIdle()) return clients_.Drop(*this);
+    if (stream_.IsIdle()) {
+      return clients_.Drop(*this);
+    }
     SetTimer(kAcceptAgain, [this] { OutOfTime(); });
   }
 
   // A client may wait to be asked for the body.
   void Continue() {
     const HttpMessage& m = parser_.message();
-    if (asked_ || m.body.at == 0) return;
+    if (asked_ || m.body.at == 0) {
+      return;
+    }
     asked_ = true;
-    if (HeaderNamesEqual(m.FindHeader(stream_.input().view(), "Expect").value_or(""), "100-continue")) {
+    if (HeaderNamesEqual(m.FindHeader(stream_.input().view(), "Expect").value_or(""),
+                         "100-continue")) {
       stream_.Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
   }
@@ -443,8 +551,8 @@
       ++GlobalCounters().health_checks;
       return Reply({.status = clients_.lifecycle_.healthy() ? 200 : 503});
     }
-    AdmissionResult taken = clients_.listener_->OnRequest(std::move(request),
-                                                [this](const Response& answer) { Reply(answer); });
+    AdmissionResult taken = clients_.listener_->OnRequest(
+        std::move(request), [this](const Response& answer) { Reply(answer); });
     if (taken.request) {
       exchange_ = std::move(taken.request);
       return;
@@ -469,7 +577,9 @@
 
   void Reply(const Response& answer) {
     exchange_ = nullptr;
-    if (!PADDLESTILE_CHECK(state_ == State::kWaiting || state_ == State::kUploading)) return;
+    if (!PADDLESTILE_CHECK(state_ == State::kWaiting || state_ == State::kUploading)) {
+      return;
+    }
     // Answered before it was heard: the rest of the request is of no use.
     if (const auto body = std::exchange(body_, nullptr)) {
       body->OnTruncated();
@@ -484,22 +594,29 @@
       writer_ = std::make_unique<BodyWriter>(stream_, rest, !sized && !http10_, true,
                                              [this](bool whole) { BodyOver(whole); });
     }
-    stream_.Write(ResponseHead(answer, keep_alive_, http10_) + answer.reason, answer.upstream_message,
+    stream_.Write(ResponseHead(answer, keep_alive_, http10_) + answer.reason,
+                  answer.upstream_message,
                   answer.upstream_message ? answer.upstream_message->body() : std::string_view());
-    if (writer_) writer_->Resume();
+    if (writer_) {
+      writer_->Resume();
+    }
   }
 
   // The answer that passed on is written, or its host is gone: the client is shown that it is cut.
   void BodyOver(bool whole) {
     // It may be told from within the writer.
     loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(writer_))] {});
-    if (whole) return OnWriteComplete();
+    if (whole) {
+      return OnWriteComplete();
+    }
     stream_.CloseByReset();
     loop_.RunDeferred([self = Self()] { self->clients_.DropClosed(*self); });
   }
 
   void OnWriteComplete() override {
-    if (state_ != State::kWriting) return;  // that was "100 Continue"
+    if (state_ != State::kWriting) {
+      return;  // that was "100 Continue"
+    }
     if (writer_) {
       SetTimer(kAnswerTime, [this] { clients_.Drop(*this); });
       return writer_->Resume();
@@ -520,12 +637,16 @@
     stream_.ShutdownWrite();
     SetTimer(kLinger, [this] { clients_.Drop(*this); });
     loop_.RunAfterRound([self = Self()] {
-      if (!self->stream_.closed()) self->stream_.DiscardInput();
+      if (!self->stream_.closed()) {
+        self->stream_.DiscardInput();
+      }
     });
   }
 
   void Next() {
-    if (stream_.closed() || state_ != State::kReading) return;
+    if (stream_.closed() || state_ != State::kReading) {
+      return;
+    }
     if (stream_.input().empty() && !stream_.ended()) {
       SetTimer(kIdleTime, [this] { OutOfTime(); });
       BecomeIdle(clients_.idle_);
@@ -540,12 +661,16 @@
   void OnError() override { clients_.Drop(*this); }
 
   void BecomeIdle(std::list<Connection*>& among) {
-    if (among_ != nullptr) return;
+    if (among_ != nullptr) {
+      return;
+    }
     among_ = &among;
     idle_place_ = among.insert(among.end(), this);
   }
   void StopIdling() {
-    if (among_ != nullptr) among_->erase(idle_place_);
+    if (among_ != nullptr) {
+      among_->erase(idle_place_);
+    }
     among_ = nullptr;
   }
 
@@ -565,7 +690,7 @@
   HttpParser parser_{HttpParser::Kind::kRequest, kMaxBodyBytes};
   State state_ = State::kReading;
   bool keep_alive_ = true, asked_ = false, http10_ = false;
-  std::shared_ptr<StreamingBody> body_;                    // of a request that passes on
+  std::shared_ptr<StreamingBody> body_;           // of a request that passes on
   std::unique_ptr<BodyWriter> writer_;            // of an answer that does
   size_t held_ = 0;                               // of the clients' bytes held whole past kMaxBody
   Time begun_at_{0}, body_at_{0}, last_byte_{0};  // of the present request; its body
@@ -580,8 +705,9 @@
 
 // ---- Clients --------------------------------------------------------------------------------
 
-Downstream::Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen, const Lifecycle& life,
-                 Listener* listener, FileDescriptor handed, bool shared)
+Downstream::Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen,
+                       const Lifecycle& life, Listener* listener, FileDescriptor handed,
+                       bool shared)
     : loop_(loop),
       budget_(budget),
       lifecycle_(life),
@@ -596,15 +722,21 @@
   loop_.CancelTimer(accept_timer_);
   loop_.CancelTimer(drain_timer_);
   // No events to the listener any more: the module goes with this gateway.
-  for (const auto& connection : connections_) connection->stream().Close();
+  for (const auto& connection : connections_) {
+    connection->stream().Close();
+  }
 }
 
 void Downstream::Accept() {
   for (int accepted = 0; acceptor_ && lifecycle_.accepts(); ++accepted) {
     if (accepted == kAcceptAtOnce) {
-      if (std::exchange(accept_yielded_, true)) return;
+      if (std::exchange(accept_yielded_, true)) {
+        return;
+      }
       loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
-        if (alive.expired()) return;
+        if (alive.expired()) {
+          return;
+        }
         accept_yielded_ = false;
         Accept();
       });
@@ -616,19 +748,29 @@
       // Room is made only for somebody who waits: else the last free descriptor would cost an idle
       // connection each time.
       pollfd waiting{acceptor_->fd(), POLLIN, 0};
-      if (poll(&waiting, 1, 0) == 0) return;
-      if (!(share ? listener_->OnDescriptorsExhausted() : CloseOneIdle()) || !budget_.TryAcquire()) {
+      if (poll(&waiting, 1, 0) == 0) {
+        return;
+      }
+      if (!(share ? listener_->OnDescriptorsExhausted() : CloseOneIdle()) ||
+          !budget_.TryAcquire()) {
         return AcceptLater();
       }
     }
-    Socket socket(FileDescriptor(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)),
-                  &budget_);
+    Socket socket(
+        FileDescriptor(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)),
+        &budget_);
     if (socket.get() < 0) {
       const int error = errno;
-      if (error == EINTR || error == ECONNABORTED) continue;
-      if (error == EAGAIN || error == EWOULDBLOCK) return;
+      if (error == EINTR || error == ECONNABORTED) {
+        continue;
+      }
+      if (error == EAGAIN || error == EWOULDBLOCK) {
+        return;
+      }
       // The table is full all the same: with the edge consumed, only the timer looks again.
-      if (error == EMFILE && listener_->OnDescriptorsExhausted()) continue;
+      if (error == EMFILE && listener_->OnDescriptorsExhausted()) {
+        continue;
+      }
       return AcceptLater();
     }
     const int on = 1;
@@ -638,13 +780,17 @@
     connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
     Connection& connection = *connections_.back();
     connection.place = std::prev(connections_.end());
-    if (!connection.Start()) Drop(connection);
+    if (!connection.Start()) {
+      Drop(connection);
+    }
   }
 }
 
 void Downstream::AcceptLater() {
   ++GlobalCounters().accept_waits;
-  if (accept_timer_.number != 0) return;
+  if (accept_timer_.number != 0) {
+    return;
+  }
   accept_timer_ = loop_.RunAfter(kAcceptAgain, [this] {
     accept_timer_ = {};
     Accept();
@@ -652,7 +798,9 @@
 }
 
 void Downstream::Drop(Connection& connection) {
-  if (connection.stream().closed()) return;
+  if (connection.stream().closed()) {
+    return;
+  }
   DropClosed(connection);
 }
 
@@ -667,7 +815,8 @@
 // The trouble: in a burst each newcomer was closed for the next, its request a moment behind it.
 bool Downstream::CloseOneIdle() {
   const Time now = loop_.Now();
-  return CloseOne(never_used_, now - kSilentGrace) || CloseOne(idle_, now) || CloseOne(never_used_, now);
+  return CloseOne(never_used_, now - kSilentGrace) || CloseOne(idle_, now) ||
+         CloseOne(never_used_, now);
 }
 
 // Clients have a bound of their own on what they keep open to us. When each request comes on a new
@@ -675,15 +824,21 @@
 void Downstream::TrimIdle() {
   const double most = kKeptShare * static_cast<double>(budget_.limit());
   while (static_cast<double>(connections_.size() - never_used_.size()) > most) {
-    if (!CloseOne(idle_, loop_.Now())) return;
+    if (!CloseOne(idle_, loop_.Now())) {
+      return;
+    }
   }
 }
 
 bool Downstream::CloseOne(std::list<Connection*>& among, Time opened_before) {
   for (Connection* const connection : among) {
-    if (connection->opened() > opened_before) return false;  // the later ones are younger
+    if (connection->opened() > opened_before) {
+      return false;  // the later ones are younger
+    }
     // One with a request on its way that was not read yet stays: that request is taken.
-    if (!connection->stream().IsIdle()) continue;
+    if (!connection->stream().IsIdle()) {
+      continue;
+    }
     ++GlobalCounters().clients_reclaimed;
     Drop(*connection);
     return true;
@@ -691,16 +846,22 @@
   return false;
 }
 
-int Downstream::listening_socket() const { return acceptor_ ? acceptor_->fd() : -1; }
+int Downstream::listening_socket() const {
+  return acceptor_ ? acceptor_->fd() : -1;
+}
 
 void Downstream::OnLifecycleChanged() {
   if (acceptor_ && !acceptor_->Watch(lifecycle_.accepts())) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
-  if (std::exchange(draining_, lifecycle_.draining()) == lifecycle_.draining()) return;
+  if (std::exchange(draining_, lifecycle_.draining()) == lifecycle_.draining()) {
+    return;
+  }
   loop_.CancelTimer(drain_timer_);
   drain_since_ = loop_.Now();
-  if (draining_) DrainStep();
+  if (draining_) {
+    DrainStep();
+  }
 }
 
 void Downstream::Shutdown(Duration at_most, std::function<void()> done) {
@@ -716,8 +877,12 @@
     for (auto at = among->begin(); at != among->end();) {
       Connection* const connection = *at++;
       // A newcomer's request may be a moment behind it.
-      if (among == &never_used_ && !on_drained_ && now - connection->opened() < kSilentGrace) break;
-      if (connection->stream().IsIdle()) Drop(*connection);
+      if (among == &never_used_ && !on_drained_ && now - connection->opened() < kSilentGrace) {
+        break;
+      }
+      if (connection->stream().IsIdle()) {
+        Drop(*connection);
+      }
     }
   }
 }
@@ -725,18 +890,24 @@
 void Downstream::DrainStep() {
   Accept();
   const Time now = loop_.Now();
-  if (now - drain_since_ >= kDrainIdleAfter) EndIdle();
+  if (now - drain_since_ >= kDrainIdleAfter) {
+    EndIdle();
+  }
   if (on_drained_ && now >= shutdown_at_) {
     // Whoever still has no request in hand had time enough; what is in hand is answered first.
     for (auto at = connections_.begin(); at != connections_.end();) {
       Connection& connection = **at++;
-      if (!connection.in_hand()) Drop(connection);
+      if (!connection.in_hand()) {
+        Drop(connection);
+      }
     }
   }
   // What waits in the queue would be reset with it: not while accepting was put off.
   const bool taken = !accept_yielded_ && accept_timer_.number == 0;
   // Another may listen at the address: to stay would be to take what is the other's for ever.
-  if (on_drained_ && shared_ && taken && now - drain_since_ >= kDrainShared) acceptor_.reset();
+  if (on_drained_ && shared_ && taken && now - drain_since_ >= kDrainShared) {
+    acceptor_.reset();
+  }
   const bool quiet =
       !acceptor_ || !lifecycle_.accepts() ||
       (taken && now - drain_since_ >= kDrainIdleAfter && now - last_accept_ >= kDrainQuiet);
--- a/src/gateway/downstream.h
+++ b/src/gateway/downstream.h
@@ -27,7 +27,8 @@
   int error_status = 0;  // 0: understood
   std::string reason;
 };
-ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names, const Settings& settings, Time now);
+ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names,
+                           const Settings& settings, Time now);
 
 // What became of a request: in hand, or answered with `bad_status` at once.
 struct AdmissionResult {
@@ -40,7 +41,8 @@
  public:
   class Listener {
    public:
-    virtual AdmissionResult OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) = 0;
+    virtual AdmissionResult OnRequest(BufferedMessage request,
+                                      ProxiedRequest::ResponseCallback reply) = 0;
     virtual void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) = 0;
     // The last byte of a request that is not held whole has come: its time runs from here.
     virtual void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) = 0;
@@ -53,8 +55,9 @@
 
   // Listens at once, on `handed` where it is a listening socket; throws std::system_error. `life`
   // tells when connections are taken and when they end. `shared`: another process may listen too.
-  Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen, const Lifecycle& life,
-          Listener* listener, FileDescriptor handed = FileDescriptor(), bool shared = false);
+  Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen,
+             const Lifecycle& life, Listener* listener, FileDescriptor handed = FileDescriptor(),
+             bool shared = false);
   ~Downstream();
   Downstream(const Downstream&) = delete;
   Downstream& operator=(const Downstream&) = delete;
@@ -97,7 +100,7 @@
   std::unique_ptr<Acceptor> acceptor_;
   std::list<std::shared_ptr<Connection>> connections_;
   std::list<Connection*> never_used_;  // have said nothing yet, the longest first
-  std::list<Connection*> idle_;    // between requests, the longest first
+  std::list<Connection*> idle_;        // between requests, the longest first
   EventLoop::TimerId accept_timer_, drain_timer_;
   bool draining_ = false, accept_yielded_ = false, shared_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -28,15 +28,33 @@
 void CountOutcome(Outcome outcome) {
   Counters& count = GlobalCounters();
   switch (outcome) {
-    case Outcome::kOk: ++count.settled_ok; break;
-    case Outcome::kError: ++count.settled_error; break;
-    case Outcome::kRejected: ++count.settled_full; break;
-    case Outcome::kTimeout: ++count.settled_timeout; break;
-    case Outcome::kConnectFailed: ++count.settled_connect_failed; break;
-    case Outcome::kReset: ++count.settled_reset; break;
-    case Outcome::kCancelled: ++count.settled_cancelled; break;
-    case Outcome::kNotSent: ++count.settled_moot; break;
-    case Outcome::kInvalidResponse: ++count.settled_unusable; break;
+    case Outcome::kOk:
+      ++count.settled_ok;
+      break;
+    case Outcome::kError:
+      ++count.settled_error;
+      break;
+    case Outcome::kRejected:
+      ++count.settled_full;
+      break;
+    case Outcome::kTimeout:
+      ++count.settled_timeout;
+      break;
+    case Outcome::kConnectFailed:
+      ++count.settled_connect_failed;
+      break;
+    case Outcome::kReset:
+      ++count.settled_reset;
+      break;
+    case Outcome::kCancelled:
+      ++count.settled_cancelled;
+      break;
+    case Outcome::kNotSent:
+      ++count.settled_moot;
+      break;
+    case Outcome::kInvalidResponse:
+      ++count.settled_unusable;
+      break;
   }
 }
 
@@ -51,7 +69,9 @@
   Upstream::Options options;
   options.connect_timeout = config.settings.allowed.connect_timeout;
   // Settings that name none would else fail each connection before it can come up.
-  if (options.connect_timeout <= Duration(0)) options.connect_timeout = kConnectUnknown;
+  if (options.connect_timeout <= Duration(0)) {
+    options.connect_timeout = kConnectUnknown;
+  }
   options.endpoint_idle_timeout = config.endpoint_idle_timeout;
   options.report_fields = config.names.report_fields;
   options.reports_in_responses = config.settings.load_report.source == LoadReportSource::kResponses;
@@ -64,27 +84,35 @@
 Gateway::~Gateway() {
   lifecycle_.SetChangeCallback(nullptr);
   loop_.CancelTimer(ready_timer_);
-  for (auto& [exchange, timer] : overdue_timers_) loop_.CancelTimer(timer);
+  for (auto& [exchange, timer] : overdue_timers_) {
+    loop_.CancelTimer(timer);
+  }
 }
 
-Gateway::Gateway(EventLoop& loop, GatewayConfig config, Lifecycle& life, FileDescriptor handed, bool shared)
+Gateway::Gateway(EventLoop& loop, GatewayConfig config, Lifecycle& life, FileDescriptor handed,
+                 bool shared)
     : loop_(loop),
       config_(std::make_shared<GatewayConfig>(std::move(config))),
       lifecycle_(life),
       budget_(config_->max_sockets),
       load_balancer_(config_->settings, config_->seed) {
   upstream_ = std::make_unique<Upstream>(loop_, budget_, ServerOptions(*config_), this);
-  for (const RequestClass& c : config_->settings.classes) longest_deadline_ = std::max(longest_deadline_, c.deadline);
+  for (const RequestClass& c : config_->settings.classes) {
+    longest_deadline_ = std::max(longest_deadline_, c.deadline);
+  }
   const bool own_watch = config_->settings.discovery_mode == DiscoveryMode::kPush;
-  discovery_ = std::make_unique<DiscoveryClient>(loop_, config_->discovery, config_->names, config_->initial_endpoints.revision,
-                                 own_watch, this);
+  discovery_ =
+      std::make_unique<DiscoveryClient>(loop_, config_->discovery, config_->names,
+                                        config_->initial_endpoints.revision, own_watch, this);
   ApplyEndpointList(config_->initial_endpoints, EndpointUpdateKind::kCached);
   discovery_->Start();
   // Last: a client that is let in finds all the rest at work.
   downstream_ = std::make_unique<Downstream>(loop_, budget_, config_->listen, lifecycle_, this,
-                                       std::move(handed), shared);
+                                             std::move(handed), shared);
   lifecycle_.SetChangeCallback([this] { OnLifecycleChanged(); });
-  if (!lifecycle_.accepts()) ready_timer_ = loop_.RunAfter(kReadyMost, [this] { lifecycle_.set_ready(); });
+  if (!lifecycle_.accepts()) {
+    ready_timer_ = loop_.RunAfter(kReadyMost, [this] { lifecycle_.set_ready(); });
+  }
 }
 
 void Gateway::Drain(std::function<void()> done) {
@@ -96,7 +124,9 @@
   ValidateSettings(config.settings);
   config_ = std::make_shared<GatewayConfig>(std::move(config));
   longest_deadline_ = Duration(0);
-  for (const RequestClass& c : config_->settings.classes) longest_deadline_ = std::max(longest_deadline_, c.deadline);
+  for (const RequestClass& c : config_->settings.classes) {
+    longest_deadline_ = std::max(longest_deadline_, c.deadline);
+  }
   upstream_->set_options(ServerOptions(*config_));
   discovery_->set_names(config_->names);
   LogUnsupportedSettings();
@@ -104,17 +134,27 @@
 }
 
 void Gateway::ApplyTenantChanges(const std::vector<TenantChange>& changes) {
-  if (changes.empty()) return;
+  if (changes.empty()) {
+    return;
+  }
   paddlestile::ApplyTenantChanges(changes, loop_.Now(), *config_);
   // Settings that still wait are told as they are now.
-  const auto whole = [](const Event& e) { return std::holds_alternative<Settings>(e); };
-  if (std::ranges::any_of(events_, whole)) return LogUnsupportedSettings();
+  const auto whole = [](const Event& e) {
+    return std::holds_alternative<Settings>(e);
+  };
+  if (std::ranges::any_of(events_, whole)) {
+    return LogUnsupportedSettings();
+  }
   TenantQuotaUpdate told;
   for (const auto& [name, figures] : changes) {
     // One that is gone keeps what it had.
-    if (figures) told.entries.emplace_back(config_->names.tenants.Find(name), *figures);
+    if (figures) {
+      told.entries.emplace_back(config_->names.tenants.Find(name), *figures);
+    }
+  }
+  if (told.entries.empty()) {
+    return;
   }
-  if (told.entries.empty()) return;
   // Ahead of what waits, and behind earlier ones, which these come to.
   const auto at = std::ranges::find_if_not(
       events_, [](const Event& e) { return std::holds_alternative<TenantQuotaUpdate>(e); });
@@ -138,14 +178,19 @@
 bool Gateway::ImportLearnedState(const std::string& text) {
   ProcessEvents();  // the list that the hosts are known by
   const auto told = DecodeLearnedState(text, config_->names, loop_.Now());
-  if (told) load_balancer_.ImportLearnedState(loop_.Now(), *told);
+  if (told) {
+    load_balancer_.ImportLearnedState(loop_.Now(), *told);
+  }
   return told.has_value();
 }
 
 void Gateway::OnLifecycleChanged() {
   const LifecycleStage stage = lifecycle_.stage();
-  if (stage == LifecycleStage::kDrained) ++GlobalCounters().drains;
-  Log(LogLevel::kInfo, "life: {}, {} connections of clients", ToText(stage), downstream_->connection_count());
+  if (stage == LifecycleStage::kDrained) {
+    ++GlobalCounters().drains;
+  }
+  Log(LogLevel::kInfo, "life: {}, {} connections of clients", ToText(stage),
+      downstream_->connection_count());
   downstream_->OnLifecycleChanged();
 }
 
@@ -160,28 +205,35 @@
       name, [](unsigned char c) { return c <= ' ' || c == '='; }, '_');
   std::string refusals;
   for (size_t i = 0; i < stats.unserved_by_reason.size(); ++i) {
-    if (stats.unserved_by_reason[i] == 0) continue;
-    refusals += fmt::format("given_up_{}={} ", ToText(static_cast<ExclusionReason>(i)), stats.unserved_by_reason[i]);
+    if (stats.unserved_by_reason[i] == 0) {
+      continue;
+    }
+    refusals += fmt::format("given_up_{}={} ", ToText(static_cast<ExclusionReason>(i)),
+                            stats.unserved_by_reason[i]);
   }
   return fmt::format(
       "clients={} hosts_connected={} hosts_idle={} descriptors={} memory_kb={} in_hand={} held={} "
       "revision={:.0f} "
       "picks_cold={} picks_hot={} picks_fallback={} {}life={} gateway={} "
       "since={:.3f} at={:.3f} {}",
-      downstream_->connection_count(), upstream_->connection_count(), upstream_->idle_count(), budget_.used(),
-      ResidentKb(), requests_.size(), unanswered_count_, discovery_->revision(),
+      downstream_->connection_count(), upstream_->connection_count(), upstream_->idle_count(),
+      budget_.used(), ResidentKb(), requests_.size(), unanswered_count_, discovery_->revision(),
       stats.selections[static_cast<size_t>(SelectionMethod::kCold)],
       stats.selections[static_cast<size_t>(SelectionMethod::kHot)],
-      stats.selections[static_cast<size_t>(SelectionMethod::kFallback)], refusals, CounterName(lifecycle_.stage()), name,
-      unix_s(started_at_), unix_s(std::chrono::system_clock::now()), GlobalCounters().ToText());
+      stats.selections[static_cast<size_t>(SelectionMethod::kFallback)], refusals,
+      CounterName(lifecycle_.stage()), name, unix_s(started_at_),
+      unix_s(std::chrono::system_clock::now()), GlobalCounters().ToText());
 }
 
 // ---- What happens ---------------------------------------------------------------------------
 
-AdmissionResult Gateway::OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) {
+AdmissionResult Gateway::OnRequest(BufferedMessage request,
+                                   ProxiedRequest::ResponseCallback reply) {
   const Time now = loop_.Now();
   ParsedRequest understood = ParseRequest(request, config_->names, config_->settings, now);
-  if (understood.error_status != 0) return {nullptr, understood.error_status, understood.reason};
+  if (understood.error_status != 0) {
+    return {nullptr, understood.error_status, understood.reason};
+  }
   RequestArrived& submit = understood.arrival;
   // The same id again while it is in hand would run under the first one's answer. Shortly after, it
   // is a copy of somebody else's that was sent while that was in hand: hosts turn it away.
@@ -198,23 +250,29 @@
   RememberRequestId(submit.id);
   auto exchange = std::make_shared<ProxiedRequest>(
       submit.id, std::move(request), submit.deadline,
-      std::shared_ptr<const RequestClass>(config_, &config_->settings.classes[submit.request_class]),
+      std::shared_ptr<const RequestClass>(config_,
+                                          &config_->settings.classes[submit.request_class]),
       std::move(reply));
   exchange->set_client_timeout(submit.deadline - now);
   requests_.emplace(submit.id, exchange);
-  if (exchange->message().streaming_body == nullptr) StartOverdueTimer(exchange);
+  if (exchange->message().streaming_body == nullptr) {
+    StartOverdueTimer(exchange);
+  }
   Enqueue(std::move(submit));
   return {std::move(exchange), 0, {}};
 }
 
 void Gateway::StartOverdueTimer(const std::shared_ptr<ProxiedRequest>& exchange) {
   const Duration slack = config_->settings.rules.response_slack;
-  overdue_timers_.emplace(exchange.get(), loop_.RunAfter(exchange->deadline() + slack - loop_.Now(),
-                                               [this, exchange] { OnOverdue(exchange); }));
+  overdue_timers_.emplace(exchange.get(),
+                          loop_.RunAfter(exchange->deadline() + slack - loop_.Now(),
+                                         [this, exchange] { OnOverdue(exchange); }));
 }
 
 void Gateway::OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) {
-  if (exchange->done()) return;
+  if (exchange->done()) {
+    return;
+  }
   exchange->set_deadline(loop_.Now() + exchange->client_timeout());
   StartOverdueTimer(exchange);
 }
@@ -231,7 +289,9 @@
 void Gateway::RememberRequestId(const std::string& id) {
   recent_ids_.insert(id);
   recent_.emplace_back(loop_.Now(), id);
-  if (recent_.size() <= kRecentMost) return;
+  if (recent_.size() <= kRecentMost) {
+    return;
+  }
   recent_ids_.erase(recent_.front().second);
   recent_.pop_front();
 }
@@ -248,7 +308,9 @@
 // waiting: the request ends here as it does in the simulator.
 void Gateway::OnOverdue(const std::shared_ptr<ProxiedRequest>& exchange) {
   overdue_timers_.erase(exchange.get());
-  if (exchange->committed_attempt() || !exchange->Respond({.status = 502})) return;
+  if (exchange->committed_attempt() || !exchange->Respond({.status = 502})) {
+    return;
+  }
   ++GlobalCounters().answers_overdue;
   --unanswered_count_;
   Log(LogLevel::kError, "no answer in time to {}", exchange->id());
@@ -263,8 +325,9 @@
 }
 
 void Gateway::OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                        const std::string& endpoint, Outcome outcome, Duration took,
-                        std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> from) {
+                                const std::string& endpoint, Outcome outcome, Duration took,
+                                std::optional<LoadReport> report,
+                                std::shared_ptr<const BufferedMessage> from) {
   CountOutcome(outcome);
   exchange->EndAttempt();
   if (outcome == Outcome::kOk && exchange->Respond({.status = 200, .upstream_message = from})) {
@@ -283,48 +346,62 @@
     ++GlobalCounters().answers_failed;
     --unanswered_count_;
   }
-  AttemptFinished settled{exchange->id(), attempt, endpoint, outcome, took, false, std::move(report)};
+  AttemptFinished settled{exchange->id(), attempt, endpoint,         outcome,
+                          took,           false,   std::move(report)};
   const auto tell = [this, exchange](AttemptFinished event) {
     event.request_finished = exchange->done();
     event.request_consumed = exchange->body_consumed();
     Enqueue(std::move(event));
     MaybeEraseRequest(exchange);
   };
-  if (exchange->done()) return tell(std::move(settled));
+  if (exchange->done()) {
+    return tell(std::move(settled));
+  }
   // A further attempt may follow. Its client may have gone while the loop stood still, and the news
   // of that be behind this event, or in none of this round: what has come by now is read first.
   loop_.RunAfterRound([this, tell, event = std::move(settled), alive = std::weak_ptr(alive_)] {
-    if (alive.expired()) return;
+    if (alive.expired()) {
+      return;
+    }
     loop_.RunAfter(Duration(0), [tell, event, alive] {
-      if (!alive.expired()) tell(event);
+      if (!alive.expired()) {
+        tell(event);
+      }
     });
   });
 }
 
 void Gateway::OnResponseStarted(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                            const std::string& endpoint, Duration took) {
+                                const std::string& endpoint, Duration took) {
   Enqueue(ResponseStarted{exchange->id(), attempt, endpoint, took});
 }
 
 void Gateway::OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration took,
-                       std::optional<LoadReport> report) {
+                              std::optional<LoadReport> report) {
   Enqueue(ProbeFinished{endpoint, outcome, took, std::move(report)});
 }
 
 void Gateway::OnEndpointList(EndpointList list) {
-  const EndpointUpdateKind kind = list.complete ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta;
+  const EndpointUpdateKind kind =
+      list.complete ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta;
   ApplyEndpointList(std::move(list), kind);
   lifecycle_.set_ready();
 }
 
-void Gateway::OnDiscoveryFailed() { Enqueue(EndpointUpdate{EndpointUpdateKind::kFailed, {}}); }
+void Gateway::OnDiscoveryFailed() {
+  Enqueue(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
+}
 
 void Gateway::ApplyEndpointList(EndpointList list, EndpointUpdateKind kind) {
   if (kind != EndpointUpdateKind::kDelta) {
     std::unordered_set<std::string> present;
-    for (const EndpointListEntry& entry : list.endpoints) present.insert(entry.info.id);
+    for (const EndpointListEntry& entry : list.endpoints) {
+      present.insert(entry.info.id);
+    }
     for (const auto& [id, was] : listed_endpoints_) {
-      if (!present.contains(id)) upstream_->RemoveEndpoint(id);
+      if (!present.contains(id)) {
+        upstream_->RemoveEndpoint(id);
+      }
     }
     listed_endpoints_.clear();
   }
@@ -336,8 +413,11 @@
     } else {
       upstream_->SetEndpointAddress(entry.info.id, entry.address);
       const EndpointInfo told = entry.info;
-      if (all_hosts_excluded_ || excluded_hosts_.contains(told.id)) entry.info.state = EndpointState::kDraining;
-      listed_endpoints_[told.id] = {entry.info.state == EndpointState::kDraining, told.started_at, told};
+      if (all_hosts_excluded_ || excluded_hosts_.contains(told.id)) {
+        entry.info.state = EndpointState::kDraining;
+      }
+      listed_endpoints_[told.id] = {entry.info.state == EndpointState::kDraining, told.started_at,
+                                    told};
     }
     members.endpoints.push_back(std::move(entry.info));
   }
@@ -350,26 +430,38 @@
   EndpointUpdate members{EndpointUpdateKind::kDelta, {}};
   const auto look = [&](const std::string& id, ListedEndpoint& listed) {
     const bool off = all || excluded_hosts_.contains(id);
-    if (off == (all_before || before.contains(id))) return;
+    if (off == (all_before || before.contains(id))) {
+      return;
+    }
     EndpointInfo info = listed.listed_info;
-    if (off) info.state = EndpointState::kDraining;
+    if (off) {
+      info.state = EndpointState::kDraining;
+    }
     listed.draining = info.state == EndpointState::kDraining;
     members.endpoints.push_back(std::move(info));
   };
   if (all || all_before) {
-    for (auto& [id, listed] : listed_endpoints_) look(id, listed);
+    for (auto& [id, listed] : listed_endpoints_) {
+      look(id, listed);
+    }
   } else {
     // Only those that are named: a list may be long.
     std::vector<std::string> differ;
     std::ranges::set_symmetric_difference(before, excluded_hosts_, std::back_inserter(differ));
     for (const std::string& id : differ) {
-      if (const auto at = listed_endpoints_.find(id); at != listed_endpoints_.end()) look(id, at->second);
+      if (const auto at = listed_endpoints_.find(id); at != listed_endpoints_.end()) {
+        look(id, at->second);
+      }
     }
   }
-  if (members.endpoints.empty()) return;
+  if (members.endpoints.empty()) {
+    return;
+  }
   // Before what waits, so that no event after this call is decided without it; and behind it, as a
   // list that waits was read before.
-  if (!events_.empty()) events_.emplace_back(members);
+  if (!events_.empty()) {
+    events_.emplace_back(members);
+  }
   events_.emplace_front(std::move(members));
   Enqueue();
 }
@@ -387,16 +479,22 @@
 }
 
 void Gateway::Enqueue() {
-  if (std::exchange(processing_events_, true)) return;
+  if (std::exchange(processing_events_, true)) {
+    return;
+  }
   // After the handler at work: what the module wants done must not happen within it.
   loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) ProcessEvents();
+    if (!alive.expired()) {
+      ProcessEvents();
+    }
   });
 }
 
 void Gateway::ProcessEvents() {
   while (!events_.empty()) {
-    if (guard_ && loop_.Now() >= guard_until_) std::exchange(guard_, nullptr)();
+    if (guard_ && loop_.Now() >= guard_until_) {
+      std::exchange(guard_, nullptr)();
+    }
     const Event event = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
@@ -408,11 +506,15 @@
       ++GlobalCounters().module_faults;
       Log(LogLevel::kError, "module: {}", error.what());
     }
-    for (const Action& action : actions_) Execute(action);
+    for (const Action& action : actions_) {
+      Execute(action);
+    }
   }
   processing_events_ = false;
   // Only now: an event that waited may still have had an action for it.
-  for (const auto& exchange : finished_requests_) EraseRequest(exchange);
+  for (const auto& exchange : finished_requests_) {
+    EraseRequest(exchange);
+  }
   finished_requests_.clear();
 }
 
@@ -427,18 +529,24 @@
 
 // Late outcomes still have to find it, so that it stays until its last attempt has ended.
 void Gateway::MaybeEraseRequest(const std::shared_ptr<ProxiedRequest>& exchange) {
-  if (exchange->done() && exchange->attempts_in_flight() == 0) finished_requests_.push_back(exchange);
+  if (exchange->done() && exchange->attempts_in_flight() == 0) {
+    finished_requests_.push_back(exchange);
+  }
 }
 
 void Gateway::EraseRequest(const std::shared_ptr<ProxiedRequest>& exchange) {
-  if (!exchange->done() || exchange->attempts_in_flight() > 0) return;
+  if (!exchange->done() || exchange->attempts_in_flight() > 0) {
+    return;
+  }
   const auto timer = overdue_timers_.find(exchange.get());
   if (timer != overdue_timers_.end()) {
     loop_.CancelTimer(timer->second);
     overdue_timers_.erase(timer);
   }
   const auto at = requests_.find(exchange->id());
-  if (at != requests_.end() && at->second == exchange) requests_.erase(at);
+  if (at != requests_.end() && at->second == exchange) {
+    requests_.erase(at);
+  }
 }
 
 void Gateway::Execute(const StartAttempt& send) {
@@ -447,12 +555,14 @@
   if (!exchange) {
     // It ended while the module decided: as with one over, nothing is transmitted.
     CountOutcome(Outcome::kNotSent);
-    return Enqueue(AttemptFinished{send.id, 0, send.endpoint, Outcome::kNotSent, Duration(0), true, {}});
+    return Enqueue(
+        AttemptFinished{send.id, 0, send.endpoint, Outcome::kNotSent, Duration(0), true, {}});
   }
   const size_t attempt = exchange->BeginAttempt();
   const int cap = config_->settings.allowed.max_attempts;
   if (exchange->done() || exchange->body_consumed() || static_cast<int>(attempt) >= cap) {
-    return OnAttemptFinished(exchange, attempt, send.endpoint, Outcome::kNotSent, Duration(0), {}, nullptr);
+    return OnAttemptFinished(exchange, attempt, send.endpoint, Outcome::kNotSent, Duration(0), {},
+                             nullptr);
   }
   const Time now = loop_.Now();
   const auto listed = listed_endpoints_.find(send.endpoint);
@@ -470,7 +580,9 @@
 
 void Gateway::Execute(const RejectRequest& refuse) {
   const auto exchange = FindRequest(refuse.id);
-  if (!exchange || !exchange->Respond({.status = 503, .retry_after = refuse.retry_after})) return;
+  if (!exchange || !exchange->Respond({.status = 503, .retry_after = refuse.retry_after})) {
+    return;
+  }
   ++GlobalCounters().answers_refused;
   --unanswered_count_;
   MaybeEraseRequest(exchange);
@@ -478,7 +590,9 @@
 
 void Gateway::Execute(const FailRequest& fail) {
   const auto exchange = FindRequest(fail.id);
-  if (!exchange || !exchange->Respond({.status = 502})) return;
+  if (!exchange || !exchange->Respond({.status = 502})) {
+    return;
+  }
   ++GlobalCounters().answers_failed;
   --unanswered_count_;
   MaybeEraseRequest(exchange);
@@ -486,12 +600,16 @@
 
 void Gateway::Execute(const CancelAttempt& cancel) {
   const auto exchange = FindRequest(cancel.id);
-  if (exchange) upstream_->CancelAttempt(*exchange, cancel.attempt);
+  if (exchange) {
+    upstream_->CancelAttempt(*exchange, cancel.attempt);
+  }
 }
 
 void Gateway::Execute(const SetTimer& timer) {
   loop_.RunAfter(timer.after, [this, token = timer.token, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Enqueue(TimerFired{token});
+    if (!alive.expired()) {
+      Enqueue(TimerFired{token});
+    }
   });
 }
 
@@ -500,9 +618,17 @@
   upstream_->StartProbe(probe.endpoint);
 }
 
-void Gateway::Execute(const CloseIdleConnections& close) { upstream_->CloseIdleConnections(close.endpoint); }
-void Gateway::Execute(const WatchEndpoints& follow) { discovery_->SetWatching(follow.on); }
-void Gateway::Execute(const PollEndpoints&) { discovery_->Poll(); }
-void Gateway::Execute(const LogMessage& log) { Log(LogLevel::kInfo, "module: {}", log.text); }
+void Gateway::Execute(const CloseIdleConnections& close) {
+  upstream_->CloseIdleConnections(close.endpoint);
+}
+void Gateway::Execute(const WatchEndpoints& follow) {
+  discovery_->SetWatching(follow.on);
+}
+void Gateway::Execute(const PollEndpoints&) {
+  discovery_->Poll();
+}
+void Gateway::Execute(const LogMessage& log) {
+  Log(LogLevel::kInfo, "module: {}", log.text);
+}
 
 }  // namespace paddlestile
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -27,12 +27,15 @@
 
 namespace paddlestile {
 
-class Gateway final : public Downstream::Listener, public Upstream::Listener, public DiscoveryClient::Listener {
+class Gateway final : public Downstream::Listener,
+                      public Upstream::Listener,
+                      public DiscoveryClient::Listener {
  public:
   // Listens at once, on `handed` where it is a listening socket; throws std::system_error, or
   // std::invalid_argument for bad settings. A life that is not ready becomes so with the first list
   // from discovery, or after a second without one. `shared`: another process may listen there too.
-  Gateway(EventLoop& loop, GatewayConfig config, Lifecycle& life, FileDescriptor handed = FileDescriptor(), bool shared = false);
+  Gateway(EventLoop& loop, GatewayConfig config, Lifecycle& life,
+          FileDescriptor handed = FileDescriptor(), bool shared = false);
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
   virtual ~Gateway();
@@ -43,8 +46,8 @@
   // What is in force; it changes with Adopt and AdoptTenants alone, whole.
   [[nodiscard]] const GatewayConfig& config() const { return *config_; }
   // For all that comes from now on: new settings and the address of discovery. `config` is one that
-  // ReloadGatewayConfig gave for the present one. Throws std::invalid_argument and changes nothing where the
-  // module does not take its settings.
+  // ReloadGatewayConfig gave for the present one. Throws std::invalid_argument and changes nothing
+  // where the module does not take its settings.
   void ApplyConfig(GatewayConfig config);
   // The same where tenants alone change; nothing else is looked at or copied.
   void ApplyTenantChanges(const std::vector<TenantChange>& changes);
@@ -70,17 +73,19 @@
   [[nodiscard]] const Statistics& stats() const { return load_balancer_.statistics(); }
 
  private:
-  AdmissionResult OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) override;
+  AdmissionResult OnRequest(BufferedMessage request,
+                            ProxiedRequest::ResponseCallback reply) override;
   void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) override;
   void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) override;
   bool OnDescriptorsExhausted() override;
   void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                 const std::string& endpoint, Outcome outcome, Duration took,
-                 std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> from) override;
+                         const std::string& endpoint, Outcome outcome, Duration took,
+                         std::optional<LoadReport> report,
+                         std::shared_ptr<const BufferedMessage> from) override;
   void OnResponseStarted(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                     const std::string& endpoint, Duration took) override;
+                         const std::string& endpoint, Duration took) override;
   void OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration took,
-                std::optional<LoadReport> report) override;
+                       std::optional<LoadReport> report) override;
   void OnEndpointList(EndpointList list) override;
   void OnDiscoveryFailed() override;
 
@@ -119,9 +124,10 @@
   DescriptorBudget budget_;
   LoadBalancer load_balancer_;
   std::unordered_map<std::string, std::shared_ptr<ProxiedRequest>> requests_;
-  std::vector<std::shared_ptr<ProxiedRequest>> finished_requests_;  // over, to be forgotten after the events
+  std::vector<std::shared_ptr<ProxiedRequest>>
+      finished_requests_;  // over, to be forgotten after the events
   std::unordered_map<const ProxiedRequest*, EventLoop::TimerId> overdue_timers_;
-  size_t unanswered_count_ = 0;      // exchanges without their answer
+  size_t unanswered_count_ = 0;   // exchanges without their answer
   Duration longest_deadline_{0};  // deadline of any class
   std::deque<std::pair<Time, std::string>> recent_;
   std::unordered_set<std::string> recent_ids_;
@@ -137,7 +143,8 @@
     Time started_at{0};
     EndpointInfo listed_info;  // as the list has it
   };
-  std::unordered_map<std::string, ListedEndpoint> listed_endpoints_;  // all but those that have left
+  std::unordered_map<std::string, ListedEndpoint>
+      listed_endpoints_;  // all but those that have left
   std::unique_ptr<Upstream> upstream_;
   std::unique_ptr<DiscoveryClient> discovery_;
   std::unique_ptr<Downstream> downstream_;
--- a/src/gateway/hot_restart.cpp
+++ b/src/gateway/hot_restart.cpp
@@ -40,9 +40,13 @@
   if (text.size() >= sizeof(address.sun_path)) {
     const size_t slash = path.rfind('/');
     folder = FileDescriptor(open(path.substr(0, slash).c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
-    if (!folder) return false;
+    if (!folder) {
+      return false;
+    }
     text = fmt::format("/proc/self/fd/{}{}", folder.get(), path.substr(slash));
-    if (text.size() >= sizeof(address.sun_path)) return false;
+    if (text.size() >= sizeof(address.sun_path)) {
+      return false;
+    }
   }
   std::memcpy(address.sun_path, text.c_str(), text.size() + 1);
   return true;
@@ -76,7 +80,9 @@
 // The next bytes within the time, so many at most, and the descriptor that came with them.
 bool Receive(int fd, size_t most, std::string& text, FileDescriptor& passed) {
   pollfd waiting{fd, POLLIN, 0};
-  if (poll(&waiting, 1, kAskMs) <= 0) return false;
+  if (poll(&waiting, 1, kAskMs) <= 0) {
+    return false;
+  }
   char bytes[16'384];
   iovec part{bytes, std::min(most, sizeof(bytes))};
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
@@ -86,10 +92,14 @@
   message.msg_control = control;
   message.msg_controllen = sizeof(control);
   const ssize_t n = recvmsg(fd, &message, MSG_CMSG_CLOEXEC);
-  if (n <= 0) return false;
+  if (n <= 0) {
+    return false;
+  }
   for (cmsghdr* head = CMSG_FIRSTHDR(&message); head != nullptr;
        head = CMSG_NXTHDR(&message, head)) {
-    if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
+    if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) {
+      continue;
+    }
     int given = -1;
     std::memcpy(&given, CMSG_DATA(head), sizeof(given));
     passed = FileDescriptor(given);
@@ -102,7 +112,9 @@
 bool ReceiveLine(int fd, std::string& line, FileDescriptor& passed) {
   line.clear();
   while (line.empty() || line.back() != '\n') {
-    if (line.size() >= kMostLine || !Receive(fd, 1, line, passed)) return false;
+    if (line.size() >= kMostLine || !Receive(fd, 1, line, passed)) {
+      return false;
+    }
   }
   line.pop_back();
   return true;
@@ -122,7 +134,9 @@
 
 // The number behind a word; nothing where the line is another.
 std::optional<uint64_t> NumberOf(std::string_view line, std::string_view word) {
-  if (!line.starts_with(word)) return std::nullopt;
+  if (!line.starts_with(word)) {
+    return std::nullopt;
+  }
   return ParseWholeNumber(line.substr(word.size()));
 }
 
@@ -140,13 +154,17 @@
 }  // namespace
 
 std::string HotRestartSocketPath(const char* tmpdir, const Address& listen) {
-  if (tmpdir == nullptr || *tmpdir != '/') return {};
+  if (tmpdir == nullptr || *tmpdir != '/') {
+    return {};
+  }
   return fmt::format("{}/paddlestile-{}.sock", tmpdir, ToText(listen));
 }
 
 HotRestartState RequestHotRestart(const std::string& path, const Address& listen) {
   HotRestartState taken;
-  if (path.empty()) return taken;
+  if (path.empty()) {
+    return taken;
+  }
   sockaddr_un address{};
   FileDescriptor folder;
   FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -188,7 +206,9 @@
     : budget_(budget), stream_(loop, Socket(std::move(taken.channel), nullptr), this, false) {
   stream_.set_max_unread_bytes(kMostLine);
   budget_.set_held_by_other_process(taken.descriptors_held);
-  if (!stream_.Start()) OnError();
+  if (!stream_.Start()) {
+    OnError();
+  }
 }
 
 void NewProcess::ReportReady() {
@@ -202,11 +222,15 @@
       budget_.set_held_by_other_process(static_cast<size_t>(*holds));
     }
   });
-  if (!good || stream_.ended()) OnError();
+  if (!good || stream_.ended()) {
+    OnError();
+  }
 }
 
 void NewProcess::OnError() {
-  if (stream_.closed()) return;
+  if (stream_.closed()) {
+    return;
+  }
   stream_.Close();
   budget_.set_held_by_other_process(0);
   Log(LogLevel::kInfo, "hand-over: the process before has gone");
@@ -222,7 +246,9 @@
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
   virtual ~Acceptor() {
-    if (watched_) owner_.loop_.Unwatch(fd_.get(), token_);
+    if (watched_) {
+      owner_.loop_.Unwatch(fd_.get(), token_);
+    }
   }
   [[nodiscard]] int fd() const { return fd_.get(); }
   void OnEvents(uint32_t) override { owner_.Accept(); }
@@ -249,12 +275,16 @@
  private:
   void OnData() override {
     const bool good = TakeLines(stream_.input(), [this](const std::string& line) { OnLine(line); });
-    if (!good || stream_.ended()) owner_.OnNewProcessGone();
+    if (!good || stream_.ended()) {
+      owner_.OnNewProcessGone();
+    }
   }
   void OnError() override { owner_.OnNewProcessGone(); }
 
   void OnLine(const std::string& line) {
-    if (stream_.closed()) return;
+    if (stream_.closed()) {
+      return;
+    }
     if (line == "ready" && given_) {
       Log(LogLevel::kInfo, "hand-over: the new process serves, this one ends what is open");
       owner_.lifecycle_.set_replaced(true);
@@ -270,9 +300,13 @@
     const std::string knowledge = owner_.export_learned_state_();
     given_ =
         SendLine(fd_, fmt::format("{}listen {} {}\n", kVersion, held, knowledge.size()), listening);
-    if (!given_) return owner_.OnNewProcessGone();
+    if (!given_) {
+      return owner_.OnNewProcessGone();
+    }
     stream_.Write(knowledge);
-    if (stream_.closed()) return;
+    if (stream_.closed()) {
+      return;
+    }
     ++GlobalCounters().hand_overs;
     Log(LogLevel::kInfo, "hand-over: a new process has the listening socket");
     owner_.ReportDescriptorsHeld();
@@ -284,15 +318,18 @@
   bool given_ = false;
 };
 
-OldProcess::OldProcess(EventLoop& loop, std::string path, Lifecycle& life, const Downstream& clients,
-                         DescriptorBudget& budget, std::function<std::string()> know)
+OldProcess::OldProcess(EventLoop& loop, std::string path, Lifecycle& life,
+                       const Downstream& clients, DescriptorBudget& budget,
+                       std::function<std::string()> know)
     : loop_(loop),
       path_(std::move(path)),
       lifecycle_(life),
       downstream_(clients),
       budget_(budget),
       export_learned_state_(std::move(know)) {
-  if (path_.empty()) return;
+  if (path_.empty()) {
+    return;
+  }
   FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   sockaddr_un address{};
   FileDescriptor folder;
@@ -311,27 +348,39 @@
 
 OldProcess::~OldProcess() {
   loop_.CancelTimer(tell_);
-  if (channel_) channel_->stream().Close();
+  if (channel_) {
+    channel_->stream().Close();
+  }
   // By now the file may be a newer process's.
-  if (acceptor_ && InodeOf(path_) == inode_) unlink(path_.c_str());
+  if (acceptor_ && InodeOf(path_) == inode_) {
+    unlink(path_.c_str());
+  }
 }
 
 void OldProcess::Accept() {
   while (true) {
     FileDescriptor fd(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (!fd) return;
-    if (!Trusted(fd.get())) continue;
+    if (!fd) {
+      return;
+    }
+    if (!Trusted(fd.get())) {
+      continue;
+    }
     if (channel_) {
       SendLine(fd.get(), fmt::format("{}{}\n", kVersion, kBusy), -1);
       continue;
     }
     channel_ = std::make_shared<Channel>(*this, std::move(fd));
-    if (!channel_->Start()) OnNewProcessGone();
+    if (!channel_->Start()) {
+      OnNewProcessGone();
+    }
   }
 }
 
 void OldProcess::OnNewProcessGone() {
-  if (!channel_) return;
+  if (!channel_) {
+    return;
+  }
   loop_.CancelTimer(tell_);
   budget_.set_held_by_other_process(0);
   channel_->stream().Close();
@@ -347,9 +396,13 @@
 void OldProcess::ReportDescriptorsHeld() {
   loop_.CancelTimer(tell_);
   const size_t may = std::min(budget_.used() + kSpare, budget_.limit());
-  if (lifecycle_.replaced()) budget_.set_held_by_other_process(budget_.limit() - may);
+  if (lifecycle_.replaced()) {
+    budget_.set_held_by_other_process(budget_.limit() - may);
+  }
   channel_->stream().Write(fmt::format("holds {}\n", may + kFiles));
-  if (!channel_) return;  // the write has found that it is gone
+  if (!channel_) {
+    return;  // the write has found that it is gone
+  }
   tell_ = loop_.RunAfter(kTell, [this] { ReportDescriptorsHeld(); });
 }
 
--- a/src/gateway/hot_restart.h
+++ b/src/gateway/hot_restart.h
@@ -60,7 +60,7 @@
  public:
   // `know` gives what the module has learned.
   OldProcess(EventLoop& loop, std::string path, Lifecycle& life, const Downstream& clients,
-              DescriptorBudget& budget, std::function<std::string()> know);
+             DescriptorBudget& budget, std::function<std::string()> know);
   ~OldProcess();
   OldProcess(const OldProcess&) = delete;
   OldProcess& operator=(const OldProcess&) = delete;
--- a/src/gateway/learned_state_codec.cpp
+++ b/src/gateway/learned_state_codec.cpp
@@ -64,7 +64,9 @@
 double Number(const json& from, const char* name) {
   constexpr double kMost = 1e15;
   const double value = from.at(name).get<double>();
-  if (!std::isfinite(value) || std::abs(value) > kMost) throw std::out_of_range(name);
+  if (!std::isfinite(value) || std::abs(value) > kMost) {
+    throw std::out_of_range(name);
+  }
   return value;
 }
 
@@ -75,22 +77,32 @@
 
 // Times as milliseconds before (or, of what is to come, after) now; null: never.
 json Age(Time at, Time now) {
-  if (at <= Time(0)) return nullptr;
+  if (at <= Time(0)) {
+    return nullptr;
+  }
   return static_cast<double>((now - at).count()) / 1000;
 }
 Time At(const json& age, Time now, Time never) {
-  if (age.is_null()) return never;
+  if (age.is_null()) {
+    return never;
+  }
   const double ms = age.get<double>();
-  if (!std::isfinite(ms) || std::abs(ms) > 1e12) throw std::out_of_range("age");
+  if (!std::isfinite(ms) || std::abs(ms) > 1e12) {
+    throw std::out_of_range("age");
+  }
   return now - Duration(std::llround(ms * 1000));
 }
 
 // By the places of a table; the one place of a table without names is "".
 template <typename Then>
 void EachName(const NameTable& table, size_t size, const Then& then) {
-  if (table.size() == 0 && size > 0) return then(std::string(), size_t{0});
+  if (table.size() == 0 && size > 0) {
+    return then(std::string(), size_t{0});
+  }
   for (const auto& [name, place] : table.positions()) {
-    if (place < size) then(name, place);
+    if (place < size) {
+      then(name, place);
+    }
   }
 }
 
@@ -101,7 +113,9 @@
   out["version"] = kVersion;
   json& hosts = out["hosts"] = json::array();
   for (const Endpoint& e : learned.endpoints) {
-    if (e.info.state == EndpointState::kRemoved) continue;
+    if (e.info.state == EndpointState::kRemoved) {
+      continue;
+    }
     json host = Write(e);
     host["id"] = e.info.id;
     host["launched"] = Age(e.info.started_at, now);
@@ -113,20 +127,25 @@
     hosts.push_back(std::move(host));
   }
   json& kinds = out["kinds"] = json::object();
-  EachName(names.kinds, learned.machine_kinds.size(),
-           [&](const std::string& name, size_t i) { kinds[name] = Write(learned.machine_kinds[i]); });
+  EachName(names.kinds, learned.machine_kinds.size(), [&](const std::string& name, size_t i) {
+    kinds[name] = Write(learned.machine_kinds[i]);
+  });
   json& classes = out["classes"] = json::object();
   EachName(names.classes, learned.mean_time_us.size(), [&](const std::string& name, size_t i) {
-    classes[name] = {
-        {"time", learned.mean_time_us[i]}, {"served", learned.objective_met_rate[i]}, {"share", learned.arrival_shares[i]}};
+    classes[name] = {{"time", learned.mean_time_us[i]},
+                     {"served", learned.objective_met_rate[i]},
+                     {"share", learned.arrival_shares[i]}};
   });
   std::string text = out.dump(-1, ' ', true, json::error_handler_t::replace);
   return text.size() <= kMaxLearnedStateBytes ? text : std::string();
 }
 
-std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names, Time now) try {
+std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names,
+                                               Time now) try {
   const json in = json::parse(text);
-  if (in.at("version") != kVersion) return std::nullopt;
+  if (in.at("version") != kVersion) {
+    return std::nullopt;
+  }
   LearnedState told;
   Read(in, told);
   for (const json& host : in.at("hosts")) {
@@ -147,15 +166,21 @@
   };
   for (const auto& [name, kind] : in.at("kinds").items()) {
     const size_t at = place(names.kinds, name);
-    if (at >= std::max<size_t>(names.kinds.size(), 1)) continue;
+    if (at >= std::max<size_t>(names.kinds.size(), 1)) {
+      continue;
+    }
     told.machine_kinds.resize(std::max(told.machine_kinds.size(), at + 1));
     Read(kind, told.machine_kinds[at]);
   }
   for (const auto& [name, cls] : in.at("classes").items()) {
     const size_t at = names.classes.Find(name);
-    if (at >= names.classes.size()) continue;
+    if (at >= names.classes.size()) {
+      continue;
+    }
     const size_t n = std::max(told.mean_time_us.size(), at + 1);
-    told.mean_time_us.resize(n), told.objective_met_rate.resize(n), told.arrival_shares.resize(n);
+    told.mean_time_us.resize(n);
+    told.objective_met_rate.resize(n);
+    told.arrival_shares.resize(n);
     told.mean_time_us[at] = Number(cls, "time");
     told.objective_met_rate[at] = Number(cls, "served");
     told.arrival_shares[at] = Number(cls, "share");
--- a/src/gateway/learned_state_codec.h
+++ b/src/gateway/learned_state_codec.h
@@ -19,7 +19,8 @@
 std::string EncodeLearnedState(const LearnedState& learned, const NameTables& names, Time now);
 
 // Nothing where any of it makes no sense. Classes and kinds that `names` lacks are left out.
-std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names, Time now);
+std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names,
+                                               Time now);
 
 }  // namespace paddlestile
 
--- a/src/gateway/lifecycle.h
+++ b/src/gateway/lifecycle.h
@@ -9,21 +9,26 @@
 namespace paddlestile {
 
 enum class LifecycleStage {
-  kStarting,     // takes no clients yet
-  kServing,      //
-  kDrained,      // emptied by an operator; stays, and serves again at a word
+  kStarting,       // takes no clients yet
+  kServing,        //
+  kDrained,        // emptied by an operator; stays, and serves again at a word
   kHotRestarting,  // another process has the clients' address; ends what is open
-  kEnding        // told to end
+  kEnding          // told to end
 };
 
 // Its name in the log.
 inline const char* ToText(LifecycleStage stage) {
   switch (stage) {
-    case LifecycleStage::kStarting: return "starting";
-    case LifecycleStage::kServing: return "serving";
-    case LifecycleStage::kDrained: return "drained";
-    case LifecycleStage::kHotRestarting: return "handing over";
-    case LifecycleStage::kEnding: return "ending";
+    case LifecycleStage::kStarting:
+      return "starting";
+    case LifecycleStage::kServing:
+      return "serving";
+    case LifecycleStage::kDrained:
+      return "drained";
+    case LifecycleStage::kHotRestarting:
+      return "handing over";
+    case LifecycleStage::kEnding:
+      return "ending";
   }
   return "";
 }
@@ -39,9 +44,15 @@
   explicit Lifecycle(bool ready = true) : ready_(ready) {}
 
   [[nodiscard]] LifecycleStage stage() const {
-    if (ending_) return LifecycleStage::kEnding;
-    if (replaced_) return LifecycleStage::kHotRestarting;
-    if (!ready_) return LifecycleStage::kStarting;
+    if (ending_) {
+      return LifecycleStage::kEnding;
+    }
+    if (replaced_) {
+      return LifecycleStage::kHotRestarting;
+    }
+    if (!ready_) {
+      return LifecycleStage::kStarting;
+    }
     return drained_ ? LifecycleStage::kDrained : LifecycleStage::kServing;
   }
 
@@ -67,7 +78,9 @@
 
  private:
   void Set(bool& what, bool to) {
-    if (std::exchange(what, to) != to && change_callback_) change_callback_();
+    if (std::exchange(what, to) != to && change_callback_) {
+      change_callback_();
+    }
   }
   bool ready_, drained_ = false, replaced_ = false, ending_ = false;
   std::function<void()> change_callback_;
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -36,7 +36,7 @@
 
 void PrintCounters(const Parts& parts) {
   LogLine(LogLevel::kInfo, "counters: " + parts.gateway.DescribeState() +
-                            (parts.membership ? ' ' + parts.membership->DescribeState() : ""));
+                               (parts.membership ? ' ' + parts.membership->DescribeState() : ""));
 }
 
 // Lines of counters in step with the wall clock, so that those of a fleet can be added up.
@@ -44,7 +44,9 @@
  public:
   Beat(EventLoop& loop, const Parts& parts, Duration every)
       : loop_(loop), parts_(parts), every_(every) {
-    if (every_ > Duration(0)) Next();
+    if (every_ > Duration(0)) {
+      Next();
+    }
   }
   Beat(const Beat&) = delete;
   Beat& operator=(const Beat&) = delete;
@@ -79,7 +81,9 @@
   static sigset_t Block() {
     sigset_t set;
     sigemptyset(&set);
-    for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) sigaddset(&set, signal);
+    for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
+      sigaddset(&set, signal);
+    }
     sigprocmask(SIG_BLOCK, &set, nullptr);
     return set;
   }
@@ -115,8 +119,8 @@
     ++GlobalCounters().config_rereads;
     try {
       const GatewayConfig& was = parts_.membership ? parts_.membership->file() : gateway_.config();
-      GatewayConfig next =
-          ReloadGatewayConfig(was, loop_.Now(), [&](double ms) { return loop_.clock().FromUnixMillis(ms); });
+      GatewayConfig next = ReloadGatewayConfig(
+          was, loop_.Now(), [&](double ms) { return loop_.clock().FromUnixMillis(ms); });
       const std::string changes = DescribeChanges(was, next);
       if (parts_.membership) {
         Log(LogLevel::kInfo, "bank: what it has agreed on goes before the file, where both speak");
@@ -132,7 +136,9 @@
       if (more == kRereads || more == 0) {
         Log(LogLevel::kWarning, "configuration kept as it was: {}", error.what());
       }
-      if (more > 0) reread_ = loop_.RunAfter(kRereadAgain, [this, more] { Reread(more - 1); });
+      if (more > 0) {
+        reread_ = loop_.RunAfter(kRereadAgain, [this, more] { Reread(more - 1); });
+      }
     }
   }
 
@@ -151,8 +157,9 @@
   const sigset_t signals_set = Signals::Block();
   try {
     EventLoop loop;
-    GatewayConfig config = ReadGatewayConfig([](const char* name) { return std::getenv(name); },
-                               [&](double ms) { return loop.clock().FromUnixMillis(ms); });
+    GatewayConfig config =
+        ReadGatewayConfig([](const char* name) { return std::getenv(name); },
+                          [&](double ms) { return loop.clock().FromUnixMillis(ms); });
     // What the system grants may be less than what was promised.
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -165,9 +172,13 @@
         operator_file.empty() && told != nullptr) {
       operator_file = told;
     }
-    if (!operator_file.empty()) bank = ReadClusterConfig(operator_file, name);
+    if (!operator_file.empty()) {
+      bank = ReadClusterConfig(operator_file, name);
+    }
     GatewayConfig file;
-    if (bank) file = config;
+    if (bank) {
+      file = config;
+    }
     const size_t known = config.initial_endpoints.endpoints.size();
     for (const std::string& line : UnsupportedSettings(config.settings)) {
       Log(LogLevel::kWarning, "not carried out: {}", line);
@@ -187,9 +198,13 @@
                : "what the running process has learned makes no sense here, left out");
     }
     std::optional<Admin> admin;
-    if (admin_at) admin.emplace(loop, *admin_at, life);
+    if (admin_at) {
+      admin.emplace(loop, *admin_at, life);
+    }
     std::optional<NewProcess> successor;
-    if (taken.channel) successor.emplace(loop, std::move(taken), gateway.budget());
+    if (taken.channel) {
+      successor.emplace(loop, std::move(taken), gateway.budget());
+    }
     std::unique_ptr<ClusterAgent> membership;
     if (bank && options.membership) {
       membership = options.membership(loop, std::move(*bank), gateway, life, std::move(file));
@@ -198,12 +213,17 @@
           std::make_unique<ClusterAgent>(loop, std::move(*bank), gateway, life, std::move(file));
     }
     const Parts parts{gateway, membership};
-    Log(LogLevel::kInfo, "{} listens on {}, {} hosts known", name, ToText(gateway.address()), known);
+    Log(LogLevel::kInfo, "{} listens on {}, {} hosts known", name, ToText(gateway.address()),
+        known);
     const Signals signals(loop, parts, signals_set);
-    while (!life.accepts() && !loop.stopped()) loop.RunOnce(kReadyLook);
+    while (!life.accepts() && !loop.stopped()) {
+      loop.RunOnce(kReadyLook);
+    }
     // One that was told to end meanwhile leaves the old one as it was.
     const bool serves = !loop.stopped() && life.stage() != LifecycleStage::kEnding;
-    if (successor && serves) successor->ReportReady();
+    if (successor && serves) {
+      successor->ReportReady();
+    }
     // From now on this process can itself be followed by a newer one.
     std::optional<OldProcess> predecessor;
     if (admin_at && serves) {
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -24,7 +24,8 @@
   // off.
   std::string operator_file;
   // Of tests: another part in the bank than the honest one.
-  std::function<std::unique_ptr<ClusterAgent>(EventLoop&, ClusterConfig, Gateway&, Lifecycle&, GatewayConfig)>
+  std::function<std::unique_ptr<ClusterAgent>(EventLoop&, ClusterConfig, Gateway&, Lifecycle&,
+                                              GatewayConfig)>
       membership;
 };
 
--- a/src/gateway/upstream.cpp
+++ b/src/gateway/upstream.cpp
@@ -43,13 +43,16 @@
 // out its rest costs less than another connection.
 constexpr Duration kRest{10'000};  // us; after an answer
 
-double Ms(Duration d) { return static_cast<double>(d.count()) / 1000; }
+double Ms(Duration d) {
+  return static_cast<double>(d.count()) / 1000;
+}
 
 }  // namespace
 
 // ---- Words ----------------------------------------------------------------------------------
 
-std::optional<LoadReport> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields) {
+std::optional<LoadReport> ParseLoadReport(std::string_view text,
+                                          const std::vector<std::string>& fields) {
   LoadReport report(fields.size(), 0);
   std::vector<bool> found(fields.size(), false);
   text = Trim(text);
@@ -58,9 +61,13 @@
     const std::string_view pair = text.substr(0, comma);
     text.remove_prefix(comma == std::string_view::npos ? text.size() : comma + 1);
     const size_t eq = pair.find('=');
-    if (eq == std::string_view::npos) return std::nullopt;
+    if (eq == std::string_view::npos) {
+      return std::nullopt;
+    }
     const auto at = std::ranges::find(fields, Trim(pair.substr(0, eq)));
-    if (at == fields.end()) continue;
+    if (at == fields.end()) {
+      continue;
+    }
     const std::string_view digits = Trim(pair.substr(eq + 1));
     const auto place = static_cast<size_t>(at - fields.begin());
     const char* const end = digits.data() + digits.size();
@@ -70,18 +77,26 @@
     }
     found[place] = true;
   }
-  if (fields.empty() || !std::ranges::all_of(found, [](bool f) { return f; })) return std::nullopt;
+  if (fields.empty() || !std::ranges::all_of(found, [](bool f) { return f; })) {
+    return std::nullopt;
+  }
   return report;
 }
 
 Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view base) {
-  if (message.status == 200) return Outcome::kOk;
+  if (message.status == 200) {
+    return Outcome::kOk;
+  }
   const auto rejected = message.FindHeader(base, "X-Rejected");
   const bool turned_away = rejected && *rejected == "1";
-  if ((message.status == 503 || message.status == 504) && turned_away) return Outcome::kRejected;
+  if ((message.status == 503 || message.status == 504) && turned_away) {
+    return Outcome::kRejected;
+  }
   // Of the request, not of the host; but for those by which a host speaks of its own state.
   const bool own = message.status == 408 || message.status == 425 || message.status == 429;
-  if (message.status >= 400 && message.status < 500 && !own) return Outcome::kInvalidResponse;
+  if (message.status >= 400 && message.status < 500 && !own) {
+    return Outcome::kInvalidResponse;
+  }
   return Outcome::kError;
 }
 
@@ -91,13 +106,18 @@
   std::string head = fmt::format("{} {} HTTP/1.1\r\n", m.method.In(base), m.target.In(base));
   for (const auto& [key, value] : m.headers) {
     const std::string_view name = key.In(base);
-    if (HeaderNamesEqual(name, "X-Budget-Ms") || HeaderNamesEqual(name, "Content-Length")) continue;
-    if (IsHopByHop(m, base, name)) continue;
+    if (HeaderNamesEqual(name, "X-Budget-Ms") || HeaderNamesEqual(name, "Content-Length")) {
+      continue;
+    }
+    if (IsHopByHop(m, base, name)) {
+      continue;
+    }
     head += fmt::format("{}: {}\r\n", name, value.In(base));
   }
   const auto ms = std::max<int64_t>(1, left.count() / 1000);
   head += fmt::format("X-Budget-Ms: {}\r\n", ms);
-  const std::optional<uint64_t> length = request.streaming_body ? request.streaming_body->length() : m.body.size;
+  const std::optional<uint64_t> length =
+      request.streaming_body ? request.streaming_body->length() : m.body.size;
   const bool bodiless = m.method.In(base) == "GET" && length == 0;
   if (!length) {
     head += "Transfer-Encoding: chunked\r\n";
@@ -136,11 +156,15 @@
   // Before it goes: who takes its answer, or gives its request, is told.
   void Leave() {
     writer_.reset();
-    if (const auto body = std::exchange(body_, nullptr)) body->OnTruncated();
+    if (const auto body = std::exchange(body_, nullptr)) {
+      body->OnTruncated();
+    }
   }
 
   bool Open() {
-    if (!stream_.Start()) return false;
+    if (!stream_.Start()) {
+      return false;
+    }
     connect_timer_ = loop_.RunAfter(servers_.options_.connect_timeout, [this] {
       connect_timer_ = {};
       servers_.FinishExchange(*this, Outcome::kConnectFailed, std::nullopt, nullptr);
@@ -153,8 +177,12 @@
     parser_.Reset();
     written_ = heard_ = false;
     // One that is not held whole has its time from its last byte on.
-    if (!job_->exchange || !job_->exchange->message().streaming_body) SetLimit(WriteBy());
-    if (stream_.connected()) WriteRested();
+    if (!job_->exchange || !job_->exchange->message().streaming_body) {
+      SetLimit(WriteBy());
+    }
+    if (stream_.connected()) {
+      WriteRested();
+    }
   }
 
   void SetLimit(Time until) {
@@ -188,8 +216,8 @@
   // connect and no longer: behind it the hosts may have forgotten the key.
   [[nodiscard]] Time WriteBy() const {
     const ProxiedRequest* const exchange = job_->exchange.get();
-    const bool repeats =
-        exchange != nullptr && job_->attempt > 0 && exchange->request_class().idempotency == Idempotency::kKeyed;
+    const bool repeats = exchange != nullptr && job_->attempt > 0 &&
+                         exchange->request_class().idempotency == Idempotency::kKeyed;
     return repeats ? std::min(job_->until, job_->sent + servers_.options_.connect_timeout)
                    : job_->until;
   }
@@ -213,15 +241,21 @@
  private:
   void OnConnected() override {
     loop_.CancelTimer(connect_timer_);
-    if (job_) Write();
+    if (job_) {
+      Write();
+    }
   }
 
   // Not before it has rested; what comes meanwhile is no answer to this job, which goes elsewhere.
   void WriteRested() {
-    if (idled < Duration(0) || idled >= kRest) return Write();
+    if (idled < Duration(0) || idled >= kRest) {
+      return Write();
+    }
     rest_ = loop_.RunAfter(kRest - idled, [this] {
       rest_ = {};
-      if (!job_->exchange) job_->sent = loop_.Now();  // a probe measures the way
+      if (!job_->exchange) {
+        job_->sent = loop_.Now();  // a probe measures the way
+      }
       stream_.IsIdle() ? Write() : servers_.RetryOnAnotherConnection(*this);
     });
   }
@@ -238,19 +272,26 @@
       return servers_.FinishExchange(*this, Outcome::kNotSent, std::nullopt, nullptr);
     }
     const BufferedMessage& request = job_->exchange->message();
-    if (request.streaming_body) return WriteRest(request);
+    if (request.streaming_body) {
+      return WriteRest(request);
+    }
     stream_.Write(RequestHead(request, job_->until - loop_.Now()), job_->exchange, request.body());
   }
 
   void WriteRest(const BufferedMessage& request) {
-    writer_ = std::make_unique<BodyWriter>(stream_, request.streaming_body, !request.streaming_body->length(), false,
-                                           [this](bool whole) {
-                                             // A client that has gone is told of by its own side,
-                                             // which ends this attempt.
-                                             if (whole) Uploaded();
-                                           });
+    writer_ =
+        std::make_unique<BodyWriter>(stream_, request.streaming_body,
+                                     !request.streaming_body->length(), false, [this](bool whole) {
+                                       // A client that has gone is told of by its own side,
+                                       // which ends this attempt.
+                                       if (whole) {
+                                         Uploaded();
+                                       }
+                                     });
     stream_.Write(RequestHead(request, job_->until - loop_.Now()));
-    if (writer_) AwaitRoom();
+    if (writer_) {
+      AwaitRoom();
+    }
   }
 
   // The last byte is written: from here on it is a request like others.
@@ -267,11 +308,15 @@
   void OnWriteComplete() override {
     if (!writer_) {
       written_ = true;
-      if (job_ && WriteBy() < job_->until) SetLimit(job_->until);
+      if (job_ && WriteBy() < job_->until) {
+        SetLimit(job_->until);
+      }
       return;
     }
     writer_->Resume();
-    if (writer_) AwaitRoom();
+    if (writer_) {
+      AwaitRoom();
+    }
   }
 
   // A host that reads nothing for so long is not there.
@@ -279,7 +324,9 @@
     loop_.CancelTimer(pause_);
     pause_ = loop_.RunAfter(kPauseLarge, [this] {
       pause_ = {};
-      if (stream_.flushed()) return AwaitRoom();  // it is the client that is slow
+      if (stream_.flushed()) {
+        return AwaitRoom();  // it is the client that is slow
+      }
       servers_.FinishExchange(*this, Outcome::kConnectFailed, std::nullopt, nullptr);
     });
   }
@@ -294,31 +341,48 @@
       servers_.Drop(*this);
       return;
     }
-    if (rest_.number != 0) return servers_.RetryOnAnotherConnection(*this);
+    if (rest_.number != 0) {
+      return servers_.RetryOnAnotherConnection(*this);
+    }
     if (!heard_ && !stream_.input().empty()) {
       heard_ = true;
-      if (idled >= Duration(0)) servers_.RecordReuse(idled, false);
+      if (idled >= Duration(0)) {
+        servers_.RecordReuse(idled, false);
+      }
     }
     const ParseProgress progress = parser_.Feed(stream_.input());
     if (progress == ParseProgress::kMalformed) {
       ++GlobalCounters().host_malformed;
       // Such answers come from any host alike and say little of this one.
-      return servers_.FinishExchange(*this, written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed,
-                          std::nullopt, nullptr);
+      return servers_.FinishExchange(*this,
+                                     written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed,
+                                     std::nullopt, nullptr);
     }
     MaybeEstablished();
-    if (progress == ParseProgress::kDone) return Done();
-    if (stream_.ended() && parser_.EndsWithConnection(stream_.input())) return Done();
-    if (stream_.ended()) return OnError();
-    if (IsLarge()) return PassOn();
+    if (progress == ParseProgress::kDone) {
+      return Done();
+    }
+    if (stream_.ended() && parser_.EndsWithConnection(stream_.input())) {
+      return Done();
+    }
+    if (stream_.ended()) {
+      return OnError();
+    }
+    if (IsLarge()) {
+      return PassOn();
+    }
     AwaitMore();
   }
 
   // Not to be held whole, and enough of it has come.
   [[nodiscard]] bool IsLarge() {
-    if (!parser_.head_done()) return false;
+    if (!parser_.head_done()) {
+      return false;
+    }
     const auto length = parser_.body_length();
-    if (length && *length <= kMaxBufferedBodyBytes) return false;
+    if (length && *length <= kMaxBufferedBodyBytes) {
+      return false;
+    }
     return parser_.body_bytes_received(stream_.input()) >= (length ? kPassOnFrom : kPassOnUnknown);
   }
 
@@ -347,16 +411,22 @@
     auto job = std::move(job_);
     ++GlobalCounters().answers_passed_on;
     servers_.ReportOutcome(std::move(job), outcome, std::move(report), std::move(held));
-    if (!body->has_writer()) body->Cancel();  // nobody waits for it any more
+    if (!body->has_writer()) {
+      body->Cancel();  // nobody waits for it any more
+    }
   }
 
   ParseProgress TakeBody(Buffer& piece) {
     const ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
     if (progress == ParseProgress::kNeedMore) {
       // Not within this call: what comes is told to whoever is at work here.
-      if (!stream_.readable()) return progress;
+      if (!stream_.readable()) {
+        return progress;
+      }
       loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
-        if (!alive.expired() && !stream_.closed()) stream_.ResumeReading();
+        if (!alive.expired() && !stream_.closed()) {
+          stream_.ResumeReading();
+        }
       });
       return progress;
     }
@@ -383,8 +453,12 @@
     loop_.CancelTimer(pause_);
     pause_ = loop_.RunAfter(kPauseLarge, [this] {
       pause_ = {};
-      if (!body_) return;
-      if (!stream_.input().empty()) return AwaitBody();  // it is the client that is slow
+      if (!body_) {
+        return;
+      }
+      if (!stream_.input().empty()) {
+        return AwaitBody();  // it is the client that is slow
+      }
       ++GlobalCounters().bodies_cut;
       Log(LogLevel::kInfo, "body cut: {} says nothing more within an answer", host_.id);
       servers_.Drop(*this);
@@ -394,36 +468,50 @@
   std::optional<LoadReport> ReportOf(const BufferedMessage& held, Outcome outcome) {
     const Options& options = servers_.options_;
     std::optional<std::string_view> text;
-    if (options.reports_in_responses) text = held.message.FindHeader(held.bytes.view(), "X-Load-Report");
+    if (options.reports_in_responses) {
+      text = held.message.FindHeader(held.bytes.view(), "X-Load-Report");
+    }
     if (!job_->exchange && options.reports_in_probes && outcome == Outcome::kOk) {
       text = held.body();
     }
-    if (!text) return std::nullopt;
+    if (!text) {
+      return std::nullopt;
+    }
     auto report = ParseLoadReport(*text, options.report_fields);
-    if (!report) ++GlobalCounters().reports_malformed;
+    if (!report) {
+      ++GlobalCounters().reports_malformed;
+    }
     return report;
   }
 
   void AwaitMore() {
     loop_.CancelTimer(pause_);
-    if (job_->exchange && job_->exchange->request_class().is_streamed) return;  // its pauses are its own
+    if (job_->exchange && job_->exchange->request_class().is_streamed) {
+      return;  // its pauses are its own
+    }
     pause_ = loop_.RunAfter(kPause, [this] {
       pause_ = {};
       ++GlobalCounters().host_malformed;
-      servers_.FinishExchange(*this, written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed, std::nullopt,
-                   nullptr);
+      servers_.FinishExchange(*this, written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed,
+                              std::nullopt, nullptr);
     });
   }
 
   // A streamed answer has begun: it belongs to its client, and no time limit runs on.
   void MaybeEstablished() {
-    if (!job_->exchange || job_->established || !job_->exchange->request_class().is_streamed) return;
-    if (parser_.message().body.at == 0 || parser_.message().status != 200) return;
-    if (!job_->exchange->CommitTo(job_->attempt)) return;  // another one has begun before
+    if (!job_->exchange || job_->established || !job_->exchange->request_class().is_streamed) {
+      return;
+    }
+    if (parser_.message().body.at == 0 || parser_.message().status != 200) {
+      return;
+    }
+    if (!job_->exchange->CommitTo(job_->attempt)) {
+      return;  // another one has begun before
+    }
     job_->established = true;
     loop_.CancelTimer(limit_);
     servers_.listener_->OnResponseStarted(job_->exchange, job_->attempt, job_->endpoint,
-                                      loop_.Now() - job_->sent);
+                                          loop_.Now() - job_->sent);
   }
 
   // A host begins with the last byte: what it says to have done before is another request's, and
@@ -431,7 +519,9 @@
   [[nodiscard]] Outcome OutcomeNow(const BufferedMessage& held) const {
     const Outcome outcome = OutcomeOfResponse(held.message, held.bytes.view());
     const bool whole = job_->exchange && !job_->exchange->message().streaming_body;
-    if (written_ || !whole || outcome != Outcome::kOk) return outcome;
+    if (written_ || !whole || outcome != Outcome::kOk) {
+      return outcome;
+    }
     ++GlobalCounters().host_malformed;
     return Outcome::kNotSent;
   }
@@ -463,15 +553,19 @@
     if (came_up && !heard_ && idled >= Duration(0)) {
       servers_.RecordReuse(idled, true);
       // Nothing whole was sent: the same send goes on a connection that lives.
-      if (!written_ && !job_->exchange) return servers_.RetryOnAnotherConnection(*this);
-      if (!written_ && !job_->exchange->body_consumed()) return servers_.RetryOnAnotherConnection(*this);
+      if (!written_ && !job_->exchange) {
+        return servers_.RetryOnAnotherConnection(*this);
+      }
+      if (!written_ && !job_->exchange->body_consumed()) {
+        return servers_.RetryOnAnotherConnection(*this);
+      }
     }
     // One that came up and broke before all was written shows no host at fault.
     servers_.FinishExchange(*this,
-                 written_  ? Outcome::kReset
-                 : came_up ? Outcome::kNotSent
-                           : Outcome::kConnectFailed,
-                 std::nullopt, nullptr);
+                            written_  ? Outcome::kReset
+                            : came_up ? Outcome::kNotSent
+                                      : Outcome::kConnectFailed,
+                            std::nullopt, nullptr);
   }
 
   Upstream& servers_;
@@ -483,8 +577,8 @@
   std::unique_ptr<Exchange> job_;
   EventLoop::TimerId limit_, connect_timer_, pause_, rest_;
   bool written_ = false, reusable_ = false;
-  std::unique_ptr<BodyWriter> writer_;  // of a request that is not held whole
-  std::shared_ptr<StreamingBody> body_;          // of an answer that passes on
+  std::unique_ptr<BodyWriter> writer_;   // of a request that is not held whole
+  std::shared_ptr<StreamingBody> body_;  // of an answer that passes on
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
   bool heard_ = false;  // the first byte of the answer has come
 };
@@ -508,9 +602,13 @@
 
 void Upstream::SetEndpointAddress(const std::string& endpoint, const Address& address) {
   std::unique_ptr<Host>& host = hosts_[endpoint];
-  if (!host) host = std::make_unique<Host>(Host{.id = endpoint, .address = address, .idle = {}});
+  if (!host) {
+    host = std::make_unique<Host>(Host{.id = endpoint, .address = address, .idle = {}});
+  }
   host->listed = true;
-  if (host->address == address) return;
+  if (host->address == address) {
+    return;
+  }
   host->address = address;
   ++host->address_version;
   DropIdle(*host);
@@ -518,14 +616,16 @@
 
 void Upstream::RemoveEndpoint(const std::string& endpoint) {
   Host* const host = Find(endpoint);
-  if (host == nullptr) return;
+  if (host == nullptr) {
+    return;
+  }
   host->listed = false;
   DropIdle(*host);
   MaybeEraseHost(*host);
 }
 
-void Upstream::StartAttempt(std::shared_ptr<ProxiedRequest> exchange, size_t attempt, const std::string& endpoint,
-                   Time until) {
+void Upstream::StartAttempt(std::shared_ptr<ProxiedRequest> exchange, size_t attempt,
+                            const std::string& endpoint, Time until) {
   auto job = std::make_unique<Exchange>();
   job->exchange = std::move(exchange);
   job->attempt = attempt;
@@ -545,7 +645,9 @@
   job->sent = loop_.Now();
   job->until = job->sent + kProbeTimeouts * options_.connect_timeout;
   Host* const host = Find(endpoint);
-  if (host == nullptr) return ReportOutcome(std::move(job), Outcome::kNotSent, std::nullopt, nullptr);
+  if (host == nullptr) {
+    return ReportOutcome(std::move(job), Outcome::kNotSent, std::nullopt, nullptr);
+  }
   Begin(std::move(job), *host);
 }
 
@@ -554,7 +656,9 @@
   auto rested = std::ranges::find_if(host.idle, [&](const Connection* connection) {
     return loop_.Now() - connection->idle_since < kRest;
   });
-  if (rested == host.idle.begin() && rested != host.idle.end()) ++rested;
+  if (rested == host.idle.begin() && rested != host.idle.end()) {
+    ++rested;
+  }
   while (rested != host.idle.begin()) {
     Connection& connection = **--rested;
     rested = host.idle.erase(rested);
@@ -564,7 +668,9 @@
     // The host may have closed it, and the news of that be waiting behind this event.
     const bool quiet = connection.stream().IsIdle();
     const bool old = IsTooOldToReuse(connection.idled) || connection.idled > MaxIdleTime();
-    if (quiet && !old) return connection.Start(std::move(job));
+    if (quiet && !old) {
+      return connection.Start(std::move(job));
+    }
     ++(quiet ? GlobalCounters().host_idle_closed : GlobalCounters().host_idle_lost);
     Drop(connection);
   }
@@ -572,15 +678,19 @@
   const bool room = connections_.size() < budget_.limit() / 2 || CloseOneIdle();
   bool refused = false;
   std::optional<Socket> socket;
-  if (room) socket = Connect(host.address, &budget_, refused);
+  if (room) {
+    socket = Connect(host.address, &budget_, refused);
+  }
   if (room && !socket && !refused && listener_->OnDescriptorsExhausted()) {
     socket = Connect(host.address, &budget_, refused);
   }
   if (!socket) {
     // A lack of our own says nothing of the host: nothing was transmitted.
-    if (!refused) ++GlobalCounters().host_no_descriptor;
-    return ReportOutcome(std::move(job), refused ? Outcome::kConnectFailed : Outcome::kNotSent, std::nullopt,
-                nullptr);
+    if (!refused) {
+      ++GlobalCounters().host_no_descriptor;
+    }
+    return ReportOutcome(std::move(job), refused ? Outcome::kConnectFailed : Outcome::kNotSent,
+                         std::nullopt, nullptr);
   }
   ++GlobalCounters().host_connects;
   const auto connection = std::make_shared<Connection>(*this, host, std::move(*socket));
@@ -593,9 +703,12 @@
   connection->Start(std::move(job));
 }
 
-void Upstream::FinishExchange(Connection& connection, Outcome outcome, std::optional<LoadReport> report,
-                  std::shared_ptr<const BufferedMessage> from) {
-  if (connection.idle) return;  // dropped by its host's address; ended already
+void Upstream::FinishExchange(Connection& connection, Outcome outcome,
+                              std::optional<LoadReport> report,
+                              std::shared_ptr<const BufferedMessage> from) {
+  if (connection.idle) {
+    return;  // dropped by its host's address; ended already
+  }
   auto job = connection.Finish();
   const bool whole = from || outcome == Outcome::kError || outcome == Outcome::kRejected;
   if (whole && connection.Reusable()) {
@@ -645,11 +758,14 @@
   return reuse.attempted >= kTriedLeast && reuse.failed > kBrokenMost * reuse.attempted;
 }
 
-void Upstream::ReportOutcome(std::unique_ptr<Exchange> job, Outcome outcome, std::optional<LoadReport> report,
-                   std::shared_ptr<const BufferedMessage> from) {
+void Upstream::ReportOutcome(std::unique_ptr<Exchange> job, Outcome outcome,
+                             std::optional<LoadReport> report,
+                             std::shared_ptr<const BufferedMessage> from) {
   const Duration took = loop_.Now() - job->sent;
   if (!job->exchange) {
-    if (outcome == Outcome::kOk) ++GlobalCounters().probes_ok;
+    if (outcome == Outcome::kOk) {
+      ++GlobalCounters().probes_ok;
+    }
     listener_->OnProbeFinished(job->endpoint, outcome, took, std::move(report));
     return;
   }
@@ -657,15 +773,19 @@
     Log(LogLevel::kDebug, "attempt {} of {} at {}: outcome {} after {:.1f} ms", job->attempt,
         job->exchange->id(), job->endpoint, static_cast<int>(outcome), Ms(took));
   }
-  listener_->OnAttemptFinished(job->exchange, job->attempt, job->endpoint, outcome, took, std::move(report),
-                       std::move(from));
+  listener_->OnAttemptFinished(job->exchange, job->attempt, job->endpoint, outcome, took,
+                               std::move(report), std::move(from));
 }
 
 void Upstream::CancelAttempt(const ProxiedRequest& exchange, size_t attempt) {
   for (const auto& [connection, owned] : connections_) {
     const Exchange* const job = connection->job();
-    if (job == nullptr || job->exchange.get() != &exchange || job->attempt != attempt) continue;
-    if (job->established) return;  // begun streams belong to their clients
+    if (job == nullptr || job->exchange.get() != &exchange || job->attempt != attempt) {
+      continue;
+    }
+    if (job->established) {
+      return;  // begun streams belong to their clients
+    }
     return FinishExchange(*connection, Outcome::kCancelled, std::nullopt, nullptr);
   }
 }
@@ -674,13 +794,23 @@
   std::vector<Connection*> unwritten, begun;
   for (const auto& [connection, owned] : connections_) {
     const Exchange* const job = connection->job();
-    if (job == nullptr || job->exchange.get() != &exchange) continue;
+    if (job == nullptr || job->exchange.get() != &exchange) {
+      continue;
+    }
     // What has not been written whole never runs: not now, and not when its connection comes up.
-    if (!connection->written()) unwritten.push_back(connection);
-    if (job->established) begun.push_back(connection);
+    if (!connection->written()) {
+      unwritten.push_back(connection);
+    }
+    if (job->established) {
+      begun.push_back(connection);
+    }
+  }
+  for (Connection* const c : unwritten) {
+    FinishExchange(*c, Outcome::kNotSent, std::nullopt, nullptr);
+  }
+  for (Connection* const c : begun) {
+    FinishExchange(*c, Outcome::kCancelled, std::nullopt, nullptr);
   }
-  for (Connection* const c : unwritten) FinishExchange(*c, Outcome::kNotSent, std::nullopt, nullptr);
-  for (Connection* const c : begun) FinishExchange(*c, Outcome::kCancelled, std::nullopt, nullptr);
 }
 
 void Upstream::ReleaseToPool(Connection& connection) {
@@ -692,7 +822,9 @@
 
 void Upstream::Drop(Connection& connection) {
   const auto at = connections_.find(&connection);
-  if (!PADDLESTILE_CHECK(at != connections_.end())) return;
+  if (!PADDLESTILE_CHECK(at != connections_.end())) {
+    return;
+  }
   if (connection.idle) {
     idle_.erase(connection.idle_place);
     std::erase(connection.host().idle, &connection);
@@ -710,11 +842,17 @@
 
 // Hosts that are replaced come with new ids: those gone for good must not pile up.
 void Upstream::MaybeEraseHost(const Host& host) {
-  if (host.listed || host.connection_count > 0) return;
+  if (host.listed || host.connection_count > 0) {
+    return;
+  }
   loop_.RunDeferred([this, alive = std::weak_ptr(alive_), id = host.id] {
-    if (alive.expired()) return;
+    if (alive.expired()) {
+      return;
+    }
     const Host* const now = Find(id);
-    if (now != nullptr && !now->listed && now->connection_count == 0) hosts_.erase(id);
+    if (now != nullptr && !now->listed && now->connection_count == 0) {
+      hosts_.erase(id);
+    }
   });
 }
 
@@ -726,25 +864,34 @@
 }
 
 void Upstream::CloseIdleConnections(const std::string& endpoint) {
-  if (Host* const host = Find(endpoint)) DropIdle(*host);
+  if (Host* const host = Find(endpoint)) {
+    DropIdle(*host);
+  }
 }
 
 bool Upstream::CloseOneIdle() {
-  if (idle_.empty()) return false;
+  if (idle_.empty()) {
+    return false;
+  }
   ++GlobalCounters().host_idle_closed;
   Drop(*idle_.front());
   return true;
 }
 
 Duration Upstream::MaxIdleTime() const {
-  if (options_.endpoint_idle_timeout <= Duration(0)) return kIdleUnknown;
-  return Duration(std::llround(kIdleShare * static_cast<double>(options_.endpoint_idle_timeout.count())));
+  if (options_.endpoint_idle_timeout <= Duration(0)) {
+    return kIdleUnknown;
+  }
+  return Duration(
+      std::llround(kIdleShare * static_cast<double>(options_.endpoint_idle_timeout.count())));
 }
 
 void Upstream::CloseExpiredIdle() {
   const Duration most = MaxIdleTime();
   const Duration every = std::clamp(most / kTidyPart, kTidyLeast, kTidyMost);
-  while (!idle_.empty() && loop_.Now() - idle_.front()->idle_since + every > most) CloseOneIdle();
+  while (!idle_.empty() && loop_.Now() - idle_.front()->idle_since + every > most) {
+    CloseOneIdle();
+  }
   idle_timer_ = loop_.RunAfter(every, [this] { CloseExpiredIdle(); });
 }
 
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -23,7 +23,8 @@
 
 // A load report, as `name=value` with commas between; nothing where a field is missing or no
 // number. The values come in the order of `fields`.
-std::optional<LoadReport> ParseLoadReport(std::string_view text, const std::vector<std::string>& fields);
+std::optional<LoadReport> ParseLoadReport(std::string_view text,
+                                          const std::vector<std::string>& fields);
 
 // What a host's whole answer to an attempt says of it.
 Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view base);
@@ -39,12 +40,13 @@
     // Each attempt ends once; `from` is a whole 200 of a host, or one that blames the request, or
     // null.
     virtual void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                           const std::string& endpoint, Outcome outcome, Duration took,
-                           std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> from) = 0;
+                                   const std::string& endpoint, Outcome outcome, Duration took,
+                                   std::optional<LoadReport> report,
+                                   std::shared_ptr<const BufferedMessage> from) = 0;
     virtual void OnResponseStarted(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                               const std::string& endpoint, Duration took) = 0;
+                                   const std::string& endpoint, Duration took) = 0;
     virtual void OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration took,
-                          std::optional<LoadReport> report) = 0;
+                                 std::optional<LoadReport> report) = 0;
     // DescriptorBudget are short; true where one was set free.
     virtual bool OnDescriptorsExhausted() = 0;
 
@@ -74,8 +76,8 @@
   void RemoveEndpoint(const std::string& endpoint);
 
   // Begins an attempt. The listener hears its one outcome, within this call where it cannot begin.
-  void StartAttempt(std::shared_ptr<ProxiedRequest> exchange, size_t attempt, const std::string& endpoint,
-            Time until);
+  void StartAttempt(std::shared_ptr<ProxiedRequest> exchange, size_t attempt,
+                    const std::string& endpoint, Time until);
   void CancelAttempt(const ProxiedRequest& exchange, size_t attempt);
   // An answer that has begun to stream ends with its client, and so does an attempt that is not
   // written whole, wherever it waits: nothing else would end them.
@@ -99,7 +101,7 @@
     Address address;
     uint64_t address_version = 0;  // raised with each change of the address
     bool listed = true;
-    size_t connection_count = 0;                // connections
+    size_t connection_count = 0;    // connections
     std::vector<Connection*> idle;  // the last used at the end
   };
 
@@ -117,9 +119,9 @@
   // Sends what a connection could not take on another one to the same host.
   void RetryOnAnotherConnection(Connection& connection);
   void FinishExchange(Connection& connection, Outcome outcome, std::optional<LoadReport> report,
-           std::shared_ptr<const BufferedMessage> from);
-  void ReportOutcome(std::unique_ptr<Exchange> job, Outcome outcome, std::optional<LoadReport> report,
-            std::shared_ptr<const BufferedMessage> from);
+                      std::shared_ptr<const BufferedMessage> from);
+  void ReportOutcome(std::unique_ptr<Exchange> job, Outcome outcome,
+                     std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> from);
   void ReleaseToPool(Connection& connection);
   void Drop(Connection& connection);
   void DropIdle(Host& host);
--- a/src/http/http_parser.cpp
+++ b/src/http/http_parser.cpp
@@ -33,8 +33,12 @@
 bool Lists(std::string_view list, std::string_view word) {
   while (true) {
     const size_t comma = list.find(',');
-    if (HeaderNamesEqual(Trim(list.substr(0, comma)), word)) return true;
-    if (comma == std::string_view::npos) return false;
+    if (HeaderNamesEqual(Trim(list.substr(0, comma)), word)) {
+      return true;
+    }
+    if (comma == std::string_view::npos) {
+      return false;
+    }
     list.remove_prefix(comma + 1);
   }
 }
@@ -47,8 +51,12 @@
 }
 
 std::string_view Trim(std::string_view text) {
-  while (text.starts_with(' ') || text.starts_with('\t')) text.remove_prefix(1);
-  while (text.ends_with(' ') || text.ends_with('\t')) text.remove_suffix(1);
+  while (text.starts_with(' ') || text.starts_with('\t')) {
+    text.remove_prefix(1);
+  }
+  while (text.ends_with(' ') || text.ends_with('\t')) {
+    text.remove_suffix(1);
+  }
   return text;
 }
 
@@ -62,8 +70,12 @@
     if (state_ == State::kData) {
       const size_t n = std::min(left_, in.size() - read);
       std::memmove(out + written, in.data() + read, n);
-      read += n, written += n, left_ -= n;
-      if (left_ == 0) state_ = State::kDataCr;
+      read += n;
+      written += n;
+      left_ -= n;
+      if (left_ == 0) {
+        state_ = State::kDataCr;
+      }
       continue;
     }
     const char c = in[read++];
@@ -73,45 +85,72 @@
         if (std::isxdigit(u)) {
           left_ =
               left_ * 16 + static_cast<size_t>(std::isdigit(u) ? u - '0' : (u | 0x20) - 'a' + 10);
-          if (++digits_ > kMostDigits || left_ > kMostChunk) return ParseProgress::kMalformed;
+          if (++digits_ > kMostDigits || left_ > kMostChunk) {
+            return ParseProgress::kMalformed;
+          }
           break;
         }
-        if (digits_ == 0) return ParseProgress::kMalformed;
-        if (c != ';' && c != ' ' && c != '\t' && c != '\r') return ParseProgress::kMalformed;
+        if (digits_ == 0) {
+          return ParseProgress::kMalformed;
+        }
+        if (c != ';' && c != ' ' && c != '\t' && c != '\r') {
+          return ParseProgress::kMalformed;
+        }
         line_ = 0;
         state_ = c == '\r' ? State::kSizeEnd : State::kExtension;
         break;
       case State::kExtension:
-        if (c == '\n' || ++line_ > kMostExtension) return ParseProgress::kMalformed;
-        if (c == '\r') state_ = State::kSizeEnd;
+        if (c == '\n' || ++line_ > kMostExtension) {
+          return ParseProgress::kMalformed;
+        }
+        if (c == '\r') {
+          state_ = State::kSizeEnd;
+        }
         break;
       case State::kSizeEnd:
-        if (c != '\n') return ParseProgress::kMalformed;
+        if (c != '\n') {
+          return ParseProgress::kMalformed;
+        }
         state_ = left_ > 0 ? State::kData : State::kTrailer;
-        digits_ = 0, line_ = 0, last_ = 0;
+        digits_ = 0;
+        line_ = 0;
+        last_ = 0;
         break;
       case State::kDataCr:
-        if (c != '\r') return ParseProgress::kMalformed;
+        if (c != '\r') {
+          return ParseProgress::kMalformed;
+        }
         state_ = State::kDataLf;
         break;
       case State::kDataLf:
-        if (c != '\n') return ParseProgress::kMalformed;
+        if (c != '\n') {
+          return ParseProgress::kMalformed;
+        }
         state_ = State::kSize;
         break;
       case State::kTrailer:
-        if (++trailer_ > kMaxHeadBytes) return ParseProgress::kMalformed;
+        if (++trailer_ > kMaxHeadBytes) {
+          return ParseProgress::kMalformed;
+        }
         if (c == '\n') {
-          if (last_ != '\r') return ParseProgress::kMalformed;
-          if (line_ == 1) state_ = State::kDone;
+          if (last_ != '\r') {
+            return ParseProgress::kMalformed;
+          }
+          if (line_ == 1) {
+            state_ = State::kDone;
+          }
           line_ = 0;
         } else {
-          if (last_ == '\r') return ParseProgress::kMalformed;
+          if (last_ == '\r') {
+            return ParseProgress::kMalformed;
+          }
           ++line_;
         }
         last_ = c;
         break;
       case State::kData:
-      case State::kDone: break;
+      case State::kDone:
+        break;
     }
   }
   return state_ == State::kDone ? ParseProgress::kDone : ParseProgress::kNeedMore;
@@ -119,9 +158,12 @@
 
 // ---- Messages -------------------------------------------------------------------------------
 
-std::optional<std::string_view> HttpMessage::FindHeader(std::string_view base, std::string_view name) const {
+std::optional<std::string_view> HttpMessage::FindHeader(std::string_view base,
+                                                        std::string_view name) const {
   for (const auto& [key, value] : headers) {
-    if (HeaderNamesEqual(key.In(base), name)) return value.In(base);
+    if (HeaderNamesEqual(key.In(base), name)) {
+      return value.In(base);
+    }
   }
   return std::nullopt;
 }
@@ -140,11 +182,14 @@
     return true;
   }
   return std::ranges::any_of(message.headers, [&](const auto& header) {
-    return HeaderNamesEqual(header.first.In(base), "Connection") && Lists(header.second.In(base), name);
+    return HeaderNamesEqual(header.first.In(base), "Connection") &&
+           Lists(header.second.In(base), name);
   });
 }
 
-void HttpParser::Reset() { *this = HttpParser(kind_, max_body_); }
+void HttpParser::Reset() {
+  *this = HttpParser(kind_, max_body_);
+}
 
 ParseProgress HttpParser::Fail(int status) {
   error_status_ = status;
@@ -154,24 +199,36 @@
 ParseProgress HttpParser::ParseStartLine(std::string_view all, Range line) {
   const std::string_view text = line.In(all);
   const size_t first = text.find(' ');
-  if (first == std::string_view::npos) return Fail(400);
+  if (first == std::string_view::npos) {
+    return Fail(400);
+  }
   if (kind_ == Kind::kResponse) {
     const std::string_view version = text.substr(0, first), code = text.substr(first + 1, 3);
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail(400);
+    if (version != "HTTP/1.1" && version != "HTTP/1.0") {
+      return Fail(400);
+    }
     message_.keep_alive = version == "HTTP/1.1";
     message_.is_http10 = !message_.keep_alive;
     const auto status = ParseWholeNumber(code);
-    if (code.size() != 3 || !status || *status < 100 || *status > 599) return Fail(400);
-    if (text.size() > first + 4 && text[first + 4] != ' ') return Fail(400);
+    if (code.size() != 3 || !status || *status < 100 || *status > 599) {
+      return Fail(400);
+    }
+    if (text.size() > first + 4 && text[first + 4] != ' ') {
+      return Fail(400);
+    }
     message_.status = static_cast<int>(*status);
     return ParseProgress::kNeedMore;
   }
   const size_t second = text.find(' ', first + 1);
-  if (second == std::string_view::npos) return Fail(400);
+  if (second == std::string_view::npos) {
+    return Fail(400);
+  }
   const std::string_view version = text.substr(second + 1);
   message_.method = {line.at, first};
   message_.target = {line.at + first + 1, second - first - 1};
-  if (!IsToken(message_.method.In(all)) || !IsTarget(message_.target.In(all))) return Fail(400);
+  if (!IsToken(message_.method.In(all)) || !IsTarget(message_.target.In(all))) {
+    return Fail(400);
+  }
   if (version != "HTTP/1.1" && version != "HTTP/1.0") {
     return Fail(version.starts_with("HTTP/") ? 505 : 400);
   }
@@ -184,10 +241,16 @@
   const std::string_view text = line.In(all);
   const size_t colon = text.find(':');
   // Also refuses a folded line and a space before the colon, which peers read differently.
-  if (colon == std::string_view::npos || !IsToken(text.substr(0, colon))) return Fail(400);
+  if (colon == std::string_view::npos || !IsToken(text.substr(0, colon))) {
+    return Fail(400);
+  }
   const std::string_view value = Trim(text.substr(colon + 1));
-  if (!IsFieldText(value)) return Fail(400);
-  if (message_.headers.size() >= kMaxHeaders) return Fail(431);
+  if (!IsFieldText(value)) {
+    return Fail(400);
+  }
+  if (message_.headers.size() >= kMaxHeaders) {
+    return Fail(431);
+  }
   message_.headers.push_back(
       {{line.at, colon}, {static_cast<size_t>(value.data() - all.data()), value.size()}});
   return ParseProgress::kNeedMore;
@@ -196,7 +259,9 @@
 ParseProgress HttpParser::FinishHead(std::string_view all) {
   bool close = false;
   for (const auto& [key, value] : message_.headers) {
-    if (!HeaderNamesEqual(key.In(all), "Connection")) continue;
+    if (!HeaderNamesEqual(key.In(all), "Connection")) {
+      continue;
+    }
     close = close || Lists(value.In(all), "close");
     message_.keep_alive = message_.keep_alive || Lists(value.In(all), "keep-alive");
   }
@@ -204,9 +269,12 @@
   const size_t lengths = message_.CountHeader(all, "Content-Length");
   const size_t codings = message_.CountHeader(all, "Transfer-Encoding");
   // Two lengths, or a length beside chunks, leave open where the message ends: never guessed.
-  if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) return Fail(400);
+  if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) {
+    return Fail(400);
+  }
   message_.body = {scanned_, 0};
-  if (kind_ == Kind::kResponse && message_.status < 200) {  // an interim answer: the real one follows
+  if (kind_ == Kind::kResponse &&
+      message_.status < 200) {  // an interim answer: the real one follows
     message_ = HttpMessage{};
     state_ = State::kStart;
     return ParseProgress::kNeedMore;
@@ -215,15 +283,23 @@
   state_ = State::kLength;
   // Whatever the head of these says.
   const bool none = kind_ == Kind::kResponse && (message_.status == 204 || message_.status == 304);
-  if (none) return ParseProgress::kNeedMore;
+  if (none) {
+    return ParseProgress::kNeedMore;
+  }
   if (codings > 0) {
-    if (!HeaderNamesEqual(*message_.FindHeader(all, "Transfer-Encoding"), "chunked")) return Fail(501);
+    if (!HeaderNamesEqual(*message_.FindHeader(all, "Transfer-Encoding"), "chunked")) {
+      return Fail(501);
+    }
     message_.chunked = true;
     state_ = State::kChunks;
   } else if (lengths > 0) {
     const auto length = ParseWholeNumber(*message_.FindHeader(all, "Content-Length"));
-    if (!length) return Fail(400);
-    if (*length > max_body_) return Fail(413);
+    if (!length) {
+      return Fail(400);
+    }
+    if (*length > max_body_) {
+      return Fail(413);
+    }
     length_ = static_cast<size_t>(*length);
   } else if (kind_ == Kind::kResponse) {
     // A host that dies resets its connections; one that has said all closes them.
@@ -237,20 +313,30 @@
 ParseProgress HttpParser::ParseHeadLines(std::string_view all) {
   while (state_ == State::kStart || state_ == State::kHeaders) {
     const size_t end = all.find('\n', scanned_);
-    if (std::min(end, all.size()) > kMaxHeadBytes) return Fail(431);
+    if (std::min(end, all.size()) > kMaxHeadBytes) {
+      return Fail(431);
+    }
     if (end == std::string_view::npos) {
       scanned_ = all.size();
       return ParseProgress::kNeedMore;
     }
-    if (end == line_begin_ || all[end - 1] != '\r') return Fail(400);  // a bare line end
+    if (end == line_begin_ || all[end - 1] != '\r') {
+      return Fail(400);  // a bare line end
+    }
     const Range line{line_begin_, end - 1 - line_begin_};
     scanned_ = line_begin_ = end + 1;
     if (state_ == State::kStart) {
-      if (line.size == 0 && kind_ == Kind::kRequest && end < 4) continue;  // one before a request
-      if (ParseStartLine(all, line) == ParseProgress::kMalformed) return ParseProgress::kMalformed;
+      if (line.size == 0 && kind_ == Kind::kRequest && end < 4) {
+        continue;  // one before a request
+      }
+      if (ParseStartLine(all, line) == ParseProgress::kMalformed) {
+        return ParseProgress::kMalformed;
+      }
       state_ = State::kHeaders;
     } else if (line.size > 0) {
-      if (ParseHeaderLine(all, line) == ParseProgress::kMalformed) return ParseProgress::kMalformed;
+      if (ParseHeaderLine(all, line) == ParseProgress::kMalformed) {
+        return ParseProgress::kMalformed;
+      }
     } else if (FinishHead(all) == ParseProgress::kMalformed) {
       return ParseProgress::kMalformed;
     }
@@ -259,33 +345,50 @@
 }
 
 ParseProgress HttpParser::FeedHead(Buffer& in) {
-  if (error_status_ != 0) return ParseProgress::kMalformed;
+  if (error_status_ != 0) {
+    return ParseProgress::kMalformed;
+  }
   const ParseProgress head = ParseHeadLines(in.view());
-  if (head == ParseProgress::kDone) message_.total_bytes = message_.body.at;
+  if (head == ParseProgress::kDone) {
+    message_.total_bytes = message_.body.at;
+  }
   return head;
 }
 
 ParseProgress HttpParser::Feed(Buffer& in) {
-  if (error_status_ != 0) return ParseProgress::kMalformed;
-  if (const ParseProgress head = ParseHeadLines(in.view()); head != ParseProgress::kDone) return head;
+  if (error_status_ != 0) {
+    return ParseProgress::kMalformed;
+  }
+  if (const ParseProgress head = ParseHeadLines(in.view()); head != ParseProgress::kDone) {
+    return head;
+  }
   if (state_ == State::kUntilClose) {
     message_.body.size = in.size() - message_.body.at;
-    if (message_.body.size > max_body_) return Fail(413);
+    if (message_.body.size > max_body_) {
+      return Fail(413);
+    }
     return ParseProgress::kNeedMore;
   }
   if (state_ == State::kLength) {
-    if (in.size() < message_.body.at + length_) return ParseProgress::kNeedMore;
+    if (in.size() < message_.body.at + length_) {
+      return ParseProgress::kNeedMore;
+    }
     message_.body.size = length_;
     message_.total_bytes = message_.body.at + length_;
     state_ = State::kDone;
   } else if (state_ == State::kChunks) {
     size_t read = 0, written = 0;
     char* const out = in.data() + message_.body.at + message_.body.size;
-    const ParseProgress body = chunk_decoder_.Decode(in.view().substr(scanned_), out, read, written);
+    const ParseProgress body =
+        chunk_decoder_.Decode(in.view().substr(scanned_), out, read, written);
     scanned_ += read;
     message_.body.size += written;
-    if (body == ParseProgress::kMalformed) return Fail(400);
-    if (message_.body.size > max_body_) return Fail(413);
+    if (body == ParseProgress::kMalformed) {
+      return Fail(400);
+    }
+    if (message_.body.size > max_body_) {
+      return Fail(413);
+    }
     if (body == ParseProgress::kNeedMore) {
       // All was read: its framing need not be kept, or chunks of a byte would hold five more each.
       scanned_ = message_.body.at + message_.body.size;
@@ -299,19 +402,25 @@
 }
 
 bool HttpParser::EndsWithConnection(Buffer& in) {
-  if (state_ != State::kUntilClose || Feed(in) == ParseProgress::kMalformed) return false;
+  if (state_ != State::kUntilClose || Feed(in) == ParseProgress::kMalformed) {
+    return false;
+  }
   message_.total_bytes = in.size();
   state_ = State::kDone;
   return true;
 }
 
 std::optional<uint64_t> HttpParser::body_length() const {
-  if (state_ != State::kLength) return std::nullopt;
+  if (state_ != State::kLength) {
+    return std::nullopt;
+  }
   return length_;
 }
 
 size_t HttpParser::body_bytes_received(const Buffer& in) const {
-  if (state_ == State::kLength) return in.size() - std::min(in.size(), message_.body.at);
+  if (state_ == State::kLength) {
+    return in.size() - std::min(in.size(), message_.body.at);
+  }
   return message_.body.size;
 }
 
@@ -325,8 +434,12 @@
 }
 
 ParseProgress HttpParser::TakeBody(Buffer& in, Buffer& piece, bool ended) {
-  if (error_status_ != 0) return ParseProgress::kMalformed;
-  if (state_ == State::kDone) return ParseProgress::kDone;
+  if (error_status_ != 0) {
+    return ParseProgress::kMalformed;
+  }
+  if (state_ == State::kDone) {
+    return ParseProgress::kDone;
+  }
   ParseProgress progress = ParseProgress::kNeedMore;
   if (state_ == State::kLength) {
     const size_t n = std::min(length_ - body_bytes_taken_, in.size());
@@ -335,21 +448,31 @@
     } else {
       piece = in.TakeFront(n);
     }
-    if (body_bytes_taken_ + n == length_) progress = ParseProgress::kDone;
+    if (body_bytes_taken_ + n == length_) {
+      progress = ParseProgress::kDone;
+    }
   } else if (state_ == State::kUntilClose) {
     piece = std::exchange(in, Buffer());
-    if (ended) progress = ParseProgress::kDone;
+    if (ended) {
+      progress = ParseProgress::kDone;
+    }
   } else if (!in.empty()) {
     size_t read = 0, written = 0;
     const size_t before = std::exchange(decoded_bytes_, 0);
     progress = chunk_decoder_.Decode(in.view().substr(before), in.data() + before, read, written);
-    if (progress == ParseProgress::kMalformed) return Fail(400);
+    if (progress == ParseProgress::kMalformed) {
+      return Fail(400);
+    }
     piece = in.TakeFront(before + read);
     piece.Truncate(before + written);
   }
   body_bytes_taken_ += piece.size();
-  if (body_bytes_taken_ > max_body_) return Fail(413);
-  if (progress == ParseProgress::kDone) state_ = State::kDone;
+  if (body_bytes_taken_ > max_body_) {
+    return Fail(413);
+  }
+  if (progress == ParseProgress::kDone) {
+    state_ = State::kDone;
+  }
   return progress == ParseProgress::kNeedMore && piece.empty() && ended ? Fail(400) : progress;
 }
 
--- a/src/http/http_parser.h
+++ b/src/http/http_parser.h
@@ -14,14 +14,18 @@
 namespace paddlestile {
 
 constexpr size_t kMaxHeadBytes = 16'384;
-constexpr size_t kMaxBufferedBodyBytes = 65'536;      // of a message held whole
-constexpr size_t kMaxBodyBytes = 34U << 20;  // of any
+constexpr size_t kMaxBufferedBodyBytes = 65'536;  // of a message held whole
+constexpr size_t kMaxBodyBytes = 34U << 20;       // of any
 constexpr size_t kMaxHeaders = 100;
 
-enum class ParseProgress { kNeedMore, kDone, kMalformed };
+enum class ParseProgress {
+  kNeedMore,
+  kDone,
+  kMalformed
+};
 
 bool HeaderNamesEqual(std::string_view a, std::string_view b);  // letters in any case
-std::string_view Trim(std::string_view text);           // spaces and tabs at both ends
+std::string_view Trim(std::string_view text);                   // spaces and tabs at both ends
 
 // Undoes the chunked framing in place.
 class ChunkDecoder {
@@ -31,7 +35,16 @@
   ParseProgress Decode(std::string_view in, char* out, size_t& read, size_t& written);
 
  private:
-  enum class State { kSize, kExtension, kSizeEnd, kData, kDataCr, kDataLf, kTrailer, kDone };
+  enum class State {
+    kSize,
+    kExtension,
+    kSizeEnd,
+    kData,
+    kDataCr,
+    kDataLf,
+    kTrailer,
+    kDone
+  };
   State state_ = State::kSize;
   size_t left_ = 0;
   int digits_ = 0;
@@ -48,11 +61,11 @@
   bool keep_alive = true;
   bool chunked = false;
   bool body_until_close = false;  // an answer that ends with its connection
-  bool is_http10 = false;       // its peer knows no chunks
+  bool is_http10 = false;         // its peer knows no chunks
 
   // The value of a header that stands there once; nothing where it is absent.
   [[nodiscard]] std::optional<std::string_view> FindHeader(std::string_view base,
-                                                     std::string_view name) const;
+                                                           std::string_view name) const;
   [[nodiscard]] size_t CountHeader(std::string_view base, std::string_view name) const;
 };
 
@@ -61,7 +74,10 @@
 
 class HttpParser {
  public:
-  enum class Kind { kRequest, kResponse };
+  enum class Kind {
+    kRequest,
+    kResponse
+  };
   explicit HttpParser(Kind kind, size_t max_body = kMaxBufferedBodyBytes)
       : kind_(kind), max_body_(max_body) {}
 
@@ -93,7 +109,14 @@
   void Reset();
 
  private:
-  enum class State { kStart, kHeaders, kLength, kChunks, kUntilClose, kDone };
+  enum class State {
+    kStart,
+    kHeaders,
+    kLength,
+    kChunks,
+    kUntilClose,
+    kDone
+  };
   ParseProgress Fail(int status);
   ParseProgress ParseHeadLines(std::string_view all);
   ParseProgress ParseStartLine(std::string_view all, Range line);
@@ -104,11 +127,11 @@
   size_t max_body_;
   State state_ = State::kStart;
   HttpMessage message_;
-  size_t scanned_ = 0;    // bytes looked at
+  size_t scanned_ = 0;     // bytes looked at
   size_t line_begin_ = 0;  // where the present line begins
   size_t length_ = 0;
-  size_t body_bytes_taken_ = 0;   // bytes of the body given by TakeBody
-  size_t decoded_bytes_ = 0;  // at the front of the buffer, of which TakeBody has seen none
+  size_t body_bytes_taken_ = 0;  // bytes of the body given by TakeBody
+  size_t decoded_bytes_ = 0;     // at the front of the buffer, of which TakeBody has seen none
   ChunkDecoder chunk_decoder_;
   int error_status_ = 0;
 };
--- a/src/http/proxied_request.h
+++ b/src/http/proxied_request.h
@@ -30,8 +30,8 @@
 struct Response {
   int status = 0;
   std::shared_ptr<const BufferedMessage> upstream_message{};  // a host's answer to pass on, or none
-  Duration retry_after{0};             // of a refusal
-  std::string reason{};                   // told to a client whose request was not understood
+  Duration retry_after{0};                                    // of a refusal
+  std::string reason{};  // told to a client whose request was not understood
 };
 
 class ProxiedRequest {
@@ -39,8 +39,8 @@
   using ResponseCallback = std::function<void(const Response&)>;
 
   // `cls` stays as it was when the request came, whatever settings follow.
-  ProxiedRequest(std::string id, BufferedMessage request, Time deadline, std::shared_ptr<const RequestClass> cls,
-           ResponseCallback reply)
+  ProxiedRequest(std::string id, BufferedMessage request, Time deadline,
+                 std::shared_ptr<const RequestClass> cls, ResponseCallback reply)
       : id_(std::move(id)),
         message_(std::move(request)),
         deadline_(deadline),
@@ -55,7 +55,9 @@
   [[nodiscard]] Duration client_timeout() const { return client_timeout_; }
   void set_client_timeout(Duration patience) { client_timeout_ = patience; }
   // Whether a part of the request is no longer held: it cannot be sent again.
-  [[nodiscard]] bool body_consumed() const { return message_.streaming_body && message_.streaming_body->begun(); }
+  [[nodiscard]] bool body_consumed() const {
+    return message_.streaming_body && message_.streaming_body->begun();
+  }
   [[nodiscard]] const RequestClass& request_class() const { return *request_class_; }
 
   // Whether it has had its one answer, or nobody waits for it any more.
@@ -63,7 +65,9 @@
 
   // Gives the one answer; false where there is no more to give one to.
   bool Respond(const Response& answer) {
-    if (done_) return false;
+    if (done_) {
+      return false;
+    }
     done_ = true;
     const ResponseCallback reply = std::exchange(response_callback_, nullptr);
     reply(answer);
@@ -84,11 +88,15 @@
   [[nodiscard]] size_t attempt_count() const { return attempt_count_; }
   // A streamed answer has begun on this attempt, the first to do so: it alone is the client's.
   bool CommitTo(size_t attempt) {
-    if (done_ || committed_attempt_) return false;
+    if (done_ || committed_attempt_) {
+      return false;
+    }
     committed_attempt_ = attempt;
     return true;
   }
-  [[nodiscard]] const std::optional<size_t>& committed_attempt() const { return committed_attempt_; }
+  [[nodiscard]] const std::optional<size_t>& committed_attempt() const {
+    return committed_attempt_;
+  }
   [[nodiscard]] int attempts_in_flight() const { return attempts_in_flight_; }
 
  private:
--- a/src/http/streaming_body.h
+++ b/src/http/streaming_body.h
@@ -24,7 +24,7 @@
   // `take` gives what has come: kMore (also with nothing), kDone with the last, kBad where it was
   // cut. `stop` says that nobody will take more.
   StreamingBody(std::optional<uint64_t> length, std::function<ParseProgress(Buffer&)> take,
-       std::function<void()> stop)
+                std::function<void()> stop)
       : length_(length), read_(std::move(take)), cancel_(std::move(stop)) {}
 
   // Where it is known before the end.
@@ -36,7 +36,9 @@
 
   // ---- Of the reading side: something has come; or it has gone, and what is missing never comes.
   void OnDataAvailable() {
-    if (const auto more = data_callback_) more();
+    if (const auto more = data_callback_) {
+      more();
+    }
   }
   void OnTruncated() {
     read_ = nullptr;
@@ -47,17 +49,24 @@
   // ---- Of the writing side.
   void SetDataCallback(std::function<void()> more) { data_callback_ = std::move(more); }
   ParseProgress Read(Buffer& piece) {
-    if (!read_) return ParseProgress::kMalformed;
+    if (!read_) {
+      return ParseProgress::kMalformed;
+    }
     const auto take = read_;
     const ParseProgress progress = take(piece);
     begun_ = begun_ || !piece.empty() || progress != ParseProgress::kNeedMore;
-    if (progress != ParseProgress::kNeedMore) read_ = nullptr, cancel_ = nullptr;
+    if (progress != ParseProgress::kNeedMore) {
+      read_ = nullptr;
+      cancel_ = nullptr;
+    }
     return progress;
   }
   void Cancel() {
     data_callback_ = nullptr;
     read_ = nullptr;
-    if (const auto stop = std::exchange(cancel_, nullptr)) stop();
+    if (const auto stop = std::exchange(cancel_, nullptr)) {
+      stop();
+    }
   }
 
  private:
--- a/src/lab/arrivals.cpp
+++ b/src/lab/arrivals.cpp
@@ -10,8 +10,12 @@
 
 Arrivals::Arrivals(const Experiment& experiment, uint64_t seed) : e_(experiment), rng_(seed) {
   std::vector<double> classes, tenants;
-  for (const ClassSpec& c : e_.classes) classes.push_back(c.share);
-  for (const TenantSpec& t : e_.tenants) tenants.push_back(t.share);
+  for (const ClassSpec& c : e_.classes) {
+    classes.push_back(c.share);
+  }
+  for (const TenantSpec& t : e_.tenants) {
+    tenants.push_back(t.share);
+  }
   class_ = std::discrete_distribution<size_t>(classes.begin(), classes.end());
   if (!tenants.empty()) {
     tenant_ = std::discrete_distribution<size_t>(tenants.begin(), tenants.end());
@@ -24,7 +28,9 @@
   // A Poisson process whose rate changes in steps: what is left of a draw goes on at the next rate.
   double left = -std::log(1 - Uniform());
   while (true) {
-    if (step_ >= steps.size()) return false;
+    if (step_ >= steps.size()) {
+      return false;
+    }
     const double until =
         step_ + 1 < steps.size() ? static_cast<double>(steps[step_ + 1].at.count()) : end;
     const double begin = std::max(at_us_, static_cast<double>(steps[step_].at.count()));
@@ -35,9 +41,13 @@
     }
     left -= std::max(0.0, until - begin) * per_us;
     at_us_ = std::max(at_us_, until);
-    if (++step_ >= steps.size()) return false;
+    if (++step_ >= steps.size()) {
+      return false;
+    }
+  }
+  if (at_us_ >= end) {
+    return false;
   }
-  if (at_us_ >= end) return false;
   out = Arrival{};
   out.at = Time(static_cast<int64_t>(at_us_));
   AskFacts& f = out.facts;
@@ -45,7 +55,9 @@
   do {
     f.cls = class_(rng_);
   } while (e_.classes[f.cls].from > out.at);
-  if (!e_.tenants.empty()) f.tenant = tenant_(rng_);
+  if (!e_.tenants.empty()) {
+    f.tenant = tenant_(rng_);
+  }
   const ClassSpec& cls = e_.classes[f.cls];
   f.key = ++keys_;
   f.work = Duration(std::llround(Draw(cls.work_ms) * 1000));
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -45,7 +45,9 @@
 }
 
 double Median(std::vector<double> values) {
-  if (values.empty()) return 0;
+  if (values.empty()) {
+    return 0;
+  }
   std::ranges::sort(values);
   const size_t n = values.size();
   return n % 2 == 1 ? values[n / 2] : (values[n / 2 - 1] + values[n / 2]) / 2;
@@ -55,7 +57,9 @@
   double median = 0, least = 0, most = 0;
 };
 Spread SpreadOf(const std::vector<double>& values) {
-  if (values.empty()) return {};
+  if (values.empty()) {
+    return {};
+  }
   return {Median(values), *std::ranges::min_element(values), *std::ranges::max_element(values)};
 }
 
@@ -69,14 +73,18 @@
 }
 Spread Cpu(const BenchResult& r) {
   std::vector<double> values;
-  for (const BenchRound& round : r.rounds) values.push_back(round.cpu_us);
+  for (const BenchRound& round : r.rounds) {
+    values.push_back(round.cpu_us);
+  }
   return SpreadOf(values);
 }
 
 const BenchStep* LastHeld(const BenchResult& r) {
   const BenchStep* last = nullptr;
   for (const BenchStep& step : r.ladder) {
-    if (step.held) last = &step;
+    if (step.held) {
+      last = &step;
+    }
   }
   return last;
 }
@@ -114,7 +122,9 @@
     out.ladder.push_back(step);
     told(fmt::format("{:.0f} a second: {:.3f} served in their aim, {:.2f} of a core, lab {:.2f}",
                      rate, step.served_share, step.cpu_share, step.lab_share));
-    if (!step.held || step.cpu_share > kFullCore) break;
+    if (!step.held || step.cpu_share > kFullCore) {
+      break;
+    }
   }
   const Result without = PlayPart(o, 100, 0, false), with = PlayPart(o, 100, o.connections, false);
   out.connections = o.connections;
--- a/src/lab/capacity.cpp
+++ b/src/lab/capacity.cpp
@@ -103,13 +103,17 @@
   }
   void Known(const std::set<std::string>& keys) const {
     for (const auto& [key, node] : table_) {
-      if (keys.contains(std::string(key.str()))) continue;
+      if (keys.contains(std::string(key.str()))) {
+        continue;
+      }
       Fail(Place(key.str()), "unknown key", fmt::format("one of {}", fmt::join(keys, ", ")));
     }
   }
   [[nodiscard]] std::string Text(std::string_view key) const {
     const toml::node* const node = Get(key);
-    if (node == nullptr) Fail(Place(key), "missing", "a text");
+    if (node == nullptr) {
+      Fail(Place(key), "missing", "a text");
+    }
     if (!node->is_string() || node->as_string()->get().empty()) {
       Fail(Place(key), "no text", "a text");
     }
@@ -128,21 +132,33 @@
   // A text, or a list of texts.
   [[nodiscard]] std::vector<std::string> Texts(std::string_view key) const {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return {};
-    if (node->is_string()) return {Text(key)};
+    if (node == nullptr) {
+      return {};
+    }
+    if (node->is_string()) {
+      return {Text(key)};
+    }
     std::vector<std::string> texts;
     const toml::array* const list = node->as_array();
-    if (list == nullptr) Fail(Place(key), "no list", "a list of texts");
+    if (list == nullptr) {
+      Fail(Place(key), "no list", "a list of texts");
+    }
     for (const toml::node& item : *list) {
-      if (!item.is_string()) Fail(Place(key), "not all are texts", "a list of texts");
+      if (!item.is_string()) {
+        Fail(Place(key), "not all are texts", "a list of texts");
+      }
       texts.push_back(item.as_string()->get());
     }
     return texts;
   }
   [[nodiscard]] std::optional<CapacityQuantity> Quantity(std::string_view key) const {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return std::nullopt;
-    if (node->is_string()) return CapacityQuantity{Text(key), Place(key)};
+    if (node == nullptr) {
+      return std::nullopt;
+    }
+    if (node->is_string()) {
+      return CapacityQuantity{Text(key), Place(key)};
+    }
     const auto number = node->value<double>();
     if (!node->is_number() || !number) {
       Fail(Place(key), "neither number nor text", "a number or figures of the target");
@@ -152,11 +168,21 @@
   // A plain value as a run would have it, as JSON.
   [[nodiscard]] std::string Plain(std::string_view key) const {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return {};
-    if (node->is_boolean()) return json(node->as_boolean()->get()).dump();
-    if (node->is_integer()) return json(node->as_integer()->get()).dump();
-    if (node->is_floating_point()) return json(node->as_floating_point()->get()).dump();
-    if (node->is_string()) return json(node->as_string()->get()).dump();
+    if (node == nullptr) {
+      return {};
+    }
+    if (node->is_boolean()) {
+      return json(node->as_boolean()->get()).dump();
+    }
+    if (node->is_integer()) {
+      return json(node->as_integer()->get()).dump();
+    }
+    if (node->is_floating_point()) {
+      return json(node->as_floating_point()->get()).dump();
+    }
+    if (node->is_string()) {
+      return json(node->as_string()->get()).dump();
+    }
     Fail(Place(key), "no plain value", "a number, a text, true or false");
   }
 
@@ -167,7 +193,9 @@
 };
 
 void NeedPointer(const std::string& pointer, const std::string& place) {
-  if (pointer.starts_with('/')) return;
+  if (pointer.starts_with('/')) {
+    return;
+  }
   Fail(place, fmt::format("'{}'", pointer), "a pointer such as /leader/cpu_core");
 }
 
@@ -175,8 +203,12 @@
                                          const Reader& read, const std::string& before) {
   std::map<std::string, std::string> where;
   const toml::node* const node = at.get("where");
-  if (node == nullptr) return where;
-  if (!node->is_table()) Fail(read.Place("where"), "no table", "pointer = value");
+  if (node == nullptr) {
+    return where;
+  }
+  if (!node->is_table()) {
+    Fail(read.Place("where"), "no table", "pointer = value");
+  }
   const Reader inner(path, *node->as_table(), before + "where.");
   for (const auto& [key, value] : *node->as_table()) {
     NeedPointer(std::string(key.str()), inner.Place(key.str()));
@@ -187,15 +219,21 @@
 
 void NeedKeys(const Reader& read, CapacityKind kind) {
   const auto need = [&](std::string_view key, std::string_view expected) {
-    if (read.Get(key) == nullptr) Fail(read.Place(key), "missing", expected);
+    if (read.Get(key) == nullptr) {
+      Fail(read.Place(key), "missing", expected);
+    }
   };
   if (Measured(kind)) {
     need("figure", "a pointer into a run");
     need("by", "a pointer to the size");
     need("size", "the size at the target");
   }
-  if (kind == CapacityKind::kLimit) need("holds", "the figure's value where the bound is met");
-  if (kind == CapacityKind::kSum) need("whole", "rows to add");
+  if (kind == CapacityKind::kLimit) {
+    need("holds", "the figure's value where the bound is met");
+  }
+  if (kind == CapacityKind::kSum) {
+    need("whole", "rows to add");
+  }
 }
 
 CapacityRow ReadRow(const std::string& path, const toml::table& at, size_t index) {
@@ -212,13 +250,19 @@
   row.table = read.OneOf("table", kTables);
   row.note = read.TextOr("note");
   std::set<std::string> kinds;
-  for (const auto& [name, kind] : kKinds) kinds.insert(name);
+  for (const auto& [name, kind] : kKinds) {
+    kinds.insert(name);
+  }
   row.kind = kKinds.at(read.OneOf("kind", kinds));
   NeedKeys(read, row.kind);
   row.figure = read.Texts("figure");
-  for (const std::string& pointer : row.figure) NeedPointer(pointer, read.Place("figure"));
+  for (const std::string& pointer : row.figure) {
+    NeedPointer(pointer, read.Place("figure"));
+  }
   row.by = read.TextOr("by");
-  if (!row.by.empty()) NeedPointer(row.by, read.Place("by"));
+  if (!row.by.empty()) {
+    NeedPointer(row.by, read.Place("by"));
+  }
   row.where = Where(path, at, read, before);
   row.holds = read.Plain("holds");
   row.size = read.Quantity("size");
@@ -238,7 +282,9 @@
   assumption.unit = read.TextOr("unit");
   assumption.why = read.Text("why");
   const auto value = read.Quantity("value");
-  if (!value) Fail(read.Place("value"), "missing", "a number or figures of the target");
+  if (!value) {
+    Fail(read.Place("value"), "missing", "a number or figures of the target");
+  }
   assumption.value = *value;
   assumption.covers = read.Texts("covers");
   return assumption;
@@ -250,11 +296,17 @@
   std::vector<Item> items;
   const Reader top(path, file, "");
   const toml::node* const node = top.Get(key);
-  if (node == nullptr) return items;
+  if (node == nullptr) {
+    return items;
+  }
   const toml::array* const list = node->as_array();
-  if (list == nullptr) Fail(top.Place(key), "no list", fmt::format("[[{}]], one each", key));
+  if (list == nullptr) {
+    Fail(top.Place(key), "no list", fmt::format("[[{}]], one each", key));
+  }
   for (const toml::node& item : *list) {
-    if (!item.is_table()) Fail(top.Place(key), "no table", fmt::format("[[{}]], one each", key));
+    if (!item.is_table()) {
+      Fail(top.Place(key), "no table", fmt::format("[[{}]], one each", key));
+    }
     items.push_back(read(path, *item.as_table(), items.size()));
   }
   return items;
@@ -267,10 +319,14 @@
     const std::string place = fmt::format("{}: row '{}'", rows.path, row.id);
     for (const auto* ids : {&row.whole, &row.growth}) {
       for (const std::string& id : *ids) {
-        if (!above.contains(id)) Fail(place, fmt::format("no row '{}'", id), "rows above it");
+        if (!above.contains(id)) {
+          Fail(place, fmt::format("no row '{}'", id), "rows above it");
+        }
       }
     }
-    if (!above.insert(row.id).second) Fail(place, "twice", "an id of its own");
+    if (!above.insert(row.id).second) {
+      Fail(place, "twice", "an id of its own");
+    }
   }
 }
 
@@ -293,7 +349,9 @@
   std::istringstream words(q.text);
   std::string word;
   const auto next = [&] {
-    if (!(words >> word)) Fail(q.place, fmt::format("'{}'", q.text), "a term at its end");
+    if (!(words >> word)) {
+      Fail(q.place, fmt::format("'{}'", q.text), "a term at its end");
+    }
     return Term(word, q, target);
   };
   double sum = 0, product = next();
@@ -324,9 +382,13 @@
   const json* nearest = nullptr;
   double least = rate / 2;
   for (const json& entry : list) {
-    if (!entry.is_object() || !entry.contains("rate") || !entry["rate"].is_number()) continue;
+    if (!entry.is_object() || !entry.contains("rate") || !entry["rate"].is_number()) {
+      continue;
+    }
     const double away = std::abs(entry["rate"].get<double>() - rate);
-    if (away > least || (nearest != nullptr && away == least)) continue;
+    if (away > least || (nearest != nullptr && away == least)) {
+      continue;
+    }
     nearest = &entry;
     least = away;
   }
@@ -349,8 +411,12 @@
 
 std::optional<double> NumberAt(const CapacityRun& run, const std::string& pointer) {
   const json* const value = Follow(run.result, pointer);
-  if (value == nullptr) return std::nullopt;
-  if (!value->is_number()) Fail(run.file + ": " + pointer, "no number", "a number or null");
+  if (value == nullptr) {
+    return std::nullopt;
+  }
+  if (!value->is_number()) {
+    Fail(run.file + ": " + pointer, "no number", "a number or null");
+  }
   return value->get<double>();
 }
 
@@ -361,7 +427,9 @@
   });
 }
 
-std::string VerdictOf(const CapacityRun& run) { return run.result.at("verdict"); }
+std::string VerdictOf(const CapacityRun& run) {
+  return run.result.at("verdict");
+}
 
 // One run's word on one row.
 struct Point {
@@ -370,11 +438,15 @@
 };
 
 std::optional<double> SlopeFigure(const CapacityRow& row, const CapacityRun& run) {
-  if (VerdictOf(run) != "held") return std::nullopt;
+  if (VerdictOf(run) != "held") {
+    return std::nullopt;
+  }
   double sum = 0;
   for (const std::string& pointer : row.figure) {
     const auto part = NumberAt(run, pointer);
-    if (!part) return std::nullopt;
+    if (!part) {
+      return std::nullopt;
+    }
     sum += *part;
   }
   return sum;
@@ -384,8 +456,12 @@
 // in it as well says nothing.
 std::optional<double> LimitFigure(const CapacityRow& row, const CapacityRun& run) {
   const json* const value = Follow(run.result, row.figure.front());
-  if (value == nullptr || VerdictOf(run) == "void") return std::nullopt;
-  if (*value != json::parse(row.holds)) return 0.0;
+  if (value == nullptr || VerdictOf(run) == "void") {
+    return std::nullopt;
+  }
+  if (*value != json::parse(row.holds)) {
+    return 0.0;
+  }
   return VerdictOf(run) == "held" ? std::optional(1.0) : std::nullopt;
 }
 
@@ -393,12 +469,18 @@
   std::vector<Point> points;
   for (const CapacityRun& run : runs) {
     const auto size = NumberAt(run, row.by);
-    if (!size || !Counts(row, run)) continue;
+    if (!size || !Counts(row, run)) {
+      continue;
+    }
     // What went wrong with none at all did not go wrong by their number.
-    if (row.kind == CapacityKind::kLimit && *size <= 0) continue;
+    if (row.kind == CapacityKind::kLimit && *size <= 0) {
+      continue;
+    }
     const auto figure =
         row.kind == CapacityKind::kLimit ? LimitFigure(row, run) : SlopeFigure(row, run);
-    if (figure) points.push_back({*size, *figure, &run});
+    if (figure) {
+      points.push_back({*size, *figure, &run});
+    }
   }
   return points;
 }
@@ -410,24 +492,36 @@
   size_t count = 0;
   double last = 0;
   for (const double size : sizes) {
-    if (count > 0 && size < 2 * last) continue;
+    if (count > 0 && size < 2 * last) {
+      continue;
+    }
     last = size;
     ++count;
   }
   return count;
 }
 
-bool Assumed(const CapacityFit& fit) { return DoubledSizes(fit.sizes) < kSizesOfALine; }
+bool Assumed(const CapacityFit& fit) {
+  return DoubledSizes(fit.sizes) < kSizesOfALine;
+}
 
-double Rounded(double value) { return std::stod(fmt::format("{:.4g}", value)); }
+double Rounded(double value) {
+  return std::stod(fmt::format("{:.4g}", value));
+}
 
 // What the machine's own rounding leaves of figures as large as `of` is nothing, on any machine.
-double Rounded(double value, double of) { return std::abs(value) < 1e-9 * of ? 0 : Rounded(value); }
+double Rounded(double value, double of) {
+  return std::abs(value) < 1e-9 * of ? 0 : Rounded(value);
+}
 
 std::map<double, std::vector<double>> BySize(const std::vector<Point>& points) {
   std::map<double, std::vector<double>> sizes;
-  for (const Point& p : points) sizes[p.size].push_back(p.figure);
-  for (auto& [size, figures] : sizes) std::ranges::sort(figures);
+  for (const Point& p : points) {
+    sizes[p.size].push_back(p.figure);
+  }
+  for (auto& [size, figures] : sizes) {
+    std::ranges::sort(figures);
+  }
   return sizes;
 }
 
@@ -436,7 +530,9 @@
   for (const auto& [size, sorted] : sizes) {
     const size_t n = sorted.size();
     const double median = (sorted[(n - 1) / 2] + sorted[n / 2]) / 2;
-    if (n < 2 || median == 0) continue;
+    if (n < 2 || median == 0) {
+      continue;
+    }
     widest = std::max(widest.value_or(0), (sorted.back() - sorted.front()) / std::abs(median));
   }
   return widest;
@@ -464,16 +560,22 @@
     largest_size = std::max(largest_size, p.size);
   }
   fit.fixed = Rounded(fixed, largest);
-  if (across > 0) fit.slope = Rounded(slope, largest / largest_size);
+  if (across > 0) {
+    fit.slope = Rounded(slope, largest / largest_size);
+  }
   fit.residue = Rounded(std::sqrt(squares / n), largest);
 }
 
 void FitLimit(const std::vector<Point>& points, CapacityFit& fit) {
   for (const Point& p : points) {
-    if (p.figure == 0) fit.broken_from = std::min(fit.broken_from.value_or(p.size), p.size);
+    if (p.figure == 0) {
+      fit.broken_from = std::min(fit.broken_from.value_or(p.size), p.size);
+    }
   }
   for (const Point& p : points) {
-    if (p.figure == 0 || (fit.broken_from && p.size >= *fit.broken_from)) continue;
+    if (p.figure == 0 || (fit.broken_from && p.size >= *fit.broken_from)) {
+      continue;
+    }
     fit.held_to = std::max(fit.held_to.value_or(0), p.size);
   }
 }
@@ -490,12 +592,16 @@
     fit.files.push_back(p.run->file);
     fit.seeds.push_back(p.run->result.at("seed").get<uint64_t>());
   }
-  if (points.empty()) return fit;
+  if (points.empty()) {
+    return fit;
+  }
   if (row.kind == CapacityKind::kLimit) {
     FitLimit(points, fit);
   } else {
     FitLine(points, fit);
-    if (const auto spread = SpreadOf(sizes)) fit.spread = Rounded(*spread);
+    if (const auto spread = SpreadOf(sizes)) {
+      fit.spread = Rounded(*spread);
+    }
   }
   return fit;
 }
@@ -504,7 +610,9 @@
   std::vector<std::string> reasons;
   for (const char* key : {"void", "broken"}) {
     const auto list = result.find(key);
-    if (list == result.end() || !list->is_array()) continue;
+    if (list == result.end() || !list->is_array()) {
+      continue;
+    }
     for (const json& reason : *list) {
       reasons.push_back(reason.is_string() ? reason.get<std::string>() : reason.dump());
     }
@@ -514,10 +622,16 @@
 
 void CheckRun(const CapacityRun& run, const std::string& path) {
   const auto need = [&](const char* key, bool good, std::string_view expected) {
-    if (!run.result.contains(key)) Fail(fmt::format("{}: {}", path, key), "missing", expected);
-    if (!good) Fail(fmt::format("{}: {}", path, key), "wrong value", expected);
+    if (!run.result.contains(key)) {
+      Fail(fmt::format("{}: {}", path, key), "missing", expected);
+    }
+    if (!good) {
+      Fail(fmt::format("{}: {}", path, key), "wrong value", expected);
+    }
   };
-  if (!run.result.is_object()) Fail(path, "no object", "what a lab command wrote with --json");
+  if (!run.result.is_object()) {
+    Fail(path, "no object", "what a lab command wrote with --json");
+  }
   const json& r = run.result;
   need("command", r.contains("command") && r["command"].is_string(), "a text");
   need("commit", r.contains("commit") && r["commit"].is_string(), "a text");
@@ -562,13 +676,17 @@
 class SlopesReader {
  public:
   SlopesReader(const json& object, std::string place) : object_(object), place_(std::move(place)) {
-    if (!object_.is_object()) Fail(place_, "no object", "what lab capacity --fit writes");
+    if (!object_.is_object()) {
+      Fail(place_, "no object", "what lab capacity --fit writes");
+    }
   }
   template <typename Value>
   void Take(const std::string& key, Value& value) {
     known_.insert(key);
     const auto found = object_.find(key);
-    if (found == object_.end()) Fail(place_ + "." + key, "missing", "what --fit writes");
+    if (found == object_.end()) {
+      Fail(place_ + "." + key, "missing", "what --fit writes");
+    }
     try {
       value = found->get<Value>();
     } catch (const json::exception&) {
@@ -578,13 +696,19 @@
   void Take(const std::string& key, std::optional<double>& value) {
     json plain;
     Take(key, plain);
-    if (plain.is_null()) return;
-    if (!plain.is_number()) Fail(place_ + "." + key, "wrong type", "a number or null");
+    if (plain.is_null()) {
+      return;
+    }
+    if (!plain.is_number()) {
+      Fail(place_ + "." + key, "wrong type", "a number or null");
+    }
     value = plain.get<double>();
   }
   void End() const {
     for (const auto& [key, value] : object_.items()) {
-      if (!known_.contains(key)) Fail(place_ + "." + key, "unknown key", "what --fit writes");
+      if (!known_.contains(key)) {
+        Fail(place_ + "." + key, "unknown key", "what --fit writes");
+      }
     }
   }
 
@@ -600,7 +724,9 @@
   std::string kind;
   bool assumption = false;
   read.Take("kind", kind);
-  if (kind != NameOf(row.kind)) Fail(place + ".kind", "'" + kind + "'", NameOf(row.kind));
+  if (kind != NameOf(row.kind)) {
+    Fail(place + ".kind", "'" + kind + "'", NameOf(row.kind));
+  }
   read.Take("sizes", fit.sizes);
   read.Take("runs", fit.runs);
   if (row.kind == CapacityKind::kLimit) {
@@ -636,10 +762,14 @@
 
 void WeighSlope(CapacityLine& line) {
   const CapacityFit& fit = line.fit;
-  if (!fit.fixed || !line.size) return;
+  if (!fit.fixed || !line.size) {
+    return;
+  }
   const double times = line.times.value_or(1);
   // One size says nothing of larger ones.
-  if (!fit.slope && *line.size > fit.sizes.back()) return;
+  if (!fit.slope && *line.size > fit.sizes.back()) {
+    return;
+  }
   line.growth = fit.slope.value_or(0) * *line.size * times;
   line.at_target = *fit.fixed * times + *line.growth;
 }
@@ -652,10 +782,16 @@
   const auto add = [&](const CapacityLine& part, std::optional<double> figure) {
     sum = sum && figure ? std::optional(*sum + *figure) : std::nullopt;
     line.assumed |= part.assumed;
-    if (part.past) line.past = std::max(line.past.value_or(0), *part.past);
+    if (part.past) {
+      line.past = std::max(line.past.value_or(0), *part.past);
+    }
   };
-  for (const std::string& id : line.row.whole) add(find(id), find(id).at_target);
-  for (const std::string& id : line.row.growth) add(find(id), find(id).growth);
+  for (const std::string& id : line.row.whole) {
+    add(find(id), find(id).at_target);
+  }
+  for (const std::string& id : line.row.growth) {
+    add(find(id), find(id).growth);
+  }
   line.at_target = sum;
 }
 
@@ -663,8 +799,12 @@
   const bool limit = line.row.kind == CapacityKind::kLimit;
   // A limit that ends below the smallest size that was tried is as if there were nothing.
   const bool never = limit && line.fit.broken_from && !line.fit.held_to;
-  if (line.row.kind == CapacityKind::kNone || never) return ShareKind::kNone;
-  if (line.allowed && line.at_target) return ShareKind::kKnown;
+  if (line.row.kind == CapacityKind::kNone || never) {
+    return ShareKind::kNone;
+  }
+  if (line.allowed && line.at_target) {
+    return ShareKind::kKnown;
+  }
   const bool weighed = line.allowed || limit || line.row.kind == CapacityKind::kUnknown;
   return weighed ? ShareKind::kUnknown : ShareKind::kTold;
 }
@@ -684,15 +824,23 @@
       line.past = *line.size / *line.largest_measured;
     }
   }
-  if (row.kind == CapacityKind::kSlope) WeighSlope(line);
-  if (row.kind == CapacityKind::kSum) WeighSum(line, above);
-  if (row.kind == CapacityKind::kNone) line.at_target = line.size;
+  if (row.kind == CapacityKind::kSlope) {
+    WeighSlope(line);
+  }
+  if (row.kind == CapacityKind::kSum) {
+    WeighSum(line, above);
+  }
+  if (row.kind == CapacityKind::kNone) {
+    line.at_target = line.size;
+  }
   if (row.kind == CapacityKind::kLimit) {
     line.at_target = line.size;
     line.allowed = line.fit.held_to;
   }
   line.share_kind = ShareKindOf(line);
-  if (line.share_kind == ShareKind::kKnown) line.share = *line.at_target / *line.allowed;
+  if (line.share_kind == ShareKind::kKnown) {
+    line.share = *line.at_target / *line.allowed;
+  }
   return line;
 }
 
@@ -707,10 +855,16 @@
       covered.insert(key);
     }
   };
-  for (const CapacityRow& row : rows.rows) add(row.covers, "row '" + row.id + "'");
-  for (const CapacityAssumption& a : rows.assumptions) add(a.covers, "assumption '" + a.what + "'");
+  for (const CapacityRow& row : rows.rows) {
+    add(row.covers, "row '" + row.id + "'");
+  }
+  for (const CapacityAssumption& a : rows.assumptions) {
+    add(a.covers, "assumption '" + a.what + "'");
+  }
   for (const auto& [key, line] : target.lines) {
-    if (covered.contains(key)) continue;
+    if (covered.contains(key)) {
+      continue;
+    }
     Fail(fmt::format("{}:{}: {}", target.path, line, key), "not covered",
          "a row or an assumption of " + rows.path + " that covers it");
   }
@@ -719,28 +873,40 @@
 // ---- Markdown -------------------------------------------------------------------------------
 
 std::string Show(double value) {
-  if (std::abs(value) < 1000) return fmt::format("{:.3g}", value);
+  if (std::abs(value) < 1000) {
+    return fmt::format("{:.3g}", value);
+  }
   std::string digits = fmt::format("{:.0f}", std::abs(value));
-  for (size_t at = digits.size(); at > 3; at -= 3) digits.insert(at - 3, ",");
+  for (size_t at = digits.size(); at > 3; at -= 3) {
+    digits.insert(at - 3, ",");
+  }
   return (value < 0 ? "-" : "") + digits;
 }
 
-std::string Show(const std::optional<double>& value) { return value ? Show(*value) : "-"; }
+std::string Show(const std::optional<double>& value) {
+  return value ? Show(*value) : "-";
+}
 
 template <typename Values>
 std::string ShowAll(const Values& values) {
   std::vector<std::string> texts;
   texts.reserve(values.size());
-  for (const auto& value : values) texts.push_back(Show(static_cast<double>(value)));
+  for (const auto& value : values) {
+    texts.push_back(Show(static_cast<double>(value)));
+  }
   return texts.empty() ? "-" : fmt::format("{}", fmt::join(texts, "; "));
 }
 
 std::string ShowShare(const CapacityLine& line) {
   switch (line.share_kind) {
-    case ShareKind::kNone: return "**none**";
-    case ShareKind::kUnknown: return "not known";
-    case ShareKind::kTold: return "told";
-    case ShareKind::kKnown: break;
+    case ShareKind::kNone:
+      return "**none**";
+    case ShareKind::kUnknown:
+      return "not known";
+    case ShareKind::kTold:
+      return "told";
+    case ShareKind::kKnown:
+      break;
   }
   const std::string share = Show(line.share) + (line.assumed ? " (assumption)" : "");
   return line.share > 1 ? "**" + share + "**" : share;
@@ -756,17 +922,27 @@
   const CapacityRow& row = line.row;
   if (row.kind == CapacityKind::kSum) {
     std::vector<std::string> parts = row.whole;
-    for (const std::string& id : row.growth) parts.push_back("growth of " + id);
+    for (const std::string& id : row.growth) {
+      parts.push_back("growth of " + id);
+    }
     return fmt::format("{}", fmt::join(parts, " + "));
   }
   if (row.kind == CapacityKind::kLimit) {
-    if (!fit.held_to && !fit.broken_from) return "-";
+    if (!fit.held_to && !fit.broken_from) {
+      return "-";
+    }
     return fmt::format("held to {}, broken from {}", Show(fit.held_to), Show(fit.broken_from));
   }
-  if (!fit.fixed) return "-";
+  if (!fit.fixed) {
+    return "-";
+  }
   std::string text = Show(*fit.fixed);
-  if (fit.slope) text += fmt::format(" + {} x {}", Show(*fit.slope), Factor(*row.size));
-  if (row.times) text = fmt::format("({}) x {}", text, Factor(*row.times));
+  if (fit.slope) {
+    text += fmt::format(" + {} x {}", Show(*fit.slope), Factor(*row.size));
+  }
+  if (row.times) {
+    text = fmt::format("({}) x {}", text, Factor(*row.times));
+  }
   return text + fmt::format(", off by {}", Show(*fit.residue));
 }
 
@@ -777,7 +953,9 @@
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
   for (const CapacityLine& line : capacity.lines) {
     const CapacityRow& row = line.row;
-    if (row.table != table) continue;
+    if (row.table != table) {
+      continue;
+    }
     text += fmt::format("| {} | {}{} | {} | {} | {} | {} | {} | {} | {} | {} | {} | `{}` |\n",
                         row.role, row.what, row.unit.empty() ? "" : ", " + row.unit,
                         Show(line.at_target), Show(line.allowed), ShowShare(line), ShowLine(line),
@@ -795,7 +973,9 @@
                         a.unit.empty() ? "" : " " + a.unit, a.why);
   }
   for (const CapacityLine& line : capacity.lines) {
-    if (!line.assumed || line.fit.sizes.empty()) continue;
+    if (!line.assumed || line.fit.sizes.empty()) {
+      continue;
+    }
     text += fmt::format(
         "| {}: {} (`{}`) | {} {} | measured at {} alone, not at three sizes, each "
         "double the last or more |\n",
@@ -827,7 +1007,9 @@
 std::string NotesOf(const Capacity& capacity) {
   std::string text = "| row | note |\n| --- | --- |\n";
   for (const CapacityLine& line : capacity.lines) {
-    if (line.row.note.empty() || line.row.kind == CapacityKind::kUnknown) continue;
+    if (line.row.note.empty() || line.row.kind == CapacityKind::kUnknown) {
+      continue;
+    }
     text += fmt::format("| `{}` | {} |\n", line.row.id, line.row.note);
   }
   return text;
@@ -838,7 +1020,9 @@
                           : "| run | verdict | why |\n| --- | --- | --- |\n";
   size_t count = 0;
   for (const CapacityRunNote& run : capacity.runs) {
-    if ((run.verdict == "held") != good) continue;
+    if ((run.verdict == "held") != good) {
+      continue;
+    }
     ++count;
     text +=
         good ? fmt::format("| {} | `{}` | {} | {} |\n", run.file, run.command, run.commit, run.seed)
@@ -896,8 +1080,12 @@
   const Reader read(path, file, "");
   read.Known(top);
   const toml::node* const node = read.Get("control_gateway");
-  if (node == nullptr) Fail(read.Place("control_gateway"), "missing", "a table");
-  if (!node->is_table()) Fail(read.Place("control_gateway"), "no table", "a table");
+  if (node == nullptr) {
+    Fail(read.Place("control_gateway"), "missing", "a table");
+  }
+  if (!node->is_table()) {
+    Fail(read.Place("control_gateway"), "no table", "a table");
+  }
   const Reader control(path, *node->as_table(), "control_gateway.");
   control.Known(inner);
   for (const TargetKey& known : kTargetKeys) {
@@ -908,7 +1096,9 @@
     const std::string expected = fmt::format("a {}number from {} to {}",
                                              known.whole ? "whole " : "", known.least, known.most);
     const toml::node* const found = from.Get(key);
-    if (found == nullptr) Fail(from.Place(key), "missing", expected);
+    if (found == nullptr) {
+      Fail(from.Place(key), "missing", expected);
+    }
     const auto value = found->is_number() ? found->value<double>() : std::nullopt;
     if (!value || (known.whole && !found->is_integer())) {
       Fail(from.Place(key), known.whole ? "no whole number" : "no number", expected);
@@ -935,15 +1125,21 @@
   std::vector<CapacityRun> runs;
   std::error_code error;
   for (const auto& entry : fs::directory_iterator(folder, error)) {
-    if (entry.path().extension() != ".json") continue;
+    if (entry.path().extension() != ".json") {
+      continue;
+    }
     const std::string path = entry.path().string();
     std::ifstream file(path);
     CapacityRun run{entry.path().filename().string(), json::parse(file, nullptr, false)};
-    if (run.result.is_discarded()) Fail(path, "no JSON", "what a lab command wrote with --json");
+    if (run.result.is_discarded()) {
+      Fail(path, "no JSON", "what a lab command wrote with --json");
+    }
     CheckRun(run, path);
     runs.push_back(std::move(run));
   }
-  if (error) Fail(folder, error.message(), "a folder of runs");
+  if (error) {
+    Fail(folder, error.message(), "a folder of runs");
+  }
   std::ranges::sort(runs, {}, &CapacityRun::file);
   return runs;
 }
@@ -951,7 +1147,9 @@
 CapacitySlopes FitRuns(const CapacityRows& rows, const std::vector<CapacityRun>& runs) {
   CapacitySlopes slopes;
   for (const CapacityRow& row : rows.rows) {
-    if (Measured(row.kind)) slopes.fits[row.id] = FitRow(row, runs);
+    if (Measured(row.kind)) {
+      slopes.fits[row.id] = FitRow(row, runs);
+    }
   }
   for (const CapacityRun& run : runs) {
     const json& r = run.result;
@@ -964,23 +1162,35 @@
 CapacitySlopes ParseSlopes(std::string_view text, const std::string& path,
                            const CapacityRows& rows) {
   const json file = json::parse(text, nullptr, false);
-  if (file.is_discarded()) Fail(path, "no JSON", "what lab capacity --fit writes");
+  if (file.is_discarded()) {
+    Fail(path, "no JSON", "what lab capacity --fit writes");
+  }
   SlopesReader read(file, path + ": slopes");
   json fits, notes;
   read.Take("rows", fits);
   read.Take("runs", notes);
   read.End();
-  if (!fits.is_object()) Fail(path + ": rows", "no object", "a fit for each row");
-  if (!notes.is_array()) Fail(path + ": runs", "no list", "a note for each run");
+  if (!fits.is_object()) {
+    Fail(path + ": rows", "no object", "a fit for each row");
+  }
+  if (!notes.is_array()) {
+    Fail(path + ": runs", "no list", "a note for each run");
+  }
   CapacitySlopes slopes;
   for (const CapacityRow& row : rows.rows) {
-    if (!Measured(row.kind)) continue;
+    if (!Measured(row.kind)) {
+      continue;
+    }
     const std::string place = fmt::format("{}: rows.{}", path, row.id);
-    if (!fits.contains(row.id)) Fail(place, "missing", "a fit of this row; make it with --fit");
+    if (!fits.contains(row.id)) {
+      Fail(place, "missing", "a fit of this row; make it with --fit");
+    }
     slopes.fits[row.id] = ReadFit(fits[row.id], place, row);
   }
   for (const auto& [id, fit] : fits.items()) {
-    if (slopes.fits.contains(id)) continue;
+    if (slopes.fits.contains(id)) {
+      continue;
+    }
     Fail(fmt::format("{}: rows.{}", path, id), "no such row", "a row of " + rows.path);
   }
   for (const json& note : notes) {
@@ -1010,24 +1220,32 @@
   ordered_json out;
   out["rows"] = ordered_json::object();
   for (const CapacityRow& row : rows.rows) {  // in the order of the rows' file
-    if (Measured(row.kind)) out["rows"][row.id] = ToJson(slopes.fits.at(row.id), row.kind);
+    if (Measured(row.kind)) {
+      out["rows"][row.id] = ToJson(slopes.fits.at(row.id), row.kind);
+    }
   }
   out["runs"] = ordered_json::array();
-  for (const CapacityRunNote& note : slopes.runs) out["runs"].push_back(ToJson(note));
+  for (const CapacityRunNote& note : slopes.runs) {
+    out["runs"].push_back(ToJson(note));
+  }
   return out.dump(1) + "\n";
 }
 
 std::string ToJson(const Capacity& capacity) {
   ordered_json out;
   out["rows"] = ordered_json::array();
-  for (const CapacityLine& line : capacity.lines) out["rows"].push_back(ToJson(line));
+  for (const CapacityLine& line : capacity.lines) {
+    out["rows"].push_back(ToJson(line));
+  }
   out["assumptions"] = ordered_json::array();
   for (const CapacityAssumed& a : capacity.assumptions) {
     out["assumptions"].push_back(
         {{"what", a.what}, {"value", a.value}, {"unit", a.unit}, {"why", a.why}});
   }
   out["runs"] = ordered_json::array();
-  for (const CapacityRunNote& note : capacity.runs) out["runs"].push_back(ToJson(note));
+  for (const CapacityRunNote& note : capacity.runs) {
+    out["runs"].push_back(ToJson(note));
+  }
   return out.dump(1) + "\n";
 }
 
