--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -45,7 +45,9 @@
 // The way of a request that was decided before: a connection that comes up, the lab's own lateness.
 constexpr Duration kSlack{300'000};  // us
 
-double Ms(Duration d) { return static_cast<double>(d.count()) / 1000; }
+double Ms(Duration d) {
+  return static_cast<double>(d.count()) / 1000;
+}
 
 }  // namespace
 
@@ -57,7 +59,9 @@
       : loop_(loop), done_(std::move(done)) {
     bool refused = false;
     auto socket = Connect(to, nullptr, refused);
-    if (socket) stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
+    if (socket) {
+      stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
+    }
     timer_ = loop_.RunAfter(kCallWithin, [this] { Tell(std::nullopt); });
     if (stream_ && stream_->Start()) {
       stream_->Write(peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", call}}));
@@ -71,19 +75,28 @@
   void OnData() override {
     json value;
     switch (peer::TakeFrame(stream_->input(), value)) {
-      case peer::FrameStatus::kComplete: return Tell(std::move(value));
-      case peer::FrameStatus::kMalformed: return Tell(std::nullopt);
-      case peer::FrameStatus::kIncomplete: break;
+      case peer::FrameStatus::kComplete:
+        return Tell(std::move(value));
+      case peer::FrameStatus::kMalformed:
+        return Tell(std::nullopt);
+      case peer::FrameStatus::kIncomplete:
+        break;
+    }
+    if (stream_->ended()) {
+      Tell(std::nullopt);
     }
-    if (stream_->ended()) Tell(std::nullopt);
   }
   void OnError() override { Tell(std::nullopt); }
 
  private:
   void Tell(std::optional<json> answer) {
-    if (std::exchange(told_, true)) return;
+    if (std::exchange(told_, true)) {
+      return;
+    }
     loop_.CancelTimer(timer_);
-    if (stream_) stream_->Close();
+    if (stream_) {
+      stream_->Close();
+    }
     loop_.RunDeferred([done = done_, answer = std::move(answer)] { done(answer); });
   }
   EventLoop& loop_;
@@ -117,24 +130,36 @@
     slow_ = Draw(kSlowOf);
     for (size_t v = 0; v < std::min(count, e_.bank.voters); ++v) {
       for (size_t n = 0; n < e_.bank.hollow; ++n) {
-        if (!ReadsSlowly(n)) continue;
+        if (!ReadsSlowly(n)) {
+          continue;
+        }
         slow_relays_.push_back(
             std::make_unique<Relay>(loop_, SlowSeat(v, n), HollowSeat(n), random_()));
       }
     }
   }
   last_receipt_.assign(count, Time(-1));
-  for (size_t i = 0; i < count; ++i) WriteFile(i);
-  if (e_.bank.hollow > 0) WriteHollowFile();
+  for (size_t i = 0; i < count; ++i) {
+    WriteFile(i);
+  }
+  if (e_.bank.hollow > 0) {
+    WriteHollowFile();
+  }
   InitCluster(ReadClusterConfig(FileOf(0), "g000"), "g000");
   Copies();
 }
 
 BankLab::~BankLab() = default;
 
-std::string BankLab::FileOf(size_t i) const { return fmt::format("{}/bank-{}.toml", folder_, i); }
-std::string BankLab::FolderOf(size_t i) const { return fmt::format("{}/disk-g{:03}", folder_, i); }
-Address BankLab::SeatOf(size_t i) const { return OwnAddress(place_ + i); }
+std::string BankLab::FileOf(size_t i) const {
+  return fmt::format("{}/bank-{}.toml", folder_, i);
+}
+std::string BankLab::FolderOf(size_t i) const {
+  return fmt::format("{}/disk-g{:03}", folder_, i);
+}
+Address BankLab::SeatOf(size_t i) const {
+  return OwnAddress(place_ + i);
+}
 
 void BankLab::WriteFile(size_t i) {
   std::ofstream file(FileOf(i));
@@ -142,9 +167,13 @@
        << fmt::format("folder = \"{}/disk-{{name}}\"\nlab_disk = \"{}/control-{}\"\n", folder_,
                       folder_, i)
        << fmt::format("when_lost = \"{}\"\n", e_.bank.drains ? "drain" : "serve");
-  if (e_.bank.deltas) file << "changes = \"delta\"\n";
+  if (e_.bank.deltas) {
+    file << "changes = \"delta\"\n";
+  }
   for (const auto& [gateway, factor] : e_.bank.clocks) {
-    if (gateway == i) file << fmt::format("lab_clock_factor = {}\n", factor);
+    if (gateway == i) {
+      file << fmt::format("lab_clock_factor = {}\n", factor);
+    }
   }
   for (size_t j = 0; j < e_.gateway.count; ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = {}\n", j,
@@ -180,10 +209,15 @@
     judge_.Received(now, host, gateway, ledger_.FactsOf(n).cls, ledger_.HandedAt(n), copy, excused,
                     ledger_.IdOf(n));
   });
-  loop_.RunAfter(std::max(kFirstChange, e_.bank.quiet_first), [this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Submit();
-  });
-  if (e_.bank.measured || e_.bank.hollow > 0) WatchSize();
+  loop_.RunAfter(std::max(kFirstChange, e_.bank.quiet_first),
+                 [this, alive = std::weak_ptr(alive_)] {
+                   if (!alive.expired()) {
+                     Submit();
+                   }
+                 });
+  if (e_.bank.measured || e_.bank.hollow > 0) {
+    WatchSize();
+  }
 }
 
 // ---- Faults -----------------------------------------------------------------------------------
@@ -191,40 +225,56 @@
 void BankLab::Kept(size_t gateway, bool away) {
   away_[gateway] += away ? 1 : -1;
   if (away_[gateway] == 0) {
-    back_at_[gateway] =
-        Now() + cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay) + Duration(2'500'000);
+    back_at_[gateway] = Now() +
+                        cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay) +
+                        Duration(2'500'000);
   }
 }
 
-void BankLab::Down(size_t gateway, bool down) { Kept(gateway, down); }
+void BankLab::Down(size_t gateway, bool down) {
+  Kept(gateway, down);
+}
 
 void BankLab::Cut(size_t a, size_t b, const Fault& fault, bool on) {
   const auto at = relays_.find({std::min(a, b), std::max(a, b)});
-  if (at == relays_.end()) return;
+  if (at == relays_.end()) {
+    return;
+  }
   Relay& relay = *at->second;
   // What `a` sends goes `there` where it is the one that dials.
   RelayWay& out = a < b ? relay.there : relay.back;
   RelayWay& in = a < b ? relay.back : relay.there;
   const int step = on ? 1 : -1;
   for (RelayWay* const way : {&out, &in}) {
-    if (fault.ways == (way == &out ? Ways::kIn : Ways::kOut)) continue;
+    if (fault.ways == (way == &out ? Ways::kIn : Ways::kOut)) {
+      continue;
+    }
     switch (fault.kind) {
       case FaultKind::kLinkSlow:
         way->delay_ms = on ? fault.delay_ms : Span{0, 0};
         way->bytes_per_s = on ? fault.bytes_per_s : 0;
         break;
-      case FaultKind::kLinkNoise: way->noise = on ? fault.share : 0; break;
-      default: way->cuts += step;
+      case FaultKind::kLinkNoise:
+        way->noise = on ? fault.share : 0;
+        break;
+      default:
+        way->cuts += step;
     }
   }
   relay.Changed();
-  if (fault.resets && on) relay.Reset();
+  if (fault.resets && on) {
+    relay.Reset();
+  }
 }
 
 void BankLab::Flap(std::vector<std::pair<size_t, size_t>> pairs, const Fault& fault, Time until,
                    bool on) {
-  for (const auto& [a, b] : pairs) Cut(a, b, fault, on);
-  if (!on && Now() >= until) return;
+  for (const auto& [a, b] : pairs) {
+    Cut(a, b, fault, on);
+  }
+  if (!on && Now() >= until) {
+    return;
+  }
   std::uniform_int_distribution<int64_t> next(50'000, 2'000'000);
   loop_.RunAfter(Duration(next(faults_)), [this, pairs = std::move(pairs), &fault, until, on] {
     Flap(pairs, fault, until, !on);
@@ -237,7 +287,9 @@
   if (fault.gateways) {
     // Of a generator of their own: whom a fault befalls is the seed's alone.
     std::uniform_int_distribution<size_t> any(0, count - 1);
-    while (side.size() < *fault.gateways) side.insert(any(faults_));
+    while (side.size() < *fault.gateways) {
+      side.insert(any(faults_));
+    }
   } else if (side.empty()) {
     side.insert(fault.gateway);
   }
@@ -249,25 +301,39 @@
                                             : "sync-fails");
     }
     loop_.RunAfter(fault.lasts, [this, side] {
-      for (const size_t i : side) std::ofstream(fmt::format("{}/control-{}", folder_, i)) << "";
+      for (const size_t i : side) {
+        std::ofstream(fmt::format("{}/control-{}", folder_, i)) << "";
+      }
     });
     return;
   }
   std::vector<std::pair<size_t, size_t>> pairs;
   for (const size_t a : side) {
     for (size_t b = 0; b < count; ++b) {
-      if (!side.contains(b)) pairs.emplace_back(a, b);
+      if (!side.contains(b)) {
+        pairs.emplace_back(a, b);
+      }
     }
   }
   // Either side may be the smaller: whoever cannot reach a majority is away.
-  for (size_t i = 0; i < count; ++i) Kept(i, true);
+  for (size_t i = 0; i < count; ++i) {
+    Kept(i, true);
+  }
   loop_.RunAfter(fault.lasts, [this, count] {
-    for (size_t i = 0; i < count; ++i) Kept(i, false);
+    for (size_t i = 0; i < count; ++i) {
+      Kept(i, false);
+    }
   });
-  if (fault.kind == FaultKind::kLinkFlap) return Flap(pairs, fault, Now() + fault.lasts, true);
-  for (const auto& [a, b] : pairs) Cut(a, b, fault, true);
+  if (fault.kind == FaultKind::kLinkFlap) {
+    return Flap(pairs, fault, Now() + fault.lasts, true);
+  }
+  for (const auto& [a, b] : pairs) {
+    Cut(a, b, fault, true);
+  }
   loop_.RunAfter(fault.lasts, [this, pairs, &fault] {
-    for (const auto& [a, b] : pairs) Cut(a, b, fault, false);
+    for (const auto& [a, b] : pairs) {
+      Cut(a, b, fault, false);
+    }
   });
 }
 
@@ -281,15 +347,21 @@
     }
   }
   loop_.RunAfter(kCopyEvery, [this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Copies();
+    if (!alive.expired()) {
+      Copies();
+    }
   });
 }
 
 void BankLab::ChangeDisk(size_t i, DiskIs disk) {
   std::error_code error;
   const std::string log = FolderOf(i) + "/log";
-  if (disk == DiskIs::kNone) fs::remove_all(FolderOf(i), error);
-  if (disk == DiskIs::kOld) fs::rename(log + ".copy", log, error);
+  if (disk == DiskIs::kNone) {
+    fs::remove_all(FolderOf(i), error);
+  }
+  if (disk == DiskIs::kOld) {
+    fs::rename(log + ".copy", log, error);
+  }
 }
 
 // ---- Changes ----------------------------------------------------------------------------------
@@ -301,14 +373,19 @@
 
 // The next one, once the last is told; now and then two at once, in no order. First all tenants.
 void BankLab::Submit() {
-  if (Now() > e_.length - e_.bank.quiet_last) return;
+  if (Now() > e_.length - e_.bank.quiet_last) {
+    return;
+  }
   const auto again = [this](Duration after) {
     loop_.RunAfter(after, [this, alive = std::weak_ptr(alive_)] {
-      if (!alive.expired()) Submit();
+      if (!alive.expired()) {
+        Submit();
+      }
     });
   };
-  if (!std::ranges::all_of(changes_, &Change::done))
+  if (!std::ranges::all_of(changes_, &Change::done)) {
     return again(fills_ ? kFillEvery : e_.bank.change_every);
+  }
   const Shape* const last = LastTold();
   const bool full = last != nullptr && last->quotas.size() == e_.bank.version_tenants;
   if (full && std::exchange(fills_, false)) {
@@ -318,7 +395,9 @@
     }
     if (e_.bank.measured) {
       loop_.RunAfter(kAside, [this, alive = std::weak_ptr(alive_)] {
-        if (!alive.expired()) Measure(first_changed_);
+        if (!alive.expired()) {
+          Measure(first_changed_);
+        }
       });
     }
     return again(e_.bank.change_every);
@@ -326,7 +405,9 @@
   fills_ = !full && (shapes_.empty() || shapes_.back().version > 0);
   SubmitOne();
   const bool whole = e_.bank.version_tenants <= kFillWhole;
-  if (full && whole && changes_.size() % kTwins == 0) SubmitOne();
+  if (full && whole && changes_.size() % kTwins == 0) {
+    SubmitOne();
+  }
   again(fills_ ? kFillEvery : e_.bank.change_every);
 }
 
@@ -337,7 +418,9 @@
   const bool alone = std::ranges::all_of(changes_, &Change::done);
   const Shape* const last = LastTold();
   Shape shape;
-  if (last != nullptr) shape.quotas = last->quotas;
+  if (last != nullptr) {
+    shape.quotas = last->quotas;
+  }
   // Some hosts are barred for long, past the bound: what goes there late is seen. Another one comes
   // and goes, so that each change contradicts the one before. At size one host alone: figures are
   // of a change of so many parts.
@@ -348,16 +431,26 @@
   const auto block = static_cast<size_t>((Now() - kFirstChange).count() / kBlock.count());
   const bool begins = n == 0 || block != block_;
   block_ = block;
-  if (!begins) shape.barred = bars_->KeptOff(block);
-  if (n % 2 == 1) shape.barred.insert(bars_->Passing(n / 2));
-  for (const size_t at : shape.barred) wanted.barred.push_back(hosts_[at].host);
+  if (!begins) {
+    shape.barred = bars_->KeptOff(block);
+  }
+  if (n % 2 == 1) {
+    shape.barred.insert(bars_->Passing(n / 2));
+  }
+  for (const size_t at : shape.barred) {
+    wanted.barred.push_back(hosts_[at].host);
+  }
   shape.unsafe = e_.bank.effects && block % 2 == 1;
-  if (shape.unsafe) wanted.once = 0;
+  if (shape.unsafe) {
+    wanted.once = 0;
+  }
   const size_t tenants = e_.bank.version_tenants, there = shape.quotas.size();
   if (there < tenants) {
     // So many as one change bears: all of them in most experiments.
     shape.quotas.resize(std::min(tenants, last == nullptr ? kFillWhole : there + kFillDelta), 1000);
-    if (!e_.bank.deltas) shape.quotas.resize(tenants, 1000);
+    if (!e_.bank.deltas) {
+      shape.quotas.resize(tenants, 1000);
+    }
   } else if (tenants > 0) {
     // The first is the one whom the lab's clients name: none comes near its quota.
     shape.quotas[n * 7919 % tenants] = 2000 + static_cast<int>(n);
@@ -368,28 +461,38 @@
   wish.change.reason = fmt::format("change {}", n);
   // As operators of many tenants would; elsewhere by turns, as leaders make deltas of whole ones.
   wish.change.is_delta = e_.bank.deltas && last != nullptr && alone &&
-                      (e_.bank.measured || n % 2 == 1 || tenants > kFillWhole);
+                         (e_.bank.measured || n % 2 == 1 || tenants > kFillWhole);
   wish.change.document = (wish.change.is_delta ? DeltaOf(*last, shape) : WholeOf(shape)).dump();
-  if (!wish.change.is_delta) figures_.version_bytes = static_cast<double>(wish.change.document.size());
+  if (!wish.change.is_delta) {
+    figures_.version_bytes = static_cast<double>(wish.change.document.size());
+  }
   changes_.emplace_back().wish = cluster::ToJson(wish);
   shapes_.push_back(std::move(shape));
   judge_.Submitted(Now(), std::move(wanted));
-  if (e_.bank.measured && !fills_ && n % kByCommand == 2) return AskByCommand(n);
+  if (e_.bank.measured && !fills_ && n % kByCommand == 2) {
+    return AskByCommand(n);
+  }
   Ask(n);
 }
 
 namespace {
 
-std::string TenantName(size_t t) { return fmt::format("t-{:06}", t); }
+std::string TenantName(size_t t) {
+  return fmt::format("t-{:06}", t);
+}
 
 }  // namespace
 
 json BankLab::WholeOf(const Shape& shape) const {
   json rules = {{"barred", json::array()}};
-  for (const size_t at : shape.barred) rules["barred"].push_back(hosts_[at].id);
+  for (const size_t at : shape.barred) {
+    rules["barred"].push_back(hosts_[at].id);
+  }
   if (e_.bank.effects) {
     json classes = json::parse(SettingsJson(e_, 0))["Classes"];
-    if (shape.unsafe) classes[0]["Effect"] = "unsafe";
+    if (shape.unsafe) {
+      classes[0]["Effect"] = "unsafe";
+    }
     rules["settings"]["Classes"] = std::move(classes);
   }
   for (size_t t = 0; t < shape.quotas.size(); ++t) {
@@ -403,10 +506,14 @@
 json BankLab::DeltaOf(const Shape& was, const Shape& shape) const {
   json delta = {{"barred", {{"add", json::array()}, {"remove", json::array()}}}};
   for (const size_t at : shape.barred) {
-    if (!was.barred.contains(at)) delta["barred"]["add"].push_back(hosts_[at].id);
+    if (!was.barred.contains(at)) {
+      delta["barred"]["add"].push_back(hosts_[at].id);
+    }
   }
   for (const size_t at : was.barred) {
-    if (!shape.barred.contains(at)) delta["barred"]["remove"].push_back(hosts_[at].id);
+    if (!shape.barred.contains(at)) {
+      delta["barred"]["remove"].push_back(hosts_[at].id);
+    }
   }
   if (was.unsafe != shape.unsafe) {
     const json first = json::parse(SettingsJson(e_, 0))["Classes"][0];
@@ -414,7 +521,9 @@
         shape.unsafe ? json("unsafe") : first.value("Effect", json());
   }
   for (size_t t = 0; t < shape.quotas.size(); ++t) {
-    if (t < was.quotas.size() && was.quotas[t] == shape.quotas[t]) continue;
+    if (t < was.quotas.size() && was.quotas[t] == shape.quotas[t]) {
+      continue;
+    }
     delta["settings"]["Tenants"][TenantName(t)]["QuotaPerS"] = shape.quotas[t];
   }
   return delta;
@@ -436,7 +545,9 @@
                                     "--reason",
                                     wish.change.reason,
                                     "--json"};
-  if (wish.change.is_delta) words.emplace_back("--delta");
+  if (wish.change.is_delta) {
+    words.emplace_back("--delta");
+  }
   const size_t first = Draw(e_.gateway.count);
   for (size_t i = 0; i < e_.gateway.count; ++i) {
     words.insert(words.end(), {"--at", ToText(SeatOf((first + i) % e_.gateway.count))});
@@ -446,7 +557,9 @@
       words, std::vector<std::pair<std::string, std::string>>{}, path + ".log");
   // Not at once: until it runs its own program it holds what this one does.
   loop_.RunAfter(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) AwaitCommand(n);
+    if (!alive.expired()) {
+      AwaitCommand(n);
+    }
   });
 }
 
@@ -457,7 +570,9 @@
     const auto mb = static_cast<double>(change.command->Measure().rss_kb) / 1024;
     figures_.command_rss_mb_most = std::max(figures_.command_rss_mb_most, mb);
     loop_.RunAfter(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
-      if (!alive.expired()) AwaitCommand(n);
+      if (!alive.expired()) {
+        AwaitCommand(n);
+      }
     });
     return;
   }
@@ -466,7 +581,9 @@
   change.command.reset();
   const json told = json::parse(said, nullptr, false);
   // Not told done: the same id through a call, which counts once.
-  if (*code != 0 || !told.is_object() || !told.contains("version")) return Ask(n);
+  if (*code != 0 || !told.is_object() || !told.contains("version")) {
+    return Ask(n);
+  }
   figures_.command_ms.push_back(Ms(MachineNow() - change.command_began));
   figures_.command_cpu_ms_most = std::max(figures_.command_cpu_ms_most, spent_ms);
   change.done = true;
@@ -476,32 +593,43 @@
 
 // Through any gateway, also one that is cut off; again elsewhere where the answer is none.
 void BankLab::Ask(size_t n) {
-  if (changes_[n].done) return;
+  if (changes_[n].done) {
+    return;
+  }
   const Address at = SeatOf(Draw(e_.gateway.count));
   const auto again = [this, n] {
     loop_.RunAfter(kAgain, [this, n, alive = std::weak_ptr(alive_)] {
-      if (!alive.expired()) Ask(n);
+      if (!alive.expired()) {
+        Ask(n);
+      }
     });
   };
   changes_[n].call = std::make_shared<Call>(
       loop_, at, json{{"what", "submit"}, {"wish", changes_[n].wish}},
       [this, n, again, alive = std::weak_ptr(alive_)](const std::optional<json>& value) {
-        if (alive.expired()) return;
+        if (alive.expired()) {
+          return;
+        }
         const auto answer = value && value->is_object()
                                 ? cluster::ReadAnswer(value->value("answer", json()))
                                 : std::nullopt;
-        if (!answer) return again();
+        if (!answer) {
+          return again();
+        }
         switch (answer->kind) {
           case cluster::ChangeResult::Kind::kDone:
             // Now and then the answer is lost on its way: it is submitted again, and counts once.
-            if (n % kLost == 3 && !std::exchange(changes_[n].answer_lost, true)) return again();
+            if (n % kLost == 3 && !std::exchange(changes_[n].answer_lost, true)) {
+              return again();
+            }
             changes_[n].done = true;
             shapes_[n].version = answer->version;
             return judge_.ToldDone(Now(), n, answer->version);
           case cluster::ChangeResult::Kind::kRefused:
             changes_[n].done = true;
             return judge_.Refused(Now(), n, answer->text);
-          default: return again();
+          default:
+            return again();
         }
       });
 }
@@ -544,7 +672,9 @@
     part.book = fmt::format("{}/hollow-{}.book", folder_, k);
     part.log = fmt::format("{}/hollow-{}.log", folder_, k);
     // So many over all of them.
-    const auto of = [&](size_t all) { return all * (k + 1) / parts - all * k / parts; };
+    const auto of = [&](size_t all) {
+      return all * (k + 1) / parts - all * k / parts;
+    };
     const std::vector<std::string> words = {program,
                                             "lab",
                                             "hollow",
@@ -566,11 +696,15 @@
         words, std::vector<std::pair<std::string, std::string>>{}, part.log);
     hollow_.push_back(std::move(part));
   }
-  if (parts > 0) stalled_ = Draw(parts);
+  if (parts > 0) {
+    stalled_ = Draw(parts);
+  }
 }
 
 bool BankLab::Linked() {
-  if (linked_ || asking_) return linked_;
+  if (linked_ || asking_) {
+    return linked_;
+  }
   const Address at = SeatOf(0);  // where the bank was begun
   asking_ =
       std::make_shared<Call>(loop_, at, StatusCall(), [this](const std::optional<json>& status) {
@@ -578,9 +712,13 @@
         linked_ = status && status->is_object() && status->value("leads", false) &&
                   status->value("voters", json::array()).size() == e_.bank.voters &&
                   status->value("linked", json::array()).size() == others;
-        if (linked_) figures_.linked_ms = Ms(MachineNow() - started_);
+        if (linked_) {
+          figures_.linked_ms = Ms(MachineNow() - started_);
+        }
         loop_.RunAfter(kLinkedAgain, [this, alive = std::weak_ptr(alive_)] {
-          if (!alive.expired()) asking_.reset();
+          if (!alive.expired()) {
+            asking_.reset();
+          }
         });
       });
   return false;
@@ -595,10 +733,14 @@
     asked_.push_back(std::make_shared<Call>(
         loop_, SeatOf(i), StatusCall(),
         [&into, i, alive = std::weak_ptr(alive_)](const std::optional<json>& status) {
-          if (!alive.expired() && status) into.status[i] = *status;
+          if (!alive.expired() && status) {
+            into.status[i] = *status;
+          }
         }));
   }
-  for (const HollowPart& part : hollow_) into.hollow_cpu_us += part.process->Measure().cpu_us;
+  for (const HollowPart& part : hollow_) {
+    into.hollow_cpu_us += part.process->Measure().cpu_us;
+  }
 }
 
 // Idle from soon after time 0; changes; faults beside changes; then all is to be level.
@@ -606,7 +748,9 @@
   figures_.on = e_.bank.measured;
   const auto at = [this](Duration when, std::function<void()> then) {
     loop_.RunAfter(when, [then = std::move(then), alive = std::weak_ptr(alive_)] {
-      if (!alive.expired()) then();
+      if (!alive.expired()) {
+        then();
+      }
     });
   };
   if (e_.bank.measured) {
@@ -625,23 +769,37 @@
 // What all processes hold, now and then.
 void BankLab::Weigh() {
   uint64_t kb = Process::Own().rss_kb;
-  for (size_t i = 0; i < e_.gateway.count; ++i) kb += usage_(i).rss_kb;
-  for (const HollowPart& part : hollow_) kb += part.process->Measure().rss_kb;
+  for (size_t i = 0; i < e_.gateway.count; ++i) {
+    kb += usage_(i).rss_kb;
+  }
+  for (const HollowPart& part : hollow_) {
+    kb += part.process->Measure().rss_kb;
+  }
   figures_.rss_mb_most = std::max(figures_.rss_mb_most, static_cast<double>(kb) / 1024);
   figures_.processes_most = 1 + e_.gateway.count + hollow_.size();
   loop_.RunAfter(kWeighEvery, [this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Weigh();
+    if (!alive.expired()) {
+      Weigh();
+    }
   });
 }
 
 void BankLab::PlayHollow() {
   faults_from_ = MachineNow();
-  for (const HollowPart& part : hollow_) part.process->Signal(SIGUSR1);
-  if (e_.bank.hollow_stalls && !hollow_.empty()) Stall(true, Now() + kHollowFaultsFor);
-  if (slow_relays_.empty()) return;
+  for (const HollowPart& part : hollow_) {
+    part.process->Signal(SIGUSR1);
+  }
+  if (e_.bank.hollow_stalls && !hollow_.empty()) {
+    Stall(true, Now() + kHollowFaultsFor);
+  }
+  if (slow_relays_.empty()) {
+    return;
+  }
   ReadSlowly(true);
   loop_.RunAfter(kHollowFaultsFor, [this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) ReadSlowly(false);
+    if (!alive.expired()) {
+      ReadSlowly(false);
+    }
   });
 }
 
@@ -665,9 +823,13 @@
 // A tenth of the members reads late: their process stands still and goes on by turns.
 void BankLab::Stall(bool stop, Time until) {
   hollow_[stalled_].process->Signal(stop ? SIGSTOP : SIGCONT);
-  if (!stop && Now() >= until) return;
+  if (!stop && Now() >= until) {
+    return;
+  }
   loop_.RunAfter(e_.bank.hollow_stall, [this, stop, until, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Stall(!stop, until);
+    if (!alive.expired()) {
+      Stall(!stop, until);
+    }
   });
 }
 
@@ -676,10 +838,16 @@
   const double s = static_cast<double>((b.at - a.at).count()) / 1e6;
   for (size_t i = 0; i < b.status.size() && i < a.status.size(); ++i) {
     const json &from = a.status[i], &to = b.status[i];
-    if (!from.is_object() || !to.is_object()) continue;
-    if (to.value("leads", false) != leads || to.value("votes", false) != votes) continue;
+    if (!from.is_object() || !to.is_object()) {
+      continue;
+    }
+    if (to.value("leads", false) != leads || to.value("votes", false) != votes) {
+      continue;
+    }
     ++f.processes;
-    const auto grew = [&](const char* key) { return to.value(key, 0.0) - from.value(key, 0.0); };
+    const auto grew = [&](const char* key) {
+      return to.value(key, 0.0) - from.value(key, 0.0);
+    };
     // Less the answer to the first of the two questions, and the second question.
     const auto answer = static_cast<double>(peer::EncodeFrame(from).size());
     const auto question = static_cast<double>(
@@ -691,7 +859,9 @@
     f.bytes_out_s += (grew("bytes_out") - answer) / s;
     f.messages_s += (grew("frames_in") + grew("frames_out") - 2) / s;
   }
-  if (f.processes == 0) return f;
+  if (f.processes == 0) {
+    return f;
+  }
   const auto n = static_cast<double>(f.processes);
   for (double* const v :
        {&f.cpu_core, &f.rss_mb, &f.descriptors, &f.bytes_in_s, &f.bytes_out_s, &f.messages_s}) {
@@ -707,14 +877,18 @@
   const bool same = f.processes == 1 && std::ranges::any_of(a.status, [&](const json& s) {
                       return s.is_object() && s.value("leads", false);
                     });
-  if (!same) return -1;
+  if (!same) {
+    return -1;
+  }
   const double s = static_cast<double>((b.at - a.at).count()) / 1e6;
   return (f.bytes_out_s - figures_.leader.bytes_out_s) * s;
 }
 
 ScaleFigures BankLab::FinishScale() {
   ScaleFigures& f = figures_;
-  if (!f.on && hollow_.empty()) return f;
+  if (!f.on && hollow_.empty()) {
+    return f;
+  }
   over_ = MachineNow();
   f.hollow = e_.bank.hollow;
   f.real = e_.gateway.count;
@@ -741,7 +915,9 @@
   }
   for (HollowPart& part : hollow_) {
     const Duration until = MachineNow() + kEndWithin;
-    while (!part.process->Ended() && MachineNow() < until) loop_.RunOnce(kLookEvery);
+    while (!part.process->Ended() && MachineNow() < until) {
+      loop_.RunOnce(kLookEvery);
+    }
     std::ifstream book(part.book);
     for (std::string text; std::getline(book, text);) {
       if (const auto line = ParseHollowLine(text)) {
@@ -763,7 +939,9 @@
   HollowTerms terms;
   terms.hollow = f.hollow;
   terms.faults = faults_from_ > Duration(0) ? faults_from_ : over_;
-  if (filled_ > Time(0)) terms.from = filled_ + zero;
+  if (filled_ > Time(0)) {
+    terms.from = filled_ + zero;
+  }
   terms.end = over_;
   terms.bound = cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay);
   if (e_.bank.hollow_stalls && !hollow_.empty()) {
--- a/src/lab/cluster_invariants.cpp
+++ b/src/lab/cluster_invariants.cpp
@@ -9,10 +9,14 @@
 
 constexpr size_t kBrokenMost = 20;
 
-double Ms(Duration d) { return static_cast<double>(d.count()) / 1000; }
+double Ms(Duration d) {
+  return static_cast<double>(d.count()) / 1000;
+}
 
 double At(std::vector<double>& of, double part) {
-  if (of.empty()) return 0;
+  if (of.empty()) {
+    return 0;
+  }
   std::ranges::sort(of);
   return of[static_cast<size_t>(part * static_cast<double>(of.size() - 1))];
 }
@@ -20,7 +24,9 @@
 }  // namespace
 
 void BankJudge::Break(Time now, const std::string& what) {
-  if (r_.broken.size() >= kBrokenMost) return;
+  if (r_.broken.size() >= kBrokenMost) {
+    return;
+  }
   r_.broken.push_back(fmt::format("bank: {} at {:.3f} s", what, Ms(now) / 1000));
 }
 
@@ -55,7 +61,9 @@
   }
   for (size_t i = 0; i < changes_.size(); ++i) {
     const Change& other = changes_[i];
-    if (other.done < Time(0) || other.done >= change.submitted || other.version < version) continue;
+    if (other.done < Time(0) || other.done >= change.submitted || other.version < version) {
+      continue;
+    }
     Break(now,
           fmt::format("order: change {} is version {}, though {} was told as version {} before "
                       "it was submitted",
@@ -72,9 +80,13 @@
 Time BankJudge::Ends(const Change& change, size_t host) const {
   Time ends = Time::max();
   for (const Change& other : changes_) {
-    if (&other == &change) continue;
+    if (&other == &change) {
+      continue;
+    }
     // One that was told before this one was submitted is behind it.
-    if (other.done >= Time(0) && other.version < change.version) continue;
+    if (other.done >= Time(0) && other.version < change.version) {
+      continue;
+    }
     if (other.done < Time(0) && other.submitted < change.submitted) {
       // Not told: it may have come before or may still come.
       if (std::ranges::find(other.wanted.barred, host) == other.wanted.barred.end()) {
@@ -93,12 +105,20 @@
                          size_t copy, bool excused, const std::string& id) {
   for (size_t n = 0; n < changes_.size(); ++n) {
     Change& change = changes_[n];
-    if (now <= change.submitted) continue;
+    if (now <= change.submitted) {
+      continue;
+    }
     const bool bars = std::ranges::find(change.wanted.barred, host) != change.wanted.barred.end();
     const bool once = change.wanted.once == cls && copy > 1;
-    if (!bars && !once) continue;
-    if (bars && now < Ends(change, host) && !excused) change.last_against = now;
-    if (change.done < Time(0)) continue;
+    if (!bars && !once) {
+      continue;
+    }
+    if (bars && now < Ends(change, host) && !excused) {
+      change.last_against = now;
+    }
+    if (change.done < Time(0)) {
+      continue;
+    }
     if (bars && now > change.done && now < Ends(change, host)) {
       if (excused) {
         ++r_.sent_while_alone;
@@ -114,12 +134,16 @@
       }
     }
     // What was handed over under it is sent once; under another it may be sent again.
-    if (!once || handed < change.done + bound_ + slack_) continue;
+    if (!once || handed < change.done + bound_ + slack_) {
+      continue;
+    }
     const bool over = std::ranges::any_of(changes_, [&](const Change& other) {
       const bool later = other.done < Time(0) || other.version > change.version;
       return later && other.wanted.once != cls && other.submitted < now;
     });
-    if (over) continue;
+    if (over) {
+      continue;
+    }
     Break(now,
           fmt::format("contradiction: {} of a class that version {} lets be sent once was sent "
                       "a {}th time by gateway {}",
@@ -130,7 +154,9 @@
 std::vector<BankJudge::Told> BankJudge::told() const {
   std::vector<Told> all;
   for (const Change& change : changes_) {
-    if (change.done >= Time(0)) all.push_back({change.submitted, change.done, change.version});
+    if (change.done >= Time(0)) {
+      all.push_back({change.submitted, change.done, change.version});
+    }
   }
   return all;
 }
@@ -140,7 +166,9 @@
   std::vector<Time> told;
   for (size_t n = 0; n < changes_.size(); ++n) {
     const Change& change = changes_[n];
-    if (change.done < Time(0)) continue;
+    if (change.done < Time(0)) {
+      continue;
+    }
     told.push_back(change.done);
     done.push_back(Ms(change.done - change.submitted));
     if (!change.wanted.barred.empty()) {
@@ -156,9 +184,11 @@
   r_.unavailable_ms_most = std::max(r_.unavailable_ms_most, Ms(asked_until - before));
   r_.on = true;
   r_.bound_ms = Ms(bound_);
-  r_.follow_ms_p50 = At(follow, 0.5), r_.follow_ms_p99 = At(follow, 0.99);
+  r_.follow_ms_p50 = At(follow, 0.5);
+  r_.follow_ms_p99 = At(follow, 0.99);
   r_.follow_ms_most = At(follow, 1);
-  r_.done_ms_p50 = At(done, 0.5), r_.done_ms_most = At(done, 1);
+  r_.done_ms_p50 = At(done, 0.5);
+  r_.done_ms_most = At(done, 1);
   return std::move(r_);
 }
 
--- a/src/lab/cluster_simulation.cpp
+++ b/src/lab/cluster_simulation.cpp
@@ -25,11 +25,11 @@
 
 using cluster::ChangeResult;
 using cluster::ClusterMember;
-using cluster::MemberMessage;
 using cluster::EffectiveConfig;
+using cluster::MemberMessage;
 using nlohmann::json;
-using raft::PersistentState;
 using raft::Message;
+using raft::PersistentState;
 
 constexpr Duration kMs{1000};
 constexpr size_t kAllLinked = 16;       // members
@@ -40,7 +40,9 @@
 constexpr size_t kApplyMost = 20'000;  // us; for one entry, where they are applied one by one
 constexpr Duration kHeal{8'000'000};   // us; within this all is level once everything is mended
 
-double Ms(Duration d) { return static_cast<double>(d.count()) / 1000; }
+double Ms(Duration d) {
+  return static_cast<double>(d.count()) / 1000;
+}
 
 // What a client sets and removes, and what that makes of a version: told here a second time,
 // without the program's deltas, so that the one can be held against the other.
@@ -54,43 +56,69 @@
 json DeltaOf(const Parts& parts) {
   json delta = json::object();
   const auto hosts = [&](const char* key, const std::map<std::string, bool>& of) {
-    for (const auto& [id, add] : of) delta[key][add ? "add" : "remove"].push_back(id);
+    for (const auto& [id, add] : of) {
+      delta[key][add ? "add" : "remove"].push_back(id);
+    }
   };
   hosts("barred", parts.barred);
   hosts("drain", parts.drain);
-  for (const auto& [id, zone] : parts.zones) delta["zone_only"][id] = zone ? json(*zone) : json();
+  for (const auto& [id, zone] : parts.zones) {
+    delta["zone_only"][id] = zone ? json(*zone) : json();
+  }
   for (const auto& [name, quota] : parts.tenants) {
     delta["settings"]["Tenants"][name] = quota ? json{{"QuotaPerS", *quota}} : json();
   }
-  if (parts.cap) delta["settings"]["Allowed"]["SendCap"] = *parts.cap;
-  if (parts.slo) delta["settings"]["Classes"]["c"]["Slo"] = *parts.slo;
+  if (parts.cap) {
+    delta["settings"]["Allowed"]["SendCap"] = *parts.cap;
+  }
+  if (parts.slo) {
+    delta["settings"]["Classes"]["c"]["Slo"] = *parts.slo;
+  }
   return delta;
 }
 
 cluster::ConfigDocument With(cluster::ConfigDocument rules, const Parts& parts) {
   const auto hosts = [](std::set<std::string>& of, const std::map<std::string, bool>& parts_of) {
-    for (const auto& [id, add] : parts_of) add ? (void)of.insert(id) : (void)of.erase(id);
+    for (const auto& [id, add] : parts_of) {
+      add ? (void)of.insert(id) : (void)of.erase(id);
+    }
   };
   hosts(rules.excluded, parts.barred);
   hosts(rules.draining, parts.drain);
   for (const auto& [id, zone] : parts.zones) {
     rules.zone_only.erase(id);
-    if (zone) rules.zone_only[id] = *zone;
+    if (zone) {
+      rules.zone_only[id] = *zone;
+    }
   }
   for (const auto& [name, quota] : parts.tenants) {
-    if (!quota && !rules.settings.contains("Tenants")) continue;
+    if (!quota && !rules.settings.contains("Tenants")) {
+      continue;
+    }
     json& list = rules.settings["Tenants"];
     size_t at = 0;
-    while (at < list.size() && list[at]["Name"] != name) ++at;
-    if (!quota && at < list.size()) list.erase(at);
-    if (quota && at == list.size()) list.push_back({{"Name", name}});
-    if (quota) list[at]["QuotaPerS"] = *quota;
+    while (at < list.size() && list[at]["Name"] != name) {
+      ++at;
+    }
+    if (!quota && at < list.size()) {
+      list.erase(at);
+    }
+    if (quota && at == list.size()) {
+      list.push_back({{"Name", name}});
+    }
+    if (quota) {
+      list[at]["QuotaPerS"] = *quota;
+    }
+  }
+  if (parts.cap) {
+    rules.settings["Allowed"]["SendCap"] = *parts.cap;
   }
-  if (parts.cap) rules.settings["Allowed"]["SendCap"] = *parts.cap;
   if (parts.slo && !rules.settings.contains("Classes")) {
     rules.settings["Classes"] = json::array({{{"Name", "c"}}});
   }
-  if (parts.slo) rules.settings["Classes"][0]["Slo"] = *parts.slo;
+  if (parts.slo) {
+    rules.settings["Classes"][0]["Slo"] = *parts.slo;
+  }
   return rules;
 }
 
@@ -103,7 +131,9 @@
     all_deltas_ = o_.deltas && !some;
     tenants_ = Among(8) == 0 ? 100 : 10;
     // In two of five what is agreed is applied an entry at a time, and each takes a while.
-    if (o_.seed % 5 < 2) timing_.max_apply_bytes = 1;
+    if (o_.seed % 5 < 2) {
+      timing_.max_apply_bytes = 1;
+    }
     const size_t count = o_.voters + o_.followers;
     nodes_.resize(count);
     cut_.assign(count, std::vector<bool>(count, false));
@@ -117,13 +147,18 @@
       n.offset = Duration(static_cast<int64_t>(Draw(0, 1e9)));
       n.disk.incarnation = ++lives_;
       n.deltas = o_.deltas && (!some || Among(2) == 0);
-      if (i < o_.voters) first_.insert(n.name);
+      if (i < o_.voters) {
+        first_.insert(n.name);
+      }
     }
     // `bank init` at one member, the others come to it.
-    raft::LogEntry entry{1, raft::LogEntry::Kind::kVoters, {}, {{nodes_[0].name, nodes_[0].disk.incarnation}}};
+    raft::LogEntry entry{
+        1, raft::LogEntry::Kind::kVoters, {}, {{nodes_[0].name, nodes_[0].disk.incarnation}}};
     nodes_[0].disk.current_term = 1;
     nodes_[0].disk.log = {entry};
-    for (size_t i = 0; i < count; ++i) Start(i);
+    for (size_t i = 0; i < count; ++i) {
+      Start(i);
+    }
   }
 
   WorldResult Play() {
@@ -136,13 +171,17 @@
     while (!queue_.empty() && r_.broken.empty()) {
       Event event = queue_.top();
       queue_.pop();
-      if (event.at > end + kHeal || (event.at > end && Level())) break;
+      if (event.at > end + kHeal || (event.at > end && Level())) {
+        break;
+      }
       now_ = event.at;
       ++r_.events;
       event.then();
       Judge();
     }
-    if (r_.broken.empty()) JudgeEnd();
+    if (r_.broken.empty()) {
+      JudgeEnd();
+    }
     r_.digest = digest_;
     return std::move(r_);
   }
@@ -165,7 +204,7 @@
     bool disk_slow = false, deltas = false;
     uint64_t durable = 0;
     std::vector<raft::OutgoingMessage> held;  // for a write to be durable
-    std::map<size_t, uint64_t> links;  // other to its start
+    std::map<size_t, uint64_t> links;         // other to its start
     raft::Index applied = 0;
     Time leads_until{-1}, acts_until{-1};
     uint64_t acts_on = 0;
@@ -205,7 +244,9 @@
     return Time(static_cast<int64_t>(static_cast<double>((local - n.offset).count()) / n.rate) + 1);
   }
   void Note_(const std::string& what) {
-    if (o_.trace) fmt::print(stderr, "{:9.3f} ms {}\n", Ms(now_), what);
+    if (o_.trace) {
+      fmt::print(stderr, "{:9.3f} ms {}\n", Ms(now_), what);
+    }
   }
   void Broken(const std::string& what) {
     r_.broken.push_back(fmt::format("{} at {:.3f} ms", what, Ms(now_)));
@@ -214,7 +255,9 @@
   // ---- Processes --------------------------------------------------------------------------------
   void Start(size_t i) {
     Node& n = nodes_[i];
-    if (n.disk.incarnation == 0) n.disk.incarnation = ++lives_;
+    if (n.disk.incarnation == 0) {
+      n.disk.incarnation = ++lives_;
+    }
     ++n.disk.restart_count;
     n.start = ++starts_;
     n.durable = 0;
@@ -225,8 +268,10 @@
     n.stopped = now_;
     n.synced = n.synced_next = n.synced_last = now_;
     PersistentState found = n.disk;
-    if (o_.mischief == Mischief::kForgetsVote)
-      found.current_term = n.disk.current_term > 1 ? n.disk.current_term - 1 : 1, found.voted_for.clear();
+    if (o_.mischief == Mischief::kForgetsVote) {
+      found.current_term = n.disk.current_term > 1 ? n.disk.current_term - 1 : 1;
+      found.voted_for.clear();
+    }
     if (o_.mischief == Mischief::kForgetsLog && n.disk.log.size() > 2) {
       found.log.resize(found.log.size() - std::min<size_t>(3, found.log.size() - 1));
     }
@@ -239,47 +284,71 @@
     n.member = std::make_unique<ClusterMember>(options, found, random_(), Local(n));
     Run(i, [](ClusterMember&, Time, cluster::MemberOutput&) {});
     for (size_t j = 0; j < nodes_.size(); ++j) {
-      if (j != i) Link(i, j);
+      if (j != i) {
+        Link(i, j);
+      }
     }
   }
   void Kill(size_t i) {
     Node& n = nodes_[i];
-    if (!n.member) return;
+    if (!n.member) {
+      return;
+    }
     Note_(n.name + " dies");
-    if (n.member->raft_node().IsLeaderWithLease(Local(n))) leader_lost_ = now_;
-    for (const auto& [j, start] : std::map(n.links)) Unlink(i, j);
+    if (n.member->raft_node().IsLeaderWithLease(Local(n))) {
+      leader_lost_ = now_;
+    }
+    for (const auto& [j, start] : std::map(n.links)) {
+      Unlink(i, j);
+    }
     n.member.reset();
     n.start = 0;
   }
 
-  // ---- PeerConnections ------------------------------------------------------------------------------------
+  // ---- PeerConnections
+  // ------------------------------------------------------------------------------------
   void Link(size_t a, size_t b) {
     Node &x = nodes_[a], &y = nodes_[b];
-    if (!x.member || !y.member) return;
+    if (!x.member || !y.member) {
+      return;
+    }
     // In a large bank those that only follow have nothing to say to each other.
-    if (nodes_.size() > kAllLinked && std::min(a, b) >= o_.voters) return;
-    if (x.links.contains(b) && x.links[b] == y.start) return;
+    if (nodes_.size() > kAllLinked && std::min(a, b) >= o_.voters) {
+      return;
+    }
+    if (x.links.contains(b) && x.links[b] == y.start) {
+      return;
+    }
     // Both ways have to be open for a connection to come up.
-    if (cut_[a][b] || cut_[b][a]) return;
+    if (cut_[a][b] || cut_[b][a]) {
+      return;
+    }
     x.links[b] = y.start;
     y.links[a] = x.start;
-    const uint64_t lx = x.member->raft_node().incarnation(), ly = y.member->raft_node().incarnation();
+    const uint64_t lx = x.member->raft_node().incarnation(),
+                   ly = y.member->raft_node().incarnation();
     const raft::StorageClaim of_x = y.member->raft_node().ClaimKnownOf(x.name);
     const raft::StorageClaim of_y = x.member->raft_node().ClaimKnownOf(y.name);
-    Run(a,
-        [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerConnected(t, y.name, ly, of_x, out); });
-    Run(b,
-        [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerConnected(t, x.name, lx, of_y, out); });
+    Run(a, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) {
+      m.OnPeerConnected(t, y.name, ly, of_x, out);
+    });
+    Run(b, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) {
+      m.OnPeerConnected(t, x.name, lx, of_y, out);
+    });
   }
   void Unlink(size_t a, size_t b) {
     Node &x = nodes_[a], &y = nodes_[b];
     x.links.erase(b);
     y.links.erase(a);
     if (x.member) {
-      Run(a, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerDisconnected(t, y.name, out); });
+      Run(a, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) {
+        m.OnPeerDisconnected(t, y.name, out);
+      });
     }
     if (y.member) {
-      Run(b, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnPeerDisconnected(t, x.name, out); });
+      Run(b, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) {
+        m.OnPeerDisconnected(t, x.name, out);
+      });
     }
   }
   template <typename What>
@@ -287,7 +356,9 @@
     const size_t to = std::stoul(what.to.substr(1));
     Node &x = nodes_[from], &y = nodes_[to];
     const auto link = x.links.find(to);
-    if (link == x.links.end() || cut_[from][to]) return;
+    if (link == x.links.end() || cut_[from][to]) {
+      return;
+    }
     const Duration delay(
         static_cast<int64_t>(slow_[from][to] ? Draw(40e3, 400e3) : Draw(100, 4000)));
     // In order, as on a connection.
@@ -302,18 +373,29 @@
   void Deliver(Time at, size_t to, uint64_t start, size_t from, uint64_t from_start, What what) {
     At(at, [=, this] {
       Node& y = nodes_[to];
-      if (!y.member || y.start != start) return;
-      if (now_ < y.stopped) return Deliver(y.stopped, to, start, from, from_start, what);
+      if (!y.member || y.start != start) {
+        return;
+      }
+      if (now_ < y.stopped) {
+        return Deliver(y.stopped, to, start, from, from_start, what);
+      }
       const auto link = y.links.find(from);
-      if (link == y.links.end() || link->second != from_start) return;
+      if (link == y.links.end() || link->second != from_start) {
+        return;
+      }
       What told = what;
       Twist(to, told);
-      Run(to, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnMessage(t, told, out); });
+      Run(to,
+          [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnMessage(t, told, out); });
     });
   }
   void Twist(size_t to, Message& m) {
-    if (o_.mischief == Mischief::kMisapplies && to >= o_.voters) LeaveOut(m);
-    if (o_.mischief != Mischief::kVotesForAll || m.type != Message::Type::kRequestVote) return;
+    if (o_.mischief == Mischief::kMisapplies && to >= o_.voters) {
+      LeaveOut(m);
+    }
+    if (o_.mischief != Mischief::kVotesForAll || m.type != Message::Type::kRequestVote) {
+      return;
+    }
     Message vote;
     vote.type = Message::Type::kRequestVoteReply;
     vote.from = m.to;
@@ -326,7 +408,9 @@
   }
   static void LeaveOut(Message& m) {
     for (raft::LogEntry& entry : m.entries) {
-      if (entry.kind != raft::LogEntry::Kind::kData) continue;
+      if (entry.kind != raft::LogEntry::Kind::kData) {
+        continue;
+      }
       json value = json::from_cbor(entry.bytes);
       value.erase("hash");
       const std::string id = value.value("id", "");
@@ -371,10 +455,16 @@
         n.held.push_back(std::move(outgoing));
       }
     }
-    for (const MemberMessage& note : out.member_messages) Carry(i, note);
-    for (const auto& [ticket, answer] : out.results) Answered(ticket, answer);
+    for (const MemberMessage& note : out.member_messages) {
+      Carry(i, note);
+    }
+    for (const auto& [ticket, answer] : out.results) {
+      Answered(ticket, answer);
+    }
     if (o_.trace) {
-      for (const std::string& line : out.log) Note_(n.name + ": " + line);
+      for (const std::string& line : out.log) {
+        Note_(n.name + ": " + line);
+      }
     }
     if (out.storage_rolled_back) {
       ++r_.forgot;
@@ -383,7 +473,9 @@
       }
       Note_(n.name + " finds that its disk has gone back");
       At(now_, [this, i, start] {
-        if (nodes_[i].start == start) Return(i, PersistentState{});
+        if (nodes_[i].start == start) {
+          Return(i, PersistentState{});
+        }
       });
     }
     if (o_.mischief == Mischief::kNone && n.member->content_mismatch_count() > 0) {
@@ -391,7 +483,9 @@
     }
     if (!out.needs_resync.empty()) {
       At(now_, [this, i, start] {
-        if (nodes_[i].start == start) Return(i, PersistentState{});
+        if (nodes_[i].start == start) {
+          Return(i, PersistentState{});
+        }
       });
     }
     Applied(n);
@@ -399,7 +493,9 @@
     Plan(i);
   }
   Time SyncedAt(Node& n, Duration takes) {
-    if (now_ >= n.synced) n.synced = std::max(n.synced, n.synced_next);
+    if (now_ >= n.synced) {
+      n.synced = std::max(n.synced, n.synced_next);
+    }
     if (now_ >= n.synced) {
       n.synced_last = n.synced = now_ + takes;
     } else if (n.synced_next <= n.synced) {
@@ -409,36 +505,53 @@
   }
   void Plan(size_t i) {
     Node& n = nodes_[i];
-    if (!n.member) return;
+    if (!n.member) {
+      return;
+    }
     const Time due = n.member->NextTimeout();
-    if (due == Time::max()) return;
+    if (due == Time::max()) {
+      return;
+    }
     const Duration least(n.member->raft_node().HasEntriesToApply() ? 1 + Among(kApplyMost) : 1);
     const Time at = std::max(Global(n, due), now_ + least);
-    if (n.tick > now_ && n.tick <= at) return;
+    if (n.tick > now_ && n.tick <= at) {
+      return;
+    }
     n.tick = at;
     const uint64_t start = n.start;
     At(at, [this, i, start] { Ticked(i, start); });
   }
   void Ticked(size_t i, uint64_t start) {
     Node& n = nodes_[i];
-    if (n.start != start || !n.member) return;
-    if (now_ < n.stopped) return At(n.stopped, [this, i, start] { Ticked(i, start); });
+    if (n.start != start || !n.member) {
+      return;
+    }
+    if (now_ < n.stopped) {
+      return At(n.stopped, [this, i, start] { Ticked(i, start); });
+    }
     Run(i, [](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnTimeout(t, out); });
   }
   void Wrote(size_t i, uint64_t start, const raft::StorageWrite& write) {
     Node& n = nodes_[i];
-    if (n.start != start) return;  // died before: lost
+    if (n.start != start) {
+      return;  // died before: lost
+    }
     raft::ApplyStorageWrite(n.disk, write);
-    if (write.commit_only) return;
+    if (write.commit_only) {
+      return;
+    }
     if (now_ < n.stopped) {
       // The disk has it; the process hears of it once it wakes.
-      return At(n.stopped, [this, i, start, ticket = write.sequence_number] { Durable(i, start, ticket); });
+      return At(n.stopped,
+                [this, i, start, ticket = write.sequence_number] { Durable(i, start, ticket); });
     }
     Durable(i, start, write.sequence_number);
   }
   void Durable(size_t i, uint64_t start, uint64_t ticket) {
     Node& n = nodes_[i];
-    if (n.start != start || !n.member) return;
+    if (n.start != start || !n.member) {
+      return;
+    }
     n.durable = std::max(n.durable, ticket);
     std::vector<raft::OutgoingMessage> held = std::move(n.held);
     n.held.clear();
@@ -449,7 +562,8 @@
         n.held.push_back(std::move(outgoing));
       }
     }
-    Run(i, [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnDurable(t, ticket, out); });
+    Run(i,
+        [&](ClusterMember& m, Time t, cluster::MemberOutput& out) { m.OnDurable(t, ticket, out); });
   }
   void Return(size_t i, const PersistentState& disk) {
     Kill(i);
@@ -460,13 +574,17 @@
 
   // ---- Clients ----------------------------------------------------------------------------------
   void Client() {
-    if (over_) return;
+    if (over_) {
+      return;
+    }
     Try& t = tries_.emplace_back();
     const uint64_t ticket = tries_.size() - 1;
     t.id = fmt::format("c{}", ticket);
     // Each bars another host, so that any two contradict each other.
     t.rules = fmt::format(R"({{"barred":["h{}"]}})", ticket);
-    if (o_.deltas) Compose(t);
+    if (o_.deltas) {
+      Compose(t);
+    }
     t.first = now_;
     ++r_.submitted;
     Submit(ticket);
@@ -476,7 +594,9 @@
   void Compose(Try& t) {
     const uint64_t latest = models_.size(), base = Among(5) == 0 ? Among(latest + 1) : latest;
     const Parts parts = DrawParts();
-    if (Among(3) == 0) t.expect = base;
+    if (Among(3) == 0) {
+      t.expect = base;
+    }
     if (all_deltas_ && Among(3) == 0) {
       t.parts = parts;
       t.rules = DeltaOf(parts).dump();
@@ -486,13 +606,19 @@
   }
   Parts DrawParts() {
     Parts parts;
-    const auto host = [this] { return fmt::format("h{}", Among(8)); };
+    const auto host = [this] {
+      return fmt::format("h{}", Among(8));
+    };
     for (size_t i = 1 + Among(4); i > 0; --i) {
       switch (Among(8)) {
         case 0:
         case 1:
-        case 2: parts.barred[host()] = Among(5) < 3; break;
-        case 3: parts.drain[host()] = Among(5) < 3; break;
+        case 2:
+          parts.barred[host()] = Among(5) < 3;
+          break;
+        case 3:
+          parts.drain[host()] = Among(5) < 3;
+          break;
         case 4:
           parts.zones[host()] =
               Among(3) == 0 ? std::nullopt : std::optional(fmt::format("z{}", Among(2)));
@@ -503,8 +629,12 @@
                 Among(4) == 0 ? std::nullopt : std::optional(static_cast<int>(Among(5)));
           }
           break;
-        case 6: parts.cap = static_cast<int>(1 + Among(3)); break;
-        default: parts.slo = static_cast<int>(100 + Among(5)); break;
+        case 6:
+          parts.cap = static_cast<int>(1 + Among(3));
+          break;
+        default:
+          parts.slo = static_cast<int>(100 + Among(5));
+          break;
       }
     }
     return parts;
@@ -515,18 +645,23 @@
   }
   void Submit(uint64_t ticket) {
     Try& t = tries_[ticket];
-    if (t.done >= Time(0)) return;
+    if (t.done >= Time(0)) {
+      return;
+    }
     const size_t i = Pick(nodes_.size());
     Node& n = nodes_[i];
-    if (!n.member || now_ < n.stopped) return Again(ticket);
+    if (!n.member || now_ < n.stopped) {
+      return Again(ticket);
+    }
     cluster::ChangeRequest wish;
     wish.change.id = t.id;
     wish.change.author = "client";
     wish.change.document = t.rules;
     wish.change.is_delta = t.parts.has_value();
     wish.change.expected_version = t.expect;
-    Run(i,
-        [&](ClusterMember& m, Time now, cluster::MemberOutput& out) { m.Submit(now, wish, ticket, out); });
+    Run(i, [&](ClusterMember& m, Time now, cluster::MemberOutput& out) {
+      m.Submit(now, wish, ticket, out);
+    });
     // An answer that is lost with the gateway that was asked.
     At(now_ + 4000 * kMs, [this, ticket] { Submit(ticket); });
   }
@@ -536,10 +671,15 @@
        [this, ticket] { Submit(ticket); });
   }
   void Answered(uint64_t ticket, const ChangeResult& answer) {
-    if (ticket >= tries_.size()) return;  // an operator's
+    if (ticket >= tries_.size()) {
+      return;  // an operator's
+    }
     Try& t = tries_[ticket];
-    if (answer.kind == ChangeResult::Kind::kRefused && t.expect && (t.done < Time(0) || t.refused)) {
-      if (!t.refused) ++r_.refused;
+    if (answer.kind == ChangeResult::Kind::kRefused && t.expect &&
+        (t.done < Time(0) || t.refused)) {
+      if (!t.refused) {
+        ++r_.refused;
+      }
       t.refused = true;
       t.done = now_;
       return;
@@ -561,7 +701,9 @@
     ++r_.told_done;
     t.done = now_;
     t.version = answer.version;
-    if (!t.again) r_.change_ms.push_back(Ms(now_ - t.first));
+    if (!t.again) {
+      r_.change_ms.push_back(Ms(now_ - t.first));
+    }
     if (last_done_ >= Time(0)) {
       r_.unavailable_ms_most = std::max(r_.unavailable_ms_most, Ms(now_ - last_done_));
     }
@@ -586,28 +728,38 @@
     switch (kind) {
       case 0: {  // one against all, silent
         Note_(fmt::format("{} is cut off for {:.0f} ms", node.name, Ms(lasts)));
-        for (size_t k = 0; k < n; ++k) Cut(i, k, lasts, true, true);
+        for (size_t k = 0; k < n; ++k) {
+          Cut(i, k, lasts, true, true);
+        }
         return;
       }
       case 1:  // one way, of a pair or all
         Note_(fmt::format("{} is not heard for {:.0f} ms", node.name, Ms(lasts)));
         for (size_t k = 0; k < n; ++k) {
-          if (k == j || Chance(0.7)) Cut(i, k, lasts, true, false);
+          if (k == j || Chance(0.7)) {
+            Cut(i, k, lasts, true, false);
+          }
         }
         return;
       case 2:
         Note_(fmt::format("{} does not hear for {:.0f} ms", node.name, Ms(lasts)));
         for (size_t k = 0; k < n; ++k) {
-          if (k == j || Chance(0.7)) Cut(i, k, lasts, false, true);
+          if (k == j || Chance(0.7)) {
+            Cut(i, k, lasts, false, true);
+          }
         }
         return;
       case 3: {  // a part against the rest
         std::vector<bool> side(n);
-        for (size_t k = 0; k < n; ++k) side[k] = Chance(0.5);
+        for (size_t k = 0; k < n; ++k) {
+          side[k] = Chance(0.5);
+        }
         Note_(fmt::format("split for {:.0f} ms", Ms(lasts)));
         for (size_t a = 0; a < n; ++a) {
           for (size_t b = 0; b < n; ++b) {
-            if (side[a] && !side[b]) Cut(a, b, lasts, true, true);
+            if (side[a] && !side[b]) {
+              Cut(a, b, lasts, true, true);
+            }
           }
         }
         return;
@@ -625,18 +777,25 @@
         Kill(i);
         if (Chance(0.3)) {
           const size_t other = Pick(n);
-          if (other != i) Kill(other), Back(other, Duration(static_cast<int64_t>(Draw(10e3, 2e6))));
+          if (other != i) {
+            Kill(other);
+            Back(other, Duration(static_cast<int64_t>(Draw(10e3, 2e6))));
+          }
         }
         return Back(i, lasts);
       }
-      case 8: slow_[i][j] = true; return At(now_ + lasts, [this, i, j] { slow_[i][j] = false; });
+      case 8:
+        slow_[i][j] = true;
+        return At(now_ + lasts, [this, i, j] { slow_[i][j] = false; });
       case 9:
         node.disk_slow = true;
         return At(now_ + lasts, [this, i] { nodes_[i].disk_slow = false; });
       case 10: {  // another disk: an empty one, or an older state of its own
         // Losing two disks of three at once loses the history, whatever is done: one at a time, and
         // not before the last was let in anew.
-        if (!node.member || !Whole()) return;
+        if (!node.member || !Whole()) {
+          return;
+        }
         if (node.copy && o_.old_disks && now_ - node.copied > kOldDisk && Chance(0.6)) {
           Note_(node.name + " comes back with an older disk");
           PersistentState old = *node.copy;
@@ -655,7 +814,9 @@
         wish.kind = static_cast<cluster::ChangeRequest::Kind>(1 + Pick(3));
         wish.change.id = fmt::format("v{}", ++number_);
         wish.name = nodes_[j].name;
-        if (!node.member || node.member->raft_node().voters().size() < 3) return;
+        if (!node.member || node.member->raft_node().voters().size() < 3) {
+          return;
+        }
         Note_(
             fmt::format("voters: {} {} at {}", static_cast<int>(wish.kind), wish.name, node.name));
         Run(i, [&](ClusterMember& m, Time now, cluster::MemberOutput& out) {
@@ -667,9 +828,13 @@
   }
   // Looked at now and then: whether nothing is left to be waited for.
   bool Level() {
-    if (r_.events % 64 != 0) return false;
+    if (r_.events % 64 != 0) {
+      return false;
+    }
     for (const Try& t : tries_) {
-      if (t.done < Time(0)) return false;
+      if (t.done < Time(0)) {
+        return false;
+      }
     }
     return std::ranges::all_of(nodes_, [&](const Node& n) {
       return n.member && n.member->history().version_in_force() == versions_.size() &&
@@ -679,44 +844,70 @@
   // Every voter that counts has its disk.
   bool Whole() const {
     for (const Node& n : nodes_) {
-      if (!n.member) return false;
+      if (!n.member) {
+        return false;
+      }
       for (const raft::Voter& v : n.member->raft_node().voters()) {
         const size_t k = std::stoul(v.name.substr(1));
         // One that went back and was not found out yet is lost too.
-        if (nodes_[k].disk.incarnation != v.incarnation || nodes_[k].gone_back) return false;
+        if (nodes_[k].disk.incarnation != v.incarnation || nodes_[k].gone_back) {
+          return false;
+        }
+      }
+      if (n.member->raft_node().voters().size() < 3) {
+        return false;
       }
-      if (n.member->raft_node().voters().size() < 3) return false;
     }
     return true;
   }
   void Cut(size_t a, size_t b, Duration lasts, bool there, bool back) {
-    if (a == b) return;
-    if (there) cut_[a][b] = true;
-    if (back) cut_[b][a] = true;
+    if (a == b) {
+      return;
+    }
+    if (there) {
+      cut_[a][b] = true;
+    }
+    if (back) {
+      cut_[b][a] = true;
+    }
     At(now_ + lasts, [this, a, b, there, back] {
-      if (there) cut_[a][b] = false;
-      if (back) cut_[b][a] = false;
+      if (there) {
+        cut_[a][b] = false;
+      }
+      if (back) {
+        cut_[b][a] = false;
+      }
       Link(a, b);
     });
   }
   void Back(size_t i, Duration after) {
     At(now_ + after, [this, i] {
-      if (!nodes_[i].member) Start(i);
+      if (!nodes_[i].member) {
+        Start(i);
+      }
     });
   }
   void Mend() {
     Note_("all is mended");
     over_ = true;
     const size_t n = nodes_.size();
-    for (auto& row : cut_) row.assign(n, false);
-    for (auto& row : slow_) row.assign(n, false);
+    for (auto& row : cut_) {
+      row.assign(n, false);
+    }
+    for (auto& row : slow_) {
+      row.assign(n, false);
+    }
     for (size_t i = 0; i < n; ++i) {
       nodes_[i].disk_slow = false;
       nodes_[i].stopped = std::min(nodes_[i].stopped, now_);
-      if (!nodes_[i].member) Start(i);
+      if (!nodes_[i].member) {
+        Start(i);
+      }
     }
     for (size_t a = 0; a < n; ++a) {
-      for (size_t b = a + 1; b < n; ++b) Link(a, b);
+      for (size_t b = a + 1; b < n; ++b) {
+        Link(a, b);
+      }
     }
   }
 
@@ -725,9 +916,13 @@
   void Applied(Node& n) {
     const cluster::VersionHistory& history = n.member->history();
     for (const cluster::Version& v : history.versions()) {
-      if (v.number <= n.applied) continue;
+      if (v.number <= n.applied) {
+        continue;
+      }
       n.applied = v.number;
-      if (v.number > versions_.size()) versions_.resize(v.number);
+      if (v.number > versions_.size()) {
+        versions_.resize(v.number);
+      }
       auto& known = versions_[v.number - 1];
       if (known.first.empty()) {
         known = {v.id, v.hash};
@@ -741,11 +936,16 @@
                            n.name, known.second));
       }
     }
-    if (n.copy == std::nullopt || Chance(0.002)) n.copy = n.disk, n.copied = now_;
+    if (n.copy == std::nullopt || Chance(0.002)) {
+      n.copy = n.disk;
+      n.copied = now_;
+    }
   }
   // What the version must be by what was submitted.
   void Model(const Node& n, const cluster::Version& v) {
-    if (v.number != models_.size() + 1) return;  // one before was never seen: told elsewhere
+    if (v.number != models_.size() + 1) {
+      return;  // one before was never seen: told elsewhere
+    }
     const Try& t = tries_[std::stoul(v.id.substr(1))];
     models_.push_back(t.parts ? With(ModelOf(v.number - 1), *t.parts)
                               : cluster::ParseDocument(t.rules));
@@ -764,7 +964,9 @@
   }
   bool Contradict(uint64_t a, uint64_t b) {
     const auto [at, fresh] = contradict_.emplace(std::pair(a, b), false);
-    if (fresh) at->second = !cluster::Contradictions(ModelOf(a), ModelOf(b)).empty();
+    if (fresh) {
+      at->second = !cluster::Contradictions(ModelOf(a), ModelOf(b)).empty();
+    }
     return at->second;
   }
   // Until when it leads and acts on one version alone, unless it hears something before.
@@ -772,13 +974,21 @@
     const Time local = Local(n);
     const raft::RaftNode& a = n.member->raft_node();
     n.leads_until = Time(-1);
-    if (a.IsLeaderWithLease(local)) n.leads_until = Global(n, a.LeaderLeaseUntil(local));
+    if (a.IsLeaderWithLease(local)) {
+      n.leads_until = Global(n, a.LeaderLeaseUntil(local));
+    }
     const EffectiveConfig stance = n.member->CurrentConfig(local);
     n.acts_until = Time(-1);
     n.acts_on = stance.version_in_force;
-    if (stance.version_in_force != stance.latest_version) return;
-    if (stance.kind == EffectiveConfig::Kind::kAgreed) n.acts_until = Global(n, stance.valid_until);
-    if (o_.mischief == Mischief::kActsOn) n.acts_until = Time::max();
+    if (stance.version_in_force != stance.latest_version) {
+      return;
+    }
+    if (stance.kind == EffectiveConfig::Kind::kAgreed) {
+      n.acts_until = Global(n, stance.valid_until);
+    }
+    if (o_.mischief == Mischief::kActsOn) {
+      n.acts_until = Time::max();
+    }
   }
   // Whom the world sees act, and on what, at this moment.
   void Judge() {
@@ -787,7 +997,9 @@
     std::string who;
     for (size_t i = 0; i < nodes_.size(); ++i) {
       Node& n = nodes_[i];
-      if (!n.member || now_ < n.stopped) continue;
+      if (!n.member || now_ < n.stopped) {
+        continue;
+      }
       if (now_ < n.leads_until) {
         ++leaders;
         who += n.name + " ";
@@ -796,14 +1008,20 @@
           leader_lost_ = Time(-1);
         }
       }
-      if (now_ >= n.acts_until) continue;
+      if (now_ >= n.acts_until) {
+        continue;
+      }
       acted.insert(n.acts_on);
     }
-    if (leaders > 1) Broken("one leader: at a time lead " + who);
+    if (leaders > 1) {
+      Broken("one leader: at a time lead " + who);
+    }
     std::map<std::pair<uint64_t, uint64_t>, Time> since;
     for (auto a = acted.begin(); a != acted.end(); ++a) {
       for (auto b = std::next(a); b != acted.end(); ++b) {
-        if (!Contradict(*a, *b)) continue;
+        if (!Contradict(*a, *b)) {
+          continue;
+        }
         const auto before = since_.find({*a, *b});
         const Time from = before == since_.end() ? now_ : before->second;
         since[{*a, *b}] = from;
@@ -812,7 +1030,9 @@
         // anybody: a lease that runs is the bound. In all else there is no moment of it, by the
         // clocks' rate; the bound is for processes' own lateness.
         bool steps = false;
-        for (uint64_t v = *a; v < *b && !steps; ++v) steps = Contradict(v, v + 1);
+        for (uint64_t v = *a; v < *b && !steps; ++v) {
+          steps = Contradict(v, v + 1);
+        }
         if (steps || now_ - from > cluster::MaxDisagreement(timing_, Duration(0))) {
           Broken(fmt::format("contradiction: versions {} and {} are acted on at a time", *a, *b));
         }
@@ -822,7 +1042,9 @@
   }
   void JudgeEnd() {
     if (o_.trace) {
-      for (const Node& n : nodes_) Note_(n.member->Status(Local(n)).dump());
+      for (const Node& n : nodes_) {
+        Note_(n.member->Status(Local(n)).dump());
+      }
     }
     std::map<std::string, uint64_t> by_id;
     for (size_t i = 0; i < versions_.size(); ++i) {
@@ -843,7 +1065,9 @@
       if (t.done >= Time(0) && (at == by_id.end() || at->second != t.version)) {
         Broken(fmt::format("lost: change {} was told done as version {}", t.id, t.version));
       }
-      if (t.done < Time(0)) Broken(fmt::format("stuck: change {} was never told done", t.id));
+      if (t.done < Time(0)) {
+        Broken(fmt::format("stuck: change {} was never told done", t.id));
+      }
     }
     for (const Node& n : nodes_) {
       const cluster::VersionHistory& h = n.member->history();
@@ -895,7 +1119,9 @@
                                            : "delta";
 }
 
-WorldResult PlayWorld(const WorldOptions& options) { return World(options).Play(); }
+WorldResult PlayWorld(const WorldOptions& options) {
+  return World(options).Play();
+}
 
 WorldsResult PlayWorlds(const WorldsOptions& options) {
   std::atomic<uint64_t> next{0};
@@ -925,7 +1151,9 @@
         all.change_ms.insert(all.change_ms.end(), r.change_ms.begin(), r.change_ms.end());
         all.takeover_ms.insert(all.takeover_ms.end(), r.takeover_ms.begin(), r.takeover_ms.end());
       }
-      if (r.broken.empty()) continue;
+      if (r.broken.empty()) {
+        continue;
+      }
       ++all.broken;
       const std::string& what = r.broken.front();
       ++all.terms[what.substr(0, what.find(':'))];
@@ -933,16 +1161,22 @@
       all.first.emplace_back(o.seed, what);
       std::ranges::sort(all.first);
       const std::string term = what.substr(0, what.find(':') + 1);
-      const auto same = [&](const auto& one) { return one.second.starts_with(term); };
+      const auto same = [&](const auto& one) {
+        return one.second.starts_with(term);
+      };
       if (static_cast<size_t>(std::ranges::count_if(all.first, same)) > kShown) {
         all.first.erase(std::find_if(all.first.rbegin(), all.first.rend(), same).base() - 1);
       }
     }
   };
   std::vector<std::thread> threads;
-  for (size_t j = 1; j < options.jobs; ++j) threads.emplace_back(work);
+  for (size_t j = 1; j < options.jobs; ++j) {
+    threads.emplace_back(work);
+  }
   work();
-  for (std::thread& thread : threads) thread.join();
+  for (std::thread& thread : threads) {
+    thread.join();
+  }
   std::ranges::sort(all.change_ms);
   std::ranges::sort(all.takeover_ms);
   return all;
@@ -950,7 +1184,9 @@
 
 std::string ToText(const WorldsResult& r, const WorldsOptions& options) {
   const auto quantiles = [](const std::vector<double>& of) -> std::string {
-    if (of.empty()) return "none";
+    if (of.empty()) {
+      return "none";
+    }
     const auto at = [&](double q) {
       return of[static_cast<size_t>(q * static_cast<double>(of.size() - 1))];
     };
@@ -966,8 +1202,9 @@
       r.schedules, options.world.seed, r.broken, r.events, r.told_done, r.submitted, r.forgot,
       r.digest, quantiles(r.change_ms), quantiles(r.takeover_ms), r.contradiction_ms_most,
       r.with_deltas, r.refused);
-  for (const auto& [term, count] : r.terms)
+  for (const auto& [term, count] : r.terms) {
     text += fmt::format("  broken: {} in {}\n", term, count);
+  }
   for (const auto& [seed, what] : r.first) {
     std::string mischief = options.world.mischief == Mischief::kNone
                                ? ""
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -30,9 +30,12 @@
 
 std::string_view PhaseName(Phase phase) {
   switch (phase) {
-    case Phase::kActive: return "active";
-    case Phase::kLeaving: return "leaving";
-    case Phase::kLeft: return "left";
+    case Phase::kActive:
+      return "active";
+    case Phase::kLeaving:
+      return "leaving";
+    case Phase::kLeft:
+      return "left";
   }
   return "";
 }
@@ -93,7 +96,9 @@
       since = revision;
       whole = revision > directory_.revision_ || revision < directory_.first_ || directory_.old_;
       directory_.loop_.RunDeferred([kept = *place] {
-        if (!kept->closed()) kept->directory_.Tell(*kept);
+        if (!kept->closed()) {
+          kept->directory_.Tell(*kept);
+        }
       });
     } else if (!directory_.silent_) {
       const std::string list = directory_.Whole(agent_.gateway);
@@ -101,11 +106,15 @@
           fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", list.size(), list));
     }
   }
-  if (stream_.ended()) OnError();
+  if (stream_.ended()) {
+    OnError();
+  }
 }
 
 void Directory::Connection::OnError() {
-  if (stream_.closed()) return;
+  if (stream_.closed()) {
+    return;
+  }
   stream_.Close();
   directory_.loop_.RunDeferred([kept = *place] {});
   agent_.connections.erase(place);
@@ -116,12 +125,18 @@
 Directory::Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every)
     : loop_(loop), ledger_(ledger), gateways_(gateways), empty_every_(empty_every) {}
 
-Directory::~Directory() { loop_.CancelTimer(beat_); }
+Directory::~Directory() {
+  loop_.CancelTimer(beat_);
+}
 
-const Address& Directory::AddressOf(size_t gateway) const { return agents_[gateway]->address; }
+const Address& Directory::AddressOf(size_t gateway) const {
+  return agents_[gateway]->address;
+}
 
 void Directory::Start(const std::vector<ListedHost>& hosts) {
-  for (const ListedHost& host : hosts) history_.push_back({++revision_, host});
+  for (const ListedHost& host : hosts) {
+    history_.push_back({++revision_, host});
+  }
   first_ = revision_;
   Move();
   Beat();
@@ -131,8 +146,12 @@
   for (auto& agent : agents_) {
     agent->listener.reset();
     loop_.RunAfter(kMovedFor, [was = agent.get(), alive = std::weak_ptr(alive_)] {
-      if (alive.expired()) return;
-      while (!was->connections.empty()) was->connections.front()->OnError();
+      if (alive.expired()) {
+        return;
+      }
+      while (!was->connections.empty()) {
+        was->connections.front()->OnError();
+      }
     });
     moved_.push_back(std::move(agent));
   }
@@ -142,19 +161,24 @@
     Agent& agent = *agents_.back();
     agent.gateway = i;
     agent.address = OwnAddress(kAgentPlaces + moves_ * gateways_ + i);
-    agent.listener = std::make_unique<Listener>(loop_, agent.address, [this, &agent](FileDescriptor fd) {
-      agent.connections.push_back(std::make_shared<Connection>(*this, agent, std::move(fd)));
-      Connection& connection = *agent.connections.back();
-      connection.place = std::prev(agent.connections.end());
-      if (!connection.Start()) connection.OnError();
-    });
+    agent.listener =
+        std::make_unique<Listener>(loop_, agent.address, [this, &agent](FileDescriptor fd) {
+          agent.connections.push_back(std::make_shared<Connection>(*this, agent, std::move(fd)));
+          Connection& connection = *agent.connections.back();
+          connection.place = std::prev(agent.connections.end());
+          if (!connection.Start()) {
+            connection.OnError();
+          }
+        });
   }
   ++moves_;
 }
 
 void Directory::Change(const ListedHost& host, Duration lag) {
   loop_.RunAfter(lag + lag_, [this, host, alive = std::weak_ptr(alive_)] {
-    if (alive.expired()) return;
+    if (alive.expired()) {
+      return;
+    }
     history_.push_back({++revision_, host});
     TellAll();
   });
@@ -163,11 +187,15 @@
 std::vector<const ListedHost*> Directory::At(uint64_t revision) const {
   std::map<std::string_view, const ListedHost*> last;
   for (const Version& v : history_) {
-    if (v.revision <= revision) last[v.host.id] = &v.host;
+    if (v.revision <= revision) {
+      last[v.host.id] = &v.host;
+    }
   }
   std::vector<const ListedHost*> out;
   for (const auto& [id, host] : last) {
-    if (host->phase != Phase::kLeft) out.push_back(host);
+    if (host->phase != Phase::kLeft) {
+      out.push_back(host);
+    }
   }
   return out;
 }
@@ -192,26 +220,38 @@
 void Directory::CountTold(size_t gateway, const std::vector<const ListedHost*>& hosts, bool whole) {
   ++told_;
   for (const ListedHost* const host : hosts) {
-    if (host->phase != Phase::kActive) ledger_.Told(Now(), gateway, host->host);
+    if (host->phase != Phase::kActive) {
+      ledger_.Told(Now(), gateway, host->host);
+    }
+  }
+  if (!whole) {
+    return;
   }
-  if (!whole) return;
   // Whoever is not in it is gone.
   std::unordered_set<std::string_view> present;
-  for (const ListedHost* const host : hosts) present.insert(host->id);
+  for (const ListedHost* const host : hosts) {
+    present.insert(host->id);
+  }
   for (const Version& v : history_) {
-    if (!present.contains(v.host.id)) ledger_.Told(Now(), gateway, v.host.host);
+    if (!present.contains(v.host.id)) {
+      ledger_.Told(Now(), gateway, v.host.host);
+    }
   }
 }
 
 std::string Directory::Whole(size_t gateway) {
   const uint64_t revision = old_ ? first_ : revision_;
   const auto hosts = At(revision);
-  if (!old_) CountTold(gateway, hosts, true);
+  if (!old_) {
+    CountTold(gateway, hosts, true);
+  }
   return Members(hosts, revision, true);
 }
 
 void Directory::Tell(Connection& connection) {
-  if (silent_) return;
+  if (silent_) {
+    return;
+  }
   std::string text;
   if (std::exchange(connection.whole, false)) {
     text = Chunk(Whole(connection.agent().gateway) + "\n");
@@ -229,25 +269,35 @@
       connection.since = last;
     }
   }
-  if (malformed_) text += Chunk(kNonsense[told_++ % std::size(kNonsense)]);
+  if (malformed_) {
+    text += Chunk(kNonsense[told_++ % std::size(kNonsense)]);
+  }
   if (connection.watches && !std::exchange(connection.headed, true)) {
     text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + text;
-    if (text.ends_with("\r\n\r\n")) text += Chunk("\n");
+    if (text.ends_with("\r\n\r\n")) {
+      text += Chunk("\n");
+    }
+  }
+  if (!text.empty()) {
+    connection.Write(std::move(text));
   }
-  if (!text.empty()) connection.Write(std::move(text));
 }
 
 void Directory::TellAll() {
   for (const auto& agent : agents_) {
     for (const auto& connection : agent->connections) {
-      if (connection->watches) Tell(*connection);
+      if (connection->watches) {
+        Tell(*connection);
+      }
     }
   }
 }
 
 void Directory::CloseWatches() {
   for (const auto& agent : agents_) {
-    while (!agent->connections.empty()) agent->connections.front()->OnError();
+    while (!agent->connections.empty()) {
+      agent->connections.front()->OnError();
+    }
   }
 }
 
@@ -256,7 +306,9 @@
     if (!silent_) {
       for (const auto& agent : agents_) {
         for (const auto& connection : agent->connections) {
-          if (connection->watches && connection->headed) connection->Write(Chunk("\n"));
+          if (connection->watches && connection->headed) {
+            connection->Write(Chunk("\n"));
+          }
         }
       }
     }
@@ -266,12 +318,16 @@
 
 void Directory::Silent(bool on) {
   silent_ = on;
-  if (!on) TellAll();
+  if (!on) {
+    TellAll();
+  }
 }
 
 void Directory::Malformed(bool on) {
   malformed_ = on;
-  if (on) TellAll();
+  if (on) {
+    TellAll();
+  }
 }
 
 void Directory::Old(bool on) {
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -72,22 +72,25 @@
                               {"none", DiskIs::kNone}, {"full", DiskIs::kFull},
                               {"slow", DiskIs::kSlow}, {"sync-fails", DiskIs::kSyncFails}};
 const Words<TamperOutgoing> kSpoils = {{"any", TamperOutgoing::kAny},
-                              {"noise", TamperOutgoing::kNoise},
-                              {"bad-head", TamperOutgoing::kBadHead},
-                              {"endless-head", TamperOutgoing::kEndlessHead},
-                              {"short-length", TamperOutgoing::kShortLength},
-                              {"long-length", TamperOutgoing::kLongLength},
-                              {"huge", TamperOutgoing::kHuge},
-                              {"second-answer", TamperOutgoing::kSecondAnswer},
-                              {"noise-behind", TamperOutgoing::kNoiseBehind},
-                              {"interim", TamperOutgoing::kInterim},
-                              {"bad-report", TamperOutgoing::kBadReport}};
+                                       {"noise", TamperOutgoing::kNoise},
+                                       {"bad-head", TamperOutgoing::kBadHead},
+                                       {"endless-head", TamperOutgoing::kEndlessHead},
+                                       {"short-length", TamperOutgoing::kShortLength},
+                                       {"long-length", TamperOutgoing::kLongLength},
+                                       {"huge", TamperOutgoing::kHuge},
+                                       {"second-answer", TamperOutgoing::kSecondAnswer},
+                                       {"noise-behind", TamperOutgoing::kNoiseBehind},
+                                       {"interim", TamperOutgoing::kInterim},
+                                       {"bad-report", TamperOutgoing::kBadReport}};
 const Words<Idempotency> kEffects = {
     {"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}};
-const Words<DeduplicationScope> kGroups = {
-    {"all", DeduplicationScope::kAll}, {"zone", DeduplicationScope::kZone}, {"cell", DeduplicationScope::kCell}};
+const Words<DeduplicationScope> kGroups = {{"all", DeduplicationScope::kAll},
+                                           {"zone", DeduplicationScope::kZone},
+                                           {"cell", DeduplicationScope::kCell}};
 
-bool OnHosts(FaultKind kind) { return kind < FaultKind::kAdd; }
+bool OnHosts(FaultKind kind) {
+  return kind < FaultKind::kAdd;
+}
 
 // Collects what is wrong, so that one reading names it all.
 class Faults {
@@ -101,7 +104,9 @@
                  : fmt::format("{}: {}: {}, expected {}", path_, key, what, expected));
   }
   void Throw() const {
-    if (!lines_.empty()) throw ExperimentError(fmt::format("{}", fmt::join(lines_, "\n")));
+    if (!lines_.empty()) {
+      throw ExperimentError(fmt::format("{}", fmt::join(lines_, "\n")));
+    }
   }
 
  private:
@@ -118,7 +123,9 @@
   Table& operator=(const Table&) = delete;
   ~Table() {
     for (const auto& [key, node] : table_) {
-      if (known_.contains(std::string(key.str()))) continue;
+      if (known_.contains(std::string(key.str()))) {
+        continue;
+      }
       std::vector<std::string> names(known_.begin(), known_.end());
       faults_.Add(&node, Path(key.str()), "unknown key",
                   fmt::format("one of {}", fmt::join(names, ", ")));
@@ -143,7 +150,9 @@
 
   void Read(std::string_view key, double& value, double least, double most) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     const auto read = Number(*node);
     if (!read || !(*read >= least && *read <= most)) {
       return faults_.Add(node, Path(key), "out of range or no number",
@@ -152,7 +161,9 @@
     value = *read;
   }
   void Read(std::string_view key, std::optional<double>& value, double least, double most) {
-    if (Get(key) == nullptr) return;
+    if (Get(key) == nullptr) {
+      return;
+    }
     double read = least;
     Read(key, read, least, most);
     value = read;
@@ -161,7 +172,9 @@
   requires std::is_integral_v<Int> &&
       (!std::is_same_v<Int, bool>)void Read(std::string_view key, Int& value, Int least, Int most) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     const auto read = node->value_exact<int64_t>();
     if (!read || *read < static_cast<int64_t>(least) ||
         static_cast<uint64_t>(*read) > static_cast<uint64_t>(most)) {
@@ -172,14 +185,22 @@
   }
   void Read(std::string_view key, bool& value) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
-    if (!node->is_boolean()) return faults_.Add(node, Path(key), "no boolean", "true or false");
+    if (node == nullptr) {
+      return;
+    }
+    if (!node->is_boolean()) {
+      return faults_.Add(node, Path(key), "no boolean", "true or false");
+    }
     value = *node->value_exact<bool>();
   }
   void Read(std::string_view key, std::string& value) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
-    if (!node->is_string()) return faults_.Add(node, Path(key), "no text", "a text in quotes");
+    if (node == nullptr) {
+      return;
+    }
+    if (!node->is_string()) {
+      return faults_.Add(node, Path(key), "no text", "a text in quotes");
+    }
     value = *node->value_exact<std::string>();
   }
   // `unit` is microseconds of one of the file's.
@@ -195,7 +216,9 @@
   // A number, or [low, high].
   void Read(std::string_view key, Span& value, double least, double most) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     std::optional<double> low, high;
     if (const toml::array* const both = node->as_array(); both != nullptr && both->size() == 2) {
       low = Number(*both->get(0));
@@ -212,7 +235,9 @@
   template <typename Enum>
   void Read(std::string_view key, Enum& value, const Words<Enum>& words) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     const auto text = node->value_exact<std::string>().value_or("");
     std::vector<std::string_view> expected;
     for (const auto& [word, meaning] : words) {
@@ -229,7 +254,9 @@
   template <typename Reader>
   void Each(std::string_view key, const Reader& read) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     const toml::array* const list = node->as_array();
     if (list == nullptr || !list->is_array_of_tables()) {
       return faults_.Add(node, Path(key), "no list of tables", fmt::format("[[{}]]", Path(key)));
@@ -243,7 +270,9 @@
   template <typename Reader>
   void One(std::string_view key, const Reader& read) {
     const toml::node* const node = Get(key);
-    if (node == nullptr) return;
+    if (node == nullptr) {
+      return;
+    }
     if (!node->is_table()) {
       return faults_.Add(node, Path(key), "no table", fmt::format("[{}]", Path(key)));
     }
@@ -253,8 +282,12 @@
 
  private:
   static std::optional<double> Number(const toml::node& node) {
-    if (node.is_integer()) return static_cast<double>(*node.value_exact<int64_t>());
-    if (node.is_floating_point()) return node.value_exact<double>();
+    if (node.is_integer()) {
+      return static_cast<double>(*node.value_exact<int64_t>());
+    }
+    if (node.is_floating_point()) {
+      return node.value_exact<double>();
+    }
     return std::nullopt;
   }
   const toml::table& table_;
@@ -278,7 +311,9 @@
   t.ReadMs("probe_work_ms", g.probe_work);
   t.Read("report_ms", g.report_ms, 0, 10'000);
   t.Read("stops_work", g.stops_work);
-  if (g.name.empty()) t.Fault("name", "empty", "a name");
+  if (g.name.empty()) {
+    t.Fault("name", "empty", "a name");
+  }
   return g;
 }
 
@@ -302,8 +337,12 @@
   t.Read("wait_ms", c.wait_ms, 0, 60'000);
   t.Read("body_bytes", c.body_bytes, 0, 65'536);
   t.Read("answer_bytes", c.answer_bytes, 0, 65'000);
-  if (c.rules.latency_objective <= Duration(0)) t.Fault("aim_ms", "0", "more than 0");
-  if (c.rules.deadline < c.rules.latency_objective) t.Fault("deadline_ms", "under aim_ms", "at least aim_ms");
+  if (c.rules.latency_objective <= Duration(0)) {
+    t.Fault("aim_ms", "0", "more than 0");
+  }
+  if (c.rules.deadline < c.rules.latency_objective) {
+    t.Fault("deadline_ms", "under aim_ms", "at least aim_ms");
+  }
   if (c.rules.idempotency == Idempotency::kKeyed && c.rules.deduplication_window <= Duration(0)) {
     t.Fault("window_ms", "missing", "how long a keyed class's repeats are dropped");
   }
@@ -312,7 +351,9 @@
 
 Fault ReadFault(Table& t) {
   Fault f;
-  if (t.Get("kind") == nullptr) t.Fault("kind", "missing", "a kind of fault");
+  if (t.Get("kind") == nullptr) {
+    t.Fault("kind", "missing", "a kind of fault");
+  }
   t.Read("kind", f.kind, kFaultKinds);
   t.Read("kind", f.name);
   t.ReadS("at_s", f.at);
@@ -405,7 +446,9 @@
   t.Each("bad", [&](Table& b) {
     BadClients bad;
     bad.to = Duration(std::llround(kLengthMost * 1e6));
-    if (b.Get("kind") == nullptr) b.Fault("kind", "missing", "a kind of bad client");
+    if (b.Get("kind") == nullptr) {
+      b.Fault("kind", "missing", "a kind of bad client");
+    }
     b.Read("kind", bad.kind, kBadKinds);
     b.Read("per_s", bad.per_s, 0.01, 10'000);
     b.ReadS("from_s", bad.from);
@@ -435,7 +478,9 @@
     w.ReadS("from_s", window.from);
     w.ReadS("to_s", window.to);
     w.Read("worth_share_least", window.worth_share_least, 0, 1);
-    if (window.to <= window.from) w.Fault("to_s", "not after from_s", "a later second");
+    if (window.to <= window.from) {
+      w.Fault("to_s", "not after from_s", "a later second");
+    }
     must.windows.push_back(window);
   });
 }
@@ -456,15 +501,21 @@
 }
 
 void CheckTogether(Table& t, Experiment& e) {
-  if (e.hosts.empty()) t.Fault("hosts", "missing", "at least one [[hosts]]");
-  if (e.classes.empty()) t.Fault("classes", "missing", "at least one [[classes]]");
+  if (e.hosts.empty()) {
+    t.Fault("hosts", "missing", "at least one [[hosts]]");
+  }
+  if (e.classes.empty()) {
+    t.Fault("classes", "missing", "at least one [[classes]]");
+  }
   if (e.host_count() > kHostsMost) {
     t.Fault("hosts", fmt::format("{} in all", e.host_count()),
             fmt::format("{} at most", kHostsMost));
   }
   std::set<std::string> names, classes;
   for (const ClassSpec& c : e.classes) {
-    if (!classes.insert(c.name).second) t.Fault("classes", c.name + " twice", "names that differ");
+    if (!classes.insert(c.name).second) {
+      t.Fault("classes", c.name + " twice", "names that differ");
+    }
   }
   for (const HostGroup& g : e.hosts) {
     for (size_t i = 0; i < g.count; ++i) {
@@ -473,20 +524,30 @@
         break;
       }
     }
-    if (std::ranges::count(e.zones, g.zone) == 0) e.zones.push_back(g.zone);
-    if (std::ranges::count(e.kinds, g.kind) == 0) e.kinds.push_back(g.kind);
+    if (std::ranges::count(e.zones, g.zone) == 0) {
+      e.zones.push_back(g.zone);
+    }
+    if (std::ranges::count(e.kinds, g.kind) == 0) {
+      e.kinds.push_back(g.kind);
+    }
   }
   for (size_t i = 0; i < e.faults.size(); ++i) {
     const Fault& f = e.faults[i];
     const std::string at = fmt::format("faults[{}]", i);
     const toml::node* where = t.Get("faults");
-    if (where != nullptr && where->is_array()) where = where->as_array()->get(i);
+    if (where != nullptr && where->is_array()) {
+      where = where->as_array()->get(i);
+    }
     const auto fault = [&](std::string_view key, std::string_view what, std::string_view expected) {
       t.FaultAt(where, fmt::format("{}.{}", at, key), what, expected);
     };
-    if (f.at > e.length) fault("at_s", "after the end", "a second of the experiment");
+    if (f.at > e.length) {
+      fault("at_s", "after the end", "a second of the experiment");
+    }
     for (const std::string& name : f.names) {
-      if (!names.contains(name)) fault("names", fmt::format("no host '{}'", name), "a host's name");
+      if (!names.contains(name)) {
+        fault("names", fmt::format("no host '{}'", name), "a host's name");
+      }
     }
     if (!f.zone.empty() && std::ranges::count(e.zones, f.zone) == 0) {
       fault("zone", fmt::format("no host in '{}'", f.zone), "a zone of [[hosts]]");
@@ -500,7 +561,9 @@
             fmt::format("0 to {}", e.gateway.count - 1));
     }
     const bool among = f.kind >= FaultKind::kGatewayDisk || f.disk != DiskIs::kKept;
-    if (among && !e.bank.on) fault("kind", "no bank", "[bank]");
+    if (among && !e.bank.on) {
+      fault("kind", "no bank", "[bank]");
+    }
     for (const size_t gateway : f.from) {
       if (gateway >= e.gateway.count) {
         fault("from", fmt::format("no gateway {}", gateway),
@@ -511,7 +574,9 @@
       fault("gateways", fmt::format("{} of {}", *f.gateways, e.gateway.count),
             "no more than there are");
     }
-    if (f.kind != FaultKind::kGatewayReload) continue;
+    if (f.kind != FaultKind::kGatewayReload) {
+      continue;
+    }
     const auto cls = std::ranges::find(e.classes, f.cls, &ClassSpec::name);
     if (cls == e.classes.end()) {
       fault("class", fmt::format("no class '{}'", f.cls), "the class that it brings");
@@ -525,17 +590,27 @@
 nlohmann::json ToJson(const toml::node& node) {
   if (const toml::table* const table = node.as_table()) {
     nlohmann::json out = nlohmann::json::object();
-    for (const auto& [key, value] : *table) out[std::string(key.str())] = ToJson(value);
+    for (const auto& [key, value] : *table) {
+      out[std::string(key.str())] = ToJson(value);
+    }
     return out;
   }
   if (const toml::array* const array = node.as_array()) {
     nlohmann::json out = nlohmann::json::array();
-    for (const toml::node& value : *array) out.push_back(ToJson(value));
+    for (const toml::node& value : *array) {
+      out.push_back(ToJson(value));
+    }
     return out;
   }
-  if (node.is_integer()) return *node.value_exact<int64_t>();
-  if (node.is_floating_point()) return *node.value_exact<double>();
-  if (node.is_boolean()) return *node.value_exact<bool>();
+  if (node.is_integer()) {
+    return *node.value_exact<int64_t>();
+  }
+  if (node.is_floating_point()) {
+    return *node.value_exact<double>();
+  }
+  if (node.is_boolean()) {
+    return *node.value_exact<bool>();
+  }
   return node.value_exact<std::string>().value_or("");
 }
 
@@ -543,7 +618,9 @@
 
 size_t Experiment::host_count() const {
   size_t count = 0;
-  for (const HostGroup& group : hosts) count += group.count;
+  for (const HostGroup& group : hosts) {
+    count += group.count;
+  }
   return count;
 }
 
@@ -564,18 +641,26 @@
     t.Read("about", e.about);
     t.Read<uint64_t>("seed", e.seed, 0, INT64_MAX);
     t.ReadS("seconds", e.length);
-    if (e.name.empty()) t.Fault("name", "missing", "the experiment's name");
-    if (e.length < Duration(1'000'000)) t.Fault("seconds", "under 1", "1 to 3600");
+    if (e.name.empty()) {
+      t.Fault("name", "missing", "the experiment's name");
+    }
+    if (e.length < Duration(1'000'000)) {
+      t.Fault("seconds", "under 1", "1 to 3600");
+    }
     t.Each("hosts", [&](Table& h) { e.hosts.push_back(ReadHosts(h)); });
     t.Each("classes", [&](Table& c) { e.classes.push_back(ReadClass(c)); });
     t.Each("tenants", [&](Table& n) {
       TenantSpec tenant;
       n.Read("name", tenant.name);
       n.Read("share", tenant.share, 0, 1);
-      if (tenant.name.empty()) n.Fault("name", "missing", "a tenant's name");
+      if (tenant.name.empty()) {
+        n.Fault("name", "missing", "a tenant's name");
+      }
       e.tenants.push_back(tenant);
     });
-    if (t.Get("load") == nullptr) t.Fault("load", "missing", "[load]");
+    if (t.Get("load") == nullptr) {
+      t.Fault("load", "missing", "[load]");
+    }
     t.One("load", [&](Table& l) { ReadLoad(l, e.load); });
     t.One("gateway", [&](Table& g) {
       g.Read<size_t>("count", e.gateway.count, 1, 200);
@@ -606,16 +691,24 @@
           for (size_t i = 0; i < e.gateway.count; ++i) {
             double factor = 1;
             clocks.Read(fmt::format("g{}", i), factor, 0.5, 2);
-            if (factor != 1) e.bank.clocks.emplace_back(i, factor);
+            if (factor != 1) {
+              e.bank.clocks.emplace_back(i, factor);
+            }
           }
         });
       }
-      if (e.bank.voters % 2 == 0) b.Fault("voters", "an even number", "an odd one");
+      if (e.bank.voters % 2 == 0) {
+        b.Fault("voters", "an even number", "an odd one");
+      }
       if (e.bank.voters > e.gateway.count) {
         b.Fault("voters", "more than gateways", "gateway.count at most");
       }
-      if (e.bank.change_every <= Duration(0)) b.Fault("change_every_ms", "0", "more than 0");
-      if (e.bank.hollow_stall <= Duration(0)) b.Fault("hollow_stall_ms", "0", "more than 0");
+      if (e.bank.change_every <= Duration(0)) {
+        b.Fault("change_every_ms", "0", "more than 0");
+      }
+      if (e.bank.hollow_stall <= Duration(0)) {
+        b.Fault("hollow_stall_ms", "0", "more than 0");
+      }
     });
     t.One("rules", [&](Table& r) { ReadRules(r, e); });
     t.Each("faults", [&](Table& f) { e.faults.push_back(ReadFault(f)); });
@@ -628,28 +721,38 @@
 
 Experiment ReadExperiment(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw ExperimentError(fmt::format("{}: cannot read it, expected a file", path));
+  if (!file) {
+    throw ExperimentError(fmt::format("{}: cannot read it, expected a file", path));
+  }
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   return ParseExperiment(text, path);
 }
 
 std::string SettingsJson(const Experiment& e, size_t gateway) {
   using nlohmann::json;
-  const auto ms = [](Duration d) { return static_cast<double>(d.count()) / 1000; };
+  const auto ms = [](Duration d) {
+    return static_cast<double>(d.count()) / 1000;
+  };
   json classes = json::array(), tenants = json::array();
   for (const ClassSpec& c : e.classes) {
-    if (!c.listed) continue;
-    json entry = {
-        {"Name", c.name},         {"Effect", kEffects[static_cast<size_t>(c.rules.idempotency)].first},
-        {"Slo", ms(c.rules.latency_objective)}, {"Deadline", ms(c.rules.deadline)},
-        {"Worth", c.rules.priority_weight}, {"LateShare", c.rules.late_value_fraction}};
+    if (!c.listed) {
+      continue;
+    }
+    json entry = {{"Name", c.name},
+                  {"Effect", kEffects[static_cast<size_t>(c.rules.idempotency)].first},
+                  {"Slo", ms(c.rules.latency_objective)},
+                  {"Deadline", ms(c.rules.deadline)},
+                  {"Worth", c.rules.priority_weight},
+                  {"LateShare", c.rules.late_value_fraction}};
     if (c.rules.idempotency == Idempotency::kKeyed) {
       entry["Group"] = kGroups[static_cast<size_t>(c.rules.deduplication_scope)].first;
       entry["Window"] = ms(c.rules.deduplication_window);
     }
     classes.push_back(std::move(entry));
   }
-  for (const TenantSpec& t : e.tenants) tenants.push_back({{"Name", t.name}, {"Share", t.share}});
+  for (const TenantSpec& t : e.tenants) {
+    tenants.push_back({{"Name", t.name}, {"Share", t.share}});
+  }
   json settings = {
       {"Me", gateway},
       {"NInstances", e.gateway.count},
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -130,9 +130,20 @@
   kLinkNoise
 };
 // Which way a link's fault goes, as the gateway that is named sees it.
-enum class Ways { kBoth, kOut, kIn };
+enum class Ways {
+  kBoth,
+  kOut,
+  kIn
+};
 // What a gateway that was killed has of its disk when it comes back, and what a disk does.
-enum class DiskIs { kKept, kOld, kNone, kFull, kSlow, kSyncFails };
+enum class DiskIs {
+  kKept,
+  kOld,
+  kNone,
+  kFull,
+  kSlow,
+  kSyncFails
+};
 // How an answer is spoilt.
 enum class TamperOutgoing {
   kAny,
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -62,7 +62,9 @@
 
   void Answer(std::string text, bool over = true) {
     stream_.Write(std::move(text));
-    if (over) Over();
+    if (over) {
+      Over();
+    }
   }
   // The answer to the request in hand is out; what waits behind it may come.
   void Over();
@@ -73,7 +75,9 @@
   }
   void Reset() {
     const linger now{1, 0};
-    if (!stream_.closed()) setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    if (!stream_.closed()) {
+      setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    }
     stream_.Close();
   }
   void Close() { stream_.Close(); }
@@ -114,8 +118,8 @@
                profile.group->cell,
                Phase::kActive,
                started ? WallMs() : 0};
-    listener_ =
-        std::make_unique<Listener>(fleet.loop_, address, [this](FileDescriptor fd) { Accept(std::move(fd)); });
+    listener_ = std::make_unique<Listener>(fleet.loop_, address,
+                                           [this](FileDescriptor fd) { Accept(std::move(fd)); });
   }
   ~Host() { fleet_.loop_.CancelTimer(timer_); }
   Host(const Host&) = delete;
@@ -141,12 +145,16 @@
   [[nodiscard]] size_t connections() const { return connections_.size(); }
 
   void Accept(FileDescriptor fd) {
-    if (connections_.size() >= profile_.group->connections_most) return;  // closed at once
+    if (connections_.size() >= profile_.group->connections_most) {
+      return;  // closed at once
+    }
     connections_.push_back(std::make_shared<Connection>(*this, fleet_.loop_, std::move(fd)));
     Connection& connection = *connections_.back();
     connection.place = std::prev(connections_.end());
     connection.used_ = Now();
-    if (!connection.Start()) return Drop(connection);
+    if (!connection.Start()) {
+      return Drop(connection);
+    }
     model_.Burden(Now(), profile_.group->handshake);
     Plan();
   }
@@ -166,9 +174,13 @@
 
   void OnRequest(Connection& connection, const HttpMessage& m, std::string_view base) {
     const std::string_view target = m.target.In(base);
-    if (target == "/_load" || target == "/ping") return OnProbe(connection, target == "/_load");
+    if (target == "/_load" || target == "/ping") {
+      return OnProbe(connection, target == "/_load");
+    }
     const auto id = m.FindHeader(base, "X-Call-Id");
-    if (!id) return connection.Answer(Head(404, 0));
+    if (!id) {
+      return connection.Answer(Head(404, 0));
+    }
     Ledger& ledger = fleet_.ledger_;
     const size_t n = ledger.Find(*id);
     if (n == SIZE_MAX) {
@@ -179,8 +191,12 @@
         ledger.Received(Now(), n, place_, ZonePlace(), listed_.cell, connection.first_);
     connection.receipt_ = receipt;
     connection.try_ = n;
-    if (silent > 0 || Befalls(n, half_dead, 1)) return;  // swallowed: nobody ever answers
-    if (Befalls(n, turned_away, 2)) return TurnAway(connection);
+    if (silent > 0 || Befalls(n, half_dead, 1)) {
+      return;  // swallowed: nobody ever answers
+    }
+    if (Befalls(n, turned_away, 2)) {
+      return TurnAway(connection);
+    }
     if (Befalls(n, errors, 3)) {
       return Later(kErrorAfter, connection, [](Connection& c) { c.Answer(Head(500, 0)); });
     }
@@ -192,12 +208,14 @@
     }
     const AskFacts& facts = ledger.FactsOf(n);
     switch (model_.Arrive(Now(), receipt + 1, facts.work, facts.wait)) {
-      case HostModel::Arrival::kFull: return TurnAway(connection);
+      case HostModel::Arrival::kFull:
+        return TurnAway(connection);
       case HostModel::Arrival::kFell:
         ledger.FellOver(Now(), listed_.id);
         fleet_.loop_.RunDeferred([this] { Die(); });
         return;
-      case HostModel::Arrival::kTaken: break;
+      case HostModel::Arrival::kTaken:
+        break;
     }
     jobs_[receipt + 1] = &connection;
     Plan();
@@ -205,11 +223,15 @@
 
   // Hosts close what has idled for as long as the gateways were told, or a moment longer.
   void CloseIdle() {
-    if (cut_off || !up()) return;
+    if (cut_off || !up()) {
+      return;
+    }
     const Time before = Now() - fleet_.experiment_.idle_close;
     for (auto at = connections_.begin(); at != connections_.end();) {
       Connection& connection = **at++;
-      if (!connection.busy() && !connection.begun_ && connection.used_ < before) Drop(connection);
+      if (!connection.busy() && !connection.begun_ && connection.used_ < before) {
+        Drop(connection);
+      }
     }
   }
 
@@ -226,7 +248,9 @@
 
   // A link that is cut: nothing comes or goes. When it is back, the old connections are reset.
   void CutOff(bool off) {
-    if (!up()) return;
+    if (!up()) {
+      return;
+    }
     cut_off = off;
     if (!off) {
       while (!connections_.empty()) {
@@ -241,17 +265,23 @@
   void Stand(bool still) {
     model_.Stand(Now(), still);
     Plan();
-    if (still) return;
+    if (still) {
+      return;
+    }
     for (auto at = connections_.begin(); at != connections_.end();) {
       const std::shared_ptr<Connection> connection = *at++;
-      if (connection->waits_) connection->Look();
+      if (connection->waits_) {
+        connection->Look();
+      }
     }
   }
 
   void Plan() {
     fleet_.loop_.CancelTimer(timer_);
     const auto next = model_.Next();
-    if (!next) return;
+    if (!next) {
+      return;
+    }
     timer_ = fleet_.loop_.RunAfter(*next - Now(), [this] {
       timer_ = {};
       Finish();
@@ -261,10 +291,14 @@
   void Finish() {
     for (const uint64_t job : model_.Advance(Now())) {
       const auto at = jobs_.find(job);
-      if (at == jobs_.end()) continue;  // its client side has gone
+      if (at == jobs_.end()) {
+        continue;  // its client side has gone
+      }
       Connection& connection = *at->second;
       jobs_.erase(at);
-      if (!cut_off) Serve(connection);
+      if (!cut_off) {
+        Serve(connection);
+      }
     }
     Plan();
   }
@@ -306,7 +340,9 @@
   void Later(Duration after, Connection& connection, std::function<void(Connection&)> then) {
     fleet_.loop_.RunAfter(
         after, [kept = *connection.place, receipt = connection.receipt(), then = std::move(then)] {
-          if (!kept->closed() && kept->receipt() == receipt) then(*kept);
+          if (!kept->closed() && kept->receipt() == receipt) {
+            then(*kept);
+          }
         });
   }
 
@@ -316,14 +352,17 @@
     const std::string body =
         MakeAnswerBody(ledger.IdOf(n), connection.receipt(), ledger.FactsOf(n).answer_bytes);
     const std::string good = Head(200, body.size()) + body;
-    if (!Befalls(n, spoilt, 5)) return connection.Answer(good);
+    if (!Befalls(n, spoilt, 5)) {
+      return connection.Answer(good);
+    }
     TamperOutgoing how = spoil;
     if (how == TamperOutgoing::kAny) {
       // Not a length too short with its rest behind it: that is a good answer and noise, to
       // anybody.
-      constexpr std::array kAll = {TamperOutgoing::kNoise,       TamperOutgoing::kBadHead, TamperOutgoing::kEndlessHead,
-                                   TamperOutgoing::kLongLength,  TamperOutgoing::kHuge,    TamperOutgoing::kSecondAnswer,
-                                   TamperOutgoing::kNoiseBehind, TamperOutgoing::kInterim, TamperOutgoing::kBadReport};
+      constexpr std::array kAll = {
+          TamperOutgoing::kNoise,       TamperOutgoing::kBadHead, TamperOutgoing::kEndlessHead,
+          TamperOutgoing::kLongLength,  TamperOutgoing::kHuge,    TamperOutgoing::kSecondAnswer,
+          TamperOutgoing::kNoiseBehind, TamperOutgoing::kInterim, TamperOutgoing::kBadReport};
       how = kAll[static_cast<size_t>(Draw(fleet_.seed_, n, 77) * kAll.size())];
     }
     // What is of no further use stays open, and its receipt is out until the other side ends it.
@@ -336,16 +375,21 @@
         }
         return connection.Answer(noise, false);
       }
-      case TamperOutgoing::kBadHead: return connection.Answer("HTTP/1.1 2x0 OK\r\n" + good, false);
+      case TamperOutgoing::kBadHead:
+        return connection.Answer("HTTP/1.1 2x0 OK\r\n" + good, false);
       case TamperOutgoing::kEndlessHead:
         return connection.Answer("HTTP/1.1 200 OK\r\nX-Long: " + std::string(1 << 16, 'y'), false);
-      case TamperOutgoing::kShortLength: return connection.Answer(Head(200, body.size() / 2) + body);
-      case TamperOutgoing::kLongLength: return connection.Answer(Head(200, body.size() + 100) + body, false);
+      case TamperOutgoing::kShortLength:
+        return connection.Answer(Head(200, body.size() / 2) + body);
+      case TamperOutgoing::kLongLength:
+        return connection.Answer(Head(200, body.size() + 100) + body, false);
       case TamperOutgoing::kHuge:
         connection.Answer(Head(200, kHuge) + body, false);
         return connection.Flood();
-      case TamperOutgoing::kSecondAnswer: return connection.Answer(good + good);
-      case TamperOutgoing::kNoiseBehind: return connection.Answer(good + "noise that nobody asked for");
+      case TamperOutgoing::kSecondAnswer:
+        return connection.Answer(good + good);
+      case TamperOutgoing::kNoiseBehind:
+        return connection.Answer(good + "noise that nobody asked for");
       case TamperOutgoing::kInterim:
         return connection.Answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" +
                                  good);
@@ -374,44 +418,64 @@
   }
   // What came meanwhile is looked at after the handler at work.
   host_.fleet_.loop_.RunDeferred([kept = *place] {
-    if (!kept->closed()) kept->OnData();
+    if (!kept->closed()) {
+      kept->OnData();
+    }
   });
 }
 
 void Fleet::Connection::OnData() {
   if (host_.cut_off || busy() || stream_.closed()) {
     // A request in hand whose connection ends is over for its host.
-    if (!host_.cut_off && busy() && stream_.ended()) host_.Drop(*this);
+    if (!host_.cut_off && busy() && stream_.ended()) {
+      host_.Drop(*this);
+    }
     return;
   }
-  if (!stream_.input().empty() && !std::exchange(begun_, true)) first_ = host_.Now();
+  if (!stream_.input().empty() && !std::exchange(begun_, true)) {
+    first_ = host_.Now();
+  }
   if (!stream_.input().empty()) {
-    if ((waits_ = host_.model_.standing())) return;
+    if ((waits_ = host_.model_.standing())) {
+      return;
+    }
     switch (parser_.Feed(stream_.input())) {
-      case ParseProgress::kMalformed: return host_.Drop(*this);
+      case ParseProgress::kMalformed:
+        return host_.Drop(*this);
       case ParseProgress::kDone: {
         const HttpMessage message = parser_.message();
         Buffer bytes = stream_.input().TakeFront(message.total_bytes);
         parser_.Reset();
         begun_ = false;
         host_.OnRequest(*this, message, bytes.view());
-        if (!stream_.closed()) stream_.ResumeReading();
+        if (!stream_.closed()) {
+          stream_.ResumeReading();
+        }
         return;
       }
-      case ParseProgress::kNeedMore: break;
+      case ParseProgress::kNeedMore:
+        break;
     }
   }
-  if (stream_.ended()) host_.Drop(*this);
+  if (stream_.ended()) {
+    host_.Drop(*this);
+  }
 }
 
 void Fleet::Connection::OnWriteComplete() {
-  if (!flooding_ || stream_.closed()) return;
+  if (!flooding_ || stream_.closed()) {
+    return;
+  }
   host_.fleet_.loop_.RunAfterRound([kept = *place] {
-    if (!kept->closed()) kept->stream_.Write(std::string(kHugePiece, 'x'));
+    if (!kept->closed()) {
+      kept->stream_.Write(std::string(kHugePiece, 'x'));
+    }
   });
 }
 
-void Fleet::Connection::OnError() { host_.Drop(*this); }
+void Fleet::Connection::OnError() {
+  host_.Drop(*this);
+}
 
 // ---- The fleet ----------------------------------------------------------------------------------
 
@@ -424,7 +488,9 @@
       changed_(std::move(changed)),
       rng_(seed ^ 0x5f1ee7) {}
 
-Fleet::~Fleet() { loop_.CancelTimer(tidy_); }
+Fleet::~Fleet() {
+  loop_.CancelTimer(tidy_);
+}
 
 void Fleet::Start() {
   Tidy();
@@ -445,7 +511,9 @@
 
 void Fleet::Tidy() {
   tidy_ = loop_.RunAfter(kTidyEvery, [this] {
-    for (const auto& host : hosts_) host->CloseIdle();
+    for (const auto& host : hosts_) {
+      host->CloseIdle();
+    }
     Tidy();
   });
 }
@@ -460,7 +528,9 @@
 std::vector<ListedHost> Fleet::List() const {
   std::vector<ListedHost> out;
   for (const auto& host : hosts_) {
-    if (host->listed().phase != Phase::kLeft) out.push_back(host->listed());
+    if (host->listed().phase != Phase::kLeft) {
+      out.push_back(host->listed());
+    }
   }
   return out;
 }
@@ -469,14 +539,22 @@
   std::vector<size_t> there;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     const ListedHost& listed = hosts_[i]->listed();
-    if (listed.phase != Phase::kActive || !hosts_[i]->up()) continue;
-    if (!fault.zone.empty() && listed.zone != fault.zone) continue;
+    if (listed.phase != Phase::kActive || !hosts_[i]->up()) {
+      continue;
+    }
+    if (!fault.zone.empty() && listed.zone != fault.zone) {
+      continue;
+    }
     // A host's successors go by its name.
     const std::string name = listed.id.substr(0, listed.id.find('.'));
-    if (!fault.names.empty() && std::ranges::count(fault.names, name) == 0) continue;
+    if (!fault.names.empty() && std::ranges::count(fault.names, name) == 0) {
+      continue;
+    }
     there.push_back(i);
   }
-  if (!fault.names.empty()) return there;
+  if (!fault.names.empty()) {
+    return there;
+  }
   std::ranges::shuffle(there, rng_);
   const auto share =
       static_cast<size_t>(std::ceil(fault.hosts * static_cast<double>(there.size()) - 1e-9));
@@ -496,7 +574,9 @@
   host.listed().phase = Phase::kLeft;
   changed_(host.listed(), lag);
   loop_.RunAfter(down, [this, profile, id, address, lag, alive = std::weak_ptr(alive_)] {
-    if (alive.expired()) return;
+    if (alive.expired()) {
+      return;
+    }
     const size_t next = Add(profile, id, address, Now());
     changed_(hosts_[next]->listed(), lag);
   });
@@ -519,19 +599,37 @@
   for (const size_t place : chosen) {
     Host& host = *hosts_[place];
     switch (fault.kind) {
-      case FaultKind::kSlow: host.model().Slow(now, fault.factor); break;
-      case FaultKind::kSilent: ++host.silent; break;
-      case FaultKind::kErrors: host.errors = fault.share; break;
-      case FaultKind::kNeighbour: host.model().Neighbour(now, fault.factor); break;
-      case FaultKind::kResets: host.resets = fault.share; break;
-      case FaultKind::kTurnedAway: host.turned_away = fault.share; break;
+      case FaultKind::kSlow:
+        host.model().Slow(now, fault.factor);
+        break;
+      case FaultKind::kSilent:
+        ++host.silent;
+        break;
+      case FaultKind::kErrors:
+        host.errors = fault.share;
+        break;
+      case FaultKind::kNeighbour:
+        host.model().Neighbour(now, fault.factor);
+        break;
+      case FaultKind::kResets:
+        host.resets = fault.share;
+        break;
+      case FaultKind::kTurnedAway:
+        host.turned_away = fault.share;
+        break;
       case FaultKind::kSpoilt:
         host.spoilt = fault.share;
         host.spoil = fault.spoil;
         break;
-      case FaultKind::kHalfDead: host.half_dead = fault.share; break;
-      case FaultKind::kCutOff: host.CutOff(true); break;
-      case FaultKind::kRestart: Restart(place, fault.down, fault.lag); break;
+      case FaultKind::kHalfDead:
+        host.half_dead = fault.share;
+        break;
+      case FaultKind::kCutOff:
+        host.CutOff(true);
+        break;
+      case FaultKind::kRestart:
+        Restart(place, fault.down, fault.lag);
+        break;
       case FaultKind::kKill:
         host.Die();
         host.listed().phase = Phase::kLeft;
@@ -541,12 +639,15 @@
         host.listed().phase = Phase::kLeaving;
         changed_(host.listed(), fault.lag);
         if (fault.leave > Duration(0)) {
-          loop_.RunAfter(fault.leave, [this, place, lag = fault.lag, alive = std::weak_ptr(alive_)] {
-            if (alive.expired()) return;
-            hosts_[place]->Die();
-            hosts_[place]->listed().phase = Phase::kLeft;
-            changed_(hosts_[place]->listed(), lag);
-          });
+          loop_.RunAfter(fault.leave,
+                         [this, place, lag = fault.lag, alive = std::weak_ptr(alive_)] {
+                           if (alive.expired()) {
+                             return;
+                           }
+                           hosts_[place]->Die();
+                           hosts_[place]->listed().phase = Phase::kLeft;
+                           changed_(hosts_[place]->listed(), lag);
+                         });
         }
         break;
       case FaultKind::kStall: {
@@ -554,20 +655,26 @@
         const int turn = ++host.stalls;
         const auto stall = [this, place, turn, fault,
                             alive = std::weak_ptr(alive_)](const auto& again) -> void {
-          if (alive.expired() || hosts_[place]->stalls != turn || !hosts_[place]->up()) return;
+          if (alive.expired() || hosts_[place]->stalls != turn || !hosts_[place]->up()) {
+            return;
+          }
           hosts_[place]->Stand(true);
           loop_.RunAfter(fault.stop, [this, place, alive] {
-            if (!alive.expired() && hosts_[place]->up()) hosts_[place]->Stand(false);
+            if (!alive.expired() && hosts_[place]->up()) {
+              hosts_[place]->Stand(false);
+            }
           });
           loop_.RunAfter(fault.every, [again] { again(again); });
         };
         // Not all in step.
         const double part = Draw(seed_, place, 99);
-        loop_.RunAfter(Duration(static_cast<int64_t>(part * static_cast<double>(fault.every.count()))),
-                    [stall] { stall(stall); });
+        loop_.RunAfter(
+            Duration(static_cast<int64_t>(part * static_cast<double>(fault.every.count()))),
+            [stall] { stall(stall); });
         break;
       }
-      default: break;
+      default:
+        break;
     }
     host.Plan();
   }
@@ -577,19 +684,42 @@
   const Time now = Now();
   for (const size_t place : chosen) {
     Host& host = *hosts_[place];
-    if (!host.up()) continue;
+    if (!host.up()) {
+      continue;
+    }
     switch (fault.kind) {
-      case FaultKind::kSlow: host.model().Slow(now, 1); break;
-      case FaultKind::kSilent: --host.silent; break;
-      case FaultKind::kErrors: host.errors = 0; break;
-      case FaultKind::kNeighbour: host.model().Neighbour(now, 0); break;
-      case FaultKind::kResets: host.resets = 0; break;
-      case FaultKind::kTurnedAway: host.turned_away = 0; break;
-      case FaultKind::kSpoilt: host.spoilt = 0; break;
-      case FaultKind::kHalfDead: host.half_dead = 0; break;
-      case FaultKind::kCutOff: host.CutOff(false); break;
-      case FaultKind::kStall: ++host.stalls; break;
-      default: break;
+      case FaultKind::kSlow:
+        host.model().Slow(now, 1);
+        break;
+      case FaultKind::kSilent:
+        --host.silent;
+        break;
+      case FaultKind::kErrors:
+        host.errors = 0;
+        break;
+      case FaultKind::kNeighbour:
+        host.model().Neighbour(now, 0);
+        break;
+      case FaultKind::kResets:
+        host.resets = 0;
+        break;
+      case FaultKind::kTurnedAway:
+        host.turned_away = 0;
+        break;
+      case FaultKind::kSpoilt:
+        host.spoilt = 0;
+        break;
+      case FaultKind::kHalfDead:
+        host.half_dead = 0;
+        break;
+      case FaultKind::kCutOff:
+        host.CutOff(false);
+        break;
+      case FaultKind::kStall:
+        ++host.stalls;
+        break;
+      default:
+        break;
     }
     host.Plan();
   }
@@ -598,14 +728,18 @@
 std::vector<std::pair<std::string, size_t>> Fleet::InFlight() const {
   std::vector<std::pair<std::string, size_t>> out;
   for (const auto& host : hosts_) {
-    if (host->up()) out.emplace_back(host->listed().id, host->model().inflight());
+    if (host->up()) {
+      out.emplace_back(host->listed().id, host->model().inflight());
+    }
   }
   return out;
 }
 
 size_t Fleet::connections() const {
   size_t count = 0;
-  for (const auto& host : hosts_) count += host->connections();
+  for (const auto& host : hosts_) {
+    count += host->connections();
+  }
   return count;
 }
 
--- a/src/lab/fleet.h
+++ b/src/lab/fleet.h
@@ -19,7 +19,11 @@
 
 namespace paddlestile::lab {
 
-enum class Phase { kActive, kLeaving, kLeft };
+enum class Phase {
+  kActive,
+  kLeaving,
+  kLeft
+};
 
 // A host as a source of servers tells of it.
 struct ListedHost {
--- a/src/lab/fleet_report.cpp
+++ b/src/lab/fleet_report.cpp
@@ -70,10 +70,14 @@
 // `bad`: it ought to be JSON and is not.
 std::optional<std::string> MessageOf(std::string_view line, bool& bad) {
   const size_t object = line.find("{\"time\":");
-  if (object == std::string_view::npos) return std::string(line);
+  if (object == std::string_view::npos) {
+    return std::string(line);
+  }
   const json parsed = json::parse(line.substr(object), nullptr, false);
   bad = !parsed.is_object() || !parsed.contains("message") || !parsed["message"].is_string();
-  if (bad) return std::nullopt;
+  if (bad) {
+    return std::nullopt;
+  }
   return parsed["message"].get<std::string>();
 }
 
@@ -81,7 +85,9 @@
   size_t used = 0;
   try {
     const double value = std::stod(text, &used);
-    if (used == text.size() && std::isfinite(value) && value >= 0) return value;
+    if (used == text.size() && std::isfinite(value) && value >= 0) {
+      return value;
+    }
   } catch (const std::exception&) {  // no number
   }
   return std::nullopt;
@@ -98,14 +104,18 @@
     std::error_code error;
     std::vector<fs::path> files;
     for (const auto& entry : fs::directory_iterator(folder, error)) {
-      if (entry.is_regular_file(error)) files.push_back(entry.path());
+      if (entry.is_regular_file(error)) {
+        files.push_back(entry.path());
+      }
     }
     if (error) {
       throw std::runtime_error(
           fmt::format("{}: {}, expected a folder of gateways' logs", folder, error.message()));
     }
     std::ranges::sort(files);
-    for (const fs::path& file : files) ReadFile(file);
+    for (const fs::path& file : files) {
+      ReadFile(file);
+    }
     report_.files = files.size();
     if (lives_.empty()) {
       throw std::runtime_error(fmt::format(
@@ -129,13 +139,17 @@
   void ReadFile(const fs::path& path) {
     const std::string name = path.filename().string();
     std::ifstream file(path, std::ios::binary);
-    if (!file) return Remark(name + ": cannot be read, left out");
+    if (!file) {
+      return Remark(name + ": cannot be read, left out");
+    }
     size_t number = 0, cut = 0, first_cut = 0, untimed = 0, found = 0, empty = 0;
     std::string line;
     while (std::getline(file, line)) {
       ++number;
       const bool whole = !file.eof();  // its end was read, too
-      if (line.empty()) ++empty;
+      if (line.empty()) {
+        ++empty;
+      }
       bool bad = line.size() > kLongestLine;
       if (!bad && line.find("counters: ") != std::string::npos) {
         const std::optional<std::string> message = MessageOf(line, bad);
@@ -148,7 +162,9 @@
           found += taken == kTaken ? 1 : 0;
         }
       }
-      if (bad && ++cut == 1) first_cut = number;
+      if (bad && ++cut == 1) {
+        first_cut = number;
+      }
     }
     if (cut > 0) {
       Remark(fmt::format("{}: {} line{} cut or malformed, left out, the first is line {}", name,
@@ -158,11 +174,17 @@
       Remark(fmt::format("{}: {} line{} of counters without gateway, since or at, left out", name,
                          untimed, untimed == 1 ? "" : "s"));
     }
-    if (found + untimed + cut == 0) Remark(name + ": no line of counters");
+    if (found + untimed + cut == 0) {
+      Remark(name + ": no line of counters");
+    }
     report_.lines += found;
   }
 
-  enum Taking { kTaken, kUntimed, kCut };
+  enum Taking {
+    kTaken,
+    kUntimed,
+    kCut
+  };
 
   Taking Take(const std::string& text) {
     Beat beat;
@@ -173,30 +195,43 @@
       const size_t end = std::min(text.find(' ', at), text.size());
       const std::string word = text.substr(at, end - at);
       at = end + 1;
-      if (word.empty()) continue;
+      if (word.empty()) {
+        continue;
+      }
       const size_t equals = word.find('=');
       // Two lines run into one name a counter twice.
-      if (equals == 0 || equals == std::string::npos) return kCut;
+      if (equals == 0 || equals == std::string::npos) {
+        return kCut;
+      }
       const std::string name = word.substr(0, equals), value = word.substr(equals + 1);
-      if (!met.insert(name).second) return kCut;
+      if (!met.insert(name).second) {
+        return kCut;
+      }
       if (name == "life") {
         beat.stage = value;
       } else if (name == "gateway") {
         key.first = value;
       } else if (name == "since") {
-        if (!NumberOf(value)) return kCut;
+        if (!NumberOf(value)) {
+          return kCut;
+        }
         key.second = value;
       } else {
         const std::optional<double> number = NumberOf(value);
-        if (!number) return kCut;
+        if (!number) {
+          return kCut;
+        }
         if (name == "at") {
-          beat.at = *number, timed = true;
+          beat.at = *number;
+          timed = true;
         } else {
           beat.counts[name] = *number;
         }
       }
     }
-    if (!timed || key.first.empty() || key.second.empty()) return kUntimed;
+    if (!timed || key.first.empty() || key.second.empty()) {
+      return kUntimed;
+    }
     lives_[key].emplace(beat.at, std::move(beat));  // the same line again is the same beat
     return kTaken;
   }
@@ -209,7 +244,8 @@
       first = std::min({first, beats.begin()->first, std::stod(key.second)});
       last = std::max(last, beats.rbegin()->first);
     }
-    report_.gateways = names.size(), report_.lives = lives_.size();
+    report_.gateways = names.size();
+    report_.lives = lives_.size();
     report_.from_unix_s = std::floor(first);
     if (last - first > kLongestRun) {
       throw std::runtime_error(fmt::format("{}: its lines span {:.0f} s, expected a day at most",
@@ -218,9 +254,13 @@
     const auto seconds =
         static_cast<size_t>(std::max(1.0, std::ceil(last - kClockStep - report_.from_unix_s)));
     report_.seconds.resize(seconds);
-    for (size_t i = 0; i < seconds; ++i) report_.seconds[i].at_s = static_cast<double>(i);
+    for (size_t i = 0; i < seconds; ++i) {
+      report_.seconds[i].at_s = static_cast<double>(i);
+    }
     const double length = static_cast<double>(seconds);
-    if (report_.phases.empty()) report_.phases.push_back({"all", 0, length});
+    if (report_.phases.empty()) {
+      report_.phases.push_back({"all", 0, length});
+    }
     for (const Phase& phase : report_.phases) {
       if (phase.from_s >= length) {
         Remark(fmt::format("phase {}: begins at {} s, the run has {:.0f} s", phase.name,
@@ -231,8 +271,12 @@
       Remark(fmt::format("{} gateways tell of themselves, expected {}", names.size(),
                          options_.expected_gateways));
     }
-    for (const auto& [key, beats] : lives_) AddLife(key, beats, last);
-    if (unsaid_ > 0) report_.remarks.push_back(fmt::format("and {} remarks more", unsaid_));
+    for (const auto& [key, beats] : lives_) {
+      AddLife(key, beats, last);
+    }
+    if (unsaid_ > 0) {
+      report_.remarks.push_back(fmt::format("and {} remarks more", unsaid_));
+    }
   }
 
   void AddLife(const LifeKey& key, const std::map<double, Beat>& beats, double last) {
@@ -240,7 +284,9 @@
     std::vector<double> steps;
     const std::map<std::string, double> none;
     const std::map<std::string, double>* counts = &none;
-    const auto since_start = [&](double at) { return at - report_.from_unix_s; };
+    const auto since_start = [&](double at) {
+      return at - report_.from_unix_s;
+    };
     for (const auto& [at, beat] : beats) {
       for (const auto& [name, value] : beat.counts) {
         if (kGauges.contains(name)) {
@@ -257,10 +303,15 @@
         }
       }
       ++At(since_start(at) - kClockStep).stages[beat.stage];
-      if (counts != &none) steps.push_back(at - before);
-      before = at, counts = &beat.counts;
+      if (counts != &none) {
+        steps.push_back(at - before);
+      }
+      before = at;
+      counts = &beat.counts;
+    }
+    if (steps.empty()) {
+      return;
     }
-    if (steps.empty()) return;
     std::vector<double> sorted = steps;
     std::ranges::nth_element(sorted, sorted.begin() + static_cast<long>(sorted.size() / 2));
     const double step = std::max(sorted[sorted.size() / 2], 0.1);
@@ -306,20 +357,26 @@
   double sum = 0;
   for (const std::string& counter : column.counters) {
     const auto at = second.counts.find(counter);
-    if (at != second.counts.end()) sum += at->second;
+    if (at != second.counts.end()) {
+      sum += at->second;
+    }
   }
   return sum;
 }
 
 double Of(const FleetReport& report, const Column& column, const Phase& phase) {
   double sum = 0;
-  for (const std::string& counter : column.counters) sum += report.Sum(counter, phase);
+  for (const std::string& counter : column.counters) {
+    sum += report.Sum(counter, phase);
+  }
   return sum;
 }
 
 size_t Tellers(const FleetSecond& second) {
   size_t n = 0;
-  for (const auto& [stage, count] : second.stages) n += count;
+  for (const auto& [stage, count] : second.stages) {
+    n += count;
+  }
   return n;
 }
 
@@ -336,12 +393,16 @@
 std::vector<Plot> PlotsOf(const FleetReport& r) {
   const auto by = [&](const Column& column) {
     Series series{column.title, {}};
-    for (const FleetSecond& s : r.seconds) series.points.emplace_back(s.at_s + 0.5, Of(s, column));
+    for (const FleetSecond& s : r.seconds) {
+      series.points.emplace_back(s.at_s + 0.5, Of(s, column));
+    }
     return series;
   };
   const auto plot = [&](std::string id, std::string title, size_t from, size_t to) {
     Plot p{std::move(id), std::move(title), "a second", {}};
-    for (size_t i = from; i < to; ++i) p.series.push_back(by(Columns()[i]));
+    for (size_t i = from; i < to; ++i) {
+      p.series.push_back(by(Columns()[i]));
+    }
     return p;
   };
   std::vector<Plot> plots = {
@@ -353,7 +414,9 @@
       "stages", "Gateways that told of themselves, by the stage of their lives", "gateways", {}};
   std::set<std::string> names;
   for (const FleetSecond& s : r.seconds) {
-    for (const auto& [stage, count] : s.stages) names.insert(stage);
+    for (const auto& [stage, count] : s.stages) {
+      names.insert(stage);
+    }
   }
   Plot gauges{"gauges", "Memory and descriptors of a gateway, in the mean", "MB; tens", {}};
   for (const auto& [title, counter, unit] : {std::tuple{"memory, MB", "memory_kb", 1024.0},
@@ -389,7 +452,9 @@
   if (equals != std::string::npos && equals > 0 && dash != std::string::npos) {
     const auto from = NumberOf(text.substr(equals + 1, dash - equals - 1));
     const auto to = NumberOf(text.substr(dash + 1));
-    if (from && to && *from < *to) return {text.substr(0, equals), *from, *to};
+    if (from && to && *from < *to) {
+      return {text.substr(0, equals), *from, *to};
+    }
   }
   throw std::runtime_error(
       fmt::format("--phase {}: expected NAME=FROM-TO in seconds, such as restart=10-20", text));
@@ -400,7 +465,9 @@
   for (const FleetSecond& second : seconds) {
     const double part = std::min(second.at_s + 1, phase.to_s) - std::max(second.at_s, phase.from_s);
     const auto at = second.counts.find(counter);
-    if (part > 0 && at != second.counts.end()) sum += part * at->second;
+    if (part > 0 && at != second.counts.end()) {
+      sum += part * at->second;
+    }
   }
   return sum;
 }
@@ -411,18 +478,26 @@
 
 std::string ToText(const FleetReport& r) {
   std::string out = Head(r) + "\n";
-  for (const std::string& remark : r.remarks) out += "  " + remark + "\n";
+  for (const std::string& remark : r.remarks) {
+    out += "  " + remark + "\n";
+  }
   out += fmt::format("{:>10} {:>8}", "second", "gateways");
-  for (const Column& column : Columns()) out += fmt::format(" {:>8}", column.title);
+  for (const Column& column : Columns()) {
+    out += fmt::format(" {:>8}", column.title);
+  }
   out += "\n";
   for (const FleetSecond& s : r.seconds) {
     out += fmt::format("{:>10.0f} {:>8}", s.at_s, Tellers(s));
-    for (const Column& column : Columns()) out += fmt::format(" {:>8.0f}", Of(s, column));
+    for (const Column& column : Columns()) {
+      out += fmt::format(" {:>8.0f}", Of(s, column));
+    }
     out += "\n";
   }
   for (const Phase& phase : r.phases) {
     out += fmt::format("{:>10.10} {:>8}", phase.name, "sum");
-    for (const Column& column : Columns()) out += fmt::format(" {:>8.0f}", Of(r, column, phase));
+    for (const Column& column : Columns()) {
+      out += fmt::format(" {:>8.0f}", Of(r, column, phase));
+    }
     out += "\n";
   }
   return out;
@@ -436,12 +511,16 @@
   std::set<std::string> names;
   for (const FleetSecond& s : r.seconds) {
     for (const auto& [name, value] : s.counts) {
-      if (!kGauges.contains(name)) names.insert(name);
+      if (!kGauges.contains(name)) {
+        names.insert(name);
+      }
     }
   }
   for (const Phase& phase : r.phases) {
     json sums = json::object();
-    for (const std::string& name : names) sums[name] = r.Sum(name, phase);
+    for (const std::string& name : names) {
+      sums[name] = r.Sum(name, phase);
+    }
     phases.push_back(
         {{"name", phase.name}, {"from_s", phase.from_s}, {"to_s", phase.to_s}, {"counts", sums}});
   }
@@ -458,11 +537,15 @@
       Escape(r.folder), kPageStyle, Escape(Head(r)));
   if (!r.remarks.empty()) {
     out += "<ul>";
-    for (const std::string& remark : r.remarks) out += fmt::format("<li>{}</li>", Escape(remark));
+    for (const std::string& remark : r.remarks) {
+      out += fmt::format("<li>{}</li>", Escape(remark));
+    }
     out += "</ul>\n";
   }
   out += "<table><tr><th>a second, in</th>";
-  for (const Phase& p : r.phases) out += fmt::format("<th>{}</th>", Escape(p.name));
+  for (const Phase& p : r.phases) {
+    out += fmt::format("<th>{}</th>", Escape(p.name));
+  }
   out += "</tr>\n";
   for (const Column& column : Columns()) {
     out += fmt::format("<tr><td>{}</td>", column.title);
@@ -481,7 +564,9 @@
     std::vector<PlotMark> marks;
     const double length = static_cast<double>(r.seconds.size());
     for (const Phase& p : r.phases) {
-      if (p.name != "all") marks.push_back({p.from_s, std::min(p.to_s, length), p.name});
+      if (p.name != "all") {
+        marks.push_back({p.from_s, std::min(p.to_s, length), p.name});
+      }
     }
     for (const Plot& plot : PlotsOf(r)) {
       const std::string svg = Draw(plot, length, marks, plot.id, folder, gnuplot);
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -9,16 +9,22 @@
 namespace {
 constexpr double kLatencyBlend = 0.1;  // weight of one request in the reported latency
 constexpr Duration kWarmStep{50'000};  // us; how often the speed of a warming host is set anew
-double Us(Duration d) { return static_cast<double>(d.count()); }
+double Us(Duration d) {
+  return static_cast<double>(d.count());
+}
 }  // namespace
 
 HostModel::HostModel(const HostTraits& traits, std::optional<Time> started)
     : traits_(traits), started_(started) {}
 
-bool HostModel::Cold(Time now) const { return started_ && now - *started_ < traits_.slow_start_duration; }
+bool HostModel::Cold(Time now) const {
+  return started_ && now - *started_ < traits_.slow_start_duration;
+}
 
 double HostModel::Rate(Time now) const {
-  if (standing_ || fallen_) return 0;
+  if (standing_ || fallen_) {
+    return 0;
+  }
   double warm = 1;
   if (Cold(now)) {
     const double age = std::max(0.0, Us(now - *started_) / Us(traits_.slow_start_duration));
@@ -27,7 +33,9 @@
   return traits_.speed * warm * (1 - taken_) / slow_;
 }
 
-double HostModel::Capacity(Time now) const { return Rate(now) * traits_.cores; }
+double HostModel::Capacity(Time now) const {
+  return Rate(now) * traits_.cores;
+}
 
 bool HostModel::PushedOver(Time now, Duration work) {
   if (!Cold(now)) {
@@ -43,14 +51,18 @@
   }
   // By what it could do without its present troubles: those are not the senders' doing.
   const double age = std::max(0.0, Us(now - *started_) / Us(traits_.slow_start_duration));
-  const double can = traits_.cores * traits_.speed *
-                     (traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age) * Us(traits_.fall);
+  const double can =
+      traits_.cores * traits_.speed *
+      (traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age) *
+      Us(traits_.fall);
   return sent_work_ > traits_.overload_collapse_multiple * can;
 }
 
 HostModel::Arrival HostModel::Arrive(Time now, uint64_t job, Duration work, Duration wait) {
   Progress(now);
-  if (fallen_) return Arrival::kFull;
+  if (fallen_) {
+    return Arrival::kFull;
+  }
   if (PushedOver(now, work)) {
     fallen_ = true;
     running_.clear();
@@ -60,7 +72,9 @@
     held_ = 0;
     return Arrival::kFell;
   }
-  if (held_ >= traits_.held_most) return Arrival::kFull;
+  if (held_ >= traits_.held_most) {
+    return Arrival::kFull;
+  }
   ++held_;
   waiting_.push_back({job, work, wait});
   Fill(now);
@@ -69,7 +83,9 @@
 
 void HostModel::Burden(Time now, Duration work) {
   Progress(now);
-  if (fallen_ || work <= Duration(0)) return;
+  if (fallen_ || work <= Duration(0)) {
+    return;
+  }
   waiting_.push_front({kOwn, work, Duration(0)});
   Fill(now);
 }
@@ -90,7 +106,9 @@
     --held_;
     return;
   }
-  if (!traits_.stops_work) return;
+  if (!traits_.stops_work) {
+    return;
+  }
   const auto runs = std::ranges::find(running_, job, &Running::job);
   if (runs != running_.end()) {
     running_.erase(runs);
@@ -116,14 +134,18 @@
   while (at_ < now && !running_.empty()) {
     const double rate = Rate(at_);
     Duration step = now - at_;
-    if (Cold(at_)) step = std::min(step, kWarmStep);
+    if (Cold(at_)) {
+      step = std::min(step, kWarmStep);
+    }
     if (rate > 0) {
       for (const Running& r : running_) {
         step = std::min(step, Duration(static_cast<int64_t>(std::ceil(r.left / rate))));
       }
     }
     at_ += step;
-    for (Running& r : running_) r.left -= rate * Us(step);
+    for (Running& r : running_) {
+      r.left -= rate * Us(step);
+    }
     for (size_t i = 0; i < running_.size();) {
       const Running r = running_[i];
       if (r.left > 0.5) {
@@ -131,7 +153,9 @@
         continue;
       }
       running_.erase(running_.begin() + static_cast<long>(i));
-      if (r.job == kOwn) continue;
+      if (r.job == kOwn) {
+        continue;
+      }
       began_[r.job] = r.began;
       away_.emplace_back(at_ + r.wait, r.job);
       std::ranges::push_heap(away_, std::greater<>());
@@ -152,13 +176,21 @@
 }
 
 std::optional<Time> HostModel::Next() const {
-  if (standing_ || fallen_) return std::nullopt;
+  if (standing_ || fallen_) {
+    return std::nullopt;
+  }
   std::optional<Time> next;
-  const auto at = [&](Time t) { next = next ? std::min(*next, t) : t; };
-  if (!away_.empty()) at(away_.front().first);
+  const auto at = [&](Time t) {
+    next = next ? std::min(*next, t) : t;
+  };
+  if (!away_.empty()) {
+    at(away_.front().first);
+  }
   const double rate = Rate(at_);
   for (const Running& r : running_) {
-    if (rate > 0) at(at_ + Duration(static_cast<int64_t>(std::ceil(std::max(0.0, r.left) / rate))));
+    if (rate > 0) {
+      at(at_ + Duration(static_cast<int64_t>(std::ceil(std::max(0.0, r.left) / rate))));
+    }
   }
   return next;
 }
--- a/src/lab/host_model.h
+++ b/src/lab/host_model.h
@@ -18,14 +18,15 @@
 
 struct HostTraits {
   int cores = 3;
-  double speed = 1;               // seconds of work that a core does in a second
-  size_t held_most = 256;         // requests held; beyond, one is turned away
-  bool stops_work = false;        // work that runs ends when its connection does
-  Duration report_every{20'000};  // its report is as old as that at most
-  double slow_start_initial_capacity = 1;           // share of its speed at its start
-  Duration slow_start_duration{0};        // until it has all of it, growing evenly
-  double overload_collapse_multiple = 3;       // of what it can do at that moment; sent more while cold for
-  Duration fall{1'500'000};       //   this long, it falls over and stays down
+  double speed = 1;                        // seconds of work that a core does in a second
+  size_t held_most = 256;                  // requests held; beyond, one is turned away
+  bool stops_work = false;                 // work that runs ends when its connection does
+  Duration report_every{20'000};           // its report is as old as that at most
+  double slow_start_initial_capacity = 1;  // share of its speed at its start
+  Duration slow_start_duration{0};         // until it has all of it, growing evenly
+  double overload_collapse_multiple =
+      3;                     // of what it can do at that moment; sent more while cold for
+  Duration fall{1'500'000};  //   this long, it falls over and stays down
 };
 
 class HostModel {
@@ -33,7 +34,11 @@
   // `started`: nothing for one that has run for long.
   HostModel(const HostTraits& traits, std::optional<Time> started);
 
-  enum class Arrival { kTaken, kFull, kFell };
+  enum class Arrival {
+    kTaken,
+    kFull,
+    kFell
+  };
   // A request with this much work for a core of speed 1 and then a wait on others. kFell: this one
   // pushed it over; it does nothing from then on.
   Arrival Arrive(Time now, uint64_t job, Duration work, Duration wait);
--- a/src/lab/ledger.cpp
+++ b/src/lab/ledger.cpp
@@ -16,14 +16,22 @@
 
 std::string_view NameOf(Rule rule) {
   switch (rule) {
-    case Rule::kLost: return "lost";
-    case Rule::kAnsweredTwice: return "answered twice";
-    case Rule::kNotItsAnswer: return "served another's answer";
-    case Rule::kTwice: return "sent again unlawfully";
-    case Rule::kRefusedAfterRun: return "refused after it may have run";
-    case Rule::kDrain: return "sent to a draining host";
-    case Rule::kCold: return "a cold host fell over";
-    case Rule::kInvented: return "sent what no client asked";
+    case Rule::kLost:
+      return "lost";
+    case Rule::kAnsweredTwice:
+      return "answered twice";
+    case Rule::kNotItsAnswer:
+      return "served another's answer";
+    case Rule::kTwice:
+      return "sent again unlawfully";
+    case Rule::kRefusedAfterRun:
+      return "refused after it may have run";
+    case Rule::kDrain:
+      return "sent to a draining host";
+    case Rule::kCold:
+      return "a cold host fell over";
+    case Rule::kInvented:
+      return "sent what no client asked";
   }
   return "";
 }
@@ -45,7 +53,9 @@
 
 Ledger::Window& Ledger::WindowOf(Time asked) {
   const auto second = std::min(static_cast<size_t>(asked.count() / 1'000'000), kWindowsMost);
-  if (second >= windows_.size()) windows_.resize(second + 1);
+  if (second >= windows_.size()) {
+    windows_.resize(second + 1);
+  }
   return windows_[second];
 }
 
@@ -55,7 +65,8 @@
   asks_.push_back({.facts = facts, .asked = now});
   const double worth = rules_.classes[facts.cls].priority_weight;
   Window& window = WindowOf(now);
-  ++counts_.asked, ++window.asked;
+  ++counts_.asked;
+  ++window.asked;
   counts_.worth_asked += worth;
   window.worth_asked += worth;
   ++open_;
@@ -71,8 +82,12 @@
 
 void Ledger::Answered(Time now, size_t n, int status, std::string_view body) {
   TryState& t = tries_[n];
-  if (t.lost) return;  // its time was up; counted by then
-  if (t.over) return Extra(now, n, fmt::format("a second answer, {}", status));
+  if (t.lost) {
+    return;  // its time was up; counted by then
+  }
+  if (t.over) {
+    return Extra(now, n, fmt::format("a second answer, {}", status));
+  }
   t.over = true;
   AskState& a = asks_[t.ask];
   a.last_status = status;
@@ -92,20 +107,27 @@
             fmt::format("a body of {} bytes that no host made for it", body.size()));
       return;
     }
-    if (a.served) return;
+    if (a.served) {
+      return;
+    }
     a.served = true;
     const Duration took = now - a.asked;
     Window& window = WindowOf(a.asked);
     const bool late = took > cls.latency_objective;
     const double worth = cls.priority_weight * (late ? cls.late_value_fraction : 1);
-    ++counts_.served, ++window.served;
-    if (late) ++counts_.late, ++window.late;
+    ++counts_.served;
+    ++window.served;
+    if (late) {
+      ++counts_.late;
+      ++window.late;
+    }
     counts_.worth_served += worth;
     window.worth_served += worth;
     window.latency_us.push_back(static_cast<uint32_t>(std::min<int64_t>(took.count(), UINT32_MAX)));
   } else if (status == 429 || status == 503) {
     const bool harmless = cls.idempotency == Idempotency::kSafe ||
-                          (cls.idempotency == Idempotency::kKeyed && cls.deduplication_scope == DeduplicationScope::kAll);
+                          (cls.idempotency == Idempotency::kKeyed &&
+                           cls.deduplication_scope == DeduplicationScope::kAll);
     if (ran && !harmless) {
       Break(Rule::kRefusedAfterRun, now, IdOf(n), fmt::format("{} though it may have run", status));
     }
@@ -114,15 +136,24 @@
 
 void Ledger::Broken(Time now, size_t n, Ended how, std::string_view why) {
   TryState& t = tries_[n];
-  if (t.over) return;
+  if (t.over) {
+    return;
+  }
   t.over = true;
   asks_[t.ask].last_status = 0;
   switch (how) {
-    case Ended::kClientLeft: ++counts_.left; return;
-    case Ended::kGatewayKilled: ++counts_.killed; return;
-    case Ended::kByGateway: break;
+    case Ended::kClientLeft:
+      ++counts_.left;
+      return;
+    case Ended::kGatewayKilled:
+      ++counts_.killed;
+      return;
+    case Ended::kByGateway:
+      break;
+  }
+  if (!t.taken) {
+    return;
   }
-  if (!t.taken) return;
   ++counts_.lost;
   Break(Rule::kLost, now, IdOf(n), std::string(why));
 }
@@ -130,9 +161,13 @@
 void Ledger::Over(Time now, size_t ask) {
   (void)now;
   AskState& a = asks_[ask];
-  if (std::exchange(a.over, true)) return;
+  if (std::exchange(a.over, true)) {
+    return;
+  }
   --open_;
-  if (a.served) return;
+  if (a.served) {
+    return;
+  }
   Window& window = WindowOf(a.asked);
   const bool refused = a.last_status == 429 || a.last_status == 503;
   ++(refused ? counts_.refused : counts_.failed);
@@ -146,7 +181,9 @@
 
 // ---- The hosts' side --------------------------------------------------------------------------
 
-std::string Ledger::IdOf(size_t n) const { return fmt::format("{}-{:x}", rules_.id_prefix, n); }
+std::string Ledger::IdOf(size_t n) const {
+  return fmt::format("{}-{:x}", rules_.id_prefix, n);
+}
 
 size_t Ledger::Find(std::string_view id) const {
   const size_t prefix = rules_.id_prefix.size();
@@ -169,14 +206,24 @@
   size_t copy = 1;
   for (uint64_t r = t.last_receipt; r > 0; r = receipts_[r - 1].before) {
     const Receipt& was = receipts_[r - 1];
-    if (was.open) suspects_.push_back({now, r - 1, number});
+    if (was.open) {
+      suspects_.push_back({now, r - 1, number});
+    }
     copy += was.may_have_run ? 1 : 0;
-    if (!was.may_have_run || unlawful) continue;
-    if (cls.idempotency == Idempotency::kUnsafe) unlawful = true, why = "a class that may run once";
-    if (cls.idempotency != Idempotency::kKeyed) continue;
+    if (!was.may_have_run || unlawful) {
+      continue;
+    }
+    if (cls.idempotency == Idempotency::kUnsafe) {
+      unlawful = true;
+      why = "a class that may run once";
+    }
+    if (cls.idempotency != Idempotency::kKeyed) {
+      continue;
+    }
     if ((cls.deduplication_scope == DeduplicationScope::kZone && was.zone != zone) ||
         (cls.deduplication_scope == DeduplicationScope::kCell && was.cell != cell)) {
-      unlawful = true, why = "outside the group that drops its repeats";
+      unlawful = true;
+      why = "outside the group that drops its repeats";
     } else if (first - was.at > cls.deduplication_window + rules_.slack + lag_) {
       unlawful = true;
       why = fmt::format("{} ms after the first, past its window", (first - was.at).count() / 1000);
@@ -196,31 +243,49 @@
   receipts_.push_back({n, host, now, zone, cell, true, true, t.last_receipt});
   t.last_receipt = number + 1;
   ++t.receipts;
-  if (receipt_) receipt_(now, n, host, copy);
+  if (receipt_) {
+    receipt_(now, n, host, copy);
+  }
   return number;
 }
 
 void Ledger::CountKey(const Receipt& receipt) {
   const AskFacts& facts = asks_[tries_[receipt.n].ask].facts;
   const RequestClass& cls = rules_.classes[facts.cls];
-  if (cls.idempotency != Idempotency::kKeyed) return;
+  if (cls.idempotency != Idempotency::kKeyed) {
+    return;
+  }
   const auto [at, fresh] = keys_.try_emplace(facts.key, receipt.at);
-  if (fresh) return;
-  if (receipt.at - at->second > cls.deduplication_window) ++counts_.keys_run_again;
+  if (fresh) {
+    return;
+  }
+  if (receipt.at - at->second > cls.deduplication_window) {
+    ++counts_.keys_run_again;
+  }
   at->second = std::max(at->second, receipt.at);
 }
 
-void Ledger::TurnedAway(uint64_t receipt) { receipts_[receipt].may_have_run = false; }
+void Ledger::TurnedAway(uint64_t receipt) {
+  receipts_[receipt].may_have_run = false;
+}
 
 void Ledger::Done(Time now, uint64_t receipt, bool answered) {
   Receipt& r = receipts_[receipt];
-  if (!std::exchange(r.open, false)) return;
-  if (r.may_have_run) CountKey(r);
-  if (!answered) return;
+  if (!std::exchange(r.open, false)) {
+    return;
+  }
+  if (r.may_have_run) {
+    CountKey(r);
+  }
+  if (!answered) {
+    return;
+  }
   // It was really out when the copy came. Both at nearly one moment: its end may have been on the
   // way, and only another connection's bytes were read first.
   for (Suspect& s : suspects_) {
-    if (s.first == receipt && now - s.at > kCrossing) s.sure = true;
+    if (s.first == receipt && now - s.at > kCrossing) {
+      s.sure = true;
+    }
   }
 }
 
@@ -250,7 +315,9 @@
   while (!suspects_.empty() && now - suspects_.front().at >= kCopyGrace + lag) {
     const Suspect s = suspects_.front();
     suspects_.pop_front();
-    if (!s.sure && !receipts_[s.first].open) continue;
+    if (!s.sure && !receipts_[s.first].open) {
+      continue;
+    }
     ++counts_.twice_unlawful;
     Break(Rule::kTwice, s.at, IdOf(receipts_[s.second].n), "while an earlier copy was still out");
   }
@@ -258,7 +325,9 @@
     const auto [deadline, n] = due_.front();
     due_.pop_front();
     TryState& t = tries_[n];
-    if (t.over || !t.taken) continue;
+    if (t.over || !t.taken) {
+      continue;
+    }
     t.over = t.lost = true;
     asks_[t.ask].last_status = 0;
     const auto stopped = [&t](const Stop& s) {
--- a/src/lab/ledger.h
+++ b/src/lab/ledger.h
@@ -72,7 +72,11 @@
   // A whole answer has come. `body` is looked at for 200.
   void Answered(Time now, size_t n, int status, std::string_view body);
   // Its connection ended without a whole answer. `whose`: kLost counts; the others are excused.
-  enum class Ended { kByGateway, kGatewayKilled, kClientLeft };
+  enum class Ended {
+    kByGateway,
+    kGatewayKilled,
+    kClientLeft
+  };
   void Broken(Time now, size_t n, Ended how, std::string_view why);
   // No try of it will follow.
   void Over(Time now, size_t ask);
--- a/src/lab/listener.cpp
+++ b/src/lab/listener.cpp
@@ -46,14 +46,20 @@
   }
 }
 
-Listener::~Listener() { loop_.Unwatch(fd_.get(), token_); }
+Listener::~Listener() {
+  loop_.Unwatch(fd_.get(), token_);
+}
 
-void Listener::OnEvents(uint32_t) { Accept(); }
+void Listener::OnEvents(uint32_t) {
+  Accept();
+}
 
 void Listener::Accept() {
   while (!off_) {
     FileDescriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (!fd) return;
+    if (!fd) {
+      return;
+    }
     const int on = 1;
     setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     accepted_(std::move(fd));
@@ -61,7 +67,9 @@
 }
 
 void Listener::CutOff(bool off) {
-  if (off_ == off) return;
+  if (off_ == off) {
+    return;
+  }
   off_ = off;
   if (!off) {
     fillers_.clear();
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -22,12 +22,16 @@
 constexpr int kConnectsMost = 4;
 constexpr size_t kHugeBody = 60'000'000;
 
-std::string Pattern(size_t size) { return std::string(size, 'b'); }
+std::string Pattern(size_t size) {
+  return std::string(size, 'b');
+}
 
 Duration RetryAfter(const HttpMessage& m, std::string_view base) {
   const auto text = m.FindHeader(base, "Retry-After");
   double seconds = 0;
-  if (!text) return Duration(0);
+  if (!text) {
+    return Duration(0);
+  }
   std::from_chars(text->data(), text->data() + text->size(), seconds);
   return Duration(std::llround(std::clamp(seconds, 0.0, 60.0) * 1e6));
 }
@@ -101,9 +105,13 @@
     const size_t size = pieces > 1 ? text->size() / static_cast<size_t>(pieces) : text->size();
     stream_.Write(text->substr(0, size));
     text->erase(0, size);
-    if (!trickling_) return LookWritten();
+    if (!trickling_) {
+      return LookWritten();
+    }
     load_.loop_.RunAfter(kPiecePause, [kept = *place, text, pieces, n = trying_->n] {
-      if (kept->closed() || kept->trying_ == nullptr || kept->trying_->n != n) return;
+      if (kept->closed() || kept->trying_ == nullptr || kept->trying_->n != n) {
+        return;
+      }
       kept->Trickle(text, pieces - 1);
     });
   }
@@ -153,19 +161,27 @@
       return load_.Drop(*this);
     }
     const ParseProgress progress = parser_.Feed(stream_.input());
-    if (progress == ParseProgress::kNeedMore) break;
-    if (progress == ParseProgress::kMalformed) return Ended("an answer that can't be read");
+    if (progress == ParseProgress::kNeedMore) {
+      break;
+    }
+    if (progress == ParseProgress::kMalformed) {
+      return Ended("an answer that can't be read");
+    }
     const HttpMessage m = parser_.message();
     const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
     parser_.Reset();
     load_.ledger_.Answered(load_.Now(), trying_->n, m.status, m.body.In(bytes.view()));
     Done(m.status, RetryAfter(m, bytes.view()), m.keep_alive);
   }
-  if (!stream_.closed() && stream_.ended()) Ended("closed");
+  if (!stream_.closed() && stream_.ended()) {
+    Ended("closed");
+  }
 }
 
 void Load::Connection::Ended(std::string_view how) {
-  if (stream_.closed()) return;
+  if (stream_.closed()) {
+    return;
+  }
   const auto trying = std::exchange(trying_, nullptr);
   const bool connected = connected_;
   const bool reused = asked_ > 1;
@@ -173,12 +189,16 @@
   load_.loop_.CancelTimer(leave_timer_);
   const bool answer_begun = parser_.begun();
   load_.Drop(*this);
-  if (trying == nullptr) return;
+  if (trying == nullptr) {
+    return;
+  }
   const bool killed = load_.targets_[gateway_].killed;
   // Not accepted, or closed between requests just as this one was written: once more, elsewhere.
   const bool crossed = reused && !answer_begun && trying->connects < kConnectsMost;
   if (!connected || (crossed && !killed && load_.ledger_.ReceiptsOf(trying->n) == 0)) {
-    if (trying->connects < kConnectsMost) return load_.Send(trying);
+    if (trying->connects < kConnectsMost) {
+      return load_.Send(trying);
+    }
     ++load_.counts_.no_gateway;
     load_.ledger_.Broken(load_.Now(), trying->n, Ledger::Ended::kGatewayKilled, "");
     return load_.End(trying, 0, Duration(0));
@@ -199,7 +219,9 @@
         number_(number),
         stream_(load.loop_, std::move(socket), this, true) {}
   bool Start() {
-    if (!stream_.Start()) return false;
+    if (!stream_.Start()) {
+      return false;
+    }
     const bool long_one = kind_ == BadKind::kHugeLength;
     timer_ = load_.loop_.RunAfter(long_one ? kBadOwedLong : kBadOwed, [this] {
       timer_ = {};
@@ -211,19 +233,27 @@
   void OnData() override {
     if (parser_.Feed(stream_.input()) == ParseProgress::kDone) {
       const int status = parser_.message().status;
-      if (status == 200) ++load_.counts_.bad_served;
+      if (status == 200) {
+        ++load_.counts_.bad_served;
+      }
       return Over(true);
     }
-    if (stream_.ended()) Over(true);
+    if (stream_.ended()) {
+      Over(true);
+    }
   }
   void OnError() override { Over(true); }
   void OnWriteComplete() override {
-    if (kind_ == BadKind::kHalfRequest && sent_) Over(true);  // it closes itself
+    if (kind_ == BadKind::kHalfRequest && sent_) {
+      Over(true);  // it closes itself
+    }
     if (more_ > 0) {
       const size_t piece = std::min<size_t>(more_, 1 << 16);
       more_ -= piece;
       load_.loop_.RunAfterRound([kept = *place, piece] {
-        if (!kept->stream_.closed()) kept->stream_.Write(std::string(piece, 'x'));
+        if (!kept->stream_.closed()) {
+          kept->stream_.Write(std::string(piece, 'x'));
+        }
       });
     }
   }
@@ -245,7 +275,9 @@
     switch (kind_) {
       case BadKind::kRubbish: {
         std::mt19937_64 rng(number_);
-        for (int i = 0; i < 400; ++i) text += static_cast<char>(rng() & 0xff);
+        for (int i = 0; i < 400; ++i) {
+          text += static_cast<char>(rng() & 0xff);
+        }
         text += "\r\n\r\n";
         break;
       }
@@ -253,8 +285,12 @@
         text = head(cls, "X-Long: ", "1000");
         more_ = 1 << 20;
         break;
-      case BadKind::kBadLength: text = head(cls, "Content-Length: abc\r\n\r\n", "1000"); break;
-      case BadKind::kNegativeLength: text = head(cls, "Content-Length: -5\r\n\r\n", "1000"); break;
+      case BadKind::kBadLength:
+        text = head(cls, "Content-Length: abc\r\n\r\n", "1000");
+        break;
+      case BadKind::kNegativeLength:
+        text = head(cls, "Content-Length: -5\r\n\r\n", "1000");
+        break;
       case BadKind::kHugeLength:
         text = head(cls, fmt::format("Content-Length: {}\r\n\r\n", kHugeBody), "1000");
         more_ = kHugeBody;
@@ -274,28 +310,39 @@
       case BadKind::kUnknownClass:
         text = head("no-such-class", "Content-Length: 0\r\n\r\n", "1000");
         break;
-      case BadKind::kBadBudget: text = head(cls, "Content-Length: 0\r\n\r\n", "soon"); break;
+      case BadKind::kBadBudget:
+        text = head(cls, "Content-Length: 0\r\n\r\n", "soon");
+        break;
       case BadKind::kNoId:
         text = fmt::format("GET /{} HTTP/1.1\r\n{}X-Budget-Ms: 1000\r\n\r\n", cls, caller);
         break;
       case BadKind::kHalfRequest:
         text = head(cls, "Content-Length: 100\r\n\r\nhalf", "1000");
         break;
-      case BadKind::kSilent: break;
-      case BadKind::kTrickle: Trickle(head(cls, "Content-Length: 0\r\n\r\n", "1000")); return;
+      case BadKind::kSilent:
+        break;
+      case BadKind::kTrickle:
+        Trickle(head(cls, "Content-Length: 0\r\n\r\n", "1000"));
+        return;
     }
     sent_ = true;
-    if (!text.empty()) stream_.Write(std::move(text));
+    if (!text.empty()) {
+      stream_.Write(std::move(text));
+    }
   }
   void Trickle(std::string text) {
     stream_.Write(text.substr(0, 1));
     text.erase(0, 1);
     load_.loop_.RunAfter(Duration(200'000), [kept = *place, text] {
-      if (!kept->stream_.closed() && !text.empty()) kept->Trickle(text);
+      if (!kept->stream_.closed() && !text.empty()) {
+        kept->Trickle(text);
+      }
     });
   }
   void Over(bool answered) {
-    if (stream_.closed()) return;
+    if (stream_.closed()) {
+      return;
+    }
     load_.loop_.CancelTimer(timer_);
     ++(answered ? load_.counts_.bad_answered : load_.counts_.bad_unanswered);
     stream_.Close();
@@ -318,17 +365,25 @@
 Load::Load(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
            const std::vector<Address>& targets)
     : loop_(loop), e_(experiment), ledger_(ledger), arrivals_(experiment, seed), seed_(seed) {
-  for (const Address& address : targets) targets_.push_back({address, true, false, {}});
+  for (const Address& address : targets) {
+    targets_.push_back({address, true, false, {}});
+  }
 }
 
 Load::~Load() {
-  for (const auto& connection : connections_) connection->Close();
+  for (const auto& connection : connections_) {
+    connection->Close();
+  }
 }
 
 void Load::Begin(Time zero) {
   zero_ = zero;
-  for (size_t i = 0; i < e_.load.idle_connections; ++i) Open(i % targets_.size());
-  for (size_t i = 0; i < e_.load.bad.size(); ++i) BeginBad(e_.load.bad[i], i);
+  for (size_t i = 0; i < e_.load.idle_connections; ++i) {
+    Open(i % targets_.size());
+  }
+  for (size_t i = 0; i < e_.load.bad.size(); ++i) {
+    BeginBad(e_.load.bad[i], i);
+  }
   drawn_out_ = !arrivals_.Next(next_);
   Arrive();
 }
@@ -343,7 +398,9 @@
       std::ranges::count(connections_, gateway, [](const auto& c) { return c->gateway(); }));
 }
 
-void Load::SetKilled(size_t gateway, bool killed) { targets_[gateway].killed = killed; }
+void Load::SetKilled(size_t gateway, bool killed) {
+  targets_[gateway].killed = killed;
+}
 
 void Load::Arrive() {
   while (!drawn_out_ && next_.at <= Now()) {
@@ -354,18 +411,26 @@
     TryOnce(asking);
     drawn_out_ = !arrivals_.Next(next_);
   }
-  if (drawn_out_) return;
+  if (drawn_out_) {
+    return;
+  }
   loop_.RunAfter(next_.at - Now(), [this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Arrive();
+    if (!alive.expired()) {
+      Arrive();
+    }
   });
 }
 
 size_t Load::PickGateway(double part, int further) const {
   std::vector<size_t> in;
   for (size_t i = 0; i < targets_.size(); ++i) {
-    if (targets_[i].in) in.push_back(i);
+    if (targets_[i].in) {
+      in.push_back(i);
+    }
+  }
+  if (in.empty()) {
+    return SIZE_MAX;
   }
-  if (in.empty()) return SIZE_MAX;
   const auto place = static_cast<size_t>(part * static_cast<double>(in.size()));
   return in[(place + static_cast<size_t>(further)) % in.size()];
 }
@@ -394,11 +459,16 @@
   while (trying->connects == 0 && !target.idle.empty() && connection == nullptr) {
     Connection* const kept = target.idle.back();
     target.idle.pop_back();
-    if (!kept->closed() && kept->Quiet()) connection = kept;
-    else if (!kept->closed()) Drop(*kept);
+    if (!kept->closed() && kept->Quiet()) {
+      connection = kept;
+    } else if (!kept->closed()) {
+      Drop(*kept);
+    }
   }
   ++trying->connects;
-  if (connection == nullptr) connection = Open(trying->gateway);
+  if (connection == nullptr) {
+    connection = Open(trying->gateway);
+  }
   if (connection == nullptr) {
     ++counts_.beyond;
     ledger_.Broken(Now(), trying->n, Ledger::Ended::kGatewayKilled, "");
@@ -412,7 +482,8 @@
   const Arrival& a = trying.asking->arrival;
   const ClassSpec& cls = e_.classes[a.facts.cls];
   const bool keyed = cls.rules.idempotency == Idempotency::kKeyed;
-  const bool body = keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.facts.body_bytes > 0;
+  const bool body =
+      keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.facts.body_bytes > 0;
   const auto budget = std::max<int64_t>(1, (trying.deadline - Now()).count() / 1000);
   std::string head =
       fmt::format("{} /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\nX-Budget-Ms: {}\r\n",
@@ -420,9 +491,15 @@
   if (!e_.tenants.empty()) {
     head += fmt::format("X-Caller: {}\r\n", e_.tenants[a.facts.tenant].name);
   }
-  if (keyed) head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.facts.key);
-  if (e_.marks_retry && trying.asking->tries > 1) head += "X-Again: 1\r\n";
-  if (body) head += fmt::format("Content-Length: {}\r\n", a.facts.body_bytes);
+  if (keyed) {
+    head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.facts.key);
+  }
+  if (e_.marks_retry && trying.asking->tries > 1) {
+    head += "X-Again: 1\r\n";
+  }
+  if (body) {
+    head += fmt::format("Content-Length: {}\r\n", a.facts.body_bytes);
+  }
   return head + "\r\n";
 }
 
@@ -430,29 +507,41 @@
   const auto& asking = trying->asking;
   const size_t place = static_cast<size_t>(asking->tries) - 1;
   const auto& waits = asking->arrival.retry_waits;
-  if (status == 200 || place >= waits.size()) return ledger_.Over(Now(), asking->ask);
+  if (status == 200 || place >= waits.size()) {
+    return ledger_.Over(Now(), asking->ask);
+  }
   loop_.RunAfter(std::max(waits[place], come_back), [this, asking, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) TryOnce(asking);
+    if (!alive.expired()) {
+      TryOnce(asking);
+    }
   });
 }
 
 Load::Connection* Load::Open(size_t gateway) {
-  if (connections_.size() >= e_.load.connections_most) return nullptr;
+  if (connections_.size() >= e_.load.connections_most) {
+    return nullptr;
+  }
   bool refused = false;
   auto socket = Connect(targets_[gateway].address, nullptr, refused);
-  if (!socket) return nullptr;
+  if (!socket) {
+    return nullptr;
+  }
   connections_.push_back(std::make_shared<Connection>(*this, gateway, std::move(*socket)));
   Connection& connection = *connections_.back();
   connection.place = std::prev(connections_.end());
   ++counts_.connections;
   counts_.open_most = std::max(counts_.open_most, connections_.size());
-  if (connection.Start()) return &connection;
+  if (connection.Start()) {
+    return &connection;
+  }
   Drop(connection);
   return nullptr;
 }
 
 void Load::Drop(Connection& connection) {
-  if (connection.closed()) return;
+  if (connection.closed()) {
+    return;
+  }
   std::erase(targets_[connection.gateway()].idle, &connection);
   connection.Close();
   loop_.RunDeferred([kept = *connection.place] {});
@@ -464,10 +553,16 @@
   const auto every = Duration(std::llround(1e6 / bad.per_s));
   const auto step = [this, &bad, place, every, alive = std::weak_ptr(alive_)](
                         uint64_t number, const auto& again) -> void {
-    if (alive.expired()) return;
+    if (alive.expired()) {
+      return;
+    }
     const Time now = Now();
-    if (now >= bad.to || now >= e_.length) return;
-    if (now >= bad.from) SendBad(bad, place << 40 | number);
+    if (now >= bad.to || now >= e_.length) {
+      return;
+    }
+    if (now >= bad.from) {
+      SendBad(bad, place << 40 | number);
+    }
     loop_.RunAfter(every, [number, again] { again(number + 1, again); });
   };
   loop_.RunAfter(every / 2, [step] { step(0, step); });
@@ -475,15 +570,21 @@
 
 void Load::SendBad(const BadClients& bad, uint64_t number) {
   const size_t gateway = PickGateway(static_cast<double>(number % 97) / 97, 0);
-  if (gateway == SIZE_MAX) return;
+  if (gateway == SIZE_MAX) {
+    return;
+  }
   bool refused = false;
   auto socket = Connect(targets_[gateway].address, nullptr, refused);
-  if (!socket) return;
+  if (!socket) {
+    return;
+  }
   ++counts_.bad_sent;
   bad_.push_back(std::make_shared<BadConnection>(*this, bad, number, std::move(*socket)));
   BadConnection& connection = *bad_.back();
   connection.place = std::prev(bad_.end());
-  if (!connection.Start()) bad_.pop_back();
+  if (!connection.Start()) {
+    bad_.pop_back();
+  }
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -53,10 +53,18 @@
 constexpr double kBend = 10;         // times the lowest rate's
 constexpr double kLeastAddedMs = 0.05;
 
-double Ms(Duration d) { return static_cast<double>(d.count()) / 1000; }
-double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
-Duration FromSeconds(double s) { return Duration(static_cast<int64_t>(s * 1e6)); }
-double Mb(uint64_t kb) { return static_cast<double>(kb) / 1024; }
+double Ms(Duration d) {
+  return static_cast<double>(d.count()) / 1000;
+}
+double Seconds(Duration d) {
+  return static_cast<double>(d.count()) / 1e6;
+}
+Duration FromSeconds(double s) {
+  return Duration(static_cast<int64_t>(s * 1e6));
+}
+double Mb(uint64_t kb) {
+  return static_cast<double>(kb) / 1024;
+}
 
 // ---- The list
 // ------------------------------------------------------------------------------------
@@ -84,7 +92,9 @@
   constexpr size_t kEntryBytes = 160;
   out.reserve(out.size() + hosts * kEntryBytes);
   for (size_t i = 0; i < hosts; ++i) {
-    if (i > 0) out += ',';
+    if (i > 0) {
+      out += ',';
+    }
     out += Entry(i, "active", since);
   }
   return out + "]}";
@@ -97,7 +107,9 @@
       : loop_(loop), listener_(loop, at, [this](FileDescriptor fd) {
           connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
           connections_.back()->place = std::prev(connections_.end());
-          if (!connections_.back()->Start()) connections_.back()->OnError();
+          if (!connections_.back()->Start()) {
+            connections_.back()->OnError();
+          }
         }) {
     Beat();
   }
@@ -108,14 +120,18 @@
   // What is told from now on, at once to the watches that are open.
   void Tell(std::shared_ptr<const std::string> whole) {
     whole_ = std::move(whole);
-    for (const auto& connection : connections_) connection->Tell();
+    for (const auto& connection : connections_) {
+      connection->Tell();
+    }
   }
   void Change(const std::string& entry) {
     const uint64_t revision = kFirstRevision + changes_.size() + 1;
     changes_.push_back(
         fmt::format(R"({{"revision":{},"complete":false,"members":[{}]}})", revision, entry));
     change_bytes_ += changes_.back().size() + 1;
-    for (const auto& connection : connections_) connection->Tell();
+    for (const auto& connection : connections_) {
+      connection->Tell();
+    }
   }
   [[nodiscard]] size_t asked_whole() const { return asked_whole_; }
   [[nodiscard]] size_t changes() const { return changes_.size(); }
@@ -128,20 +144,30 @@
         : source_(source), stream_(source.loop_, Socket(std::move(fd), nullptr), this, false) {}
     bool Start() { return stream_.Start(); }
     void OnData() override {
-      if (!watches_ && parser_.Feed(stream_.input()) == ParseProgress::kDone) Asked();
-      if (stream_.ended()) OnError();
+      if (!watches_ && parser_.Feed(stream_.input()) == ParseProgress::kDone) {
+        Asked();
+      }
+      if (stream_.ended()) {
+        OnError();
+      }
     }
     void OnError() override {
-      if (stream_.closed()) return;
+      if (stream_.closed()) {
+        return;
+      }
       stream_.Close();
       source_.loop_.RunDeferred([kept = *place] {});
       source_.connections_.erase(place);
     }
     void Empty() {
-      if (watches_) stream_.Write("1\r\n\n\r\n");
+      if (watches_) {
+        stream_.Write("1\r\n\n\r\n");
+      }
     }
     void Tell() {
-      if (!watches_ || !source_.whole_) return;
+      if (!watches_ || !source_.whole_) {
+        return;
+      }
       if (revision_ < kFirstRevision) {
         revision_ = kFirstRevision;
         ++source_.asked_whole_;
@@ -164,7 +190,9 @@
       const std::string_view target = m.target.In(bytes.view());
       if (target.find("follow=1") == std::string_view::npos) {
         // None is told yet: an empty list would be obeyed.
-        if (!source_.whole_) return stream_.Write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+        if (!source_.whole_) {
+          return stream_.Write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+        }
         ++source_.asked_whole_;
         const auto& whole = source_.whole_;
         return stream_.Write(
@@ -173,7 +201,8 @@
       }
       watches_ = true;
       if (const size_t at = target.find("since="); at != std::string_view::npos) {
-        revision_ = ParseWholeNumber(target.substr(at + std::string_view("since=").size())).value_or(0);
+        revision_ =
+            ParseWholeNumber(target.substr(at + std::string_view("since=").size())).value_or(0);
       }
       stream_.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       Empty();
@@ -189,7 +218,9 @@
 
   void Beat() {
     beat_ = loop_.RunAfter(kEmptyEvery, [this] {
-      for (const auto& connection : connections_) connection->Empty();
+      for (const auto& connection : connections_) {
+        connection->Empty();
+      }
       Beat();
     });
   }
@@ -216,7 +247,9 @@
   Prober& operator=(const Prober&) = delete;
   ~Prober() {
     loop_.CancelTimer(timer_);
-    for (const auto& call : calls_) call->Stop();
+    for (const auto& call : calls_) {
+      call->Stop();
+    }
   }
 
   void set_every(Duration every) { every_ = every; }
@@ -230,7 +263,9 @@
   [[nodiscard]] double LongestMs() const {
     Duration longest = longest_;
     for (const auto& call : calls_) {
-      if (call->out) longest = std::max(longest, loop_.Now() - std::max(call->asked, begin_));
+      if (call->out) {
+        longest = std::max(longest, loop_.Now() - std::max(call->asked, begin_));
+      }
     }
     return Ms(longest);
   }
@@ -257,12 +292,18 @@
         parser_.Reset();
         out = false;
         prober_.Answered(asked, good);
-        if (!keeps) return OnError();
+        if (!keeps) {
+          return OnError();
+        }
+      }
+      if (stream_.ended()) {
+        OnError();
       }
-      if (stream_.ended()) OnError();
     }
     void OnError() override {
-      if (stream_.closed()) return;
+      if (stream_.closed()) {
+        return;
+      }
       stream_.Close();
       prober_.loop_.RunDeferred([kept = *place] {});
       prober_.calls_.erase(place);
@@ -291,15 +332,23 @@
   }
   void Ask() {
     const auto idle = std::ranges::find_if(calls_, [](const auto& call) { return !call->out; });
-    if (idle != calls_.end()) return (*idle)->Ask();
-    if (calls_.size() >= kProbesOut) return;  // those that are out tell how long it stands
+    if (idle != calls_.end()) {
+      return (*idle)->Ask();
+    }
+    if (calls_.size() >= kProbesOut) {
+      return;  // those that are out tell how long it stands
+    }
     bool refused = false;
     auto socket = Connect(to_, nullptr, refused);
-    if (!socket) return;
+    if (!socket) {
+      return;
+    }
     calls_.push_back(std::make_shared<Call>(*this, std::move(*socket)));
     const auto call = calls_.back();
     call->place = std::prev(calls_.end());
-    if (!call->Start()) return call->OnError();
+    if (!call->Start()) {
+      return call->OnError();
+    }
     call->Ask();
   }
 
@@ -339,12 +388,16 @@
 // The value of name=value in a line of counters; 0 where it is not there.
 double Field(std::string_view line, std::string_view name) {
   const size_t at = line.find(fmt::format(" {}=", name));
-  if (at == std::string_view::npos) return 0;
+  if (at == std::string_view::npos) {
+    return 0;
+  }
   return std::strtod(std::string(line.substr(at + name.size() + 2, 32)).c_str(), nullptr);
 }
 
 // What stands behind the level, cut to a length that a figure's page can bear.
-std::string Reason(const std::string& line) { return line.substr(0, 300); }
+std::string Reason(const std::string& line) {
+  return line.substr(0, 300);
+}
 
 // ---- The measurement
 // -----------------------------------------------------------------------------
@@ -356,7 +409,9 @@
     std::signal(SIGPIPE, SIG_IGN);
     r_.options = o_;
     std::array<double, 1> load{};
-    if (getloadavg(load.data(), 1) == 1) r_.load = load[0];
+    if (getloadavg(load.data(), 1) == 1) {
+      r_.load = load[0];
+    }
     constexpr std::string_view kText = R"(
 name = "one-gateway"
 [[hosts]]
@@ -380,11 +435,15 @@
 
   OneGatewayResult Run() {
     MeasureList();
-    if (Fine() && o_.tenants > 0) MeasureSettings();
+    if (Fine() && o_.tenants > 0) {
+      MeasureSettings();
+    }
     Stop();
     loop_.CancelTimer(look_);
     for (const double rate : Ascending(o_.rates)) {
-      if (!Fine() || !MeasureAdded(rate)) break;
+      if (!Fine() || !MeasureAdded(rate)) {
+        break;
+      }
     }
     r_.verdict = !r_.late.empty()     ? Verdict::kVoid
                  : !r_.broken.empty() ? Verdict::kBroken
@@ -404,10 +463,16 @@
   bool Until(const std::function<bool()>& holds, Duration within) {
     const Time end = loop_.Now() + within;
     while (Fine() && !holds()) {
-      if (loop_.Now() >= end) return false;
+      if (loop_.Now() >= end) {
+        return false;
+      }
       loop_.RunOnce(Duration(2'000));
-      if (interrupted_) throw Interrupted("interrupted; nothing is left running");
-      if (!process_) continue;
+      if (interrupted_) {
+        throw Interrupted("interrupted; nothing is left running");
+      }
+      if (!process_) {
+        continue;
+      }
       if (const auto code = process_->Ended(); code && !ending_ && !may_refuse_) {
         Broken(fmt::format("the gateway ended with {}", *code));
       }
@@ -420,8 +485,9 @@
   void Broken(const std::string& what) {
     constexpr size_t kTailLines = 3;
     r_.broken.push_back(what);
-    if (!log_path_.empty())
+    if (!log_path_.empty()) {
       told_(what + "; the last of its log:\n" + TailOf(log_path_, kTailLines));
+    }
   }
 
   // Half of the machine's memory is not ours to take.
@@ -430,7 +496,9 @@
     std::ifstream file("/proc/self/statm");
     uint64_t size = 0, resident = 0;
     const auto page_kb = static_cast<uint64_t>(sysconf(_SC_PAGESIZE)) / 1024;
-    if (file >> size >> resident) own_kb = resident * page_kb;
+    if (file >> size >> resident) {
+      own_kb = resident * page_kb;
+    }
     const bool runs = process_ && !process_->Ended();
     const double used = Mb(own_kb + (runs ? process_->Measure().rss_kb : 0));
     r_.rss_mb_most = std::max(r_.rss_mb_most, used);
@@ -438,7 +506,9 @@
     const double all = Mb(static_cast<uint64_t>(sysconf(_SC_PHYS_PAGES)) * page_kb);
     if (used > all / 2 && Fine()) {
       Broken(fmt::format("{:.0f} MB held, over half of the machine's", used));
-      if (process_) process_->Signal(SIGKILL);
+      if (process_) {
+        process_->Signal(SIGKILL);
+      }
     }
     look_ = loop_.RunAfter(kLookEvery, [this] { Look(); });
   }
@@ -485,7 +555,9 @@
     const bool ready =
         Until([&] { return prober_->answered() || process_->Ended(); }, kReadyWithin);
     prober_->set_every(kProbeEvery);
-    if (ready && prober_->answered()) return Ms(loop_.Now() - began);
+    if (ready && prober_->answered()) {
+      return Ms(loop_.Now() - began);
+    }
     return std::nullopt;
   }
 
@@ -495,7 +567,9 @@
       ending_ = true;
       process_->Signal(SIGTERM);
       const bool ended = Until([&] { return process_->Ended().has_value(); }, kEndWithin);
-      if (Fine() && !ended) Broken("the gateway did not end after SIGTERM");
+      if (Fine() && !ended) {
+        Broken("the gateway did not end after SIGTERM");
+      }
       if (ended && *process_->Ended() != 0) {
         Broken(fmt::format("the gateway ended with {}", *process_->Ended()));
       }
@@ -518,7 +592,9 @@
   // The first such line.
   [[nodiscard]] std::string Said(std::string_view part) const {
     for (const std::string& line : said_) {
-      if (line.find(part) != std::string::npos) return Reason(line);
+      if (line.find(part) != std::string::npos) {
+        return Reason(line);
+      }
     }
     return {};
   }
@@ -553,16 +629,22 @@
     const auto whole = std::make_shared<const std::string>(WholeList(o_.hosts, kFirstRevision));
     list.bytes = whole->size();
     const auto known = Start(settings_, *whole);
-    if (!known) return NotReady("the known list");
+    if (!known) {
+      return NotReady("the known list");
+    }
     list.ready_known_ms = *known;
     Pass(kSettle);
     list.rss_mb_known = Mb(process_->Measure().rss_kb);
     told_(fmt::format("known list of {} hosts, {} bytes: ready after {:.0f} ms, {:.0f} MB",
                       o_.hosts, list.bytes, list.ready_known_ms, list.rss_mb_known));
 
-    if (!Start(settings_, WholeList(0, 0))) return NotReady("no known list");
+    if (!Start(settings_, WholeList(0, 0))) {
+      return NotReady("no known list");
+    }
     Pass(kSettle);
-    if (!Fine()) return;
+    if (!Fine()) {
+      return;
+    }
     const Process::Usage before = process_->Measure();
     list.rss_mb_before = Mb(before.rss_kb);
     prober_->Begin();
@@ -579,9 +661,13 @@
           return list.taken || (not_taken < Time::max() && loop_.Now() - not_taken > kNotTakenFor);
         },
         kTakenWithin);
-    if (list.taken) list.taken_ms = Ms(loop_.Now() - told);
+    if (list.taken) {
+      list.taken_ms = Ms(loop_.Now() - told);
+    }
     Pass(kSettle);
-    if (!Fine()) return;
+    if (!Fine()) {
+      return;
+    }
     const Process::Usage after = process_->Measure();
     list.cpu_s = (after.cpu_us - before.cpu_us) / 1e6;
     const Duration list_took = loop_.Now() - told;
@@ -590,7 +676,9 @@
     list.asked_whole = source_->asked_whole();
     if (!list.taken) {
       list.reason = Said("too long");
-      if (list.reason.empty()) list.reason = Said("discovery");
+      if (list.reason.empty()) {
+        list.reason = Said("discovery");
+      }
       told_(fmt::format("told list: not taken, asked for {} times: {}", list.asked_whole,
                         list.reason));
       return;
@@ -607,7 +695,9 @@
     const double idle_before = process_->Measure().cpu_us;
     const Time idle_from = loop_.Now();
     Pass(span);
-    if (!Fine()) return;
+    if (!Fine()) {
+      return;
+    }
     const double idle_core = (process_->Measure().cpu_us - idle_before) /
                              static_cast<double>((loop_.Now() - idle_from).count());
     // Its health calls and the counters it was asked for are not the list's.
@@ -623,14 +713,22 @@
     for (; o_.changes > 0; ++told) {
       // Evenly, so that the figures of two runs are of as many.
       const Time next = from + FromSeconds((static_cast<double>(told) + 0.5) / o_.changes);
-      if (next >= from + span) break;
-      if (!PassUntil(next)) return;
+      if (next >= from + span) {
+        break;
+      }
+      if (!PassUntil(next)) {
+        return;
+      }
       // A restart is three entries: it leaves, it has left, it is back.
       constexpr std::string_view kPhases[] = {"leaving", "left", "active"};
-      if (told % std::size(kPhases) == 0) at = host(random);
+      if (told % std::size(kPhases) == 0) {
+        at = host(random);
+      }
       source_->Change(Entry(at, kPhases[told % std::size(kPhases)], WallMs()));
     }
-    if (!PassUntil(from + span)) return;
+    if (!PassUntil(from + span)) {
+      return;
+    }
     const double took = Seconds(loop_.Now() - from);
     cost.per_s = static_cast<double>(told) / took;
     cost.cpu_core = (process_->Measure().cpu_us - before) / 1e6 / took - idle_core;
@@ -650,7 +748,9 @@
         cost.per_s, cost.cpu_core, idle_core, cost.stand_ms, cost.bytes_s));
   }
   bool PassUntil(Time until) {
-    if (until > loop_.Now()) Pass(until - loop_.Now());
+    if (until > loop_.Now()) {
+      Pass(until - loop_.Now());
+    }
     return Fine();
   }
 
@@ -678,7 +778,9 @@
     cost.bytes = config_bytes_;
     std::string counters;
     if (!ready) {
-      if (!Fine() || !process_->Ended()) return NotReady("settings");
+      if (!Fine() || !process_->Ended()) {
+        return NotReady("settings");
+      }
       ReadLog(counters);
       cost.refused = true;
       cost.reason = said_.empty() ? "no word" : Reason(said_.back());
@@ -688,7 +790,9 @@
     }
     cost.ready_ms = *ready;
     Pass(kSettle);
-    if (!Fine()) return;
+    if (!Fine()) {
+      return;
+    }
     const Process::Usage before = process_->Measure();
     cost.rss_mb = Mb(before.rss_kb);
     WriteConfig(WithTenants(50), none);
@@ -704,15 +808,21 @@
           return cost.refused || !Said("configuration read again").empty();
         },
         kRereadWithin);
-    if (!Fine()) return;
-    if (!said) return Broken("no word of the configuration read again");
+    if (!Fine()) {
+      return;
+    }
+    if (!said) {
+      return Broken("no word of the configuration read again");
+    }
     if (cost.refused) {
       cost.reason = Said("configuration kept as it was");
       told_(fmt::format("settings with {} tenants: not read again: {}", o_.tenants, cost.reason));
     } else {
       cost.reread_ms = Ms(loop_.Now() - from);
       Pass(kSettle);  // what it brings with it is done by then
-      if (!Fine()) return;
+      if (!Fine()) {
+        return;
+      }
       cost.reread_cpu_s = (process_->Measure().cpu_us - before.cpu_us) / 1e6;
       cost.stand_ms = WindowEnds("settings");
       told_(fmt::format(
@@ -725,7 +835,9 @@
   }
 
   void NotReady(std::string_view what) {
-    if (!Fine()) return;
+    if (!Fine()) {
+      return;
+    }
     const auto code = process_->Ended();
     Broken(fmt::format(
         "{}: {}", what,
@@ -744,17 +856,24 @@
     AddedCost cost;
     cost.rate = rate;
     cost.hosts = bench.hosts;
-    const auto ms = [](uint32_t us) { return us / 1000.0; };
-    cost.straight_p50_ms = ms(straight.p50_us), cost.straight_p99_ms = ms(straight.p99_us);
-    cost.through_p50_ms = ms(through.p50_us), cost.through_p99_ms = ms(through.p99_us);
+    const auto ms = [](uint32_t us) {
+      return us / 1000.0;
+    };
+    cost.straight_p50_ms = ms(straight.p50_us);
+    cost.straight_p99_ms = ms(straight.p99_us);
+    cost.through_p50_ms = ms(through.p50_us);
+    cost.through_p99_ms = ms(through.p99_us);
     for (const Result* const part : {&straight, &through}) {
-      if (cost.late.empty() && !part->late.empty()) cost.late = part->late.front();
+      if (cost.late.empty() && !part->late.empty()) {
+        cost.late = part->late.front();
+      }
     }
     r_.rss_mb_most = std::max(r_.rss_mb_most, Mb(through.rss_kb_max));
     r_.processes_most = std::max<size_t>(r_.processes_most, 2);
     r_.added.push_back(cost);
-    for (const std::string& what : through.broken)
+    for (const std::string& what : through.broken) {
       r_.broken.push_back(fmt::format("rate {}: {}", rate, what));
+    }
     const double added = cost.through_p99_ms - cost.straight_p99_ms;
     told_(fmt::format("{:.0f} requests a second: p50 {:.2f} ms added, p99 {:.2f} ms{}", rate,
                       cost.through_p50_ms - cost.straight_p50_ms, added,
@@ -762,7 +881,9 @@
     const AddedCost& lowest = r_.added.front();
     const double base = std::max(kLeastAddedMs, lowest.through_p99_ms - lowest.straight_p99_ms);
     // Above the bend lateness is the bend; a first rate that was late leaves nothing to compare.
-    if (!cost.late.empty() && r_.added.size() == 1) r_.late.push_back("added: " + cost.late);
+    if (!cost.late.empty() && r_.added.size() == 1) {
+      r_.late.push_back("added: " + cost.late);
+    }
     return cost.late.empty() && (r_.added.size() == 1 || added <= kBend * base);
   }
 
@@ -797,13 +918,19 @@
 std::string ToText(const OneGatewayResult& r) {
   std::string out = fmt::format("{} (load {:.2f} before, {:.0f} MB at most)\n", NameOf(r.verdict),
                                 r.load, r.rss_mb_most);
-  for (const std::string& what : r.broken) out += fmt::format("  broken: {}\n", what);
-  for (const std::string& what : r.late) out += fmt::format("  void: {}\n", what);
+  for (const std::string& what : r.broken) {
+    out += fmt::format("  broken: {}\n", what);
+  }
+  for (const std::string& what : r.late) {
+    out += fmt::format("  void: {}\n", what);
+  }
   return out;
 }
 
 std::string ToJson(const OneGatewayResult& r) {
-  const auto number = [](bool there, double value) { return there ? json(value) : json(); };
+  const auto number = [](bool there, double value) {
+    return there ? json(value) : json();
+  };
   const ListCost& l = r.list;
   json added = json::array();
   for (const AddedCost& a : r.added) {
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -27,11 +27,20 @@
   std::string out;
   for (const char c : text) {
     switch (c) {
-      case '&': out += "&amp;"; break;
-      case '<': out += "&lt;"; break;
-      case '>': out += "&gt;"; break;
-      case '"': out += "&quot;"; break;
-      default: out += c;
+      case '&':
+        out += "&amp;";
+        break;
+      case '<':
+        out += "&lt;";
+        break;
+      case '>':
+        out += "&gt;";
+        break;
+      case '"':
+        out += "&quot;";
+        break;
+      default:
+        out += c;
     }
   }
   return out;
@@ -42,7 +51,9 @@
   for (std::string_view rest = path != nullptr ? path : ""; !rest.empty();) {
     const size_t colon = rest.find(':');
     std::string file = fmt::format("{}/gnuplot", rest.substr(0, colon));
-    if (access(file.c_str(), X_OK) == 0) return file;
+    if (access(file.c_str(), X_OK) == 0) {
+      return file;
+    }
     rest.remove_prefix(colon == std::string_view::npos ? rest.size() : colon + 1);
   }
   return "";
@@ -78,11 +89,17 @@
     lines += fmt::format("{}\"{}\" using 1:2 with lines lw 1.5 title \"{}\" noenhanced",
                          i > 0 ? ", " : "plot ", data, plot.series[i].name);
   }
-  if (lines.empty()) return "";
+  if (lines.empty()) {
+    return "";
+  }
   std::ofstream(base + ".gp") << script << lines << "\n";
   Process process({gnuplot, base + ".gp"}, {}, base + ".log");
-  for (int ms = 0; ms < kPlotWait && !process.Ended(); ms += 2) usleep(2000);
-  if (process.Ended().value_or(1) != 0) return "";
+  for (int ms = 0; ms < kPlotWait && !process.Ended(); ms += 2) {
+    usleep(2000);
+  }
+  if (process.Ended().value_or(1) != 0) {
+    return "";
+  }
   std::ifstream file(base + ".svg");
   const std::string svg((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   // Without the document type, which names a page elsewhere.
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -28,26 +28,40 @@
   // All memory is taken before the fork.
   std::vector<std::string> variables;
   variables.reserve(env.size());
-  for (const auto& [name, value] : env) variables.push_back(fmt::format("{}={}", name, value));
+  for (const auto& [name, value] : env) {
+    variables.push_back(fmt::format("{}={}", name, value));
+  }
   for (char** at = environ; *at != nullptr; ++at) {
     const std::string_view name = std::string_view(*at).substr(0, std::string_view(*at).find('='));
-    const auto given = [&](const auto& variable) { return variable.first == name; };
-    if (std::ranges::none_of(env, given)) variables.emplace_back(*at);
+    const auto given = [&](const auto& variable) {
+      return variable.first == name;
+    };
+    if (std::ranges::none_of(env, given)) {
+      variables.emplace_back(*at);
+    }
   }
   std::vector<char*> args, vars;
   args.reserve(words.size() + 1);
   vars.reserve(variables.size() + 1);
-  for (const std::string& word : words) args.push_back(const_cast<char*>(word.c_str()));
-  for (const std::string& variable : variables) vars.push_back(const_cast<char*>(variable.c_str()));
+  for (const std::string& word : words) {
+    args.push_back(const_cast<char*>(word.c_str()));
+  }
+  for (const std::string& variable : variables) {
+    vars.push_back(const_cast<char*>(variable.c_str()));
+  }
   args.push_back(nullptr);
   vars.push_back(nullptr);
   const int log = open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  if (log < 0) throw std::system_error(errno, std::generic_category(), log_path);
+  if (log < 0) {
+    throw std::system_error(errno, std::generic_category(), log_path);
+  }
   const pid_t parent = getpid();
   pid_ = fork();
   if (pid_ == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(127);
+    if (getppid() != parent) {
+      _exit(127);
+    }
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -58,17 +72,23 @@
   }
   const int error = errno;
   close(log);
-  if (pid_ < 0) throw std::system_error(error, std::generic_category(), "fork");
+  if (pid_ < 0) {
+    throw std::system_error(error, std::generic_category(), "fork");
+  }
 }
 
 Process::~Process() {
-  if (Ended()) return;
+  if (Ended()) {
+    return;
+  }
   kill(pid_, SIGKILL);
   waitpid(pid_, nullptr, 0);
 }
 
 void Process::Signal(int signal) const {
-  if (!ended_) kill(pid_, signal);
+  if (!ended_) {
+    kill(pid_, signal);
+  }
 }
 
 std::optional<int> Process::Ended() {
@@ -84,8 +104,12 @@
   return ended_;
 }
 
-Process::Usage Process::Measure() const { return Measure(fmt::format("/proc/{}", pid_)); }
-Process::Usage Process::Own() { return Measure("/proc/self"); }
+Process::Usage Process::Measure() const {
+  return Measure(fmt::format("/proc/{}", pid_));
+}
+Process::Usage Process::Own() {
+  return Measure("/proc/self");
+}
 
 Process::Usage Process::Measure(const std::string& proc) {
   Usage usage;
@@ -93,7 +117,9 @@
   for (const auto& task : fs::directory_iterator(proc + "/task", error)) {
     std::ifstream schedule(task.path() / "schedstat");
     double ns = 0;
-    if (schedule >> ns) usage.cpu_us += ns / 1000;
+    if (schedule >> ns) {
+      usage.cpu_us += ns / 1000;
+    }
   }
   std::ifstream memory(proc + "/statm");
   uint64_t size = 0, resident = 0;
@@ -112,12 +138,18 @@
   std::deque<std::string> last;
   for (std::string line; std::getline(file, line);) {
     constexpr size_t kLineMost = 400;
-    if (line.size() > kLineMost) line = line.substr(0, kLineMost) + "...";
+    if (line.size() > kLineMost) {
+      line = line.substr(0, kLineMost) + "...";
+    }
     last.push_back(line);
-    if (last.size() > lines) last.pop_front();
+    if (last.size() > lines) {
+      last.pop_front();
+    }
   }
   std::string out;
-  for (const std::string& line : last) out += line + "\n";
+  for (const std::string& line : last) {
+    out += line + "\n";
+  }
   return out;
 }
 
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -38,11 +38,15 @@
     to_.Pass();
   }
   void End() {
-    if (std::exchange(over_, true)) return;
+    if (std::exchange(over_, true)) {
+      return;
+    }
     from_.stream.CloseByReset();
     to_.stream.CloseByReset();
     relay_.loop_.RunDeferred([this, relay = &relay_, alive = std::weak_ptr(relay_.alive_)] {
-      if (!alive.expired()) relay->pipes_.erase(this);
+      if (!alive.expired()) {
+        relay->pipes_.erase(this);
+      }
     });
   }
 
@@ -76,16 +80,21 @@
     }
     void TamperOutgoing(std::string& bytes) {
       auto& random = pipe.relay_.random_;
-      if (way.noise <= 0 || std::uniform_real_distribution<double>(0, 1)(random) >= way.noise)
+      if (way.noise <= 0 || std::uniform_real_distribution<double>(0, 1)(random) >= way.noise) {
         return;
+      }
       switch (random() % 3) {
         case 0: {
           char& byte = bytes[random() % bytes.size()];
           byte = static_cast<char>(byte ^ (1 << random() % 8));
           return;
         }
-        case 1: bytes += std::string(bytes); return;
-        default: bytes.resize(random() % bytes.size() + 1); return;
+        case 1:
+          bytes += std::string(bytes);
+          return;
+        default:
+          bytes.resize(random() % bytes.size() + 1);
+          return;
       }
     }
     // What is due goes on, unless the way is cut.
@@ -109,7 +118,9 @@
         }
         other->stream.Write(std::move(bytes));
       }
-      if (ended && held.empty() && way.cuts == 0) pipe.End();
+      if (ended && held.empty() && way.cuts == 0) {
+        pipe.End();
+      }
     }
 
     Pipe& pipe;
@@ -132,7 +143,9 @@
     : loop_(loop), to_(to), random_(seed), listener_(loop, listen, [this](FileDescriptor fd) {
         bool refused = false;
         auto onward = Connect(to_, nullptr, refused);
-        if (!onward) return;
+        if (!onward) {
+          return;
+        }
         auto pipe =
             std::make_unique<Pipe>(*this, Socket(std::move(fd), nullptr), std::move(*onward));
         Pipe* const at = pipe.get();
@@ -144,14 +157,22 @@
 
 void Relay::Changed() {
   std::vector<Pipe*> all;
-  for (const auto& [at, pipe] : pipes_) all.push_back(at);
-  for (Pipe* const pipe : all) pipe->Changed();
+  for (const auto& [at, pipe] : pipes_) {
+    all.push_back(at);
+  }
+  for (Pipe* const pipe : all) {
+    pipe->Changed();
+  }
 }
 
 void Relay::Reset() {
   std::vector<Pipe*> all;
-  for (const auto& [at, pipe] : pipes_) all.push_back(at);
-  for (Pipe* const pipe : all) pipe->End();
+  for (const auto& [at, pipe] : pipes_) {
+    all.push_back(at);
+  }
+  for (Pipe* const pipe : all) {
+    pipe->End();
+  }
 }
 
 }  // namespace paddlestile::lab
