--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -18,14 +18,20 @@
 
 Series By(const Result& r, std::string name, const std::function<double(const WindowResult&)>& of) {
   Series series{std::move(name), {}};
-  for (const WindowResult& w : r.windows) series.points.emplace_back(w.at_s + 0.5, of(w));
+  for (const WindowResult& w : r.windows) {
+    series.points.emplace_back(w.at_s + 0.5, of(w));
+  }
   return series;
 }
 
-double Part(double part, double all) { return all > 0 ? part / all : -1; }
+double Part(double part, double all) {
+  return all > 0 ? part / all : -1;
+}
 
 std::vector<Plot> PlotsOf(const Result& r) {
-  const auto asked = [](const WindowResult& w) { return static_cast<double>(w.counts.asked); };
+  const auto asked = [](const WindowResult& w) {
+    return static_cast<double>(w.counts.asked);
+  };
   std::vector<Plot> plots;
   plots.push_back(
       {"worth",
@@ -66,7 +72,9 @@
     }
   }
   for (auto& [name, series] : hosts) {
-    if (inflight.series.size() < kLinesOfHosts) inflight.series.push_back(std::move(series));
+    if (inflight.series.size() < kLinesOfHosts) {
+      inflight.series.push_back(std::move(series));
+    }
   }
   plots.push_back(std::move(inflight));
   plots.push_back(
@@ -86,7 +94,9 @@
 
 std::vector<PlotMark> Marks(const Result& r) {
   std::vector<PlotMark> marks;
-  for (const MarkedFault& f : r.faults) marks.push_back({f.from_s, f.to_s, f.name});
+  for (const MarkedFault& f : r.faults) {
+    marks.push_back({f.from_s, f.to_s, f.name});
+  }
   return marks;
 }
 
@@ -98,7 +108,9 @@
 
 std::vector<Row> Rows() {
   const auto count = [](uint64_t Ledger::Counts::*field) {
-    return [field](const Result& r) { return static_cast<double>(r.counts.*field); };
+    return [field](const Result& r) {
+      return static_cast<double>(r.counts.*field);
+    };
   };
   using C = Ledger::Counts;
   return {{"requests asked", count(&C::asked)},
@@ -121,19 +133,25 @@
           {"gateway: memory at most, MB",
            [](const Result& r) { return static_cast<double>(r.rss_kb_max) / 1024; }, 1},
           {"gateway: descriptors at most",
-           [](const Result& r) { return static_cast<double>(r.descriptors_max); }},
+           [](const Result& r) {
+             return static_cast<double>(r.descriptors_max);
+           }},
           {"lab: cores", [](const Result& r) { return r.lab_cpu_share; }, 2},
           {"lab: late at most, ms", [](const Result& r) { return r.lab_lag_ms_max; }, 1}};
 }
 
 }  // namespace
 
-bool HaveGnuplot() { return !FindGnuplot().empty(); }
+bool HaveGnuplot() {
+  return !FindGnuplot().empty();
+}
 
 std::string RenderReport(const std::vector<Result>& results, bool plots) {
   const std::string gnuplot = plots ? FindGnuplot() : "";
   std::string title = "paddlestile lab:";
-  for (const Result& r : results) title += " " + r.experiment;
+  for (const Result& r : results) {
+    title += " " + r.experiment;
+  }
   std::string out = fmt::format(
       "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>{0}</title><style>{1}"
       "</style></head><body><h1>{0}</h1>\n",
@@ -146,11 +164,15 @@
     out += fmt::format("<th>{}, seed {}<br><span class=\"{}\">{}</span></th>", Escape(r.experiment),
                        r.seed, NameOf(r.verdict), NameOf(r.verdict));
   }
-  if (results.size() == 2) out += "<th>second over first</th>";
+  if (results.size() == 2) {
+    out += "<th>second over first</th>";
+  }
   out += "</tr>\n";
   for (const Row& row : Rows()) {
     out += fmt::format("<tr><td>{}</td>", row.name);
-    for (const Result& r : results) out += fmt::format("<td>{:.{}f}</td>", row.of(r), row.digits);
+    for (const Result& r : results) {
+      out += fmt::format("<td>{:.{}f}</td>", row.of(r), row.digits);
+    }
     if (results.size() == 2) {
       const double first = row.of(results[0]), second = row.of(results[1]);
       out += first > 0 ? fmt::format("<td>{:.3f}</td>", second / first) : "<td></td>";
@@ -162,7 +184,9 @@
     out += fmt::format("<h2>{}: {}</h2>\n<p>{}</p>\n", Escape(r.experiment), NameOf(r.verdict),
                        Escape(r.about));
     for (const auto* const list : {&r.late, &r.broken}) {
-      if (list->empty()) continue;
+      if (list->empty()) {
+        continue;
+      }
       out += "<ul>";
       for (size_t i = 0; i < std::min(kBrokenShown, list->size()); ++i) {
         out += fmt::format("<li class=\"broken\">{}</li>", Escape((*list)[i]));
@@ -185,7 +209,9 @@
     const Folder folder;
     std::vector<std::vector<Plot>> all;
     all.reserve(results.size());
-    for (const Result& r : results) all.push_back(PlotsOf(r));
+    for (const Result& r : results) {
+      all.push_back(PlotsOf(r));
+    }
     for (size_t p = 0; !all.empty() && p < all[0].size(); ++p) {
       out += fmt::format("<h2>{}</h2><div class=\"plots\">", Escape(all[0][p].title));
       for (size_t i = 0; i < results.size(); ++i) {
@@ -197,7 +223,9 @@
     }
   }
   for (const Result& r : results) {
-    for (const std::string& log : r.logs) out += fmt::format("<pre>{}</pre>\n", Escape(log));
+    for (const std::string& log : r.logs) {
+      out += fmt::format("<pre>{}</pre>\n", Escape(log));
+    }
   }
   return out + "</body></html>\n";
 }
--- a/src/lab/result.cpp
+++ b/src/lab/result.cpp
@@ -27,15 +27,20 @@
 
 std::string_view NameOf(Verdict verdict) {
   switch (verdict) {
-    case Verdict::kHeld: return "held";
-    case Verdict::kBroken: return "broken";
-    case Verdict::kVoid: return "void";
+    case Verdict::kHeld:
+      return "held";
+    case Verdict::kBroken:
+      return "broken";
+    case Verdict::kVoid:
+      return "void";
   }
   return "";
 }
 
 uint32_t Quantile(std::vector<uint32_t>& values, double part) {
-  if (values.empty()) return 0;
+  if (values.empty()) {
+    return 0;
+  }
   const auto rank = static_cast<size_t>(std::ceil(part * static_cast<double>(values.size())));
   const auto at =
       values.begin() + static_cast<long>(std::clamp<size_t>(rank, 1, values.size()) - 1);
@@ -127,7 +132,9 @@
     json hosts = json::object();
     for (const auto& [name, inflight] : w.inflight) {
       held.push_back(inflight);
-      if (w.inflight.size() <= kHostsInWindow) hosts[name] = inflight;
+      if (w.inflight.size() <= kHostsInWindow) {
+        hosts[name] = inflight;
+      }
     }
     std::ranges::sort(held);
     const auto at = [&](double part) {
@@ -225,7 +232,9 @@
 
 Result ResultFromJson(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw std::runtime_error(path + ": cannot read it, expected a result of lab run");
+  if (!file) {
+    throw std::runtime_error(path + ": cannot read it, expected a result of lab run");
+  }
   try {
     const json j = json::parse(file);
     Result r;
@@ -242,21 +251,29 @@
     r.late = j.at("lab_late").get<std::vector<std::string>>();
     const json& q = j.at("requests");
     Ledger::Counts& c = r.counts;
-    c.asked = q.at("asked"), c.served = q.at("served"), c.late = q.at("late");
-    c.refused = q.at("refused"), c.failed = q.at("failed"), c.lost = q.at("lost");
-    c.answered_twice = q.at("answered_twice"), c.tries = q.at("tries");
+    c.asked = q.at("asked");
+    c.served = q.at("served");
+    c.late = q.at("late");
+    c.refused = q.at("refused");
+    c.failed = q.at("failed");
+    c.lost = q.at("lost");
+    c.answered_twice = q.at("answered_twice");
+    c.tries = q.at("tries");
     c.receipts = j.at("receipts").at("total");
     c.twice_unlawful = j.at("receipts").at("twice_unlawful");
     c.late_sends = j.at("drains").at("late_sends");
     c.fell_over = j.at("cold").at("fell_over");
-    c.worth_asked = j.at("worth").at("asked"), c.worth_served = j.at("worth").at("served");
+    c.worth_asked = j.at("worth").at("asked");
+    c.worth_served = j.at("worth").at("served");
     r.worst_10s = j.at("worth").at("worst_10s");
-    r.p50_us = j.at("latency_us").at("p50"), r.p99_us = j.at("latency_us").at("p99");
+    r.p50_us = j.at("latency_us").at("p50");
+    r.p99_us = j.at("latency_us").at("p99");
     r.p999_us = j.at("latency_us").at("p999");
     r.cpu_us_per_request = j.at("gateway").at("cpu_us_per_request");
     r.rss_kb_max = j.at("gateway").at("rss_kb_max");
     r.descriptors_max = j.at("gateway").at("descriptors_max");
-    r.hosts = j.at("fleet").at("hosts"), r.gateways = j.at("fleet").at("gateways");
+    r.hosts = j.at("fleet").at("hosts");
+    r.gateways = j.at("fleet").at("gateways");
     r.lab_cpu_share = j.at("lab").at("cpu_share");
     r.lab_lag_ms_max = j.at("lab").at("lag_ms_max");
     for (const json& f : j.at("faults")) {
@@ -266,12 +283,15 @@
     for (const json& w : j.at("windows")) {
       WindowResult window;
       window.at_s = w.at("at_s");
-      window.counts.asked = w.at("asked"), window.counts.served = w.at("served");
-      window.counts.late = w.at("late"), window.counts.refused = w.at("refused");
+      window.counts.asked = w.at("asked");
+      window.counts.served = w.at("served");
+      window.counts.late = w.at("late");
+      window.counts.refused = w.at("refused");
       window.counts.failed = w.at("failed");
       window.counts.worth_asked = w.at("worth").at("asked");
       window.counts.worth_served = w.at("worth").at("served");
-      window.p50_us = w.at("latency_us").at("p50"), window.p99_us = w.at("latency_us").at("p99");
+      window.p50_us = w.at("latency_us").at("p50");
+      window.p99_us = w.at("latency_us").at("p99");
       for (const auto& [name, value] : w.at("hosts").items()) {
         window.inflight.emplace_back(name, value.get<size_t>());
       }
@@ -281,7 +301,8 @@
         }
       }
       window.cpu_share = w.at("cpu_share");
-      window.rss_kb = w.at("rss_kb"), window.descriptors = w.at("descriptors");
+      window.rss_kb = w.at("rss_kb");
+      window.descriptors = w.at("descriptors");
       r.windows.push_back(std::move(window));
     }
     r.logs = j.at("logs").get<std::vector<std::string>>();
@@ -327,9 +348,12 @@
   }
   constexpr size_t kShown = 8;
   for (const auto* const list : {&r.late, &r.broken}) {
-    for (size_t i = 0; i < list->size() && i < kShown; ++i)
+    for (size_t i = 0; i < list->size() && i < kShown; ++i) {
       out += fmt::format("  {}\n", (*list)[i]);
-    if (list->size() > kShown) out += fmt::format("  and {} more\n", list->size() - kShown);
+    }
+    if (list->size() > kShown) {
+      out += fmt::format("  and {} more\n", list->size() - kShown);
+    }
   }
   return out;
 }
--- a/src/lab/result.h
+++ b/src/lab/result.h
@@ -31,7 +31,11 @@
   std::vector<std::string> hosts;
 };
 
-enum class Verdict { kHeld, kBroken, kVoid };
+enum class Verdict {
+  kHeld,
+  kBroken,
+  kVoid
+};
 
 struct Result {
   std::string experiment, about, path;
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -50,7 +50,9 @@
 constexpr Duration kOperateAgain{50'000};      // us; between two of an operator's calls
 constexpr size_t kTailLines = 20;
 
-double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+double Seconds(Duration d) {
+  return static_cast<double>(d.count()) / 1e6;
+}
 
 // One short call on a connection of its own.
 class HealthCall final : public Stream::Listener {
@@ -60,7 +62,9 @@
       : loop_(loop), done_(std::move(done)) {
     bool refused = false;
     auto socket = Connect(to, nullptr, refused);
-    if (socket) stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
+    if (socket) {
+      stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
+    }
     if (stream_ && stream_->Start()) {
       stream_->Write(std::string(call) + " HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
     } else {
@@ -71,14 +75,20 @@
     if (parser_.Feed(stream_->input()) == ParseProgress::kDone) {
       return Later(parser_.message().status == 200);
     }
-    if (stream_->ended()) Later(false);
+    if (stream_->ended()) {
+      Later(false);
+    }
   }
   void OnError() override { Later(false); }
 
  private:
   void Later(bool good) {
-    if (std::exchange(told_, true)) return;
-    if (stream_) stream_->Close();
+    if (std::exchange(told_, true)) {
+      return;
+    }
+    if (stream_) {
+      stream_->Close();
+    }
     loop_.RunDeferred([done = done_, good] { done(good); });
   }
   EventLoop& loop_;
@@ -125,19 +135,31 @@
     directory_.Start(fleet_.List());
     std::vector<Address> targets;
     if (options_.straight) {
-      for (const ListedHost& host : fleet_.List()) targets.push_back(host.address);
+      for (const ListedHost& host : fleet_.List()) {
+        targets.push_back(host.address);
+      }
     } else {
-      for (size_t i = 0; i < e_.gateway.count; ++i) targets.push_back(Prepare(i));
+      for (size_t i = 0; i < e_.gateway.count; ++i) {
+        targets.push_back(Prepare(i));
+      }
       if (e_.bank.on) {
         bank_ = std::make_unique<BankLab>(loop_, e_, ledger_, folder_.path(), seed_ ^ 0xba9c,
                                           kGatewayPlaces + e_.gateway.count);
       }
-      for (size_t i = 0; i < e_.gateway.count; ++i) StartGateway(i);
-      if (!AwaitGateways()) return Finish();
-      if (bank_ && (e_.bank.measured || e_.bank.hollow > 0) && !AwaitBank()) return Finish();
+      for (size_t i = 0; i < e_.gateway.count; ++i) {
+        StartGateway(i);
+      }
+      if (!AwaitGateways()) {
+        return Finish();
+      }
+      if (bank_ && (e_.bank.measured || e_.bank.hollow > 0) && !AwaitBank()) {
+        return Finish();
+      }
     }
     load_ = std::make_unique<Load>(loop_, e_, ledger_, seed_ ^ 0x10ad, targets);
-    if (options_.straight) result_.faults.clear();
+    if (options_.straight) {
+      result_.faults.clear();
+    }
     zero_ = loop_.Now();
     for (GatewayState& g : gateways_) {
       g.used = g.process->Measure();
@@ -152,20 +174,30 @@
     loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
     Every(kSampleEvery, [this] { Sample(); });
     Every(kLookEvery, [this] { Look(); });
-    if (!options_.straight) Every(kHealthEvery, [this] { AskHealth(); });
+    if (!options_.straight) {
+      Every(kHealthEvery, [this] { AskHealth(); });
+    }
     // Drawn now and in their order, whatever happens meanwhile.
-    for (const Fault& fault : e_.faults) Script(fault);
-    if (bank_) bank_->Begin(zero_, fleet_.List());
+    for (const Fault& fault : e_.faults) {
+      Script(fault);
+    }
+    if (bank_) {
+      bank_->Begin(zero_, fleet_.List());
+    }
     load_->Begin(zero_);
     loop_.Run();
-    if (interrupted_) throw Interrupted("interrupted; nothing is left running");
+    if (interrupted_) {
+      throw Interrupted("interrupted; nothing is left running");
+    }
     return Finish();
   }
 
  private:
   static LedgerRules ContentOf(const Experiment& e, uint64_t seed) {
     LedgerRules rules;
-    for (const ClassSpec& c : e.classes) rules.classes.push_back(c.rules);
+    for (const ClassSpec& c : e.classes) {
+      rules.classes.push_back(c.rules);
+    }
     rules.drain_grace = e.drain_grace;
     rules.id_prefix = fmt::format("r{:x}", seed);
     return rules;
@@ -176,7 +208,9 @@
   }
   static void RaiseLimits() {
     rlimit files{};
-    if (getrlimit(RLIMIT_NOFILE, &files) != 0) return;
+    if (getrlimit(RLIMIT_NOFILE, &files) != 0) {
+      return;
+    }
     files.rlim_cur = files.rlim_max;
     setrlimit(RLIMIT_NOFILE, &files);
     std::signal(SIGPIPE, SIG_IGN);
@@ -237,7 +271,9 @@
     if (words.empty()) {
       words = {std::filesystem::read_symlink("/proc/self/exe").string(), "serve"};
       // Kept logs can be added up by fleet-report.
-      if (!options_.logs.empty()) words.insert(words.end(), {"--counters-every", "1"});
+      if (!options_.logs.empty()) {
+        words.insert(words.end(), {"--counters-every", "1"});
+      }
     }
     std::vector<std::pair<std::string, std::string>> env = {
         {"LB_NAME", fmt::format("g{}", i)},
@@ -270,10 +306,14 @@
           Broken(i, fmt::format("gateway {} ended with {} before it was up", i, *code));
           return false;
         }
-        if (!g.up && !g.health) AskHealth(i);
+        if (!g.up && !g.health) {
+          AskHealth(i);
+        }
         all = all && g.up;
       }
-      if (all) return true;
+      if (all) {
+        return true;
+      }
       if (loop_.Now() > until) {
         result_.broken.emplace_back("a gateway did not come up within 10 s");
         AddLogs();
@@ -292,7 +332,9 @@
     });
     const Time until = loop_.Now() + kLinkedWithin;
     while (!bank_->Linked()) {
-      if (interrupted_) throw Interrupted("interrupted; nothing is left running");
+      if (interrupted_) {
+        throw Interrupted("interrupted; nothing is left running");
+      }
       if (loop_.Now() > until) {
         result_.broken.emplace_back("nobody led all members of the bank within 60 s");
         AddLogs();
@@ -317,10 +359,14 @@
     });
   }
   void AskHealth() {
-    if (finishing_) return;
+    if (finishing_) {
+      return;
+    }
     for (size_t i = 0; i < gateways_.size(); ++i) {
       GatewayState& g = gateways_[i];
-      if (g.expected_to_end || g.stopped || !g.process) continue;
+      if (g.expected_to_end || g.stopped || !g.process) {
+        continue;
+      }
       if (!g.health) {
         AskHealth(i);
       } else if (loop_.Now() - g.asked > kHangAfter + lag_recent_) {
@@ -345,7 +391,9 @@
 
   // ---- The script ---------------------------------------------------------------------------
   void Script(const Fault& fault) {
-    if (fault.at > e_.length) return;
+    if (fault.at > e_.length) {
+      return;
+    }
     const double to = Seconds(fault.at + fault.lasts);
     result_.faults.push_back({Seconds(fault.at), to, fault.name, {}});
     const size_t place = result_.faults.size() - 1;
@@ -370,28 +418,38 @@
         directory_.Move();
         for (size_t i = 0; i < gateways_.size(); ++i) {
           WriteConfig(i);
-          if (gateways_[i].process) gateways_[i].process->Signal(SIGHUP);
+          if (gateways_[i].process) {
+            gateways_[i].process->Signal(SIGHUP);
+          }
         }
         return;
       case FaultKind::kGatewayTerm:
       case FaultKind::kGatewayKill:
       case FaultKind::kGatewayStop:
-      case FaultKind::kGatewayHang: return PlayGateways(fault);
+      case FaultKind::kGatewayHang:
+        return PlayGateways(fault);
       case FaultKind::kGatewayDisk:
       case FaultKind::kLinkCut:
       case FaultKind::kLinkSlow:
       case FaultKind::kLinkFlap:
-      case FaultKind::kLinkNoise: return bank_->Play(fault);
-      case FaultKind::kGatewayQuiesce: return PlayQuiesce(fault);
-      case FaultKind::kGatewayReload: return PlayReload(fault);
-      case FaultKind::kGatewayUpgrade: return PlayUpgrade(fault);
-      default: break;
+      case FaultKind::kLinkNoise:
+        return bank_->Play(fault);
+      case FaultKind::kGatewayQuiesce:
+        return PlayQuiesce(fault);
+      case FaultKind::kGatewayReload:
+        return PlayReload(fault);
+      case FaultKind::kGatewayUpgrade:
+        return PlayUpgrade(fault);
+      default:
+        break;
     }
     const std::vector<size_t> chosen = fleet_.Choose(fault);
     const auto listed = fleet_.List();
     for (const size_t host : chosen) {
       const auto at = std::ranges::find(listed, host, &ListedHost::host);
-      if (at != listed.end()) result_.faults[place].hosts.push_back(at->id);
+      if (at != listed.end()) {
+        result_.faults[place].hosts.push_back(at->id);
+      }
     }
     fleet_.Begin(fault, chosen);
     if (fault.lasts > Duration(0)) {
@@ -402,15 +460,21 @@
   // The one that is named, or several that the seed draws.
   void PlayGateways(const Fault& fault) {
     std::set<size_t> chosen(fault.from.begin(), fault.from.end());
-    if (!fault.gateways && chosen.empty()) chosen.insert(fault.gateway);
+    if (!fault.gateways && chosen.empty()) {
+      chosen.insert(fault.gateway);
+    }
     while (fault.gateways && chosen.size() < *fault.gateways) {
       chosen.insert(std::uniform_int_distribution<size_t>(0, gateways_.size() - 1)(random_));
     }
-    for (const size_t i : chosen) PlayGateway(fault, i);
+    for (const size_t i : chosen) {
+      PlayGateway(fault, i);
+    }
   }
   void PlayGateway(const Fault& fault, size_t i) {
     GatewayState& g = gateways_[i];
-    if (!g.process || g.stopped || g.expected_to_end) return;
+    if (!g.process || g.stopped || g.expected_to_end) {
+      return;
+    }
     if (fault.kind == FaultKind::kGatewayHang || fault.kind == FaultKind::kGatewayStop) {
       const bool planned = fault.kind == FaultKind::kGatewayStop;
       if (planned) {
@@ -420,11 +484,15 @@
         if (fault.lasts > kFrontNotices) {
           loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, !gateways_[i].stopped); });
         }
-        if (bank_) bank_->Down(i, true);
+        if (bank_) {
+          bank_->Down(i, true);
+        }
         loop_.RunAfter(fault.lasts, [this, i] {
           load_->SetKilled(i, false);
           load_->SetIn(i, true);
-          if (bank_) bank_->Down(i, false);
+          if (bank_) {
+            bank_->Down(i, false);
+          }
         });
       }
       g.stopped = true;
@@ -432,7 +500,9 @@
       loop_.RunAfter(fault.lasts, [this, i] {
         gateways_[i].stopped = false;
         gateways_[i].health.reset();
-        if (gateways_[i].process) gateways_[i].process->Signal(SIGCONT);
+        if (gateways_[i].process) {
+          gateways_[i].process->Signal(SIGCONT);
+        }
       });
       return;
     }
@@ -441,7 +511,9 @@
     if (fault.kind == FaultKind::kGatewayKill) {
       load_->SetKilled(i, true);
       g.process->Signal(SIGKILL);
-      if (bank_) bank_->Down(i, true);
+      if (bank_) {
+        bank_->Down(i, true);
+      }
       loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, gateways_[i].up); });
     } else {
       g.process->Signal(SIGTERM);
@@ -450,11 +522,14 @@
     g.up = false;
     const Duration longest = Longest();
     const bool killed = fault.kind == FaultKind::kGatewayKill;
-    loop_.RunAfter(fault.down,
-                [this, i, killed, disk = fault.disk, until = loop_.Now() + longest + seconds(1)] {
-                  if (bank_ && killed) bank_->ChangeDisk(i, disk), bank_->Down(i, false);
-                  Restart(i, until);
-                });
+    loop_.RunAfter(fault.down, [this, i, killed, disk = fault.disk,
+                                until = loop_.Now() + longest + seconds(1)] {
+      if (bank_ && killed) {
+        bank_->ChangeDisk(i, disk);
+        bank_->Down(i, false);
+      }
+      Restart(i, until);
+    });
   }
 
   // ---- What operators do --------------------------------------------------------------------
@@ -465,14 +540,18 @@
     g.operate = std::make_unique<HealthCall>(
         loop_, to,
         [this, i, call, to, until, then = std::move(then)](bool good) {
-          if (finishing_) return;
-          if (good) return then();
+          if (finishing_) {
+            return;
+          }
+          if (good) {
+            return then();
+          }
           if (loop_.Now() > until + lag_recent_) {
             Broken(i, fmt::format("gateway {} gives no yes to {}", i, call));
             return loop_.Stop();
           }
           loop_.RunAfter(kOperateAgain,
-                      [this, i, call, to, until, then] { Operate(i, call, to, until, then); });
+                         [this, i, call, to, until, then] { Operate(i, call, to, until, then); });
         },
         call);
   }
@@ -488,7 +567,9 @@
         }
         GatewayState& g = gateways_[i];
         g.operate = std::make_unique<HealthCall>(loop_, g.address, [this, i](bool good) {
-          if (!good || finishing_) return;
+          if (!good || finishing_) {
+            return;
+          }
           Broken(i, fmt::format("gateway {} still wants clients 4 s after quiesce", i));
           loop_.Stop();
         });
@@ -507,13 +588,17 @@
   void PlayReload(const Fault& fault) {
     for (GatewayState& g : gateways_) {
       std::ofstream(g.config_path) << R"({"discovery":"127.0.0.1:1","settings":{"Classes":[)";
-      if (g.process) g.process->Signal(SIGHUP);
+      if (g.process) {
+        g.process->Signal(SIGHUP);
+      }
     }
     loop_.RunAfter(kReloadPause, [this, &fault] {
       std::ranges::find(e_.classes, fault.cls, &ClassSpec::name)->listed = true;
       for (size_t i = 0; i < gateways_.size(); ++i) {
         WriteConfig(i);
-        if (gateways_[i].process) gateways_[i].process->Signal(SIGHUP);
+        if (gateways_[i].process) {
+          gateways_[i].process->Signal(SIGHUP);
+        }
       }
     });
   }
@@ -522,7 +607,9 @@
   void PlayUpgrade(const Fault& fault) {
     const size_t i = fault.gateway;
     GatewayState& g = gateways_[i];
-    if (!g.process) return;
+    if (!g.process) {
+      return;
+    }
     WriteConfig(i);
     ++starts_;
     g.next = Run(i);
@@ -536,7 +623,9 @@
   }
   void AwaitEndOfOld(size_t i, Time until) {
     GatewayState& g = gateways_[i];
-    if (finishing_ || !g.before) return;
+    if (finishing_ || !g.before) {
+      return;
+    }
     const auto code = g.before->Ended();
     if (!code && loop_.Now() <= until) {
       loop_.RunAfter(kOperateAgain, [this, i, until] { AwaitEndOfOld(i, until); });
@@ -567,13 +656,16 @@
   // After SIGTERM it leaves with 0; killed, with what SIGKILL gives.
   void CheckEnd(size_t i) {
     const int code = gateways_[i].process->Ended().value_or(0);
-    if (code != 0 && code != 128 + SIGKILL)
+    if (code != 0 && code != 128 + SIGKILL) {
       Broken(i, fmt::format("gateway {} ended with {}", i, code));
+    }
   }
 
   [[nodiscard]] Duration Longest() const {
     Duration longest{0};
-    for (const ClassSpec& c : e_.classes) longest = std::max(longest, c.rules.deadline);
+    for (const ClassSpec& c : e_.classes) {
+      longest = std::max(longest, c.rules.deadline);
+    }
     return longest;
   }
 
@@ -583,15 +675,21 @@
     lags_.push_back(static_cast<uint32_t>(late.count()));
     lag_max_ = std::max(lag_max_, late);
     recent_.emplace_back(loop_.Now(), late);
-    while (loop_.Now() - recent_.front().first > kLagSpan) recent_.pop_front();
+    while (loop_.Now() - recent_.front().first > kLagSpan) {
+      recent_.pop_front();
+    }
     lag_recent_ = Duration(0);
-    for (const auto& [at, lag] : recent_) lag_recent_ = std::max(lag_recent_, lag);
+    for (const auto& [at, lag] : recent_) {
+      lag_recent_ = std::max(lag_recent_, lag);
+    }
     lag_due_ = loop_.Now() + kLagEvery;
     loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
   }
 
   void Look() {
-    if (finishing_) return;
+    if (finishing_) {
+      return;
+    }
     const Time now = Now();
     ledger_.Advance(now, lag_recent_);
     for (size_t i = 0; i < gateways_.size(); ++i) {
@@ -600,14 +698,18 @@
         Broken(i, fmt::format("gateway {}: the new process ended with {}", i, *g.next->Ended()));
         return loop_.Stop();
       }
-      if (g.expected_to_end || !g.process) continue;
+      if (g.expected_to_end || !g.process) {
+        continue;
+      }
       if (const auto code = g.process->Ended()) {
         Broken(i, fmt::format("gateway {} crashed with {}", i, *code));
         return loop_.Stop();
       }
     }
     const Time last = e_.length + Longest() + kEndSpare;
-    if ((now >= e_.length && load_->finished()) || now > last) loop_.Stop();
+    if ((now >= e_.length && load_->finished()) || now > last) {
+      loop_.Stop();
+    }
   }
 
   void Sample() {
@@ -615,7 +717,9 @@
     double cpu = 0;
     uint64_t rss = 0, descriptors = 0;
     for (GatewayState& g : gateways_) {
-      if (g.process && !g.process->Ended() && !g.expected_to_end) g.used = g.process->Measure();
+      if (g.process && !g.process->Ended() && !g.expected_to_end) {
+        g.used = g.process->Measure();
+      }
       cpu += g.cpu_before + g.used.cpu_us;
       rss += g.used.rss_kb;
       descriptors += g.used.descriptors;
@@ -624,7 +728,9 @@
     }
     StopAtBounds();
     const auto second = static_cast<size_t>(now.count() / 1'000'000);
-    if (second >= samples_.size()) samples_.resize(second + 1);
+    if (second >= samples_.size()) {
+      samples_.resize(second + 1);
+    }
     WindowResult& w = samples_[second];
     w.rss_kb = std::max(w.rss_kb, rss);
     w.descriptors = std::max(w.descriptors, descriptors);
@@ -635,7 +741,9 @@
 
   // A gateway that leaks is stopped before it takes the machine with it.
   void StopAtBounds() {
-    if (finishing_) return;
+    if (finishing_) {
+      return;
+    }
     for (size_t i = 0; i < gateways_.size(); ++i) {
       const Process::Usage& used = gateways_[i].used;
       const double mb = static_cast<double>(used.rss_kb) / 1024;
@@ -660,7 +768,9 @@
       Sample();
     }
     double cpu = 0;
-    for (GatewayState& g : gateways_) cpu += g.cpu_before + g.used.cpu_us;
+    for (GatewayState& g : gateways_) {
+      cpu += g.cpu_before + g.used.cpu_us;
+    }
     if (bank_ && zero_ > Time(0)) {
       result_.bank = bank_->Finish(now);
       result_.scale = bank_->FinishScale();
@@ -681,7 +791,9 @@
       r.client_connections = l.connections;
       r.client_connections_most = l.open_most;
       r.no_gateway = l.no_gateway;
-      r.bad_sent = l.bad_sent, r.bad_unanswered = l.bad_unanswered, r.bad_served = l.bad_served;
+      r.bad_sent = l.bad_sent;
+      r.bad_unanswered = l.bad_unanswered;
+      r.bad_served = l.bad_served;
       if (l.beyond > 0) {
         r.late.push_back(fmt::format("the lab had no connection left for {} tries", l.beyond));
       }
@@ -699,7 +811,9 @@
     r.lab_lag_ms_max = Seconds(lag_max_) * 1000;
     r.lab_lag_ms_p99 = Quantile(lags_, 0.99) / 1000.0;
     FillWindows();
-    if (r.broken.empty() && ledger_.broken()) AddLogs();
+    if (r.broken.empty() && ledger_.broken()) {
+      AddLogs();
+    }
     Judge(e_, ledger_.breaches(), r);
     return std::move(r);
   }
@@ -718,9 +832,15 @@
         w.counts.latency_us.clear();
       }
       const double before = i > 0 && i - 1 < cpu_at_.size() ? cpu_at_[i - 1] : 0;
-      if (i < cpu_at_.size()) w.cpu_share = std::max(0.0, cpu_at_[i] - before) / 1e6;
-      if (i * 4 >= end && i * 2 < end) middle = std::max(middle, w.rss_kb);
-      if (i * 4 >= end * 3) last = std::max(last, w.rss_kb);
+      if (i < cpu_at_.size()) {
+        w.cpu_share = std::max(0.0, cpu_at_[i] - before) / 1e6;
+      }
+      if (i * 4 >= end && i * 2 < end) {
+        middle = std::max(middle, w.rss_kb);
+      }
+      if (i * 4 >= end * 3) {
+        last = std::max(last, w.rss_kb);
+      }
       result_.windows.push_back(std::move(w));
     }
     constexpr size_t kSpan = 10;
@@ -732,7 +852,9 @@
         asked += all[i].counts.worth_asked;
         served += all[i].counts.worth_served;
       }
-      if (asked > 0) result_.worst_10s = std::min(result_.worst_10s, served / asked);
+      if (asked > 0) {
+        result_.worst_10s = std::min(result_.worst_10s, served / asked);
+      }
     }
     result_.rss_kb_growth = last > middle ? last - middle : 0;
   }
@@ -740,7 +862,10 @@
   void StopGateways() {
     finishing_ = true;
     for (GatewayState& g : gateways_) {
-      if (g.process) g.process->Signal(SIGCONT), g.process->Signal(SIGTERM);
+      if (g.process) {
+        g.process->Signal(SIGCONT);
+        g.process->Signal(SIGTERM);
+      }
     }
     const Time until = loop_.Now() + Longest() + seconds(3);
     for (size_t i = 0; i < gateways_.size(); ++i) {
@@ -749,7 +874,9 @@
       while (g.process && !g.process->Ended() && loop_.Now() < until) {
         loop_.RunOnce(Duration(10'000));
       }
-      if (!g.process || !result_.broken.empty()) continue;
+      if (!g.process || !result_.broken.empty()) {
+        continue;
+      }
       if (!g.process->Ended()) {
         Broken(i, fmt::format("gateway {} did not end after SIGTERM", i));
       } else {
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -25,8 +25,12 @@
 constexpr size_t kRestartsMost = 200;
 constexpr double kLevelAgain = 1.5;  // s; of one that stood still
 
-Duration Us(double s) { return Duration(static_cast<int64_t>(s * 1e6)); }
-double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+Duration Us(double s) {
+  return Duration(static_cast<int64_t>(s * 1e6));
+}
+double Seconds(Duration d) {
+  return static_cast<double>(d.count()) / 1e6;
+}
 
 double HalfOfMemoryMb() {
   return static_cast<double>(sysconf(_SC_PHYS_PAGES)) * static_cast<double>(sysconf(_SC_PAGESIZE)) /
@@ -84,7 +88,9 @@
   reads.work_ms = {2, 6};
   reads.wait_ms = {1, 5};
   e.classes = {reads};
-  if (o.tenants > 0) e.tenants = {{"t-000000", 1}};
+  if (o.tenants > 0) {
+    e.tenants = {{"t-000000", 1}};
+  }
   e.load.rate = {{Duration(0), o.rate}};
   e.load.retries = 2;
   e.gateway.count = real;
@@ -141,8 +147,12 @@
       r.counts.asked, r.counts.lost, r.counts.answered_twice, r.p50_us / 1000.0, r.p99_us / 1000.0);
   const auto faults = [&] {
     std::string lines;
-    for (const std::string& line : r.broken) lines += fmt::format("  broken: {}\n", line);
-    for (const std::string& line : r.late) lines += fmt::format("  void: {}\n", line);
+    for (const std::string& line : r.broken) {
+      lines += fmt::format("  broken: {}\n", line);
+    }
+    for (const std::string& line : r.late) {
+      lines += fmt::format("  void: {}\n", line);
+    }
     return lines;
   };
   if (!s.on) {
@@ -154,7 +164,9 @@
       "{}, seed {}: {}\n  members {} ({} real, {} hollow), all linked after {:.0f} ms\n",
       r.experiment, r.seed, NameOf(r.verdict), s.members, s.real, s.hollow, s.linked_ms);
   const auto role = [&](const char* name, const RoleFigures& f) {
-    if (f.processes == 0) return;
+    if (f.processes == 0) {
+      return;
+    }
     text += fmt::format(
         "  {:<8} {:.4f} of a core, {:.1f} MB, {:.0f} descriptors, {:.0f} bytes/s in, {:.0f} out, "
         "{:.1f} messages/s\n",
@@ -189,7 +201,9 @@
 std::string ScaleJson(const ScaleOptions& o, const Result& r, double load) {
   const ScaleFigures& s = r.scale;
   const auto role = [](const RoleFigures& f) -> json {
-    if (f.processes == 0) return nullptr;
+    if (f.processes == 0) {
+      return nullptr;
+    }
     return {{"processes", f.processes},   {"cpu_core", f.cpu_core},
             {"rss_mb", f.rss_mb},         {"descriptors", f.descriptors},
             {"bytes_in_s", f.bytes_in_s}, {"bytes_out_s", f.bytes_out_s},
@@ -200,17 +214,33 @@
       "paddlestile lab scale --members {} --real {} --tenants {} --seconds {} --seed {} --rate {}",
       s.on ? s.members : o.members, real, o.tenants, o.seconds, o.seed, o.rate);
   const ScaleOptions usual;
-  if (o.leader_dies) command += " --leader-dies";
-  if (o.deltas) command += " --deltas";
-  if (o.calm) command += " --calm";
-  if (!o.bank) command += " --no-bank";
-  if (o.hosts != usual.hosts) command += fmt::format(" --hosts {}", o.hosts);
-  if (o.stall_ms != usual.stall_ms) command += fmt::format(" --stall-ms {}", o.stall_ms);
-  if (o.read_bytes_per_s > 0) command += fmt::format(" --read-bytes-per-s {}", o.read_bytes_per_s);
+  if (o.leader_dies) {
+    command += " --leader-dies";
+  }
+  if (o.deltas) {
+    command += " --deltas";
+  }
+  if (o.calm) {
+    command += " --calm";
+  }
+  if (!o.bank) {
+    command += " --no-bank";
+  }
+  if (o.hosts != usual.hosts) {
+    command += fmt::format(" --hosts {}", o.hosts);
+  }
+  if (o.stall_ms != usual.stall_ms) {
+    command += fmt::format(" --stall-ms {}", o.stall_ms);
+  }
+  if (o.read_bytes_per_s > 0) {
+    command += fmt::format(" --read-bytes-per-s {}", o.read_bytes_per_s);
+  }
   // What faults take is told apart where some members read slower than they usually do.
   const bool slow = o.read_bytes_per_s > 0 || o.stall_ms > usual.stall_ms;
   const json none;
-  const auto when = [&](bool so, double value) { return so ? json(value) : none; };
+  const auto when = [&](bool so, double value) {
+    return so ? json(value) : none;
+  };
   json all = {
       {"command", command},
       {"commit", o.commit},
--- a/src/lab/scale_figures.cpp
+++ b/src/lab/scale_figures.cpp
@@ -11,10 +11,14 @@
 constexpr size_t kBrokenMost = 10;
 using What = HollowLine::What;
 
-double Ms(Duration d) { return static_cast<double>(d.count()) / 1000; }
+double Ms(Duration d) {
+  return static_cast<double>(d.count()) / 1000;
+}
 
 double At(std::vector<double>& of, double part) {
-  if (of.empty()) return 0;
+  if (of.empty()) {
+    return 0;
+  }
   std::ranges::sort(of);
   return of[static_cast<size_t>(part * static_cast<double>(of.size() - 1))];
 }
@@ -28,7 +32,9 @@
 void JudgeHollow(std::vector<HollowLine> lines, const std::vector<ToldChange>& changes,
                  const HollowTerms& terms, ScaleFigures& figures) {
   const auto breaks = [&](std::string what) {
-    if (figures.broken.size() < kBrokenMost) figures.broken.push_back("scale: " + std::move(what));
+    if (figures.broken.size() < kBrokenMost) {
+      figures.broken.push_back("scale: " + std::move(what));
+    }
   };
   std::ranges::stable_sort(lines, {}, &HollowLine::at);
   std::vector<std::vector<HollowLine>> by_member(terms.hollow);
@@ -39,10 +45,14 @@
       continue;
     }
     by_member[line.member].push_back(line);
-    if (line.what == What::kAgreed) first.emplace(line.on, line.at);
+    if (line.what == What::kAgreed) {
+      first.emplace(line.on, line.at);
+    }
   }
   uint64_t last = 0;
-  for (const ToldChange& c : changes) last = std::max(last, c.version);
+  for (const ToldChange& c : changes) {
+    last = std::max(last, c.version);
+  }
 
   std::vector<double> in_force;
   for (size_t m = 0; m < terms.hollow; ++m) {
@@ -60,8 +70,12 @@
     for (const ToldChange& c : changes) {
       const auto from = std::ranges::find_if(
           of, [&](const HollowLine& l) { return l.at >= c.submitted && Acts(l, c.version); });
-      if (from == of.end()) continue;  // told above, where it stays so
-      if (c.submitted < terms.from) continue;
+      if (from == of.end()) {
+        continue;  // told above, where it stays so
+      }
+      if (c.submitted < terms.from) {
+        continue;
+      }
       if (c.submitted < terms.faults) {
         in_force.push_back(Ms(from->at - c.submitted));
         continue;
@@ -69,18 +83,24 @@
       // One that was down meanwhile had as long as it was up.
       Duration since = c.submitted;
       for (auto l = of.begin(); l != from; ++l) {
-        if (l->what == What::kUp) since = std::max(since, l->at);
+        if (l->what == What::kUp) {
+          since = std::max(since, l->at);
+        }
       }
       figures.faults_in_force_ms_most =
           std::max(figures.faults_in_force_ms_most, Ms(from->at - since));
     }
     // Those that came back, until they were level with what had been told by then.
     for (auto up = of.begin(); up != of.end(); ++up) {
-      if (up->what != What::kUp || up == of.begin()) continue;
+      if (up->what != What::kUp || up == of.begin()) {
+        continue;
+      }
       ++figures.returned;
       uint64_t told = 0;
       for (const ToldChange& c : changes) {
-        if (c.done <= up->at) told = std::max(told, c.version);
+        if (c.done <= up->at) {
+          told = std::max(told, c.version);
+        }
       }
       const auto level =
           std::find_if(up, of.end(), [&](const HollowLine& l) { return Acts(l, told); });
@@ -91,10 +111,14 @@
     // Acted on alone, past the moment at which another acted on a later one.
     const bool stalled = m >= terms.stalled_from && m < terms.stalled_to;
     for (size_t i = 0; i < of.size(); ++i) {
-      if (of[i].what != What::kAgreed) continue;
+      if (of[i].what != What::kAgreed) {
+        continue;
+      }
       const Duration until = i + 1 < of.size() ? of[i + 1].at : terms.end;
       const auto later = first.upper_bound(of[i].on);
-      if (later == first.end() || until <= later->second) continue;
+      if (later == first.end() || until <= later->second) {
+        continue;
+      }
       const Duration both = until - std::max(of[i].at, later->second);
       // A process that was stopped writes its line once it goes on, and acted on nothing meanwhile.
       const Duration excused = stalled ? terms.stalled : Duration(0);
--- a/src/lab/signal_watch.h
+++ b/src/lab/signal_watch.h
@@ -33,7 +33,9 @@
   }
   void OnEvents(uint32_t) override {
     signalfd_siginfo info{};
-    while (read(fd_.get(), &info, sizeof(info)) == static_cast<ssize_t>(sizeof(info))) then_();
+    while (read(fd_.get(), &info, sizeof(info)) == static_cast<ssize_t>(sizeof(info))) {
+      then_();
+    }
   }
 
  private:
--- a/src/lab/simulated_member.cpp
+++ b/src/lab/simulated_member.cpp
@@ -34,8 +34,8 @@
 namespace {
 
 using cluster::ClusterMember;
-using cluster::MemberOutput;
 using cluster::EffectiveConfig;
+using cluster::MemberOutput;
 using nlohmann::json;
 
 constexpr std::array<std::string_view, 5> kWhats = {"agreed", "between", "alone", "down", "up"};
@@ -49,7 +49,9 @@
 class Book {
  public:
   explicit Book(const std::string& path) : file_(std::fopen(path.c_str(), "ae")) {
-    if (file_ == nullptr) throw std::system_error(errno, std::generic_category(), path);
+    if (file_ == nullptr) {
+      throw std::system_error(errno, std::generic_category(), path);
+    }
   }
   Book(const Book&) = delete;
   Book& operator=(const Book&) = delete;
@@ -63,8 +65,8 @@
 
 class HollowMember final : public peer::PeerConnections::Listener {
  public:
-  HollowMember(EventLoop& loop, DescriptorBudget& budget, const ClusterConfig& config, size_t number,
-               uint64_t seed, Book& book)
+  HollowMember(EventLoop& loop, DescriptorBudget& budget, const ClusterConfig& config,
+               size_t number, uint64_t seed, Book& book)
       : loop_(loop),
         budget_(budget),
         config_(config),
@@ -81,12 +83,16 @@
 
   // As a process that dies, and starts with what its disk held.
   void Down() {
-    if (!member_) return;
+    if (!member_) {
+      return;
+    }
     Stop();
     Write({.what = HollowLine::What::kDown});
   }
   void Up() {
-    if (member_) return;
+    if (member_) {
+      return;
+    }
     ++disk_.restart_count;
     durable_ = 0;
     stance_.reset();
@@ -95,7 +101,9 @@
     options.name = name_;
     options.timing = config_.timing;
     for (const auto& [name, seat] : config_.members) {
-      if (seat.votes) options.initial_voters.insert(name);
+      if (seat.votes) {
+        options.initial_voters.insert(name);
+      }
     }
     Write({.what = HollowLine::What::kUp});
     member_ = std::make_unique<ClusterMember>(std::move(options), disk_, random_(), loop_.Now());
@@ -104,7 +112,9 @@
   }
   // As one whose links are cut: it goes on by itself.
   void Cut(bool cut) {
-    if (!member_ || cut == (links_ == nullptr)) return;
+    if (!member_ || cut == (links_ == nullptr)) {
+      return;
+    }
     if (!cut) {
       Link();
       wanted_.clear();
@@ -115,7 +125,9 @@
     const std::set<std::string> linked = std::move(linked_);
     linked_.clear();
     for (const std::string& name : linked) {
-      Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerDisconnected(now, name, out); });
+      Run([&](ClusterMember& m, Time now, MemberOutput& out) {
+        m.OnPeerDisconnected(now, name, out);
+      });
     }
   }
 
@@ -136,7 +148,9 @@
     options.seed = random_();
     options.listen = config_.members.at(name_).address;
     for (const auto& [name, seat] : config_.members) {
-      if (seat.votes || name == name_) options.members[name] = seat.dial_address;
+      if (seat.votes || name == name_) {
+        options.members[name] = seat.dial_address;
+      }
     }
     links_ = std::make_unique<peer::PeerConnections>(loop_, budget_, std::move(options), this);
   }
@@ -147,17 +161,25 @@
   void OnConnected(const std::string& name, uint64_t life, const json& known) override {
     linked_.insert(name);
     const raft::StorageClaim claim = raft::ReadClaim(known).value_or(raft::StorageClaim{});
-    Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerConnected(now, name, life, claim, out); });
+    Run([&](ClusterMember& m, Time now, MemberOutput& out) {
+      m.OnPeerConnected(now, name, life, claim, out);
+    });
   }
   void OnDisconnected(const std::string& name) override {
     linked_.erase(name);
-    Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnPeerDisconnected(now, name, out); });
+    Run([&](ClusterMember& m, Time now, MemberOutput& out) {
+      m.OnPeerDisconnected(now, name, out);
+    });
   }
   void OnFrame(const std::string& name, const json& value) override {
-    if (!value.is_object()) return;
+    if (!value.is_object()) {
+      return;
+    }
     if (const auto at = value.find("m"); at != value.end()) {
       const auto message = raft::ReadMessage(*at);
-      if (!message || message->from != name) return;
+      if (!message || message->from != name) {
+        return;
+      }
       Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *message, out); });
     }
   }
@@ -167,7 +189,9 @@
 
   template <typename What>
   void Run(What&& what) {
-    if (!member_) return;
+    if (!member_) {
+      return;
+    }
     MemberOutput out;
     what(*member_, loop_.Now(), out);
     uint64_t durable = durable_;
@@ -183,7 +207,9 @@
     if (out.storage_rolled_back || (!out.needs_resync.empty() && !std::exchange(anew_, true))) {
       // Another life under this name, as a member does whose disk has gone back.
       loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
-        if (alive.expired()) return;
+        if (alive.expired()) {
+          return;
+        }
         Down();
         disk_ = {};
         disk_.incarnation = random_() | 1;
@@ -198,7 +224,9 @@
     Act();
     loop_.CancelTimer(timer_);
     const Time due = member_->NextTimeout();
-    if (due == Time::max()) return;
+    if (due == Time::max()) {
+      return;
+    }
     timer_ = loop_.RunAfter(std::max(Duration(0), due - loop_.Now()), [this] { Tick(); });
   }
   // Not within Run: each of its kinds would make another one.
@@ -211,9 +239,13 @@
   void Wants() {
     std::set<std::string> wanted;
     for (const auto& [name, seat] : config_.members) {
-      if (seat.votes) wanted.insert(name);
+      if (seat.votes) {
+        wanted.insert(name);
+      }
+    }
+    if (!links_ || wanted == wanted_) {
+      return;
     }
-    if (!links_ || wanted == wanted_) return;
     wanted_ = wanted;
     links_->SetWantedMembers(std::move(wanted));
   }
@@ -222,13 +254,16 @@
     const EffectiveConfig stance = member_->CurrentConfig(loop_.Now());
     if (stance.kind != EffectiveConfig::Kind::kIsolated) {
       loop_.CancelTimer(act_timer_);
-      act_timer_ =
-          loop_.RunAfter(std::max(Duration(0), stance.valid_until - loop_.Now()), [this] { Act(); });
+      act_timer_ = loop_.RunAfter(std::max(Duration(0), stance.valid_until - loop_.Now()),
+                                  [this] { Act(); });
     }
-    const bool same = stance_ && stance_->kind == stance.kind && stance_->version_in_force == stance.version_in_force &&
+    const bool same = stance_ && stance_->kind == stance.kind &&
+                      stance_->version_in_force == stance.version_in_force &&
                       stance_->latest_version == stance.latest_version;
     stance_ = stance;
-    if (same) return;
+    if (same) {
+      return;
+    }
     Write({.what = static_cast<HollowLine::What>(stance.kind),
            .on = stance.version_in_force,
            .latest = stance.latest_version});
@@ -258,7 +293,8 @@
 };
 static_assert(static_cast<int>(HollowLine::What::kAgreed) ==
               static_cast<int>(EffectiveConfig::Kind::kAgreed));
-static_assert(static_cast<int>(HollowLine::What::kAlone) == static_cast<int>(EffectiveConfig::Kind::kIsolated));
+static_assert(static_cast<int>(HollowLine::What::kAlone) ==
+              static_cast<int>(EffectiveConfig::Kind::kIsolated));
 
 class HollowProcess final : public EventLoop::Handler {
  public:
@@ -270,7 +306,9 @@
         book_(options.book) {
     sigset_t set;
     sigemptyset(&set);
-    for (const int signal : {SIGTERM, SIGINT, SIGUSR1}) sigaddset(&set, signal);
+    for (const int signal : {SIGTERM, SIGINT, SIGUSR1}) {
+      sigaddset(&set, signal);
+    }
     sigprocmask(SIG_BLOCK, &set, nullptr);
     signals_ = FileDescriptor(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     if (!signals_ || !loop_.Watch(signals_.get(), this, token_)) {
@@ -342,7 +380,9 @@
   return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-std::string HollowName(size_t number) { return fmt::format("{}{:05}", kHollowPrefix, number); }
+std::string HollowName(size_t number) {
+  return fmt::format("{}{:05}", kHollowPrefix, number);
+}
 
 std::string ToText(const HollowLine& line) {
   return fmt::format("{} {} {} {} {}", line.at.count(), line.member,
@@ -358,7 +398,9 @@
     return std::nullopt;
   }
   const auto* const place = std::ranges::find(kWhats, what);
-  if (place == kWhats.end()) return std::nullopt;
+  if (place == kWhats.end()) {
+    return std::nullopt;
+  }
   line.at = Duration(at);
   line.what = static_cast<HollowLine::What>(place - kWhats.begin());
   return line;
--- a/src/lab/simulated_member.h
+++ b/src/lab/simulated_member.h
@@ -17,7 +17,13 @@
 // What a hollow process has written down of one of its members, a line each: when, by the
 // machine's monotonic clock, which all processes share; who; what it acts on from now on.
 struct HollowLine {
-  enum class What : uint8_t { kAgreed, kBetween, kAlone, kDown, kUp };
+  enum class What : uint8_t {
+    kAgreed,
+    kBetween,
+    kAlone,
+    kDown,
+    kUp
+  };
   Duration at{0};  // us, of std::chrono::steady_clock
   size_t member = 0;
   What what = What::kAlone;
--- a/src/peer/blocking_call.cpp
+++ b/src/peer/blocking_call.cpp
@@ -14,7 +14,9 @@
 
 using nlohmann::json;
 
-json StatusCall() { return {{"what", "status"}}; }
+json StatusCall() {
+  return {{"what", "status"}};
+}
 
 std::optional<json> CallMember(const Address& at, const json& call, Duration within) {
   const FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -31,19 +33,26 @@
   const std::string frame = peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", call}});
   for (size_t sent = 0; sent < frame.size();) {
     const ssize_t n = send(fd.get(), frame.data() + sent, frame.size() - sent, MSG_NOSIGNAL);
-    if (n <= 0) return std::nullopt;
+    if (n <= 0) {
+      return std::nullopt;
+    }
     sent += static_cast<size_t>(n);
   }
   Buffer in;
   while (true) {
     json value;
     switch (peer::TakeFrame(in, value)) {
-      case peer::FrameStatus::kComplete: return value;
-      case peer::FrameStatus::kMalformed: return std::nullopt;
-      case peer::FrameStatus::kIncomplete: break;
+      case peer::FrameStatus::kComplete:
+        return value;
+      case peer::FrameStatus::kMalformed:
+        return std::nullopt;
+      case peer::FrameStatus::kIncomplete:
+        break;
     }
     const ssize_t n = recv(fd.get(), in.Prepare(4096), 4096, 0);
-    if (n <= 0) return std::nullopt;
+    if (n <= 0) {
+      return std::nullopt;
+    }
     in.Commit(static_cast<size_t>(n));
   }
 }
--- a/src/peer/framing.cpp
+++ b/src/peer/framing.cpp
@@ -22,9 +22,15 @@
   bool binary(binary_t&) override { return true; }
   bool start_object(std::size_t) override { return ++depth_ <= kMaxDepth; }
   bool key(string_t&) override { return true; }
-  bool end_object() override { return --depth_, true; }
+  bool end_object() override {
+    --depth_;
+    return true;
+  }
   bool start_array(std::size_t) override { return ++depth_ <= kMaxDepth; }
-  bool end_array() override { return --depth_, true; }
+  bool end_array() override {
+    --depth_;
+    return true;
+  }
   bool parse_error(std::size_t, const std::string&, const json::exception&) override {
     return false;
   }
@@ -45,21 +51,33 @@
 
 std::optional<json> DecodeValue(std::string_view bytes) {
   Depth depth;
-  if (!json::sax_parse(bytes, &depth, json::input_format_t::cbor)) return std::nullopt;
+  if (!json::sax_parse(bytes, &depth, json::input_format_t::cbor)) {
+    return std::nullopt;
+  }
   json value = json::from_cbor(bytes, true, false);
-  if (value.is_discarded()) return std::nullopt;
+  if (value.is_discarded()) {
+    return std::nullopt;
+  }
   return value;
 }
 
 FrameStatus TakeFrame(Buffer& in, json& value) {
   uint32_t size = 0;
-  if (in.size() < sizeof(size)) return FrameStatus::kIncomplete;
+  if (in.size() < sizeof(size)) {
+    return FrameStatus::kIncomplete;
+  }
   std::memcpy(&size, in.data(), sizeof(size));
-  if (size > kMaxFrameBytes) return FrameStatus::kMalformed;
-  if (in.size() < sizeof(size) + size) return FrameStatus::kIncomplete;
+  if (size > kMaxFrameBytes) {
+    return FrameStatus::kMalformed;
+  }
+  if (in.size() < sizeof(size) + size) {
+    return FrameStatus::kIncomplete;
+  }
   auto parsed = DecodeValue(std::string_view(in.data() + sizeof(size), size));
   in.Consume(sizeof(size) + size);
-  if (!parsed) return FrameStatus::kMalformed;
+  if (!parsed) {
+    return FrameStatus::kMalformed;
+  }
   value = std::move(*parsed);
   return FrameStatus::kComplete;
 }
--- a/src/peer/framing.h
+++ b/src/peer/framing.h
@@ -21,7 +21,11 @@
 // A value of these bytes; nothing where they are none, deeper than allowed, or more than one.
 std::optional<nlohmann::json> DecodeValue(std::string_view bytes);
 
-enum class FrameStatus { kIncomplete, kComplete, kMalformed };
+enum class FrameStatus {
+  kIncomplete,
+  kComplete,
+  kMalformed
+};
 // Takes the next frame off the buffer, if all of it is there.
 FrameStatus TakeFrame(Buffer& in, nlohmann::json& value);
 
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -19,7 +19,7 @@
 constexpr int kAcceptAtOnce = 32;
 constexpr size_t kOldLives = 8;
 constexpr size_t kUnread = kMaxFrameBytes + 64;  // bytes of one link
-constexpr int kFramesAtOnce = 32;            // then others have their turn
+constexpr int kFramesAtOnce = 32;                // then others have their turn
 
 }  // namespace
 
@@ -57,7 +57,9 @@
   virtual ~Connection() = default;
 
   bool Start() {
-    if (!dialled_.empty()) Write(links_.HelloTo(dialled_));
+    if (!dialled_.empty()) {
+      Write(links_.HelloTo(dialled_));
+    }
     return stream_.Start();
   }
   void Write(const json& value) {
@@ -66,7 +68,9 @@
       ++links_.statistics_.dropped;
       return;
     }
-    if (stream_.flushed()) queued_ = 0;
+    if (stream_.flushed()) {
+      queued_ = 0;
+    }
     queued_ += frame.size();
     ++links_.statistics_.frames_out;
     links_.statistics_.bytes_out += frame.size();
@@ -74,7 +78,9 @@
   }
   void Read() {
     for (int n = 0; n < kFramesAtOnce; ++n) {
-      if (over_) return;
+      if (over_) {
+        return;
+      }
       json value;
       const size_t before = stream_.input().size();
       const FrameStatus read = TakeFrame(stream_.input(), value);
@@ -84,7 +90,9 @@
         return links_.Drop(*this, "a frame that makes no sense");
       }
       if (read == FrameStatus::kIncomplete) {
-        if (stream_.ended()) return links_.Drop(*this, "ended");
+        if (stream_.ended()) {
+          return links_.Drop(*this, "ended");
+        }
         stream_.ResumeReading();
         return;
       }
@@ -97,7 +105,9 @@
       }
     }
     links_.loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
-      if (!alive.expired()) Read();
+      if (!alive.expired()) {
+        Read();
+      }
     });
   }
   Stream& stream() { return stream_; }
@@ -112,7 +122,9 @@
   void OnData() override { Read(); }
   void OnWriteComplete() override {
     queued_ = 0;
-    if (ends_) links_.Drop(*this, "");
+    if (ends_) {
+      links_.Drop(*this, "");
+    }
   }
   void OnError() override { links_.Drop(*this, "broken"); }
 
@@ -124,7 +136,8 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-PeerConnections::PeerConnections(EventLoop& loop, DescriptorBudget& budget, PeerConnectionOptions options, Listener* listener)
+PeerConnections::PeerConnections(EventLoop& loop, DescriptorBudget& budget,
+                                 PeerConnectionOptions options, Listener* listener)
     : loop_(loop),
       budget_(budget),
       options_(std::move(options)),
@@ -136,7 +149,9 @@
 
 PeerConnections::~PeerConnections() {
   loop_.CancelTimer(heartbeat_timer_);
-  for (auto& [name, dial] : dials_) loop_.CancelTimer(dial.timer);
+  for (auto& [name, dial] : dials_) {
+    loop_.CancelTimer(dial.timer);
+  }
 }
 
 // ---- Connections ------------------------------------------------------------------------------
@@ -145,19 +160,27 @@
   for (int n = 0; n < kAcceptAtOnce; ++n) {
     FileDescriptor fd(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
-      if (errno == EINTR || errno == ECONNABORTED) continue;
+      if (errno == EINTR || errno == ECONNABORTED) {
+        continue;
+      }
       return;
     }
     // One that is turned away for want of room comes again.
-    if (unidentified_count_ >= options_.max_unidentified || !budget_.TryAcquire()) continue;
+    if (unidentified_count_ >= options_.max_unidentified || !budget_.TryAcquire()) {
+      continue;
+    }
     auto link = std::make_unique<Connection>(*this, Socket(std::move(fd), &budget_), "");
     Connection* const at = link.get();
     connections_[at] = std::move(link);
     ++unidentified_count_;
-    if (!at->Start()) Drop(*at, "not watched");
+    if (!at->Start()) {
+      Drop(*at, "not watched");
+    }
   }
   loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) Accept();
+    if (!alive.expired()) {
+      Accept();
+    }
   });
 }
 
@@ -168,10 +191,16 @@
 
 void PeerConnections::DialAll() {
   for (const auto& [name, address] : options_.members) {
-    if (name <= options_.name || connected_.contains(name)) continue;
-    if (!wanted_.contains(name) && !wanted_.contains(options_.name)) continue;
+    if (name <= options_.name || connected_.contains(name)) {
+      continue;
+    }
+    if (!wanted_.contains(name) && !wanted_.contains(options_.name)) {
+      continue;
+    }
     DialState& dial = dials_[name];
-    if (dial.connection == nullptr && dial.timer.number == 0) Connect(name);
+    if (dial.connection == nullptr && dial.timer.number == 0) {
+      Connect(name);
+    }
   }
 }
 
@@ -192,19 +221,29 @@
 void PeerConnections::Connect(const std::string& name) {
   bool refused = false;
   auto socket = paddlestile::Connect(options_.members.at(name), &budget_, refused);
-  if (!socket) return ScheduleRedial(name);
+  if (!socket) {
+    return ScheduleRedial(name);
+  }
   auto link = std::make_unique<Connection>(*this, std::move(*socket), name);
   Connection* const at = link.get();
   connections_[at] = std::move(link);
   dials_[name].connection = at;
-  if (!at->Start()) Drop(*at, "not watched");
+  if (!at->Start()) {
+    Drop(*at, "not watched");
+  }
 }
 
 void PeerConnections::Drop(Connection& link, std::string_view why) {
-  if (std::exchange(link.over_, true)) return;
+  if (std::exchange(link.over_, true)) {
+    return;
+  }
   link.stream().Close();
-  if (link.call_ != 0) calls_.erase(link.call_);
-  if (link.dialled().empty() && !link.up_ && link.call_ == 0) --unidentified_count_;
+  if (link.call_ != 0) {
+    calls_.erase(link.call_);
+  }
+  if (link.dialled().empty() && !link.up_ && link.call_ == 0) {
+    --unidentified_count_;
+  }
   const std::string name = link.up_ ? link.name_ : link.dialled();
   const bool was_up = link.up_;
   const auto at = connected_.find(link.name_);
@@ -214,22 +253,32 @@
     Log(LogLevel::kInfo, "bank: link to {} is down: {}", name, why);
     listener_->OnDisconnected(name);
   }
-  if (!link.dialled().empty()) ScheduleRedial(link.dialled());
+  if (!link.dialled().empty()) {
+    ScheduleRedial(link.dialled());
+  }
   // Its own handler may be at work.
   loop_.RunDeferred([this, at = &link, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) connections_.erase(at);
+    if (!alive.expired()) {
+      connections_.erase(at);
+    }
   });
 }
 
 void PeerConnections::SendHeartbeats() {
   const Time now = loop_.Now();
   std::vector<Connection*> links;
-  for (const auto& [at, link] : connections_) links.push_back(at);
+  for (const auto& [at, link] : connections_) {
+    links.push_back(at);
+  }
   for (Connection* const link : links) {
-    if (link->over_) continue;
+    if (link->over_) {
+      continue;
+    }
     const bool up = link->up_ || link->call_ != 0;
     if (now - link->heard() > (up ? options_.silence_timeout : options_.hello_timeout)) {
-      if (link->up_) ++statistics_.timed_out;
+      if (link->up_) {
+        ++statistics_.timed_out;
+      }
       Drop(*link, "silent");
     } else if (link->up_) {
       link->Write({{"beat", 1}});
@@ -258,8 +307,12 @@
   };
   try {
     if (const auto call = value.find("call"); call != value.end()) {
-      if (value.value("hello", 0) != kProtocolVersion) return stranger("a call of another format");
-      if (!link.dialled().empty()) return stranger("a call instead of a hello");
+      if (value.value("hello", 0) != kProtocolVersion) {
+        return stranger("a call of another format");
+      }
+      if (!link.dialled().empty()) {
+        return stranger("a call instead of a hello");
+      }
       if (link.call_ == 0) {
         --unidentified_count_;
         link.call_ = next_call_++;
@@ -273,8 +326,12 @@
       return stranger(from + " speaks format " + value.at("hello").dump() + ", expected " +
                       std::to_string(kProtocolVersion));
     }
-    if (bank != options_.cluster_name) return stranger(from + " is of bank '" + bank + "'");
-    if (to != options_.name) return stranger(from + " looks for " + to);
+    if (bank != options_.cluster_name) {
+      return stranger(from + " is of bank '" + bank + "'");
+    }
+    if (to != options_.name) {
+      return stranger(from + " looks for " + to);
+    }
     if (!options_.members.contains(from) || from == options_.name) {
       return stranger(from + " is no member");
     }
@@ -283,9 +340,9 @@
     }
     std::vector<uint64_t>& old = stale_incarnations_[from];
     const auto before = connected_.find(from);
-    const bool older =
-        std::ranges::find(old, life) != old.end() ||
-        (before != connected_.end() && before->second->life_ == life && before->second->boot_ > boot);
+    const bool older = std::ranges::find(old, life) != old.end() ||
+                       (before != connected_.end() && before->second->life_ == life &&
+                        before->second->boot_ > boot);
     if (older) {
       ++statistics_.stale_incarnations;
       return stranger(from + " comes as an old life of itself");
@@ -293,7 +350,9 @@
     if (before != connected_.end()) {
       if (before->second->life_ != life) {
         old.push_back(before->second->life_);
-        if (old.size() > kOldLives) old.erase(old.begin());
+        if (old.size() > kOldLives) {
+          old.erase(old.begin());
+        }
       }
       Drop(*before->second, "another connection of it");
     }
@@ -303,8 +362,12 @@
       dials_[from].wait = Duration(0);
     }
     // It may have ended within either of these.
-    if (link.over_) return;
-    if (link.dialled().empty()) --unidentified_count_;
+    if (link.over_) {
+      return;
+    }
+    if (link.dialled().empty()) {
+      --unidentified_count_;
+    }
     link.name_ = from;
     link.life_ = life;
     link.boot_ = boot;
@@ -321,16 +384,22 @@
 
 void PeerConnections::Send(const std::string& name, const json& value) {
   const auto at = connected_.find(name);
-  if (at != connected_.end()) at->second->Write(value);
+  if (at != connected_.end()) {
+    at->second->Write(value);
+  }
 }
 
 void PeerConnections::Reply(uint64_t call, const json& value) {
   const auto at = calls_.find(call);
-  if (at == calls_.end()) return;
+  if (at == calls_.end()) {
+    return;
+  }
   Connection& link = *at->second;
   link.ends_ = true;
   link.Write(value);
-  if (!link.over_ && link.stream().flushed()) Drop(link, "");
+  if (!link.over_ && link.stream().flushed()) {
+    Drop(link, "");
+  }
 }
 
 }  // namespace paddlestile::peer
--- a/src/peer/peer_connections.h
+++ b/src/peer/peer_connections.h
@@ -28,12 +28,14 @@
   Address listen;
   std::map<std::string, Address> members;  // the others too
   uint64_t seed = 1;                       // of the back-off's jitter
-  Duration heartbeat_interval{1'000'000};                // us; something is sent this often
-  Duration silence_timeout{3'500'000};              // us; a link that hears nothing for so long is ended
-  Duration min_reconnect_delay{50'000}, max_reconnect_delay{2'000'000};  // us; between two tries to connect
-  Duration hello_timeout{2'000'000};                     // us
-  size_t max_queued_bytes = 512 << 10;  // bytes unsent on a link, beyond which what comes is dropped
-  size_t max_unidentified = 64;      // connections that have not said who they are
+  Duration heartbeat_interval{1'000'000};  // us; something is sent this often
+  Duration silence_timeout{3'500'000};     // us; a link that hears nothing for so long is ended
+  Duration min_reconnect_delay{50'000},
+      max_reconnect_delay{2'000'000};  // us; between two tries to connect
+  Duration hello_timeout{2'000'000};   // us
+  size_t max_queued_bytes =
+      512 << 10;                 // bytes unsent on a link, beyond which what comes is dropped
+  size_t max_unidentified = 64;  // connections that have not said who they are
 };
 
 class PeerConnections {
@@ -42,7 +44,8 @@
    public:
     // What goes with the hello to this member, and came with its.
     virtual nlohmann::json ClaimKnownOf(const std::string& name) = 0;
-    virtual void OnConnected(const std::string& name, uint64_t life, const nlohmann::json& known) = 0;
+    virtual void OnConnected(const std::string& name, uint64_t life,
+                             const nlohmann::json& known) = 0;
     virtual void OnDisconnected(const std::string& name) = 0;
     virtual void OnFrame(const std::string& name, const nlohmann::json& value) = 0;
     // An operator's call; Answer ends it.
@@ -52,12 +55,15 @@
     ~Listener() = default;
   };
   struct Statistics {
-    uint64_t connected = 0, disconnected = 0, frames_in = 0, frames_out = 0, bytes_in = 0, bytes_out = 0;
-    uint64_t dropped = 0, malformed_frames = 0, unidentified = 0, stale_incarnations = 0, timed_out = 0;
+    uint64_t connected = 0, disconnected = 0, frames_in = 0, frames_out = 0, bytes_in = 0,
+             bytes_out = 0;
+    uint64_t dropped = 0, malformed_frames = 0, unidentified = 0, stale_incarnations = 0,
+             timed_out = 0;
   };
 
   // Listens at once; throws std::system_error.
-  PeerConnections(EventLoop& loop, DescriptorBudget& budget, PeerConnectionOptions options, Listener* listener);
+  PeerConnections(EventLoop& loop, DescriptorBudget& budget, PeerConnectionOptions options,
+                  Listener* listener);
   ~PeerConnections();
   PeerConnections(const PeerConnections&) = delete;
   PeerConnections& operator=(const PeerConnections&) = delete;
--- a/src/raft/json_decoding.h
+++ b/src/raft/json_decoding.h
@@ -14,7 +14,9 @@
 template <typename Enum>
 Enum DecodeEnum(const nlohmann::json& value, Enum last) {
   const auto number = value.get<uint8_t>();
-  if (number > static_cast<uint8_t>(last)) throw std::invalid_argument("no such kind");
+  if (number > static_cast<uint8_t>(last)) {
+    throw std::invalid_argument("no such kind");
+  }
   return static_cast<Enum>(number);
 }
 
--- a/src/raft/raft_node.h
+++ b/src/raft/raft_node.h
@@ -31,22 +31,23 @@
 
 // How long things take. All clocks may run apart by `clock_rate` (0.01: one part in a hundred).
 struct RaftTiming {
-  Duration heartbeat_interval{100'000};     // from the leader to a voter; to others 2.5 times that
-  Duration election_timeout{500'000};      // no leader heard for so long, up to twice that: one is elected
-  Duration lease_duration{1'000'000};       // a member acts on what it knows for so long after it asked
-  double clock_rate_error = 0.01;        // 0 to 0.2
+  Duration heartbeat_interval{100'000};  // from the leader to a voter; to others 2.5 times that
+  Duration election_timeout{
+      500'000};  // no leader heard for so long, up to twice that: one is elected
+  Duration lease_duration{1'000'000};  // a member acts on what it knows for so long after it asked
+  double clock_rate_error = 0.01;      // 0 to 0.2
   size_t max_append_bytes = 64 << 10;  // of entries in one message, beyond the first
   size_t max_apply_bytes = 64 << 10;   // of work in one event, beyond its first entry; see Weigh
 };
 
 // A lease as its holder counts it, from when it asked, and as everybody else must wait for it.
 inline Duration LeaseHolderDuration(const RaftTiming& t) {
-  return Duration(
-      static_cast<int64_t>(static_cast<double>(t.lease_duration.count()) * (1 - 2 * t.clock_rate_error)));
+  return Duration(static_cast<int64_t>(static_cast<double>(t.lease_duration.count()) *
+                                       (1 - 2 * t.clock_rate_error)));
 }
 inline Duration LeaseWaitDuration(const RaftTiming& t) {
-  return Duration(
-      static_cast<int64_t>(static_cast<double>(t.lease_duration.count()) * (1 + 2 * t.clock_rate_error)));
+  return Duration(static_cast<int64_t>(static_cast<double>(t.lease_duration.count()) *
+                                       (1 + 2 * t.clock_rate_error)));
 }
 
 // A member's disk as one life of it: a folder that was lost gives another life under the same name.
@@ -57,7 +58,11 @@
 };
 
 struct LogEntry {
-  enum class Kind : uint8_t { kNone, kVoters, kData };
+  enum class Kind : uint8_t {
+    kNone,
+    kVoters,
+    kData
+  };
   Term term = 0;
   Kind kind = Kind::kNone;
   std::string bytes;          // kData: the users'
@@ -76,13 +81,13 @@
 
 // What must survive a restart.
 struct PersistentState {
-  uint64_t incarnation = 0;  // drawn once for a folder; 0: never
+  uint64_t incarnation = 0;    // drawn once for a folder; 0: never
   uint64_t restart_count = 0;  // how often this life has started, this time included
   Term current_term = 0;
   std::string voted_for;  // who got this member's vote in that term
   Snapshot snapshot;
   std::vector<LogEntry> log;  // behind the snapshot
-  Index commit_index = 0;        // agreed by then, or more
+  Index commit_index = 0;     // agreed by then, or more
 };
 
 // What one member remembers that another has told of its disk, by which a disk that has gone back
@@ -94,21 +99,29 @@
 };
 
 struct Message {
-  enum class Type : uint8_t { kRequestVote, kRequestVoteReply, kAppendEntries, kAppendEntriesReply, kInstallSnapshot, kStorageClaim };
+  enum class Type : uint8_t {
+    kRequestVote,
+    kRequestVoteReply,
+    kAppendEntries,
+    kAppendEntriesReply,
+    kInstallSnapshot,
+    kStorageClaim
+  };
   Type type = Type::kAppendEntries;
   std::string from, to;
   uint64_t from_incarnation = 0;
   Term term = 0;
-  bool is_pre_vote = false;    // kAskVote, kVote: whether it would; nothing is bound by it
-  bool granted = false;  // kVote, kAppended: yes
+  bool is_pre_vote = false;  // kAskVote, kVote: whether it would; nothing is bound by it
+  bool granted = false;      // kVote, kAppended: yes
   Index index = 0;  // kAskVote: last entry; kAppend: the one before; kAppended: match, or a hint
-  Term index_term = 0;  // kAskVote, kAppend: its term
-  Index commit_index = 0;     // kAppend, kSnapshot; kAppended: applied
+  Term index_term = 0;     // kAskVote, kAppend: its term
+  Index commit_index = 0;  // kAppend, kSnapshot; kAppended: applied
   Time sent_at{0};         // kAppend, kSnapshot: by the leader's clock; kAppended: that told back
   Time asked_at{-1};  // kAppended: by the member's clock; kAppend: that told back, a lease with it
   std::vector<LogEntry> entries;
   Snapshot snapshot;
-  StorageClaim own_claim, claim_of_receiver;  // what the sender's disk holds; what it knows of the receiver's
+  StorageClaim own_claim,
+      claim_of_receiver;  // what the sender's disk holds; what it knows of the receiver's
 };
 
 // To be made durable as a whole and in order.
@@ -141,20 +154,28 @@
   std::vector<StorageWrite> writes;
   std::vector<OutgoingMessage> messages;
   std::vector<AppliedEntry> applied;
-  bool storage_rolled_back = false;  // this disk has gone back: it takes no part any more, see Forgot()
+  bool storage_rolled_back =
+      false;  // this disk has gone back: it takes no part any more, see Forgot()
 };
 
-enum class Role : uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
+enum class Role : uint8_t {
+  kFollower,
+  kPreCandidate,
+  kCandidate,
+  kLeader
+};
 
 class RaftNode {
  public:
   // `disk` is what was durable, its boot already counted up. Throws std::invalid_argument for a
   // timing that makes no sense.
-  RaftNode(std::string name, const RaftTiming& timing, PersistentState disk, uint64_t seed, Time now);
+  RaftNode(std::string name, const RaftTiming& timing, PersistentState disk, uint64_t seed,
+           Time now);
 
   // A link to another member came up, or went down. `of_you`: what the other remembers of this one,
   // told before anything else.
-  void OnPeerConnected(Time now, const std::string& name, uint64_t life, const StorageClaim& of_you, RaftOutput& out);
+  void OnPeerConnected(Time now, const std::string& name, uint64_t life, const StorageClaim& of_you,
+                       RaftOutput& out);
   void OnPeerDisconnected(const std::string& name);
 
   void OnMessage(Time now, const Message& message, RaftOutput& out);
@@ -175,7 +196,9 @@
   // catch up with holds up nothing else that its process does.
   void set_apply_cost_bytes(size_t bytes) { apply_cost_bytes_ = bytes; }
   // Whether something that is agreed is still to be applied here.
-  [[nodiscard]] bool HasEntriesToApply() const { return last_applied_ < commit_index_ && !storage_rolled_back_; }
+  [[nodiscard]] bool HasEntriesToApply() const {
+    return last_applied_ < commit_index_ && !storage_rolled_back_;
+  }
 
   // No lease goes to one that has not applied this entry; a slow one then holds nobody up for
   // longer than the lease that it has.
@@ -219,14 +242,15 @@
   struct Peer {
     uint64_t incarnation = 0;
     bool connected = false;
-    Index next_index = 1, match_index = 0, last_applied = 0, notified_commit_index = 0;  // `told`: the commit that it was sent
-    bool append_in_flight = false;                              // an append with entries is on its way
-    Time last_append_sent_at{0};                                   // when the last one went
-    Time acknowledged_sent_at{-1};                               // when that was sent which it last answered
-    Time lease_asked_at{-1};                                    // its clock, to be told back
-    Time lease_asked_received_at{0};                                // ours
-    Time lease_ends_at{-1};                                // ours
-    bool vote_granted = false;                              // a vote, in this election
+    Index next_index = 1, match_index = 0, last_applied = 0,
+          notified_commit_index = 0;  // `told`: the commit that it was sent
+    bool append_in_flight = false;    // an append with entries is on its way
+    Time last_append_sent_at{0};      // when the last one went
+    Time acknowledged_sent_at{-1};    // when that was sent which it last answered
+    Time lease_asked_at{-1};          // its clock, to be told back
+    Time lease_asked_received_at{0};  // ours
+    Time lease_ends_at{-1};           // ours
+    bool vote_granted = false;        // a vote, in this election
   };
   [[nodiscard]] Term TermAt(Index index) const;
   [[nodiscard]] const LogEntry& At(Index index) const { return log_[index - snapshot_.index - 1]; }
@@ -237,7 +261,9 @@
     std::array<Value, kMaxVoters> all{};
     size_t count = 0;
     for (const Voter& v : voters()) {
-      if (count < all.size()) all[count++] = of(v);
+      if (count < all.size()) {
+        all[count++] = of(v);
+      }
     }
     std::sort(all.begin(), all.begin() + count, std::greater<>());
     return count == 0 ? none : all[count / 2];
@@ -253,7 +279,7 @@
   void BecomeLeader(Time now, RaftOutput& out);
   Index AppendToOwnLog(Time now, LogEntry entry, RaftOutput& out);
   void WriteToStorage(RaftOutput& out, Index from, std::vector<LogEntry> entries,
-                std::optional<Snapshot> snapshot = std::nullopt);
+                      std::optional<Snapshot> snapshot = std::nullopt);
   void SendAppendEntries(Time now, const std::string& name, Peer& peer, RaftOutput& out);
   void SendAppendEntriesToAll(Time now, RaftOutput& out);
   void SendMessage(RaftOutput& out, Message message, const std::string& to, uint64_t after);
@@ -279,7 +305,8 @@
   std::string voted_for_;
   Snapshot snapshot_;
   std::deque<LogEntry> log_;
-  std::vector<std::pair<Index, std::vector<Voter>>> voter_configurations_;  // by the entry that made them
+  std::vector<std::pair<Index, std::vector<Voter>>>
+      voter_configurations_;  // by the entry that made them
   Index commit_index_, last_applied_;
   Term term_at_start_;  // as the disk was found
   Index last_index_at_start_;
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -39,7 +39,9 @@
         actions.clear();
         try {
           Apply(input, batch.now, brains, actions);
-          for (const Action& action : actions) simulator::PrintAction(input.instance, action, reply);
+          for (const Action& action : actions) {
+            simulator::PrintAction(input.instance, action, reply);
+          }
         } catch (const std::exception& error) {
           brains.erase(input.instance);
           simulator::PrintPanic(input.instance, error.what(), reply);
--- a/src/simulator/protocol.cpp
+++ b/src/simulator/protocol.cpp
@@ -18,7 +18,9 @@
 std::invalid_argument Bad(std::string_view what, std::string_view value,
                           std::string_view expected = {}) {
   std::string text = "bad " + std::string(what) + " '" + std::string(value) + "'";
-  if (!expected.empty()) text += ", expected " + std::string(expected);
+  if (!expected.empty()) {
+    text += ", expected " + std::string(expected);
+  }
   return std::invalid_argument(text);
 }
 
@@ -27,7 +29,9 @@
   for (size_t at = 0;;) {
     const size_t next = text.find(by, at);
     parts.push_back(text.substr(at, next - at));
-    if (next == std::string_view::npos) return parts;
+    if (next == std::string_view::npos) {
+      return parts;
+    }
     at = next + 1;
   }
 }
@@ -45,38 +49,54 @@
 Int ToInt(std::string_view what, std::string_view text) {
   Int value = 0;
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (ec != std::errc() || end != text.data() + text.size()) throw Bad(what, text);
+  if (ec != std::errc() || end != text.data() + text.size()) {
+    throw Bad(what, text);
+  }
   return value;
 }
 
 // A place in a list: small and not negative.
 uint32_t ToIndex(std::string_view what, std::string_view text) {
   const auto value = ToInt<uint32_t>(what, text);
-  if (value > 1'000'000) throw Bad(what, text);
+  if (value > 1'000'000) {
+    throw Bad(what, text);
+  }
   return value;
 }
 
 Duration ToTime(std::string_view what, std::string_view text) {
   const double ms = ToNumber(what, text);
-  if (std::abs(ms) > kMaxMillis) throw Bad(what, text);
+  if (std::abs(ms) > kMaxMillis) {
+    throw Bad(what, text);
+  }
   return Duration(std::llround(ms * 1000.0));
 }
 
 bool ToBool(std::string_view what, std::string_view text) {
-  if (text == "1") return true;
-  if (text == "0") return false;
+  if (text == "1") {
+    return true;
+  }
+  if (text == "0") {
+    return false;
+  }
   throw Bad(what, text);
 }
 
-bool Absent(std::string_view text) { return text == "-"; }
+bool Absent(std::string_view text) {
+  return text == "-";
+}
 
 std::string ToWord(std::string_view what, std::string_view text) {
-  if (text.empty() || Absent(text)) throw Bad(what, text);
+  if (text.empty() || Absent(text)) {
+    throw Bad(what, text);
+  }
   return std::string(text);
 }
 
 std::optional<LoadReport> ToReport(std::string_view text) {
-  if (Absent(text)) return std::nullopt;
+  if (Absent(text)) {
+    return std::nullopt;
+  }
   LoadReport report;
   for (const std::string_view part : Split(text, ',')) {
     report.push_back(ToNumber("load report", part));
@@ -95,7 +115,9 @@
       {"CANCELLED", Outcome::kCancelled},
       {"TOO_LATE", Outcome::kNotSent}};
   for (const auto& [word, outcome] : kOutcomes) {
-    if (word == text) return outcome;
+    if (word == text) {
+      return outcome;
+    }
   }
   throw Bad("Verdict", text);
 }
@@ -104,14 +126,20 @@
   static constexpr std::string_view kAlphabet =
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
   std::string out;
-  if (Absent(text)) return out;
-  if (text.empty() || text.size() % 4 != 0) throw Bad("Bytes", text);
+  if (Absent(text)) {
+    return out;
+  }
+  if (text.empty() || text.size() % 4 != 0) {
+    throw Bad("Bytes", text);
+  }
   uint32_t bits = 0;
   int have = 0;
   const size_t padding = text.ends_with("==") ? 2 : text.ends_with("=") ? 1 : 0;
   for (const char c : text.substr(0, text.size() - padding)) {
     const size_t value = kAlphabet.find(c);
-    if (value == std::string_view::npos) throw Bad("Bytes", text);
+    if (value == std::string_view::npos) {
+      throw Bad("Bytes", text);
+    }
     bits = (bits << 6) | static_cast<uint32_t>(value);
     have += 6;
     if (have >= 8) {
@@ -130,23 +158,39 @@
 }
 
 EndpointUpdateKind ToListKind(std::string_view text) {
-  if (text == "incr") return EndpointUpdateKind::kDelta;
-  if (text == "total") return EndpointUpdateKind::kFull;
-  if (text == "warm_copy") return EndpointUpdateKind::kCached;
-  if (text == "lost") return EndpointUpdateKind::kFailed;
+  if (text == "incr") {
+    return EndpointUpdateKind::kDelta;
+  }
+  if (text == "total") {
+    return EndpointUpdateKind::kFull;
+  }
+  if (text == "warm_copy") {
+    return EndpointUpdateKind::kCached;
+  }
+  if (text == "lost") {
+    return EndpointUpdateKind::kFailed;
+  }
   throw Bad("Mode", text);
 }
 
 EndpointInfo ToEndpoint(const Parts& parts) {
-  if (parts[0] != "host") throw Bad("list entry", parts[0]);
+  if (parts[0] != "host") {
+    throw Bad("list entry", parts[0]);
+  }
   NeedParts(parts, 8);
   EndpointInfo info;
   info.started_at = Absent(parts[1]) ? Time(0) : ToTime("Launched", parts[1]);
   info.id = ToWord("Host", parts[2]);
-  if (!Absent(parts[3])) info.zone = static_cast<int>(ToIndex("FailureDomain", parts[3]));
-  if (!Absent(parts[4])) info.machine_kind = ToIndex("Hw", parts[4]);
+  if (!Absent(parts[3])) {
+    info.zone = static_cast<int>(ToIndex("FailureDomain", parts[3]));
+  }
+  if (!Absent(parts[4])) {
+    info.machine_kind = ToIndex("Hw", parts[4]);
+  }
   info.weight = Absent(parts[5]) ? 1 : ToNumber("PowerHint", parts[5]);
-  if (!Absent(parts[6])) info.cell = static_cast<int>(ToIndex("Group", parts[6]));
+  if (!Absent(parts[6])) {
+    info.cell = static_cast<int>(ToIndex("Group", parts[6]));
+  }
   if (parts[7] == "up") {
     info.state = EndpointState::kUp;
   } else if (parts[7] == "draining") {
@@ -167,8 +211,12 @@
   submit.tenant = Absent(parts[4]) ? 0 : ToIndex("Org", parts[4]);
   submit.is_write = !Absent(parts[5]) && ToBool("IsWrite", parts[5]);
   submit.request_class = ToIndex("Band", parts[6]);
-  if (!Absent(parts[7])) submit.key = std::string(parts[7]);
-  if (!Absent(parts[8])) submit.expected_work = ToTime("Expected", parts[8]);
+  if (!Absent(parts[7])) {
+    submit.key = std::string(parts[7]);
+  }
+  if (!Absent(parts[8])) {
+    submit.expected_work = ToTime("Expected", parts[8]);
+  }
   submit.is_client_retry = !Absent(parts[9]) && ToBool("AgainByClient", parts[9]);
   return submit;
 }
@@ -189,7 +237,9 @@
 void AppendMillis(Duration value, std::string& out) {
   const int64_t us = value.count();
   const int64_t magnitude = us < 0 ? -us : us;
-  if (us < 0) out += '-';
+  if (us < 0) {
+    out += '-';
+  }
   out += std::to_string(magnitude / 1000);
   out += '.';
   const std::string rest = std::to_string(magnitude % 1000);
@@ -202,16 +252,22 @@
 class Facts {
  public:
   explicit Facts(std::string_view text) {
-    if (text.empty()) return;
+    if (text.empty()) {
+      return;
+    }
     for (const std::string_view pair : Split(text, ' ')) {
       const size_t eq = pair.find('=');
-      if (eq == std::string_view::npos || eq == 0) throw Bad("setting", pair);
+      if (eq == std::string_view::npos || eq == 0) {
+        throw Bad("setting", pair);
+      }
       values_.insert_or_assign(std::string(pair.substr(0, eq)), pair.substr(eq + 1));
     }
   }
 
   void Read(const std::string& name, double& value) const {
-    if (const auto text = Find(name)) value = ToNumber(name, *text);
+    if (const auto text = Find(name)) {
+      value = ToNumber(name, *text);
+    }
   }
   void Read(const std::string& name, int& value) const {
     if (const auto text = Find(name)) {
@@ -223,11 +279,15 @@
     }
   }
   void Read(const std::string& name, Duration& value) const {
-    if (const auto text = Find(name)) value = ToTime(name, *text);
+    if (const auto text = Find(name)) {
+      value = ToTime(name, *text);
+    }
   }
   void Read(const std::string& name, bool& value) const {
     if (const auto text = Find(name)) {
-      if (*text != "true" && *text != "false") throw Bad(name, *text, "true or false");
+      if (*text != "true" && *text != "false") {
+        throw Bad(name, *text, "true or false");
+      }
       value = *text == "true";
     }
   }
@@ -235,7 +295,9 @@
   void Read(const std::string& name, Enum& value,
             std::initializer_list<std::pair<std::string_view, Enum>> words) const {
     const auto text = Find(name);
-    if (!text) return;
+    if (!text) {
+      return;
+    }
     std::string expected;
     for (const auto& [word, meaning] : words) {
       if (word == *text) {
@@ -254,7 +316,9 @@
   [[nodiscard]] std::vector<std::string> Unread() const {
     std::vector<std::string> names;
     for (const auto& [name, value] : values_) {
-      if (!read_.contains(name)) names.push_back(name);
+      if (!read_.contains(name)) {
+        names.push_back(name);
+      }
     }
     return names;
   }
@@ -271,7 +335,9 @@
   [[nodiscard]] std::optional<std::string_view> Find(const std::string& name) const {
     const auto at = values_.find(name);
     read_.insert(name);
-    if (at == values_.end() || Absent(at->second)) return std::nullopt;
+    if (at == values_.end() || Absent(at->second)) {
+      return std::nullopt;
+    }
     return at->second;
   }
   std::map<std::string, std::string_view> values_;
@@ -291,12 +357,14 @@
   for (int i = 0, n = facts.Count("Classes"); i < n; ++i) {
     const std::string at = "Classes." + std::to_string(i) + ".";
     RequestClass c;
-    facts.Read<Idempotency>(
-        at + "Effect", c.idempotency,
-        {{"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}});
-    facts.Read<DeduplicationScope>(
-        at + "Group", c.deduplication_scope,
-        {{"all", DeduplicationScope::kAll}, {"zone", DeduplicationScope::kZone}, {"cell", DeduplicationScope::kCell}});
+    facts.Read<Idempotency>(at + "Effect", c.idempotency,
+                            {{"safe", Idempotency::kSafe},
+                             {"keyed", Idempotency::kKeyed},
+                             {"unsafe", Idempotency::kUnsafe}});
+    facts.Read<DeduplicationScope>(at + "Group", c.deduplication_scope,
+                                   {{"all", DeduplicationScope::kAll},
+                                    {"zone", DeduplicationScope::kZone},
+                                    {"cell", DeduplicationScope::kCell}});
     facts.Read(at + "Window", c.deduplication_window);
     facts.Read(at + "Slo", c.latency_objective);
     facts.Read(at + "Deadline", c.deadline);
@@ -314,7 +382,10 @@
     s.tenants.push_back(t);
   }
   facts.Read("OverShareWorth", s.over_quota_priority_factor);
-  enum class Value { kRequest, kWork } value_by = Value::kRequest;
+  enum class Value {
+    kRequest,
+    kWork
+  } value_by = Value::kRequest;
   facts.Read<Value>("ValueBy", value_by, {{"request", Value::kRequest}, {"work", Value::kWork}});
   s.priority_scales_with_work = value_by == Value::kWork;
   facts.Read<DiscoveryMode>(
@@ -357,7 +428,8 @@
     throw Bad("ResultMix.TopNines", std::to_string(s.score_weights.top_nines), "a number above 0");
   }
   if (s.score_weights.nines > 0 && !facts.Has("ResultMix.TopNines")) {
-    throw Bad("ResultMix.NinesPart", std::to_string(s.score_weights.nines), "ResultMix.TopNines beside it");
+    throw Bad("ResultMix.NinesPart", std::to_string(s.score_weights.nines),
+              "ResultMix.TopNines beside it");
   }
   facts.Read("Obligations.AnswerSlack", s.rules.response_slack);
   facts.Read("Obligations.DrainGrace", s.rules.drain_grace);
@@ -367,20 +439,26 @@
   facts.Read("Obligations.FallMultiple", s.rules.overload_collapse_multiple);
   facts.Read("Obligations.Fall", s.rules.overload_collapse_duration);
   facts.Read<LoadReportSource>("Stats.Source", s.load_report.source,
-                           {{"answers", LoadReportSource::kResponses},
-                            {"probe", LoadReportSource::kProbes},
-                            {"none", LoadReportSource::kNone}});
+                               {{"answers", LoadReportSource::kResponses},
+                                {"probe", LoadReportSource::kProbes},
+                                {"none", LoadReportSource::kNone}});
   const Parts fields = facts.List("Stats.Fields");
   for (size_t i = 0; i < fields.size(); ++i) {
-    if (fields[i] == "inflight") s.load_report.inflight = i;
-    if (fields[i] == "latency_ms") s.load_report.latency_ms = i;
+    if (fields[i] == "inflight") {
+      s.load_report.inflight = i;
+    }
+    if (fields[i] == "latency_ms") {
+      s.load_report.latency_ms = i;
+    }
   }
   return s;
 }
 
 }  // namespace
 
-Settings ParseSettings(std::string_view text) { return Parse(Facts(text)); }
+Settings ParseSettings(std::string_view text) {
+  return Parse(Facts(text));
+}
 
 std::vector<std::string> UnreadSettings(std::string_view text) {
   const Facts facts(text);
@@ -392,26 +470,40 @@
 
 bool ProtocolReader::GetLine() {
   ++line_no_;
-  if (!std::getline(in_, line_)) return false;
-  if (in_.eof()) throw ProtocolError(line_no_, "the input ends in the middle of a line");
-  if (!line_.empty() && line_.back() == '\r') line_.pop_back();
+  if (!std::getline(in_, line_)) {
+    return false;
+  }
+  if (in_.eof()) {
+    throw ProtocolError(line_no_, "the input ends in the middle of a line");
+  }
+  if (!line_.empty() && line_.back() == '\r') {
+    line_.pop_back();
+  }
   return true;
 }
 
 bool ProtocolReader::Next(Batch& batch) {
   batch.events.clear();
   do {
-    if (!GetLine()) return false;
+    if (!GetLine()) {
+      return false;
+    }
   } while (line_.empty());
   try {
     const Parts parts = Split(line_, ' ');
-    if (parts[0] != "clock") throw Bad("message before clock", parts[0]);
+    if (parts[0] != "clock") {
+      throw Bad("message before clock", parts[0]);
+    }
     NeedParts(parts, 3);
     batch.now = ToTime("clock", parts[1]);
     batch.sequence = std::to_string(ToInt<uint64_t>("batch number", parts[2]));
     while (GetLine()) {
-      if (line_ == "eob") return true;
-      if (line_.empty()) throw std::invalid_argument("an empty line inside a batch");
+      if (line_ == "eob") {
+        return true;
+      }
+      if (line_.empty()) {
+        throw std::invalid_argument("an empty line inside a batch");
+      }
       ParseEvent(batch);
     }
   } catch (const std::invalid_argument& error) {
@@ -423,14 +515,20 @@
 void ProtocolReader::ReadRoster(const Parts& parts) {
   NeedParts(parts, 3);
   const uint32_t bank = ToIndex("Bank", parts[1]);
-  if (bank >= kMaxRosters) throw Bad("Bank", parts[1]);
+  if (bank >= kMaxRosters) {
+    throw Bad("Bank", parts[1]);
+  }
   const auto count = ToInt<uint32_t>("entry count", parts[2]);
   std::vector<EndpointInfo> entries;
   std::set<std::string> seen;
   for (uint32_t i = 0; i < count; ++i) {
-    if (!GetLine()) throw ProtocolError(line_no_, "the input ends in the middle of a list");
+    if (!GetLine()) {
+      throw ProtocolError(line_no_, "the input ends in the middle of a list");
+    }
     entries.push_back(ToEndpoint(Split(line_, ' ')));
-    if (!seen.insert(entries.back().id).second) throw Bad("repeated host", entries.back().id);
+    if (!seen.insert(entries.back().id).second) {
+      throw Bad("repeated host", entries.back().id);
+    }
   }
   rosters_[bank] = std::move(entries);
 }
@@ -443,7 +541,9 @@
   if (tag == "start") {
     const size_t who = line.find(' ');
     const size_t seed = who == std::string_view::npos ? who : line.find(' ', who + 1);
-    if (seed == std::string_view::npos) throw std::invalid_argument("start lacks a value");
+    if (seed == std::string_view::npos) {
+      throw std::invalid_argument("start lacks a value");
+    }
     const size_t facts = std::min(line.find(' ', seed + 1), line.size());
     StartInstance start;
     start.seed = ToInt<uint64_t>("Prng", line.substr(seed + 1, facts - seed - 1));
@@ -453,26 +553,36 @@
     return;
   }
   const Parts parts = Split(line, ' ');
-  if (tag == "roster") return ReadRoster(parts);
+  if (tag == "roster") {
+    return ReadRoster(parts);
+  }
   static constexpr std::pair<std::string_view, size_t> kTags[] = {
       {"retire", 2},       {"announce", 5},      {"submit", 10},
       {"established", 6},  {"settled", 9},       {"client_left", 3},
       {"deadline_hit", 3}, {"health_result", 6}, {"note_from", 4}};
   const auto* known = std::find_if(std::begin(kTags), std::end(kTags),
                                    [&](const auto& entry) { return entry.first == tag; });
-  if (known == std::end(kTags)) throw Bad("message", tag);
+  if (known == std::end(kTags)) {
+    throw Bad("message", tag);
+  }
   NeedParts(parts, known->second);
   const auto who = ToInt<int64_t>("Who", parts[1]);
-  const auto add = [&](auto event) { batch.events.push_back({who, Event(std::move(event))}); };
+  const auto add = [&](auto event) {
+    batch.events.push_back({who, Event(std::move(event))});
+  };
   if (tag == "retire") {
     batch.events.push_back({who, RetireInstance{}});
   } else if (tag == "announce") {
     EndpointUpdate members;
     members.kind = ToListKind(parts[2]);
-    if (!Absent(parts[3])) ToInt<int64_t>("SeqNo", parts[3]);
+    if (!Absent(parts[3])) {
+      ToInt<int64_t>("SeqNo", parts[3]);
+    }
     if (members.kind != EndpointUpdateKind::kFailed) {
       const auto at = rosters_.find(ToIndex("Bank", parts[4]));
-      if (at == rosters_.end()) throw Bad("unknown list", parts[4]);
+      if (at == rosters_.end()) {
+        throw Bad("unknown list", parts[4]);
+      }
       members.endpoints = at->second;
     }
     add(std::move(members));
@@ -480,8 +590,8 @@
     add(ToSubmit(parts));
   } else if (tag == "established") {
     add(ResponseStarted{ToWord("RequestId", parts[2]), ToIndex("Trial", parts[3]),
-                    ToWord("Host", parts[4]),
-                    Absent(parts[5]) ? Duration(0) : ToTime("TimeTaken", parts[5])});
+                        ToWord("Host", parts[4]),
+                        Absent(parts[5]) ? Duration(0) : ToTime("TimeTaken", parts[5])});
   } else if (tag == "settled") {
     add(ToSettled(parts));
   } else if (tag == "client_left") {
@@ -490,8 +600,8 @@
     add(TimerFired{std::string(parts[2])});
   } else if (tag == "health_result") {
     add(ProbeFinished{ToWord("Host", parts[2]), ToOutcome(parts[3]),
-                    Absent(parts[4]) ? Duration(0) : ToTime("TimeTaken", parts[4]),
-                    ToReport(parts[5])});
+                      Absent(parts[4]) ? Duration(0) : ToTime("TimeTaken", parts[4]),
+                      ToReport(parts[5])});
   } else {
     const uint32_t from = Absent(parts[2]) ? 0 : ToIndex("OriginPeer", parts[2]);
     add(PeerMessage{static_cast<int>(from), FromBase64(parts[3])});
@@ -560,7 +670,9 @@
 
 void PrintPanic(int64_t instance, std::string_view reason, std::string& out) {
   out += "panic " + std::to_string(instance) + ' ';
-  for (const char c : reason) out += c == '\n' || c == '\r' ? ' ' : c;
+  for (const char c : reason) {
+    out += c == '\n' || c == '\r' ? ' ' : c;
+  }
   out += '\n';
 }
 
--- a/src/storage/controlled_files.cpp
+++ b/src/storage/controlled_files.cpp
@@ -30,15 +30,20 @@
     Opened(Controlled& of, std::unique_ptr<File> file) : of_(of), file_(std::move(file)) {}
     void Append(std::string_view bytes) override {
       double ms = 0;
-      if (of_.Word(ms) == "full") throw FileError(std::strerror(ENOSPC), ENOSPC);
+      if (of_.Word(ms) == "full") {
+        throw FileError(std::strerror(ENOSPC), ENOSPC);
+      }
       file_->Append(bytes);
     }
     void Sync() override {
       double ms = 0;
       const std::string word = of_.Word(ms);
-      if (word == "sync-fails") throw FileError(std::strerror(EIO), EIO);
-      if (word == "slow")
+      if (word == "sync-fails") {
+        throw FileError(std::strerror(EIO), EIO);
+      }
+      if (word == "slow") {
         std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(ms));
+      }
       file_->Sync();
     }
 
--- a/src/storage/faulty_files.cpp
+++ b/src/storage/faulty_files.cpp
@@ -15,13 +15,19 @@
   void Append(std::string_view bytes) override {
     disk_.Changes();
     const size_t fits = std::min(bytes.size(), disk_.room);
-    if (disk_.room != SIZE_MAX) disk_.room -= fits;
-    if (fits < bytes.size()) throw FileError("no space left", ENOSPC);
+    if (disk_.room != SIZE_MAX) {
+      disk_.room -= fits;
+    }
+    if (fits < bytes.size()) {
+      throw FileError("no space left", ENOSPC);
+    }
     content_->now += bytes;
   }
   void Sync() override {
     disk_.Changes();
-    if (std::exchange(disk_.sync_fails, false)) throw FileError("input/output error", EIO);
+    if (std::exchange(disk_.sync_fails, false)) {
+      throw FileError("input/output error", EIO);
+    }
     content_->durable = content_->now;
   }
 
@@ -31,7 +37,9 @@
 };
 
 void FaultyFileSystem::Changes() {
-  if (calls++ >= power_after) throw FileError("no power", EIO);
+  if (calls++ >= power_after) {
+    throw FileError("no power", EIO);
+  }
 }
 
 void FaultyFileSystem::Restore() {
@@ -40,10 +48,14 @@
   std::map<std::string, std::shared_ptr<Content>> names = durable_names_;
   std::set<std::string> all;
   for (const auto* const some : {&names_, &durable_names_}) {
-    for (const auto& [name, content] : *some) all.insert(name);
+    for (const auto& [name, content] : *some) {
+      all.insert(name);
+    }
   }
   for (const std::string& name : all) {
-    if (random_() % 2 != 0) continue;
+    if (random_() % 2 != 0) {
+      continue;
+    }
     if (names_.contains(name)) {
       names[name] = names_[name];
     } else {
@@ -52,7 +64,9 @@
   }
   std::set<Content*> done;
   for (const auto& [name, content] : names) {
-    if (!done.insert(content.get()).second) continue;
+    if (!done.insert(content.get()).second) {
+      continue;
+    }
     // Of what was not synced some pages are there, others are zeros; the size is any.
     std::string& now = content->now;
     std::string kept = content->durable;
@@ -62,7 +76,9 @@
       const size_t from = kept.size();
       kept.resize(size, '\0');
       for (size_t at = from; at < size; at += kPage) {
-        if (random_() % 3 == 0) continue;
+        if (random_() % 3 == 0) {
+          continue;
+        }
         std::copy_n(now.begin() + static_cast<long>(at), std::min(kPage, size - at),
                     kept.begin() + static_cast<long>(at));
       }
@@ -76,7 +92,9 @@
 void FaultyFileSystem::Flip(const std::string& path, size_t byte, int bit) {
   Content& content = *names_.at(path);
   for (std::string* const text : {&content.now, &content.durable}) {
-    if (byte < text->size()) (*text)[byte] = static_cast<char>((*text)[byte] ^ (1 << bit));
+    if (byte < text->size()) {
+      (*text)[byte] = static_cast<char>((*text)[byte] ^ (1 << bit));
+    }
   }
 }
 
@@ -88,14 +106,18 @@
 
 std::string FaultyFileSystem::Read(const std::string& path) {
   const auto at = names_.find(path);
-  if (at == names_.end()) throw FileError(path + ": no such file", ENOENT);
+  if (at == names_.end()) {
+    throw FileError(path + ": no such file", ENOENT);
+  }
   return at->second->now;
 }
 
 std::unique_ptr<File> FaultyFileSystem::Open(const std::string& path, uint64_t keep) {
   Changes();
   auto& content = names_[path];
-  if (!content) content = std::make_shared<Content>();
+  if (!content) {
+    content = std::make_shared<Content>();
+  }
   content->now.resize(std::min<size_t>(content->now.size(), keep));
   return std::make_unique<Handle>(*this, content);
 }
@@ -117,7 +139,9 @@
 }
 
 std::shared_ptr<void> FaultyFileSystem::Lock(const std::string& path) {
-  if (!locks_[path].expired()) return nullptr;
+  if (!locks_[path].expired()) {
+    return nullptr;
+  }
   auto lock = std::make_shared<int>(0);
   locks_[path] = lock;
   return lock;
--- a/src/storage/write_ahead_log.cpp
+++ b/src/storage/write_ahead_log.cpp
@@ -52,9 +52,13 @@
 
 // The record at `at`, if one is whole there.
 bool RecordAt(std::string_view bytes, size_t at, RecordHead& head) {
-  if (bytes.size() - at < sizeof(head)) return false;
+  if (bytes.size() - at < sizeof(head)) {
+    return false;
+  }
   std::memcpy(&head, bytes.data() + at, sizeof(head));
-  if (head.check != CheckOf(head) || head.size > bytes.size() - at - sizeof(head)) return false;
+  if (head.check != CheckOf(head) || head.size > bytes.size() - at - sizeof(head)) {
+    return false;
+  }
   return head.body ==
          XXH3_64bits_withSeed(bytes.data() + at + sizeof(head), head.size, head.number);
 }
@@ -62,21 +66,25 @@
 }  // namespace
 
 WriteAheadLog::Found WriteAheadLog::Scan(const std::string& path, const std::string& bytes,
-                     const std::function<void(std::string_view)>& record) {
+                                         const std::function<void(std::string_view)>& record) {
   FileHead file{};
-  if (bytes.size() < sizeof(file)) return {};
+  if (bytes.size() < sizeof(file)) {
+    return {};
+  }
   std::memcpy(&file, bytes.data(), sizeof(file));
   if (std::string_view(file.magic, sizeof(file.magic)) != kMagic || file.check != CheckOf(file)) {
     throw CorruptionError(path + " at 0: no head of a log");
   }
   if (file.format != kFormatVersion) {
     throw CorruptionError(path + " at 8: format " + std::to_string(file.format) + ", expected " +
-                      std::to_string(kFormatVersion));
+                          std::to_string(kFormatVersion));
   }
   Found found{file.first, sizeof(file), 0};
   RecordHead head{};
   while (found.good < bytes.size()) {
-    if (!RecordAt(bytes, found.good, head) || head.number != found.next) break;
+    if (!RecordAt(bytes, found.good, head) || head.number != found.next) {
+      break;
+    }
     record(std::string_view(bytes).substr(found.good + sizeof(head), head.size));
     found.good += sizeof(head) + head.size;
     ++found.next;
@@ -86,14 +94,15 @@
   for (size_t at = found.good; at + sizeof(head) <= bytes.size(); ++at) {
     if (RecordAt(bytes, at, head) && head.number >= found.next && head.synced > found.good) {
       throw CorruptionError(path + " at " + std::to_string(found.good) +
-                        ": a record that does not check out, with whole ones behind it");
+                            ": a record that does not check out, with whole ones behind it");
     }
   }
   found.cut = bytes.size() - found.good;
   return found;
 }
 
-WriteAheadLog::WriteAheadLog(FileSystem& files, std::string folder, const std::function<void(std::string_view)>& record)
+WriteAheadLog::WriteAheadLog(FileSystem& files, std::string folder,
+                             const std::function<void(std::string_view)>& record)
     : files_(files), folder_(std::move(folder)) {
   const std::string path = PathIn(folder_);
   const std::string bytes = files_.Exists(path) ? files_.Read(path) : std::string();
@@ -120,14 +129,20 @@
 }
 
 void WriteAheadLog::Read(FileSystem& files, const std::string& folder,
-               const std::function<void(std::string_view)>& record) {
+                         const std::function<void(std::string_view)>& record) {
   const std::string path = PathIn(folder);
-  if (files.Exists(path)) Scan(path, files.Read(path), record);
+  if (files.Exists(path)) {
+    Scan(path, files.Read(path), record);
+  }
 }
 
 void WriteAheadLog::Append(std::string_view record) {
-  if (broken_) throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
-  if (record.size() > kMaxRecordBytes) throw FileError("a record over 64 MiB", 0);
+  if (broken_) {
+    throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
+  }
+  if (record.size() > kMaxRecordBytes) {
+    throw FileError("a record over 64 MiB", 0);
+  }
   const std::string bytes = Whole(record, next_, synced_);
   file_->Append(bytes);
   ++next_;
@@ -135,7 +150,9 @@
 }
 
 void WriteAheadLog::Sync() {
-  if (broken_) throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
+  if (broken_) {
+    throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
+  }
   try {
     file_->Sync();
   } catch (const FileError&) {
@@ -146,11 +163,15 @@
 }
 
 void WriteAheadLog::Replace(const std::vector<std::string>& records) {
-  if (broken_) throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
+  if (broken_) {
+    throw FileError(PathIn(folder_) + ": of no use since it failed", 0);
+  }
   const std::string path = PathIn(folder_), part = path + ".new";
   std::string bytes = HeadOf(next_);
   uint64_t next = next_;
-  for (const std::string& record : records) bytes += Whole(record, next++, 0);
+  for (const std::string& record : records) {
+    bytes += Whole(record, next++, 0);
+  }
   std::unique_ptr<File> file = files_.Open(part, 0);
   file->Append(bytes);
   file->Sync();
--- a/src/storage/write_ahead_log.h
+++ b/src/storage/write_ahead_log.h
@@ -27,9 +27,10 @@
 
   // Opens or makes the log in `folder`, which is there, and tells its records in order. A last
   // record that was cut while it was written is cut off: that was never promised. Throws
-  // CorruptionError and changes nothing where one before the end does not check out, or the format is
-  // another; FileError.
-  WriteAheadLog(FileSystem& files, std::string folder, const std::function<void(std::string_view)>& record);
+  // CorruptionError and changes nothing where one before the end does not check out, or the format
+  // is another; FileError.
+  WriteAheadLog(FileSystem& files, std::string folder,
+                const std::function<void(std::string_view)>& record);
 
   // The same without a change to it: what a reader beside the owner may do.
   static void Read(FileSystem& files, const std::string& folder,
--- a/tests/balancer/affinity_test.cpp
+++ b/tests/balancer/affinity_test.cpp
@@ -42,7 +42,8 @@
   void Answer(const std::map<std::string, double>& held = {}, double others = 1) {
     for (; answered < log.size(); ++answered) {
       const auto* const probe = std::get_if<StartProbe>(&log[answered]);
-      if (probe == nullptr) continue;
+      if (probe == nullptr)
+        continue;
       const std::string id = probe->endpoint;
       Probed(id, held.contains(id) ? held.at(id) : others, 20);
     }
@@ -55,7 +56,8 @@
     AskKey(id, key);
     Answer(held);
     Pass(Ms(200));
-    if (sends.size() == before) return "";
+    if (sends.size() == before)
+      return "";
     End(id, 0, sends.back().endpoint, Outcome::kOk, Ms(20), true);
     return sends.back().endpoint;
   }
@@ -99,7 +101,8 @@
 // held fifty by then, and all of them slowed down and stayed slow.
 TEST(Homes, ACrowdedHomeIsPassedOverAndACrowdedFleetRefusesAtOnce) {
   Thin g(MakeThin());
-  for (int k = 0; k < 60; ++k) g.HomeOf("other" + std::to_string(k));  // all were idle, once
+  for (int k = 0; k < 60; ++k)
+    g.HomeOf("other" + std::to_string(k));  // all were idle, once
   const std::string home = g.HomeOf("key");
   g.Pass(Ms(500));
   const std::string second = g.HomeOf("key", {{home, 50}});
@@ -108,7 +111,8 @@
   g.Pass(Ms(500));
   const size_t before = g.sends.size();
   g.AskKey("full", "key");
-  for (int i = 0; i < 20; ++i) g.Answer({}, 50), g.Pass(Ms(5));
+  for (int i = 0; i < 20; ++i)
+    g.Answer({}, 50), g.Pass(Ms(5));
   EXPECT_EQ(g.sends.size(), before);
   EXPECT_TRUE(g.GivenUp("full"));  // within a tenth of a second of a deadline a second away
 }
@@ -175,7 +179,8 @@
     const std::string home = g.HomeOf("key");
     const auto closed = LoadBalancerHarness::All<CloseIdleConnections>(g.log);
     ASSERT_EQ(closed.size(), charge > 0 ? 1u : 0u);
-    for (const CloseIdleConnections& close : closed) EXPECT_EQ(close.endpoint, home);
+    for (const CloseIdleConnections& close : closed)
+      EXPECT_EQ(close.endpoint, home);
   }
 }
 
@@ -184,7 +189,8 @@
 TEST(Homes, ABurstAfterALongSilenceIsAnsweredWholeAndKeepsToTheLimits) {
   for (const bool cold : {false, true}) {
     Thin g(MakeThin());
-    for (int k = 0; k < 30; ++k) g.HomeOf("key" + std::to_string(k));
+    for (int k = 0; k < 30; ++k)
+      g.HomeOf("key" + std::to_string(k));
     g.Pass(Ms(600'000));
     if (cold) {
       for (int i = 0; i < 20; ++i)
@@ -195,14 +201,16 @@
       g.AskKey("b" + std::to_string(i), "key" + std::to_string(i % 30));
       g.Answer();
     }
-    for (int i = 0; i < 200; ++i) g.Answer(), g.Pass(Ms(5));
+    for (int i = 0; i < 200; ++i)
+      g.Answer(), g.Pass(Ms(5));
     std::map<std::string, int> at;
     std::set<std::string> done;
     for (size_t i = before; i < g.sends.size(); ++i) {
       ++at[g.sends[i].endpoint];
       done.insert(g.sends[i].id);
     }
-    for (const auto& [host, n] : at) EXPECT_LE(n, cold ? 2 : 12) << host;
+    for (const auto& [host, n] : at)
+      EXPECT_LE(n, cold ? 2 : 12) << host;
     for (int i = 0; i < 300; ++i) {
       const std::string id = "b" + std::to_string(i);
       EXPECT_NE(done.contains(id), g.GivenUp(id)) << id;
--- a/tests/balancer/fleet_invariants_test.cpp
+++ b/tests/balancer/fleet_invariants_test.cpp
@@ -46,19 +46,25 @@
 
   explicit Fleet(size_t count = 100, int host_count = 60) : settings(MakeSettings()) {
     settings.instance_count = static_cast<int>(count);
-    gateways.resize(count), taken.resize(count), lives.resize(count), bad_sends.resize(count);
+    gateways.resize(count);
+    taken.resize(count);
+    lives.resize(count);
+    bad_sends.resize(count);
     settings.zone_count = 4;
     settings.classes = {MakeClass(Idempotency::kSafe)};
     settings.classes[0].latency_objective = Ms(700);
     settings.allowed.parallel_attempts = false;
     settings.costs.probe = 0.08;
-    for (int i = 0; i < host_count; ++i) hosts["h" + std::to_string(i)];
-    for (size_t i = 0; i < count; ++i) Restart(i);
+    for (int i = 0; i < host_count; ++i)
+      hosts["h" + std::to_string(i)];
+    for (size_t i = 0; i < count; ++i)
+      Restart(i);
   }
 
   // What the one before had out never ends; a life is told from the next by its number.
   void Restart(size_t i) {
-    taken[i] = 0, ++lives[i];
+    taken[i] = 0;
+    ++lives[i];
     std::erase_if(due, [&](const auto& d) { return d.second.gateway == i; });
     Settings s = settings;
     s.zone = static_cast<int>(i % 4);
@@ -79,16 +85,19 @@
       info.id = id;
       info.zone = std::stoi(id.substr(1)) % 4;
       info.started_at = host.launched;
-      if (!leaving.contains(id)) m.endpoints.push_back(info);
+      if (!leaving.contains(id))
+        m.endpoints.push_back(info);
     }
     return m;
   }
   void TellAll() {
-    for (auto& g : gateways) g->Give(List());
+    for (auto& g : gateways)
+      g->Give(List());
   }
 
   double Warmth(const Host& h) const {
-    if (h.launched == Time(0)) return 1;
+    if (h.launched == Time(0))
+      return 1;
     const auto& o = settings.rules;
     const double age = static_cast<double>((now - h.launched).count()) /
                        static_cast<double>(o.slow_start_duration.count());
@@ -106,22 +115,26 @@
         h.gateways.insert(i);
         h.free = std::max(h.free, now) + Ms(1000 / (kPerSecond * Warmth(h)));
         h.leaves.push_back(h.free + Ms(120));
-        if (h.failing) ++bad_sends[i];
+        if (h.failing)
+          ++bad_sends[i];
         const Time at = h.silent ? now + Ms(2000) : h.failing ? now + Ms(5) : h.leaves.back();
         due.emplace(at, Done{i, send->id, send->endpoint, now});
         ++sends;
       } else if (const auto* probe = std::get_if<StartProbe>(&action)) {
         ++probes;
         Host& h = hosts[probe->endpoint];
-        while (!h.leaves.empty() && h.leaves.front() <= now) h.leaves.pop_front();
+        while (!h.leaves.empty() && h.leaves.front() <= now)
+          h.leaves.pop_front();
         const auto held = static_cast<double>(h.leaves.size());
-        if (!h.silent) g.Probed(probe->endpoint, held, 150);
+        if (!h.silent)
+          g.Probed(probe->endpoint, held, 150);
       } else if (std::holds_alternative<RejectRequest>(action)) {
         ++refused;
       } else if (std::holds_alternative<WatchEndpoints>(action)) {
         calls.push_back(now);
         // Discovery is short of room for all that ask at once.
-        if (refuse_calls) g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
+        if (refuse_calls)
+          g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
       }
     }
   }
@@ -159,7 +172,8 @@
     const size_t count = gateways.size(), busy = std::max<size_t>(count / 8, 1);
     const double rest = static_cast<double>(count) - 4.0 * static_cast<double>(busy);
     traffic.assign(count, rest / static_cast<double>(count - busy));
-    for (size_t k = 0; k < busy; ++k) traffic[k * count / busy] = 4;
+    for (size_t k = 0; k < busy; ++k)
+      traffic[k * count / busy] = 4;
   }
 
   // The most that any cold host was sent in a window, as a part of what fells it: with N what the
@@ -168,15 +182,19 @@
     const auto& o = settings.rules;
     double worst = 0;
     for (const auto& [id, h] : hosts) {
-      if (h.launched == Time(0)) continue;
+      if (h.launched == Time(0))
+        continue;
       for (size_t k = 0, end = 0; k < h.sends.size(); ++k) {
         const double age = static_cast<double>((h.sends[k] - h.launched).count()) /
                            static_cast<double>(o.slow_start_duration.count());
-        if (age >= 1) continue;
-        while (end < h.sends.size() && h.sends[end] < h.sends[k] + o.overload_collapse_duration) ++end;
-        const double share = o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * age;
-        const double n =
-            o.overload_collapse_multiple * share * kPerSecond * std::chrono::duration<double>(o.overload_collapse_duration).count();
+        if (age >= 1)
+          continue;
+        while (end < h.sends.size() && h.sends[end] < h.sends[k] + o.overload_collapse_duration)
+          ++end;
+        const double share =
+            o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * age;
+        const double n = o.overload_collapse_multiple * share * kPerSecond *
+                         std::chrono::duration<double>(o.overload_collapse_duration).count();
         worst = std::max(worst, static_cast<double>(end - k) / (n + 2 * std::sqrt(n) + 2));
       }
     }
@@ -187,38 +205,45 @@
     const auto& o = settings.rules;
     double worst = 0;
     for (const auto& [id, h] : hosts) {
-      if (h.launched == Time(0)) continue;
+      if (h.launched == Time(0))
+        continue;
       for (size_t k = 0; k < h.sends.size(); ++k) {
         const double age = static_cast<double>((h.sends[k] - h.launched).count()) /
                            static_cast<double>(o.slow_start_duration.count());
-        if (age >= 1) continue;
-        const double share = o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * age;
+        if (age >= 1)
+          continue;
+        const double share =
+            o.slow_start_initial_capacity + (1 - o.slow_start_initial_capacity) * age;
         const auto sent = std::count_if(h.sends.begin(), h.sends.end(), [&](Time t) {
           return t >= h.sends[k] && t < h.sends[k] + o.overload_collapse_duration;
         });
-        worst = std::max(worst,
-                         static_cast<double>(sent) / (o.overload_collapse_multiple * share * kPerSecond * 1.5));
+        worst = std::max(worst, static_cast<double>(sent) /
+                                    (o.overload_collapse_multiple * share * kPerSecond * 1.5));
       }
     }
     return worst;
   }
   size_t MostGateways() const {
     size_t most = 0;
-    for (const auto& [id, h] : hosts) most = std::max(most, h.gateways.size());
+    for (const auto& [id, h] : hosts)
+      most = std::max(most, h.gateways.size());
     return most;
   }
   // The most of these that lie within a window.
   static size_t MostWithin(const std::vector<Time>& times, Duration window) {
     size_t most = 0;
     for (size_t k = 0, from = 0; k < times.size(); ++k) {
-      while (times[k] - times[from] >= window) ++from;
+      while (times[k] - times[from] >= window)
+        ++from;
       most = std::max(most, k - from + 1);
     }
     return most;
   }
   void Forget() {
-    asked_before = asked, served = refused = probes = sends = 0;
-    for (auto* const two : {&asked_by_lives, &served_by_lives}) *two = {0, 0};
+    asked_before = asked;
+    served = refused = probes = sends = 0;
+    for (auto* const two : {&asked_by_lives, &served_by_lives})
+      *two = {0, 0};
     calls.clear();
   }
   double Share(int64_t part) const {
@@ -254,7 +279,8 @@
     }
     f.TellAll();
     f.Play(Ms(1500));
-    for (int i = 0; i < 18; ++i) f.leaving.insert("h" + std::to_string(18 * step + i));
+    for (int i = 0; i < 18; ++i)
+      f.leaving.insert("h" + std::to_string(18 * step + i));
     f.TellAll();
     f.Play(Ms(2000));
   }
@@ -269,7 +295,8 @@
   Fleet f;
   f.Play(Ms(5000));
   f.Forget();
-  for (size_t i = 0; i < 70; ++i) f.Restart(i);
+  for (size_t i = 0; i < 70; ++i)
+    f.Restart(i);
   f.Play(Ms(2000));
   EXPECT_GE(f.Share(f.served), 0.7);
   EXPECT_LE(f.Share(f.probes), 0.45);
@@ -278,10 +305,12 @@
 TEST(FleetOfModules, AZoneThatReturnsColdIsNotPushedOver) {
   Fleet f;
   f.Play(Ms(5000));
-  for (int i = 0; i < 60; i += 4) f.Kill("h" + std::to_string(i));
+  for (int i = 0; i < 60; i += 4)
+    f.Kill("h" + std::to_string(i));
   f.Play(Ms(4000));
   f.Forget();
-  for (int i = 0; i < 60; i += 4) f.ReturnCold("h" + std::to_string(i));
+  for (int i = 0; i < 60; i += 4)
+    f.ReturnCold("h" + std::to_string(i));
   f.TellAll();
   f.Play(Ms(5000));
   EXPECT_LE(f.WorstCold(), 1.0);
@@ -295,7 +324,8 @@
   Fleet f(300, 200);
   f.Play(Ms(4000));
   f.Forget();
-  for (size_t i = 0; i < 210; ++i) f.Restart(i);
+  for (size_t i = 0; i < 210; ++i)
+    f.Restart(i);
   f.Play(Ms(2500));
   EXPECT_GE(f.Share(f.served), 0.88);
   EXPECT_LE(f.Share(f.probes), 0.4);  // 0.25 a request, and 8 a gateway once
@@ -310,7 +340,8 @@
   f.Play(Ms(4000));
   f.Forget();
   for (size_t step = 0; step < 4; ++step) {
-    for (size_t i = 30 * step; i < 30 * step + 30; ++i) f.Restart(i);
+    for (size_t i = 30 * step; i < 30 * step + 30; ++i)
+      f.Restart(i);
     f.Play(Ms(1200));
   }
   const auto share = [&](size_t which) {
@@ -326,10 +357,12 @@
   Fleet f(300, 200);
   f.Play(Ms(3000));
   f.Forget();
-  for (int i = 0; i < 200; i += 4) f.Kill("h" + std::to_string(i));
+  for (int i = 0; i < 200; i += 4)
+    f.Kill("h" + std::to_string(i));
   f.Play(Ms(4000));
   EXPECT_LE(f.Share(f.sends), 0.95);  // retries must not feed the loss
-  for (int i = 0; i < 200; i += 4) f.ReturnCold("h" + std::to_string(i));
+  for (int i = 0; i < 200; i += 4)
+    f.ReturnCold("h" + std::to_string(i));
   f.TellAll();
   f.Forget();
   f.Play(Ms(4000));
@@ -348,7 +381,8 @@
     }
     f.TellAll();
     f.Play(Ms(1500));
-    for (int i = 60 * step; i < 60 * step + 60; ++i) f.leaving.insert("h" + std::to_string(i));
+    for (int i = 60 * step; i < 60 * step + 60; ++i)
+      f.leaving.insert("h" + std::to_string(i));
     f.TellAll();
     f.Play(Ms(2000));
   }
@@ -364,10 +398,12 @@
   Fleet f(300, 200);
   f.Play(Ms(3000));
   f.Forget();
-  for (int i = 0; i < 200; i += 4) f.Kill("h" + std::to_string(i));
+  for (int i = 0; i < 200; i += 4)
+    f.Kill("h" + std::to_string(i));
   f.Play(Ms(6000));
   int64_t shut = 0;
-  for (const auto& [id, host] : f.hosts) shut += host.shut_sends;
+  for (const auto& [id, host] : f.hosts)
+    shut += host.shut_sends;
   EXPECT_LE(f.Share(shut), 0.05);  // of a quarter of the hosts
   EXPECT_LE(f.Share(f.sends), 0.95);
   EXPECT_GE(f.Share(f.served), 0.75);
@@ -379,10 +415,12 @@
   f.Play(Ms(3000));
   f.Forget();
   std::ranges::fill(f.bad_sends, 0);
-  for (int i = 0; i < 200; i += 8) f.hosts["h" + std::to_string(i)].failing = true;
+  for (int i = 0; i < 200; i += 8)
+    f.hosts["h" + std::to_string(i)].failing = true;
   f.Play(Ms(8000));
   int64_t all = 0;
-  for (const int n : f.bad_sends) all += n;
+  for (const int n : f.bad_sends)
+    all += n;
   EXPECT_LE(f.Share(all), 0.025);  // 3 a gateway, of 128, at an eighth of the hosts
   EXPECT_GE(f.Share(f.served), 0.9);
 }
@@ -392,7 +430,8 @@
 TEST(WholeFleet, AMassStartDoesNotAskForListsAtOnce) {
   Fleet f(300, 200);
   f.settings.discovery_mode = DiscoveryMode::kPoll;
-  for (size_t i = 0; i < 210; ++i) f.Restart(i);
+  for (size_t i = 0; i < 210; ++i)
+    f.Restart(i);
   f.Play(f.settings.rules.discovery_interval / 4);
   EXPECT_EQ(f.calls.size(), 210U);  // each once
   EXPECT_LE(Fleet::MostWithin(f.calls, Ms(100)), 30U);
@@ -403,7 +442,8 @@
   Fleet f(300, 200);
   f.settings.discovery_mode = DiscoveryMode::kPoll;
   f.refuse_calls = true;
-  for (size_t i = 0; i < 300; ++i) f.Restart(i);
+  for (size_t i = 0; i < 300; ++i)
+    f.Restart(i);
   f.Play(Ms(10'000));
   EXPECT_GE(f.calls.size(), 3U * 300U);  // nobody gives up
   EXPECT_LE(f.calls.size(), 6U * 300U);
@@ -423,27 +463,33 @@
   f.settings.rules.slow_start_initial_capacity = 0.12;  // low: the less, the sooner one falls
   f.settings.rules.slow_start_duration = Ms(20'000);
   f.DealUnevenly();
-  for (size_t i = 0; i < count; ++i) f.Restart(i);
+  for (size_t i = 0; i < count; ++i)
+    f.Restart(i);
   f.Play(Ms(6000));
   f.Forget();
   f.burst = 1.5;
   const auto cold = [&](int from, int to) {
-    for (int i = from; i < to; ++i) f.ReturnCold("h" + std::to_string(i));
-    for (int i = from; i < to; ++i) f.hosts["h" + std::to_string(100 + i)].launched = f.now;
+    for (int i = from; i < to; ++i)
+      f.ReturnCold("h" + std::to_string(i));
+    for (int i = from; i < to; ++i)
+      f.hosts["h" + std::to_string(100 + i)].launched = f.now;
     f.TellAll();
   };
   cold(0, 3);
   f.Play(Ms(700));
   // Of the busy ones too: a new process knows neither its traffic nor what its kind of host does.
-  for (size_t i = 0; i < count; i += 2) f.Restart(i);
+  for (size_t i = 0; i < count; i += 2)
+    f.Restart(i);
   f.Play(Ms(1500));
   cold(3, 5);
-  for (size_t i = 1; i < count; i += 4) f.Restart(i);
+  for (size_t i = 1; i < count; i += 4)
+    f.Restart(i);
   f.Play(Ms(6000));
   if (cold_share != nullptr) {
     int64_t to_cold = 0;
     for (const auto& [id, host] : f.hosts) {
-      if (host.launched > Time(0)) to_cold += static_cast<int64_t>(host.sends.size());
+      if (host.launched > Time(0))
+        to_cold += static_cast<int64_t>(host.sends.size());
     }
     *cold_share = static_cast<double>(to_cold) / static_cast<double>(f.sends);
   }
--- a/tests/balancer/invariants_test.cpp
+++ b/tests/balancer/invariants_test.cpp
@@ -47,12 +47,14 @@
       all.endpoints.push_back(info);
     }
     Give(all);
-    for (int i = 0; i < steps; ++i) Step();
+    for (int i = 0; i < steps; ++i)
+      Step();
     for (int i = 0; i < 4000; ++i) {  // until all is answered
       now_ += Ms(2);
       Due();
     }
-    for (const auto& [id, r] : requests_) EXPECT_TRUE(r.answered) << id << " was lost";
+    for (const auto& [id, r] : requests_)
+      EXPECT_TRUE(r.answered) << id << " was lost";
   }
 
   std::vector<std::string> trace;
@@ -69,7 +71,8 @@
       Known& r = requests_[id];
       RequestArrived submit;
       submit.id = id;
-      r.cls = submit.request_class = static_cast<size_t>(Draw() * static_cast<double>(s_.classes.size()));
+      r.cls = submit.request_class =
+          static_cast<size_t>(Draw() * static_cast<double>(s_.classes.size()));
       r.deadline = submit.deadline = now_ + Ms(10 + Draw() * 900);
       Give(submit);
     } else if (what < 0.63) {
@@ -102,15 +105,19 @@
       if (auto* settled = std::get_if<AttemptFinished>(&give)) {
         Known& r = requests_[settled->id];
         Sent& sent = r.sent[settled->attempt];
-        if (!sent.out) continue;
+        if (!sent.out)
+          continue;
         sent.out = false;
-        if (sent.called_off) settled->outcome = Outcome::kCancelled;
+        if (sent.called_off)
+          settled->outcome = Outcome::kCancelled;
         settled->elapsed = now_ - sent.at;
-        if (now_ >= r.deadline) settled->outcome = Outcome::kTimeout;
+        if (now_ >= r.deadline)
+          settled->outcome = Outcome::kTimeout;
         sent.may_have_run = settled->outcome != Outcome::kRejected &&
                             settled->outcome != Outcome::kConnectFailed &&
                             settled->outcome != Outcome::kNotSent;
-        if (settled->outcome == Outcome::kOk) r.answered = true;
+        if (settled->outcome == Outcome::kOk)
+          r.answered = true;
         settled->request_finished = r.answered;
       }
       Give(give);
@@ -123,7 +130,8 @@
   void Give(const Event& event) {
     std::vector<Action> actions;
     brain_.Handle(now_, event, actions);
-    for (const Action& action : actions) Take(action);
+    for (const Action& action : actions)
+      Take(action);
   }
 
   void Take(const Action& action) {
@@ -136,9 +144,11 @@
       EXPECT_FALSE(r.answered) << "two answers";
       r.answered = true;
       const RequestClass& c = s_.classes[r.cls];
-      const bool free =
-          c.idempotency == Idempotency::kSafe || (c.idempotency == Idempotency::kKeyed && c.deduplication_scope == DeduplicationScope::kAll);
-      for (const Sent& a : r.sent) EXPECT_TRUE(free || !a.may_have_run) << "refused what may run";
+      const bool free = c.idempotency == Idempotency::kSafe ||
+                        (c.idempotency == Idempotency::kKeyed &&
+                         c.deduplication_scope == DeduplicationScope::kAll);
+      for (const Sent& a : r.sent)
+        EXPECT_TRUE(free || !a.may_have_run) << "refused what may run";
     } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       trace.push_back(fail->id + " failed");
       EXPECT_FALSE(requests_.at(fail->id).answered) << "two answers";
@@ -149,13 +159,13 @@
       r.sent[cancel->attempt].called_off = true;
       queue_.emplace(now_ + Ms(1),
                      AttemptFinished{cancel->id, cancel->attempt, r.sent[cancel->attempt].endpoint,
-                             Outcome::kCancelled, Ms(0), false, std::nullopt});
+                                     Outcome::kCancelled, Ms(0), false, std::nullopt});
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       queue_.emplace(now_ + timer->after + Ms(Draw() * 2), TimerFired{timer->token});
     } else if (const auto* probe = std::get_if<StartProbe>(&action)) {
       queue_.emplace(now_ + Ms(1 + Draw() * 5),
                      ProbeFinished{probe->endpoint, Draw() < 0.9 ? Outcome::kOk : Outcome::kTimeout,
-                                 Ms(2), LoadReport{Draw() * 6, 5 + Draw() * 40}});
+                                   Ms(2), LoadReport{Draw() * 6, 5 + Draw() * 40}});
     }
   }
 
@@ -169,9 +179,11 @@
     const EndpointInfo& to = info_.at(send.endpoint);
     for (const Sent& a : r.sent) {
       EXPECT_TRUE(s_.allowed.parallel_attempts || !a.out) << "two attempts out";
-      if (!a.may_have_run) continue;
+      if (!a.may_have_run)
+        continue;
       EXPECT_NE(c.idempotency, Idempotency::kUnsafe) << "an unsafe request sent twice";
-      if (c.idempotency != Idempotency::kKeyed) continue;
+      if (c.idempotency != Idempotency::kKeyed)
+        continue;
       const EndpointInfo& was = info_.at(a.endpoint);
       EXPECT_TRUE(c.deduplication_scope != DeduplicationScope::kZone || was.zone == to.zone);
       EXPECT_TRUE(c.deduplication_scope != DeduplicationScope::kCell || was.cell == to.cell);
@@ -179,14 +191,15 @@
     }
     r.sent.push_back({send.endpoint, now_});
     static constexpr Outcome kDrawn[] = {
-        Outcome::kOk,    Outcome::kOk,     Outcome::kOk,   Outcome::kOk,
+        Outcome::kOk,    Outcome::kOk,     Outcome::kOk,       Outcome::kOk,
         Outcome::kOk,    Outcome::kError,  Outcome::kRejected, Outcome::kConnectFailed,
         Outcome::kReset, Outcome::kTimeout};
     const Outcome outcome = kDrawn[static_cast<size_t>(Draw() * 10)];
     Time at = now_ + Ms(1 + Draw() * (Draw() < 0.1 ? 900 : 60));
-    if (outcome == Outcome::kTimeout || at > r.deadline) at = std::max(now_, r.deadline);
-    queue_.emplace(at, AttemptFinished{send.id, r.sent.size() - 1, send.endpoint, outcome, Ms(0), false,
-                               std::nullopt});
+    if (outcome == Outcome::kTimeout || at > r.deadline)
+      at = std::max(now_, r.deadline);
+    queue_.emplace(at, AttemptFinished{send.id, r.sent.size() - 1, send.endpoint, outcome, Ms(0),
+                                       false, std::nullopt});
   }
 
   Settings s_;
@@ -204,7 +217,9 @@
 // no other allowed entry beats. One in three holds far more than any limit there, so not allowed.
 TEST(HotCold, AgreesWithASlowReferenceOnGeneratedPools) {
   std::mt19937_64 rng(11);
-  const auto draw = [&](int n) { return static_cast<int>(rng() % static_cast<uint64_t>(n)); };
+  const auto draw = [&](int n) {
+    return static_cast<int>(rng() % static_cast<uint64_t>(n));
+  };
   int cold = 0, hot = 0;
   for (int round = 0; round < 400; ++round) {
     testing::LoadBalancerHarness g(MakeSettings(), static_cast<uint64_t>(round));
@@ -223,9 +238,11 @@
     std::vector<double> rifs;
     for (const Entry& e : pool) {
       rifs.push_back(e.rif);
-      if (e.rif < 2) allowed.push_back(e);
+      if (e.rif < 2)
+        allowed.push_back(e);
     }
-    if (allowed.size() < 2) continue;
+    if (allowed.size() < 2)
+      continue;
     std::sort(rifs.begin(), rifs.end());
     const double cut = rifs[(rifs.size() - 1) / 4];
     std::set<std::string> best;
@@ -236,7 +253,8 @@
         beaten = beaten || (o_cold && !e_cold) || (o_cold && e_cold && o.latency < e.latency) ||
                  (!o_cold && !e_cold && o.rif < e.rif);
       }
-      if (!beaten) best.insert(e.id);
+      if (!beaten)
+        best.insert(e.id);
     }
     g.Ask("r", 4);
     ASSERT_EQ(g.sends.size(), 1U);
@@ -252,7 +270,8 @@
   Settings s = MakeSettings();
   s.allowed.parallel_attempts = GetParam() % 2 == 0;
   s.allowed.cancel = GetParam() % 3 != 0;
-  if (GetParam() >= 6) s.allowed.max_attempts = 2;
+  if (GetParam() >= 6)
+    s.allowed.max_attempts = 2;
   World world(s, GetParam());
   world.Run(3000);
   EXPECT_GT(world.trace.size(), 500U);
--- a/tests/balancer/load_balancer_fixture.h
+++ b/tests/balancer/load_balancer_fixture.h
@@ -12,9 +12,12 @@
 
 namespace paddlestile::testing {
 
-constexpr Duration Ms(double ms) { return Duration(static_cast<int64_t>(ms * 1000)); }
+constexpr Duration Ms(double ms) {
+  return Duration(static_cast<int64_t>(ms * 1000));
+}
 
-inline RequestClass MakeClass(Idempotency effect, DeduplicationScope group = DeduplicationScope::kAll) {
+inline RequestClass MakeClass(Idempotency effect,
+                              DeduplicationScope group = DeduplicationScope::kAll) {
   RequestClass c;
   c.idempotency = effect;
   c.deduplication_scope = group;
@@ -30,9 +33,10 @@
   Settings s;
   s.instance_count = 3;
   s.zone_count = 2;
-  s.classes = {MakeClass(Idempotency::kSafe), MakeClass(Idempotency::kKeyed, DeduplicationScope::kAll),
-               MakeClass(Idempotency::kKeyed, DeduplicationScope::kZone),
-               MakeClass(Idempotency::kKeyed, DeduplicationScope::kCell), MakeClass(Idempotency::kUnsafe)};
+  s.classes = {
+      MakeClass(Idempotency::kSafe), MakeClass(Idempotency::kKeyed, DeduplicationScope::kAll),
+      MakeClass(Idempotency::kKeyed, DeduplicationScope::kZone),
+      MakeClass(Idempotency::kKeyed, DeduplicationScope::kCell), MakeClass(Idempotency::kUnsafe)};
   s.allowed.cancel = true;
   s.allowed.parallel_attempts = true;
   s.allowed.probes = true;
@@ -62,7 +66,8 @@
     std::vector<Action> actions;
     brain.Handle(now, event, actions);
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&a)) sends.push_back(*send);
+      if (const auto* send = std::get_if<StartAttempt>(&a))
+        sends.push_back(*send);
       if (const auto* timer = std::get_if<SetTimer>(&a)) {
         timers.emplace(now + timer->after, timer->token);
       }
@@ -132,7 +137,8 @@
       const size_t before = sends.size();
       Ask(id);
       Pass(apart);
-      if (sends.size() > before) End(id, 0, sends[before].endpoint, Outcome::kOk, took, true);
+      if (sends.size() > before)
+        End(id, 0, sends[before].endpoint, Outcome::kOk, took, true);
     }
   }
 
@@ -140,7 +146,8 @@
   static std::vector<T> All(const std::vector<Action>& actions) {
     std::vector<T> out;
     for (const Action& a : actions) {
-      if (const auto* t = std::get_if<T>(&a)) out.push_back(*t);
+      if (const auto* t = std::get_if<T>(&a))
+        out.push_back(*t);
     }
     return out;
   }
--- a/tests/balancer/load_balancer_test.cpp
+++ b/tests/balancer/load_balancer_test.cpp
@@ -39,8 +39,10 @@
   EXPECT_EQ(error([](Settings&) {}), "");
   EXPECT_NE(error([](Settings& s) { s.instance_count = 0; }).find("NInstances"), std::string::npos);
   EXPECT_NE(error([](Settings& s) { s.classes.clear(); }).find("Classes"), std::string::npos);
-  EXPECT_NE(error([](Settings& s) { s.classes[1].latency_objective = Ms(0); }).find("Slo"), std::string::npos);
-  EXPECT_NE(error([](Settings& s) { s.allowed.max_attempts = 0; }).find("SendCap"), std::string::npos);
+  EXPECT_NE(error([](Settings& s) { s.classes[1].latency_objective = Ms(0); }).find("Slo"),
+            std::string::npos);
+  EXPECT_NE(error([](Settings& s) { s.allowed.max_attempts = 0; }).find("SendCap"),
+            std::string::npos);
   EXPECT_NE(error([](Settings& s) { s.rules.slow_start_initial_capacity = 2; }).find("ColdFrom"),
             std::string::npos);
 }
@@ -92,7 +94,8 @@
     const std::string id = spent ? "large" : "held";
     g.Ask(id);
     ASSERT_EQ(g.sends.back().id, id);
-    AttemptFinished turned{id, 0, g.sends.back().endpoint, Outcome::kRejected, Ms(5), false, std::nullopt};
+    AttemptFinished turned{id,    0,           g.sends.back().endpoint, Outcome::kRejected, Ms(5),
+                           false, std::nullopt};
     turned.request_consumed = spent;
     const auto told = g.Give(turned);
     EXPECT_EQ(LoadBalancerHarness::All<StartAttempt>(told).size(), spent ? 0u : 1u);
@@ -112,13 +115,15 @@
   g.Give(full);  // e2 is absent from a full list, so it is gone
   g.WarmUp(60);
   ASSERT_FALSE(g.sends.empty());
-  for (const StartAttempt& send : g.sends) EXPECT_EQ(send.endpoint, "e1");
+  for (const StartAttempt& send : g.sends)
+    EXPECT_EQ(send.endpoint, "e1");
 }
 
 TEST(Membership, PooledAnswersOfADrainingEndpointAreNotPicked) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(4);
-  for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, id[1] == '0' ? 1 : 50);
+  for (const char* id : {"e0", "e1", "e2", "e3"})
+    g.Probed(id, 0, id[1] == '0' ? 1 : 50);
   g.Change("e0", EndpointState::kDraining);
   const auto sends = LoadBalancerHarness::All<StartAttempt>(g.Ask("r"));
   ASSERT_EQ(sends.size(), 1U);
@@ -136,8 +141,8 @@
   g.Pass(s.rules.discovery_interval / 5);  // where there are others it waits a little
   EXPECT_EQ(LoadBalancerHarness::All<WatchEndpoints>(g.log).size(), 1U);
   const auto failed = g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
-  EXPECT_TRUE(
-      LoadBalancerHarness::All<WatchEndpoints>(failed).empty());  // not at once: the registry is small
+  EXPECT_TRUE(LoadBalancerHarness::All<WatchEndpoints>(failed)
+                  .empty());  // not at once: the registry is small
   g.Pass(s.rules.discovery_interval / 2);
   EXPECT_EQ(LoadBalancerHarness::All<WatchEndpoints>(g.log).size(), 2U);
 }
@@ -161,8 +166,8 @@
   g.Pass(s.rules.discovery_interval / 5);
   Duration longest{0};
   for (int i = 0; i < 8; ++i) {
-    for (const SetTimer& t :
-         LoadBalancerHarness::All<SetTimer>(g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}}))) {
+    for (const SetTimer& t : LoadBalancerHarness::All<SetTimer>(
+             g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}}))) {
       longest = std::max(longest, t.after);
       EXPECT_LT(t.after, s.rules.discovery_interval);
     }
@@ -181,7 +186,8 @@
   }
   g.Change("e0", EndpointState::kUp, g.now - Ms(20'000));
   const size_t before = g.sends.size();
-  for (int i = 0; i < 8; ++i) g.Ask("s" + std::to_string(i), 4);
+  for (int i = 0; i < 8; ++i)
+    g.Ask("s" + std::to_string(i), 4);
   EXPECT_TRUE(std::any_of(g.sends.begin() + static_cast<long>(before), g.sends.end(),
                           [](const StartAttempt& s) { return s.endpoint == "e0"; }));
 }
@@ -216,10 +222,12 @@
 TEST(Pick, EachSendRaisesTheInFlightFigure) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
-  for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, id[1] == '0' ? 5 : 20);
+  for (const char* id : {"e0", "e1", "e2", "e3"})
+    g.Probed(id, 0, id[1] == '0' ? 5 : 20);
   std::multiset<std::string> met;
   for (int i = 0; i < 4; ++i) {
-    for (const StartAttempt& s : LoadBalancerHarness::All<StartAttempt>(g.Ask("r" + std::to_string(i))))
+    for (const StartAttempt& s :
+         LoadBalancerHarness::All<StartAttempt>(g.Ask("r" + std::to_string(i))))
       met.insert(s.endpoint);
   }
   // The quickest is over the cut once it was sent one; the others get their turns.
@@ -231,7 +239,8 @@
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(6);
   g.WarmUp(100);  // 200 requests a second: a second's probes fill the pool many times over
-  for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, 10);
+  for (const char* id : {"e0", "e1", "e2", "e3"})
+    g.Probed(id, 0, 10);
   g.Pass(Ms(1500));
   g.Ask("r");
   EXPECT_EQ(g.brain.statistics().last_selection, SelectionMethod::kFallback);
@@ -253,9 +262,11 @@
     for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(actions))
       g.Probed(probe.endpoint, 1, 20);
     g.Pass(Ms(20));
-    if (g.sends.size() > before) g.End(id, 0, g.sends[before].endpoint, Outcome::kOk, Ms(20), true);
+    if (g.sends.size() > before)
+      g.End(id, 0, g.sends[before].endpoint, Outcome::kOk, Ms(20), true);
     g.Pass(Ms(180));
-    if (i >= 100 && g.brain.statistics().last_selection != SelectionMethod::kFallback) ++met;
+    if (i >= 100 && g.brain.statistics().last_selection != SelectionMethod::kFallback)
+      ++met;
   }
   EXPECT_GT(met, 150U);
 }
@@ -263,14 +274,17 @@
 TEST(Pick, AnswersAreUsedABoundedNumberOfTimes) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(30);
-  for (int i = 0; i < 10; ++i) g.Probed("e" + std::to_string(i), 0, 10);
+  for (int i = 0; i < 10; ++i)
+    g.Probed("e" + std::to_string(i), 0, 10);
   int pooled = 0;
   for (int i = 0; i < 300; ++i) {
     const std::string id = "r" + std::to_string(i);
     const size_t before = g.sends.size();
     g.Ask(id);
-    if (g.brain.statistics().last_selection != SelectionMethod::kFallback) ++pooled;
-    if (g.sends.size() > before) g.End(id, 0, g.sends.back().endpoint, Outcome::kOk, Ms(10), true);
+    if (g.brain.statistics().last_selection != SelectionMethod::kFallback)
+      ++pooled;
+    if (g.sends.size() > before)
+      g.End(id, 0, g.sends.back().endpoint, Outcome::kOk, Ms(10), true);
   }
   EXPECT_GT(pooled, 0);
   EXPECT_LE(pooled, 32);  // ten answers of at most three uses; removal alone would leave more
@@ -281,7 +295,8 @@
   for (uint64_t seed = 0; seed < 30; ++seed) {
     LoadBalancerHarness g(MakeSettings(), seed);
     g.Endpoints(6);
-    for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 0, 10);
+    for (const char* id : {"e0", "e1", "e2", "e3"})
+      g.Probed(id, 0, 10);
     g.Ask("r");
     met.insert(g.sends.at(0).endpoint);
   }
@@ -298,8 +313,10 @@
   std::set<std::string> met;
   for (int i = 0; i < 100; ++i) {
     g.WarmUp(1);
-    for (const StartProbe& p : LoadBalancerHarness::All<StartProbe>(g.log)) met.insert(p.endpoint);
-    for (const StartProbe& p : LoadBalancerHarness::All<StartProbe>(g.log)) g.Probed(p.endpoint, 0, 10);
+    for (const StartProbe& p : LoadBalancerHarness::All<StartProbe>(g.log))
+      met.insert(p.endpoint);
+    for (const StartProbe& p : LoadBalancerHarness::All<StartProbe>(g.log))
+      g.Probed(p.endpoint, 0, 10);
     g.log.clear();
   }
   EXPECT_EQ(met.size(), 5U);
@@ -334,7 +351,8 @@
   g.Endpoints(8);
   g.Probed("e0", 30, 10);
   for (int i = 0; i < 20; ++i) {
-    for (const char* id : {"e1", "e2", "e3", "e4", "e5", "e6", "e7"}) g.Probed(id, 1, 10);
+    for (const char* id : {"e1", "e2", "e3", "e4", "e5", "e6", "e7"})
+      g.Probed(id, 1, 10);
   }
   g.Pass(Ms(20'000));
   std::set<std::string> used;
@@ -354,8 +372,10 @@
 TEST(Capacity, AKindFoundBusyAtTheStartIsTriedAtAboutWhatItHolds) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(5);
-  for (const char* id : {"e0", "e1", "e2", "e3", "e4"}) g.Probed(id, 20, 10);
-  for (int i = 0; i < 200; ++i) g.Ask("r" + std::to_string(i), 4);
+  for (const char* id : {"e0", "e1", "e2", "e3", "e4"})
+    g.Probed(id, 20, 10);
+  for (int i = 0; i < 200; ++i)
+    g.Ask("r" + std::to_string(i), 4);
   EXPECT_GE(g.sends.size(), 5U);
   EXPECT_LE(g.sends.size(), 5U * 8U);  // a stretch of 1.3 over the 20 and one
 }
@@ -373,17 +393,23 @@
   std::vector<StartAttempt> batch;
   for (int round = 0; round < 60; ++round) {  // sixteen at a time, so that limits are learned
     const size_t before = g.sends.size();
-    for (int i = 0; i < 16; ++i) g.Ask(std::to_string(round) + "-" + std::to_string(i));
+    for (int i = 0; i < 16; ++i)
+      g.Ask(std::to_string(round) + "-" + std::to_string(i));
     g.now += Ms(10);
-    for (size_t k = before; k < g.sends.size(); ++k) batch.push_back(g.sends[k]);
-    for (const StartAttempt& send : batch) serve(send);
+    for (size_t k = before; k < g.sends.size(); ++k)
+      batch.push_back(g.sends[k]);
+    for (const StartAttempt& send : batch)
+      serve(send);
     batch.clear();
   }
   size_t on_slow = 0;
-  for (const StartAttempt& send : g.sends) g.Probed(send.endpoint, 0, 1);
+  for (const StartAttempt& send : g.sends)
+    g.Probed(send.endpoint, 0, 1);
   const size_t before = g.sends.size();
-  for (int i = 0; i < 60; ++i) g.Ask("last" + std::to_string(i));
-  for (size_t k = before; k < g.sends.size(); ++k) on_slow += g.sends[k].endpoint == "e0" ? 1 : 0;
+  for (int i = 0; i < 60; ++i)
+    g.Ask("last" + std::to_string(i));
+  for (size_t k = before; k < g.sends.size(); ++k)
+    on_slow += g.sends[k].endpoint == "e0" ? 1 : 0;
   EXPECT_GE(on_slow, 3U);
 }
 
@@ -403,7 +429,8 @@
     EXPECT_EQ(eps[place].info.id, "e" + std::to_string(i));
     EXPECT_EQ(eps[place].error_rate, 0);  // nothing of who was there before
     eps[place].error_rate = 1;
-    if (i < 10) continue;
+    if (i < 10)
+      continue;
     const size_t old = index.at("e" + std::to_string(i - 10));
     eps[old].info.state = EndpointState::kRemoved;
     left.insert(old);
@@ -412,7 +439,8 @@
   EXPECT_LE(index.size(), 12U);
   // Not while a request or an answer still names it.
   const size_t gone = index.begin()->second;
-  for (Endpoint& e : eps) e.info.state = EndpointState::kUp;
+  for (Endpoint& e : eps)
+    e.info.state = EndpointState::kUp;
   eps[gone].info.state = EndpointState::kRemoved;
   left = {gone};
   open[1].attempts.push_back({.endpoint = gone});
@@ -456,7 +484,8 @@
     g.Pass(Ms(1));
   }
   EXPECT_EQ(count.size(), 40U);
-  for (const auto& [endpoint, times] : count) EXPECT_GT(times, 60) << endpoint;
+  for (const auto& [endpoint, times] : count)
+    EXPECT_GT(times, 60) << endpoint;
 }
 
 // The trouble: an id that a list held twice took two places of the set, and twice the work.
@@ -523,7 +552,8 @@
     const std::string id = "r" + std::to_string(i);
     const size_t before = g.sends.size();
     g.Ask(id);
-    if (g.sends.size() == before) continue;
+    if (g.sends.size() == before)
+      continue;
     const std::string ep = g.sends[before].endpoint;
     const bool broken = breaks[ep] < 3;
     ++(broken ? breaks[ep] : later[ep]);
@@ -544,9 +574,9 @@
     g.Ask(id);
     for (size_t k = before; k < g.sends.size(); ++k) {
       const bool full = k < before + 2;
-      refused += LoadBalancerHarness::All<RejectRequest>(g.End(id, k - before, g.sends[k].endpoint,
-                                                        full ? Outcome::kRejected : Outcome::kOk, Ms(1),
-                                                        !full))
+      refused += LoadBalancerHarness::All<RejectRequest>(
+                     g.End(id, k - before, g.sends[k].endpoint,
+                           full ? Outcome::kRejected : Outcome::kOk, Ms(1), !full))
                      .size();
     }
     g.Pass(Ms(5));
@@ -574,8 +604,8 @@
         to_bad += here ? 1 : 0;
         const bool bad = here && (always || spoilt < 2);  // two in a row, then well again
         spoilt = bad ? spoilt + 1 : to_bad % 8 == 0 ? 0 : spoilt;
-        g.End(id, k - before, g.sends[k].endpoint, bad ? Outcome::kInvalidResponse : Outcome::kOk, Ms(10),
-              !bad);
+        g.End(id, k - before, g.sends[k].endpoint, bad ? Outcome::kInvalidResponse : Outcome::kOk,
+              Ms(10), !bad);
       }
       g.Pass(Ms(5));
     }
@@ -617,13 +647,15 @@
   g.Endpoints(6);
   g.WarmUp(200);
   g.Probed("e0", 0, 1);
-  for (const char* id : {"e1", "e2", "e3"}) g.Probed(id, 3, 30);
+  for (const char* id : {"e1", "e2", "e3"})
+    g.Probed(id, 3, 30);
   g.Ask("stuck", 4);  // unsafe: no second copy
   ASSERT_EQ(g.sends.back().endpoint, "e0");
   g.Pass(Ms(250));
   for (int i = 0; i < 10; ++i) {
     g.Probed("e0", 0, 1);
-    for (const char* id : {"e1", "e2", "e3"}) g.Probed(id, 3, 30);
+    for (const char* id : {"e1", "e2", "e3"})
+      g.Probed(id, 3, 30);
     const std::string id = "r" + std::to_string(i);
     g.Ask(id, 4);
     EXPECT_NE(g.sends.back().endpoint, "e0");
@@ -641,7 +673,8 @@
     g.Ask(id, 4);
     if (g.sends.size() > before) {
       g.End(id, 0, g.sends.back().endpoint, Outcome::kError, Ms(5));
-      if (i >= 300) ++late_sends;
+      if (i >= 300)
+        ++late_sends;
     }
     g.Pass(Ms(5));
   }
@@ -652,7 +685,8 @@
 TEST(Capacity, WorkIsHeldRatherThanPiledOn) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
-  for (int i = 0; i < 100; ++i) g.Ask("r" + std::to_string(i));
+  for (int i = 0; i < 100; ++i)
+    g.Ask("r" + std::to_string(i));
   EXPECT_LE(g.sends.size(), 12U);
   EXPECT_GE(g.sends.size(), 2U);
 }
@@ -660,7 +694,8 @@
 TEST(Capacity, ARequestThatCannotMakeItIsRefusedPromptly) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(2);
-  for (int i = 0; i < 100; ++i) g.Ask("r" + std::to_string(i));
+  for (int i = 0; i < 100; ++i)
+    g.Ask("r" + std::to_string(i));
   g.Pass(Ms(150));
   EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(g.log).size() + g.sends.size(), 100U);
 }
@@ -684,7 +719,8 @@
 
   LoadBalancerHarness fresh(MakeSettings());
   fresh.Endpoints(2);
-  for (int i = 0; i < 40; ++i) fresh.Ask("r" + std::to_string(i));
+  for (int i = 0; i < 40; ++i)
+    fresh.Ask("r" + std::to_string(i));
   fresh.Pass(Ms(100));
   EXPECT_GT(counted(fresh, ExclusionReason::kCapacityUnknown), 20U);
   EXPECT_EQ(counted(fresh, ExclusionReason::kAtConcurrencyLimit), 0U);
@@ -692,7 +728,8 @@
   LoadBalancerHarness full(MakeSettings());
   full.Endpoints(2);
   full.WarmUp(100);
-  for (int i = 0; i < 400; ++i) full.Ask("r" + std::to_string(i));
+  for (int i = 0; i < 400; ++i)
+    full.Ask("r" + std::to_string(i));
   full.Pass(Ms(100));
   EXPECT_GT(counted(full, ExclusionReason::kAtConcurrencyLimit), 10U);
 
@@ -711,13 +748,15 @@
 TEST(Capacity, ANewGatewayInABusyFleetSendsByTheReportsOfOthers) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(8);
-  for (int i = 0; i < 8; ++i) g.Probed("e" + std::to_string(i), i == 7 ? 40 : 10, 20);
+  for (int i = 0; i < 8; ++i)
+    g.Probed("e" + std::to_string(i), i == 7 ? 40 : 10, 20);
   for (int i = 0; i < 20; ++i) {
     g.Ask("r" + std::to_string(i));
     g.Pass(Ms(60));
   }
   EXPECT_GE(g.sends.size(), 5U);
-  for (const StartAttempt& send : g.sends) EXPECT_NE(send.endpoint, "e7");  // crowded beside the others
+  for (const StartAttempt& send : g.sends)
+    EXPECT_NE(send.endpoint, "e7");  // crowded beside the others
 }
 
 // The trouble: time-outs left out of the average flatter an endpoint, and its limit runs away.
@@ -731,11 +770,13 @@
       const size_t before = g.sends.size();
       g.Ask(id, 4);
       g.Pass(Ms(900));
-      if (g.sends.size() > before) g.End(id, 0, "e0", Outcome::kTimeout, Ms(900));
+      if (g.sends.size() > before)
+        g.End(id, 0, "e0", Outcome::kTimeout, Ms(900));
     }
     g.Pass(Ms(20'000));
     const size_t before = g.sends.size();
-    for (int i = 0; i < 50; ++i) g.Ask("r" + std::to_string(i), 4);
+    for (int i = 0; i < 50; ++i)
+      g.Ask("r" + std::to_string(i), 4);
     return g.sends.size() - before;
   };
   EXPECT_LT(sent_in_a_rush(true), sent_in_a_rush(false));
@@ -771,7 +812,8 @@
       }
       for (; seen < g.sends.size(); ++seen) {
         out[g.sends[seen].id] = g.now;
-        if (i >= 100 && g.sends[seen].id[0] == 'b') ++lesser;
+        if (i >= 100 && g.sends[seen].id[0] == 'b')
+          ++lesser;
       }
     }
     return lesser;
@@ -798,12 +840,14 @@
     g.Pass(Ms(20));
     for (auto at = out.begin(); at != out.end();) {
       const bool done = g.now - at->second >= Ms(200);
-      if (done) g.End(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
+      if (done)
+        g.End(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
       at = done ? out.erase(at) : std::next(at);
     }
     for (; seen < g.sends.size(); ++seen) {
       out[g.sends[seen].id] = g.now;
-      if (i >= 300) ++sent[g.sends[seen].id[0] == '0' ? 0 : 1];
+      if (i >= 300)
+        ++sent[g.sends[seen].id[0] == '0' ? 0 : 1];
     }
   }
   EXPECT_GT(sent[0], 2 * sent[1]);
@@ -827,13 +871,16 @@
     g.Pass(Ms(20));
     for (auto at = out.begin(); at != out.end();) {
       const bool done = g.now - at->second >= Ms(200);
-      if (done) g.End(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
+      if (done)
+        g.End(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
       at = done ? out.erase(at) : std::next(at);
     }
-    for (; seen < g.sends.size(); ++seen) out[g.sends[seen].id] = g.now;
+    for (; seen < g.sends.size(); ++seen)
+      out[g.sends[seen].id] = g.now;
   }
   std::vector<std::string> sent;
-  for (const StartAttempt& send : g.sends) sent.push_back(send.id + " " + send.endpoint);
+  for (const StartAttempt& send : g.sends)
+    sent.push_back(send.id + " " + send.endpoint);
   return sent;
 }
 
@@ -867,7 +914,8 @@
     took[many ? 1 : 0] = 1e18;
     for (int turn = 0; turn < 5; ++turn) {
       const auto from = std::chrono::steady_clock::now();
-      for (size_t i = 0; i < 200; ++i) g.Give(TenantQuotaUpdate{{{i * 3, {2, 0.002}}}});
+      for (size_t i = 0; i < 200; ++i)
+        g.Give(TenantQuotaUpdate{{{i * 3, {2, 0.002}}}});
       const std::chrono::duration<double, std::micro> us = std::chrono::steady_clock::now() - from;
       took[many ? 1 : 0] = std::min(took[many ? 1 : 0], us.count() / 200);
     }
@@ -934,9 +982,9 @@
 
 std::vector<LegalCase> LegalCases() {
   std::vector<LegalCase> cases;
-  for (const Outcome o :
-       {Outcome::kError, Outcome::kReset, Outcome::kTimeout, Outcome::kCancelled, Outcome::kRejected,
-        Outcome::kConnectFailed, Outcome::kNotSent, Outcome::kInvalidResponse}) {
+  for (const Outcome o : {Outcome::kError, Outcome::kReset, Outcome::kTimeout, Outcome::kCancelled,
+                          Outcome::kRejected, Outcome::kConnectFailed, Outcome::kNotSent,
+                          Outcome::kInvalidResponse}) {
     const bool never_ran =
         o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
     cases.push_back({0, o, true, true});
@@ -1020,13 +1068,14 @@
 TEST(Gate, ATryWithLittleTimeLeftIsAnsweredInTime) {
   LoadBalancerHarness g(MakeSettings());
   g.Endpoints(1);
-  for (int i = 0; i < 30; ++i) g.Ask("fill" + std::to_string(i), 4);
+  for (int i = 0; i < 30; ++i)
+    g.Ask("fill" + std::to_string(i), 4);
   g.log.clear();
   g.Ask("r", 0, Ms(18));
   g.Pass(Ms(18));
   const auto refused = LoadBalancerHarness::All<RejectRequest>(g.log);
-  EXPECT_TRUE(
-      std::any_of(refused.begin(), refused.end(), [](const RejectRequest& x) { return x.id == "r"; }));
+  EXPECT_TRUE(std::any_of(refused.begin(), refused.end(),
+                          [](const RejectRequest& x) { return x.id == "r"; }));
 }
 
 TEST(Gate, ADeadlineAlreadyPastAndNoEndpointAtAll) {
@@ -1061,8 +1110,10 @@
     });
     const double age = static_cast<double>((cold[i] - born).count()) /
                        static_cast<double>(s.rules.slow_start_duration.count());
-    const double from = s.rules.slow_start_initial_capacity, share = from + (1 - from) * std::min(1.0, age);
-    EXPECT_LE(static_cast<double>(sent), s.rules.overload_collapse_multiple * share * pace * window + 1)
+    const double from = s.rules.slow_start_initial_capacity,
+                 share = from + (1 - from) * std::min(1.0, age);
+    EXPECT_LE(static_cast<double>(sent),
+              s.rules.overload_collapse_multiple * share * pace * window + 1)
         << "at " << age;
   }
 }
@@ -1082,7 +1133,8 @@
     const size_t before = g.sends.size();
     g.WarmUp(1, Ms(20), Ms(5));
     for (size_t k = before; k < g.sends.size(); ++k) {
-      if (g.sends[k].endpoint == "new") cold.push_back(g.now);
+      if (g.sends[k].endpoint == "new")
+        cold.push_back(g.now);
     }
   }
   ASSERT_FALSE(cold.empty());
@@ -1093,7 +1145,8 @@
 TEST(Cold, NothingBeforeThisGatewayKnowsAnyPace) {
   LoadBalancerHarness g(MakeSettings());
   g.Change("new", EndpointState::kUp, g.now - Ms(10));
-  for (int i = 0; i < 20; ++i) g.Ask("r" + std::to_string(i));
+  for (int i = 0; i < 20; ++i)
+    g.Ask("r" + std::to_string(i));
   EXPECT_TRUE(g.sends.empty());
 }
 
@@ -1109,11 +1162,13 @@
     g.Change("new", EndpointState::kUp, g.now);
     size_t sent = 0;
     for (int i = 0; i < 60; ++i) {
-      for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 5, 20);
+      for (const char* id : {"e0", "e1", "e2", "e3"})
+        g.Probed(id, 5, 20);
       g.Probed("new", 0, 1);  // the best there is
       const size_t before = g.sends.size();
       g.WarmUp(1, Ms(20), Ms(25));
-      for (size_t k = before; k < g.sends.size(); ++k) sent += g.sends[k].endpoint == "new" ? 1 : 0;
+      for (size_t k = before; k < g.sends.size(); ++k)
+        sent += g.sends[k].endpoint == "new" ? 1 : 0;
     }
     return sent;
   };
@@ -1127,8 +1182,10 @@
   Settings s = MakeSettings();
   s.instance_count = kGateways;
   std::vector<LoadBalancerHarness> bank;
-  for (int i = 0; i < kGateways; ++i) bank.emplace_back(s, static_cast<uint64_t>(i) + 1);
-  for (LoadBalancerHarness& g : bank) g.Endpoints(kEndpoints);
+  for (int i = 0; i < kGateways; ++i)
+    bank.emplace_back(s, static_cast<uint64_t>(i) + 1);
+  for (LoadBalancerHarness& g : bank)
+    g.Endpoints(kEndpoints);
   std::vector<Time> cold;
   Time born{0};
   for (int round = 0; round < 120; ++round) {  // ten requests a second each, 25 an endpoint in all
@@ -1137,11 +1194,13 @@
         g.Change("new", EndpointState::kUp, g.now);
         born = g.now;
       }
-      if (round >= 60) g.Probed("new", 0, 1);
+      if (round >= 60)
+        g.Probed("new", 0, 1);
       const size_t before = g.sends.size();
       g.WarmUp(1, Ms(20), Ms(100));
       for (size_t k = before; k < g.sends.size(); ++k) {
-        if (g.sends[k].endpoint == "new") cold.push_back(g.now);
+        if (g.sends[k].endpoint == "new")
+          cold.push_back(g.now);
       }
     }
   }
@@ -1169,7 +1228,8 @@
     g.Endpoints(120);
     g.WarmUp(100);
     std::set<std::string> met;
-    for (const StartAttempt& send : g.sends) met.insert(send.endpoint);
+    for (const StartAttempt& send : g.sends)
+      met.insert(send.endpoint);
     EXPECT_LE(met.size(), 16U);
     EXPECT_GE(met.size(), 3U);
     by_all.insert(met.begin(), met.end());
@@ -1184,7 +1244,8 @@
   g.Endpoints(100);
   g.WarmUp(3000);
   std::set<std::string> met;
-  for (const StartAttempt& send : g.sends) met.insert(send.endpoint);
+  for (const StartAttempt& send : g.sends)
+    met.insert(send.endpoint);
   EXPECT_GT(met.size(), 95U);
 }
 
@@ -1252,7 +1313,8 @@
   g.Endpoints(68);
   size_t first = 0, later = 0;
   for (int i = 0; i < 104; ++i) {
-    for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(g.Ask("r" + std::to_string(i)))) {
+    for (const StartProbe& probe :
+         LoadBalancerHarness::All<StartProbe>(g.Ask("r" + std::to_string(i)))) {
       g.Probed(probe.endpoint, 1, 20);
       ++(i < 4 ? first : later);
     }
@@ -1270,7 +1332,8 @@
   LoadBalancerHarness g(s);
   g.Endpoints(10);
   for (int i = 0; i < 100; ++i) {
-    for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(g.Ask("r" + std::to_string(i)))) {
+    for (const StartProbe& probe :
+         LoadBalancerHarness::All<StartProbe>(g.Ask("r" + std::to_string(i)))) {
       g.Probed(probe.endpoint, 1, 20);
     }
   }
@@ -1279,8 +1342,10 @@
     g.Change(id, EndpointState::kUp);
     std::string first;
     for (int i = 0; i < 20 && first.empty(); ++i) {
-      for (const StartProbe& probe : LoadBalancerHarness::All<StartProbe>(g.Ask(id + std::to_string(i)))) {
-        if (first.empty()) first = probe.endpoint;
+      for (const StartProbe& probe :
+           LoadBalancerHarness::All<StartProbe>(g.Ask(id + std::to_string(i)))) {
+        if (first.empty())
+          first = probe.endpoint;
         g.Probed(probe.endpoint, 1, 20);
       }
     }
@@ -1299,7 +1364,8 @@
   g.Endpoints(4);
   int sent[2] = {0, 0};
   for (int i = 0; i < 400; ++i) {
-    for (const char* id : {"e0", "e1", "e2", "e3"}) g.Probed(id, 3, 20);  // at the first limit
+    for (const char* id : {"e0", "e1", "e2", "e3"})
+      g.Probed(id, 3, 20);  // at the first limit
     const size_t before = g.sends.size(), cls = static_cast<size_t>(i % 2);
     const std::string id = "r" + std::to_string(i);
     g.Ask(id, cls);
@@ -1340,8 +1406,10 @@
     g.Endpoints(120);  // even ones in zone 0, this gateway's
     g.WarmUp(100);
     std::set<std::string> met;
-    for (const StartAttempt& send : g.sends) met.insert(send.endpoint);
-    for (const std::string& id : met) own += (id.back() - '0') % 2 == 0;
+    for (const StartAttempt& send : g.sends)
+      met.insert(send.endpoint);
+    for (const std::string& id : met)
+      own += (id.back() - '0') % 2 == 0;
     all += static_cast<int>(met.size());
   }
   EXPECT_GT(own, all * 3 / 4);
@@ -1397,7 +1465,8 @@
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     LoadBalancerHarness g(s, seed);
     g.Endpoints(3);
-    const auto timers = LoadBalancerHarness::All<SetTimer>(g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}}));
+    const auto timers =
+        LoadBalancerHarness::All<SetTimer>(g.Give(EndpointUpdate{EndpointUpdateKind::kFailed, {}}));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_LE(timers[0].after, Ms(750));
   }
--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -117,7 +117,8 @@
   ASSERT_TRUE(Says("listens on"));
   Peer client = Peer::To(address);
   client.Say("GET /_health HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) usleep(5000);
+  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i)
+    usleep(5000);
   ASSERT_TRUE(client.Has("200 OK"));
   kill(pid(), SIGUSR1);
   ASSERT_TRUE(Says("counters: clients="));
@@ -138,7 +139,8 @@
   for (int i = 0; i < 1000 && std::ranges::count(text, '@') < 3; ++i) {
     usleep(5000);
     text = Text();
-    for (size_t at = 0; (at = text.find("counters: ", at)) != std::string::npos;) text[at] = '@';
+    for (size_t at = 0; (at = text.find("counters: ", at)) != std::string::npos;)
+      text[at] = '@';
   }
   EXPECT_GE(std::ranges::count(text, '@'), 3) << text;
   const size_t at = text.find(" at=");
@@ -153,8 +155,10 @@
 // Whether somebody has begun a watch at a port.
 bool Watched(Port& port, Peer& peer) {
   for (int i = 0; i < 1000; ++i) {
-    if (!peer) peer = port.TryTake();
-    if (peer && peer.Has("follow=1")) return true;
+    if (!peer)
+      peer = port.TryTake();
+    if (peer && peer.Has("follow=1"))
+      return true;
     usleep(5000);
   }
   return false;
@@ -174,7 +178,8 @@
   first.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
   Peer client = Peer::To(address);
   client.Say("GET /_health HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) usleep(5000);
+  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i)
+    usleep(5000);
 
   std::ofstream(path_) << kConfig.substr(0, 100);  // half of it, at first
   kill(pid(), SIGHUP);
@@ -184,7 +189,8 @@
   write(elsewhere.text());
   ASSERT_TRUE(Watched(elsewhere, second));  // without a second signal
   second.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-  for (int i = 0; i < 1000 && !first.Ended(); ++i) usleep(5000);
+  for (int i = 0; i < 1000 && !first.Ended(); ++i)
+    usleep(5000);
   EXPECT_TRUE(first.Ended());
 
   std::remove(path_.c_str());
@@ -311,11 +317,13 @@
     for (int round = 0; round < 600; ++round) {
       while (Peer peer = host.TryTake()) {
         hosts.push_back(std::move(peer));
-        if (answers) hosts.back().Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
+        if (answers)
+          hosts.back().Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
       }
       for (Peer& peer : answers ? hosts : clients) {
         const ssize_t n = send(peer.fd(), part.data(), part.size(), MSG_NOSIGNAL);
-        if (n > 0) sent += static_cast<size_t>(n);
+        if (n > 0)
+          sent += static_cast<size_t>(n);
       }
       usleep(2000);
     }
@@ -326,7 +334,8 @@
   std::ifstream status("/proc/" + std::to_string(pid()) + "/status");
   long kib = 0;
   for (std::string line; std::getline(status, line);) {
-    if (line.starts_with("VmHWM:")) kib = std::stol(line.substr(6));
+    if (line.starts_with("VmHWM:"))
+      kib = std::stol(line.substr(6));
   }
   EXPECT_LT(kib, 32L * 1024);
 #endif
@@ -347,29 +356,34 @@
   const std::string text = head + std::string(65535, 'x');
   std::vector<Peer> clients;
   std::vector<size_t> sent(500, 0);
-  for (size_t i = 0; i < sent.size(); ++i) clients.push_back(Peer::To(address));
+  for (size_t i = 0; i < sent.size(); ++i)
+    clients.push_back(Peer::To(address));
   // A part to each in turn: the sockets take no whole body at once.
   for (int round = 0; round < 5000; ++round) {
     size_t left = 0;
     for (size_t i = 0; i < sent.size(); ++i) {
       const std::string_view rest = std::string_view(text).substr(sent[i]);
       const ssize_t n = send(clients[i].fd(), rest.data(), rest.size(), MSG_NOSIGNAL);
-      if (n > 0) sent[i] += static_cast<size_t>(n);
+      if (n > 0)
+        sent[i] += static_cast<size_t>(n);
       left += text.size() - sent[i];
     }
-    if (left == 0) break;
+    if (left == 0)
+      break;
     usleep(1000);
   }
   EXPECT_EQ(sent.back(), text.size());
   Peer late = Peer::To(address);  // the loop has come round after all that
   late.Say("GET /_health HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 1000 && !late.Has("200 OK"); ++i) usleep(5000);
+  for (int i = 0; i < 1000 && !late.Has("200 OK"); ++i)
+    usleep(5000);
   EXPECT_TRUE(late.Has("200 OK"));
 #ifndef __SANITIZE_ADDRESS__  // which keeps its own memory
   std::ifstream status("/proc/" + std::to_string(pid()) + "/status");
   long kib = 0;
   for (std::string line; std::getline(status, line);) {
-    if (line.starts_with("VmHWM:")) kib = std::stol(line.substr(6));
+    if (line.starts_with("VmHWM:"))
+      kib = std::stol(line.substr(6));
   }
   EXPECT_GT(kib, 30L * 1024);  // all of it is there
   EXPECT_LT(kib, 70L * 1024);
--- a/tests/cluster/config_document_test.cpp
+++ b/tests/cluster/config_document_test.cpp
@@ -9,8 +9,12 @@
 namespace paddlestile::cluster {
 namespace {
 
-ConfigDocument With(const std::string& text) { return ParseDocument(text); }
-std::string Classes(const std::string& of) { return R"({"settings":{"Classes":[)" + of + "]}}"; }
+ConfigDocument With(const std::string& text) {
+  return ParseDocument(text);
+}
+std::string Classes(const std::string& of) {
+  return R"({"settings":{"Classes":[)" + of + "]}}";
+}
 
 const std::string kSafe = Classes(R"({"Name":"c","Effect":"safe"})");
 const std::string kKeyed = Classes(R"({"Name":"c","Effect":"keyed","Window":3000})");
@@ -46,8 +50,10 @@
     const ConfigDocument both = StricterOf(With(p.a), With(p.b)).ToDocument();
     const ConfigDocument back = StricterOf(With(p.b), With(p.a)).ToDocument();
     for (const ConfigDocument& rules : {With(p.a), With(p.b)}) {
-      for (const auto& host : rules.excluded) EXPECT_TRUE(both.excluded.contains(host)) << p.what;
-      for (const auto& host : rules.draining) EXPECT_TRUE(both.draining.contains(host)) << p.what;
+      for (const auto& host : rules.excluded)
+        EXPECT_TRUE(both.excluded.contains(host)) << p.what;
+      for (const auto& host : rules.draining)
+        EXPECT_TRUE(both.draining.contains(host)) << p.what;
     }
     EXPECT_EQ(both.strict, back.strict) << p.what;
   }
@@ -58,8 +64,8 @@
   EXPECT_EQ(both.settings["Classes"][0]["Effect"], "keyed");
   EXPECT_EQ(both.settings["Classes"][0]["Window"], 0.0);  // a safe one has none
   const ConfigDocument caps = StricterOf(With(R"({"settings":{"Allowed":{"SendCap":2}}})"),
-                              With(R"({"settings":{"Allowed":{"SendCap":5}}})"))
-                         .ToDocument();
+                                         With(R"({"settings":{"Allowed":{"SendCap":5}}})"))
+                                  .ToDocument();
   EXPECT_EQ(caps.settings["Allowed"]["SendCap"], 2);
   // Two zones that rule each other out leave none.
   EXPECT_TRUE(StricterOf(With(R"({"zone_only":{"h":"x"}})"), With(R"({"zone_only":{"h":"y"}})"))
@@ -75,7 +81,8 @@
           {"Name":"a","Effect":"odd","Deadline":0},{"Name":"a"},{}],
           "Tenants":[{"Name":"t","QuotaPerS":-1}],"Allowed":{"SendCap":0}}})");
   EXPECT_EQ(faults.size(), 10U);
-  for (const char* const text : {"", "[]", "{\"barred\":"}) EXPECT_EQ(ValidateDocument(text).size(), 1U);
+  for (const char* const text : {"", "[]", "{\"barred\":"})
+    EXPECT_EQ(ValidateDocument(text).size(), 1U);
   EXPECT_EQ(ValidateDocument(std::string(kMaxDocumentBytes + 1, ' ')).size(), 1U);
   EXPECT_TRUE(ValidateDocument("{}").empty());
 }
@@ -121,7 +128,8 @@
   for (int i = 0; i < 300; ++i) {
     h.Apply(2 * i + 1,
             Entry("c" + std::to_string(i), R"({"barred":["h)" + std::to_string(i) + "\"]}"));
-    if (i < 299) h.Apply(2 * i + 2, VersionHistory::InForceEntry(h.latest_version()));
+    if (i < 299)
+      h.Apply(2 * i + 2, VersionHistory::InForceEntry(h.latest_version()));
   }
   copy.Load(h.Save());
   EXPECT_EQ(copy.Save(), h.Save());
--- a/tests/cluster/delta_test.cpp
+++ b/tests/cluster/delta_test.cpp
@@ -24,7 +24,9 @@
 std::string Applied(const std::string& base, const std::string& delta) {
   return ToText(ApplyDelta(ParseDocument(base), delta));
 }
-std::string Canonical(const std::string& rules) { return ToText(ParseDocument(rules)); }
+std::string Canonical(const std::string& rules) {
+  return ToText(ParseDocument(rules));
+}
 
 // Each part is set and removed alone: one that touched its neighbours would undo what others agreed
 // on meanwhile.
@@ -57,7 +59,8 @@
           "replace":{"Odd":2}})");
   EXPECT_EQ(faults.size(), 9U) << json(faults).dump(1);
   EXPECT_EQ(ValidateDelta(R"({"barred":{"add":["h"],"remove":["h"]}})").size(), 1U);
-  for (const char* const text : {"", "[]", "{\"barred\":"}) EXPECT_EQ(ValidateDelta(text).size(), 1U);
+  for (const char* const text : {"", "[]", "{\"barred\":"})
+    EXPECT_EQ(ValidateDelta(text).size(), 1U);
   EXPECT_EQ(ValidateDelta(std::string(kMaxDeltaBytes + 1, ' ')).size(), 1U);
   const std::string deep = std::string(40, '[') + std::string(40, ']');
   EXPECT_EQ(ValidateDelta(R"({"settings":{"a":)" + deep + "}}").size(), 1U);
@@ -84,13 +87,20 @@
   size_t Pick(size_t n) { return std::uniform_int_distribution<size_t>(0, n - 1)(random_); }
   json Value(int depth = 0) {
     switch (Pick(depth < 3 ? 9 : 6)) {
-      case 0: return nullptr;
-      case 1: return Pick(4);
-      case 2: return static_cast<double>(Pick(4));  // 3 and 3.0: one number, two texts
-      case 3: return std::vector<std::string>{"", "x", "\xc3\xa9", "a/b~c"}[Pick(4)];
-      case 4: return Pick(2) == 0;
-      case 5: return -0.0;
-      case 6: return json::array({Value(depth + 1), {{"n", nullptr}}});
+      case 0:
+        return nullptr;
+      case 1:
+        return Pick(4);
+      case 2:
+        return static_cast<double>(Pick(4));  // 3 and 3.0: one number, two texts
+      case 3:
+        return std::vector<std::string>{"", "x", "\xc3\xa9", "a/b~c"}[Pick(4)];
+      case 4:
+        return Pick(2) == 0;
+      case 5:
+        return -0.0;
+      case 6:
+        return json::array({Value(depth + 1), {{"n", nullptr}}});
       default: {
         json object = json::object();
         for (size_t i = Pick(4); i > 0; --i)
@@ -104,23 +114,34 @@
     std::set<std::string> names;
     for (size_t i = Pick(7); i > 0; --i) {
       json item = {{"Name", std::vector<std::string>{"", "a", "b", "c", "d", "e"}[Pick(6)]}};
-      if (!names.insert(item["Name"]).second) continue;
-      if (Pick(2) == 0) item["QuotaPerS"] = Pick(3);
-      if (Pick(3) == 0) item["QuotaPerS"] = static_cast<double>(Pick(3));
-      if (Pick(3) == 0) item["Odd"] = Value();
-      if (Pick(3) == 0) item["Effect"] = Pick(2) == 0 ? "safe" : "keyed";
+      if (!names.insert(item["Name"]).second)
+        continue;
+      if (Pick(2) == 0)
+        item["QuotaPerS"] = Pick(3);
+      if (Pick(3) == 0)
+        item["QuotaPerS"] = static_cast<double>(Pick(3));
+      if (Pick(3) == 0)
+        item["Odd"] = Value();
+      if (Pick(3) == 0)
+        item["Effect"] = Pick(2) == 0 ? "safe" : "keyed";
       list.push_back(std::move(item));
     }
     return list;
   }
   ConfigDocument Any() {
     ConfigDocument rules;
-    for (size_t i = Pick(4); i > 0; --i) rules.settings["S" + std::to_string(Pick(3))] = Value();
-    if (Pick(2) == 0) rules.settings["Tenants"] = List();
-    if (Pick(2) == 0) rules.settings["Classes"] = List();
-    if (Pick(2) == 0) rules.settings["Allowed"] = {{"SendCap", 1 + Pick(3)}, {"Odd", Value()}};
-    for (size_t i = Pick(4); i > 0; --i) rules.excluded.insert("h" + std::to_string(Pick(5)));
-    for (size_t i = Pick(3); i > 0; --i) rules.draining.insert("h" + std::to_string(Pick(5)));
+    for (size_t i = Pick(4); i > 0; --i)
+      rules.settings["S" + std::to_string(Pick(3))] = Value();
+    if (Pick(2) == 0)
+      rules.settings["Tenants"] = List();
+    if (Pick(2) == 0)
+      rules.settings["Classes"] = List();
+    if (Pick(2) == 0)
+      rules.settings["Allowed"] = {{"SendCap", 1 + Pick(3)}, {"Odd", Value()}};
+    for (size_t i = Pick(4); i > 0; --i)
+      rules.excluded.insert("h" + std::to_string(Pick(5)));
+    for (size_t i = Pick(3); i > 0; --i)
+      rules.draining.insert("h" + std::to_string(Pick(5)));
     for (size_t i = Pick(4); i > 0; --i) {
       rules.zone_only["h" + std::to_string(Pick(4))] = "z" + std::to_string(Pick(2));
     }
@@ -139,7 +160,8 @@
     Draws draws(seed);
     const ConfigDocument a = draws.Any(), b = seed % 5 == 0 ? a : draws.Any();
     const std::string delta = ComputeDelta(a, b);
-    ASSERT_TRUE(ValidateDelta(delta).empty()) << seed << ": " << ValidateDelta(delta).front() << delta;
+    ASSERT_TRUE(ValidateDelta(delta).empty())
+        << seed << ": " << ValidateDelta(delta).front() << delta;
     const VersionContent made = ApplyDelta(a, delta);
     ASSERT_EQ(ToText(made), ToText(b)) << seed << ": " << delta;
     ASSERT_EQ(HashOf(made), HashOf(VersionContent(b))) << seed << ": " << delta;
@@ -181,14 +203,18 @@
   change.document = delta;
   change.expected_version = expect;
   change.is_delta = true;
-  return VersionHistory::ChangeEntry(change, {h.latest_version(), HashOf(ApplyDelta(h.latest_content(), delta))});
+  return VersionHistory::ChangeEntry(
+      change, {h.latest_version(), HashOf(ApplyDelta(h.latest_content(), delta))});
 }
 std::vector<std::string> Texts(const VersionHistory& h) {
   std::vector<std::string> texts;
-  h.ForEachVersion(0, [&](const Version&, const VersionContent& content) { texts.push_back(ToText(content)); });
+  h.ForEachVersion(
+      0, [&](const Version&, const VersionContent& content) { texts.push_back(ToText(content)); });
   return texts;
 }
-std::string Bars(int i) { return R"({"barred":{"add":["h)" + std::to_string(i) + "\"]}}"; }
+std::string Bars(int i) {
+  return R"({"barred":{"add":["h)" + std::to_string(i) + "\"]}}";
+}
 
 // The same as if each had come whole: what is read, acted on, kept and saved.
 TEST(Deltas, MakeTheVersionsThatWholeOnesDo) {
@@ -203,7 +229,8 @@
       ASSERT_GT(deltas.Apply(2 * i + 1, entry).version, 0U) << seed;
       whole.Apply(2 * i + 1, Whole(id, ToText(next)));
       if (draws.Pick(3) > 0) {
-        deltas.Apply(2 * i + 2, VersionHistory::InForceEntry(deltas.latest_version(), deltas.versions().back().hash));
+        deltas.Apply(2 * i + 2, VersionHistory::InForceEntry(deltas.latest_version(),
+                                                             deltas.versions().back().hash));
         whole.Apply(2 * i + 2, VersionHistory::InForceEntry(whole.latest_version()));
       }
       if (i % 9 == 8) {
@@ -251,7 +278,9 @@
   EXPECT_EQ(h.Apply(3, DeltaOf(h, "y", Bars(1), 1)).version, 2U);
   EXPECT_TRUE(h.Apply(4, DeltaOf(h, "y", Bars(2))).is_repeat);
   Change bad;
-  bad.id = "bad", bad.is_delta = true, bad.document = R"({"settings":{"Allowed":3}})";
+  bad.id = "bad";
+  bad.is_delta = true;
+  bad.document = R"({"settings":{"Allowed":3}})";
   EXPECT_EQ(h.Apply(5, VersionHistory::ChangeEntry(bad, {2, ""})).version, 0U);
   EXPECT_EQ(h.content_mismatch(), "");
   EXPECT_EQ(h.latest_version(), 2U);
@@ -268,10 +297,13 @@
   }
   missed.Apply(1, entries[0]);
   missed.Apply(3, entries[2]);
-  EXPECT_NE(missed.content_mismatch().find("a delta to version 2, the latest is 1 here"), std::string::npos)
+  EXPECT_NE(missed.content_mismatch().find("a delta to version 2, the latest is 1 here"),
+            std::string::npos)
       << missed.content_mismatch();
   Change other;
-  other.id = "c0", other.is_delta = true, other.document = Bars(7);
+  other.id = "c0";
+  other.is_delta = true;
+  other.document = Bars(7);
   misapplied.Apply(1, VersionHistory::ChangeEntry(other, {0, h.versions()[0].hash}));
   EXPECT_NE(misapplied.content_mismatch().find("version 1 is"), std::string::npos);
   misapplied.Apply(2, entries[1]);
@@ -307,7 +339,9 @@
   const std::string first = DeltaOf(h, "c0", Bars(0));
   h.Apply(1, first);
   Change other;
-  other.id = "c0", other.is_delta = true, other.document = Bars(7);
+  other.id = "c0";
+  other.is_delta = true;
+  other.document = Bars(7);
   misapplied.Apply(1, VersionHistory::ChangeEntry(other, {0, h.versions()[0].hash}));
   missed.Apply(2, DeltaOf(h, "c1", Bars(1)));
   for (VersionHistory* const one : {&misapplied, &missed}) {
@@ -351,7 +385,9 @@
   }
   static raft::PersistentState DiskOf() {
     raft::PersistentState disk;
-    disk.incarnation = 1, disk.restart_count = 1, disk.current_term = 1;
+    disk.incarnation = 1;
+    disk.restart_count = 1;
+    disk.current_term = 1;
     disk.log = {{1, raft::LogEntry::Kind::kVoters, {}, {{"a", 1}}}};
     return disk;
   }
@@ -363,14 +399,17 @@
       const auto writes = std::move(out.writes);
       for (const raft::StorageWrite& w : writes) {
         json::to_cbor(ToJson(w), bytes);
-        if (!w.commit_only) durable = w.sequence_number;
+        if (!w.commit_only)
+          durable = w.sequence_number;
       }
       for (const raft::OutgoingMessage& s : out.messages) {
         json::to_cbor(ToJson(s.message), bytes);
         sent.push_back(s.message);
       }
-      for (auto& answer : out.results) answers.push_back(std::move(answer.second));
-      if (writes.empty()) return;
+      for (auto& answer : out.results)
+        answers.push_back(std::move(answer.second));
+      if (writes.empty())
+        return;
       out = {};
       member.OnDurable(now, durable, out);
     }
@@ -380,7 +419,8 @@
     Run([&](MemberOutput& out) { member.OnTimeout(now, out); });
   }
   void Lead() {
-    for (int i = 0; i < 30; ++i) Tick();
+    for (int i = 0; i < 30; ++i)
+      Tick();
     ASSERT_TRUE(member.raft_node().IsLeaderWithLease(now));
   }
   ChangeResult Submit(const std::string& id, const std::string& rules, bool delta = false) {
@@ -390,7 +430,8 @@
     w.change.is_delta = delta;
     answers.clear();
     Run([&](MemberOutput& out) { member.Submit(now, w, 1, out); });
-    for (int i = 0; i < 3 && answers.empty(); ++i) Tick();
+    for (int i = 0; i < 3 && answers.empty(); ++i)
+      Tick();
     return answers.empty() ? ChangeResult{} : answers.back();
   }
   ClusterMember member;
@@ -407,15 +448,20 @@
   Alone a(false);
   for (int i = 0; i < 40; ++i) {
     a.Tick();
-    if (i == 20) a.Run([&](MemberOutput& out) { a.member.OnPeerConnected(a.now, "b", 2, {}, out); });
-    if (i < 12 || i > 32) continue;
+    if (i == 20)
+      a.Run([&](MemberOutput& out) { a.member.OnPeerConnected(a.now, "b", 2, {}, out); });
+    if (i < 12 || i > 32)
+      continue;
     ChangeRequest w;
     w.change.id = "c" + std::to_string(i);
-    w.change.author = "x", w.change.reason = "r", w.change.submitted_unix_s = i;
-    if (i % 3 == 0) w.change.expected_version = a.member.history().latest_version();
+    w.change.author = "x";
+    w.change.reason = "r";
+    w.change.submitted_unix_s = i;
+    if (i % 3 == 0)
+      w.change.expected_version = a.member.history().latest_version();
     w.change.document = R"({"barred":["h)" + std::to_string(i) +
-                     R"("],"settings":{"Tenants":[{"Name":"t","QuotaPerS":)" +
-                     std::to_string(i / 4) + "}]}}";
+                        R"("],"settings":{"Tenants":[{"Name":"t","QuotaPerS":)" +
+                        std::to_string(i / 4) + "}]}}";
     json::to_cbor(ToJson(w), a.bytes);
     a.Run([&](MemberOutput& out) { a.member.Submit(a.now, w, i, out); });
   }
@@ -496,7 +542,9 @@
             "a delta, and a leads with whole changes, expected changes = \"delta\" in its "
             "operator's file");
   ChangeRequest w;
-  w.change.id = "x", w.change.is_delta = true, w.change.document = R"({"zone_only":{"h":"z"}})";
+  w.change.id = "x";
+  w.change.is_delta = true;
+  w.change.document = R"({"zone_only":{"h":"z"}})";
   const json wish = ToJson(w);
   EXPECT_FALSE(ValidateDocument(wish[7].get<std::string>()).empty());
   const auto read = ReadWish(wish);
@@ -513,15 +561,22 @@
       : member(Alone::OptionsOf(false, 512), DiskOf(votes), 3, Time(0)) {}
   static raft::PersistentState DiskOf(bool votes) {
     raft::PersistentState disk;
-    disk.incarnation = 5, disk.restart_count = 1, disk.current_term = 1;
+    disk.incarnation = 5;
+    disk.restart_count = 1;
+    disk.current_term = 1;
     disk.log = {{1, raft::LogEntry::Kind::kVoters, {}, {{"l", 9}}}};
-    if (votes) disk.log[0].voters = {{"l", 9}, {"a", 5}, {"c", 6}};
+    if (votes)
+      disk.log[0].voters = {{"l", 9}, {"a", 5}, {"c", 6}};
     return disk;
   }
   MemberOutput Take(std::vector<std::string> entries) {
     raft::Message m;
-    m.from = "l", m.to = "a", m.from_incarnation = 9, m.term = 1;
-    m.index = index, m.index_term = 1;
+    m.from = "l";
+    m.to = "a";
+    m.from_incarnation = 9;
+    m.term = 1;
+    m.index = index;
+    m.index_term = 1;
     now += Time(1000);
     m.asked_at = now;
     for (std::string& bytes : entries)
@@ -543,7 +598,8 @@
   for (int i = 0; i < 3; ++i) {
     const std::string entry = DeltaOf(leader, "c" + std::to_string(i), Bars(i));
     leader.Apply(i + 1, entry);
-    f.Take({entry, VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash)});
+    f.Take({entry,
+            VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash)});
     leader.Apply(100 + i, VersionHistory::InForceEntry(leader.latest_version()));
   }
   EXPECT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kAgreed);
@@ -569,7 +625,8 @@
   for (int i = 0; i < 30; ++i) {
     entries.push_back(Whole("c" + std::to_string(i), Quotas(2000, i)));
     leader.Apply(2 * i + 2, entries.back());
-    entries.push_back(VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
+    entries.push_back(
+        VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
     leader.Apply(2 * i + 3, entries.back());
   }
   f.Take(entries);
@@ -604,7 +661,8 @@
     for (int i = 1; i <= 200; ++i) {
       entries.push_back(DeltaOf(leader, "c" + std::to_string(i), QuotaDelta(i)));
       leader.Apply(2 * i + 2, entries.back());
-      entries.push_back(VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
+      entries.push_back(
+          VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
       leader.Apply(2 * i + 3, entries.back());
     }
     f.Take(entries);
@@ -639,14 +697,16 @@
   a.member.OnDurable(a.now, last, out);
   ASSERT_TRUE(a.member.raft_node().HasEntriesToApply());
   ChangeRequest w;
-  w.change.id = "late", w.change.document = "{}";
+  w.change.id = "late";
+  w.change.document = "{}";
   a.durable = last;
   out = {};
   a.member.Submit(a.now, w, 20, out);
   ASSERT_EQ(out.results.size(), 1U);
   EXPECT_EQ(out.results[0].second.kind, ChangeResult::Kind::kNoLeader);
   EXPECT_EQ(out.results[0].second.text, "a leads, and catches up");
-  while (a.member.raft_node().HasEntriesToApply()) a.Tick();
+  while (a.member.raft_node().HasEntriesToApply())
+    a.Tick();
   EXPECT_EQ(a.Submit("late", "{}").kind, ChangeResult::Kind::kDone);
 }
 
@@ -661,8 +721,11 @@
     f.Take({first, VersionHistory::InForceEntry(1, leader.versions().front().hash)});
     ASSERT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kAgreed);
     Change other;
-    other.id = "c1", other.is_delta = true, other.document = Bars(8);
-    MemberOutput out = f.Take({VersionHistory::ChangeEntry(other, {1, leader.versions().back().hash})});
+    other.id = "c1";
+    other.is_delta = true;
+    other.document = Bars(8);
+    MemberOutput out =
+        f.Take({VersionHistory::ChangeEntry(other, {1, leader.versions().back().hash})});
     EXPECT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kIsolated);
     EXPECT_TRUE(f.member.ContentOf(f.member.CurrentConfig(f.now)).strict);
     EXPECT_EQ(f.member.content_mismatch_count(), 1U);
--- a/tests/cluster/persistent_map_test.cpp
+++ b/tests/cluster/persistent_map_test.cpp
@@ -31,7 +31,9 @@
   });
   return all;
 }
-std::string Name(size_t i) { return "t" + std::to_string(i); }
+std::string Name(size_t i) {
+  return "t" + std::to_string(i);
+}
 
 // Against a plain map, over chunks that split and empty: a part that is lost, doubled or left in a
 // wrong chunk is content that no other member has.
@@ -49,7 +51,8 @@
       const bool set = step / 1000 % 2 == 0 ? random() % 4 != 0 : random() % 4 == 0;
       if (set) {
         const std::string text = std::to_string(random() % 3);
-        if (!model.contains(name)) order.push_back(name);
+        if (!model.contains(name))
+          order.push_back(name);
         model[name] = text;
         parts.Set(name, text);
       } else {
@@ -58,12 +61,15 @@
         parts.Remove(name);
       }
       ASSERT_EQ(parts.Find(name) != nullptr, set);
-      if (step % 500 == 0) copies.emplace_back(parts, model);
-      if (step % 250 != 0) continue;
+      if (step % 500 == 0)
+        copies.emplace_back(parts, model);
+      if (step % 250 != 0)
+        continue;
       ASSERT_EQ(All(parts), model) << seed << " " << step;
       ASSERT_EQ(parts.size(), model.size());
       std::vector<std::string> ordered;
-      for (const MapEntry* const part : parts.EntriesInOrder()) ordered.push_back(part->name);
+      for (const MapEntry* const part : parts.EntriesInOrder())
+        ordered.push_back(part->name);
       ASSERT_EQ(ordered, order);
       // The same from nothing, whatever way it came.
       std::vector<MapEntry> list;
@@ -94,7 +100,8 @@
       };
       for (size_t i = 0; i < names; ++i) {
         const std::string both[] = {of(was, Name(i)), of(model, Name(i))};
-        if (both[0] != both[1]) differs[Name(i)] = both[0] + "/" + both[1];
+        if (both[0] != both[1])
+          differs[Name(i)] = both[0] + "/" + both[1];
       }
       ASSERT_EQ(told, differs);
       ASSERT_EQ(copy == parts, differs.empty());
@@ -105,9 +112,12 @@
 // A part that moved to another name, or two that exchanged their texts, is other content.
 TEST(Parts, HashesTellPartsApart) {
   PersistentMap a, b, c, d;
-  a.Set("x", "1"), a.Set("y", "2");
-  b.Set("x", "2"), b.Set("y", "1");
-  c.Set("x", "12"), c.Set("y", "");
+  a.Set("x", "1");
+  a.Set("y", "2");
+  b.Set("x", "2");
+  b.Set("y", "1");
+  c.Set("x", "12");
+  c.Set("y", "");
   d.Set("xy", "12");
   const PersistentMap* const all[] = {&a, &b, &c, &d};
   for (const PersistentMap* const one : all) {
@@ -146,7 +156,10 @@
       R"({"settings":{"Tenants":[{"Name":"a","QuotaPerS":1.0},{"Name":"b"}]}})"};
   for (const std::string& a : texts) {
     for (const std::string& b : texts) {
-      EXPECT_EQ(HashOf(VersionContent(ParseDocument(a))) == HashOf(VersionContent(ParseDocument(b))), a == b) << a << b;
+      EXPECT_EQ(
+          HashOf(VersionContent(ParseDocument(a))) == HashOf(VersionContent(ParseDocument(b))),
+          a == b)
+          << a << b;
     }
     const VersionContent content = ParseDocument(a);
     EXPECT_EQ(TextBytes(content), ToText(content).size());
@@ -177,7 +190,8 @@
   double least = 1e18;
   for (int i = 0; i < 7; ++i) {
     const auto from = std::chrono::steady_clock::now();
-    for (int j = 0; j < 20; ++j) what();
+    for (int j = 0; j < 20; ++j)
+      what();
     const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - from;
     least = std::min(least, took.count() / 20);
   }
@@ -225,11 +239,13 @@
       change.id = std::to_string(index);
       change.is_delta = true;
       change.document = R"({"settings":{"Tenants":{")" + Name(index * 7919 % tenants) +
-                     R"(":{"QuotaPerS":)" + std::to_string(index) + "}}}}";
+                        R"(":{"QuotaPerS":)" + std::to_string(index) + "}}}}";
       const VersionContent next = ApplyDelta(h.latest_content(), change.document);
       ++index;
-      ASSERT_GT(h.Apply(index, VersionHistory::ChangeEntry(change, {h.latest_version(), HashOf(next)})).version,
-                1U);
+      ASSERT_GT(
+          h.Apply(index, VersionHistory::ChangeEntry(change, {h.latest_version(), HashOf(next)}))
+              .version,
+          1U);
       ++index;
       h.Apply(index, VersionHistory::InForceEntry(h.latest_version(), HashOf(next)));
       ASSERT_EQ(h.version_in_force(), h.latest_version());
--- a/tests/config/gateway_config_test.cpp
+++ b/tests/config/gateway_config_test.cpp
@@ -110,7 +110,9 @@
 
 // The nines of the result and warm keys: read, checked, and absent as padana's files leave them.
 TEST_F(ConfigFile, SettingsOfTheNewShapeAreCheckedAndDefaultToTheOld) {
-  const auto with = [](const std::string& more) { return "{" + more + "," + kSettings.substr(1); };
+  const auto with = [](const std::string& more) {
+    return "{" + more + "," + kSettings.substr(1);
+  };
   Write(File(kSettings));
   EXPECT_FALSE(Read().settings.key_affinity);
   EXPECT_EQ(Read().settings.score_weights.nines, 0);
@@ -230,7 +232,8 @@
 // A name twice in a list must not move the places of those behind it.
 TEST(NameTable, KeepsPlacesBehindARepeatedName) {
   NameTable table;
-  for (const char* const name : {"a", "b", "a", "c"}) table.Add(name);
+  for (const char* const name : {"a", "b", "a", "c"})
+    table.Add(name);
   EXPECT_EQ(table.Find("a"), 0u);
   EXPECT_EQ(table.Find("c"), 3u);
   EXPECT_EQ(table.size(), 4u);
@@ -316,7 +319,7 @@
   GatewayConfig Again(const std::string& text) {
     Write(text);
     return ReloadGatewayConfig(was, Time(5'000'000),
-                     [](double ms) { return Time(static_cast<int64_t>(ms)); });
+                               [](double ms) { return Time(static_cast<int64_t>(ms)); });
   }
   std::string Refused(const std::string& text) {
     try {
@@ -368,7 +371,9 @@
 
 class UnderRules : public ReadAgainTest {
  protected:
-  static cluster::VersionContent Of(const std::string& text) { return cluster::ParseDocument(text); }
+  static cluster::VersionContent Of(const std::string& text) {
+    return cluster::ParseDocument(text);
+  }
   static void ExpectSame(const GatewayConfig& a, const GatewayConfig& b) {
     EXPECT_EQ(a.names.tenants.positions(), b.names.tenants.positions());
     EXPECT_EQ(a.names.tenants_expire_at, b.names.tenants_expire_at);
@@ -377,7 +382,9 @@
     EXPECT_EQ(a.settings.classes, b.settings.classes);
     ASSERT_EQ(a.settings.tenants.size(), b.settings.tenants.size());
     for (size_t i = 0; i < a.settings.tenants.size(); ++i) {
-      EXPECT_EQ(a.settings.tenants[i].requests_per_second, b.settings.tenants[i].requests_per_second) << i;
+      EXPECT_EQ(a.settings.tenants[i].requests_per_second,
+                b.settings.tenants[i].requests_per_second)
+          << i;
       EXPECT_EQ(a.settings.tenants[i].share, b.settings.tenants[i].share) << i;
     }
     EXPECT_EQ(a.settings.allowed.max_attempts, b.settings.allowed.max_attempts);
@@ -415,7 +422,8 @@
           cluster::VersionContent rules = Of(text);
           rules.strict = strict;
           const GatewayConfig whole = file.ApplyVersion(rules, was, nullptr, kNow);
-          const GatewayConfig now = file.ApplyVersion(rules, was, before ? &*before : nullptr, kNow);
+          const GatewayConfig now =
+              file.ApplyVersion(rules, was, before ? &*before : nullptr, kNow);
           SCOPED_TRACE(std::string(from) + " to " + to);
           ExpectSame(now, whole);
           EXPECT_EQ(now.settings.allowed.max_attempts == 1, strict);
@@ -442,8 +450,9 @@
   EXPECT_EQ(file.ApplyVersion(b, now, nullptr, kNow).settings.tenants[1].requests_per_second, 0);
   // What makes no sense is refused by this way as by the other.
   for (const char* const bad : {R"("soon")", "{}"}) {
-    const cluster::VersionContent odd = Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
-                                    R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
+    const cluster::VersionContent odd =
+        Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
+           R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
     cluster::VersionContent wrong = odd;
     wrong.tenants->Set("two", R"({"Name":"two","OddShare":1,"Share":)" + std::string(bad) + "}");
     std::string whole, part;
--- a/tests/config/json_test.cpp
+++ b/tests/config/json_test.cpp
@@ -114,7 +114,8 @@
   const std::string alphabet(kAlphabet, sizeof(kAlphabet) - 1);
   const auto by_bytes = [](const std::string& text) {
     JsonParser parser;
-    for (const char c : text) parser.Feed(std::string(1, c));
+    for (const char c : text)
+      parser.Feed(std::string(1, c));
     return parser.End();
   };
   int refused = 0;
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -49,8 +49,12 @@
   constexpr auto kNumber = static_cast<uint32_t>(offsetof(seccomp_data, nr));
   constexpr auto kFirst = static_cast<uint32_t>(offsetof(seccomp_data, args));
   std::vector<sock_filter> code;
-  const auto load = [&](uint32_t at) { code.push_back(BPF_STMT(BPF_LD | BPF_W | BPF_ABS, at)); };
-  const auto result = [&](uint32_t value) { code.push_back(BPF_STMT(BPF_RET | BPF_K, value)); };
+  const auto load = [&](uint32_t at) {
+    code.push_back(BPF_STMT(BPF_LD | BPF_W | BPF_ABS, at));
+  };
+  const auto result = [&](uint32_t value) {
+    code.push_back(BPF_STMT(BPF_RET | BPF_K, value));
+  };
   load(kNumber);
   for (const long call : {SYS_fork, SYS_splice, SYS_sendfile, SYS_io_uring_setup, SYS_vfork}) {
     code.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, static_cast<uint32_t>(call), 0, 1));
@@ -122,7 +126,8 @@
             std::string::npos);
   Peer client = Peer::To(address);
   client.Say("GET /read/x HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 900\r\n\r\n");
-  for (int i = 0; i < 400 && !client.Has("HTTP/1.1 503"); ++i) usleep(5000);
+  for (int i = 0; i < 400 && !client.Has("HTTP/1.1 503"); ++i)
+    usleep(5000);
   EXPECT_TRUE(client.Has("HTTP/1.1 503"));  // no host: refused, by a program at work
   child.Signal(SIGHUP);
   EXPECT_TRUE(child.Says("configuration read again"));
@@ -184,23 +189,28 @@
 }
 
 void AddName(const toml::node* node, std::set<std::string>& names) {
-  if (node != nullptr && node->is_string()) names.insert(*node->value<std::string>());
+  if (node != nullptr && node->is_string())
+    names.insert(*node->value<std::string>());
 }
 
 std::set<std::string> NamesOf(const toml::table& site) {
   std::set<std::string> names;
   AddName(site.get("name"), names);
   if (const auto* const zones = site["net"]["zones"].as_array()) {
-    for (const auto& zone : *zones) AddName(&zone, names);
+    for (const auto& zone : *zones)
+      AddName(&zone, names);
   }
   for (const char* const list : {"class", "tenant", "tier"}) {
     const auto* const items = site[list].as_array();
-    if (items == nullptr) continue;
+    if (items == nullptr)
+      continue;
     for (const auto& item : *items) {
       AddName(item.as_table()->get("name"), names);
       const auto* const kinds = (*item.as_table())["kind"].as_array();
-      if (kinds == nullptr) continue;
-      for (const auto& kind : *kinds) AddName(kind.as_table()->get("name"), names);
+      if (kinds == nullptr)
+        continue;
+      for (const auto& kind : *kinds)
+        AddName(kind.as_table()->get("name"), names);
     }
   }
   return names;
@@ -211,7 +221,8 @@
   std::set<std::string> own;
   int sites = 0;
   for (const auto& at : std::filesystem::recursive_directory_iterator(kSource + "/deploy/sites")) {
-    if (at.path().extension() != ".toml") continue;
+    if (at.path().extension() != ".toml")
+      continue;
     own.merge(NamesOf(toml::parse_file(at.path().string())));
     ++sites;
   }
@@ -219,7 +230,8 @@
   EXPECT_GE(own.size(), 15u);
   std::map<std::string, std::string> texts = {{"deploy", Whole(kSource + "/deploy/balancer.toml")}};
   for (const auto& at : std::filesystem::recursive_directory_iterator(kSource + "/src")) {
-    if (at.is_regular_file()) texts[at.path().string()] = Whole(at.path().string());
+    if (at.is_regular_file())
+      texts[at.path().string()] = Whole(at.path().string());
   }
   EXPECT_GE(texts.size(), 60u);
   for (const auto& [path, text] : texts) {
