--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -45,7 +45,8 @@
   void OnDiscoveryFailed() override { ++failed; }
 
   void Begin(bool own_watch, double revision = 40) {
-    list = std::make_unique<DiscoveryClient>(loop, port.address(), names, revision, own_watch, this);
+    list =
+        std::make_unique<DiscoveryClient>(loop, port.address(), names, revision, own_watch, this);
     list->Start();
   }
   // The next call to discovery, with its request read.
@@ -340,7 +341,8 @@
   for (const Case& c : cases) {
     agents.push_back(std::make_unique<Agent>());
     Agent& agent = *agents.back();
-    agent.watch = std::make_unique<DiscoveryClient>(loop, agent.port.address(), names, 40, true, &agent);
+    agent.watch =
+        std::make_unique<DiscoveryClient>(loop, agent.port.address(), names, 40, true, &agent);
     agent.watch->Start();
     agent.peer = agent.port.Take(loop);
     ASSERT_TRUE(RunUntil(loop, [&] { return agent.peer.Has("\r\n\r\n"); }));
@@ -356,11 +358,14 @@
           Agent& agent = *agents[i];
           // A space is white space in a line and in a header.
           const bool in_chunk = cases[i].what.find("line") != std::string::npos;
-          if (cases[i].trickles && loop.Now() > next) agent.peer.Say(in_chunk ? Chunk(" ") : " ");
-          if (!agent.again && (agent.again = agent.port.TryTake())) agent.anew = loop.Now();
+          if (cases[i].trickles && loop.Now() > next)
+            agent.peer.Say(in_chunk ? Chunk(" ") : " ");
+          if (!agent.again && (agent.again = agent.port.TryTake()))
+            agent.anew = loop.Now();
           all = all && agent.again;
         }
-        if (loop.Now() > next) next = loop.Now() + Ms(200);
+        if (loop.Now() > next)
+          next = loop.Now() + Ms(200);
         return all;
       },
       Ms(6500));
@@ -488,14 +493,16 @@
   void OnDiscoveryFailed() override {
     ++failed;
     loop.RunAfter(Ms(10), [this] {
-      if (ask) ask();
+      if (ask)
+        ask();
     });
   }
   // A list of at least so many bytes.
   static std::string Long(size_t bytes, int revision = 60) {
     std::string members = Entry("h0");
     members.reserve(bytes + 200);
-    for (int i = 1; members.size() < bytes; ++i) members += "," + Entry("h" + std::to_string(i));
+    for (int i = 1; members.size() < bytes; ++i)
+      members += "," + Entry("h" + std::to_string(i));
     return Line(revision, true, members);
   }
   // Says it as fast as it is read, until the other side cuts it off or has all; how much went out.
@@ -507,7 +514,8 @@
           while (said < text.size()) {
             const std::string_view part = text.substr(said, 1 << 16);
             const ssize_t n = send(agent.fd(), part.data(), part.size(), MSG_NOSIGNAL);
-            if (n <= 0) break;
+            if (n <= 0)
+              break;
             said += static_cast<size_t>(n);
           }
           return over();
@@ -524,7 +532,8 @@
     Time last{0};
     for (int i = 0; i <= count; ++i) {
       Peer agent = Call();
-      if (i > 0) gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
+      if (i > 0)
+        gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
       last = loop.Now();
       if (text.empty()) {
         agent.Reset();
@@ -552,7 +561,8 @@
 };
 
 TEST_F(LongLists, APushedWatchIsBegunAgainLaterAndLater) {
-  const uint64_t too_long = GlobalCounters().list_too_long, malformed = GlobalCounters().list_malformed;
+  const uint64_t too_long = GlobalCounters().list_too_long,
+                 malformed = GlobalCounters().list_malformed;
   ::testing::internal::CaptureStderr();
   BeginShort(true);
   const auto gaps = Gaps(6, kHead + Chunk(Long(kMost)));
@@ -569,7 +579,9 @@
 
 TEST_F(LongLists, AWatchThatTheModuleAsksForIsPutOffLikewise) {
   BeginShort(false);
-  ask = [this] { list->SetWatching(true); };
+  ask = [this] {
+    list->SetWatching(true);
+  };
   list->SetWatching(true);
   ExpectPace(Gaps(5, kHead + Chunk(Long(kMost))), {60, 120, 240, 480, 480});
   // Given up, it does not come by itself.
@@ -584,7 +596,9 @@
   const uint64_t too_long = GlobalCounters().list_too_long;
   ::testing::internal::CaptureStderr();
   BeginShort(false);
-  ask = [this] { list->Poll(); };
+  ask = [this] {
+    list->Poll();
+  };
   list->Poll();
   const auto gaps = Gaps(3, testing::Http200(Long(kMost)));
   const auto chunked = Gaps(1, kHead + Chunk(Long(kMost)) + "0\r\n\r\n");
@@ -655,8 +669,11 @@
     list->set_max_list_bytes(kMost);
     list->set_oversize_backoff(Ms(300), Ms(20'000));
     list->Start();
-    ask = own_watch ? std::function<void()>() : [this] { list->SetWatching(true); };
-    if (!own_watch) list->SetWatching(true);
+    ask = own_watch ? std::function<void()>() : [this] {
+      list->SetWatching(true);
+    };
+    if (!own_watch)
+      list->SetWatching(true);
     Gaps(2, kHead + Chunk(Long(kMost)));  // waits 1.2 s now
     testing::RunFor(loop, Ms(30));
     testing::Port elsewhere;
@@ -686,7 +703,8 @@
   std::vector<double> gaps;
   for (int i = 0; i < 4; ++i) {
     Peer agent = elsewhere.Take(loop);
-    if (i > 0) gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
+    if (i > 0)
+      gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
     last = loop.Now();
     SayUntilCut(agent, kHead + Chunk(Long(kMost)));
     old.Say(Chunk(Line(42 + i, false, Entry("h2"))));
@@ -719,8 +737,10 @@
         poll(&wait, 1, 1000);
         const ssize_t n = send(agent.fd(), all.data() + out,
                                std::min<size_t>(all.size() - out, 1 << 16), MSG_NOSIGNAL);
-        if (n < 0 && errno != EAGAIN) break;
-        if (n > 0) out += static_cast<size_t>(n);
+        if (n < 0 && errno != EAGAIN)
+          break;
+        if (n > 0)
+          out += static_cast<size_t>(n);
       }
       cut = true;
     });
--- a/tests/event/event_loop_test.cpp
+++ b/tests/event/event_loop_test.cpp
@@ -19,7 +19,8 @@
   void OnEvents(uint32_t events) override {
     ++calls;
     seen |= events;
-    if (then) then();
+    if (then)
+      then();
   }
   int calls = 0;
   uint32_t seen = 0;
@@ -61,11 +62,13 @@
   }
   size_t heard = 0;
   loop.RunAfter(Duration(0), [&] {
-    for (const Recorder& recorder : recorders) heard += (recorder.seen & EPOLLIN) != 0 ? 1 : 0;
+    for (const Recorder& recorder : recorders)
+      heard += (recorder.seen & EPOLLIN) != 0 ? 1 : 0;
   });
   loop.RunOnce(Ms(5));
   EXPECT_EQ(heard, kSockets);
-  for (size_t i = 0; i < kSockets; ++i) loop.Unwatch(pairs[i].first.get(), tokens[i]);
+  for (size_t i = 0; i < kSockets; ++i)
+    loop.Unwatch(pairs[i].first.get(), tokens[i]);
 }
 
 // One that is due again at once must leave the sockets their turn.
@@ -75,7 +78,9 @@
   Recorder recorder;
   uint64_t token = 0;
   ASSERT_TRUE(loop.Watch(fd.get(), &recorder, token));
-  std::function<void()> again = [&] { loop.RunAfter(Duration(0), again); };
+  std::function<void()> again = [&] {
+    loop.RunAfter(Duration(0), again);
+  };
   again();
   peer.Say("x");
   EXPECT_TRUE(testing::RunUntil(loop, [&] { return (recorder.seen & EPOLLIN) != 0; }));
@@ -92,7 +97,9 @@
   uint64_t token = 0;
   ASSERT_TRUE(loop.Watch(fd.get(), &recorder, token));
   loop.RunOnce(Duration(0));  // the edge of being writable
-  recorder.then = [&] { order.push_back(1); };
+  recorder.then = [&] {
+    order.push_back(1);
+  };
   loop.RunAfter(Duration(0), [&] { order.push_back(2); });
   peer.Say("x");
   ASSERT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 2; }));
@@ -138,12 +145,17 @@
   const int before = one.calls + two.calls;
   bool swapped = false;
   const auto close_other = [&](FileDescriptor& fd, uint64_t token) {
-    if (std::exchange(swapped, true)) return;
+    if (std::exchange(swapped, true))
+      return;
     loop.Unwatch(fd.get(), token);
     ASSERT_TRUE(loop.Watch(fd3.get(), &heir, token3));  // takes the slot just freed
   };
-  one.then = [&] { close_other(fd2, token2); };
-  two.then = [&] { close_other(fd1, token1); };
+  one.then = [&] {
+    close_other(fd2, token2);
+  };
+  two.then = [&] {
+    close_other(fd1, token1);
+  };
   peer1.Say("x");
   peer2.Say("x");
   loop.RunOnce(Ms(100));
--- a/tests/event/stream_test.cpp
+++ b/tests/event/stream_test.cpp
@@ -19,7 +19,8 @@
   void OnConnected() override { ++connected; }
   void OnData() override {
     ++reads;
-    if (then) then();
+    if (then)
+      then();
   }
   void OnWriteComplete() override { ++flushed; }
   void OnError() override { ++broken; }
@@ -99,7 +100,9 @@
 }
 
 TEST_F(StreamTest, AHandlerMayCloseItsOwnStream) {
-  owner.then = [&] { stream->Close(); };
+  owner.then = [&] {
+    stream->Close();
+  };
   peer.Say("x");
   ASSERT_TRUE(RunUntil(loop, [&] { return owner.reads == 1; }));
   testing::RunFor(loop, Ms(5));
--- a/tests/gateway/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -81,7 +81,8 @@
 TEST_F(AdminTest, IsServedBeforeClients) {
   struct Slow final : EventLoop::Handler {
     void OnEvents(uint32_t) override {
-      if (caller.Has("503")) ++after;
+      if (caller.Has("503"))
+        ++after;
       usleep(20'000);
       ++rounds;
     }
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -79,7 +79,8 @@
     FILE* const pipe =
         popen((std::string(PADDLESTILE_PROGRAM) + " " + words + " 2>&1").c_str(), "r");  // NOLINT
     std::array<char, 4096> part{};
-    while (fgets(part.data(), part.size(), pipe) != nullptr) ran.text += part.data();
+    while (fgets(part.data(), part.size(), pipe) != nullptr)
+      ran.text += part.data();
     ran.code = WEXITSTATUS(pclose(pipe));
     return ran;
   }
@@ -93,14 +94,16 @@
   }
   static bool Until(const std::function<bool()>& that) {
     for (int i = 0; i < 400; ++i) {
-      if (that()) return true;
+      if (that())
+        return true;
       usleep(25'000);
     }
     return false;
   }
   void Begin() {
     ASSERT_EQ(Of("init --name g0").code, 0);
-    for (int i = 0; i < 3; ++i) Start(i);
+    for (int i = 0; i < 3; ++i)
+      Start(i);
     ASSERT_TRUE(Until([&] { return Status(0).value("voters", json::array()).size() == 3; }));
   }
   Ran Change(const std::string& rules, const std::string& more = "") {
@@ -115,7 +118,8 @@
 
 size_t Entries(const std::string& path) {
   size_t count = 0;
-  for ([[maybe_unused]] const auto& entry : fs::directory_iterator(path)) ++count;
+  for ([[maybe_unused]] const auto& entry : fs::directory_iterator(path))
+    ++count;
   return count;
 }
 
@@ -160,7 +164,8 @@
   const Ran late = Change("{}", "--id two --expect 0");
   EXPECT_EQ(late.code, 1);
   EXPECT_NE(late.text.find("latest version is 1"), std::string::npos) << late.text;
-  for (int i = 0; i < 3; ++i) EXPECT_TRUE(Until([&] { return Status(i)["version_on"] == 1; }));
+  for (int i = 0; i < 3; ++i)
+    EXPECT_TRUE(Until([&] { return Status(i)["version_on"] == 1; }));
   const Ran diff = Of("diff 0 1");
   EXPECT_NE(diff.text.find("+ /barred/- \"h\""), std::string::npos) << diff.text;
   EXPECT_NE(Of("history").text.find("test"), std::string::npos);
@@ -282,7 +287,8 @@
   }
   std::vector<Peer> taken;
   const auto reached = [&] {
-    while (Peer sent = host.TryTake()) taken.push_back(std::move(sent));
+    while (Peer sent = host.TryTake())
+      taken.push_back(std::move(sent));
     return std::ranges::count_if(taken, [](Peer& sent) { return sent.Has("GET /read"); });
   };
   const auto ask = [&](const std::string& id) {
@@ -309,7 +315,8 @@
   std::vector<Peer> clients;
   for (int i = 0; i < 600; ++i) {
     clients.push_back(ask("c" + std::to_string(i)));
-    if (clients.size() > 50) clients.erase(clients.begin());
+    if (clients.size() > 50)
+      clients.erase(clients.begin());
     usleep(2'000);
     reached();
   }
@@ -365,7 +372,8 @@
   for (const auto& [text, line] : bad) {
     const auto faults = ValidateClusterConfig(text, "f");
     bool named = false;
-    for (const std::string& fault : faults) named = named || fault.find(line) != std::string::npos;
+    for (const std::string& fault : faults)
+      named = named || fault.find(line) != std::string::npos;
     EXPECT_TRUE(named) << text << (faults.empty() ? "no fault" : faults.front());
   }
   EXPECT_TRUE(ValidateClusterConfig(head + one, "f").empty());
--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -44,7 +44,15 @@
 // ---- A change counts as told 6 s after discovery had it and could be reached --------------------
 
 // How a call to discovery ends while that is down.
-enum class Ending { kRefused, kReset, kNoWord, kNoRoom, kSilent, kSilentInHead, kNeverUp };
+enum class Ending {
+  kRefused,
+  kReset,
+  kNoWord,
+  kNoRoom,
+  kSilent,
+  kSilentInHead,
+  kNeverUp
+};
 
 std::string Word(Ending ending) {
   constexpr const char* kWords[] = {
@@ -65,9 +73,11 @@
 
   void Set(Ending how) {
     how_ = how;
-    kept_.clear(), filling_.clear();
+    kept_.clear();
+    filling_.clear();
     listening_.Reset();
-    if (how == Ending::kRefused) return;
+    if (how == Ending::kRefused)
+      return;
     const bool full = how == Ending::kNeverUp;
     Open(full ? 0 : 256);
     // The backlog is full from here on: the kernel drops what comes.
@@ -80,28 +90,36 @@
   }
   void Return() {
     back_ = true;
-    if (how_ == Ending::kRefused) Open(256);
+    if (how_ == Ending::kRefused)
+      Open(256);
     filling_.clear();
   }
   // Takes what has come.
   void Play() {
     while (listening_ && (back_ || how_ != Ending::kNeverUp)) {
       FileDescriptor fd(accept4(listening_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-      if (!fd) break;
+      if (!fd)
+        break;
       (back_ ? answered_ : fresh_).emplace_back(std::move(fd));
     }
     for (Peer& peer : fresh_) {
-      if (!peer.Has("\r\n\r\n")) continue;
+      if (!peer.Has("\r\n\r\n"))
+        continue;
       ++seen_;
-      if (how_ == Ending::kReset) peer.Reset();
-      if (how_ == Ending::kNoWord) peer.Close();
-      if (how_ == Ending::kNoRoom) peer.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-      if (how_ == Ending::kSilentInHead) peer.Say(kChunkedHead.substr(0, 20));
+      if (how_ == Ending::kReset)
+        peer.Reset();
+      if (how_ == Ending::kNoWord)
+        peer.Close();
+      if (how_ == Ending::kNoRoom)
+        peer.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+      if (how_ == Ending::kSilentInHead)
+        peer.Say(kChunkedHead.substr(0, 20));
       kept_.push_back(std::move(peer));
     }
     std::erase_if(fresh_, [](const Peer& peer) { return !peer; });
     for (Peer& peer : answered_) {
-      if (!peer.Has("\r\n\r\n")) continue;
+      if (!peer.Has("\r\n\r\n"))
+        continue;
       peer.Forget();
       peer.Say(kChunkedHead + fmt::format("{:x}\r\n{}\n\r\n", kNews.size() + 1, kNews));
     }
@@ -169,7 +187,8 @@
           Watcher& w = *watchers[i];
           const Ending how = kEndings[i];
           w.discovery->Play();
-          if (std::exchange(w.failed_before, w.failed) != w.failed) w.failed_at = loop.Now();
+          if (std::exchange(w.failed_before, w.failed) != w.failed)
+            w.failed_at = loop.Now();
           // The worst moment: the wait has just begun; the call has just been read; what was to
           // come up has been dropped twice.
           const bool silent = how == Ending::kSilent || how == Ending::kSilentInHead;
@@ -179,7 +198,8 @@
             w.back = loop.Now();
             w.discovery->Return();
           }
-          if (w.told < Time(0) && w.held) w.told = loop.Now();
+          if (w.told < Time(0) && w.held)
+            w.told = loop.Now();
           done = done && w.held;
         }
         return done;
@@ -204,7 +224,7 @@
     config.settings = paddlestile::testing::MakeSettings();
     config.settings.discovery_mode = DiscoveryMode::kPoll;
     config.settings.rules.discovery_interval = Ms(10'000);  // the longest waits
-    config.settings.instance_count = 1;                         // begins at once
+    config.settings.instance_count = 1;                     // begins at once
     for (const char* const name : {"safe", "keyed", "zoned", "celled", "unsafe"}) {
       config.names.classes.Add(name);
     }
@@ -253,12 +273,14 @@
           Discovery& d = *discoveries[i];
           const int before = d.seen();
           d.Play();
-          if (before < kQuick && d.seen() == kQuick) d.Set(endings[i]);
+          if (before < kQuick && d.seen() == kQuick)
+            d.Set(endings[i]);
           if (a.back < Time(0) && d.seen() > kQuick) {
             a.back = loop.Now();
             d.Return();
           }
-          if (a.back >= Time(0) && a.told < Time(0) && a.Holds()) a.told = loop.Now();
+          if (a.back >= Time(0) && a.told < Time(0) && a.Holds())
+            a.told = loop.Now();
           done = done && a.told >= Time(0);
         }
         return done;
@@ -284,7 +306,9 @@
     for (uint64_t seed = 1; seed <= 8; ++seed) {
       askers.push_back(std::make_unique<Asker>(loop, discovery.address(), seed));
     }
-    const auto failed = [&] { return GlobalCounters().list_failures - failures; };
+    const auto failed = [&] {
+      return GlobalCounters().list_failures - failures;
+    };
     ASSERT_TRUE(RunUntil(
         loop, [&] { return failed() >= 3 * askers.size(); }, Ms(10'000)));
     discovery.Set(how);
@@ -300,7 +324,8 @@
         },
         Ms(12'000));
     EXPECT_LT(loop.Now() - back, Ms(5900)) << Word(how);
-    for (const auto& a : askers) EXPECT_TRUE(a->Holds()) << Word(how);
+    for (const auto& a : askers)
+      EXPECT_TRUE(a->Holds()) << Word(how);
   }
 }
 
@@ -309,7 +334,8 @@
 class Gone : public GatewayTest {
  protected:
   Gone() {
-    for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(6000), c.deadline = Ms(8000);
+    for (RequestClass& c : config.settings.classes)
+      c.latency_objective = Ms(6000), c.deadline = Ms(8000);
     config.settings.allowed.connect_timeout = Ms(3000);
   }
   // A host that says nothing until the test does.
@@ -318,7 +344,8 @@
   void SayAll(const std::string& text) {
     for (const auto& host : hosts) {
       for (Peer& peer : host->peers) {
-        if (!peer || peer.Ended()) continue;
+        if (!peer || peer.Ended())
+          continue;
         text == "reset" ? peer.Reset() : peer.Say(text);
       }
     }
@@ -339,9 +366,12 @@
         const int before = Requests();
         Peer client = Ask(Request("a" + std::to_string(n++), "safe", 8000));
         ASSERT_TRUE(Until([&] { return Requests() == before + 1; }));
-        if (how == "end") client.Close();
-        if (how == "reset") client.Reset();
-        if (how == "half-close") client.ShutWrite();
+        if (how == "end")
+          client.Close();
+        if (how == "reset")
+          client.Reset();
+        if (how == "half-close")
+          client.ShutWrite();
         at_once ? void(usleep(150'000)) : void(Until([] { return false; }, Ms(120)));
         SayAll(says);
         Until([] { return false; }, Ms(60));
@@ -361,11 +391,13 @@
     const auto script = [this](const std::string& text) {
       return quiet_ ? "" : ++asked_ == 1 ? Full(text) : Ok(text);
     };
-    for (const char* const id : {"h1", "h2"}) AddHost(id, script);
+    for (const char* const id : {"h1", "h2"})
+      AddHost(id, script);
   }
   // At a new gateway; the host's end of the connection that has the client's request, or null.
   Peer* Begin(Peer& client) {
-    quiet_ = false, asked_ = 0;
+    quiet_ = false;
+    asked_ = 0;
     gateway = nullptr;
     Start();
     Peer first = Ask(Request("f" + std::to_string(++n_), "safe", 8000));
@@ -375,7 +407,8 @@
     quiet_ = true;
     before_ = Requests();
     std::map<Host*, int> had;
-    for (const auto& host : hosts) had[host.get()] = host->requests;
+    for (const auto& host : hosts)
+      had[host.get()] = host->requests;
     client = Ask(Request("a" + std::to_string(n_), "safe", 8000));
     EXPECT_TRUE(Until([&] { return Requests() == before_ + 1; }));
     const auto has = std::ranges::find_if(
@@ -404,9 +437,12 @@
       ASSERT_NE(peer, nullptr) << how << says;
       says == "reset" ? peer->Reset() : peer->Say(says);
       usleep(5'000);
-      if (how == "end") client.Close();
-      if (how == "reset") client.Reset();
-      if (how == "half-close") client.ShutWrite();
+      if (how == "end")
+        client.Close();
+      if (how == "reset")
+        client.Reset();
+      if (how == "half-close")
+        client.ShutWrite();
       usleep(150'000);
       ExpectNoFurther(how + says);
     }
@@ -438,13 +474,16 @@
 // the end of that wait.
 TEST_F(Gone, AFurtherAttemptThatWaitsForProbesIsNotSentOn) {
   config.settings.key_affinity = true;
-  for (const char* const id : {"h1", "h2", "h3"}) AddHost(id, Full);
+  for (const char* const id : {"h1", "h2", "h3"})
+    AddHost(id, Full);
   // Whether a peer of any host has heard this and was not answered.
   const auto heard = [&](std::string_view text) {
     bool any = false;
     for (const auto& host : hosts) {
-      while (Peer peer = host->port.TryTake()) host->peers.push_back(std::move(peer));
-      for (Peer& peer : host->peers) any = any || (peer && peer.Has(text));
+      while (Peer peer = host->port.TryTake())
+        host->peers.push_back(std::move(peer));
+      for (Peer& peer : host->peers)
+        any = any || (peer && peer.Has(text));
     }
     return any;
   };
@@ -468,7 +507,8 @@
     loop.RunOnce(Duration(0));
     Until([] { return false; }, Ms(150));
     EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; })) << turn;
-    if (!out || sent_on || sent != before + 1) continue;  // it did not wait
+    if (!out || sent_on || sent != before + 1)
+      continue;  // it did not wait
     EXPECT_EQ(Requests(), sent) << turn;
     ++held;
   }
@@ -507,14 +547,19 @@
     };
     std::vector<Call> calls;
     while (!stop_) {
-      while (Peer peer = port.TryTake()) calls.push_back({std::move(peer), false, 0, {}});
+      while (Peer peer = port.TryTake())
+        calls.push_back({std::move(peer), false, 0, {}});
       for (Call& call : calls) {
-        if (call.peer.Ended() || !call.peer.Has("\r\n\r\n")) continue;
-        if (!std::exchange(call.counted, true)) ++asked;
-        if (call.rest.empty()) call.rest = say(call.said);
+        if (call.peer.Ended() || !call.peer.Has("\r\n\r\n"))
+          continue;
+        if (!std::exchange(call.counted, true))
+          ++asked;
+        if (call.rest.empty())
+          call.rest = say(call.said);
         const ssize_t n =
             send(call.peer.fd(), call.rest.data(), call.rest.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-        if (n <= 0) continue;
+        if (n <= 0)
+          continue;
         call.said += static_cast<size_t>(n);
         call.rest.erase(0, static_cast<size_t>(n));
       }
@@ -567,7 +612,8 @@
     to.sin_family = AF_INET;
     to.sin_port = htons(address.port);
     to.sin_addr.s_addr = htonl(address.host);
-    if (connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof(to)) != 0) return {};
+    if (connect(fd.get(), reinterpret_cast<sockaddr*>(&to), sizeof(to)) != 0)
+      return {};
     return Peer(std::move(fd));
   }
   // Seconds until GET /_health is answered with 200, asked as a front asks: on a new connection
@@ -575,10 +621,12 @@
   double ReadyAfter(Clock::time_point start, double most = 15) const {
     while (SecondsSince(start) < most) {
       Peer peer = TryDial();
-      if (peer) peer.Say("GET /_health HTTP/1.1\r\n\r\n");
+      if (peer)
+        peer.Say("GET /_health HTTP/1.1\r\n\r\n");
       const auto asked = Clock::now();
       while (peer && !peer.Ended() && SecondsSince(asked) < 0.5) {
-        if (peer.Has("HTTP/1.1 200")) return SecondsSince(start);
+        if (peer.Has("HTTP/1.1 200"))
+          return SecondsSince(start);
         usleep(1000);
       }
       usleep(5000);
@@ -599,7 +647,8 @@
   static long PeakKiB(const Child& child) {
     std::ifstream status("/proc/" + std::to_string(child.pid()) + "/status");
     for (std::string line; std::getline(status, line);) {
-      if (line.starts_with("VmHWM:")) return std::stol(line.substr(6));
+      if (line.starts_with("VmHWM:"))
+        return std::stol(line.substr(6));
     }
     return 0;
   }
@@ -634,28 +683,34 @@
     ASSERT_TRUE(child.Says("listens on"));
     Peer first;
     const auto watched = [&](Peer& peer) {
-      if (!peer) peer = discovery.TryTake();
+      if (!peer)
+        peer = discovery.TryTake();
       return peer && peer.Has("follow=1");
     };
-    for (int i = 0; i < 2000 && !watched(first); ++i) usleep(2000);
+    for (int i = 0; i < 2000 && !watched(first); ++i)
+      usleep(2000);
     ASSERT_TRUE(watched(first)) << mode;
     first.Say(kChunkedHead + "1\r\n\n\r\n");
     // Hosts that never answer, and clients that say nothing and come again wherever they are
     // closed.
     std::vector<Peer> busy(70), idle;
-    for (int i = 0; i < 200; ++i) idle.push_back(Peer::To(address));
+    for (int i = 0; i < 200; ++i)
+      idle.push_back(Peer::To(address));
     int asked = 0;
     const auto stay = [&](double seconds, const std::function<bool()>& holds) {
       for (const auto begin = Clock::now(); SecondsSince(begin) < seconds && !holds();) {
         for (Peer& peer : busy) {
-          if (peer && !peer.Ended() && !peer.Has("\r\n\r\n")) continue;  // it waits
-          if (!peer || peer.Ended()) peer = Peer::To(address);
+          if (peer && !peer.Ended() && !peer.Has("\r\n\r\n"))
+            continue;  // it waits
+          if (!peer || peer.Ended())
+            peer = Peer::To(address);
           peer.Forget();
           peer.Say(fmt::format("GET /read HTTP/1.1\r\nX-Call-Id: {}{}\r\nX-Budget-Ms: 9000\r\n\r\n",
                                mode, asked++));
         }
         for (Peer& peer : idle) {
-          if (peer.Ended()) peer = Peer::To(address);
+          if (peer.Ended())
+            peer = Peer::To(address);
         }
         usleep(2000);
       }
@@ -666,7 +721,9 @@
                                                       "/fd");
       return std::distance(begin(files), end(files));
     };
-    const auto full = [&] { return open() >= 96; };  // all but the reserve
+    const auto full = [&] {
+      return open() >= 96;
+    };  // all but the reserve
     stay(0.3, [] { return false; });
     EXPECT_TRUE(stay(3, full)) << mode << ": " << open();
     first.Reset();
@@ -674,7 +731,8 @@
     Peer watch;
     EXPECT_TRUE(stay(4, [&] { return watched(watch); })) << mode;
     std::printf("descriptors full, %s: the watch is back after %.3f s\n", mode, SecondsSince(back));
-    if (!watch) continue;
+    if (!watch)
+      continue;
     watch.Say(kChunkedHead + fmt::format("{:x}\r\n{}\n\r\n", kNews.size() + 1, kNews));
     EXPECT_TRUE(stay(3, [&] {
       child.Signal(SIGUSR1);
@@ -692,7 +750,10 @@
     Speaker::Say say;
   };
   const std::vector<Case> cases = {
-      {"silent", [](size_t) { return std::string(); }},
+      {"silent",
+       [](size_t) {
+         return std::string();
+       }},
       {"a byte every so often",
        [](size_t said) {
          usleep(100'000);
@@ -710,7 +771,8 @@
     std::printf("discovery %s: ready after %.3f s\n", c.what.c_str(), ready);
     EXPECT_LT(ready, 10) << c.what << child.Text();
     // It has asked by then; the thread counts what it reads.
-    for (int i = 0; i < 1000 && speaker.asked < 1; ++i) usleep(2000);
+    for (int i = 0; i < 1000 && speaker.asked < 1; ++i)
+      usleep(2000);
     EXPECT_GE(speaker.asked, 1) << c.what;
   }
   discovery.Close();
@@ -746,7 +808,8 @@
     EXPECT_LT(ready - kept, 10) << child.Text();
     EXPECT_LT(ready, 30) << child.Text();
     // And it stays so while it is told what it can't take.
-    for (int i = 0; i < 2000 && speaker.asked < 2; ++i) usleep(2000);
+    for (int i = 0; i < 2000 && speaker.asked < 2; ++i)
+      usleep(2000);
     const double again = ReadyAfter(Clock::now());
     std::printf("told too long a list: answers after %.3f s, peak %ld MiB\n", again,
                 PeakKiB(child) / 1024);
@@ -763,7 +826,8 @@
   child.Start(Environment(), {}, Limit128);
   std::vector<Peer> idle;
   while (idle.size() < 400 && SecondsSince(start) < 10) {
-    if (Peer peer = TryDial()) idle.push_back(std::move(peer));
+    if (Peer peer = TryDial())
+      idle.push_back(std::move(peer));
   }
   ASSERT_EQ(idle.size(), 400u);
   const double ready = ReadyAfter(start);
@@ -780,7 +844,8 @@
     Port host;
     Write(R"({"id":"h","host_port":")" + host.text() + R"(","phase":"active"})", 256);
     auto environment = Environment();
-    if (beside) environment["LB_ADMIN"] = ToText({address.host, 6001});
+    if (beside)
+      environment["LB_ADMIN"] = ToText({address.host, 6001});
     Child old;
     auto fresh = std::make_unique<Child>();
     old.Start(environment, {});
@@ -789,14 +854,16 @@
     client.Say("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 3000\r\n\r\n");
     Peer asked;
     for (int i = 0; i < 1000 && !(asked && asked.Has("\r\n\r\n")); ++i) {
-      if (!asked) asked = host.TryTake();
+      if (!asked)
+        asked = host.TryTake();
       usleep(2000);
     }
     ASSERT_TRUE(asked && asked.Has("X-Call-Id: a"));
     const auto told = Clock::now();
     old.Signal(SIGTERM);
     ASSERT_TRUE(old.Says("draining"));
-    if (beside) environment["LB_ADMIN"] = ToText({address.host, 6002});
+    if (beside)
+      environment["LB_ADMIN"] = ToText({address.host, 6002});
     double ready = 99;
     if (beside) {
       fresh->Start(environment, {});
@@ -804,7 +871,8 @@
       ready = ReadyAfter(told);
       EXPECT_FALSE(client.Ended());  // the old one is still at it
       asked.Say(Http200("served"));
-      for (int i = 0; i < 1000 && !client.Has("served"); ++i) usleep(2000);
+      for (int i = 0; i < 1000 && !client.Has("served"); ++i)
+        usleep(2000);
       EXPECT_TRUE(client.Has("served"));
     } else {
       // As a platform does that starts it until it stays.
--- a/tests/gateway/downstream_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -28,12 +28,14 @@
   explicit ClientsTest(size_t descriptors = 1024) : budget(descriptors) {
     clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this);
   }
-  AdmissionResult OnRequest(BufferedMessage request, ProxiedRequest::ResponseCallback reply) override {
+  AdmissionResult OnRequest(BufferedMessage request,
+                            ProxiedRequest::ResponseCallback reply) override {
     const std::string_view base = request.bytes.view();
     std::string id(request.message.FindHeader(base, "X-Call-Id").value_or("none"));
-    if (id == "bad") return {nullptr, 400, "bad"};
-    taken.push_back(std::make_shared<ProxiedRequest>(std::move(id), std::move(request), Time(0), cls,
-                                               std::move(reply)));
+    if (id == "bad")
+      return {nullptr, 400, "bad"};
+    taken.push_back(std::make_shared<ProxiedRequest>(std::move(id), std::move(request), Time(0),
+                                                     cls, std::move(reply)));
     return {taken.back(), 0, {}};
   }
   void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) override {
@@ -81,11 +83,11 @@
   Peer peer = Dial();
   peer.Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond(
-      {.status = 200,
-       .upstream_message = HostAnswer("HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\n"
-                          "X-Load-Report: inflight=1\r\nTransfer-Encoding: chunked\r\n\r\n"
-                          "4\r\nbody\r\n0\r\n\r\n")});
+  taken[0]->Respond({.status = 200,
+                     .upstream_message = HostAnswer(
+                         "HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\n"
+                         "X-Load-Report: inflight=1\r\nTransfer-Encoding: chunked\r\n\r\n"
+                         "4\r\nbody\r\n0\r\n\r\n")});
   ASSERT_TRUE(Hears(peer, "body"));
   EXPECT_EQ(peer.Heard(), "HTTP/1.1 200 OK\r\nContent-Type: t\r\nContent-Length: 4\r\n\r\nbody");
 }
@@ -159,7 +161,8 @@
 TEST_F(ClientsTest, WhoMakesNoSenseIsAnsweredOnceAndClosed) {
   Peer peer = Dial();
   std::string all;
-  for (int i = 0; i < 300; ++i) all += Get("bad");
+  for (int i = 0; i < 300; ++i)
+    all += Get("bad");
   peer.Say(all + Get("a"));
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
   EXPECT_EQ(peer.Heard().substr(0, 13), "HTTP/1.1 400 ");
@@ -172,7 +175,8 @@
 TEST_F(ClientsTest, ARowOfRequestsLeavesOthersTheirTurn) {
   Peer greedy = Dial();
   std::string all;
-  for (int i = 0; i < 400; ++i) all += "GET /_health HTTP/1.1\r\n\r\n";
+  for (int i = 0; i < 400; ++i)
+    all += "GET /_health HTTP/1.1\r\n\r\n";
   greedy.Say(all);
   Peer peer = Dial();
   peer.Say(Get("a"));
@@ -185,7 +189,8 @@
 // Connections by hundreds: the requests of those let in come between.
 TEST_F(ClientsTest, AcceptingLeavesOthersTheirTurn) {
   std::vector<Peer> peers;
-  for (int i = 0; i < 200; ++i) peers.push_back(Dial());
+  for (int i = 0; i < 200; ++i)
+    peers.push_back(Dial());
   peers[0].Say(Get("a"));
   ASSERT_TRUE(HasTaken(1));
   EXPECT_LT(clients->connection_count(), 100u);
@@ -206,7 +211,8 @@
           slow.Say(text.substr(said++, 1));
           next = loop.Now() + Ms(200);
         }
-        if (silent_ended == Time(0) && silent.Ended()) silent_ended = loop.Now() - began;
+        if (silent_ended == Time(0) && silent.Ended())
+          silent_ended = loop.Now() - began;
         return silent.Ended() && slow.Ended();
       },
       Ms(2900));
@@ -238,7 +244,8 @@
   size_t sent = 0;
   ASSERT_TRUE(RunUntil(loop, [&] {
     const ssize_t n = send(peer.fd(), part.data(), part.size(), MSG_NOSIGNAL);
-    if (n > 0) sent += static_cast<size_t>(n);
+    if (n > 0)
+      sent += static_cast<size_t>(n);
     return peer.Ended();
   }));
   EXPECT_TRUE(peer.Has("HTTP/1.1 413 "));
@@ -303,7 +310,8 @@
   const std::string more(10000, 'x');
   for (int i = 0; i < 2000; ++i) {
     const ssize_t n = send(peer.fd(), more.data(), more.size(), MSG_NOSIGNAL);
-    if (n > 0) sent += static_cast<size_t>(n);
+    if (n > 0)
+      sent += static_cast<size_t>(n);
     loop.RunOnce(Duration(0));
   }
   EXPECT_LT(sent, 12'000'000u);  // the kernel's part and 80 KiB; 20 MB were offered
@@ -317,7 +325,8 @@
   const auto answer = HostAnswer(testing::Http200(std::string(60000, 'a')));
   Peer peer = Dial();
   std::string all;
-  for (size_t i = 0; i < kRequests; ++i) all += Get("id" + std::to_string(i));
+  for (size_t i = 0; i < kRequests; ++i)
+    all += Get("id" + std::to_string(i));
   size_t answered = 0;
   const auto serve = [&] {
     for (; answered < taken.size(); ++answered) {
@@ -391,7 +400,8 @@
   RunFor(loop, Ms(700));
   EXPECT_TRUE(idle.Ended());  // closed between requests
   EXPECT_FALSE(done);         // two are in hand
-  for (const auto& exchange : taken) exchange->Respond({.status = 502});
+  for (const auto& exchange : taken)
+    exchange->Respond({.status = 502});
   ASSERT_TRUE(Hears(old, "Connection: close\r\n"));
   ASSERT_TRUE(Hears(fresh, "Connection: close\r\n"));
   old.Close();
@@ -487,13 +497,15 @@
   RunFor(loop, Ms(60));
   EXPECT_EQ(taken.size(), 33u);
   EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);
-  for (size_t i = 0; i < 33; ++i) taken[i]->Respond({.status = 502});
+  for (size_t i = 0; i < 33; ++i)
+    taken[i]->Respond({.status = 502});
   EXPECT_TRUE(HasTaken(40));
 }
 
 TEST_F(FewDescriptors, IdleConnectionsMakeRoom) {
   std::vector<Peer> idle;
-  for (int i = 0; i < 33; ++i) idle.push_back(Dial());
+  for (int i = 0; i < 33; ++i)
+    idle.push_back(Dial());
   ASSERT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 33; }));
   Peer fresh = Dial();
   fresh.Say(Get("a"));
@@ -510,9 +522,11 @@
     RunFor(loop, Ms(i == 32 ? 250 : 1));
   }
   std::vector<Peer> burst;
-  for (int i = 0; i < 12; ++i) burst.push_back(Dial());
+  for (int i = 0; i < 12; ++i)
+    burst.push_back(Dial());
   RunFor(loop, Ms(20));
-  for (int i = 0; i < 12; ++i) burst[static_cast<size_t>(i)].Say(Get("id" + std::to_string(i)));
+  for (int i = 0; i < 12; ++i)
+    burst[static_cast<size_t>(i)].Say(Get("id" + std::to_string(i)));
   EXPECT_TRUE(HasTaken(12));
   EXPECT_TRUE(kept[0].Ended());
 }
@@ -542,9 +556,11 @@
   ASSERT_TRUE(HasTaken(1));
   taken[0]->Respond({.status = 502});
   std::vector<Peer> silent;
-  for (int i = 0; i < 32; ++i) silent.push_back(Dial());
+  for (int i = 0; i < 32; ++i)
+    silent.push_back(Dial());
   RunFor(loop, Ms(250));
-  for (int i = 0; i < 20; ++i) silent.push_back(Dial());
+  for (int i = 0; i < 20; ++i)
+    silent.push_back(Dial());
   RunFor(loop, Ms(10));
   Peer fresh = Dial();
   fresh.Say(Get("b"));
@@ -566,8 +582,10 @@
     left.clear();
     Peer peer = Dial();
     peer.Say("GET /_health HTTP/1.1\r\n\r\n" + Get("a"));
-    if (how == std::string("end")) peer.Close();
-    if (peer) peer.ShutWrite();
+    if (how == std::string("end"))
+      peer.Close();
+    if (peer)
+      peer.ShutWrite();
     ASSERT_TRUE(HasTaken(1)) << how;
     EXPECT_TRUE(RunUntil(
         loop, [&] { return left.size() == 1; }, Ms(300)))
@@ -586,13 +604,17 @@
     peer.Say(Get("a"));
     ASSERT_TRUE(HasTaken(1));
     std::string rest;
-    for (int i = 0; rest.size() < 110'000; ++i) rest += Get("more" + std::to_string(i));
+    for (int i = 0; rest.size() < 110'000; ++i)
+      rest += Get("more" + std::to_string(i));
     peer.Say(rest);
     RunFor(loop, Ms(20));
     EXPECT_TRUE(left.empty());
-    if (how == std::string("end")) peer.Close();
-    if (how == std::string("reset")) peer.Reset();
-    if (peer) peer.ShutWrite();
+    if (how == std::string("end"))
+      peer.Close();
+    if (how == std::string("reset"))
+      peer.Reset();
+    if (peer)
+      peer.ShutWrite();
     EXPECT_TRUE(RunUntil(
         loop, [&] { return left.size() == 1; }, Ms(300)))
         << how;
@@ -618,9 +640,11 @@
   half.ShutWrite();
   RunFor(loop, Ms(30));
   EXPECT_EQ(taken.size(), 33u);
-  for (size_t i = 0; i < 33; ++i) taken[i]->Respond({.status = 502});
+  for (size_t i = 0; i < 33; ++i)
+    taken[i]->Respond({.status = 502});
   RunFor(loop, Ms(100));
-  for (size_t i = 33; i < taken.size(); ++i) EXPECT_FALSE(taken[i]->Respond({.status = 502}));
+  for (size_t i = 33; i < taken.size(); ++i)
+    EXPECT_FALSE(taken[i]->Respond({.status = 502}));
   EXPECT_EQ(left.size(), taken.size() - 33);
 }
 
@@ -640,7 +664,8 @@
   usleep(60'000);
   ASSERT_TRUE(HasTaken(2));
   EXPECT_FALSE(done);
-  for (const auto& exchange : taken) exchange->Respond({.status = 502});
+  for (const auto& exchange : taken)
+    exchange->Respond({.status = 502});
   EXPECT_TRUE(Hears(late, "HTTP/1.1 502 "));
   EXPECT_TRUE(Hears(later, "HTTP/1.1 502 "));
   late.Close();
@@ -713,8 +738,8 @@
 class SharedFewDescriptors : public FewDescriptors {
  protected:
   SharedFewDescriptors() {
-    clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this, FileDescriptor(),
-                                        true);
+    clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this,
+                                           FileDescriptor(), true);
   }
 };
 TEST_F(SharedFewDescriptors, DrainingLetsInWhoWaitsForADescriptor) {
@@ -729,10 +754,13 @@
   life.set_ending();
   clients->OnLifecycleChanged();
   RunFor(loop, Ms(750));
-  for (size_t i = 0; i < 33; ++i) taken[i]->Respond({.status = 502});
+  for (size_t i = 0; i < 33; ++i)
+    taken[i]->Respond({.status = 502});
   ASSERT_TRUE(HasTaken(40));
-  for (size_t i = 33; i < 40; ++i) taken[i]->Respond({.status = 502});
-  for (Peer& peer : peers) EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
+  for (size_t i = 33; i < 40; ++i)
+    taken[i]->Respond({.status = 502});
+  for (Peer& peer : peers)
+    EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
   peers.clear();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
@@ -813,7 +841,8 @@
       {"CONNECT /read HTTP/1.1\r\n" + kGood + "\r\n", 405},
       {"HEAD /read HTTP/1.1\r\n" + kGood + "\r\n", 405},
   };
-  for (const auto& [text, status] : cases) EXPECT_EQ(Of(text).error_status, status) << text;
+  for (const auto& [text, status] : cases)
+    EXPECT_EQ(Of(text).error_status, status) << text;
 }
 
 }  // namespace
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -25,7 +25,8 @@
 // The new shape on sockets: the key and the hint come in X-Call-Info, the request waits for the
 // probes of its key's hosts, and gateways that know nothing of one another send it to the same one.
 TEST_F(GatewayTest, GatewaysOfWarmHostsAskFirstAndAgreeOnAKeysHost) {
-  for (int i = 0; i < 5; ++i) AddHost("h" + std::to_string(i), Ok);
+  for (int i = 0; i < 5; ++i)
+    AddHost("h" + std::to_string(i), Ok);
   report = "inflight=1,latency_ms=100";
   config.settings.key_affinity = true;
   config.settings.instance_count = 900;
@@ -38,11 +39,13 @@
       Peer client = Ask(text);
       ASSERT_TRUE(Until([&] { return client.Has("served"); }));
     }
-    for (const auto& host : hosts) host->peers.clear();
+    for (const auto& host : hosts)
+      host->peers.clear();
   }
   EXPECT_EQ(Requests(), 12);
   int used = 0, probes = 0;
-  for (const auto& host : hosts) used += host->requests > 0 ? 1 : 0, probes += host->probes;
+  for (const auto& host : hosts)
+    used += host->requests > 0 ? 1 : 0, probes += host->probes;
   EXPECT_EQ(used, 1);
   EXPECT_GT(probes, 0);
 }
@@ -202,7 +205,8 @@
   client.Close();
   RunFor(loop, Ms(20));
   EXPECT_EQ(gateway->request_count(), 1u);  // its attempt is out
-  for (Peer& peer : host.peers) peer.Say(Http200("late"));
+  for (Peer& peer : host.peers)
+    peer.Say(Http200("late"));
   ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
   EXPECT_EQ(GlobalCounters().settled_ok, ok + 1);
   EXPECT_EQ(GlobalCounters().answers_served, served);
@@ -295,7 +299,8 @@
   RunFor(loop, Ms(500));
   EXPECT_EQ(client.Heard(), "");  // past its deadline it still belongs to the client
   for (const auto& host : hosts) {
-    for (Peer& peer : host->peers) peer.Close();
+    for (Peer& peer : host->peers)
+      peer.Close();
   }
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
@@ -312,7 +317,8 @@
   gateway->Drain([&] { done = true; });
   RunFor(loop, Ms(800));
   EXPECT_FALSE(done);
-  for (Peer& peer : hosts[0]->peers) peer.Say(Http200("served"));
+  for (Peer& peer : hosts[0]->peers)
+    peer.Say(Http200("served"));
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
   EXPECT_TRUE(client.Has("Connection: close"));
   client.Close();
@@ -360,7 +366,8 @@
   gateway->ApplyConfig(next);
   Peer later = Ask(Request("b", "later")), gone = Ask(Request("c", "safe"));
   ASSERT_TRUE(Until([&] { return later.Has("served") && gone.Has("404 "); }));
-  for (Peer& peer : hosts[0]->peers) peer.Say(Http200("late but whole"));
+  for (Peer& peer : hosts[0]->peers)
+    peer.Say(Http200("late but whole"));
   EXPECT_TRUE(Until([&] { return slow.Has("late but whole"); }));
   // Settings that the module does not take change nothing.
   GatewayConfig bad = next;
@@ -372,7 +379,8 @@
 // Settings that come twice within one handler, as when a version and the word that turns it on are
 // read at once: the former ones waited behind the later and stayed in force, for good.
 TEST_F(GatewayTest, OfSettingsThatComeAtOnceTheLastAreInForce) {
-  for (const char* const id : {"h1", "h2"}) AddHost(id, Error);
+  for (const char* const id : {"h1", "h2"})
+    AddHost(id, Error);
   Start();
   ASSERT_TRUE(Until([&] { return life.accepts(); }));
   GatewayConfig once = config;
@@ -398,7 +406,8 @@
   config.names.tenants.Add("old");
   // Hosts that turn away: those that fail are left out for a while, by the seed's draw, and each
   // further attempt takes more of what was saved up for them.
-  for (int n = 1; n <= 4; ++n) AddHost("h" + std::to_string(n), Full);
+  for (int n = 1; n <= 4; ++n)
+    AddHost("h" + std::to_string(n), Full);
   Start();
   ASSERT_TRUE(Until([&] { return life.accepts(); }));
   GatewayConfig once = config;
@@ -452,7 +461,8 @@
   EXPECT_EQ(gateway->config().settings.tenants.at(0).requests_per_second, 20);
   EXPECT_EQ(gateway->config().settings.tenants.at(1).share, 0.2);
   EXPECT_TRUE(ask("c", "new"));
-  EXPECT_THROW(gateway->ApplyTenantChanges({{"new", std::nullopt}, {"old", TenantQuota{1, -1}}}), ConfigError);
+  EXPECT_THROW(gateway->ApplyTenantChanges({{"new", std::nullopt}, {"old", TenantQuota{1, -1}}}),
+               ConfigError);
   EXPECT_TRUE(ask("d", "new"));
   gateway->ApplyTenantChanges({{"new", std::nullopt}});
   EXPECT_TRUE(ask("e", "new"));
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -44,13 +44,16 @@
   void Play() {
     std::vector<Peer> peers;
     while (!stop_) {
-      while (Peer peer = port.TryTake()) peers.push_back(std::move(peer));
+      while (Peer peer = port.TryTake())
+        peers.push_back(std::move(peer));
       for (Peer& peer : peers) {
-        if (!peer || peer.Ended() || !peer.Has("\r\n\r\n")) continue;
+        if (!peer || peer.Ended() || !peer.Has("\r\n\r\n"))
+          continue;
         const std::string text = peer.Heard();
         peer.Forget();
         const size_t at = text.find("X-Call-Id: ");
-        if (at != std::string::npos) ++seen[text.substr(at + 11, text.find('\r', at) - at - 11)];
+        if (at != std::string::npos)
+          ++seen[text.substr(at + 11, text.find('\r', at) - at - 11)];
         peer.Say(testing::Http200("served"));
       }
       usleep(500);
@@ -75,7 +78,8 @@
   ~Load() { Stop(); }
   void Stop() {
     stop_ = true;
-    for (std::thread& thread : threads_) thread.join();
+    for (std::thread& thread : threads_)
+      thread.join();
     threads_.clear();
   }
   std::atomic<int> asked = 0, served = 0, turned_back = 0;
@@ -87,15 +91,18 @@
       usleep(5000);
       // Every third time on a new connection.
       const bool fresh = !peer || n % 3 == 0 || peer.Ended();
-      if (fresh) peer = Peer::To(to);
+      if (fresh)
+        peer = Peer::To(to);
       peer.Forget();
       const std::string id = std::to_string(client) + "-" + std::to_string(n);
       ++asked;
       peer.Say("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
-      for (int i = 0; i < 3000 && !peer.Has("served") && !peer.Ended(); ++i) usleep(300);
+      for (int i = 0; i < 3000 && !peer.Has("served") && !peer.Ended(); ++i)
+        usleep(300);
       if (peer.Has("served")) {
         ++served;
-        if (peer.Has("Connection: close")) peer = Peer();
+        if (peer.Has("Connection: close"))
+          peer = Peer();
       } else {
         ++turned_back;
         ADD_FAILURE() << id << " was told: " << peer.Heard();
@@ -134,7 +141,8 @@
   bool Yes(uint16_t admin) {
     Peer peer = Peer::To({address.host, admin});
     peer.Say("GET /admin/health HTTP/1.1\r\n\r\n");
-    for (int i = 0; i < 500 && !peer.Ended(); ++i) usleep(2000);
+    for (int i = 0; i < 500 && !peer.Ended(); ++i)
+      usleep(2000);
     return peer.Heard().starts_with("HTTP/1.1 200");
   }
   std::string Socket() { return folder_ + "/paddlestile-" + ToText(address) + ".sock"; }
@@ -144,7 +152,8 @@
     EXPECT_GT(load.served, 50);
     EXPECT_EQ(load.turned_back, 0);
     EXPECT_EQ(load.asked, load.served);
-    for (const auto& [id, times] : host.seen) EXPECT_EQ(times, 1) << id;
+    for (const auto& [id, times] : host.seen)
+      EXPECT_EQ(times, 1) << id;
   }
 
   std::string folder_, temporary_;
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -28,13 +28,20 @@
 using testing::Request;
 using testing::RunFor;
 
-enum class Leaving { kEnd, kReset, kHalfClose };
+enum class Leaving {
+  kEnd,
+  kReset,
+  kHalfClose
+};
 constexpr Leaving kLeavings[] = {Leaving::kEnd, Leaving::kReset, Leaving::kHalfClose};
 
 void Leave(Peer& client, Leaving how) {
-  if (how == Leaving::kEnd) client.Close();
-  if (how == Leaving::kReset) client.Reset();
-  if (how == Leaving::kHalfClose) client.ShutWrite();
+  if (how == Leaving::kEnd)
+    client.Close();
+  if (how == Leaving::kReset)
+    client.Reset();
+  if (how == Leaving::kHalfClose)
+    client.ShutWrite();
 }
 
 std::string IdOf(const std::string& text) {
@@ -46,7 +53,8 @@
  protected:
   CrossingsTest() {
     // Long enough to wait in: holding, connecting.
-    for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(6000), c.deadline = Ms(8000);
+    for (RequestClass& c : config.settings.classes)
+      c.latency_objective = Ms(6000), c.deadline = Ms(8000);
     config.settings.allowed.connect_timeout = Ms(3000);
   }
   // A host that counts ids and answers when told.
@@ -67,7 +75,8 @@
   void Tell(Peer& call, const std::string& line, int revision) {
     call.Say(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
     EXPECT_TRUE(Until([&] {
-      return gateway->DescribeState().find(fmt::format(" revision={} ", revision)) != std::string::npos;
+      return gateway->DescribeState().find(fmt::format(" revision={} ", revision)) !=
+             std::string::npos;
     }));
   }
 
@@ -81,24 +90,29 @@
   AddCounting("h1");
   Start();
   std::vector<Peer> clients;
-  for (int i = 0; i < 12; ++i) clients.push_back(Ask(Request(std::to_string(i), "safe", 8000)));
+  for (int i = 0; i < 12; ++i)
+    clients.push_back(Ask(Request(std::to_string(i), "safe", 8000)));
   ASSERT_TRUE(Until([&] { return gateway->request_count() == 12 && !got.empty(); }));
   Until([] { return false; }, Ms(30));
   const std::set<std::string> sent = [&] {
     std::set<std::string> ids;
-    for (const auto& [id, times] : got) ids.insert(id);
+    for (const auto& [id, times] : got)
+      ids.insert(id);
     return ids;
   }();
   ASSERT_GE(sent.size(), 1u);
   ASSERT_LE(sent.size(), 9u);  // some are held
   int held = 0;
   for (size_t i = 0; i < clients.size(); ++i) {
-    if (!sent.contains(std::to_string(i))) Leave(clients[i], kLeavings[held++ % 3]);
+    if (!sent.contains(std::to_string(i)))
+      Leave(clients[i], kLeavings[held++ % 3]);
   }
   Until([] { return false; }, Ms(310));
-  for (Peer& peer : hosts[0]->peers) peer.Say(Http200("served"));
+  for (Peer& peer : hosts[0]->peers)
+    peer.Say(Http200("served"));
   Until([] { return false; }, Ms(400));
-  for (const auto& [id, times] : got) EXPECT_TRUE(sent.contains(id)) << id;
+  for (const auto& [id, times] : got)
+    EXPECT_TRUE(sent.contains(id)) << id;
 }
 
 // Assigned to a connection that has not come up yet.
@@ -111,16 +125,19 @@
     clients.push_back(Ask(Request(std::to_string(i), "safe", 8000)));
     RunFor(loop, Ms(30));
   }
-  for (size_t i = 0; i < 3; ++i) Leave(clients[i], kLeavings[i]);
+  for (size_t i = 0; i < 3; ++i)
+    Leave(clients[i], kLeavings[i]);
   RunFor(loop, Ms(310));
   host.LetIn();
   std::vector<Peer> late;
   const Time end = loop.Now() + Ms(1800);
   while (loop.Now() < end) {
-    if (Peer peer = host.TryTake()) late.push_back(std::move(peer));
+    if (Peer peer = host.TryTake())
+      late.push_back(std::move(peer));
     loop.RunOnce(Ms(2));
   }
-  for (Peer& peer : late) EXPECT_FALSE(peer.Has("POST"));
+  for (Peer& peer : late)
+    EXPECT_FALSE(peer.Has("POST"));
   EXPECT_EQ(gateway->request_count(), 0u);
 }
 
@@ -138,7 +155,8 @@
        R"({"revision":41,"complete":false,"members":[{"id":"h2","host_port":")" +
            ToText(second.address()) + R"(","phase":"active"}]})",
        41);
-  for (Peer& peer : hosts[0]->peers) peer.Reset();
+  for (Peer& peer : hosts[0]->peers)
+    peer.Reset();
   RunFor(loop, Ms(50));
   EXPECT_FALSE(client.Has("HTTP/1.1"));  // it waits for the second
   client.Close();
@@ -184,7 +202,8 @@
     Leave(client, how);
     Until([] { return false; }, Ms(310));
     for (Peer& peer : hosts[0]->peers) {
-      if (peer) peer.Say(Http200("served"));
+      if (peer)
+        peer.Say(Http200("served"));
     }
     Until([] { return false; }, Ms(100));
     EXPECT_EQ(got["behind" + id], 0) << id;
@@ -196,19 +215,23 @@
 
 // Against each state that a request can be in; clients go on sending, hosts hang.
 TEST_F(CrossingsTest, ToldToEndEachRequestHasItsAnswer) {
-  for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(1000), c.deadline = Ms(2000);
+  for (RequestClass& c : config.settings.classes)
+    c.latency_objective = Ms(1000), c.deadline = Ms(2000);
   config.settings.allowed.connect_timeout = Ms(1500);
   CutOff slow_to_come(loop);
   AddHost("h1", [this](const std::string& text) {
     const std::string id = IdOf(text);
     ++got[id];
-    if (id == "hangs") return std::string();
+    if (id == "hangs")
+      return std::string();
     return id.starts_with("again") && got[id] == 1 ? std::string("reset") : Http200("served");
   });
   AddHost("h2", Ok);
   Start();
   std::map<std::string, Peer> clients;
-  const auto ask = [&](const std::string& id, const std::string& text) { clients[id] = Ask(text); };
+  const auto ask = [&](const std::string& id, const std::string& text) {
+    clients[id] = Ask(text);
+  };
   ask("hangs", Request("hangs", "unsafe", 1500));
   ask("again", Request("again", "safe", 1500));
   ask("half", Request("half").substr(0, 40));
@@ -232,7 +255,8 @@
   ask("last", Request("last"));
   EXPECT_TRUE(Until([&] {
     for (auto& [id, client] : clients) {
-      if (!client.Has("\r\n\r\n")) return false;
+      if (!client.Has("\r\n\r\n"))
+        return false;
     }
     return true;
   }));
@@ -252,18 +276,21 @@
 // New settings with shorter deadlines while it drains: what is in hand keeps its own.
 TEST_F(CrossingsTest, ShorterDeadlinesWhileItDrainsEndNothingInHand) {
   AddCounting("h1");
-  for (RequestClass& c : config.settings.classes) c.deadline = Ms(300);
+  for (RequestClass& c : config.settings.classes)
+    c.deadline = Ms(300);
   Start();
   Peer client = Ask(Request("a", "safe", 2500));  // longer than its class's
   ASSERT_TRUE(Until([&] { return Whole("a"); }));
   bool done = false;
   gateway->Drain([&] { done = true; });
   GatewayConfig next = config;
-  for (RequestClass& c : next.settings.classes) c.deadline = Ms(100);
+  for (RequestClass& c : next.settings.classes)
+    c.deadline = Ms(100);
   gateway->ApplyConfig(next);
   Until([] { return false; }, Ms(1300));
   EXPECT_FALSE(done);
-  for (Peer& peer : hosts[0]->peers) peer.Say(Http200("served"));
+  for (Peer& peer : hosts[0]->peers)
+    peer.Say(Http200("served"));
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
   client.Close();
   EXPECT_TRUE(Until([&] { return done; }));
@@ -299,7 +326,8 @@
 // Each outcome that does not surely prove that it never ran ends it; the others let it go on, and
 // never are two out.
 TEST_F(CrossingsTest, AnUnsafeRequestGoesOnOnlyWhereItSurelyNeverRan) {
-  for (RequestClass& c : config.settings.classes) c.latency_objective = Ms(400), c.deadline = Ms(2000);
+  for (RequestClass& c : config.settings.classes)
+    c.latency_objective = Ms(400), c.deadline = Ms(2000);
   config.settings.allowed.connect_timeout = Ms(250);
   struct Case {
     std::string says;
@@ -320,7 +348,8 @@
   int first = 0, more = 0;
   for (const char* const id : {"h1", "h2"}) {
     AddHost(id, [&](const std::string&) {
-      if (std::exchange(first, 1) != 0) return ++more, Http200("served");
+      if (std::exchange(first, 1) != 0)
+        return ++more, Http200("served");
       return cases[turn].says;
     });
   }
@@ -389,7 +418,8 @@
   for (const char* const id : {"h1", "h2"}) {
     AddHost(id, [this](const std::string& text) {
       const std::string name = IdOf(text);
-      if (++got[name] > 1) return Http200("served");
+      if (++got[name] > 1)
+        return Http200("served");
       return name == "held" ? std::string() : std::string("reset");
     });
   }
@@ -405,7 +435,8 @@
   EXPECT_EQ(got["later"], 1);
   for (const auto& host : hosts) {
     for (Peer& peer : host->peers) {
-      if (peer) peer.Reset();
+      if (peer)
+        peer.Reset();
     }
   }
   EXPECT_TRUE(Until([&] { return held.Has("served"); }));
@@ -488,11 +519,13 @@
       peer = host.TryTake();
       usleep(2000);
     }
-    for (int i = 0; i < 1000 && !peer.Has("\r\n\r\n"); ++i) usleep(2000);
+    for (int i = 0; i < 1000 && !peer.Has("\r\n\r\n"); ++i)
+      usleep(2000);
     return peer;
   }
   static bool Hears(Peer& peer, const std::string& text) {
-    for (int i = 0; i < 1500 && !peer.Has(text); ++i) usleep(2000);
+    for (int i = 0; i < 1500 && !peer.Has(text); ++i)
+      usleep(2000);
     return peer.Has(text);
   }
 
--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -52,7 +52,8 @@
   bool Host(const std::string& until = "\r\n\r\n") {
     host = Peer();
     return Until([&] {
-      if (!host) host = port.TryTake();
+      if (!host)
+        host = port.TryTake();
       return host && host.Has(until);
     });
   }
@@ -72,14 +73,16 @@
   void SayAll(Peer& peer, std::string_view text) {
     while (!text.empty()) {
       const ssize_t n = send(peer.fd(), text.data(), text.size(), MSG_NOSIGNAL);
-      if (n > 0) text.remove_prefix(static_cast<size_t>(n));
+      if (n > 0)
+        text.remove_prefix(static_cast<size_t>(n));
       RunFor(loop, Ms(1));
       client.Heard();
     }
   }
   static std::string Noise(size_t size) {
     std::string text(size, ' ');
-    for (size_t i = 0; i < size; ++i) text[i] = static_cast<char>('a' + i * 7 % 26);
+    for (size_t i = 0; i < size; ++i)
+      text[i] = static_cast<char>('a' + i * 7 % 26);
     return text;
   }
 
@@ -106,7 +109,8 @@
   Ask("Content-Length: 0\r\n");
   Peer second;  // the other host may be asked
   ASSERT_TRUE(Until([&] {
-    if (!second) second = port.TryTake();
+    if (!second)
+      second = port.TryTake();
     return host.Has("\r\n\r\n") || (second && second.Has("\r\n\r\n"));
   }));
   (host.Has("\r\n\r\n") ? host : second).Say(testing::Http200("short"));
@@ -129,7 +133,8 @@
     ASSERT_TRUE(Host());
     host.Say("HTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
     SayAll(host, head + rest);
-    if (close) host.Close();
+    if (close)
+      host.Close();
     Until([&] { return client.Ended() || BodyOf(client.Heard()).size() == body.size(); });
     EXPECT_EQ(BodyOf(client.Heard()), body) << head << version;
     const bool chunked = client.Has("Transfer-Encoding: chunked");
@@ -170,7 +175,8 @@
   size_t taken = 0;
   for (int i = 0; i < 200; ++i) {
     const ssize_t n = send(host.fd(), part.data(), part.size(), MSG_NOSIGNAL);
-    if (n > 0) taken += static_cast<size_t>(n);
+    if (n > 0)
+      taken += static_cast<size_t>(n);
     RunFor(loop, Ms(1));
   }
   EXPECT_LT(taken, 20U << 20);  // the kernel's buffers on both ways
@@ -178,7 +184,8 @@
   other.Say("POST /safe HTTP/1.1\r\nX-Call-Id: o\r\nX-Budget-Ms: 900\r\n\r\n");
   Peer second;
   ASSERT_TRUE(Until([&] {
-    if (!second) second = port.TryTake();
+    if (!second)
+      second = port.TryTake();
     return second && second.Has("\r\n\r\n");
   }));
   second.Say(testing::Http200("quick"));
@@ -206,7 +213,8 @@
 TEST_F(LargeTest, ARequestInChunksPassesOnInChunks) {
   Ask("Transfer-Encoding: chunked\r\n");
   const std::string part = Noise(50'000);
-  for (int i = 0; i < 4; ++i) SayAll(client, "c350;e\r\n" + part + "\r\n");
+  for (int i = 0; i < 4; ++i)
+    SayAll(client, "c350;e\r\n" + part + "\r\n");
   ASSERT_TRUE(Host("Transfer-Encoding: chunked\r\n"));
   SayAll(client, "0\r\nT: t\r\n\r\n");
   ASSERT_TRUE(Until([&] { return host.Heard().ends_with("\r\n0\r\n\r\n"); }));
@@ -312,15 +320,18 @@
     bool taken = false;
     ParseProgress progress = ParseProgress::kNeedMore;
     const auto take = [&] {
-      if (!taken && !parser.head_done()) return;
-      if (!std::exchange(taken, true)) parser.TakeHead(in, head);
+      if (!taken && !parser.head_done())
+        return;
+      if (!std::exchange(taken, true))
+        parser.TakeHead(in, head);
       Buffer piece;
       progress = parser.TakeBody(in, piece, false);
       body += piece.view();
     };
     take();
     in.Append(wire.substr(split));
-    if (!taken && parser.Feed(in) == ParseProgress::kDone) continue;  // whole at once
+    if (!taken && parser.Feed(in) == ParseProgress::kDone)
+      continue;  // whole at once
     take();
     EXPECT_EQ(progress, ParseProgress::kDone) << split;
     EXPECT_EQ(body, "hello world") << split;
--- a/tests/gateway/test_peers.h
+++ b/tests/gateway/test_peers.h
@@ -32,7 +32,8 @@
                      Duration at_most = Ms(5000)) {
   const Time end = loop.Now() + at_most;
   while (!holds()) {
-    if (loop.Now() > end) return false;
+    if (loop.Now() > end)
+      return false;
     loop.RunOnce(Ms(2));
   }
   return true;
@@ -42,7 +43,9 @@
       loop, [] { return false; }, time);
 }
 
-inline void MakeNonBlocking(int fd) { fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK); }
+inline void MakeNonBlocking(int fd) {
+  fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK);
+}
 
 // The far end of a connection.
 class Peer {
@@ -65,7 +68,8 @@
   void Say(std::string_view text) {
     while (!text.empty()) {
       const ssize_t n = send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL);
-      if (n <= 0) return;
+      if (n <= 0)
+        return;
       text.remove_prefix(static_cast<size_t>(n));
     }
   }
@@ -77,8 +81,10 @@
       if (n > 0) {
         heard_.append(bytes, static_cast<size_t>(n));
       } else {
-        if (n == 0 || (errno != EAGAIN && errno != EINTR)) ended_ = true;
-        if (n < 0 && errno == EINTR) continue;
+        if (n == 0 || (errno != EAGAIN && errno != EINTR))
+          ended_ = true;
+        if (n < 0 && errno == EINTR)
+          continue;
         return heard_;
       }
     }
@@ -164,7 +170,8 @@
   // The next that was let in, but for those that filled the backlog.
   Peer TryTake() {
     Peer peer = port_.TryTake();
-    while (peer && peer.Ended()) peer = port_.TryTake();
+    while (peer && peer.Ended())
+      peer = port_.TryTake();
     return peer;
   }
 
--- a/tests/gateway/upstream_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -43,18 +43,19 @@
     std::string body;
   };
 
-  void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt, const std::string&,
-                 Outcome outcome, Duration, std::optional<LoadReport> report,
-                 std::shared_ptr<const BufferedMessage> from) override {
+  void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
+                         const std::string&, Outcome outcome, Duration,
+                         std::optional<LoadReport> report,
+                         std::shared_ptr<const BufferedMessage> from) override {
     ends.push_back({exchange->id(), attempt, outcome, std::move(report),
                     from ? std::string(from->body()) : std::string()});
   }
   void OnResponseStarted(const std::shared_ptr<ProxiedRequest>&, size_t, const std::string&,
-                     Duration) override {
+                         Duration) override {
     ++established;
   }
   void OnProbeFinished(const std::string&, Outcome outcome, Duration,
-                std::optional<LoadReport> report) override {
+                       std::optional<LoadReport> report) override {
     probes.emplace_back(outcome, std::move(report));
   }
   bool OnDescriptorsExhausted() override { return servers->CloseOneIdle(); }
@@ -73,7 +74,7 @@
   }
   std::shared_ptr<ProxiedRequest> Request(const std::string& id = "id1", Duration time = Ms(2000)) {
     return std::make_shared<ProxiedRequest>(id, MakeRequest(kPost), loop.Now() + time, cls,
-                                      [](const Response&) {});
+                                            [](const Response&) {});
   }
   std::shared_ptr<ProxiedRequest> Send(const std::string& id = "id1", Duration time = Ms(2000)) {
     auto exchange = Request(id, time);
@@ -110,7 +111,7 @@
     request.message = MakeRequest(head).message;
     request.message.body = {head.size(), 16 << 20};
     return std::make_shared<ProxiedRequest>(id, std::move(request), loop.Now() + time, cls,
-                                      [](const Response&) {});
+                                            [](const Response&) {});
   }
   // All that a host gets until its gateway's side ends, counted: bodies of what was sent whole.
   static size_t AllOf(EventLoop& loop, Peer& host) {
@@ -164,7 +165,8 @@
       {"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", Outcome::kInvalidResponse},
       {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", Outcome::kInvalidResponse},
       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes", Outcome::kInvalidResponse},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 9\r\n\r\nyes", Outcome::kInvalidResponse},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 9\r\n\r\nyes",
+       Outcome::kInvalidResponse},
       {"HTTP/1.1 200 OK\r\nX-Pad: " + std::string(20000, 'p'), Outcome::kInvalidResponse},
       {"HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 On it\r\n\r\n" + Http200("yes"),
        Outcome::kOk},
@@ -179,7 +181,8 @@
     ASSERT_TRUE(Ended(1)) << answer;
     EXPECT_EQ(ends[0].outcome, outcome) << answer;
     EXPECT_EQ(ends[0].body, outcome == Outcome::kOk ? "yes" : "") << answer;
-    while (servers->CloseOneIdle()) {}
+    while (servers->CloseOneIdle()) {
+    }
   }
 }
 
@@ -465,8 +468,8 @@
   request.bytes.Append(head + std::string(16 << 20, 'x'));
   request.message = MakeRequest(head).message;
   request.message.body = {head.size(), 16 << 20};
-  auto exchange = std::make_shared<ProxiedRequest>("big", std::move(request), loop.Now() + Ms(300), cls,
-                                             [](const Response&) {});
+  auto exchange = std::make_shared<ProxiedRequest>("big", std::move(request), loop.Now() + Ms(300),
+                                                   cls, [](const Response&) {});
   servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
   Peer host = port.Take(loop);
   testing::RunFor(loop, Ms(50));
@@ -497,7 +500,8 @@
   for (int i = 0; i < 5000; ++i) {
     servers->SetEndpointAddress("n" + std::to_string(i), port.address());
     servers->RemoveEndpoint("n" + std::to_string(i));
-    if (i % 100 == 0) loop.RunOnce(Duration(0));
+    if (i % 100 == 0)
+      loop.RunOnce(Duration(0));
   }
   loop.RunOnce(Duration(0));
   EXPECT_EQ(servers->host_count(), 1u);
@@ -669,7 +673,8 @@
   probed.Say(Http200("inflight=1,latency_ms=1"));
   ASSERT_TRUE(RunUntil(loop, [&] { return servers->idle_count() == 1; }));
   std::vector<std::shared_ptr<ProxiedRequest>> held;
-  for (int i = 0; i < 20; ++i) held.push_back(Send("id" + std::to_string(i)));
+  for (int i = 0; i < 20; ++i)
+    held.push_back(Send("id" + std::to_string(i)));
   EXPECT_TRUE(ends.empty());
   EXPECT_EQ(servers->idle_count(), 0u);
   held.push_back(Send("one more"));
@@ -748,7 +753,8 @@
   Make(Plain());
   const auto exchange = Send("id1", Ms(40));
   Peer host;
-  while (!host) host = port.TryTake();  // up for the kernel, not yet for the loop
+  while (!host)
+    host = port.TryTake();  // up for the kernel, not yet for the loop
   usleep(60'000);
   loop.RunOnce(Duration(0));
   ASSERT_TRUE(Ended(1));
--- a/tests/http/http_parser_test.cpp
+++ b/tests/http/http_parser_test.cpp
@@ -23,7 +23,8 @@
   HttpParser parser(kind);
   for (const std::string& piece : pieces) {
     in.Append(piece);
-    if (out.progress == ParseProgress::kNeedMore) out.progress = parser.Feed(in);
+    if (out.progress == ParseProgress::kNeedMore)
+      out.progress = parser.Feed(in);
   }
   out.bad = parser.error_status();
   out.message = parser.message();
@@ -37,11 +38,14 @@
 Parsed ParseRequest(const std::string& text) {
   return Parse(HttpParser::Kind::kRequest, {text});
 }
-Parsed ParseAnswer(const std::string& text) { return Parse(HttpParser::Kind::kResponse, {text}); }
+Parsed ParseAnswer(const std::string& text) {
+  return Parse(HttpParser::Kind::kResponse, {text});
+}
 
 std::vector<std::string> Bytes(const std::string& text) {
   std::vector<std::string> bytes;
-  for (const char c : text) bytes.emplace_back(1, c);
+  for (const char c : text)
+    bytes.emplace_back(1, c);
   return bytes;
 }
 
@@ -67,8 +71,7 @@
     const Parsed whole = ParseRequest(text);
     ASSERT_EQ(whole.progress, ParseProgress::kDone);
     for (size_t at = 1; at < text.size(); ++at) {
-      const Parsed split =
-          Parse(HttpParser::Kind::kRequest, {text.substr(0, at), text.substr(at)});
+      const Parsed split = Parse(HttpParser::Kind::kRequest, {text.substr(0, at), text.substr(at)});
       ASSERT_EQ(split.progress, ParseProgress::kDone) << at;
       EXPECT_EQ(split.body, whole.body) << at;
       EXPECT_EQ(split.message.headers.size(), whole.message.headers.size()) << at;
@@ -154,13 +157,16 @@
 TEST(Http, LimitsHeadAndBody) {
   EXPECT_EQ(ParseRequest("GET /" + std::string(kMaxHeadBytes, 'a')).bad, 431);
   std::string many = "GET /a HTTP/1.1\r\n";
-  for (size_t i = 0; i <= kMaxHeaders; ++i) many += "A: b\r\n";
+  for (size_t i = 0; i <= kMaxHeaders; ++i)
+    many += "A: b\r\n";
   EXPECT_EQ(ParseRequest(many + "\r\n").bad, 431);
   const std::string most(kMaxBufferedBodyBytes, 'b');
-  const std::string head = "POST /a HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBufferedBodyBytes);
+  const std::string head =
+      "POST /a HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBufferedBodyBytes);
   EXPECT_EQ(ParseRequest(head + "\r\n\r\n" + most).body, most);
   std::string chunks = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-  for (int i = 0; i < 17; ++i) chunks += "1000\r\n" + std::string(4096, 'c') + "\r\n";
+  for (int i = 0; i < 17; ++i)
+    chunks += "1000\r\n" + std::string(4096, 'c') + "\r\n";
   EXPECT_EQ(ParseRequest(chunks + "0\r\n\r\n").bad, 413);
 }
 
@@ -243,9 +249,15 @@
       const size_t at = rng() % text.size();
       const char c = alphabet[rng() % alphabet.size()];
       switch (rng() % 3) {
-        case 0: text[at] = c; break;
-        case 1: text.insert(at, 1, c); break;
-        default: text.erase(at, 1); break;
+        case 0:
+          text[at] = c;
+          break;
+        case 1:
+          text.insert(at, 1, c);
+          break;
+        default:
+          text.erase(at, 1);
+          break;
       }
     }
     const auto kind = request ? HttpParser::Kind::kRequest : HttpParser::Kind::kResponse;
--- a/tests/http/proxied_request_test.cpp
+++ b/tests/http/proxied_request_test.cpp
@@ -14,8 +14,9 @@
   std::shared_ptr<const RequestClass> cls =
       std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kSafe));
   std::vector<int> answers;
-  ProxiedRequest exchange{"id", BufferedMessage{}, Time(100), cls,
-                    [this](const Response& answer) { answers.push_back(answer.status); }};
+  ProxiedRequest exchange{"id", BufferedMessage{}, Time(100), cls, [this](const Response& answer) {
+                            answers.push_back(answer.status);
+                          }};
 };
 
 TEST_F(ExchangeTest, GivesOneAnswer) {
--- a/tests/lab/capacity_test.cpp
+++ b/tests/lab/capacity_test.cpp
@@ -47,9 +47,15 @@
     "racks_lost_per_day = 1\nzones_lost_per_year = 6\nregions_parted_h = 1\n"
     "[control_gateway]\ncpu_core = 0.036\nmemory_mb = 64\nbytes_per_s = 3_000\n";
 
-CapacityTarget TestTarget() { return ParseTarget(kTarget, "t.toml"); }
-CapacityTarget CommittedTarget() { return ParseTarget(TextOf(kFolder + "target.toml"), "t.toml"); }
-CapacityRows CommittedRows() { return ParseRows(TextOf(kFolder + "rows.toml"), "rows.toml"); }
+CapacityTarget TestTarget() {
+  return ParseTarget(kTarget, "t.toml");
+}
+CapacityTarget CommittedTarget() {
+  return ParseTarget(TextOf(kFolder + "target.toml"), "t.toml");
+}
+CapacityRows CommittedRows() {
+  return ParseRows(TextOf(kFolder + "rows.toml"), "rows.toml");
+}
 
 template <typename Do>
 std::string FaultOf(Do&& act) {
@@ -80,7 +86,8 @@
 // All keys of the target, so that a file of a few rows can be weighed.
 std::string CoversAll() {
   std::string covers;
-  for (const auto& [key, figure] : TestTarget().figures) covers += "\"" + key + "\", ";
+  for (const auto& [key, figure] : TestTarget().figures)
+    covers += "\"" + key + "\", ";
   return "[[assumption]]\nwhat = \"a\"\nvalue = 1\nwhy = \"a test\"\ncovers = [" + covers + "]\n";
 }
 
@@ -153,7 +160,8 @@
   EXPECT_EQ(fit.fixed, 0);
   EXPECT_EQ(fit.residue, 0);
   runs.clear();
-  for (const double members : {25.0, 100.0, 400.0}) runs.push_back(ScaleRun(members, 0.004));
+  for (const double members : {25.0, 100.0, 400.0})
+    runs.push_back(ScaleRun(members, 0.004));
   fit = FitOf(kSlopeKeys, runs);
   EXPECT_EQ(fit.slope, 0);
   EXPECT_EQ(fit.fixed, 0.004);
@@ -277,7 +285,8 @@
                           "allowed = \"gateways\"\n"),
               runs);
   std::vector<std::string> order;
-  for (const CapacityLine& line : capacity.lines) order.push_back(line.row.id);
+  for (const CapacityLine& line : capacity.lines)
+    order.push_back(line.row.id);
   EXPECT_EQ(order,
             (std::vector<std::string>{"absent", "sum", "over", "room", "unmeasured", "told"}));
   const json rows = json::parse(ToJson(capacity)).at("rows");
@@ -477,7 +486,8 @@
     child.Start({}, words, [] { dup2(STDERR_FILENO, STDOUT_FILENO); });
     const int code = child.Wait();
     said = child.Text();
-    for (size_t at; (at = said.find(folder_)) != std::string::npos;) said.erase(at, folder_.size());
+    for (size_t at; (at = said.find(folder_)) != std::string::npos;)
+      said.erase(at, folder_.size());
     return code;
   }
   int Fit() { return Run({"--fit", folder_ + "runs"}); }
@@ -544,7 +554,8 @@
 TEST(CapacityPageTest, MechanismsAreFilesOrNone) {
   for (const CapacityRow& row : CommittedRows().rows) {
     EXPECT_EQ(row.mechanism == "none", row.kind == CapacityKind::kNone) << row.id;
-    if (row.mechanism == "none") continue;
+    if (row.mechanism == "none")
+      continue;
     std::istringstream files(row.mechanism);
     for (std::string file; std::getline(files >> std::ws, file, ',');) {
       EXPECT_TRUE(std::filesystem::is_regular_file(std::string(PADDLESTILE_SOURCE) + "/" + file))
@@ -605,11 +616,14 @@
                                  "/added/@160/p99_ms",
                                  "/added/@640/p99_ms"};
   for (const std::string role : {"leader", "voter", "gateway"}) {
-    for (const std::string& figure : process) known.insert(fmt::format("/{}/{}", role, figure));
+    for (const std::string& figure : process)
+      known.insert(fmt::format("/{}/{}", role, figure));
   }
   for (const CapacityRow& row : CommittedRows().rows) {
-    for (const std::string& figure : row.figure) EXPECT_TRUE(known.contains(figure)) << figure;
-    for (const auto& [pointer, value] : row.where) EXPECT_TRUE(known.contains(pointer)) << pointer;
+    for (const std::string& figure : row.figure)
+      EXPECT_TRUE(known.contains(figure)) << figure;
+    for (const auto& [pointer, value] : row.where)
+      EXPECT_TRUE(known.contains(pointer)) << pointer;
     if (!row.by.empty()) {
       EXPECT_TRUE(known.contains(row.by)) << row.by;
     }
--- a/tests/lab/cluster_experiment_test.cpp
+++ b/tests/lab/cluster_experiment_test.cpp
@@ -26,7 +26,9 @@
   const char* gateway;  // how it breaks; empty: the program
   const char* term;
 };
-void PrintTo(const Case& c, std::ostream* out) { *out << c.experiment << " " << c.gateway; }
+void PrintTo(const Case& c, std::ostream* out) {
+  *out << c.experiment << " " << c.gateway;
+}
 
 class Bank : public ::testing::TestWithParam<Case> {};
 
@@ -44,12 +46,14 @@
     FILE* const pipe = popen((command + " 2>&1").c_str(), "r");  // NOLINT: a fixed program
     std::array<char, 4096> part{};
     std::string text;
-    while (fgets(part.data(), part.size(), pipe) != nullptr) text += part.data();
+    while (fgets(part.data(), part.size(), pipe) != nullptr)
+      text += part.data();
     const int status = pclose(pipe);
     std::ifstream file(path);
     result = json::parse(file, nullptr, false);
     ASSERT_FALSE(result.is_discarded()) << text;
-    if (result["verdict"] == "void") continue;
+    if (result["verdict"] == "void")
+      continue;
     EXPECT_EQ(WEXITSTATUS(status), honest ? 0 : 1) << text;
     break;
   }
@@ -100,7 +104,8 @@
         }
         EXPECT_EQ(kept_off.size(), plan.blocks() * at_once);
         std::set<size_t> passing;
-        for (size_t n = 0; n < 2 * hosts; ++n) passing.insert(plan.Passing(n));
+        for (size_t n = 0; n < 2 * hosts; ++n)
+          passing.insert(plan.Passing(n));
         for (const size_t host : passing) {
           EXPECT_LT(host, hosts);
           EXPECT_FALSE(kept_off.contains(host)) << hosts << " " << at_once << " " << seed;
@@ -127,7 +132,8 @@
   for (const size_t hosts : {1, 2, 3}) {
     const BarPlan plan(hosts, BarPlan::Several(hosts), 1);
     for (size_t n = 0; n < 9; ++n) {
-      for (const size_t host : plan.KeptOff(n)) EXPECT_LT(host, hosts);
+      for (const size_t host : plan.KeptOff(n))
+        EXPECT_LT(host, hosts);
       EXPECT_LT(plan.Passing(n), hosts);
     }
   }
@@ -141,7 +147,8 @@
   BankJudge judge{kBound, kSlack};
   bool Says(const std::string& term) {
     for (const std::string& line : judge.Finish(Time(9'000'000), Time(9'000'000)).broken) {
-      if (line.starts_with("bank: " + term)) return true;
+      if (line.starts_with("bank: " + term))
+        return true;
     }
     return false;
   }
@@ -179,7 +186,8 @@
     judge = BankJudge(kBound, kSlack);
     judge.Submitted(At(1), {{7}, {}});
     judge.ToldDone(At(2), 0, 1);
-    if (wanted_back) judge.Submitted(At(3), {});
+    if (wanted_back)
+      judge.Submitted(At(3), {});
     judge.Received(At(at), 7, 0, 0, At(at), 1, excused, "r");
     judge.Received(At(at), 8, 0, 0, At(at), 1, false, "r");
     EXPECT_EQ(Says("contradiction"), broken) << at << wanted_back << excused;
--- a/tests/lab/cluster_simulation_test.cpp
+++ b/tests/lab/cluster_simulation_test.cpp
@@ -60,7 +60,9 @@
   std::vector<const char*> terms;
   WorldChanges changes = WorldChanges::kMixed;
 };
-void PrintTo(const Found& found, std::ostream* out) { *out << NameOf(found.mischief); }
+void PrintTo(const Found& found, std::ostream* out) {
+  *out << NameOf(found.mischief);
+}
 class Breaks : public ::testing::TestWithParam<Found> {};
 
 // A judge that cannot fail shows nothing.
@@ -69,7 +71,8 @@
   uint64_t named = 0;
   for (const char* const term : GetParam().terms) {
     const auto at = r.terms.find(term);
-    if (at != r.terms.end()) named += at->second;
+    if (at != r.terms.end())
+      named += at->second;
   }
   EXPECT_GT(named, 0U) << ToText(r, {});
   EXPECT_EQ(named, r.broken) << ToText(r, {});
--- a/tests/lab/faulty_cluster_member.cpp
+++ b/tests/lab/faulty_cluster_member.cpp
@@ -28,7 +28,8 @@
  public:
   Breaker(std::string how, EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
           GatewayConfig file)
-      : ClusterAgent(loop, std::move(config), gateway, life, std::move(file)), how_(std::move(how)) {}
+      : ClusterAgent(loop, std::move(config), gateway, life, std::move(file)),
+        how_(std::move(how)) {}
 
  private:
   cluster::EffectiveConfig CurrentConfig() const override {
@@ -38,31 +39,47 @@
       stance.valid_until = Now() + kLate;
     }
     // Looked at again and again, or nothing would come late.
-    if (how_ == "applies-late") stance.latest_version = static_cast<uint64_t>(Now().count());
+    if (how_ == "applies-late") {
+      stance.latest_version = static_cast<uint64_t>(Now().count());
+    }
     return stance;
   }
   cluster::VersionContent ContentOf(const cluster::EffectiveConfig& stance) const override {
     cluster::VersionContent rules = ClusterAgent::ContentOf(stance);
-    if (how_ != "applies-late") return rules;
+    if (how_ != "applies-late") {
+      return rules;
+    }
     past_.emplace_back(Now(), rules);
-    while (past_.size() > 1 && past_[1].first <= Now() - kLate) past_.pop_front();
+    while (past_.size() > 1 && past_[1].first <= Now() - kLate) {
+      past_.pop_front();
+    }
     return past_.front().second;
   }
   void TamperOutgoing(cluster::ChangeRequest& wish) override {
-    if (how_ == "takes-twice") wish.change.id += "'" + std::to_string(Now().count());
+    if (how_ == "takes-twice") {
+      wish.change.id += "'" + std::to_string(Now().count());
+    }
   }
   void TamperOutgoing(raft::Message& message) override {
-    if (how_ == "forgets") message.claim_of_receiver = {};
+    if (how_ == "forgets") {
+      message.claim_of_receiver = {};
+    }
   }
   void TamperIncoming(raft::Message& message) override {
-    if (how_ != "misapplies") return;
+    if (how_ != "misapplies") {
+      return;
+    }
     for (raft::LogEntry& entry : message.entries) {
-      if (entry.kind != raft::LogEntry::Kind::kData) continue;
+      if (entry.kind != raft::LogEntry::Kind::kData) {
+        continue;
+      }
       nlohmann::json value = nlohmann::json::from_cbor(entry.bytes);
       value.erase("hash");
       if (value.contains("delta")) {
         nlohmann::json delta = nlohmann::json::parse(value["delta"].get<std::string>());
-        if (delta.contains("barred")) delta["barred"].erase("add");
+        if (delta.contains("barred")) {
+          delta["barred"].erase("add");
+        }
         value["delta"] = delta.dump();
       }
       entry.bytes.clear();
@@ -78,12 +95,18 @@
 };
 
 void Forget() {
-  const ClusterConfig config = ReadClusterConfig(std::getenv("LB_OPERATOR"), std::getenv("LB_NAME"));
+  const ClusterConfig config =
+      ReadClusterConfig(std::getenv("LB_OPERATOR"), std::getenv("LB_NAME"));
   storage::FileSystem& files = storage::SystemFiles();
-  if (!files.Exists(storage::WriteAheadLog::PathIn(config.folder))) return;
+  if (!files.Exists(storage::WriteAheadLog::PathIn(config.folder))) {
+    return;
+  }
   std::vector<std::string> records;
-  storage::WriteAheadLog log(files, config.folder, [&](std::string_view r) { records.emplace_back(r); });
-  if (records.size() < 4 * kForgets) return;
+  storage::WriteAheadLog log(files, config.folder,
+                             [&](std::string_view r) { records.emplace_back(r); });
+  if (records.size() < 4 * kForgets) {
+    return;
+  }
   records.resize(records.size() - kForgets);
   log.Replace(records);
 }
@@ -94,10 +117,12 @@
 int main(int argc, char** argv) {
   using namespace paddlestile;
   const std::string how = argc > 1 ? argv[1] : "";
-  if (how == "forgets") Forget();
+  if (how == "forgets") {
+    Forget();
+  }
   ServeOptions options;
-  options.membership = [how](EventLoop& loop, ClusterConfig config, Gateway& gateway, Lifecycle& life,
-                             GatewayConfig file) -> std::unique_ptr<ClusterAgent> {
+  options.membership = [how](EventLoop& loop, ClusterConfig config, Gateway& gateway,
+                             Lifecycle& life, GatewayConfig file) -> std::unique_ptr<ClusterAgent> {
     return std::make_unique<Breaker>(how, loop, std::move(config), gateway, life, std::move(file));
   };
   return Serve(options);
--- a/tests/lab/faulty_gateway.cpp
+++ b/tests/lab/faulty_gateway.cpp
@@ -60,7 +60,8 @@
   Breaker(EventLoop& loop, GatewayConfig config, How how, int every)
       : loop_(loop), config_(std::move(config)), how_(how), every_(every) {
     OnEndpointList(std::move(config_.initial_endpoints));
-    list_ = std::make_unique<DiscoveryClient>(loop_, config_.discovery, config_.names, 0, true, this);
+    list_ =
+        std::make_unique<DiscoveryClient>(loop_, config_.discovery, config_.names, 0, true, this);
     list_->Start();
     listener_ = std::make_unique<lab::Listener>(loop_, config_.listen, [this](FileDescriptor fd) {
       clients_.push_back(std::make_shared<Client>(*this, std::move(fd)));
@@ -70,7 +71,9 @@
   }
 
   void OnEndpointList(EndpointList list) override {
-    if (list.complete) hosts_.clear();
+    if (list.complete) {
+      hosts_.clear();
+    }
     for (EndpointListEntry& entry : list.endpoints) {
       std::erase_if(hosts_, [&](const auto& h) { return h.info.id == entry.info.id; });
       const bool up = entry.info.state == EndpointState::kUp;
@@ -93,11 +96,15 @@
         const HttpMessage& m = parser.message();
         return End(m.status == 200, std::string(m.body.In(stream.input().view())));
       }
-      if (stream.ended()) End(false, "");
+      if (stream.ended()) {
+        End(false, "");
+      }
     }
     void OnError() override { End(false, ""); }
     void End(bool good, std::string body) {
-      if (stream.closed()) return;
+      if (stream.closed()) {
+        return;
+      }
       stream.Close();
       breaker.loop_.RunDeferred([kept = *place] {});
       breaker.attempts_.erase(place);
@@ -119,7 +126,9 @@
         const Buffer bytes = stream.input().TakeFront(m.total_bytes);
         parser.Reset();
         const std::string_view base = bytes.view();
-        if (m.target.In(base) == "/_health") return Answer(200, "");
+        if (m.target.In(base) == "/_health") {
+          return Answer(200, "");
+        }
         Request request;
         request.id = m.FindHeader(base, "X-Call-Id").value_or("");
         request.cls = m.target.In(base).substr(1);
@@ -127,17 +136,23 @@
         busy = true;
         breaker.Take(*place, request);
       }
-      if (stream.ended()) Close();
+      if (stream.ended()) {
+        Close();
+      }
     }
     void OnError() override { Close(); }
     void Close() {
-      if (stream.closed()) return;
+      if (stream.closed()) {
+        return;
+      }
       stream.Close();
       breaker.loop_.RunDeferred([kept = *place] {});
       breaker.clients_.erase(place);
     }
     void Answer(int status, const std::string& body) {
-      if (stream.closed()) return;
+      if (stream.closed()) {
+        return;
+      }
       busy = false;
       stream.Write(
           fmt::format("HTTP/1.1 {} X\r\nContent-Length: {}\r\n\r\n{}", status, body.size(), body));
@@ -152,15 +167,20 @@
   const EndpointListEntry& Next(int zone_not = -1) {
     for (size_t i = 0; i < hosts_.size(); ++i) {
       const EndpointListEntry& host = hosts_[turn_++ % hosts_.size()];
-      if (zone_not < 0 || host.info.zone != zone_not) return host;
+      if (zone_not < 0 || host.info.zone != zone_not) {
+        return host;
+      }
     }
     return hosts_[0];
   }
 
-  void Send(const EndpointListEntry& host, std::string text, std::function<void(bool, std::string)> then) {
+  void Send(const EndpointListEntry& host, std::string text,
+            std::function<void(bool, std::string)> then) {
     bool refused = false;
     auto socket = Connect(host.address, nullptr, refused);
-    if (!socket) return then(false, "");
+    if (!socket) {
+      return then(false, "");
+    }
     attempts_.push_back(std::make_shared<Attempt>(*this, std::move(*socket), std::move(then)));
     Attempt& attempt = *attempts_.back();
     attempt.place = std::prev(attempts_.end());
@@ -175,12 +195,20 @@
                        : how_ == How::kUnsafe || how_ == How::kRefuse  ? unsafe
                                                                        : true;
     const bool now = about && how_ != How::kHonest && ++count_ % every_ == 0;
-    if (now && how_ == How::kCrash) std::abort();
+    if (now && how_ == How::kCrash) {
+      std::abort();
+    }
     if (now && how_ == How::kHang) {
-      while (true) pause();
+      while (true) {
+        pause();
+      }
+    }
+    if (how_ == How::kLeak) {
+      leaked_.emplace_back(1 << 20, 'x');
+    }
+    if (how_ == How::kLeakFds) {
+      dup(STDERR_FILENO);
     }
-    if (how_ == How::kLeak) leaked_.emplace_back(1 << 20, 'x');
-    if (how_ == How::kLeakFds) dup(STDERR_FILENO);
     EndpointListEntry host = Next();
     if (how_ == How::kCold) {
       // All to the one that started last.
@@ -206,12 +234,22 @@
              });
              return;
            }
-           if (now && how_ == How::kLose) return client->Close();
-           if (now && how_ == How::kRefuse) return client->Answer(503, "");
-           if (now && how_ == How::kSwap) return client->Answer(200, last_);
-           if (good) last_ = body;
+           if (now && how_ == How::kLose) {
+             return client->Close();
+           }
+           if (now && how_ == How::kRefuse) {
+             return client->Answer(503, "");
+           }
+           if (now && how_ == How::kSwap) {
+             return client->Answer(200, last_);
+           }
+           if (good) {
+             last_ = body;
+           }
            client->Answer(good ? 200 : 502, body);
-           if (now && how_ == How::kTwice) client->Answer(good ? 200 : 502, body);
+           if (now && how_ == How::kTwice) {
+             client->Answer(good ? 200 : 502, body);
+           }
          });
   }
 
@@ -234,12 +272,15 @@
 
 int main(int argc, char** argv) {
   using namespace paddlestile;  // NOLINT: a program of its own
-  if (argc < 2 || !kHows.contains(argv[1])) return 2;
+  if (argc < 2 || !kHows.contains(argv[1])) {
+    return 2;
+  }
   signal(SIGPIPE, SIG_IGN);
   signal(SIGTERM, [](int) { _exit(0); });
   EventLoop loop;
-  GatewayConfig config = ReadGatewayConfig([](const char* name) { return std::getenv(name); },
-                             [&](double ms) { return loop.clock().FromUnixMillis(ms); });
+  GatewayConfig config =
+      ReadGatewayConfig([](const char* name) { return std::getenv(name); },
+                        [&](double ms) { return loop.clock().FromUnixMillis(ms); });
   Breaker breaker(loop, std::move(config), kHows.at(argv[1]), argc > 2 ? std::atoi(argv[2]) : 100);
   loop.Run();
 }
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -29,7 +29,8 @@
   Ran ran;
   FILE* const pipe = popen((command + " 2>&1").c_str(), "r");  // NOLINT: a fixed program
   std::array<char, 4096> part{};
-  while (fgets(part.data(), part.size(), pipe) != nullptr) ran.text += part.data();
+  while (fgets(part.data(), part.size(), pipe) != nullptr)
+    ran.text += part.data();
   const int status = pclose(pipe);
   ran.code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   return ran;
@@ -48,8 +49,10 @@
       code = ran.code;
       std::ifstream file(json_);
       json result = json::parse(file, nullptr, false);
-      if (result.is_discarded()) ADD_FAILURE() << ran.text;
-      if (result.is_discarded() || result["verdict"] != "void") return result;
+      if (result.is_discarded())
+        ADD_FAILURE() << ran.text;
+      if (result.is_discarded() || result["verdict"] != "void")
+        return result;
     }
     ADD_FAILURE() << "the machine was too busy three times";
     return {};
@@ -64,7 +67,9 @@
   const char* rule;  // as the verdict names it; the request's id and the time stand in its line
 };
 
-void PrintTo(const Breach& breach, std::ostream* out) { *out << breach.how; }
+void PrintTo(const Breach& breach, std::ostream* out) {
+  *out << breach.how;
+}
 
 class Broken : public LabRun, public ::testing::WithParamInterface<Breach> {};
 
--- a/tests/peer/peer_connections_test.cpp
+++ b/tests/peer/peer_connections_test.cpp
@@ -20,7 +20,8 @@
 
 TEST(Frames, DeepOrCutOnesAreNonsense) {
   json deep = 1;
-  for (size_t i = 0; i < kMaxDepth; ++i) deep = json::array({deep});
+  for (size_t i = 0; i < kMaxDepth; ++i)
+    deep = json::array({deep});
   std::string bytes;
   json::to_cbor(deep, bytes);
   EXPECT_TRUE(DecodeValue(bytes));
@@ -52,9 +53,16 @@
   using namespace raft;
   Message m;
   m.type = Message::Type::kInstallSnapshot;
-  m.from = "a", m.to = "b", m.term = 7, m.index = 9, m.commit_index = 3, m.granted = true;
-  m.sent_at = Time(5), m.asked_at = Time(-1);
-  m.entries = {{1, LogEntry::Kind::kVoters, "", {{"a", 1}}}, {2, LogEntry::Kind::kData, "\xff\0x", {}}};
+  m.from = "a";
+  m.to = "b";
+  m.term = 7;
+  m.index = 9;
+  m.commit_index = 3;
+  m.granted = true;
+  m.sent_at = Time(5);
+  m.asked_at = Time(-1);
+  m.entries = {{1, LogEntry::Kind::kVoters, "", {{"a", 1}}},
+               {2, LogEntry::Kind::kData, "\xff\0x", {}}};
   m.snapshot = {4, 2, {{"b", 2}}, std::string("\0\x80", 2)};
   m.own_claim = {1, 2, 3, 4};
   const json value = ToJson(m);
@@ -64,7 +72,11 @@
   EXPECT_EQ(back->entries, m.entries);
   EXPECT_EQ(back->snapshot, m.snapshot);
   StorageWrite w;
-  w.sequence_number = 0, w.current_term = 3, w.voted_for = "a", w.first_index = 2, w.entries = m.entries,
+  w.sequence_number = 0;
+  w.current_term = 3;
+  w.voted_for = "a";
+  w.first_index = 2;
+  w.entries = m.entries;
   w.snapshot = m.snapshot;
   EXPECT_EQ(ToJson(*ReadWrite(ToJson(w))), ToJson(w));
   for (size_t i = 0; i < value.size(); ++i) {
@@ -90,7 +102,8 @@
   }
   void OnDisconnected(const std::string& other) override { up.erase(other); }
   void OnFrame(const std::string& other, const json& value) override {
-    if (value.contains("x")) heard += other + " says " + value["x"].dump() + ";";
+    if (value.contains("x"))
+      heard += other + " says " + value["x"].dump() + ";";
   }
   void OnCall(uint64_t call, const json& value) override { links.Reply(call, {{"to", value}}); }
   DescriptorBudget budget{512};
@@ -103,10 +116,15 @@
  protected:
   PeerConnectionOptions Options(const std::string& name, uint64_t life, uint64_t boot) {
     PeerConnectionOptions o;
-    o.cluster_name = "north", o.name = name, o.incarnation = life, o.restart_count = boot;
-    for (const char* const member : {"a", "b"}) o.members[member] = At(member[0]);
+    o.cluster_name = "north";
+    o.name = name;
+    o.incarnation = life;
+    o.restart_count = boot;
+    for (const char* const member : {"a", "b"})
+      o.members[member] = At(member[0]);
     o.listen = o.members.at(name);
-    o.heartbeat_interval = Duration(50'000), o.silence_timeout = Duration(300'000);
+    o.heartbeat_interval = Duration(50'000);
+    o.silence_timeout = Duration(300'000);
     return o;
   }
   static Address At(char member) {
@@ -115,7 +133,8 @@
   }
   bool Until(const std::function<bool()>& that, int ms = 3000) {
     const Time end = loop.Now() + Duration(ms * 1000);
-    while (!that() && loop.Now() < end) loop.RunOnce(Duration(5000));
+    while (!that() && loop.Now() < end)
+      loop.RunOnce(Duration(5000));
     return that();
   }
   EventLoop loop;
@@ -143,12 +162,12 @@
   const auto hello = [](const char* bank, const char* from, const char* to, int format, int life,
                         int boot) {
     return EncodeFrame({{"hello", format},
-                    {"bank", bank},
-                    {"from", from},
-                    {"to", to},
-                    {"life", life},
-                    {"boot", boot},
-                    {"known", "x"}});
+                        {"bank", bank},
+                        {"from", from},
+                        {"to", to},
+                        {"life", life},
+                        {"boot", boot},
+                        {"known", "x"}});
   };
   const std::string good = hello("north", "a", "b", kProtocolVersion, 7, 3);
   const std::string strange[] = {hello("south", "a", "b", kProtocolVersion, 7, 3),
@@ -190,14 +209,15 @@
   End b(loop, "b", options);
   Peer slow = Peer::To(At('b'));
   slow.Say(EncodeFrame({{"hello", kProtocolVersion},
-                    {"bank", "north"},
-                    {"from", "a"},
-                    {"to", "b"},
-                    {"life", 7},
-                    {"boot", 1},
-                    {"known", "x"}}));
+                        {"bank", "north"},
+                        {"from", "a"},
+                        {"to", "b"},
+                        {"life", 7},
+                        {"boot", 1},
+                        {"known", "x"}}));
   ASSERT_TRUE(Until([&] { return b.up.contains("a"); }));
-  for (int i = 0; i < 2000; ++i) b.links.Send("a", {{"x", std::string(10'000, 'y')}});
+  for (int i = 0; i < 2000; ++i)
+    b.links.Send("a", {{"x", std::string(10'000, 'y')}});
   EXPECT_GT(b.links.statistics().dropped, 1000U);
   EXPECT_TRUE(Until([&] { return b.up.empty(); }));
   EXPECT_EQ(b.links.statistics().timed_out, 1U);
@@ -212,12 +232,12 @@
   for (int i = 0; i < 20; ++i) {
     Peer peer = Peer::To(At('b'));
     peer.Say(EncodeFrame({{"hello", kProtocolVersion},
-                      {"bank", "north"},
-                      {"from", "a"},
-                      {"to", "b"},
-                      {"life", 7},
-                      {"boot", 1},
-                      {"known", "x"}}));
+                          {"bank", "north"},
+                          {"from", "a"},
+                          {"to", "b"},
+                          {"life", 7},
+                          {"boot", 1},
+                          {"known", "x"}}));
     peer.Reset();
     Until([] { return false; }, 20);
     b.links.Send("a", {{"x", 1}});
--- a/tests/raft/raft_node_test.cpp
+++ b/tests/raft/raft_node_test.cpp
@@ -24,15 +24,24 @@
 Message AskVote(Term term, bool trial, Index index, Term index_term) {
   Message m;
   m.type = Message::Type::kRequestVote;
-  m.from = "b", m.to = "a", m.from_incarnation = 2;
-  m.term = term, m.is_pre_vote = trial, m.index = index, m.index_term = index_term;
+  m.from = "b";
+  m.to = "a";
+  m.from_incarnation = 2;
+  m.term = term;
+  m.is_pre_vote = trial;
+  m.index = index;
+  m.index_term = index_term;
   return m;
 }
 
 Message Append(Term term, Index before, Term before_term, std::vector<LogEntry> entries) {
   Message m;
-  m.from = "b", m.to = "a", m.from_incarnation = 2;
-  m.term = term, m.index = before, m.index_term = before_term;
+  m.from = "b";
+  m.to = "a";
+  m.from_incarnation = 2;
+  m.term = term;
+  m.index = before;
+  m.index_term = before_term;
   m.entries = std::move(entries);
   return m;
 }
@@ -67,7 +76,8 @@
 TEST_F(Voting, VotesOnceInATerm) {
   Receive(kSecond, AskVote(2, false, 1, 1));
   Message other = AskVote(2, false, 1, 1);
-  other.from = "c", other.from_incarnation = 3;
+  other.from = "c";
+  other.from_incarnation = 3;
   EXPECT_FALSE(Receive(kSecond, other).messages.at(0).message.granted);
 }
 
@@ -102,8 +112,9 @@
 }
 
 TEST_F(Voting, TakesAwayWhatAnotherTermHadBehind) {
-  Receive(kSecond,
-          Append(2, 1, 1, {{2, LogEntry::Kind::kData, "x", {}}, {2, LogEntry::Kind::kData, "y", {}}}));
+  Receive(
+      kSecond,
+      Append(2, 1, 1, {{2, LogEntry::Kind::kData, "x", {}}, {2, LogEntry::Kind::kData, "y", {}}}));
   const RaftOutput out = Receive(kSecond, Append(3, 1, 1, {{3, LogEntry::Kind::kData, "z", {}}}));
   EXPECT_EQ(a.last_log_index(), 2U);
   EXPECT_EQ(out.writes.back().first_index, 2U);
@@ -134,7 +145,8 @@
 // A disk that was put back from a copy has forgotten a vote or an acknowledgement.
 TEST_F(Voting, FindsOutThatItsDiskHasGoneBack) {
   Message m = Append(2, 1, 1, {});
-  m.claim_of_receiver = {1, 1, 3, 0};  // it has told of term 3 in this life and start: its disk has 1
+  m.claim_of_receiver = {1, 1, 3,
+                         0};  // it has told of term 3 in this life and start: its disk has 1
   const RaftOutput out = Receive(kSecond, m);
   EXPECT_TRUE(out.storage_rolled_back);
   EXPECT_TRUE(out.messages.empty());
@@ -147,10 +159,14 @@
   RaftOutput out;
   a.OnPeerConnected(Time(0), "b", 22, {}, out);
   Time now{0};
-  while (a.role() != Role::kPreCandidate) a.OnTimeout(now = a.NextTimeout(), out);
+  while (a.role() != Role::kPreCandidate)
+    a.OnTimeout(now = a.NextTimeout(), out);
   Message vote;
   vote.type = Message::Type::kRequestVoteReply;
-  vote.from = "b", vote.to = "a", vote.from_incarnation = 22, vote.term = 1;
+  vote.from = "b";
+  vote.to = "a";
+  vote.from_incarnation = 22;
+  vote.term = 1;
   vote.is_pre_vote = vote.granted = true;
   EXPECT_EQ(a.role(), Role::kPreCandidate);
   Receive(now, vote);
@@ -193,7 +209,8 @@
 
 // Entries may be large in themselves, before anything is known of what they make.
 TEST_F(Voting, AppliesLargeEntriesOneByOne) {
-  const LogEntry whole{2, LogEntry::Kind::kData, std::string(RaftTiming().max_apply_bytes / 2, 'x'), {}};
+  const LogEntry whole{
+      2, LogEntry::Kind::kData, std::string(RaftTiming().max_apply_bytes / 2, 'x'), {}};
   const LogEntry small{2, LogEntry::Kind::kData, "x", {}};
   Message m = Append(2, 1, 1, {whole, small, small});
   m.commit_index = 4;
@@ -206,7 +223,8 @@
     RaftOutput out;
     a.OnPeerConnected(Time(0), "b", 2, {}, out);
     a.OnPeerConnected(Time(0), "c", 3, {}, out);
-    while (a.role() != Role::kPreCandidate) a.OnTimeout(now = a.NextTimeout(), out);
+    while (a.role() != Role::kPreCandidate)
+      a.OnTimeout(now = a.NextTimeout(), out);
     Vote(true, 1);
     Vote(false, 2);
     EXPECT_EQ(a.role(), Role::kCandidate);  // its own vote is not on its disk yet
@@ -216,15 +234,26 @@
   void Vote(bool trial, Term term) {
     Message vote;
     vote.type = Message::Type::kRequestVoteReply;
-    vote.from = "b", vote.to = "a", vote.from_incarnation = 2, vote.term = term;
-    vote.is_pre_vote = trial, vote.granted = true;
+    vote.from = "b";
+    vote.to = "a";
+    vote.from_incarnation = 2;
+    vote.term = term;
+    vote.is_pre_vote = trial;
+    vote.granted = true;
     Receive(now, vote);
   }
   RaftOutput Acknowledge(const std::string& from, uint64_t life, Index index, Time sent) {
     Message m;
     m.type = Message::Type::kAppendEntriesReply;
-    m.from = from, m.to = "a", m.from_incarnation = life, m.term = 2;
-    m.granted = true, m.index = index, m.commit_index = index, m.sent_at = sent, m.asked_at = Time(1);
+    m.from = from;
+    m.to = "a";
+    m.from_incarnation = life;
+    m.term = 2;
+    m.granted = true;
+    m.index = index;
+    m.commit_index = index;
+    m.sent_at = sent;
+    m.asked_at = Time(1);
     return Receive(now, m);
   }
   Time now{0};
@@ -283,7 +312,8 @@
   EXPECT_TRUE(a.IsLeaderWithLease(now));
   EXPECT_LT(a.LeaseUntil(now), Time(0));
   a.OnTimeout(now += RaftTiming().heartbeat_interval, out);
-  for (const OutgoingMessage& o : out.messages) EXPECT_LT(o.message.asked_at, Time(0));
+  for (const OutgoingMessage& o : out.messages)
+    EXPECT_LT(o.message.asked_at, Time(0));
   a.OnDurable(now, 2, out);
   EXPECT_GT(a.LeaseUntil(now), now);
 }
@@ -294,7 +324,8 @@
   a.OnDurable(now, 2, out);
   Acknowledge("b", 2, 2, now);
   a.set_apply_cost_bytes(RaftTiming().max_apply_bytes);
-  for (int i = 0; i < 3; ++i) a.Propose(now, "x", out);
+  for (int i = 0; i < 3; ++i)
+    a.Propose(now, "x", out);
   out = {};
   a.OnDurable(now, 9, out);
   Acknowledge("b", 2, 5, now);
@@ -303,7 +334,8 @@
   out = {};
   a.OnTimeout(now += RaftTiming().heartbeat_interval, out);
   EXPECT_TRUE(a.HasEntriesToApply());
-  for (const OutgoingMessage& o : out.messages) EXPECT_LT(o.message.asked_at, Time(0));
+  for (const OutgoingMessage& o : out.messages)
+    EXPECT_LT(o.message.asked_at, Time(0));
   a.OnTimeout(now, out);
   EXPECT_FALSE(a.HasEntriesToApply());
   EXPECT_GT(a.LeaseUntil(now), now);
@@ -317,12 +349,14 @@
   Acknowledge("b", 2, 2, now);
   out = {};
   a.OnTimeout(now += RaftTiming().heartbeat_interval, out);
-  for (const OutgoingMessage& o : out.messages) EXPECT_LT(o.message.asked_at, Time(0));
+  for (const OutgoingMessage& o : out.messages)
+    EXPECT_LT(o.message.asked_at, Time(0));
   Acknowledge("b", 2, 3, now);
   out = {};
   a.OnTimeout(now += RaftTiming().heartbeat_interval, out);
   bool granted = false;
-  for (const OutgoingMessage& o : out.messages) granted = granted || o.message.asked_at >= Time(0);
+  for (const OutgoingMessage& o : out.messages)
+    granted = granted || o.message.asked_at >= Time(0);
   EXPECT_TRUE(granted);
 }
 
--- a/tests/simulator/protocol_test.cpp
+++ b/tests/simulator/protocol_test.cpp
@@ -21,7 +21,8 @@
   ProtocolReader reader(in);
   Batch batch;
   try {
-    while (reader.Next(batch)) {}
+    while (reader.Next(batch)) {
+    }
   } catch (const ProtocolError& error) {
     return error.what();
   }
--- a/tests/storage/write_ahead_log_test.cpp
+++ b/tests/storage/write_ahead_log_test.cpp
@@ -53,7 +53,8 @@
         for (int i = 0; i < 20; ++i) {
           appended.push_back(Some(random, i));
           log.Append(appended.back());
-          if (random() % 3 == 0) log.Sync(), durable = appended.size();
+          if (random() % 3 == 0)
+            log.Sync(), durable = appended.size();
           if (i == 12) {
             const Records now(appended.end() - 3, appended.end());
             before = appended;
@@ -63,7 +64,8 @@
             durable = appended.size();
           }
         }
-      } catch (const FileError&) {}
+      } catch (const FileError&) {
+      }
       files.Restore();
       const Records told = Told(files);
       const bool exchanged = before && told == Records(before->end() - 3, before->end());
@@ -166,7 +168,8 @@
   std::string old;
   {
     WriteAheadLog log(files, "f", [](std::string_view) {});
-    for (const char* const r : {"a", "b", "c"}) log.Append(r), log.Sync();
+    for (const char* const r : {"a", "b", "c"})
+      log.Append(r), log.Sync();
     old = files.Read("f/log").substr(24);
     log.Replace({"now"});
   }
