--- a/src/balancer/load_balancer.h
+++ b/src/balancer/load_balancer.h
@@ -285,8 +285,14 @@
 constexpr size_t kExclusionReasonCount = 8;
 
 inline const char* ToText(ExclusionReason bar) {
-  constexpr std::array<const char*, kExclusionReasonCount> kNames = {
-      "none", "law", "cold", "sick", "full", "new", "late", "spent"};
+  constexpr std::array<const char*, kExclusionReasonCount> kNames = {"no_endpoint",
+                                                                     "not_permitted",
+                                                                     "warming_up",
+                                                                     "unhealthy",
+                                                                     "at_concurrency_limit",
+                                                                     "capacity_unknown",
+                                                                     "misses_latency_objective",
+                                                                     "retry_budget_exhausted"};
   return kNames[static_cast<size_t>(bar)];
 }
 
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -30,7 +30,7 @@
 
 bool CheckFailed(const char* what, const char* file, int line) {
   constexpr uint64_t kLogged = 20;
-  if (++GlobalCounters().checks_failed <= kLogged) {
+  if (++GlobalCounters().invariant_failures <= kLogged) {
     Log(LogLevel::kError, "check failed: {} at {}:{}", what, file, line);
   }
   return false;
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -313,7 +313,7 @@
 
 void DiscoveryClient::Open(std::unique_ptr<Call>& call, bool watch) {
   Close(call);
-  ++(watch ? GlobalCounters().list_watches : GlobalCounters().list_fetches);
+  ++(watch ? GlobalCounters().discovery_watches : GlobalCounters().discovery_polls);
   if (watch) {
     watch_has_delivered_ = false;
   }
@@ -359,7 +359,7 @@
 }
 
 void DiscoveryClient::OnOversizedList(Call& call) {
-  ++GlobalCounters().list_too_long;
+  ++GlobalCounters().discovery_too_long;
   const bool watch = call.watch();
   if (&call == previous_watch_.get()) {
     return OnCallFailed(call, "a list too long");
@@ -396,7 +396,7 @@
 // Each failure that is told has the module ask once more, perhaps at once: until then further ones
 // are not told.
 void DiscoveryClient::ReportFailure(bool watch, Duration wait) {
-  ++GlobalCounters().list_failures;
+  ++GlobalCounters().discovery_failures;
   const bool told = watch && watch_owed_;
   if (watch) {
     watch_owed_ = !self_renewing_watch_;
@@ -426,7 +426,7 @@
 }
 
 bool DiscoveryClient::Malformed(std::string_view why) {
-  ++GlobalCounters().list_malformed;
+  ++GlobalCounters().discovery_malformed;
   Log(LogLevel::kWarning, "discovery: {}", why);
   return false;
 }
@@ -452,7 +452,7 @@
     // catches up on the same watch. One that never does counts by itself, and to pass it over for
     // ever would leave the list held for ever.
     if (list.revision < revision_) {
-      ++GlobalCounters().list_old;
+      ++GlobalCounters().discovery_stale;
       Log(LogLevel::kWarning, "discovery: revision {:.0f} after {:.0f}", list.revision, revision_);
       if (stale_since_ < Time(0)) {
         stale_since_ = loop_.Now();
@@ -467,7 +467,7 @@
       ResetBackoff();
     }
     revision_ = list.revision;
-    ++GlobalCounters().list_updates;
+    ++GlobalCounters().discovery_updates;
     listener_->OnEndpointList(std::move(list));
     return true;
   } catch (const std::exception& error) {
--- a/src/gateway/downstream.cpp
+++ b/src/gateway/downstream.cpp
@@ -423,7 +423,7 @@
   }
 
   void TooSlow() {
-    ++GlobalCounters().bodies_cut;
+    ++GlobalCounters().bodies_truncated;
     if (state_ == State::kReading) {
       return Refuse(408, "request too slow");
     }
@@ -452,7 +452,7 @@
     request.message = parser_.TakeHead(stream_.input(), request.bytes);
     stream_.set_max_unread_bytes(kMaxPieceBytes);
     stream_.set_min_read_bytes(kMaxPieceBytes);
-    ++GlobalCounters().requests_passed_on;
+    ++GlobalCounters().requests_streamed;
     body_ = request.streaming_body = std::make_shared<StreamingBody>(
         length, [this](Buffer& piece) { return TakeBody(piece); }, nullptr);
     http10_ = request.message.is_http10;
@@ -775,7 +775,7 @@
     }
     const int on = 1;
     setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    ++GlobalCounters().clients_accepted;
+    ++GlobalCounters().downstream_connections_accepted;
     last_accept_ = loop_.Now();
     connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
     Connection& connection = *connections_.back();
@@ -806,7 +806,7 @@
 
 void Downstream::DropClosed(Connection& connection) {
   connection.Leave();
-  ++GlobalCounters().clients_closed;
+  ++GlobalCounters().downstream_connections_closed;
   // It may be the one whose handler is at work: its memory goes once that has returned.
   loop_.RunDeferred([kept = *connection.place] {});
   connections_.erase(connection.place);
@@ -839,7 +839,7 @@
     if (!connection->stream().IsIdle()) {
       continue;
     }
-    ++GlobalCounters().clients_reclaimed;
+    ++GlobalCounters().downstream_connections_reclaimed;
     Drop(*connection);
     return true;
   }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -29,31 +29,31 @@
   Counters& count = GlobalCounters();
   switch (outcome) {
     case Outcome::kOk:
-      ++count.settled_ok;
+      ++count.attempts_ok;
       break;
     case Outcome::kError:
-      ++count.settled_error;
+      ++count.attempts_error;
       break;
     case Outcome::kRejected:
-      ++count.settled_full;
+      ++count.attempts_rejected;
       break;
     case Outcome::kTimeout:
-      ++count.settled_timeout;
+      ++count.attempts_timeout;
       break;
     case Outcome::kConnectFailed:
-      ++count.settled_connect_failed;
+      ++count.attempts_connect_failed;
       break;
     case Outcome::kReset:
-      ++count.settled_reset;
+      ++count.attempts_reset;
       break;
     case Outcome::kCancelled:
-      ++count.settled_cancelled;
+      ++count.attempts_cancelled;
       break;
     case Outcome::kNotSent:
-      ++count.settled_moot;
+      ++count.attempts_not_sent;
       break;
     case Outcome::kInvalidResponse:
-      ++count.settled_unusable;
+      ++count.attempts_invalid_response;
       break;
   }
 }
@@ -208,7 +208,7 @@
     if (stats.unserved_by_reason[i] == 0) {
       continue;
     }
-    refusals += fmt::format("given_up_{}={} ", ToText(static_cast<ExclusionReason>(i)),
+    refusals += fmt::format("unserved_{}={} ", ToText(static_cast<ExclusionReason>(i)),
                             stats.unserved_by_reason[i]);
   }
   return fmt::format(
@@ -242,10 +242,10 @@
   }
   const int most = config_->settings.allowed.max_held_requests;
   if (most > 0 && unanswered_count_ >= static_cast<size_t>(most)) {
-    ++GlobalCounters().requests_beyond;
+    ++GlobalCounters().requests_over_limit;
     return {nullptr, 503, "too many requests held"};
   }
-  ++GlobalCounters().requests_taken;
+  ++GlobalCounters().requests_admitted;
   ++unanswered_count_;
   RememberRequestId(submit.id);
   auto exchange = std::make_shared<ProxiedRequest>(
@@ -297,7 +297,7 @@
 }
 
 void Gateway::OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) {
-  ++GlobalCounters().clients_left;
+  ++GlobalCounters().clients_disconnected;
   --unanswered_count_;
   upstream_->OnClientDisconnected(*exchange);
   Enqueue(ClientDisconnected{exchange->id()});
@@ -311,7 +311,7 @@
   if (exchange->committed_attempt() || !exchange->Respond({.status = 502})) {
     return;
   }
-  ++GlobalCounters().answers_overdue;
+  ++GlobalCounters().responses_overdue;
   --unanswered_count_;
   Log(LogLevel::kError, "no answer in time to {}", exchange->id());
   Enqueue(ClientDisconnected{exchange->id()});
@@ -331,19 +331,19 @@
   CountOutcome(outcome);
   exchange->EndAttempt();
   if (outcome == Outcome::kOk && exchange->Respond({.status = 200, .upstream_message = from})) {
-    ++GlobalCounters().answers_served;
+    ++GlobalCounters().responses_served;
     --unanswered_count_;
   }
   // A host that blames the request is believed: others would say the same, and none is sick for it.
   if (outcome == Outcome::kInvalidResponse && from &&
       exchange->Respond({.status = from->message.status, .upstream_message = from})) {
-    ++GlobalCounters().answers_failed;
+    ++GlobalCounters().responses_failed;
     --unanswered_count_;
   }
   // The break of a stream that had begun is the end of its request.
   if (outcome != Outcome::kOk && exchange->committed_attempt() == attempt &&
       exchange->Respond({.status = 502})) {
-    ++GlobalCounters().answers_failed;
+    ++GlobalCounters().responses_failed;
     --unanswered_count_;
   }
   AttemptFinished settled{exchange->id(), attempt, endpoint,         outcome,
@@ -498,12 +498,12 @@
     const Event event = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
-    ++GlobalCounters().module_events;
+    ++GlobalCounters().load_balancer_events;
     try {
       load_balancer_.Handle(loop_.Now(), event, actions_);
     } catch (const std::exception& error) {
       // What it had decided until then is still carried out.
-      ++GlobalCounters().module_faults;
+      ++GlobalCounters().load_balancer_exceptions;
       Log(LogLevel::kError, "module: {}", error.what());
     }
     for (const Action& action : actions_) {
@@ -550,7 +550,7 @@
 }
 
 void Gateway::Execute(const StartAttempt& send) {
-  ++GlobalCounters().sends;
+  ++GlobalCounters().attempts_started;
   const auto exchange = FindRequest(send.id);
   if (!exchange) {
     // It ended while the module decided: as with one over, nothing is transmitted.
@@ -567,10 +567,10 @@
   const Time now = loop_.Now();
   const auto listed = listed_endpoints_.find(send.endpoint);
   if (listed == listed_endpoints_.end() || listed->second.draining) {
-    ++GlobalCounters().sends_draining;
+    ++GlobalCounters().attempts_to_draining_hosts;
   } else if (listed->second.started_at > Time(0) &&
              now - listed->second.started_at < config_->settings.rules.slow_start_duration) {
-    ++GlobalCounters().sends_cold;
+    ++GlobalCounters().attempts_to_warming_hosts;
   }
   const Time until = send.timeout == Duration(0)
                          ? exchange->deadline()
@@ -583,7 +583,7 @@
   if (!exchange || !exchange->Respond({.status = 503, .retry_after = refuse.retry_after})) {
     return;
   }
-  ++GlobalCounters().answers_refused;
+  ++GlobalCounters().responses_rejected;
   --unanswered_count_;
   MaybeEraseRequest(exchange);
 }
@@ -593,7 +593,7 @@
   if (!exchange || !exchange->Respond({.status = 502})) {
     return;
   }
-  ++GlobalCounters().answers_failed;
+  ++GlobalCounters().responses_failed;
   --unanswered_count_;
   MaybeEraseRequest(exchange);
 }
--- a/src/gateway/hot_restart.cpp
+++ b/src/gateway/hot_restart.cpp
@@ -195,7 +195,7 @@
   fcntl(fd.get(), F_SETFL, O_NONBLOCK);
   taken.channel = std::move(fd);
   taken.descriptors_held = static_cast<size_t>(*holds);
-  ++GlobalCounters().hand_overs;
+  ++GlobalCounters().hot_restarts;
   Log(LogLevel::kInfo, "hand-over: given the listening socket of {}", ToText(listen));
   return taken;
 }
@@ -307,7 +307,7 @@
     if (stream_.closed()) {
       return;
     }
-    ++GlobalCounters().hand_overs;
+    ++GlobalCounters().hot_restarts;
     Log(LogLevel::kInfo, "hand-over: a new process has the listening socket");
     owner_.ReportDescriptorsHeld();
   }
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -131,7 +131,7 @@
       Log(LogLevel::kInfo, "configuration read again: {}",
           changes.empty() ? "nothing of note is new" : changes);
     } catch (const std::exception& error) {
-      ++GlobalCounters().config_refused;
+      ++GlobalCounters().config_rejected;
       // The first try and the last say so.
       if (more == kRereads || more == 0) {
         Log(LogLevel::kWarning, "configuration kept as it was: {}", error.what());
--- a/src/gateway/upstream.cpp
+++ b/src/gateway/upstream.cpp
@@ -337,7 +337,7 @@
       return body_->OnDataAvailable();
     }
     if (!job_) {  // idle: the host closes, or says what nobody asked for
-      ++GlobalCounters().host_idle_lost;
+      ++GlobalCounters().upstream_idle_lost;
       servers_.Drop(*this);
       return;
     }
@@ -352,7 +352,7 @@
     }
     const ParseProgress progress = parser_.Feed(stream_.input());
     if (progress == ParseProgress::kMalformed) {
-      ++GlobalCounters().host_malformed;
+      ++GlobalCounters().upstream_malformed;
       // Such answers come from any host alike and say little of this one.
       return servers_.FinishExchange(*this,
                                      written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed,
@@ -409,7 +409,7 @@
     writer_.reset();  // a host that answers before it has heard all
     const auto body = body_;
     auto job = std::move(job_);
-    ++GlobalCounters().answers_passed_on;
+    ++GlobalCounters().responses_streamed;
     servers_.ReportOutcome(std::move(job), outcome, std::move(report), std::move(held));
     if (!body->has_writer()) {
       body->Cancel();  // nobody waits for it any more
@@ -433,7 +433,7 @@
     loop_.CancelTimer(pause_);
     body_ = nullptr;
     if (progress == ParseProgress::kMalformed) {
-      ++GlobalCounters().bodies_cut;
+      ++GlobalCounters().bodies_truncated;
       Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.id);
     }
     reusable_ = progress == ParseProgress::kDone && parser_.message().keep_alive && written_ &&
@@ -459,7 +459,7 @@
       if (!stream_.input().empty()) {
         return AwaitBody();  // it is the client that is slow
       }
-      ++GlobalCounters().bodies_cut;
+      ++GlobalCounters().bodies_truncated;
       Log(LogLevel::kInfo, "body cut: {} says nothing more within an answer", host_.id);
       servers_.Drop(*this);
     });
@@ -479,7 +479,7 @@
     }
     auto report = ParseLoadReport(*text, options.report_fields);
     if (!report) {
-      ++GlobalCounters().reports_malformed;
+      ++GlobalCounters().load_reports_malformed;
     }
     return report;
   }
@@ -491,7 +491,7 @@
     }
     pause_ = loop_.RunAfter(kPause, [this] {
       pause_ = {};
-      ++GlobalCounters().host_malformed;
+      ++GlobalCounters().upstream_malformed;
       servers_.FinishExchange(*this, written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed,
                               std::nullopt, nullptr);
     });
@@ -522,7 +522,7 @@
     if (written_ || !whole || outcome != Outcome::kOk) {
       return outcome;
     }
-    ++GlobalCounters().host_malformed;
+    ++GlobalCounters().upstream_malformed;
     return Outcome::kNotSent;
   }
 
@@ -540,12 +540,12 @@
 
   void OnError() override {
     if (body_) {
-      ++GlobalCounters().bodies_cut;
+      ++GlobalCounters().bodies_truncated;
       Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.id);
       return servers_.Drop(*this);
     }
     if (!job_) {
-      ++GlobalCounters().host_idle_lost;
+      ++GlobalCounters().upstream_idle_lost;
       servers_.Drop(*this);
       return;
     }
@@ -671,7 +671,7 @@
     if (quiet && !old) {
       return connection.Start(std::move(job));
     }
-    ++(quiet ? GlobalCounters().host_idle_closed : GlobalCounters().host_idle_lost);
+    ++(quiet ? GlobalCounters().upstream_idle_closed : GlobalCounters().upstream_idle_lost);
     Drop(connection);
   }
   // Half of the descriptors are left to clients, without whom no connection to a host is of use.
@@ -687,12 +687,12 @@
   if (!socket) {
     // A lack of our own says nothing of the host: nothing was transmitted.
     if (!refused) {
-      ++GlobalCounters().host_no_descriptor;
+      ++GlobalCounters().upstream_no_descriptor;
     }
     return ReportOutcome(std::move(job), refused ? Outcome::kConnectFailed : Outcome::kNotSent,
                          std::nullopt, nullptr);
   }
-  ++GlobalCounters().host_connects;
+  ++GlobalCounters().upstream_connections_opened;
   const auto connection = std::make_shared<Connection>(*this, host, std::move(*socket));
   connections_.emplace(connection.get(), connection);
   ++host.connection_count;
@@ -724,7 +724,7 @@
 void Upstream::RetryOnAnotherConnection(Connection& connection) {
   auto job = connection.Finish();
   Host& host = connection.host();
-  ++GlobalCounters().host_idle_lost;
+  ++GlobalCounters().upstream_idle_lost;
   ++host.connection_count;  // stays while the send looks for another connection
   Drop(connection);
   --host.connection_count;
@@ -858,7 +858,7 @@
 
 void Upstream::DropIdle(Host& host) {
   while (!host.idle.empty()) {
-    ++GlobalCounters().host_idle_closed;
+    ++GlobalCounters().upstream_idle_closed;
     Drop(*host.idle.back());
   }
 }
@@ -873,7 +873,7 @@
   if (idle_.empty()) {
     return false;
   }
-  ++GlobalCounters().host_idle_closed;
+  ++GlobalCounters().upstream_idle_closed;
   Drop(*idle_.front());
   return true;
 }
--- a/src/lab/fleet_report.cpp
+++ b/src/lab/fleet_report.cpp
@@ -43,15 +43,24 @@
 
 const std::vector<Column>& Columns() {
   static const std::vector<Column> columns = {
-      {"requests", {"requests_taken"}}, {"served", {"answers_served"}},
-      {"refused", {"answers_refused"}}, {"failed", {"answers_failed"}},
-      {"attempts", {"sends"}},          {"to-cold", {"sends_cold"}},
-      {"to-drain", {"sends_draining"}}, {"connects", {"host_connects"}},
-      {"probes", {"probes"}},           {"lists", {"list_watches", "list_fetches"}},
-      {"no-host", {"given_up_none"}},   {"by-law", {"given_up_law"}},
-      {"cold", {"given_up_cold"}},      {"sick", {"given_up_sick"}},
-      {"full", {"given_up_full"}},      {"new", {"given_up_new"}},
-      {"late", {"given_up_late"}},      {"spent", {"given_up_spent"}},
+      {"requests", {"requests_admitted"}},
+      {"served", {"responses_served"}},
+      {"refused", {"responses_rejected"}},
+      {"failed", {"responses_failed"}},
+      {"attempts", {"attempts_started"}},
+      {"to-cold", {"attempts_to_warming_hosts"}},
+      {"to-drain", {"attempts_to_draining_hosts"}},
+      {"connects", {"upstream_connections_opened"}},
+      {"probes", {"probes"}},
+      {"lists", {"discovery_watches", "discovery_polls"}},
+      {"no-host", {"unserved_no_endpoint"}},
+      {"by-law", {"unserved_not_permitted"}},
+      {"cold", {"unserved_warming_up"}},
+      {"sick", {"unserved_unhealthy"}},
+      {"full", {"unserved_at_concurrency_limit"}},
+      {"new", {"unserved_capacity_unknown"}},
+      {"late", {"unserved_misses_latency_objective"}},
+      {"spent", {"unserved_retry_budget_exhausted"}},
   };
   return columns;
 }
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -653,9 +653,9 @@
     Time not_taken = Time::max();
     UntilCounters(
         [&](const std::string& counters) {
-          list.taken = Field(counters, "list_updates") > 0 &&
+          list.taken = Field(counters, "discovery_updates") > 0 &&
                        Field(counters, "revision") >= static_cast<double>(kFirstRevision);
-          if (not_taken == Time::max() && Field(counters, "list_failures") > 0) {
+          if (not_taken == Time::max() && Field(counters, "discovery_failures") > 0) {
             not_taken = loop_.Now();
           }
           return list.taken || (not_taken < Time::max() && loop_.Now() - not_taken > kNotTakenFor);
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -13,16 +13,16 @@
 TEST(Counters, PrintOnlyWhatWasCounted) {
   Counters counters;
   EXPECT_EQ(counters.ToText(), "");
-  counters.sends = 3;
-  counters.answers_served = 2;
-  EXPECT_EQ(counters.ToText(), "answers_served=2 sends=3");
+  counters.attempts_started = 3;
+  counters.responses_served = 2;
+  EXPECT_EQ(counters.ToText(), "responses_served=2 attempts_started=3");
 }
 
 TEST(Counters, AFailedCheckIsCountedAndTold) {
-  const uint64_t before = GlobalCounters().checks_failed;
+  const uint64_t before = GlobalCounters().invariant_failures;
   ::testing::internal::CaptureStderr();
   EXPECT_FALSE(CheckFailed("a == b", "file.cpp", 7));
-  EXPECT_EQ(GlobalCounters().checks_failed, before + 1);
+  EXPECT_EQ(GlobalCounters().invariant_failures, before + 1);
   EXPECT_NE(::testing::internal::GetCapturedStderr().find("check failed: a == b at file.cpp:7"),
             std::string::npos);
 }
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -561,15 +561,15 @@
 };
 
 TEST_F(LongLists, APushedWatchIsBegunAgainLaterAndLater) {
-  const uint64_t too_long = GlobalCounters().list_too_long,
-                 malformed = GlobalCounters().list_malformed;
+  const uint64_t too_long = GlobalCounters().discovery_too_long,
+                 malformed = GlobalCounters().discovery_malformed;
   ::testing::internal::CaptureStderr();
   BeginShort(true);
   const auto gaps = Gaps(6, kHead + Chunk(Long(kMost)));
   const std::string log = ::testing::internal::GetCapturedStderr();
   ExpectPace(gaps, {60, 120, 240, 480, 480, 480});
-  EXPECT_EQ(GlobalCounters().list_too_long, too_long + 7);
-  EXPECT_EQ(GlobalCounters().list_malformed, malformed);
+  EXPECT_EQ(GlobalCounters().discovery_too_long, too_long + 7);
+  EXPECT_EQ(GlobalCounters().discovery_malformed, malformed);
   EXPECT_EQ(failed, 7);
   EXPECT_TRUE(lists.empty());
   EXPECT_EQ(list->revision(), 40);
@@ -593,7 +593,7 @@
 }
 
 TEST_F(LongLists, AFetchIsPutOffLikewise) {
-  const uint64_t too_long = GlobalCounters().list_too_long;
+  const uint64_t too_long = GlobalCounters().discovery_too_long;
   ::testing::internal::CaptureStderr();
   BeginShort(false);
   ask = [this] {
@@ -605,7 +605,7 @@
   const std::string log = ::testing::internal::GetCapturedStderr();
   ExpectPace(gaps, {60, 120, 240});
   ExpectPace(chunked, {480});
-  EXPECT_EQ(GlobalCounters().list_too_long, too_long + 6);
+  EXPECT_EQ(GlobalCounters().discovery_too_long, too_long + 6);
   EXPECT_EQ(CountOf(log, "discovery"), 1u) << log;
 }
 
--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -301,13 +301,13 @@
   for (const Ending how : {Ending::kRefused, Ending::kNeverUp}) {
     Discovery discovery(static_cast<uint16_t>(5200 + static_cast<int>(how)));
     discovery.Set(Ending::kRefused);
-    const uint64_t failures = GlobalCounters().list_failures;
+    const uint64_t failures = GlobalCounters().discovery_failures;
     std::vector<std::unique_ptr<Asker>> askers;
     for (uint64_t seed = 1; seed <= 8; ++seed) {
       askers.push_back(std::make_unique<Asker>(loop, discovery.address(), seed));
     }
     const auto failed = [&] {
-      return GlobalCounters().list_failures - failures;
+      return GlobalCounters().discovery_failures - failures;
     };
     ASSERT_TRUE(RunUntil(
         loop, [&] { return failed() >= 3 * askers.size(); }, Ms(10'000)));
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -173,7 +173,7 @@
 TEST_F(GatewayTest, MalformedRequestsReachNoHost) {
   AddHost("h1", Ok);
   Start();
-  const uint64_t taken = GlobalCounters().requests_taken;
+  const uint64_t taken = GlobalCounters().requests_admitted;
   for (const std::string& text :
        {Request("a", "nothing"), Request("a b"), std::string("GET /safe HTTP/1.1\r\n\r\n"),
         std::string("POST /safe HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx")}) {
@@ -182,7 +182,7 @@
   }
   RunFor(loop, Ms(20));
   EXPECT_EQ(Requests(), 0);
-  EXPECT_EQ(GlobalCounters().requests_taken, taken);
+  EXPECT_EQ(GlobalCounters().requests_admitted, taken);
 }
 
 TEST_F(GatewayTest, MoreThanMayBeHeldAreTurnedAway) {
@@ -201,15 +201,15 @@
   Start();
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return Requests() == 1; }));
-  const uint64_t ok = GlobalCounters().settled_ok, served = GlobalCounters().answers_served;
+  const uint64_t ok = GlobalCounters().attempts_ok, served = GlobalCounters().responses_served;
   client.Close();
   RunFor(loop, Ms(20));
   EXPECT_EQ(gateway->request_count(), 1u);  // its attempt is out
   for (Peer& peer : host.peers)
     peer.Say(Http200("late"));
   ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
-  EXPECT_EQ(GlobalCounters().settled_ok, ok + 1);
-  EXPECT_EQ(GlobalCounters().answers_served, served);
+  EXPECT_EQ(GlobalCounters().attempts_ok, ok + 1);
+  EXPECT_EQ(GlobalCounters().responses_served, served);
 }
 
 TEST_F(GatewayTest, TheListReachesTheModuleAndItsHostsAreUsed) {
@@ -331,11 +331,11 @@
   config.settings.rules.response_slack = Ms(-300);
   AddHost("h1", Nothing);
   Start();
-  const uint64_t overdue = GlobalCounters().answers_overdue;
+  const uint64_t overdue = GlobalCounters().responses_overdue;
   Peer client = Ask(Request("a", "safe", 400));
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(GlobalCounters().answers_overdue, overdue + 1);
+  EXPECT_EQ(GlobalCounters().responses_overdue, overdue + 1);
 }
 
 TEST_F(GatewayTest, TellsItsState) {
@@ -345,7 +345,7 @@
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
   const std::string text = gateway->DescribeState();
   EXPECT_NE(text.find("clients=1 "), std::string::npos) << text;
-  EXPECT_NE(text.find("answers_served="), std::string::npos) << text;
+  EXPECT_NE(text.find("responses_served="), std::string::npos) << text;
   EXPECT_NE(text.find("picks_"), std::string::npos) << text;
 }
 
--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -163,7 +163,7 @@
     EXPECT_FALSE(client.Heard().ends_with("0\r\n\r\n"));
     EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryTake()); }, Ms(100)));
   }
-  EXPECT_EQ(GlobalCounters().bodies_cut, 2u);
+  EXPECT_EQ(GlobalCounters().bodies_truncated, 2u);
 }
 
 // A client that takes nothing stops its host, and nobody else.
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -271,8 +271,8 @@
   std::ifstream file(json_);
   const json report = json::parse(file);
   const json& counts = report["phases"][0]["counts"];
-  EXPECT_NEAR(counts["settled_ok"].get<double>(), result["receipts"]["total"].get<double>(), 0.5);
-  EXPECT_NEAR(counts["answers_served"].get<double>(), result["requests"]["served"].get<double>(),
+  EXPECT_NEAR(counts["attempts_ok"].get<double>(), result["receipts"]["total"].get<double>(), 0.5);
+  EXPECT_NEAR(counts["responses_served"].get<double>(), result["requests"]["served"].get<double>(),
               0.5);
   fs::remove_all(logs);
 }
