--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -49,7 +49,7 @@
   int dropped = 0;
 };
 
-State& state() {
+State& GlobalState() {
   static State state;
   return state;
 }
@@ -57,17 +57,17 @@
 }  // namespace
 
 void SetLogLevel(LogLevel level) {
-  state().least = level;
+  GlobalState().least = level;
 }
 bool IsLogEnabled(LogLevel level) {
-  return level >= state().least;
+  return level >= GlobalState().least;
 }
 void SetLogFormat(LogFormat format) {
-  state().Use(format);
+  GlobalState().Use(format);
 }
 
 void LogLine(LogLevel level, std::string_view text) {
-  State& s = state();
+  State& s = GlobalState();
   const auto now = std::chrono::steady_clock::now();
   if (now - s.second >= std::chrono::seconds(1)) {
     if (s.dropped > 0) {
--- a/src/lab/cluster_invariants.cpp
+++ b/src/lab/cluster_invariants.cpp
@@ -103,8 +103,7 @@
 
 void BankJudge::Received(Time now, size_t host, size_t gateway, size_t cls, Time handed,
                          size_t copy, bool excused, const std::string& id) {
-  for (size_t n = 0; n < changes_.size(); ++n) {
-    Change& change = changes_[n];
+  for (Change& change : changes_) {
     if (now <= change.submitted) {
       continue;
     }
@@ -164,8 +163,7 @@
 BankResult BankJudge::Finish(Time now, Time asked_until) {
   std::vector<double> follow, done;
   std::vector<Time> told;
-  for (size_t n = 0; n < changes_.size(); ++n) {
-    const Change& change = changes_[n];
+  for (const Change& change : changes_) {
     if (change.done < Time(0)) {
       continue;
     }
--- a/src/lab/cluster_simulation.cpp
+++ b/src/lab/cluster_simulation.cpp
@@ -243,7 +243,7 @@
   Time Global(const Node& n, Time local) const {
     return Time(static_cast<int64_t>(static_cast<double>((local - n.offset).count()) / n.rate) + 1);
   }
-  void Note_(const std::string& what) {
+  void Trace(const std::string& what) {
     if (o_.trace) {
       fmt::print(stderr, "{:9.3f} ms {}\n", Ms(now_), what);
     }
@@ -294,7 +294,7 @@
     if (!n.member) {
       return;
     }
-    Note_(n.name + " dies");
+    Trace(n.name + " dies");
     if (n.member->raft_node().IsLeaderWithLease(Local(n))) {
       leader_lost_ = now_;
     }
@@ -433,9 +433,9 @@
     Node& n = nodes_[i];
     cluster::MemberOutput out;
     what(*n.member, Local(n), out);
-    Carry_(i, out);
+    CarryOutput(i, out);
   }
-  void Carry_(size_t i, cluster::MemberOutput& out) {
+  void CarryOutput(size_t i, cluster::MemberOutput& out) {
     Node& n = nodes_[i];
     const uint64_t start = n.start;
     for (const raft::StorageWrite& write : out.writes) {
@@ -463,7 +463,7 @@
     }
     if (o_.trace) {
       for (const std::string& line : out.log) {
-        Note_(n.name + ": " + line);
+        Trace(n.name + ": " + line);
       }
     }
     if (out.storage_rolled_back) {
@@ -471,7 +471,7 @@
       if (!n.gone_back) {
         Broken(fmt::format("memory: {} came back without what its disk had held", n.name));
       }
-      Note_(n.name + " finds that its disk has gone back");
+      Trace(n.name + " finds that its disk has gone back");
       At(now_, [this, i, start] {
         if (nodes_[i].start == start) {
           Return(i, PersistentState{});
@@ -727,14 +727,14 @@
     Node& node = nodes_[i];
     switch (kind) {
       case 0: {  // one against all, silent
-        Note_(fmt::format("{} is cut off for {:.0f} ms", node.name, Ms(lasts)));
+        Trace(fmt::format("{} is cut off for {:.0f} ms", node.name, Ms(lasts)));
         for (size_t k = 0; k < n; ++k) {
           Cut(i, k, lasts, true, true);
         }
         return;
       }
       case 1:  // one way, of a pair or all
-        Note_(fmt::format("{} is not heard for {:.0f} ms", node.name, Ms(lasts)));
+        Trace(fmt::format("{} is not heard for {:.0f} ms", node.name, Ms(lasts)));
         for (size_t k = 0; k < n; ++k) {
           if (k == j || Chance(0.7)) {
             Cut(i, k, lasts, true, false);
@@ -742,7 +742,7 @@
         }
         return;
       case 2:
-        Note_(fmt::format("{} does not hear for {:.0f} ms", node.name, Ms(lasts)));
+        Trace(fmt::format("{} does not hear for {:.0f} ms", node.name, Ms(lasts)));
         for (size_t k = 0; k < n; ++k) {
           if (k == j || Chance(0.7)) {
             Cut(i, k, lasts, false, true);
@@ -754,7 +754,7 @@
         for (size_t k = 0; k < n; ++k) {
           side[k] = Chance(0.5);
         }
-        Note_(fmt::format("split for {:.0f} ms", Ms(lasts)));
+        Trace(fmt::format("split for {:.0f} ms", Ms(lasts)));
         for (size_t a = 0; a < n; ++a) {
           for (size_t b = 0; b < n; ++b) {
             if (side[a] && !side[b]) {
@@ -765,11 +765,11 @@
         return;
       }
       case 4:  // with a reset
-        Note_(fmt::format("link {} {} is reset", i, j));
+        Trace(fmt::format("link {} {} is reset", i, j));
         Unlink(i, j);
         return At(now_ + Duration(20'000), [this, i, j] { Link(i, j); });
       case 5:
-        Note_(fmt::format("{} is stopped for {:.0f} ms", node.name, Ms(lasts)));
+        Trace(fmt::format("{} is stopped for {:.0f} ms", node.name, Ms(lasts)));
         node.stopped = std::max(node.stopped, now_ + lasts);
         return;
       case 6:
@@ -790,42 +790,50 @@
       case 9:
         node.disk_slow = true;
         return At(now_ + lasts, [this, i] { nodes_[i].disk_slow = false; });
-      case 10: {  // another disk: an empty one, or an older state of its own
-        // Losing two disks of three at once loses the history, whatever is done: one at a time, and
-        // not before the last was let in anew.
-        if (!node.member || !Whole()) {
-          return;
-        }
-        if (node.copy && o_.old_disks && now_ - node.copied > kOldDisk && Chance(0.6)) {
-          Note_(node.name + " comes back with an older disk");
-          PersistentState old = *node.copy;
-          Kill(i);
-          node.disk = old;
-          node.gone_back = true;
-          return Back(i, lasts);
-        }
-        Note_(node.name + " comes back with an empty disk");
-        Kill(i);
-        node.disk = PersistentState{};
-        return Back(i, lasts);
-      }
-      default: {  // voters exchanged
-        cluster::ChangeRequest wish;
-        wish.kind = static_cast<cluster::ChangeRequest::Kind>(1 + Pick(3));
-        wish.change.id = fmt::format("v{}", ++number_);
-        wish.name = nodes_[j].name;
-        if (!node.member || node.member->raft_node().voters().size() < 3) {
-          return;
-        }
-        Note_(
-            fmt::format("voters: {} {} at {}", static_cast<int>(wish.kind), wish.name, node.name));
-        Run(i, [&](ClusterMember& m, Time now, cluster::MemberOutput& out) {
-          m.Submit(now, wish, UINT64_MAX, out);
-        });
-        return;
-      }
+      case 10:
+        return ReplaceDisk(i, lasts);
+      default:
+        return ExchangeVoters(i, j);
+    }
+  }
+  // Member `i` dies and comes back with another disk: an empty one, or an older state of its own.
+  void ReplaceDisk(size_t i, Duration lasts) {
+    Node& node = nodes_[i];
+    // Losing two disks of three at once loses the history, whatever is done: one at a time, and
+    // not before the last was let in anew.
+    if (!node.member || !Whole()) {
+      return;
     }
+    if (node.copy && o_.old_disks && now_ - node.copied > kOldDisk && Chance(0.6)) {
+      Trace(node.name + " comes back with an older disk");
+      PersistentState old = *node.copy;
+      Kill(i);
+      node.disk = old;
+      node.gone_back = true;
+      return Back(i, lasts);
+    }
+    Trace(node.name + " comes back with an empty disk");
+    Kill(i);
+    node.disk = PersistentState{};
+    return Back(i, lasts);
+  }
+
+  // Member `i` is asked to add, remove or replace member `j` as a voter.
+  void ExchangeVoters(size_t i, size_t j) {
+    Node& node = nodes_[i];
+    cluster::ChangeRequest wish;
+    wish.kind = static_cast<cluster::ChangeRequest::Kind>(1 + Pick(3));
+    wish.change.id = fmt::format("v{}", ++number_);
+    wish.name = nodes_[j].name;
+    if (!node.member || node.member->raft_node().voters().size() < 3) {
+      return;
+    }
+    Trace(fmt::format("voters: {} {} at {}", static_cast<int>(wish.kind), wish.name, node.name));
+    Run(i, [&](ClusterMember& m, Time now, cluster::MemberOutput& out) {
+      m.Submit(now, wish, UINT64_MAX, out);
+    });
   }
+
   // Looked at now and then: whether nothing is left to be waited for.
   bool Level() {
     if (r_.events % 64 != 0) {
@@ -888,7 +896,7 @@
     });
   }
   void Mend() {
-    Note_("all is mended");
+    Trace("all is mended");
     over_ = true;
     const size_t n = nodes_.size();
     for (auto& row : cut_) {
@@ -995,8 +1003,7 @@
     std::set<uint64_t> acted;
     size_t leaders = 0;
     std::string who;
-    for (size_t i = 0; i < nodes_.size(); ++i) {
-      Node& n = nodes_[i];
+    for (Node& n : nodes_) {
       if (!n.member || now_ < n.stopped) {
         continue;
       }
@@ -1043,7 +1050,7 @@
   void JudgeEnd() {
     if (o_.trace) {
       for (const Node& n : nodes_) {
-        Note_(n.member->Status(Local(n)).dump());
+        Trace(n.member->Status(Local(n)).dump());
       }
     }
     std::map<std::string, uint64_t> by_id;
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -40,8 +40,8 @@
 }
 
 int64_t WallMs() {
-  using namespace std::chrono;
-  return duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
 }
 
 }  // namespace
--- a/src/lab/fleet_report.cpp
+++ b/src/lab/fleet_report.cpp
@@ -42,7 +42,7 @@
 };
 
 const std::vector<Column>& Columns() {
-  static const std::vector<Column> columns = {
+  static const std::vector<Column> kColumns = {
       {"requests", {"requests_admitted"}},
       {"served", {"responses_served"}},
       {"refused", {"responses_rejected"}},
@@ -62,7 +62,7 @@
       {"late", {"unserved_misses_latency_objective"}},
       {"spent", {"unserved_retry_budget_exhausted"}},
   };
-  return columns;
+  return kColumns;
 }
 constexpr size_t kFirstReason = 10;  // of the columns; from there on why requests were given up
 
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -198,18 +198,10 @@
   return text + requests + faults();
 }
 
-std::string ScaleJson(const ScaleOptions& o, const Result& r, double load) {
-  const ScaleFigures& s = r.scale;
-  const auto role = [](const RoleFigures& f) -> json {
-    if (f.processes == 0) {
-      return nullptr;
-    }
-    return {{"processes", f.processes},   {"cpu_core", f.cpu_core},
-            {"rss_mb", f.rss_mb},         {"descriptors", f.descriptors},
-            {"bytes_in_s", f.bytes_in_s}, {"bytes_out_s", f.bytes_out_s},
-            {"messages_s", f.messages_s}};
-  };
-  const size_t real = s.on ? s.real : r.gateways;
+namespace {
+
+// The command line that plays this run again.
+std::string ScaleCommand(const ScaleOptions& o, const ScaleFigures& s, size_t real) {
   std::string command = fmt::format(
       "paddlestile lab scale --members {} --real {} --tenants {} --seconds {} --seed {} --rate {}",
       s.on ? s.members : o.members, real, o.tenants, o.seconds, o.seed, o.rate);
@@ -235,6 +227,25 @@
   if (o.read_bytes_per_s > 0) {
     command += fmt::format(" --read-bytes-per-s {}", o.read_bytes_per_s);
   }
+  return command;
+}
+
+}  // namespace
+
+std::string ScaleJson(const ScaleOptions& o, const Result& r, double load) {
+  const ScaleFigures& s = r.scale;
+  const auto role = [](const RoleFigures& f) -> json {
+    if (f.processes == 0) {
+      return nullptr;
+    }
+    return {{"processes", f.processes},   {"cpu_core", f.cpu_core},
+            {"rss_mb", f.rss_mb},         {"descriptors", f.descriptors},
+            {"bytes_in_s", f.bytes_in_s}, {"bytes_out_s", f.bytes_out_s},
+            {"messages_s", f.messages_s}};
+  };
+  const size_t real = s.on ? s.real : r.gateways;
+  const std::string command = ScaleCommand(o, s, real);
+  const ScaleOptions usual;
   // What faults take is told apart where some members read slower than they usually do.
   const bool slow = o.read_bytes_per_s > 0 || o.stall_ms > usual.stall_ms;
   const json none;
--- a/src/lab/scale_figures.cpp
+++ b/src/lab/scale_figures.cpp
@@ -29,6 +29,38 @@
 
 }  // namespace
 
+namespace {
+
+// How long a member acted on a version after another had acted on a later one. `first`: when
+// the first member acted on a version or a later one. `broken` takes a line for each time past the
+// bound of `terms`.
+template <typename Broken>
+void JudgeContradictions(size_t m, const std::vector<HollowLine>& of,
+                         const std::map<uint64_t, Duration>& first, const HollowTerms& terms,
+                         ScaleFigures& figures, const Broken& broken) {
+  const bool stalled = m >= terms.stalled_from && m < terms.stalled_to;
+  for (size_t i = 0; i < of.size(); ++i) {
+    if (of[i].what != What::kAgreed) {
+      continue;
+    }
+    const Duration until = i + 1 < of.size() ? of[i + 1].at : terms.end;
+    const auto later = first.upper_bound(of[i].on);
+    if (later == first.end() || until <= later->second) {
+      continue;
+    }
+    const Duration both = until - std::max(of[i].at, later->second);
+    // A process that was stopped writes its line once it goes on, and acted on nothing meanwhile.
+    const Duration excused = stalled ? terms.stalled : Duration(0);
+    figures.contradiction_ms_most = std::max(figures.contradiction_ms_most, Ms(both - excused));
+    if (both > terms.bound + excused) {
+      broken(fmt::format("contradiction: {} acted on version {} for {:.0f} ms beside {}",
+                         HollowName(m), of[i].on, Ms(both), later->first));
+    }
+  }
+}
+
+}  // namespace
+
 void JudgeHollow(std::vector<HollowLine> lines, const std::vector<ToldChange>& changes,
                  const HollowTerms& terms, ScaleFigures& figures) {
   const auto breaks = [&](std::string what) {
@@ -108,26 +140,7 @@
         figures.level_ms_most = std::max(figures.level_ms_most, Ms(level->at - up->at));
       }
     }
-    // Acted on alone, past the moment at which another acted on a later one.
-    const bool stalled = m >= terms.stalled_from && m < terms.stalled_to;
-    for (size_t i = 0; i < of.size(); ++i) {
-      if (of[i].what != What::kAgreed) {
-        continue;
-      }
-      const Duration until = i + 1 < of.size() ? of[i + 1].at : terms.end;
-      const auto later = first.upper_bound(of[i].on);
-      if (later == first.end() || until <= later->second) {
-        continue;
-      }
-      const Duration both = until - std::max(of[i].at, later->second);
-      // A process that was stopped writes its line once it goes on, and acted on nothing meanwhile.
-      const Duration excused = stalled ? terms.stalled : Duration(0);
-      figures.contradiction_ms_most = std::max(figures.contradiction_ms_most, Ms(both - excused));
-      if (both > terms.bound + excused) {
-        breaks(fmt::format("contradiction: {} acted on version {} for {:.0f} ms beside {}",
-                           HollowName(m), of[i].on, Ms(both), later->first));
-      }
-    }
+    JudgeContradictions(m, of, first, terms, figures, breaks);
   }
   std::vector<double> told;
   for (const ToldChange& c : changes) {
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -171,8 +171,10 @@
 // and must not stand there as a text of their own, which is how a name would be compared.
 const std::set<std::string> kCommon = {"bind",    "handover", "large", "price",
                                        "release", "search",   "small", "status"};
-// But for the bank's command and the question that it asks.
-const std::set<std::string> kAllowed = {"status in bank_commands.cpp", "status in membership.cpp"};
+// But for the operators' command, the call that it makes and the member that answers it.
+const std::set<std::string> kAllowed = {"status in cluster_commands.cpp",
+                                        "status in blocking_call.cpp",
+                                        "status in cluster_agent.cpp"};
 
 std::vector<std::string> WordsOf(const std::string& text) {
   std::vector<std::string> words;
--- a/tests/lab/faulty_gateway.cpp
+++ b/tests/lab/faulty_gateway.cpp
@@ -3,10 +3,10 @@
 //   paddlestile_faulty_gateway HOW [EVERY]    the LB_* variables as for a gateway; each EVERY-th
 //   request
 #include <fmt/format.h>
-#include <signal.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <cstdlib>
 #include <list>
 #include <map>
