--- a/src/base/address.h
+++ b/src/base/address.h
@@ -8,14 +8,16 @@
 
 namespace paddlestile {
 
+// An IPv4 address with a port.
 struct Address {
-  uint32_t host = 0;  // IPv4, in host order
+  uint32_t host = 0;  // in host byte order
   uint16_t port = 0;
   bool operator==(const Address&) const = default;
 };
 
-// "10.0.0.4:5000"; throws ConfigError. There is no DNS.
+// Reads "10.0.0.4:5000". Throws ConfigError for anything else; names are not resolved.
 Address ParseAddress(std::string_view text);
+// The same form: "10.0.0.4:5000".
 std::string ToText(const Address& address);
 
 }  // namespace paddlestile
--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -11,26 +11,29 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-constexpr int64_t kBefore = 24LL * 3600 * 1'000'000;  // us; hosts that started before are warm
+// us; Time(0) lies this long before the start. Hosts that started before it are warm by now.
+constexpr int64_t kOriginBeforeStartUs = 24LL * 3600 * 1'000'000;
 
-int64_t Mono() {
+int64_t MonotonicNowUs() {
   return duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
-int64_t Wall() {
+int64_t WallNowUs() {
   return duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
 }  // namespace
 
-Clock::Clock() : monotonic_origin_us_(Mono() - kBefore), wall_origin_us_(Wall() - kBefore) {}
+Clock::Clock()
+    : monotonic_origin_us_(MonotonicNowUs() - kOriginBeforeStartUs),
+      wall_origin_us_(WallNowUs() - kOriginBeforeStartUs) {}
 
 Time Clock::Now() const {
-  return Time(Mono() - monotonic_origin_us_);
+  return Time(MonotonicNowUs() - monotonic_origin_us_);
 }
 
 Time Clock::FromUnixMillis(double unix_ms) const {
-  constexpr double kMost = 1e15;  // ms; far inside 64 bits of microseconds
-  if (!(unix_ms > 0) || unix_ms > kMost) {
+  constexpr double kMaxMillis = 1e15;  // in microseconds still far inside 64 bits
+  if (!(unix_ms > 0) || unix_ms > kMaxMillis) {
     return Time(0);
   }
   return Time(std::max<int64_t>(0, std::llround(unix_ms * 1000) - wall_origin_us_));
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -8,18 +8,19 @@
 
 namespace paddlestile {
 
-// Both clocks, tied together once at the start: a host's start, told in wall time, must come out
-// the same each time it is told, or it would look like another start.
+// The monotonic clock, and the wall clock as read once at the start. A host's start time arrives as
+// wall time again and again: converted by one fixed offset it gives the same Time each time.
 class Clock {
  public:
   Clock();
-  [[nodiscard]] Time Now() const;  // monotonic; begins an arbitrary while ago
-  // Unix time in milliseconds to the clock of Now(). What is 0 or before its beginning is 0.
+  // Monotonic; its zero is a day before the clock was made.
+  [[nodiscard]] Time Now() const;
+  // Converts Unix milliseconds to the time of Now(). Gives 0 for 0 and for times before its zero.
   [[nodiscard]] Time FromUnixMillis(double unix_ms) const;
 
  private:
-  int64_t monotonic_origin_us_ = 0;  // the steady clock's reading at Time(0)
-  int64_t wall_origin_us_ = 0;       // the wall clock's at that moment
+  int64_t monotonic_origin_us_ = 0;  // what the steady clock reads at Time(0)
+  int64_t wall_origin_us_ = 0;       // what the wall clock reads at Time(0)
 };
 
 }  // namespace paddlestile
--- a/src/base/file_descriptor.h
+++ b/src/base/file_descriptor.h
@@ -6,7 +6,7 @@
 
 namespace paddlestile {
 
-// Owns a descriptor.
+// Owns a file descriptor and closes it at the end. Move-only.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -22,8 +22,10 @@
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
   ~FileDescriptor() { Reset(); }
+  // The descriptor, -1 where there is none.
   [[nodiscard]] int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
+  // Closes the descriptor, if there is one.
   void Reset();
 
  private:
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -11,20 +11,20 @@
 namespace paddlestile {
 namespace {
 
-// A log that floods would cost more than what it tells, and a full pipe would hold up the loop.
+// A flooded log costs processor time, and a full pipe would block the event loop.
 constexpr int kLinesPerSecond = 100;
 
 struct State {
-  State() { Use(LogFormat::kText); }
-  void Use(LogFormat to) {
-    format = to;
+  State() { SetFormat(LogFormat::kText); }
+  void SetFormat(LogFormat new_format) {
+    format = new_format;
     // The message of a JSON line brings its own quotes.
-    logger.set_pattern(to == LogFormat::kJson
+    logger.set_pattern(new_format == LogFormat::kJson
                            ? R"({"time":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","message":%v})"
                            : "%l: %v",
                        spdlog::pattern_time_type::utc);
-    logger.set_level(spdlog::level::trace);  // what is dropped is dropped before
-    logger.flush_on(spdlog::level::trace);   // the last line before a crash is the one that counts
+    logger.set_level(spdlog::level::trace);  // IsLogEnabled has filtered already
+    logger.flush_on(spdlog::level::trace);   // the last line before a crash must not be lost
   }
   void Write(LogLevel level, std::string_view text) {
     static constexpr spdlog::level::level_enum kLevels[] = {
@@ -43,10 +43,10 @@
 
   spdlog::logger logger{"paddlestile", std::make_shared<spdlog::sinks::stderr_sink_st>()};
   LogFormat format = LogFormat::kText;
-  LogLevel least = LogLevel::kInfo;
-  std::chrono::steady_clock::time_point second;
-  int lines = 0;
-  int dropped = 0;
+  LogLevel minimum_level = LogLevel::kInfo;
+  std::chrono::steady_clock::time_point second_began;
+  int lines = 0;    // written in this second
+  int dropped = 0;  // in this second, past the limit
 };
 
 State& GlobalState() {
@@ -57,30 +57,31 @@
 }  // namespace
 
 void SetLogLevel(LogLevel level) {
-  GlobalState().least = level;
+  GlobalState().minimum_level = level;
 }
 bool IsLogEnabled(LogLevel level) {
-  return level >= GlobalState().least;
+  return level >= GlobalState().minimum_level;
 }
 void SetLogFormat(LogFormat format) {
-  GlobalState().Use(format);
+  GlobalState().SetFormat(format);
 }
 
 void LogLine(LogLevel level, std::string_view text) {
-  State& s = GlobalState();
+  State& state = GlobalState();
   const auto now = std::chrono::steady_clock::now();
-  if (now - s.second >= std::chrono::seconds(1)) {
-    if (s.dropped > 0) {
-      s.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", s.dropped));
+  if (now - state.second_began >= std::chrono::seconds(1)) {
+    if (state.dropped > 0) {
+      state.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", state.dropped));
     }
-    s.second = now;
-    s.lines = s.dropped = 0;
+    state.second_began = now;
+    state.lines = 0;
+    state.dropped = 0;
   }
-  if (++s.lines > kLinesPerSecond) {
-    ++s.dropped;
+  if (++state.lines > kLinesPerSecond) {
+    ++state.dropped;
     return;
   }
-  s.Write(level, text);
+  state.Write(level, text);
 }
 
 }  // namespace paddlestile
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,5 @@
-// Lines on standard error, through spdlog, at most so many a second: text for people, or one JSON
-// object a line. One thread logs at a time.
+// Log lines on standard error, through spdlog: text, or one JSON object a line. At most 100 lines a
+// second; how many were dropped is logged. Not thread-safe.
 #ifndef PADDLESTILE_BASE_LOG_H_
 #define PADDLESTILE_BASE_LOG_H_
 
@@ -21,17 +21,20 @@
   kJson
 };
 
-// Lines below this are dropped; kInfo at first.
+// Lines below `level` are dropped. kInfo by default.
 void SetLogLevel(LogLevel level);
+// Whether a line of `level` would be written.
 [[nodiscard]] bool IsLogEnabled(LogLevel level);
 
-// kText at first: "warning: words". kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
+// kText, the default: "warning: text". kJson: {"time": ISO 8601 in UTC, "level": ..., "message":
+// ...}.
 void SetLogFormat(LogFormat format);
 
-// Writes one line. Control characters in it become '?', so that no peer can forge a line; in JSON,
-// what is no UTF-8 becomes U+FFFD.
+// Writes one line. Control characters become '?', so that no peer can forge a line; in JSON, bytes
+// that are not UTF-8 become U+FFFD.
 void LogLine(LogLevel level, std::string_view text);
 
+// Formats and writes one line; the arguments are not formatted where the level is off.
 template <typename... Args>
 void Log(LogLevel level, fmt::format_string<Args...> format, Args&&... args) {
   if (IsLogEnabled(level)) {
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -7,7 +7,7 @@
 
 namespace paddlestile {
 
-// One line a counter: its name, and what it counts.
+// Counter names, with what each counts. X(name) is expanded once a counter.
 #define PADDLESTILE_COUNTERS(X)                                                      \
   X(downstream_connections_accepted)  /* connections from clients */                 \
   X(downstream_connections_closed)    /* of those, ended */                          \
@@ -17,20 +17,20 @@
   X(admin_calls)                      /* operators' calls that could be read */      \
   X(drains)                           /* begun by an operator */                     \
   X(hot_restarts)                     /* of the clients' address, to or from */      \
-  X(requests_admitted)                /* requests handed to the module */            \
-  X(requests_malformed)               /* answered 4xx or 5xx without the module */   \
-  X(requests_over_limit)              /* over the most that may be held */           \
+  X(requests_admitted)                /* requests given to the load balancer */      \
+  X(requests_malformed)               /* answered 4xx or 5xx before that */          \
+  X(requests_over_limit)              /* past the limit of unanswered ones */        \
   X(responses_served)                 /* 200 */                                      \
   X(responses_rejected)               /* 503 */                                      \
   X(responses_failed)                 /* 502 */                                      \
-  X(responses_streamed)               /* of those served, as they came */            \
-  X(requests_streamed)                /* not held whole */                           \
-  X(bodies_truncated)                 /* that broke off while they passed on */      \
-  X(responses_overdue)                /* 502 because the module gave none */         \
-  X(clients_disconnected)             /* gone before their answer */                 \
-  X(attempts_started)                 /* attempts asked for by the module */         \
-  X(attempts_to_warming_hosts)        /* of those, to a host within its warm-up */   \
-  X(attempts_to_draining_hosts)       /* of those, to one that drains or left */     \
+  X(responses_streamed)               /* of those served, passed on as they came */  \
+  X(requests_streamed)                /* not buffered completely */                  \
+  X(bodies_truncated)                 /* that ended early while streamed */          \
+  X(responses_overdue)                /* 502, as the load balancer gave none */      \
+  X(clients_disconnected)             /* before their response */                    \
+  X(attempts_started)                 /* attempts at hosts */                        \
+  X(attempts_to_warming_hosts)        /* of those, to a host that warms up */        \
+  X(attempts_to_draining_hosts)       /* of those, to a draining or removed one */   \
   X(attempts_ok)                      /* outcomes of attempts */                     \
   X(attempts_error)                                                                  \
   X(attempts_rejected)                                                               \
@@ -39,48 +39,49 @@
   X(attempts_reset)                                                                  \
   X(attempts_cancelled)                                                              \
   X(attempts_not_sent)                                                               \
-  X(attempts_invalid_response)   /* spoilt, or the request blamed */                 \
+  X(attempts_invalid_response)   /* malformed, or a 4xx */                           \
   X(upstream_connections_opened) /* connections opened to hosts */                   \
   X(upstream_idle_closed)        /* closed by this side while idle */                \
   X(upstream_idle_lost)          /* closed by the host while idle */                 \
-  X(upstream_no_descriptor)      /* sends and probes without a descriptor */         \
-  X(upstream_malformed)          /* answers that no parser took */                   \
-  X(load_reports_malformed)      /* load reports that were not understood */         \
+  X(upstream_no_descriptor)      /* attempts, probes without descriptor */           \
+  X(upstream_malformed)          /* responses that are not HTTP */                   \
+  X(load_reports_malformed)      /* load reports that cannot be read */              \
   X(probes)                                                                          \
   X(probes_ok)                                                                       \
-  X(config_rereads)           /* readings of the file after SIGHUP */                \
-  X(config_rejected)          /* of those, without sense */                          \
-  X(discovery_updates)        /* lists and changes taken over */                     \
-  X(discovery_malformed)      /* lists that were not understood */                   \
-  X(discovery_too_long)       /* lists past the bound on their size */               \
-  X(discovery_stale)          /* lists older than the one held */                    \
-  X(discovery_watches)        /* watches begun */                                    \
-  X(discovery_polls)          /* calls for the whole list */                         \
+  X(config_rereads)           /* configuration files read at SIGHUP */               \
+  X(config_rejected)          /* of those, not applied */                            \
+  X(discovery_updates)        /* lists and changes applied */                        \
+  X(discovery_malformed)      /* lists that cannot be read */                        \
+  X(discovery_too_long)       /* lists past the size limit */                        \
+  X(discovery_stale)          /* lists older than the one in use */                  \
+  X(discovery_watches)        /* watches started */                                  \
+  X(discovery_polls)          /* calls for the full list */                          \
   X(discovery_failures)       /* watches and calls that failed */                    \
-  X(load_balancer_events)     /* events that the module took */                      \
-  X(load_balancer_exceptions) /* exceptions out of the module */                     \
-  X(loop_lagged)              /* rounds of the loop that took over 20 ms */          \
-  X(invariant_failures)       /* what must hold and did not */
+  X(load_balancer_events)     /* events given to the load balancer */                \
+  X(load_balancer_exceptions) /* exceptions that it threw */                         \
+  X(loop_lagged)              /* event loop rounds over 20 ms */                     \
+  X(invariant_failures)       /* failed checks of invariants */
 
+// The counters of a process; each starts at 0 and only grows.
 struct Counters {
 #define PADDLESTILE_FIELD(name) uint64_t name = 0;
   PADDLESTILE_COUNTERS(PADDLESTILE_FIELD)
 #undef PADDLESTILE_FIELD
 
-  // All that are not zero, as name=value with spaces between.
+  // Counters that are not zero, as "name=value" separated by spaces.
   [[nodiscard]] std::string ToText() const;
 };
 
-// Those of this process.
+// The counters of this process.
 Counters& GlobalCounters();
 
-// Counts a thing that must hold and did not, and logs the first few. Always false.
+// Counts a broken invariant and logs the first 20. Always returns false.
 bool CheckFailed(const char* what, const char* file, int line);
 
 }  // namespace paddlestile
 
-// What must hold: ends a debug build, is counted in a release build. Its value is whether it held,
-// so that the caller can leave safely.
+// An invariant: a debug build aborts where it does not hold, a release build counts it. The value
+// is whether it holds, so that the caller can return safely.
 #ifdef NDEBUG
 #define PADDLESTILE_CHECK(condition) \
   (static_cast<bool>(condition) || ::paddlestile::CheckFailed(#condition, __FILE__, __LINE__))
--- a/src/event/buffer.cpp
+++ b/src/event/buffer.cpp
@@ -15,20 +15,19 @@
   std::swap(end_, other.end_);
 }
 
-char* Buffer::Prepare(size_t least) {
-  if (Room() < least) {
-    if (begin_ > 0 && capacity_ - size() >= least && begin_ >= size()) {
+char* Buffer::Prepare(size_t bytes) {
+  if (Room() < bytes) {
+    if (begin_ > 0 && capacity_ - size() >= bytes && begin_ >= size()) {
       std::memcpy(bytes_.get(), bytes_.get() + begin_, size());
     } else {
-      // By a quarter: a thousand clients may each hold a whole request, and doubling would hold
-      // twice what they sent.
-      const size_t capacity = size() + std::max(least, size() / 4);
-      // for_overwrite: what is read next needs no zeroes first.
-      auto bytes = std::make_unique_for_overwrite<char[]>(capacity);
+      // Grows by a quarter: with a thousand buffered requests, doubling would hold twice their
+      // bytes.
+      const size_t capacity = size() + std::max(bytes, size() / 4);
+      auto grown = std::make_unique_for_overwrite<char[]>(capacity);
       if (size() > 0) {
-        std::memcpy(bytes.get(), bytes_.get() + begin_, size());
+        std::memcpy(grown.get(), bytes_.get() + begin_, size());
       }
-      bytes_ = std::move(bytes);
+      bytes_ = std::move(grown);
       capacity_ = capacity;
     }
     end_ -= begin_;
--- a/src/event/descriptor_budget.h
+++ b/src/event/descriptor_budget.h
@@ -6,12 +6,17 @@
 
 namespace paddlestile {
 
-// All connections draw from one budget, which keeps some back for the files that every process has.
+// Counts the descriptors in use against a limit, less a reserve for the descriptors that every
+// process needs: log, epoll, listeners, discovery. Invariant: used() never exceeds what TryAcquire
+// granted and Release gave back.
 class DescriptorBudget {
  public:
-  static constexpr size_t kReserve = 32;
+  static constexpr size_t kReserve = 32;  // descriptors
+
+  // `limit`: descriptors that the process may have open.
   explicit DescriptorBudget(size_t limit)
       : limit_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
+  // Counts one more descriptor; false, and nothing counted, where the limit is reached.
   bool TryAcquire() {
     if (used_ + held_by_other_process_ >= limit_) {
       return false;
@@ -19,16 +24,18 @@
     ++used_;
     return true;
   }
+  // Gives back one that TryAcquire granted.
   void Release() { --used_; }
   [[nodiscard]] size_t used() const { return used_; }
-  // All that the gateway may hold, of which the uses of it have their shares.
+  // Descriptors that may be acquired in all; downstream and upstream take shares of it.
   [[nodiscard]] size_t limit() const { return limit_; }
-  // Another process of the same gateway holds so many.
+  // During a hot restart: how many the other process of this gateway holds. They count as used.
   void set_held_by_other_process(size_t count) { held_by_other_process_ = count; }
 
  private:
   size_t limit_;
-  size_t used_ = 0, held_by_other_process_ = 0;
+  size_t used_ = 0;
+  size_t held_by_other_process_ = 0;
 };
 
 }  // namespace paddlestile
--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -25,8 +25,8 @@
     fd.Reset();
     errno = error;
   }
-  // Of several that listen there the newest gets all that comes, and the one that leaves can empty
-  // its queue. Without this, or with one alone, the kernel chooses.
+  // With several listeners the newest gets every new connection, so that an old process can empty
+  // its queue and leave. If the filter is refused, the kernel distributes them.
   sock_filter newest{BPF_RET | BPF_K, 0, 0, 1};
   const sock_fprog choice{1, &newest};
   if (fd && shared) {
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -11,7 +11,8 @@
 
 namespace paddlestile {
 
-// A descriptor counted in the budget for as long as it is open.
+// An owned descriptor that counts in a budget until it is closed. The budget, which may be null,
+// outlives the socket and has granted the descriptor already.
 class Socket {
  public:
   Socket(FileDescriptor fd, DescriptorBudget* budget) : fd_(std::move(fd)), budget_(budget) {}
@@ -41,14 +42,16 @@
   DescriptorBudget* budget_;
 };
 
-// A listening socket; none where the kernel refuses, with errno. `shared`: others of the same user
-// may listen there too.
+// A non-blocking socket that listens at `listen` with SO_REUSEADDR. `shared`: other processes of
+// the same user may listen there too (SO_REUSEPORT); the newest then gets all new connections.
+// Returns an empty descriptor where the kernel refuses, with errno set.
 FileDescriptor Listen(const Address& listen, int backlog, bool shared);
-// Where a socket is bound.
+// The address that a socket is bound to; a default one where it is not.
 Address LocalAddress(int fd);
 
-// Begins a connection, out of the reserve where no budget is given. Nothing where the budget or the
-// kernel has no descriptor; `refused` where the address itself gives none.
+// Begins a non-blocking TCP connection to `to`. `budget` may be null: the descriptor then comes out
+// of the reserve. Returns nothing where the budget or the kernel has no descriptor, or, with
+// `refused` set, where the connection itself fails at once.
 std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused);
 
 }  // namespace paddlestile
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -17,14 +17,14 @@
 
 namespace paddlestile {
 namespace {
-constexpr size_t kPiecesAtOnce = 16;
-// A peer may have 60 MB more to say: past so much it is left to its own full buffers.
-constexpr size_t kDiscardMost = 1 << 20;
-constexpr size_t kDiscardAtOnce = 1 << 17;
+constexpr size_t kSegmentsPerWrite = 16;
+// A peer may send far more than anybody wants: past this it waits for its own full buffers.
+constexpr size_t kMaxDiscardBytes = 1 << 20;
+constexpr size_t kDiscardBytesPerRead = 1 << 17;
 }  // namespace
 
-Stream::Stream(EventLoop& loop, Socket socket, Listener* owner, bool connecting)
-    : loop_(loop), socket_(std::move(socket)), listener_(owner), connected_(!connecting) {}
+Stream::Stream(EventLoop& loop, Socket socket, Listener* listener, bool connecting)
+    : loop_(loop), socket_(std::move(socket)), listener_(listener), connected_(!connecting) {}
 
 Stream::~Stream() {
   Close();
@@ -61,20 +61,20 @@
 }
 
 bool Stream::DiscardAvailable() {
-  while (discarded_ < kDiscardMost) {
-    const ssize_t n = recv(socket_.get(), nullptr, kDiscardAtOnce, MSG_TRUNC);
-    if (n > 0) {
-      discarded_ += static_cast<size_t>(n);
+  while (discarded_bytes_ < kMaxDiscardBytes) {
+    const ssize_t received = recv(socket_.get(), nullptr, kDiscardBytesPerRead, MSG_TRUNC);
+    if (received > 0) {
+      discarded_bytes_ += static_cast<size_t>(received);
       continue;
     }
-    if (n < 0 && errno == EINTR) {
+    if (received < 0 && errno == EINTR) {
       continue;
     }
     readable_ = false;
-    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       return false;
     }
-    ended_ = n == 0;
+    ended_ = received == 0;
     if (!ended_) {
       ReportError();
     }
@@ -87,24 +87,25 @@
   if (discarding_) {
     return !closed_ && !ended_ && !broken_ && DiscardAvailable();
   }
-  bool news = false;
+  bool has_news = false;
   while (!closed_ && !ended_ && !broken_) {
     if (input_.size() >= max_unread_bytes_) {
-      return news;  // the edge stays open for Resume
+      return has_news;  // ResumeReading goes on
     }
-    char* const to = input_.Prepare(min_read_bytes_);
-    const ssize_t n = recv(socket_.get(), to, input_.Room(), 0);
-    if (n > 0) {
-      const bool all = static_cast<size_t>(n) < input_.Room();
-      input_.Commit(static_cast<size_t>(n));
-      news = true;
-      // Less than there was room for is all that there was: what comes next is an edge of its own.
-      if (all && !hung_up_) {
+    char* const room = input_.Prepare(min_read_bytes_);
+    const ssize_t received = recv(socket_.get(), room, input_.Room(), 0);
+    if (received > 0) {
+      const bool read_all = static_cast<size_t>(received) < input_.Room();
+      input_.Commit(static_cast<size_t>(received));
+      has_news = true;
+      // Less than there was room for: the kernel has no more, and reports the next byte as a new
+      // edge.
+      if (read_all && !hung_up_) {
         readable_ = false;
-        return news;
+        return has_news;
       }
-    } else if (n == 0) {
-      ended_ = news = true;
+    } else if (received == 0) {
+      ended_ = has_news = true;
     } else if (errno == EINTR) {
       continue;
     } else {
@@ -114,17 +115,17 @@
         input_.Consume(0);
       }
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
-        // What came before the break may still be a whole message.
-        if (news) {
+        // What arrived before the error may still be a complete message.
+        if (has_news) {
           listener_->OnData();
         }
-        news = false;
+        has_news = false;
         ReportError();
       }
-      return news;
+      return has_news;
     }
   }
-  return news;
+  return has_news;
 }
 
 void Stream::ResumeReading() {
@@ -136,31 +137,34 @@
   }
 }
 
-void Stream::OnEvents(uint32_t events) {
-  if (!connected_) {
-    int error = 0;
-    socklen_t size = sizeof(error);
-    getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) {
-      return ReportError();
-    }
-    if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
-      return;
-    }
-    // A socket that has not begun to connect reports a hang-up too.
-    sockaddr_in peer{};
-    size = sizeof(peer);
-    if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
-      if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) {
-        ReportError();
-      }
-      return;
-    }
-    connected_ = true;
-    listener_->OnConnected();
-    if (closed_) {
-      return;
+bool Stream::FinishConnecting(uint32_t events) {
+  int error = 0;
+  socklen_t size = sizeof(error);
+  getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
+  if (error != 0) {
+    ReportError();
+    return false;
+  }
+  if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
+    return false;
+  }
+  // A socket that has not begun to connect reports a hang-up too.
+  sockaddr_in peer{};
+  size = sizeof(peer);
+  if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
+    if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) {
+      ReportError();
     }
+    return false;
+  }
+  connected_ = true;
+  listener_->OnConnected();
+  return !closed_;
+}
+
+void Stream::OnEvents(uint32_t events) {
+  if (!connected_ && !FinishConnecting(events)) {
+    return;
   }
   if ((events & EPOLLOUT) != 0 && !output_.empty()) {
     Flush();
@@ -170,39 +174,53 @@
   }
   if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
     readable_ = true;
-    const bool before = hung_up_;
+    const bool was_hung_up = hung_up_;
     hung_up_ = hung_up_ || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-    const bool news = ReadAvailable();
-    // Behind what there is no room to read the end would else be told of by nothing.
-    const bool hidden = hung_up_ && !before && !discarding_ && input_.size() >= max_unread_bytes_;
-    if (!closed_ && !broken_ && (news || hidden)) {
+    const bool has_news = ReadAvailable();
+    // Where the bound stops reading, the end behind it would not be reported by a read.
+    const bool end_unreported =
+        hung_up_ && !was_hung_up && !discarding_ && input_.size() >= max_unread_bytes_;
+    if (!closed_ && !broken_ && (has_news || end_unreported)) {
       listener_->OnData();
     }
   }
 }
 
+void Stream::RemoveWritten(size_t bytes) {
+  while (bytes > 0 || (!output_.empty() && output_.front().remaining.empty())) {
+    WriteSegment& segment = output_.front();
+    const size_t part = std::min(bytes, segment.remaining.size());
+    segment.remaining.remove_prefix(part);
+    bytes -= part;
+    if (!segment.remaining.empty()) {
+      break;
+    }
+    output_.pop_front();
+  }
+}
+
 void Stream::Flush() {
   while (!output_.empty() && !broken_) {
-    std::array<iovec, kPiecesAtOnce> parts{};
+    std::array<iovec, kSegmentsPerWrite> vectors{};
     size_t count = 0;
-    for (const WriteSegment& piece : output_) {
-      if (count == parts.size()) {
+    for (const WriteSegment& segment : output_) {
+      if (count == vectors.size()) {
         break;
       }
-      parts[count++] = {const_cast<char*>(piece.remaining.data()), piece.remaining.size()};
+      vectors[count++] = {const_cast<char*>(segment.remaining.data()), segment.remaining.size()};
     }
     msghdr message{};
-    message.msg_iov = parts.data();
+    message.msg_iov = vectors.data();
     message.msg_iovlen = count;
-    const ssize_t n = sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
-    if (n < 0) {
+    const ssize_t sent = sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
+    if (sent < 0) {
       if (errno == EINTR) {
         continue;
       }
       if (errno == EAGAIN || errno == EWOULDBLOCK) {
         return;
       }
-      // A peer may have answered and closed before it read all: that answer is still there.
+      // A peer may have responded and closed before it read everything: read its response first.
       readable_ = hung_up_ = true;
       output_.clear();
       if (ReadAvailable()) {
@@ -213,17 +231,7 @@
       }
       return;
     }
-    for (auto left = static_cast<size_t>(n);
-         left > 0 || (!output_.empty() && output_.front().remaining.empty());) {
-      WriteSegment& piece = output_.front();
-      const size_t part = std::min(left, piece.remaining.size());
-      piece.remaining.remove_prefix(part);
-      left -= part;
-      if (!piece.remaining.empty()) {
-        break;
-      }
-      output_.pop_front();
-    }
+    RemoveWritten(static_cast<size_t>(sent));
   }
   if (output_.empty() && !broken_) {
     listener_->OnWriteComplete();
@@ -249,9 +257,9 @@
 }
 
 void Stream::CloseByReset() {
-  const linger now{1, 0};
+  const linger reset_on_close{1, 0};
   if (!closed_) {
-    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
   }
   Close();
 }
@@ -273,8 +281,8 @@
     return false;
   }
   char byte = 0;
-  const ssize_t n = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t received = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 }  // namespace paddlestile
