--- a/src/cluster/version_history.h
+++ b/src/cluster/version_history.h
@@ -11,21 +11,12 @@
 #include <string>
 #include <vector>
 
+#include "cluster/change_request.h"
 #include "cluster/version_content.h"
 #include "raft/raft_node.h"
 
 namespace paddlestile::cluster {
 
-// What somebody wants.
-struct Change {
-  std::string id;  // the submitter's: the same id again is the same change, however often it comes
-  std::string author, reason;
-  double submitted_unix_s = 0;               // when it was submitted, for people; decides nothing
-  std::optional<uint64_t> expected_version;  // refused where another version is the latest by then
-  std::string document;                      // the whole version
-  bool is_delta = false;  // `rules` is a delta to whichever version is the latest by then
-};
-
 // What the leader that proposed a delta made of it: whoever makes another version of it has other
 // content than the bank.
 struct DeltaResult {
