--- /dev/null
+++ b/src/gateway/operator_calls.cpp
@@ -0,0 +1,132 @@
+#include "gateway/operator_calls.h"
+
+#include <algorithm>
+#include <stdexcept>
+#include <utility>
+
+#include "cluster/codec.h"
+#include "cluster/delta.h"
+
+namespace paddlestile {
+namespace {
+
+using nlohmann::json;
+
+constexpr size_t kMaxPendingCalls = 64;
+constexpr size_t kMaxHistoryTextBytes = 2 * cluster::kMaxVersionBytes;  // of one reply
+
+// The texts of the versions asked for, newest first until the reply is full.
+std::map<uint64_t, std::string> TextsOf(const cluster::VersionHistory& history,
+                                        const json& wanted) {
+  std::map<uint64_t, std::string> texts;
+  size_t bytes = 0;
+  for (auto version = history.versions().rbegin(); version != history.versions().rend();
+       ++version) {
+    const bool is_wanted =
+        !wanted.is_array() || std::ranges::find(wanted, json(version->number)) != wanted.end();
+    if (!version->content || !is_wanted) {
+      continue;
+    }
+    bytes += cluster::TextBytes(*version->content);
+    if (bytes > kMaxHistoryTextBytes) {
+      break;
+    }
+    texts[version->number] = cluster::ToText(*version->content);
+  }
+  return texts;
+}
+
+// Why this gateway could not act on the change; empty: it could. Nothing is said of a change that
+// is faulty in itself: the leader names all of its faults.
+std::string WhyNotApplicable(const cluster::Change& change, const cluster::VersionHistory& history,
+                             const VersionApplier& applier) {
+  try {
+    const cluster::VersionContent content =
+        change.is_delta ? cluster::ApplyDelta(history.latest_content(), change.document)
+                        : cluster::VersionContent(cluster::ParseDocument(change.document));
+    return applier.WhyNotApplicable(content);
+  } catch (const std::invalid_argument&) {
+    return {};
+  }
+}
+
+}  // namespace
+
+OperatorCalls::Request OperatorCalls::ParseRequest(const json& value) {
+  if (!value.is_object()) {
+    return {};
+  }
+  const std::string what = value.value("what", "");
+  if (what == "status") {
+    return {Request::Kind::kStatus, std::nullopt};
+  }
+  if (what == "history") {
+    return {Request::Kind::kHistory, std::nullopt};
+  }
+  // "wish" is the wire's key of a change request.
+  if (!value.contains("wish")) {
+    return {};
+  }
+  auto change = cluster::ReadWish(value["wish"]);
+  if (!change) {
+    return {};
+  }
+  return {Request::Kind::kChange, std::move(change)};
+}
+
+json OperatorCalls::HistoryReply(const json& value, const cluster::VersionHistory& history) {
+  std::map<uint64_t, std::string> texts = TextsOf(history, value.value("texts", json()));
+  json versions = json::array();
+  for (const cluster::Version& version : history.versions()) {
+    versions.push_back({{"version", version.number},
+                        {"id", version.id},
+                        {"author", version.author},
+                        {"reason", version.reason},
+                        {"hash", version.hash},
+                        {"unix_s", version.submitted_unix_s},
+                        {"rules", std::move(texts[version.number])},
+                        {"on", version.number <= history.version_in_force()}});
+  }
+  return {{"versions", versions}};
+}
+
+std::optional<json> OperatorCalls::RejectionOf(const cluster::ChangeRequest& request,
+                                               const cluster::VersionHistory& history,
+                                               const VersionApplier& applier) const {
+  if (request.kind == cluster::ChangeRequest::Kind::kChange) {
+    const std::string reason = WhyNotApplicable(request.change, history, applier);
+    if (!reason.empty()) {
+      return ResultReply({cluster::ChangeResult::Kind::kRefused, request.change.id, 0, reason});
+    }
+  }
+  if (pending_calls_.size() >= kMaxPendingCalls) {
+    return ErrorReply("too many calls at once");
+  }
+  return std::nullopt;
+}
+
+uint64_t OperatorCalls::AddPending(uint64_t call) {
+  const uint64_t request_number = next_request_number_++;
+  pending_calls_[request_number] = call;
+  return request_number;
+}
+
+std::optional<uint64_t> OperatorCalls::TakePending(uint64_t request_number) {
+  const auto pending = pending_calls_.find(request_number);
+  if (pending == pending_calls_.end()) {
+    return std::nullopt;
+  }
+  const uint64_t call = pending->second;
+  pending_calls_.erase(pending);
+  return call;
+}
+
+json OperatorCalls::ResultReply(const cluster::ChangeResult& result) {
+  return {{"answer", cluster::ToJson(result)}};
+}
+
+json OperatorCalls::ErrorReply(const std::string& text) {
+  return {{"error", text}};
+}
+
+}  // namespace paddlestile
--- a/tests/cluster/delta_test.cpp
+++ b/tests/cluster/delta_test.cpp
@@ -407,7 +407,7 @@
         sent.push_back(s.message);
       }
       for (auto& answer : out.results)
-        answers.push_back(std::move(answer.second));
+        answers.push_back(std::move(answer.result));
       if (writes.empty())
         return;
       out = {};
@@ -703,8 +703,8 @@
   out = {};
   a.member.Submit(a.now, w, 20, out);
   ASSERT_EQ(out.results.size(), 1U);
-  EXPECT_EQ(out.results[0].second.kind, ChangeResult::Kind::kNoLeader);
-  EXPECT_EQ(out.results[0].second.text, "a leads, and catches up");
+  EXPECT_EQ(out.results[0].result.kind, ChangeResult::Kind::kNoLeader);
+  EXPECT_EQ(out.results[0].result.text, "a leads, and catches up");
   while (a.member.raft_node().HasEntriesToApply())
     a.Tick();
   EXPECT_EQ(a.Submit("late", "{}").kind, ChangeResult::Kind::kDone);
