--- a/src/balancer/learned_state.cpp
+++ b/src/balancer/learned_state.cpp
@@ -1,159 +1,91 @@
 #include "balancer/learned_state.h"
 
 #include <algorithm>
-#include <stdexcept>
-#include <string>
+
+#include "balancer/averages.h"
 
 namespace paddlestile {
+namespace {
 
-void ValidateSettings(const Settings& s) {
-  constexpr Duration kLongest = std::chrono::hours(1);
-  constexpr int kMostSends = 1000;
-  const auto fail = [](const std::string& name, const char* expected) {
-    throw std::invalid_argument("setting out of range: " + name + ", expected " + expected);
-  };
-  const auto need = [&](bool ok, const char* name, const char* expected) {
-    if (!ok) {
-      fail(name, expected);
-    }
-  };
-  // Its name is put together where it is told: the items are many, and looked at with each change.
-  const auto need_of = [&](bool ok, const char* list, size_t place, const char* name,
-                           const char* expected) {
-    if (!ok) {
-      fail(std::string(list) + '.' + std::to_string(place) + '.' + name, expected);
-    }
-  };
-  constexpr const char *kTime = "over 0 and an hour at most", *kNotNegative = "0 or more";
-  need(s.instance_count >= 1, "NInstances", "1 or more");
-  need(!s.classes.empty(), "Classes", "one at the least");
-  for (size_t i = 0; i < s.classes.size(); ++i) {
-    const RequestClass& c = s.classes[i];
-    need_of(c.latency_objective > Duration(0) && c.latency_objective <= kLongest, "Classes", i,
-            "Slo", kTime);
-    need_of(c.deadline > Duration(0) && c.deadline <= kLongest, "Classes", i, "Deadline", kTime);
-    need_of(c.priority_weight >= 0, "Classes", i, "Worth", kNotNegative);
-    need_of(c.deduplication_window >= Duration(0), "Classes", i, "Window", kNotNegative);
-  }
-  for (size_t i = 0; i < s.tenants.size(); ++i) {
-    need_of(s.tenants[i].share >= 0, "Tenants", i, "Share", kNotNegative);
-  }
-  need(s.allowed.max_attempts >= 1 && s.allowed.max_attempts <= kMostSends, "Allowed.SendCap",
-       "1 to 1000");
-  need(s.allowed.connect_timeout >= Duration(0), "Allowed.ConnectTimeout", kNotNegative);
-  need(s.rules.slow_start_initial_capacity >= 0 && s.rules.slow_start_initial_capacity <= 1,
-       "Obligations.ColdFrom", "0 to 1");
+constexpr Duration kSameStartTolerance{100'000};  // the two processes read their clocks apart
+constexpr double kMinArrivalShare = 1e-6;         // it is divided by
+
+bool IsSameProcess(const EndpointInfo& first, const EndpointInfo& second) {
+  const Duration apart = first.started_at - second.started_at;
+  return apart <= kSameStartTolerance && apart >= -kSameStartTolerance;
 }
 
-void ApplyTenantQuotas(const TenantQuotaUpdate& figures, Settings& s) {
-  for (const auto& [place, tenant] : figures.entries) {
-    if (tenant.share >= 0) {
-      continue;
-    }
-    throw std::invalid_argument("setting out of range: Tenants." + std::to_string(place) +
-                                ".Share, expected 0 or more");
-  }
-  for (const auto& [place, tenant] : figures.entries) {
-    s.tenants.resize(std::max(s.tenants.size(), place + 1));
-    s.tenants[place] = tenant;
-  }
+void ImportEndpoint(Endpoint& target, const Endpoint& source) {
+  target.external_in_flight = source.external_in_flight;
+  target.reported_at = source.reported_at;
+  target.round_trip_us = source.round_trip_us;
+  target.reported_latency_us = source.reported_latency_us;
+  target.outcome_interval_us = source.outcome_interval_us;
+  target.last_outcome_at = source.last_outcome_at;
+  target.error_rate = source.error_rate;
+  target.ejected_until = source.ejected_until;
+  target.consecutive_ejections = source.consecutive_ejections;
+  target.local_estimate = source.local_estimate;
+  target.slow_start_tokens = source.slow_start_tokens;
+  target.slow_start_refilled_at = source.slow_start_refilled_at;
 }
 
-void ImportState(LearnedState& mine, const LearnedState& told, Time now) {
-  constexpr Duration kSameStart{100'000};  // us; clocks are read apart
-  for (const Endpoint& was : told.endpoints) {
-    const auto at = mine.endpoint_index.find(was.info.id);
-    if (at == mine.endpoint_index.end()) {
+void ImportEndpoints(EndpointRecords& target, const EndpointRecords& source) {
+  for (const Endpoint& endpoint : source.endpoints) {
+    const auto found = target.endpoint_index.find(endpoint.info.id);
+    if (found == target.endpoint_index.end()) {
       continue;
     }
-    Endpoint& e = mine.endpoints[at->second];
-    const Duration apart = e.info.started_at - was.info.started_at;
-    if (apart > kSameStart || apart < -kSameStart) {
-      continue;
+    Endpoint& own = target.endpoints[found->second];
+    if (IsSameProcess(own.info, endpoint.info)) {
+      ImportEndpoint(own, endpoint);
     }
-    e.external_in_flight = was.external_in_flight;
-    e.reported_at = was.reported_at;
-    e.round_trip_us = was.round_trip_us;
-    e.reported_latency_us = was.reported_latency_us;
-    e.outcome_interval_us = was.outcome_interval_us;
-    e.last_outcome_at = was.last_outcome_at;
-    e.error_rate = was.error_rate;
-    e.ejected_until = was.ejected_until;
-    e.consecutive_ejections = was.consecutive_ejections;
-    e.local_estimate = was.local_estimate;
-    e.slow_start_tokens = was.slow_start_tokens;
-    e.slow_start_refilled_at = was.slow_start_refilled_at;
   }
-  for (size_t i = 0; i < std::min(mine.machine_kinds.size(), told.machine_kinds.size()); ++i) {
-    if (told.machine_kinds[i].finished_attempts > 0) {
-      mine.machine_kinds[i] = told.machine_kinds[i];
+  const size_t kinds = std::min(target.machine_kinds.size(), source.machine_kinds.size());
+  for (size_t kind = 0; kind < kinds; ++kind) {
+    if (source.machine_kinds[kind].finished_attempts > 0) {
+      target.machine_kinds[kind] = source.machine_kinds[kind];
     }
   }
-  for (size_t i = 0; i < std::min(mine.mean_time_us.size(), told.mean_time_us.size()); ++i) {
-    if (told.mean_time_us[i] <= 0) {
+}
+
+void ImportTraffic(TrafficRecords& target, const TrafficRecords& source, Time now) {
+  const size_t classes = std::min(target.mean_time_us.size(), source.mean_time_us.size());
+  for (size_t i = 0; i < classes; ++i) {
+    if (source.mean_time_us[i] <= 0) {
       continue;
     }
-    mine.mean_time_us[i] = told.mean_time_us[i];
-    mine.objective_met_rate[i] = told.objective_met_rate[i];
-    mine.arrival_shares[i] = std::max(told.arrival_shares[i], 1e-6);
+    target.mean_time_us[i] = source.mean_time_us[i];
+    target.objective_met_rate[i] = source.objective_met_rate[i];
+    target.arrival_shares[i] = std::max(source.arrival_shares[i], kMinArrivalShare);
   }
-  if (told.mean_request_time_us > 0) {
-    mine.mean_request_time_us = told.mean_request_time_us;
+  if (source.mean_request_time_us > 0) {
+    target.mean_request_time_us = source.mean_request_time_us;
   }
-  mine.mean_expected_us = std::max(told.mean_expected_us, 0.0);
-  mine.finished_work_per_us = told.finished_work_per_us;
-  mine.decayed_arrivals = told.decayed_arrivals;
-  mine.arrivals_span_us =
-      told.arrivals_span_us > 0 ? told.arrivals_span_us : 5e6;  // an older version tells none
-  mine.retry_tokens = std::min(told.retry_tokens, mine.retry_tokens);
-  mine.finished_work_updated_at = mine.arrivals_updated_at = now;
+  target.mean_expected_us = std::max(source.mean_expected_us, 0.0);
+  target.finished_work_per_us = source.finished_work_per_us;
+  target.decayed_arrivals = source.decayed_arrivals;
+  // An older version exports no span.
+  target.arrivals_span_us = source.arrivals_span_us > 0 ? source.arrivals_span_us : kRateSpanUs;
+  target.finished_work_updated_at = now;
+  target.arrivals_updated_at = now;
 }
 
-uint64_t HashOfId(const std::string& text) {
-  uint64_t h = 0xcbf29ce484222325;
-  for (const char c : text) {
-    h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3;
-  }
-  return h;
-}
+}  // namespace
 
-double UniformFromHashes(uint64_t a, uint64_t b) {
-  uint64_t h = a ^ b;
-  h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9;
-  h = (h ^ (h >> 27)) * 0x94d049bb133111eb;
-  return (static_cast<double>((h ^ (h >> 31)) >> 11) + 0.5) * 0x1p-53;
+Endpoint ResetForRestart(const Endpoint& previous) {
+  Endpoint endpoint;
+  endpoint.attempts_in_flight = previous.attempts_in_flight;
+  endpoint.probes_in_flight = previous.probes_in_flight;
+  endpoint.in_subset = previous.in_subset;
+  endpoint.was_up = previous.was_up;
+  return endpoint;
 }
 
-size_t EndpointSlotFor(const std::string& id, std::vector<Endpoint>& eps,
-                       std::unordered_map<std::string, size_t>& index,
-                       const std::map<uint64_t, Request>& open, const std::vector<PoolEntry>& pool,
-                       const std::set<size_t>& gone) {
-  if (const auto at = index.find(id); at != index.end()) {
-    return at->second;
-  }
-  const auto unused = [&](const Endpoint& e) {
-    if (e.info.state != EndpointState::kRemoved || e.was_up || e.in_subset ||
-        e.attempts_in_flight > 0) {
-      return false;
-    }
-    const auto place = static_cast<size_t>(&e - eps.data());
-    const auto named = [&](const auto& request) {
-      return std::ranges::count(request.second.attempts, place, &Attempt::endpoint) > 0;
-    };
-    return std::ranges::none_of(open, named) &&
-           std::ranges::count(pool, place, &PoolEntry::endpoint) == 0;
-  };
-  // The first that fits, without a look at all the others of a large fleet.
-  const auto free = std::ranges::find_if(gone, [&](size_t i) { return unused(eps[i]); });
-  auto at = eps.begin() + (free == gone.end() ? 0 : static_cast<long>(*free));
-  if (free == gone.end()) {
-    at = eps.insert(eps.end(), Endpoint{});
-  } else {
-    index.erase(at->info.id);
-    *at = Endpoint{};
-  }
-  at->info.id = id;
-  return index[id] = static_cast<size_t>(at - eps.begin());
+void ImportState(LearnedState& target, const LearnedState& source, Time now) {
+  ImportEndpoints(target, source);
+  ImportTraffic(target, source, now);
+  target.retry_tokens = std::min(source.retry_tokens, target.retry_tokens);
 }
 
 }  // namespace paddlestile
--- a/tests/balancer/load_balancer_test.cpp
+++ b/tests/balancer/load_balancer_test.cpp
@@ -12,8 +12,11 @@
 #include <string>
 #include <vector>
 
+#include "balancer/endpoint_table.h"
 #include "balancer/learned_state.h"
 #include "balancer/load_balancer_fixture.h"
+#include "balancer/probe_pool.h"
+#include "balancer/request_table.h"
 
 namespace paddlestile {
 namespace {
@@ -418,38 +421,39 @@
 // The trouble: an endpoint that fails fast looks idle and quick.
 // Endpoints are replaced all day under ids ever new: what is held is what there is.
 TEST(Membership, PlacesOfEndpointsThatAreGoneAreTakenAgain) {
-  std::vector<Endpoint> eps;
-  std::unordered_map<std::string, size_t> index;
-  std::map<uint64_t, Request> open;
+  EndpointRecords records;
+  EndpointTable table(records);
+  RequestTable open;
   std::vector<PoolEntry> pool;
-  std::set<size_t> left;
+  const auto is_referenced = [&](size_t endpoint) {
+    return open.RefersTo(endpoint) || std::ranges::count(pool, endpoint, &PoolEntry::endpoint) > 0;
+  };
   for (int i = 0; i < 5000; ++i) {
-    const size_t place = EndpointSlotFor("e" + std::to_string(i), eps, index, open, pool, left);
-    left.erase(place);
-    EXPECT_EQ(eps[place].info.id, "e" + std::to_string(i));
-    EXPECT_EQ(eps[place].error_rate, 0);  // nothing of who was there before
-    eps[place].error_rate = 1;
+    const size_t place = table.IndexFor("e" + std::to_string(i), is_referenced);
+    EXPECT_EQ(table[place].info.id, "e" + std::to_string(i));
+    EXPECT_EQ(table[place].error_rate, 0);  // nothing of who was there before
+    table[place].error_rate = 1;
     if (i < 10)
       continue;
-    const size_t old = index.at("e" + std::to_string(i - 10));
-    eps[old].info.state = EndpointState::kRemoved;
-    left.insert(old);
+    const size_t old = records.endpoint_index.at("e" + std::to_string(i - 10));
+    table.SetState(old, EndpointState::kRemoved);
   }
-  EXPECT_LE(eps.size(), 12U);
-  EXPECT_LE(index.size(), 12U);
+  EXPECT_LE(table.size(), 12U);
+  EXPECT_LE(records.endpoint_index.size(), 12U);
   // Not while a request or an answer still names it.
-  const size_t gone = index.begin()->second;
-  for (Endpoint& e : eps)
-    e.info.state = EndpointState::kUp;
-  eps[gone].info.state = EndpointState::kRemoved;
-  left = {gone};
-  open[1].attempts.push_back({.endpoint = gone});
-  EXPECT_NE(EndpointSlotFor("x", eps, index, open, pool, left), gone);
-  open.clear();
+  const size_t gone = records.endpoint_index.begin()->second;
+  for (size_t i = 0; i < table.size(); ++i) {
+    table.SetState(i, EndpointState::kUp);
+  }
+  table.SetState(gone, EndpointState::kRemoved);
+  Request& request = open.Add(RequestArrived{}, 0, MakeSettings(), Time(0));
+  request.attempts.push_back({.endpoint = gone});
+  EXPECT_NE(table.IndexFor("x", is_referenced), gone);
+  open.Erase(request);
   pool.push_back({.endpoint = gone});
-  EXPECT_NE(EndpointSlotFor("y", eps, index, open, pool, left), gone);
+  EXPECT_NE(table.IndexFor("y", is_referenced), gone);
   pool.clear();
-  EXPECT_EQ(EndpointSlotFor("z", eps, index, open, pool, left), gone);
+  EXPECT_EQ(table.IndexFor("z", is_referenced), gone);
 }
 
 // Each probe goes to an endpoint of the set without one out, as evenly as ever, though no list of
