--- /dev/null
+++ b/src/gateway/connection_reuse_statistics.cpp
@@ -0,0 +1,40 @@
+#include "gateway/connection_reuse_statistics.h"
+
+#include <algorithm>
+#include <bit>
+#include <cmath>
+#include <cstdint>
+
+namespace paddlestile {
+namespace {
+
+constexpr double kMaxFailedShare = 0.2;  // of the attempted
+constexpr double kMinAttempted = 5;      // decayed connections, before the share counts
+constexpr double kDecayTimeUs = 5e6;
+
+}  // namespace
+
+ConnectionReuseStatistics::Bucket& ConnectionReuseStatistics::DecayedBucket(Duration idle_time,
+                                                                            Time now) {
+  const auto idle_ms = static_cast<uint64_t>(std::max<int64_t>(idle_time.count() / 1000, 0));
+  Bucket& bucket = buckets_[std::min<size_t>(std::bit_width(idle_ms), buckets_.size() - 1)];
+  const auto elapsed_us = static_cast<double>((now - bucket.updated_at).count());
+  const double remaining = std::exp(-elapsed_us / kDecayTimeUs);
+  bucket.attempted *= remaining;
+  bucket.failed *= remaining;
+  bucket.updated_at = now;
+  return bucket;
+}
+
+void ConnectionReuseStatistics::RecordReuse(Duration idle_time, bool failed, Time now) {
+  Bucket& bucket = DecayedBucket(idle_time, now);
+  bucket.attempted += 1;
+  bucket.failed += failed ? 1 : 0;
+}
+
+bool ConnectionReuseStatistics::IsTooOldToReuse(Duration idle_time, Time now) {
+  const Bucket& bucket = DecayedBucket(idle_time, now);
+  return bucket.attempted >= kMinAttempted && bucket.failed > kMaxFailedShare * bucket.attempted;
+}
+
+}  // namespace paddlestile
--- /dev/null
+++ b/src/gateway/downstream_connection.cpp
@@ -0,0 +1,455 @@
+#include "gateway/downstream_connection.h"
+
+#include <algorithm>
+#include <chrono>
+#include <string>
+#include <utility>
+
+#include "base/log.h"
+#include "base/metrics.h"
+#include "gateway/downstream_connections.h"
+#include "gateway/response_head.h"
+
+namespace paddlestile {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+// For a whole request: from the connect on for the first, else from its first byte. Bytes that come
+// do not renew it, or a byte at a time would hold a descriptor for ever.
+constexpr Duration kRequestTimeout = milliseconds(2'500);
+// For the client to take a response, or the next piece of one.
+constexpr Duration kWriteTimeout = seconds(10);
+constexpr Duration kUploadCheckInterval = milliseconds(250);
+// Clients keep connections that they do not use again, and open some that they never use.
+constexpr Duration kIdleTimeout = seconds(2);         // between two requests
+constexpr Duration kFirstByteTimeout = seconds(1);    // after the connect
+constexpr Duration kLingerTimeout = seconds(1);       // for the client to read its last response
+constexpr Duration kUnreadRecheck = milliseconds(5);  // a request has come and is about to be read
+constexpr size_t kMinReadBytes = 2048;                // most requests are short
+// Of a body, before its request is dispatched and takes an upstream connection.
+constexpr size_t kMinStreamedBytes = 16'384;
+
+}  // namespace
+
+DownstreamConnection::DownstreamConnection(EventLoop& loop, DownstreamConnections& owner,
+                                           Socket socket)
+    : owner_(owner), loop_(loop), stream_(loop, std::move(socket), this, false) {
+  stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBufferedBodyBytes);
+}
+
+DownstreamConnection::~DownstreamConnection() {
+  loop_.CancelTimer(timer_);
+}
+
+bool DownstreamConnection::Start() {
+  if (!stream_.Start()) {
+    return false;
+  }
+  opened_at_ = loop_.Now();
+  SetTimer(kFirstByteTimeout, [this] { OnReadTimeout(); });
+  owner_.MarkUnused(*this);
+  return true;
+}
+
+void DownstreamConnection::Shutdown() {
+  loop_.CancelTimer(timer_);
+  owner_.MarkActive(*this);
+  ReleaseBodyBuffer();
+  TruncateBody();
+  AbandonRequest();
+  response_writer_.reset();
+  stream_.Close();
+}
+
+bool DownstreamConnection::HasUnfinishedWork() {
+  const bool buffered = !stream_.input().empty() && !parser_.begun();
+  return state_ != State::kReading || buffered || stream_.HasUnreadBytes();
+}
+
+void DownstreamConnection::OnData() {
+  if (state_ == State::kReading) {
+    ReadRequest();
+  }
+  if (state_ == State::kUploading && request_body_ && !stream_.ended()) {
+    request_body_->OnDataAvailable();
+    return;
+  }
+  CloseIfClientLeft();
+}
+
+void DownstreamConnection::OnError() {
+  owner_.Close(*this);
+}
+
+// ---- Reading a request ----------------------------------------------------------------------
+
+// A client that sends no more is taken to have left: clients close when they leave. While a request
+// waits, the end of its stream counts even behind pipelined requests that were not read yet.
+void DownstreamConnection::CloseIfClientLeft() {
+  if (stream_.closed() || state_ == State::kReading) {
+    return;
+  }
+  if (stream_.ended() || (state_ == State::kWaiting && stream_.hung_up())) {
+    owner_.Close(*this);
+  }
+}
+
+void DownstreamConnection::ReadRequest() {
+  if (stream_.input().empty()) {
+    if (stream_.ended()) {
+      owner_.Close(*this);
+    }
+    return;
+  }
+  owner_.MarkActive(*this);
+  if (!parser_.begun()) {
+    StartRequestTimer();
+  }
+  received_any_ = true;
+  const ParseProgress progress = parser_.Feed(stream_.input());
+  if (progress == ParseProgress::kMalformed) {
+    return RejectMalformed(parser_.error_status(), "malformed request");
+  }
+  if (progress == ParseProgress::kDone) {
+    return FinishBufferedRequest();
+  }
+  if (stream_.ended()) {
+    return owner_.Close(*this);  // within a request
+  }
+  SendContinueIfExpected();
+  if (parser_.head_done()) {
+    OnBodyBytes();
+  }
+}
+
+void DownstreamConnection::StartRequestTimer() {
+  request_started_at_ = received_any_ ? loop_.Now() : opened_at_;
+  const Duration elapsed = received_any_ ? Duration(0) : loop_.Now() - opened_at_;
+  SetTimer(kRequestTimeout - elapsed, [this] { OnReadTimeout(); });
+}
+
+void DownstreamConnection::SendContinueIfExpected() {
+  const HttpMessage& message = parser_.message();
+  if (continue_considered_ || message.body.at == 0) {
+    return;
+  }
+  continue_considered_ = true;
+  if (HeaderNamesEqual(message.FindHeader(stream_.input().view(), "Expect").value_or(""),
+                       "100-continue")) {
+    stream_.Write("HTTP/1.1 100 Continue\r\n\r\n");
+  }
+}
+
+// Decides whether the body is buffered or streams once it is known to be large.
+void DownstreamConnection::OnBodyBytes() {
+  if (!upload_.started()) {
+    const Time now = loop_.Now();
+    upload_.Start(now);
+    SetTimer(std::max(kRequestTimeout - (now - request_started_at_), kUploadCheckInterval),
+             [this] { CheckUploadRate(); });
+  }
+  const size_t received_bytes = parser_.body_bytes_received(stream_.input());
+  upload_.SetReceived(received_bytes, loop_.Now());
+  const auto length = parser_.body_length();
+  const bool is_small =
+      length ? *length <= kMaxBufferedBodyBytes : received_bytes < kMaxBufferedBodyBytes;
+  if (is_small) {
+    return;
+  }
+  if (!ReserveBodyBuffer() && received_bytes >= kMinStreamedBytes) {
+    StartStreamedRequest();
+  }
+}
+
+// Whether the large body that comes is to be buffered; reserves its memory once.
+bool DownstreamConnection::ReserveBodyBuffer() {
+  if (reserved_bytes_ > 0) {
+    return true;
+  }
+  const auto length = parser_.body_length();
+  if (!length || !owner_.ReserveBodyBuffer(static_cast<size_t>(*length))) {
+    return false;
+  }
+  reserved_bytes_ = static_cast<size_t>(*length);
+  stream_.set_max_unread_bytes(kMaxHeadBytes + reserved_bytes_);
+  stream_.set_min_read_bytes(kMaxPieceBytes);
+  // What the former limit left unread was reported already and is not reported again.
+  loop_.RunAfterRound([self = shared_from_this()] {
+    if (!self->stream_.closed()) {
+      self->stream_.ResumeReading();
+    }
+  });
+  return true;
+}
+
+void DownstreamConnection::ReleaseBodyBuffer() {
+  owner_.ReleaseBodyBuffer(std::exchange(reserved_bytes_, 0));
+}
+
+void DownstreamConnection::FinishBufferedRequest() {
+  loop_.CancelTimer(timer_);
+  BufferedMessage request;
+  request.message = parser_.message();
+  request.bytes = stream_.input().TakeFront(request.message.total_bytes);
+  ResetForNextRequest();
+  is_http10_ = request.message.is_http10;
+  keep_alive_ = request.message.keep_alive;
+  state_ = State::kWaiting;
+  Dispatch(std::move(request));
+}
+
+void DownstreamConnection::ResetForNextRequest() {
+  parser_.Reset();
+  ReleaseBodyBuffer();
+  stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBufferedBodyBytes);
+  stream_.set_min_read_bytes(kMinReadBytes);
+  continue_considered_ = false;
+  upload_.Reset();
+}
+
+void DownstreamConnection::Dispatch(BufferedMessage request) {
+  const std::string_view base = request.bytes.view();
+  if (request.message.target.In(base) == "/_health") {
+    ++GlobalCounters().health_checks;
+    return SendResponse({.status = owner_.lifecycle().healthy() ? 200 : 503});
+  }
+  AdmissionResult admission = owner_.listener().OnRequest(
+      std::move(request), [this](const Response& response) { SendResponse(response); });
+  if (admission.request) {
+    request_ = std::move(admission.request);
+    return;
+  }
+  ++GlobalCounters().requests_malformed;
+  Log(LogLevel::kInfo, "request answered {}: {}", admission.error_status, admission.reason);
+  // Hundreds of further invalid requests may follow on this connection.
+  keep_alive_ = keep_alive_ && admission.error_status >= 500;
+  SendResponse({.status = admission.error_status, .reason = admission.reason + '\n'});
+}
+
+// ---- A request whose body streams -----------------------------------------------------------
+
+void DownstreamConnection::StartStreamedRequest() {
+  const auto length = parser_.body_length();
+  BufferedMessage request;
+  request.message = parser_.TakeHead(stream_.input(), request.bytes);
+  stream_.set_max_unread_bytes(kMaxPieceBytes);
+  stream_.set_min_read_bytes(kMaxPieceBytes);
+  ++GlobalCounters().requests_streamed;
+  request_body_ = request.streaming_body = std::make_shared<StreamingBody>(
+      length, [this](Buffer& piece) { return ReadBodyPiece(piece); }, nullptr);
+  is_http10_ = request.message.is_http10;
+  keep_alive_ = request.message.keep_alive;
+  state_ = State::kUploading;
+  Dispatch(std::move(request));
+}
+
+ParseProgress DownstreamConnection::ReadBodyPiece(Buffer& piece) {
+  const ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
+  upload_.AddReceived(piece.size(), loop_.Now());
+  if (progress == ParseProgress::kNeedMore) {
+    ResumeReadingAfterRound();
+    return progress;
+  }
+  request_body_ = nullptr;
+  if (progress == ParseProgress::kMalformed) {
+    const int status = parser_.error_status();
+    loop_.RunDeferred([self = shared_from_this(), status] {
+      if (!self->stream_.closed()) {
+        self->AbortStreamedRequest(status, "malformed request");
+      }
+    });
+    return progress;
+  }
+  FinishStreamedRequest();
+  return progress;
+}
+
+// Not within the present call: new bytes are reported to the writer, which may be running.
+void DownstreamConnection::ResumeReadingAfterRound() {
+  if (!stream_.readable()) {
+    return;
+  }
+  loop_.RunAfterRound([self = shared_from_this()] {
+    if (!self->stream_.closed() && self->state_ == State::kUploading) {
+      self->stream_.ResumeReading();
+    }
+  });
+}
+
+void DownstreamConnection::FinishStreamedRequest() {
+  loop_.CancelTimer(timer_);
+  ResetForNextRequest();
+  state_ = State::kWaiting;
+  if (request_) {
+    owner_.listener().OnRequestComplete(request_);
+  }
+}
+
+void DownstreamConnection::AbortStreamedRequest(int status, std::string_view reason) {
+  TruncateBody();
+  AbandonRequest();
+  RejectMalformed(status, reason);
+}
+
+void DownstreamConnection::AbandonRequest() {
+  const auto request = std::exchange(request_, nullptr);
+  if (request && !request->done()) {
+    request->Abandon();
+    owner_.listener().OnClientDisconnected(request);
+  }
+}
+
+void DownstreamConnection::TruncateBody() {
+  if (const auto body = std::exchange(request_body_, nullptr)) {
+    body->OnTruncated();
+  }
+}
+
+// ---- Time limits ----------------------------------------------------------------------------
+
+void DownstreamConnection::OnReadTimeout() {
+  if (parser_.begun()) {
+    return RejectMalformed(408, "request too slow");
+  }
+  if (stream_.IsIdle()) {
+    return owner_.Close(*this);
+  }
+  SetTimer(kUnreadRecheck, [this] { OnReadTimeout(); });
+}
+
+void DownstreamConnection::CheckUploadRate() {
+  const Time now = loop_.Now();
+  const bool waits_for_gateway = state_ == State::kUploading && !stream_.input().empty();
+  if (waits_for_gateway) {
+    upload_.ExcuseUntil(now);
+  } else if (upload_.IsTooSlow(now)) {
+    return OnUploadTooSlow();
+  }
+  SetTimer(kUploadCheckInterval, [this] { CheckUploadRate(); });
+}
+
+void DownstreamConnection::OnUploadTooSlow() {
+  ++GlobalCounters().bodies_truncated;
+  if (state_ == State::kReading) {
+    return RejectMalformed(408, "request too slow");
+  }
+  Log(LogLevel::kInfo, "body cut: request {} came too slowly", request_ ? request_->id() : "");
+  AbortStreamedRequest(408, "request too slow");
+}
+
+void DownstreamConnection::SetTimer(Duration delay, std::function<void()> callback) {
+  loop_.CancelTimer(timer_);
+  timer_ = loop_.RunAfter(delay, [this, callback = std::move(callback)] {
+    timer_ = {};
+    callback();
+  });
+}
+
+void DownstreamConnection::StartWriteTimer() {
+  SetTimer(kWriteTimeout, [this] { owner_.Close(*this); });
+}
+
+// ---- Responses ------------------------------------------------------------------------------
+
+// Where the framing is lost, nothing more can be parsed on this connection.
+void DownstreamConnection::RejectMalformed(int status, std::string_view reason) {
+  ++GlobalCounters().requests_malformed;
+  Log(LogLevel::kInfo, "request answered {}: {}", status, reason);
+  state_ = State::kWaiting;
+  keep_alive_ = false;
+  ReleaseBodyBuffer();
+  stream_.input().Consume(stream_.input().size());
+  SendResponse({.status = status, .reason = std::string(reason) + '\n'});
+}
+
+void DownstreamConnection::SendResponse(const Response& response) {
+  request_ = nullptr;
+  if (!PADDLESTILE_CHECK(state_ == State::kWaiting || state_ == State::kUploading)) {
+    return;
+  }
+  // An early response: the rest of the request is of no use.
+  if (request_body_) {
+    TruncateBody();
+    keep_alive_ = false;
+  }
+  state_ = State::kWriting;
+  const auto& message = response.upstream_message;
+  const auto body = message ? message->streaming_body : nullptr;
+  const bool has_length = !body || body->length();
+  keep_alive_ = keep_alive_ && !owner_.draining() && (has_length || !is_http10_);
+  StartWriteTimer();
+  if (body) {
+    response_writer_ =
+        std::make_unique<BodyWriter>(stream_, body, !has_length && !is_http10_, true,
+                                     [this](bool complete) { OnResponseBodyFinished(complete); });
+  }
+  stream_.Write(ResponseHead(response, keep_alive_, is_http10_) + response.reason, message,
+                message ? message->body() : std::string_view());
+  if (response_writer_) {
+    response_writer_->Resume();
+  }
+}
+
+// A response that streams is written, or the upstream side broke off: then the reset shows the
+// client that it is incomplete.
+void DownstreamConnection::OnResponseBodyFinished(bool complete) {
+  // The writer may be the caller.
+  loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(response_writer_))] {});
+  if (complete) {
+    return OnWriteComplete();
+  }
+  stream_.CloseByReset();
+  loop_.RunDeferred([self = shared_from_this()] { self->owner_.Remove(*self); });
+}
+
+void DownstreamConnection::OnWriteComplete() {
+  if (state_ != State::kWriting) {
+    return;  // of "100 Continue"
+  }
+  if (response_writer_) {
+    StartWriteTimer();
+    return response_writer_->Resume();
+  }
+  if (!keep_alive_) {
+    return Linger();
+  }
+  loop_.CancelTimer(timer_);
+  state_ = State::kReading;
+  // Where a pipelined request waits in the buffer, other connections have their turn first.
+  if (stream_.input().empty() && !stream_.ended()) {
+    loop_.RunDeferred([self = shared_from_this()] { self->StartNextRequest(); });
+  } else {
+    loop_.RunAfterRound([self = shared_from_this()] { self->StartNextRequest(); });
+  }
+}
+
+// Closed with bytes unread, the kernel would reset the connection, and the response with it.
+void DownstreamConnection::Linger() {
+  state_ = State::kLingering;
+  stream_.ShutdownWrite();
+  SetTimer(kLingerTimeout, [this] { owner_.Close(*this); });
+  loop_.RunAfterRound([self = shared_from_this()] {
+    if (!self->stream_.closed()) {
+      self->stream_.DiscardInput();
+    }
+  });
+}
+
+void DownstreamConnection::StartNextRequest() {
+  if (stream_.closed() || state_ != State::kReading) {
+    return;
+  }
+  if (stream_.input().empty() && !stream_.ended()) {
+    SetTimer(kIdleTimeout, [this] { OnReadTimeout(); });
+    owner_.MarkIdle(*this);
+    owner_.CloseIdleBeyondShare();
+  } else {
+    ReadRequest();
+    CloseIfClientLeft();
+  }
+  stream_.ResumeReading();
+}
+
+}  // namespace paddlestile
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -1,145 +1,106 @@
-// The side towards the hosts: their connections, the attempts and probes on them, load reports.
+// The upstream side of the gateway: attempts and probes on pooled connections to the endpoints.
 #ifndef PADDLESTILE_GATEWAY_UPSTREAM_H_
 #define PADDLESTILE_GATEWAY_UPSTREAM_H_
 
-#include <array>
-#include <cstdint>
-#include <list>
+#include <cstddef>
 #include <memory>
 #include <optional>
 #include <string>
-#include <string_view>
-#include <unordered_map>
-#include <vector>
+#include <utility>
 
 #include "balancer/load_balancer.h"
-#include "config/gateway_config.h"
+#include "base/address.h"
+#include "base/time.h"
+#include "event/descriptor_budget.h"
 #include "event/event_loop.h"
-#include "event/stream.h"
-#include "http/http_parser.h"
+#include "gateway/request_head.h"
+#include "gateway/upstream_connection.h"
+#include "gateway/upstream_connection_pool.h"
+#include "gateway/upstream_response.h"
 #include "http/proxied_request.h"
 
 namespace paddlestile {
 
-// A load report, as `name=value` with commas between; nothing where a field is missing or no
-// number. The values come in the order of `fields`.
-std::optional<LoadReport> ParseLoadReport(std::string_view text,
-                                          const std::vector<std::string>& fields);
-
-// What a host's whole answer to an attempt says of it.
-Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view base);
-
-// The head that a request goes to a host with: what concerns this connection only is left out and
-// the time that is left takes the place of the client's.
-std::string RequestHead(const BufferedMessage& request, Duration left);
-
-class Upstream {
+class Upstream final : private UpstreamConnection::Owner {
  public:
   class Listener {
    public:
-    // Each attempt ends once; `from` is a whole 200 of a host, or one that blames the request, or
-    // null.
-    virtual void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                                   const std::string& endpoint, Outcome outcome, Duration took,
+    // Each attempt ends once. `elapsed`: since its start, or since the last byte of a request that
+    // streams. `response` is to be passed on: a 200, or one that blames the request; else null.
+    virtual void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& request, size_t attempt,
+                                   const std::string& endpoint, Outcome outcome, Duration elapsed,
                                    std::optional<LoadReport> report,
-                                   std::shared_ptr<const BufferedMessage> from) = 0;
-    virtual void OnResponseStarted(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
-                                   const std::string& endpoint, Duration took) = 0;
-    virtual void OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration took,
+                                   std::shared_ptr<const BufferedMessage> response) = 0;
+    // The response of a streamed class has begun; its attempt ends with OnAttemptFinished.
+    virtual void OnResponseStarted(const std::shared_ptr<ProxiedRequest>& request, size_t attempt,
+                                   const std::string& endpoint, Duration elapsed) = 0;
+    virtual void OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration elapsed,
                                  std::optional<LoadReport> report) = 0;
-    // DescriptorBudget are short; true where one was set free.
+    // No file descriptor is left; true where one was freed.
     virtual bool OnDescriptorsExhausted() = 0;
 
    protected:
     ~Listener() = default;
   };
 
-  struct Options {
-    Duration connect_timeout{0};
-    Duration endpoint_idle_timeout{0};  // the hosts'; ours come sooner. 0: not known
-    std::vector<std::string> report_fields;
-    bool reports_in_responses = false;
-    bool reports_in_probes = false;
-  };
+  using Options = UpstreamOptions;
 
+  // The references and `listener` must outlive this object.
   Upstream(EventLoop& loop, DescriptorBudget& budget, Options options, Listener* listener);
-  ~Upstream();
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
   // For what is sent from now on.
   void set_options(Options options) { options_ = std::move(options); }
 
-  // Where a host is, from the list. A changed address means new connections.
-  void SetEndpointAddress(const std::string& endpoint, const Address& address);
-  // It has left the list: what is out goes on, nothing is kept for later.
-  void RemoveEndpoint(const std::string& endpoint);
-
-  // Begins an attempt. The listener hears its one outcome, within this call where it cannot begin.
-  void StartAttempt(std::shared_ptr<ProxiedRequest> exchange, size_t attempt,
-                    const std::string& endpoint, Time until);
-  void CancelAttempt(const ProxiedRequest& exchange, size_t attempt);
-  // An answer that has begun to stream ends with its client, and so does an attempt that is not
-  // written whole, wherever it waits: nothing else would end them.
-  void OnClientDisconnected(const ProxiedRequest& exchange);
+  // Where an endpoint is, by the endpoint list. A changed address means new connections.
+  void SetEndpointAddress(const std::string& endpoint, const Address& address) {
+    pool_.SetAddress(endpoint, address);
+  }
+  // The endpoint has left the list: transactions go on, no connection is kept.
+  void RemoveEndpoint(const std::string& endpoint) { pool_.Remove(endpoint); }
+
+  // Starts an attempt, which ends by OnAttemptFinished: within this call where it cannot start.
+  void StartAttempt(std::shared_ptr<ProxiedRequest> request, size_t attempt,
+                    const std::string& endpoint, Time deadline);
+  // Ends the attempt with kCancelled; not one whose response has started.
+  void CancelAttempt(const ProxiedRequest& request, size_t attempt);
+  // Ends the attempts whose response has started with kCancelled, and those that are not written in
+  // full with kNotSent: nothing else would end them.
+  void OnClientDisconnected(const ProxiedRequest& request);
+  // Starts a probe, which ends by OnProbeFinished.
   void StartProbe(const std::string& endpoint);
 
-  // Closes the idle connections to a host; those with an attempt stay. Nothing for one not known.
+  // Closes the idle connections of an endpoint; no effect for an unknown one.
   void CloseIdleConnections(const std::string& endpoint);
   // Closes the connection that has idled longest; false where none idles.
-  bool CloseOneIdle();
+  bool CloseOneIdle() { return pool_.CloseOneIdle(); }
 
-  [[nodiscard]] size_t connection_count() const { return connections_.size(); }
-  [[nodiscard]] size_t idle_count() const { return idle_.size(); }
-  [[nodiscard]] size_t host_count() const { return hosts_.size(); }
+  [[nodiscard]] size_t connection_count() const { return pool_.connections().size(); }
+  [[nodiscard]] size_t idle_count() const { return pool_.idle_count(); }
+  [[nodiscard]] size_t host_count() const { return pool_.host_count(); }
 
  private:
-  class Connection;
-  struct Exchange;
-  struct Host {
-    std::string id;
-    Address address;
-    uint64_t address_version = 0;  // raised with each change of the address
-    bool listed = true;
-    size_t connection_count = 0;    // connections
-    std::vector<Connection*> idle;  // the last used at the end
-  };
-
-  // How connections fared that were used again after idling for about as long.
-  struct ReuseStatistics {
-    double attempted = 0, failed = 0;  // decayed
-    Time updated_at{0};
-  };
-  ReuseStatistics& ReuseAfter(Duration idle);
-  void RecordReuse(Duration idle, bool broken);
-  [[nodiscard]] bool IsTooOldToReuse(Duration idle);
-
-  Host* Find(const std::string& endpoint);
-  void Begin(std::unique_ptr<Exchange> job, Host& host);
-  // Sends what a connection could not take on another one to the same host.
-  void RetryOnAnotherConnection(Connection& connection);
-  void FinishExchange(Connection& connection, Outcome outcome, std::optional<LoadReport> report,
-                      std::shared_ptr<const BufferedMessage> from);
-  void ReportOutcome(std::unique_ptr<Exchange> job, Outcome outcome,
-                     std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> from);
-  void ReleaseToPool(Connection& connection);
-  void Drop(Connection& connection);
-  void DropIdle(Host& host);
-  void MaybeEraseHost(const Host& host);
-  // How long a connection may idle before it is used or closed; less than the hosts' own time.
-  [[nodiscard]] Duration MaxIdleTime() const;
-  void CloseExpiredIdle();
+  // UpstreamConnection::Owner.
+  void OnTransactionFinished(UpstreamConnection& connection, Outcome outcome,
+                             std::optional<LoadReport> report,
+                             std::shared_ptr<const BufferedMessage> response) override;
+  void OnStreamedResponse(std::unique_ptr<UpstreamTransaction> transaction, Outcome outcome,
+                          std::optional<LoadReport> report,
+                          std::shared_ptr<const BufferedMessage> response) override;
+  void OnResponseStarted(const UpstreamTransaction& transaction) override;
+  void OnConnectionUnusable(UpstreamConnection& connection) override;
+  bool OnDescriptorsExhausted() override { return listener_->OnDescriptorsExhausted(); }
+
+  void StartOnConnection(std::unique_ptr<UpstreamTransaction> transaction, UpstreamHost& host);
+  void Report(const UpstreamTransaction& transaction, Outcome outcome,
+              std::optional<LoadReport> report, std::shared_ptr<const BufferedMessage> response);
+  void ReportNotSent(const UpstreamTransaction& transaction);
 
   EventLoop& loop_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // what is put off looks at it
-  DescriptorBudget& budget_;
-  Options options_;
+  Options options_;  // the pool refers to it
   Listener* listener_;
-  std::unordered_map<std::string, std::unique_ptr<Host>> hosts_;
-  std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
-  std::list<Connection*> idle_;  // of all hosts, the longest idle first
-  EventLoop::TimerId idle_timer_;
-  std::array<ReuseStatistics, 16> reuse_;  // by the binary logarithm of the milliseconds idle
+  UpstreamConnectionPool pool_;
 };
 
 }  // namespace paddlestile
--- /dev/null
+++ b/src/gateway/upstream_connection.cpp
@@ -0,0 +1,508 @@
+#include "gateway/upstream_connection.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <chrono>
+#include <string_view>
+#include <utility>
+
+#include "base/log.h"
+#include "base/metrics.h"
+#include "gateway/request_head.h"
+#include "gateway/upstream_connection_pool.h"
+#include "gateway/upstream_response.h"
+
+namespace paddlestile {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+// Between two reads of a response that is buffered. A healthy endpoint sends it in one piece; to
+// wait for the end of one that stops would cost the time of the next attempt.
+constexpr Duration kResponsePauseLimit = milliseconds(600);
+// Between two reads of a response that streams, and two writes of a request that does. There is no
+// next attempt: slow endpoints are tolerated, dead ones are not.
+constexpr Duration kStreamPauseLimit = seconds(5);
+// Bytes of a large body that come before the client sees the first: malformed responses are short
+// as a rule, and until then another attempt may serve. More where the length is not known.
+constexpr size_t kMinStreamedBytes = 8'192;
+constexpr size_t kMinStreamedBytesUnknownLength = 16'384;
+constexpr size_t kMinReadBytes = 2048;  // most responses are short
+constexpr size_t kMaxUnreadBytes = 2 * kMaxBufferedBodyBytes;
+// An endpoint may send a second response some milliseconds after the first. On a connection in use
+// again it would be taken for the next request's: nothing in it tells them apart.
+constexpr Duration kSettleTime = UpstreamConnectionPool::kSettleTime;
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(EventLoop& loop, UpstreamConnectionPool& pool, Owner& owner,
+                                       UpstreamHost& host, Socket socket)
+    : loop_(loop),
+      pool_(pool),
+      owner_(owner),
+      host_(host),
+      address_version_(host.address_version),
+      stream_(loop, std::move(socket), this, true) {
+  stream_.set_max_unread_bytes(kMaxUnreadBytes);
+}
+
+UpstreamConnection::~UpstreamConnection() {
+  CancelTimers();
+}
+
+bool UpstreamConnection::Open() {
+  if (!stream_.Start()) {
+    return false;
+  }
+  connect_timer_ = loop_.RunAfter(pool_.options().connect_timeout, [this] {
+    connect_timer_ = {};
+    Finish(Outcome::kConnectFailed);
+  });
+  return true;
+}
+
+void UpstreamConnection::Start(std::unique_ptr<UpstreamTransaction> transaction) {
+  transaction_ = std::move(transaction);
+  parser_.Reset();
+  request_written_ = false;
+  first_byte_received_ = false;
+  // The deadline of a request that streams runs from its last byte on.
+  if (transaction_->is_probe() || !transaction_->request->message().streaming_body) {
+    StartDeadlineTimer(WriteDeadline());
+  }
+  if (stream_.connected()) {
+    WriteWhenSettled();
+  }
+}
+
+std::unique_ptr<UpstreamTransaction> UpstreamConnection::TakeTransaction() {
+  CancelTimers();
+  return std::move(transaction_);
+}
+
+void UpstreamConnection::Shutdown() {
+  CancelTimers();
+  stream_.Close();
+  request_writer_.reset();
+  if (const auto body = std::exchange(response_body_, nullptr)) {
+    body->OnTruncated();
+  }
+}
+
+bool UpstreamConnection::IsReusable() const {
+  return response_complete_ && host_.listed && address_version_ == host_.address_version &&
+         !stream_.ended() && !stream_.closed() && stream_.flushed();
+}
+
+void UpstreamConnection::Finish(Outcome outcome) {
+  owner_.OnTransactionFinished(*this, outcome, std::nullopt, nullptr);
+}
+
+// Any endpoint may send malformed responses, which say little of this one.
+void UpstreamConnection::FinishMalformed() {
+  ++GlobalCounters().upstream_malformed;
+  Finish(request_written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed);
+}
+
+void UpstreamConnection::ReturnToPool() {
+  stream_.set_max_unread_bytes(kMaxUnreadBytes);
+  stream_.set_min_read_bytes(kMinReadBytes);
+  pool_.Release(*this);
+}
+
+// ---- Writing --------------------------------------------------------------------------------
+
+void UpstreamConnection::OnConnected() {
+  loop_.CancelTimer(connect_timer_);
+  if (transaction_) {
+    WriteRequest();
+  }
+}
+
+void UpstreamConnection::WriteWhenSettled() {
+  const std::optional<Duration> idle_time = pool_state_.idle_before_use;
+  if (!idle_time || *idle_time >= kSettleTime) {
+    return WriteRequest();
+  }
+  settle_timer_ = loop_.RunAfter(kSettleTime - *idle_time, [this] {
+    settle_timer_ = {};
+    if (transaction_->is_probe()) {
+      transaction_->started_at = loop_.Now();  // it measures the round-trip time
+    }
+    if (stream_.IsIdle()) {
+      WriteRequest();
+    } else {
+      owner_.OnConnectionUnusable(*this);
+    }
+  });
+}
+
+void UpstreamConnection::WriteRequest() {
+  if (transaction_->is_probe()) {
+    return WriteProbe();
+  }
+  // The request may have ended, or its time run out, during the connect.
+  if (transaction_->request->done() || loop_.Now() >= WriteDeadline()) {
+    return Finish(Outcome::kNotSent);
+  }
+  const BufferedMessage& request = transaction_->request->message();
+  if (request.streaming_body) {
+    return WriteStreamedRequest(request);
+  }
+  stream_.Write(RequestHead(request, transaction_->deadline - loop_.Now()), transaction_->request,
+                request.body());
+}
+
+void UpstreamConnection::WriteProbe() {
+  const std::string_view path = pool_.options().reports_in_probes ? "/_load" : "/ping";
+  stream_.Write(fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\n\r\n", path, ToText(host_.address)));
+}
+
+void UpstreamConnection::WriteStreamedRequest(const BufferedMessage& request) {
+  const bool chunked = !request.streaming_body->length();
+  request_writer_ = std::make_unique<BodyWriter>(stream_, request.streaming_body, chunked, false,
+                                                 [this](bool complete) {
+                                                   // Where it is not, the downstream side reports
+                                                   // its client's leaving, which ends the attempt.
+                                                   if (complete) {
+                                                     OnRequestBodyWritten();
+                                                   }
+                                                 });
+  stream_.Write(RequestHead(request, transaction_->deadline - loop_.Now()));
+  if (request_writer_) {
+    StartUploadPauseTimer();
+  }
+}
+
+// From here on the request has a deadline like others.
+void UpstreamConnection::OnRequestBodyWritten() {
+  loop_.CancelTimer(pause_timer_);
+  // The writer may be the caller.
+  loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(request_writer_))] {});
+  request_written_ = true;
+  transaction_->started_at = loop_.Now();
+  transaction_->deadline = transaction_->request->deadline();
+  StartDeadlineTimer(transaction_->deadline);
+}
+
+void UpstreamConnection::OnWriteComplete() {
+  if (request_writer_) {
+    request_writer_->Resume();
+    if (request_writer_) {
+      StartUploadPauseTimer();
+    }
+    return;
+  }
+  request_written_ = true;
+  if (transaction_ && WriteDeadline() < transaction_->deadline) {
+    StartDeadlineTimer(transaction_->deadline);
+  }
+}
+
+// For the last byte of the request. A retry with an idempotency key has the time of a connect and
+// no longer: later, the endpoints may have forgotten the key.
+Time UpstreamConnection::WriteDeadline() const {
+  const UpstreamTransaction& transaction = *transaction_;
+  const bool is_keyed_retry =
+      !transaction.is_probe() && transaction.attempt > 0 &&
+      transaction.request->request_class().idempotency == Idempotency::kKeyed;
+  if (!is_keyed_retry) {
+    return transaction.deadline;
+  }
+  return std::min(transaction.deadline, transaction.started_at + pool_.options().connect_timeout);
+}
+
+// ---- Reading --------------------------------------------------------------------------------
+
+void UpstreamConnection::OnData() {
+  if (response_body_) {
+    StartDownloadPauseTimer();
+    return response_body_->OnDataAvailable();
+  }
+  if (!transaction_) {  // idle: the endpoint closes, or sends what was not requested
+    ++GlobalCounters().upstream_idle_lost;
+    return pool_.Close(*this);
+  }
+  if (settle_timer_.number != 0) {
+    return owner_.OnConnectionUnusable(*this);
+  }
+  RecordFirstByte();
+  ReadResponse();
+}
+
+void UpstreamConnection::RecordFirstByte() {
+  if (first_byte_received_ || stream_.input().empty()) {
+    return;
+  }
+  first_byte_received_ = true;
+  if (pool_state_.idle_before_use) {
+    pool_.RecordReuse(*pool_state_.idle_before_use, false);
+  }
+}
+
+void UpstreamConnection::ReadResponse() {
+  const ParseProgress progress = parser_.Feed(stream_.input());
+  if (progress == ParseProgress::kMalformed) {
+    return FinishMalformed();
+  }
+  CommitStreamedResponse();
+  if (progress == ParseProgress::kDone) {
+    return FinishResponse();
+  }
+  if (stream_.ended() && parser_.EndsWithConnection(stream_.input())) {
+    return FinishResponse();
+  }
+  if (stream_.ended()) {
+    return OnError();
+  }
+  if (ShouldStreamResponse()) {
+    return StartStreamedResponse();
+  }
+  StartResponsePauseTimer();
+}
+
+// A response of a streamed class has begun: it belongs to its client, and no deadline runs on.
+void UpstreamConnection::CommitStreamedResponse() {
+  UpstreamTransaction& transaction = *transaction_;
+  if (transaction.is_probe() || transaction.response_started ||
+      !transaction.request->request_class().is_streamed) {
+    return;
+  }
+  if (parser_.message().body.at == 0 || parser_.message().status != 200) {
+    return;
+  }
+  if (!transaction.request->CommitTo(transaction.attempt)) {
+    return;  // another attempt's response has begun before
+  }
+  transaction.response_started = true;
+  loop_.CancelTimer(deadline_timer_);
+  owner_.OnResponseStarted(transaction);
+}
+
+void UpstreamConnection::FinishResponse() {
+  auto response = std::make_shared<BufferedMessage>();
+  response->message = parser_.message();
+  response->bytes = stream_.input().TakeFront(response->message.total_bytes);
+  // Bytes behind the response belong to no request: the connection is out of step.
+  response_complete_ = response->message.keep_alive && request_written_ && stream_.input().empty();
+  const Outcome outcome = OutcomeOf(*response);
+  std::optional<LoadReport> report = LoadReportOf(*response, outcome);
+  const bool pass_on = outcome == Outcome::kOk || outcome == Outcome::kInvalidResponse;
+  owner_.OnTransactionFinished(*this, outcome, std::move(report),
+                               pass_on ? std::move(response) : nullptr);
+}
+
+// Too large to be buffered, and enough of it has come.
+bool UpstreamConnection::ShouldStreamResponse() {
+  if (!parser_.head_done()) {
+    return false;
+  }
+  const auto length = parser_.body_length();
+  if (length && *length <= kMaxBufferedBodyBytes) {
+    return false;
+  }
+  return parser_.body_bytes_received(stream_.input()) >=
+         (length ? kMinStreamedBytes : kMinStreamedBytesUnknownLength);
+}
+
+void UpstreamConnection::StartStreamedResponse() {
+  auto response = std::make_shared<BufferedMessage>();
+  const auto length = parser_.body_length();
+  response->message = parser_.TakeHead(stream_.input(), response->bytes);
+  const Outcome outcome = OutcomeOf(*response);
+  auto report = LoadReportOf(*response, outcome);
+  // Of a response that is not passed on only the head counts; the connection closes.
+  if (outcome != Outcome::kOk || transaction_->is_probe()) {
+    return owner_.OnTransactionFinished(*this, outcome, std::move(report), nullptr);
+  }
+  stream_.set_max_unread_bytes(kMaxPieceBytes);
+  stream_.set_min_read_bytes(kMaxPieceBytes);
+  response_body_ = response->streaming_body = std::make_shared<StreamingBody>(
+      length, [this](Buffer& piece) { return ReadBodyPiece(piece); },
+      [this] {
+        response_body_ = nullptr;
+        pool_.Close(*this);
+      });
+  CancelTimers();
+  StartDownloadPauseTimer();
+  request_writer_.reset();  // the endpoint may respond before it has read all
+  const auto body = response_body_;
+  auto transaction = std::move(transaction_);
+  ++GlobalCounters().responses_streamed;
+  owner_.OnStreamedResponse(std::move(transaction), outcome, std::move(report),
+                            std::move(response));
+  if (!body->has_writer()) {
+    body->Cancel();  // the request was over
+  }
+}
+
+ParseProgress UpstreamConnection::ReadBodyPiece(Buffer& piece) {
+  const ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
+  if (progress == ParseProgress::kNeedMore) {
+    ResumeReadingAfterRound();
+  } else {
+    OnResponseBodyRead(progress);
+  }
+  return progress;
+}
+
+void UpstreamConnection::OnResponseBodyRead(ParseProgress progress) {
+  loop_.CancelTimer(pause_timer_);
+  response_body_ = nullptr;
+  if (progress == ParseProgress::kMalformed) {
+    ++GlobalCounters().bodies_truncated;
+    Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.endpoint);
+  }
+  response_complete_ = progress == ParseProgress::kDone && parser_.message().keep_alive &&
+                       request_written_ && stream_.input().empty();
+  if (IsReusable()) {
+    ReturnToPool();
+  } else {
+    pool_.Close(*this);
+  }
+}
+
+// Not within the present call: new bytes are reported to the writer, which may be running.
+void UpstreamConnection::ResumeReadingAfterRound() {
+  if (!stream_.readable()) {
+    return;
+  }
+  loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
+    if (!alive.expired() && !stream_.closed()) {
+      stream_.ResumeReading();
+    }
+  });
+}
+
+// An endpoint begins its work with the last byte of a request: a success before that is the
+// response to another request, and this one never runs. It may reject before, or respond early to a
+// request that streams.
+Outcome UpstreamConnection::OutcomeOf(const BufferedMessage& response) const {
+  const Outcome outcome = OutcomeOfResponse(response.message, response.bytes.view());
+  const bool is_buffered =
+      !transaction_->is_probe() && !transaction_->request->message().streaming_body;
+  if (request_written_ || !is_buffered || outcome != Outcome::kOk) {
+    return outcome;
+  }
+  ++GlobalCounters().upstream_malformed;
+  return Outcome::kNotSent;
+}
+
+std::optional<LoadReport> UpstreamConnection::LoadReportOf(const BufferedMessage& response,
+                                                           Outcome outcome) const {
+  const UpstreamOptions& options = pool_.options();
+  std::optional<std::string_view> text;
+  if (options.reports_in_responses) {
+    text = response.message.FindHeader(response.bytes.view(), "X-Load-Report");
+  }
+  if (transaction_->is_probe() && options.reports_in_probes && outcome == Outcome::kOk) {
+    text = response.body();
+  }
+  if (!text) {
+    return std::nullopt;
+  }
+  auto report = ParseLoadReport(*text, options.report_fields);
+  if (!report) {
+    ++GlobalCounters().load_reports_malformed;
+  }
+  return report;
+}
+
+void UpstreamConnection::OnError() {
+  if (response_body_) {
+    ++GlobalCounters().bodies_truncated;
+    Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.endpoint);
+    return pool_.Close(*this);
+  }
+  if (!transaction_) {
+    ++GlobalCounters().upstream_idle_lost;
+    return pool_.Close(*this);
+  }
+  const bool connected = stream_.connected();
+  if (connected && !first_byte_received_ && pool_state_.idle_before_use) {
+    pool_.RecordReuse(*pool_state_.idle_before_use, true);
+    const bool can_send_again = transaction_->is_probe() || !transaction_->request->body_consumed();
+    if (!request_written_ && can_send_again) {
+      return owner_.OnConnectionUnusable(*this);
+    }
+  }
+  if (request_written_) {
+    return Finish(Outcome::kReset);
+  }
+  // Broken before all was written, it shows no fault of the endpoint.
+  Finish(connected ? Outcome::kNotSent : Outcome::kConnectFailed);
+}
+
+// ---- Time limits ----------------------------------------------------------------------------
+
+void UpstreamConnection::StartDeadlineTimer(Time deadline) {
+  loop_.CancelTimer(deadline_timer_);
+  deadline_timer_ = loop_.RunAfter(deadline - loop_.Now(), [this] {
+    deadline_timer_ = {};
+    OnDeadline();
+  });
+}
+
+void UpstreamConnection::OnDeadline() {
+  if (request_written_) {
+    return Finish(Outcome::kTimeout);
+  }
+  // Nothing was sent: a fault of the endpoint is shown only by a connect that had its full time, or
+  // by a connection that takes no bytes.
+  const bool at_fault = stream_.connected() ||
+                        loop_.Now() - transaction_->started_at >= pool_.options().connect_timeout;
+  Finish(at_fault ? Outcome::kConnectFailed : Outcome::kNotSent);
+}
+
+void UpstreamConnection::StartPauseTimer(Duration limit, std::function<void()> callback) {
+  loop_.CancelTimer(pause_timer_);
+  pause_timer_ = loop_.RunAfter(limit, [this, callback = std::move(callback)] {
+    pause_timer_ = {};
+    callback();
+  });
+}
+
+// While a request streams: an endpoint that reads nothing for so long is dead.
+void UpstreamConnection::StartUploadPauseTimer() {
+  StartPauseTimer(kStreamPauseLimit, [this] {
+    if (stream_.flushed()) {
+      return StartUploadPauseTimer();  // it is the client that is slow
+    }
+    Finish(Outcome::kConnectFailed);
+  });
+}
+
+// While a response streams.
+void UpstreamConnection::StartDownloadPauseTimer() {
+  StartPauseTimer(kStreamPauseLimit, [this] {
+    if (!response_body_) {
+      return;
+    }
+    if (!stream_.input().empty()) {
+      return StartDownloadPauseTimer();  // it is the client that is slow
+    }
+    ++GlobalCounters().bodies_truncated;
+    Log(LogLevel::kInfo, "body cut: {} says nothing more within an answer", host_.endpoint);
+    pool_.Close(*this);
+  });
+}
+
+// Within a buffered response. Those of a streamed class may pause.
+void UpstreamConnection::StartResponsePauseTimer() {
+  loop_.CancelTimer(pause_timer_);
+  if (!transaction_->is_probe() && transaction_->request->request_class().is_streamed) {
+    return;
+  }
+  StartPauseTimer(kResponsePauseLimit, [this] { FinishMalformed(); });
+}
+
+void UpstreamConnection::CancelTimers() {
+  loop_.CancelTimer(deadline_timer_);
+  loop_.CancelTimer(connect_timer_);
+  loop_.CancelTimer(pause_timer_);
+  loop_.CancelTimer(settle_timer_);
+}
+
+}  // namespace paddlestile
