--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -12,28 +12,35 @@
 
 using nlohmann::json;
 
-json Bytes(const std::string& text) {
-  return json::binary(std::vector<uint8_t>(text.begin(), text.end()));
+json EncodeBytes(const std::string& bytes) {
+  return json::binary(std::vector<uint8_t>(bytes.begin(), bytes.end()));
 }
-std::string TextOf(const json& value) {
+
+std::string DecodeBytes(const json& value) {
   const json::binary_t& bytes = value.get_binary();
   return {bytes.begin(), bytes.end()};
 }
 
-json OfVoters(const std::vector<Voter>& voters) {
-  json all = json::array();
-  for (const Voter& v : voters) {
-    all.push_back({v.name, v.incarnation});
-  }
-  return all;
-}
-std::vector<Voter> Voters(const json& value) {
+// An empty list would otherwise decode from null or an object.
+void RequireArray(const json& value) {
   if (!value.is_array()) {
     throw std::invalid_argument("no list");
   }
+}
+
+json EncodeVoters(const std::vector<Voter>& voters) {
+  json list = json::array();
+  for (const Voter& voter : voters) {
+    list.push_back({voter.name, voter.incarnation});
+  }
+  return list;
+}
+
+std::vector<Voter> DecodeVoters(const json& value) {
+  RequireArray(value);
   std::vector<Voter> voters;
-  for (const json& v : value) {
-    voters.push_back({v.at(0), v.at(1)});
+  for (const json& voter : value) {
+    voters.push_back({voter.at(0), voter.at(1)});
   }
   if (voters.size() > kMaxVoters) {
     throw std::invalid_argument("too many voters");
@@ -41,117 +48,118 @@
   return voters;
 }
 
-json OfEntries(const std::vector<LogEntry>& entries) {
-  json all = json::array();
-  for (const LogEntry& e : entries) {
-    all.push_back({e.term, e.kind, Bytes(e.bytes), OfVoters(e.voters)});
+json EncodeEntries(const std::vector<LogEntry>& entries) {
+  json list = json::array();
+  for (const LogEntry& entry : entries) {
+    list.push_back({entry.term, entry.kind, EncodeBytes(entry.bytes), EncodeVoters(entry.voters)});
   }
-  return all;
+  return list;
 }
-std::vector<LogEntry> Entries(const json& value) {
-  if (!value.is_array()) {
-    throw std::invalid_argument("no list");
-  }
+
+std::vector<LogEntry> DecodeEntries(const json& value) {
+  RequireArray(value);
   std::vector<LogEntry> entries;
-  for (const json& e : value) {
-    entries.push_back(
-        {e.at(0), DecodeEnum(e.at(1), LogEntry::Kind::kData), TextOf(e.at(2)), Voters(e.at(3))});
+  for (const json& entry : value) {
+    entries.push_back({entry.at(0), DecodeEnum(entry.at(1), LogEntry::Kind::kData),
+                       DecodeBytes(entry.at(2)), DecodeVoters(entry.at(3))});
   }
   return entries;
 }
 
-json OfSnapshot(const Snapshot& s) {
-  return {s.index, s.term, OfVoters(s.voters), Bytes(s.bytes)};
+json EncodeSnapshot(const Snapshot& snapshot) {
+  return {snapshot.index, snapshot.term, EncodeVoters(snapshot.voters),
+          EncodeBytes(snapshot.bytes)};
 }
-Snapshot ASnapshot(const json& value) {
-  return {value.at(0), value.at(1), Voters(value.at(2)), TextOf(value.at(3))};
+
+Snapshot DecodeSnapshot(const json& value) {
+  return {value.at(0), value.at(1), DecodeVoters(value.at(2)), DecodeBytes(value.at(3))};
 }
 
-StorageClaim AClaim(const json& v) {
-  return {v.at(0), v.at(1), v.at(2), v.at(3)};
+StorageClaim DecodeClaim(const json& value) {
+  return {value.at(0), value.at(1), value.at(2), value.at(3)};
 }
 
 }  // namespace
 
-json ToJson(const StorageClaim& c) {
-  return {c.incarnation, c.restart_count, c.term, c.match_index};
+json ToJson(const StorageClaim& claim) {
+  return {claim.incarnation, claim.restart_count, claim.term, claim.match_index};
 }
 
-json ToJson(const StorageWrite& w) {
-  return {w.current_term,
-          w.voted_for,
-          w.first_index,
-          OfEntries(w.entries),
-          w.snapshot ? OfSnapshot(*w.snapshot) : json(),
-          w.commit_index,
-          w.commit_only};
+json ToJson(const StorageWrite& write) {
+  return {write.current_term,
+          write.voted_for,
+          write.first_index,
+          EncodeEntries(write.entries),
+          write.snapshot ? EncodeSnapshot(*write.snapshot) : json(),
+          write.commit_index,
+          write.commit_only};
 }
 
-json ToJson(const Message& m) {
+json ToJson(const Message& message) {
   json snapshot;
-  if (m.type == Message::Type::kInstallSnapshot) {
-    snapshot = OfSnapshot(m.snapshot);
+  if (message.type == Message::Type::kInstallSnapshot) {
+    snapshot = EncodeSnapshot(message.snapshot);
   }
-  return {m.type,
-          m.from,
-          m.to,
-          m.from_incarnation,
-          m.term,
-          m.is_pre_vote,
-          m.granted,
-          m.index,
-          m.index_term,
-          m.commit_index,
-          m.sent_at.count(),
-          m.asked_at.count(),
-          OfEntries(m.entries),
+  return {message.type,
+          message.from,
+          message.to,
+          message.from_incarnation,
+          message.term,
+          message.is_pre_vote,
+          message.granted,
+          message.index,
+          message.index_term,
+          message.commit_index,
+          message.sent_at.count(),
+          message.asked_at.count(),
+          EncodeEntries(message.entries),
           std::move(snapshot),
-          ToJson(m.own_claim),
-          ToJson(m.claim_of_receiver)};
+          ToJson(message.own_claim),
+          ToJson(message.claim_of_receiver)};
 }
 
 std::optional<StorageClaim> ReadClaim(const json& value) {
-  return TryDecode([&] { return AClaim(value); });
+  return TryDecode([&] { return DecodeClaim(value); });
 }
 
-std::optional<StorageWrite> ReadWrite(const json& v) {
+std::optional<StorageWrite> ReadWrite(const json& value) {
   return TryDecode([&] {
-    StorageWrite w;
-    w.current_term = v.at(0);
-    w.voted_for = v.at(1);
-    w.first_index = v.at(2);
-    w.entries = Entries(v.at(3));
-    if (!v.at(4).is_null()) {
-      w.snapshot = ASnapshot(v.at(4));
+    StorageWrite write;
+    write.current_term = value.at(0);
+    write.voted_for = value.at(1);
+    write.first_index = value.at(2);
+    write.entries = DecodeEntries(value.at(3));
+    if (!value.at(4).is_null()) {
+      write.snapshot = DecodeSnapshot(value.at(4));
     }
-    w.commit_index = v.at(5);
-    w.commit_only = v.at(6);
-    return w;
+    write.commit_index = value.at(5);
+    write.commit_only = value.at(6);
+    return write;
   });
 }
 
-std::optional<Message> ReadMessage(const json& v) {
+std::optional<Message> ReadMessage(const json& value) {
   return TryDecode([&] {
-    Message m;
-    m.type = DecodeEnum(v.at(0), Message::Type::kStorageClaim);
-    m.from = v.at(1);
-    m.to = v.at(2);
-    m.from_incarnation = v.at(3);
-    m.term = v.at(4);
-    m.is_pre_vote = v.at(5);
-    m.granted = v.at(6);
-    m.index = v.at(7);
-    m.index_term = v.at(8);
-    m.commit_index = v.at(9);
-    m.sent_at = Time(v.at(10).get<int64_t>());
-    m.asked_at = Time(v.at(11).get<int64_t>());
-    m.entries = Entries(v.at(12));
-    if (m.type == Message::Type::kInstallSnapshot) {
-      m.snapshot = ASnapshot(v.at(13));
+    Message message;
+    message.type = DecodeEnum(value.at(0), Message::Type::kStorageClaim);
+    message.from = value.at(1);
+    message.to = value.at(2);
+    message.from_incarnation = value.at(3);
+    message.term = value.at(4);
+    message.is_pre_vote = value.at(5);
+    message.granted = value.at(6);
+    message.index = value.at(7);
+    message.index_term = value.at(8);
+    message.commit_index = value.at(9);
+    message.sent_at = Time(value.at(10).get<int64_t>());
+    message.asked_at = Time(value.at(11).get<int64_t>());
+    message.entries = DecodeEntries(value.at(12));
+    if (message.type == Message::Type::kInstallSnapshot) {
+      message.snapshot = DecodeSnapshot(value.at(13));
     }
-    m.own_claim = AClaim(v.at(14));
-    m.claim_of_receiver = AClaim(v.at(15));
-    return m;
+    message.own_claim = DecodeClaim(value.at(14));
+    message.claim_of_receiver = DecodeClaim(value.at(15));
+    return message;
   });
 }
 
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -1,21 +1,28 @@
-// What goes between Raft nodes and into their logs on disk, as JSON values (CBOR on the way).
-// Reading gives nothing where a value makes no sense: it comes from others. The layout is that of
-// stored logs and of running peers: fields are told by their place, and neither places nor the
-// numbers of enumerators may change.
+// Codec of the Raft messages that go between members and of the writes that go into their logs:
+// JSON values, which are sent and stored as CBOR. No I/O.
+//
+// The layout is positional: each struct is an array of its fields in the order of the encoder.
+// Stored logs and running peers have it, so neither the positions nor the numbers of enumerators
+// may change.
 #ifndef PADDLESTILE_RAFT_CODEC_H_
 #define PADDLESTILE_RAFT_CODEC_H_
 
 #include <nlohmann/json.hpp>
 #include <optional>
 
+#include "raft/messages.h"
+#include "raft/persistent_state.h"
 #include "raft/raft_node.h"
+#include "raft/storage_claim.h"
 
 namespace paddlestile::raft {
 
 nlohmann::json ToJson(const StorageClaim& claim);
+// Does not contain the sequence number, which numbers the writes of one process.
 nlohmann::json ToJson(const StorageWrite& write);
 nlohmann::json ToJson(const Message& message);
 
+// The decoders take values from other processes, and return nothing for one that is malformed.
 std::optional<StorageClaim> ReadClaim(const nlohmann::json& value);
 std::optional<StorageWrite> ReadWrite(const nlohmann::json& value);
 std::optional<Message> ReadMessage(const nlohmann::json& value);
--- a/src/raft/json_decoding.h
+++ b/src/raft/json_decoding.h
@@ -1,5 +1,5 @@
-// What the decoders of raft/codec.cpp and cluster/codec.cpp share. Values come from other
-// processes: each helper throws where one makes no sense, and TryDecode turns that into nothing.
+// Helpers that the decoders of raft/codec.cpp and cluster/codec.cpp share. Values come from other
+// processes: a helper throws for a malformed one, and TryDecode() turns that into nothing.
 #ifndef PADDLESTILE_RAFT_JSON_DECODING_H_
 #define PADDLESTILE_RAFT_JSON_DECODING_H_
 
@@ -10,7 +10,8 @@
 
 namespace paddlestile::raft {
 
-// The enumerator with this number. Throws std::invalid_argument past `last`.
+// The enumerator with the number `value`. Throws std::invalid_argument if it is greater than
+// `last`, and nlohmann::json::exception if it is no number.
 template <typename Enum>
 Enum DecodeEnum(const nlohmann::json& value, Enum last) {
   const auto number = value.get<uint8_t>();
@@ -20,7 +21,7 @@
   return static_cast<Enum>(number);
 }
 
-// What `decode` returns, or nothing where it throws.
+// The result of `decode`, or nothing if it throws a std::exception.
 template <typename Decode>
 auto TryDecode(Decode&& decode) -> std::optional<decltype(decode())> {
   try {
--- /dev/null
+++ b/src/raft/timing.cpp
@@ -0,0 +1,24 @@
+#include "raft/timing.h"
+
+#include <stdexcept>
+
+namespace paddlestile::raft {
+namespace {
+
+constexpr int kMinHeartbeatsPerTimeout = 3;
+constexpr double kMaxClockRateError = 0.2;
+
+}  // namespace
+
+void ValidateTiming(const RaftTiming& timing) {
+  const Duration min_timeout = kMinHeartbeatsPerTimeout * timing.heartbeat_interval;
+  if (timing.heartbeat_interval <= Duration(0) || timing.election_timeout < min_timeout ||
+      timing.lease_duration < min_timeout || timing.clock_rate_error < 0 ||
+      timing.clock_rate_error > kMaxClockRateError) {
+    throw std::invalid_argument(
+        "timing: expected a heartbeat above 0, an election and a lease of three at least, "
+        "and a clock rate of 0 to 0.2");
+  }
+}
+
+}  // namespace paddlestile::raft
--- /dev/null
+++ b/tests/raft/election_test.cpp
@@ -0,0 +1,68 @@
+// Elections: whom a voter votes for, and when.
+#include <gtest/gtest.h>
+
+#include "raft/raft_node_fixture.h"
+
+namespace paddlestile::raft {
+namespace {
+
+// An earlier process may have heard a leader just before it ended.
+TEST_F(RaftFollowerTest, GrantsNoVoteRightAfterAStart) {
+  EXPECT_FALSE(Receive(Time(100'000), RequestVote(2, true, 1, 1)).messages.at(0).message.granted);
+  EXPECT_TRUE(Receive(Time(100'000), RequestVote(2, false, 1, 1)).messages.empty());
+  EXPECT_TRUE(Receive(kSecond, RequestVote(2, true, 1, 1)).messages.at(0).message.granted);
+}
+
+// A vote that is not durable when it is sent could be granted again after a power loss.
+TEST_F(RaftFollowerTest, GrantsAVoteOnlyOnceItIsDurable) {
+  const RaftOutput out = Receive(kSecond, RequestVote(2, false, 1, 1));
+  ASSERT_EQ(out.messages.size(), 1U);
+  EXPECT_TRUE(out.messages[0].message.granted);
+  ASSERT_FALSE(out.writes.empty());
+  EXPECT_EQ(out.writes.back().voted_for, "b");
+  EXPECT_EQ(out.messages[0].after_sequence_number, out.writes.back().sequence_number);
+}
+
+TEST_F(RaftFollowerTest, VotesOnceInATerm) {
+  Receive(kSecond, RequestVote(2, false, 1, 1));
+  Message other = RequestVote(2, false, 1, 1);
+  other.from = "c";
+  other.from_incarnation = 3;
+  EXPECT_FALSE(Receive(kSecond, other).messages.at(0).message.granted);
+}
+
+TEST_F(RaftFollowerTest, RemembersItsVoteAcrossARestart) {
+  PersistentState state = StateWithVoters(1, 2, kThreeVoters);
+  state.voted_for = "c";
+  node = RaftNode("a", {}, state, 7, Time(0));
+  EXPECT_FALSE(Receive(kSecond, RequestVote(2, false, 1, 1)).messages.at(0).message.granted);
+}
+
+TEST_F(RaftFollowerTest, GrantsNoVoteToACandidateWithAnOlderLog) {
+  Receive(kSecond, AppendEntries(2, 1, 1, {DataEntry(2, "x")}));
+  EXPECT_FALSE(Receive(3 * kSecond, RequestVote(3, false, 1, 1)).messages.at(0).message.granted);
+  EXPECT_TRUE(Receive(3 * kSecond, RequestVote(3, false, 2, 2)).messages.at(0).message.granted);
+}
+
+// A member that hears others and is not heard starts elections again and again. It must not depose
+// the leader, whose lease relies on its voters.
+TEST_F(RaftFollowerTest, IgnoresCandidatesWhileItHearsTheLeader) {
+  Receive(kSecond, AppendEntries(2, 1, 1, {}));
+  EXPECT_TRUE(Receive(kSecond + Time(400'000), RequestVote(9, false, 1, 1)).messages.empty());
+  EXPECT_EQ(node.current_term(), 2U);
+}
+
+// A member of the same name with other storage is another member.
+TEST_F(RaftFollowerTest, DoesNotCountTheVoteOfAnotherIncarnation) {
+  RaftOutput out;
+  node.OnPeerConnected(Time(0), "b", 22, {}, out);
+  const Time now = WaitUntilPreCandidate(out);
+  Message vote = RequestVoteReply(1, true);
+  vote.from_incarnation = 22;
+  EXPECT_EQ(node.role(), Role::kPreCandidate);
+  Receive(now, vote);
+  EXPECT_EQ(node.role(), Role::kPreCandidate);
+}
+
+}  // namespace
+}  // namespace paddlestile::raft
