--- a/src/peer/blocking_call.cpp
+++ b/src/peer/blocking_call.cpp
@@ -5,43 +5,52 @@
 #include <sys/time.h>
 #include <unistd.h>
 
+#include <cstddef>
+#include <string>
+#include <string_view>
+
 #include "base/file_descriptor.h"
 #include "event/buffer.h"
 #include "peer/framing.h"
-#include "peer/peer_connections.h"
+#include "peer/hello.h"
 
 namespace paddlestile {
+namespace {
 
 using nlohmann::json;
 
-json StatusCall() {
-  return {{"what", "status"}};
+constexpr size_t kReceiveBytes = 4096;
+
+void SetTimeouts(int fd, Duration timeout) {
+  const timeval limit{timeout.count() / 1'000'000, timeout.count() % 1'000'000};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
+  setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
 }
 
-std::optional<json> CallMember(const Address& at, const json& call, Duration within) {
-  const FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const timeval limit{within.count() / 1'000'000, within.count() % 1'000'000};
-  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
-  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(at.port);
-  address.sin_addr.s_addr = htonl(at.host);
-  if (!fd || connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
-    return std::nullopt;
-  }
-  const std::string frame = peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", call}});
-  for (size_t sent = 0; sent < frame.size();) {
-    const ssize_t n = send(fd.get(), frame.data() + sent, frame.size() - sent, MSG_NOSIGNAL);
-    if (n <= 0) {
-      return std::nullopt;
+bool ConnectTo(int fd, const Address& address) {
+  sockaddr_in target{};
+  target.sin_family = AF_INET;
+  target.sin_port = htons(address.port);
+  target.sin_addr.s_addr = htonl(address.host);
+  return connect(fd, reinterpret_cast<const sockaddr*>(&target), sizeof(target)) == 0;
+}
+
+bool SendAll(int fd, std::string_view bytes) {
+  while (!bytes.empty()) {
+    const ssize_t sent = send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    if (sent <= 0) {
+      return false;
     }
-    sent += static_cast<size_t>(n);
+    bytes.remove_prefix(static_cast<size_t>(sent));
   }
-  Buffer in;
+  return true;
+}
+
+std::optional<json> ReceiveFrame(int fd) {
+  Buffer input;
   while (true) {
     json value;
-    switch (peer::TakeFrame(in, value)) {
+    switch (peer::TakeFrame(input, value)) {
       case peer::FrameStatus::kComplete:
         return value;
       case peer::FrameStatus::kMalformed:
@@ -49,12 +58,31 @@
       case peer::FrameStatus::kIncomplete:
         break;
     }
-    const ssize_t n = recv(fd.get(), in.Prepare(4096), 4096, 0);
-    if (n <= 0) {
+    const ssize_t received = recv(fd, input.Prepare(kReceiveBytes), kReceiveBytes, 0);
+    if (received <= 0) {
       return std::nullopt;
     }
-    in.Commit(static_cast<size_t>(n));
+    input.Commit(static_cast<size_t>(received));
+  }
+}
+
+}  // namespace
+
+json StatusCall() {
+  return {{"what", "status"}};
+}
+
+std::optional<json> CallMember(const Address& address, const json& call, Duration timeout) {
+  const FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  SetTimeouts(fd.get(), timeout);
+  if (!fd || !ConnectTo(fd.get(), address)) {
+    return std::nullopt;
+  }
+  const std::string frame = peer::EncodeFrame({{"hello", peer::kProtocolVersion}, {"call", call}});
+  if (!SendAll(fd.get(), frame)) {
+    return std::nullopt;
   }
+  return ReceiveFrame(fd.get());
 }
 
 }  // namespace paddlestile
--- a/src/peer/blocking_call.h
+++ b/src/peer/blocking_call.h
@@ -1,4 +1,4 @@
-// One call of an operator's command to a member of the cluster, with blocking sockets.
+// Calls of an operator's command to a member of the cluster, with blocking sockets.
 #ifndef PADDLESTILE_PEER_BLOCKING_CALL_H_
 #define PADDLESTILE_PEER_BLOCKING_CALL_H_
 
@@ -10,11 +10,12 @@
 
 namespace paddlestile {
 
-// One call to the member at `at`, waited for: its answer, or nothing where none came in time.
-std::optional<nlohmann::json> CallMember(const Address& at, const nlohmann::json& call,
-                                         Duration within);
+// Sends `call` to the member at `address` and waits for its reply. `timeout` bounds each send and
+// receive. Nothing if the member cannot be reached, ends the connection or does not reply in time.
+std::optional<nlohmann::json> CallMember(const Address& address, const nlohmann::json& call,
+                                         Duration timeout);
 
-// The call that asks a member for its state.
+// The call that asks a member for its status. The key is that of the wire.
 nlohmann::json StatusCall();
 
 }  // namespace paddlestile
--- /dev/null
+++ b/src/peer/connection.cpp
@@ -0,0 +1,115 @@
+#include "peer/connection.h"
+
+#include <utility>
+
+#include "peer/framing.h"
+
+namespace paddlestile::peer {
+namespace {
+
+using nlohmann::json;
+
+// A frame of the greatest size must fit into the input buffer.
+constexpr size_t kMaxUnreadBytes = kMaxFrameBytes + 64;
+// Frames handled before other connections have their turn.
+constexpr int kMaxFramesPerRound = 32;
+
+}  // namespace
+
+Connection::Connection(EventLoop& loop, Socket socket, std::string dialed_name,
+                       size_t max_queued_bytes, PeerStatistics& statistics, Owner& owner)
+    : loop_(loop),
+      stream_(loop, std::move(socket), this, !dialed_name.empty()),
+      dialed_name_(std::move(dialed_name)),
+      max_queued_bytes_(max_queued_bytes),
+      statistics_(statistics),
+      owner_(owner),
+      last_received_at_(loop.Now()) {
+  stream_.set_max_unread_bytes(kMaxUnreadBytes);
+}
+
+void Connection::Send(const json& value) {
+  std::string frame = EncodeFrame(value);
+  if (!stream_.flushed() && queued_bytes_ + frame.size() > max_queued_bytes_) {
+    ++statistics_.dropped;
+    return;
+  }
+  if (stream_.flushed()) {
+    queued_bytes_ = 0;
+  }
+  queued_bytes_ += frame.size();
+  ++statistics_.frames_out;
+  statistics_.bytes_out += frame.size();
+  stream_.Write(std::move(frame));
+}
+
+void Connection::SendLast(const json& value) {
+  ends_after_write_ = true;
+  Send(value);
+  if (!closed_ && stream_.flushed()) {
+    owner_.OnEnd(*this, "");
+  }
+}
+
+bool Connection::Close() {
+  if (std::exchange(closed_, true)) {
+    return false;
+  }
+  stream_.Close();
+  return true;
+}
+
+void Connection::SetMember(std::string name, uint64_t incarnation, uint64_t restart_count) {
+  name_ = std::move(name);
+  incarnation_ = incarnation;
+  restart_count_ = restart_count;
+  is_member_ = true;
+}
+
+void Connection::OnWriteComplete() {
+  queued_bytes_ = 0;
+  if (ends_after_write_) {
+    owner_.OnEnd(*this, "");
+  }
+}
+
+void Connection::ReadFrames() {
+  for (int count = 0; count < kMaxFramesPerRound; ++count) {
+    if (closed_ || !ReadFrame()) {
+      return;
+    }
+  }
+  loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
+    if (!alive.expired()) {
+      ReadFrames();
+    }
+  });
+}
+
+bool Connection::ReadFrame() {
+  json value;
+  const size_t unread_bytes = stream_.input().size();
+  const FrameStatus status = TakeFrame(stream_.input(), value);
+  statistics_.bytes_in += unread_bytes - stream_.input().size();
+  switch (status) {
+    case FrameStatus::kMalformed:
+      ++statistics_.malformed_frames;
+      owner_.OnEnd(*this, "a malformed frame");
+      return false;
+    case FrameStatus::kIncomplete:
+      if (stream_.ended()) {
+        owner_.OnEnd(*this, "ended");
+      } else {
+        stream_.ResumeReading();
+      }
+      return false;
+    case FrameStatus::kComplete:
+      break;
+  }
+  ++statistics_.frames_in;
+  last_received_at_ = loop_.Now();
+  owner_.OnFrame(*this, value);
+  return true;
+}
+
+}  // namespace paddlestile::peer
--- /dev/null
+++ b/src/peer/connection.h
@@ -0,0 +1,102 @@
+// One connection that carries frames: to a member, from a member, or from an operator's command.
+#ifndef PADDLESTILE_PEER_CONNECTION_H_
+#define PADDLESTILE_PEER_CONNECTION_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <string_view>
+
+#include "event/event_loop.h"
+#include "event/stream.h"
+#include "peer/statistics.h"
+
+namespace paddlestile::peer {
+
+// Life cycle, driven by the owner:
+//
+//   unidentified  until the other end's hello or an operator's call is accepted
+//   identified    a member: carries frames both ways; or a call: gets one reply
+//   closed        the stream is closed; the owner destroys the connection later in the loop's round
+class Connection final : public Stream::Listener {
+ public:
+  // Reports to the owner, which may close the connection during a call, but not destroy it.
+  class Owner {
+   public:
+    virtual void OnFrame(Connection& connection, const nlohmann::json& value) = 0;
+    // The connection cannot go on, for `reason`; the owner closes it.
+    virtual void OnEnd(Connection& connection, std::string_view reason) = 0;
+
+   protected:
+    ~Owner() = default;
+  };
+
+  // `dialed_name` is the member that this end connects to; empty for an accepted connection. While
+  // more than `max_queued_bytes` are not sent, further frames are dropped. `statistics` and `owner`
+  // must outlive the connection.
+  Connection(EventLoop& loop, Socket socket, std::string dialed_name, size_t max_queued_bytes,
+             PeerStatistics& statistics, Owner& owner);
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
+  virtual ~Connection() = default;
+
+  // Begins to read. False if the event loop cannot watch the socket.
+  bool Start() { return stream_.Start(); }
+
+  // Sends a frame, or drops it if too much is queued.
+  void Send(const nlohmann::json& value);
+  // Sends a last frame; the connection ends once it is sent.
+  void SendLast(const nlohmann::json& value);
+
+  // Closes the stream. False if it was closed already.
+  bool Close();
+  [[nodiscard]] bool closed() const { return closed_; }
+
+  // The connection belongs to the member `name`, in the given incarnation and start.
+  void SetMember(std::string name, uint64_t incarnation, uint64_t restart_count);
+  // Whether SetMember() was called.
+  [[nodiscard]] bool is_member() const { return is_member_; }
+  [[nodiscard]] const std::string& name() const { return name_; }  // empty until SetMember()
+  [[nodiscard]] uint64_t incarnation() const { return incarnation_; }
+  [[nodiscard]] uint64_t restart_count() const { return restart_count_; }
+
+  // The connection belongs to an operator's call.
+  void set_call(uint64_t call) { call_ = call; }
+  [[nodiscard]] uint64_t call() const { return call_; }  // 0: none
+
+  [[nodiscard]] bool is_dialed() const { return !dialed_name_.empty(); }
+  [[nodiscard]] const std::string& dialed_name() const { return dialed_name_; }
+  // When the last frame arrived, or the connection was made.
+  [[nodiscard]] Time last_received_at() const { return last_received_at_; }
+
+ private:
+  void OnData() override { ReadFrames(); }
+  void OnWriteComplete() override;
+  void OnError() override { owner_.OnEnd(*this, "broken"); }
+  void ReadFrames();
+  // Reads one frame and reports it. False if none is complete or the connection ended.
+  bool ReadFrame();
+
+  EventLoop& loop_;
+  Stream stream_;
+  std::string dialed_name_;
+  size_t max_queued_bytes_;
+  PeerStatistics& statistics_;
+  Owner& owner_;
+  std::string name_;
+  uint64_t incarnation_ = 0;
+  uint64_t restart_count_ = 0;
+  uint64_t call_ = 0;
+  bool is_member_ = false;
+  bool closed_ = false;
+  bool ends_after_write_ = false;
+  Time last_received_at_;
+  size_t queued_bytes_ = 0;  // at least what is not sent yet; 0 once all is sent
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with the connection
+};
+
+}  // namespace paddlestile::peer
+
+#endif  // PADDLESTILE_PEER_CONNECTION_H_
--- a/src/peer/framing.cpp
+++ b/src/peer/framing.cpp
@@ -10,8 +10,11 @@
 
 using nlohmann::json;
 
-// Goes through a value and keeps nothing of it: the library reads nested ones by recursion.
-class Depth final : public json::json_sax_t {
+constexpr size_t kLengthBytes = sizeof(uint32_t);
+
+// Checks the depth of a value without building it: building is recursive and could overflow the
+// stack.
+class DepthChecker final : public json::json_sax_t {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -42,16 +45,16 @@
 }  // namespace
 
 std::string EncodeFrame(const json& value) {
-  std::string frame(4, '\0');
+  std::string frame(kLengthBytes, '\0');
   json::to_cbor(value, frame);
-  const auto size = static_cast<uint32_t>(frame.size() - 4);
-  std::memcpy(frame.data(), &size, sizeof(size));
+  const auto value_bytes = static_cast<uint32_t>(frame.size() - kLengthBytes);
+  std::memcpy(frame.data(), &value_bytes, sizeof(value_bytes));
   return frame;
 }
 
 std::optional<json> DecodeValue(std::string_view bytes) {
-  Depth depth;
-  if (!json::sax_parse(bytes, &depth, json::input_format_t::cbor)) {
+  DepthChecker depth_checker;
+  if (!json::sax_parse(bytes, &depth_checker, json::input_format_t::cbor)) {
     return std::nullopt;
   }
   json value = json::from_cbor(bytes, true, false);
@@ -61,24 +64,24 @@
   return value;
 }
 
-FrameStatus TakeFrame(Buffer& in, json& value) {
-  uint32_t size = 0;
-  if (in.size() < sizeof(size)) {
+FrameStatus TakeFrame(Buffer& input, json& value) {
+  uint32_t value_bytes = 0;
+  if (input.size() < kLengthBytes) {
     return FrameStatus::kIncomplete;
   }
-  std::memcpy(&size, in.data(), sizeof(size));
-  if (size > kMaxFrameBytes) {
+  std::memcpy(&value_bytes, input.data(), sizeof(value_bytes));
+  if (value_bytes > kMaxFrameBytes) {
     return FrameStatus::kMalformed;
   }
-  if (in.size() < sizeof(size) + size) {
+  if (input.size() < kLengthBytes + value_bytes) {
     return FrameStatus::kIncomplete;
   }
-  auto parsed = DecodeValue(std::string_view(in.data() + sizeof(size), size));
-  in.Consume(sizeof(size) + size);
-  if (!parsed) {
+  auto decoded = DecodeValue(std::string_view(input.data() + kLengthBytes, value_bytes));
+  input.Consume(kLengthBytes + value_bytes);
+  if (!decoded) {
     return FrameStatus::kMalformed;
   }
-  value = std::move(*parsed);
+  value = std::move(*decoded);
   return FrameStatus::kComplete;
 }
 
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -8,134 +8,38 @@
 #include <utility>
 
 #include "base/log.h"
-#include "peer/framing.h"
 
 namespace paddlestile::peer {
 namespace {
 
 using nlohmann::json;
 
-constexpr int kBacklog = 512;
-constexpr int kAcceptAtOnce = 32;
-constexpr size_t kOldLives = 8;
-constexpr size_t kUnread = kMaxFrameBytes + 64;  // bytes of one link
-constexpr int kFramesAtOnce = 32;                // then others have their turn
+constexpr int kListenBacklog = 512;
+constexpr int kMaxAcceptsPerRound = 32;
+constexpr size_t kMaxStaleIncarnations = 8;  // remembered for each member
 
 }  // namespace
 
 class PeerConnections::Acceptor final : public EventLoop::Handler {
  public:
-  Acceptor(PeerConnections& links, const Address& at) : links_(links) {
-    fd_ = Listen(at, kBacklog, false);
-    if (!fd_ || !links_.loop_.Watch(fd_.get(), this, token_)) {
-      throw std::system_error(errno, std::generic_category(), "bank: listen on " + ToText(at));
+  Acceptor(PeerConnections& owner, const Address& address) : owner_(owner) {
+    fd_ = Listen(address, kListenBacklog, false);
+    if (!fd_ || !owner_.loop_.Watch(fd_.get(), this, token_)) {
+      throw std::system_error(errno, std::generic_category(), "bank: listen on " + ToText(address));
     }
   }
   Acceptor(const Acceptor&) = delete;
   Acceptor& operator=(const Acceptor&) = delete;
-  virtual ~Acceptor() { links_.loop_.Unwatch(fd_.get(), token_); }
+  virtual ~Acceptor() { owner_.loop_.Unwatch(fd_.get(), token_); }
   [[nodiscard]] int fd() const { return fd_.get(); }
-  void OnEvents(uint32_t) override { links_.Accept(); }
+  void OnEvents(uint32_t) override { owner_.Accept(); }
 
  private:
-  PeerConnections& links_;
+  PeerConnections& owner_;
   FileDescriptor fd_;
   uint64_t token_ = 0;
 };
 
-class PeerConnections::Connection final : public Stream::Listener {
- public:
-  Connection(PeerConnections& links, Socket socket, std::string dialled)
-      : links_(links),
-        stream_(links.loop_, std::move(socket), this, !dialled.empty()),
-        dialled_(std::move(dialled)),
-        heard_(links.loop_.Now()) {
-    stream_.set_max_unread_bytes(kUnread);
-  }
-  Connection(const Connection&) = delete;
-  Connection& operator=(const Connection&) = delete;
-  virtual ~Connection() = default;
-
-  bool Start() {
-    if (!dialled_.empty()) {
-      Write(links_.HelloTo(dialled_));
-    }
-    return stream_.Start();
-  }
-  void Write(const json& value) {
-    std::string frame = EncodeFrame(value);
-    if (!stream_.flushed() && queued_ + frame.size() > links_.options_.max_queued_bytes) {
-      ++links_.statistics_.dropped;
-      return;
-    }
-    if (stream_.flushed()) {
-      queued_ = 0;
-    }
-    queued_ += frame.size();
-    ++links_.statistics_.frames_out;
-    links_.statistics_.bytes_out += frame.size();
-    stream_.Write(std::move(frame));
-  }
-  void Read() {
-    for (int n = 0; n < kFramesAtOnce; ++n) {
-      if (over_) {
-        return;
-      }
-      json value;
-      const size_t before = stream_.input().size();
-      const FrameStatus read = TakeFrame(stream_.input(), value);
-      links_.statistics_.bytes_in += before - stream_.input().size();
-      if (read == FrameStatus::kMalformed) {
-        ++links_.statistics_.malformed_frames;
-        return links_.Drop(*this, "a frame that makes no sense");
-      }
-      if (read == FrameStatus::kIncomplete) {
-        if (stream_.ended()) {
-          return links_.Drop(*this, "ended");
-        }
-        stream_.ResumeReading();
-        return;
-      }
-      ++links_.statistics_.frames_in;
-      heard_ = links_.loop_.Now();
-      if (up_) {
-        links_.listener_->OnFrame(name_, value);
-      } else {
-        links_.OnHello(*this, value);
-      }
-    }
-    links_.loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
-      if (!alive.expired()) {
-        Read();
-      }
-    });
-  }
-  Stream& stream() { return stream_; }
-
-  std::string name_;  // once it has said so
-  uint64_t life_ = 0, boot_ = 0, call_ = 0;
-  bool up_ = false, over_ = false, ends_ = false;
-  [[nodiscard]] const std::string& dialled() const { return dialled_; }
-  [[nodiscard]] Time heard() const { return heard_; }
-
- private:
-  void OnData() override { Read(); }
-  void OnWriteComplete() override {
-    queued_ = 0;
-    if (ends_) {
-      links_.Drop(*this, "");
-    }
-  }
-  void OnError() override { links_.Drop(*this, "broken"); }
-
-  PeerConnections& links_;
-  Stream stream_;
-  std::string dialled_;
-  Time heard_;
-  size_t queued_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-};
-
 PeerConnections::PeerConnections(EventLoop& loop, DescriptorBudget& budget,
                                  PeerConnectionOptions options, Listener* listener)
     : loop_(loop),
@@ -154,10 +58,19 @@
   }
 }
 
-// ---- Connections ------------------------------------------------------------------------------
+// ---- Making connections -----------------------------------------------------------------------
+
+Connection& PeerConnections::AddConnection(Socket socket, const std::string& dialed_name) {
+  Connection::Owner& owner = *this;  // a private base, which make_unique cannot convert to
+  auto connection = std::make_unique<Connection>(loop_, std::move(socket), dialed_name,
+                                                 options_.max_queued_bytes, statistics_, owner);
+  Connection& added = *connection;
+  connections_[&added] = std::move(connection);
+  return added;
+}
 
 void PeerConnections::Accept() {
-  for (int n = 0; n < kAcceptAtOnce; ++n) {
+  for (int count = 0; count < kMaxAcceptsPerRound; ++count) {
     FileDescriptor fd(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) {
@@ -165,16 +78,14 @@
       }
       return;
     }
-    // One that is turned away for want of room comes again.
+    // A member that is closed here connects again.
     if (unidentified_count_ >= options_.max_unidentified || !budget_.TryAcquire()) {
       continue;
     }
-    auto link = std::make_unique<Connection>(*this, Socket(std::move(fd), &budget_), "");
-    Connection* const at = link.get();
-    connections_[at] = std::move(link);
+    Connection& connection = AddConnection(Socket(std::move(fd), &budget_), "");
     ++unidentified_count_;
-    if (!at->Start()) {
-      Drop(*at, "not watched");
+    if (!connection.Start()) {
+      OnEnd(connection, "not watched");
     }
   }
   loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
@@ -199,7 +110,7 @@
     }
     DialState& dial = dials_[name];
     if (dial.connection == nullptr && dial.timer.number == 0) {
-      Connect(name);
+      Dial(name);
     }
   }
 }
@@ -218,187 +129,230 @@
   });
 }
 
-void PeerConnections::Connect(const std::string& name) {
+void PeerConnections::Dial(const std::string& name) {
   bool refused = false;
-  auto socket = paddlestile::Connect(options_.members.at(name), &budget_, refused);
+  auto socket = Connect(options_.members.at(name), &budget_, refused);
   if (!socket) {
     return ScheduleRedial(name);
   }
-  auto link = std::make_unique<Connection>(*this, std::move(*socket), name);
-  Connection* const at = link.get();
-  connections_[at] = std::move(link);
-  dials_[name].connection = at;
-  if (!at->Start()) {
-    Drop(*at, "not watched");
+  Connection& connection = AddConnection(std::move(*socket), name);
+  dials_[name].connection = &connection;
+  connection.Send(HelloTo(name));
+  if (!connection.Start()) {
+    OnEnd(connection, "not watched");
   }
 }
 
-void PeerConnections::Drop(Connection& link, std::string_view why) {
-  if (std::exchange(link.over_, true)) {
+// ---- Events of connections --------------------------------------------------------------------
+
+void PeerConnections::OnFrame(Connection& connection, const json& value) {
+  if (connection.is_member()) {
+    listener_->OnFrame(connection.name(), value);
+  } else {
+    OnIntroduction(connection, value);
+  }
+}
+
+void PeerConnections::OnEnd(Connection& connection, std::string_view reason) {
+  if (!connection.Close()) {
     return;
   }
-  link.stream().Close();
-  if (link.call_ != 0) {
-    calls_.erase(link.call_);
+  if (connection.call() != 0) {
+    calls_.erase(connection.call());
   }
-  if (link.dialled().empty() && !link.up_ && link.call_ == 0) {
+  if (!connection.is_dialed() && !connection.is_member() && connection.call() == 0) {
     --unidentified_count_;
   }
-  const std::string name = link.up_ ? link.name_ : link.dialled();
-  const bool was_up = link.up_;
-  const auto at = connected_.find(link.name_);
-  if (was_up && at != connected_.end() && at->second == &link) {
-    connected_.erase(at);
-    ++statistics_.disconnected;
-    Log(LogLevel::kInfo, "bank: link to {} is down: {}", name, why);
-    listener_->OnDisconnected(name);
-  }
-  if (!link.dialled().empty()) {
-    ScheduleRedial(link.dialled());
+  ForgetMember(connection, reason);
+  if (connection.is_dialed()) {
+    ScheduleRedial(connection.dialed_name());
   }
-  // Its own handler may be at work.
-  loop_.RunDeferred([this, at = &link, alive = std::weak_ptr(alive_)] {
+  // Deferred: this may be called from the connection's own handler.
+  loop_.RunDeferred([this, closed = &connection, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
-      connections_.erase(at);
+      connections_.erase(closed);
     }
   });
 }
 
+void PeerConnections::ForgetMember(const Connection& connection, std::string_view reason) {
+  const auto found = connected_.find(connection.name());
+  if (!connection.is_member() || found == connected_.end() || found->second != &connection) {
+    return;
+  }
+  connected_.erase(found);
+  ++statistics_.disconnected;
+  Log(LogLevel::kInfo, "bank: connection to {} is closed: {}", connection.name(), reason);
+  listener_->OnDisconnected(connection.name());
+}
+
+// ---- Heartbeats -------------------------------------------------------------------------------
+
 void PeerConnections::SendHeartbeats() {
   const Time now = loop_.Now();
-  std::vector<Connection*> links;
-  for (const auto& [at, link] : connections_) {
-    links.push_back(at);
+  // A copy: closing one connection may change the map.
+  std::vector<Connection*> connections;
+  for (const auto& [key, connection] : connections_) {
+    connections.push_back(key);
   }
-  for (Connection* const link : links) {
-    if (link->over_) {
-      continue;
-    }
-    const bool up = link->up_ || link->call_ != 0;
-    if (now - link->heard() > (up ? options_.silence_timeout : options_.hello_timeout)) {
-      if (link->up_) {
-        ++statistics_.timed_out;
-      }
-      Drop(*link, "silent");
-    } else if (link->up_) {
-      link->Write({{"beat", 1}});
+  for (Connection* const connection : connections) {
+    if (!connection->closed()) {
+      SendHeartbeat(now, *connection);
     }
   }
   heartbeat_timer_ = loop_.RunAfter(options_.heartbeat_interval, [this] { SendHeartbeats(); });
 }
 
-// ---- Who it is --------------------------------------------------------------------------------
+void PeerConnections::SendHeartbeat(Time now, Connection& connection) {
+  const bool is_identified = connection.is_member() || connection.call() != 0;
+  const Duration timeout = is_identified ? options_.silence_timeout : options_.hello_timeout;
+  if (now - connection.last_received_at() > timeout) {
+    if (connection.is_member()) {
+      ++statistics_.timed_out;
+    }
+    OnEnd(connection, "silent");
+  } else if (connection.is_member()) {
+    connection.Send({{"beat", 1}});
+  }
+}
+
+// ---- Identification ---------------------------------------------------------------------------
 
 json PeerConnections::HelloTo(const std::string& name) {
-  return {{"hello", kProtocolVersion},
-          {"bank", options_.cluster_name},
-          {"from", options_.name},
-          {"to", name},
-          {"life", options_.incarnation},
-          {"boot", options_.restart_count},
-          {"known", listener_->ClaimKnownOf(name)}};
+  Hello hello;
+  hello.cluster_name = options_.cluster_name;
+  hello.from = options_.name;
+  hello.to = name;
+  hello.incarnation = options_.incarnation;
+  hello.restart_count = options_.restart_count;
+  hello.claim = listener_->ClaimKnownOf(name);
+  return EncodeHello(hello);
 }
 
-void PeerConnections::OnHello(Connection& link, const json& value) {
-  const auto stranger = [&](const std::string& why) {
-    ++statistics_.unidentified;
-    Log(LogLevel::kWarning, "bank: turned away: {}", why);
-    Drop(link, why);
-  };
+void PeerConnections::Reject(Connection& connection, const std::string& reason) {
+  ++statistics_.unidentified;
+  Log(LogLevel::kWarning, "bank: turned away: {}", reason);
+  OnEnd(connection, reason);
+}
+
+void PeerConnections::OnIntroduction(Connection& connection, const json& value) {
   try {
     if (const auto call = value.find("call"); call != value.end()) {
-      if (value.value("hello", 0) != kProtocolVersion) {
-        return stranger("a call of another format");
-      }
-      if (!link.dialled().empty()) {
-        return stranger("a call instead of a hello");
-      }
-      if (link.call_ == 0) {
-        --unidentified_count_;
-        link.call_ = next_call_++;
-        calls_[link.call_] = &link;
-      }
-      return listener_->OnCall(link.call_, *call);
-    }
-    const std::string bank = value.at("bank"), from = value.at("from"), to = value.at("to");
-    const uint64_t life = value.at("life"), boot = value.at("boot");
-    if (value.at("hello") != kProtocolVersion) {
-      return stranger(from + " speaks format " + value.at("hello").dump() + ", expected " +
-                      std::to_string(kProtocolVersion));
-    }
-    if (bank != options_.cluster_name) {
-      return stranger(from + " is of bank '" + bank + "'");
-    }
-    if (to != options_.name) {
-      return stranger(from + " looks for " + to);
-    }
-    if (!options_.members.contains(from) || from == options_.name) {
-      return stranger(from + " is no member");
-    }
-    if (!link.dialled().empty() && from != link.dialled()) {
-      return stranger(from + " answers for " + link.dialled());
-    }
-    std::vector<uint64_t>& old = stale_incarnations_[from];
-    const auto before = connected_.find(from);
-    const bool older = std::ranges::find(old, life) != old.end() ||
-                       (before != connected_.end() && before->second->life_ == life &&
-                        before->second->boot_ > boot);
-    if (older) {
-      ++statistics_.stale_incarnations;
-      return stranger(from + " comes as an old life of itself");
-    }
-    if (before != connected_.end()) {
-      if (before->second->life_ != life) {
-        old.push_back(before->second->life_);
-        if (old.size() > kOldLives) {
-          old.erase(old.begin());
-        }
-      }
-      Drop(*before->second, "another connection of it");
-    }
-    if (link.dialled().empty()) {
-      link.Write(HelloTo(from));
+      OnCall(connection, value, *call);
     } else {
-      dials_[from].wait = Duration(0);
-    }
-    // It may have ended within either of these.
-    if (link.over_) {
-      return;
-    }
-    if (link.dialled().empty()) {
-      --unidentified_count_;
+      OnHello(connection, DecodeHello(value));
     }
-    link.name_ = from;
-    link.life_ = life;
-    link.boot_ = boot;
-    link.up_ = true;
-    connected_[from] = &link;
-    ++statistics_.connected;
-    Log(LogLevel::kInfo, "bank: link to {} is up", from);
-    listener_->OnConnected(from, life, value.value("known", json()));
   } catch (const json::exception&) {
+    // Also one that the listener throws for the contents of the call or the claim.
     ++statistics_.malformed_frames;
-    stranger("a hello that makes no sense");
+    Reject(connection, "a malformed hello");
   }
 }
 
-void PeerConnections::Send(const std::string& name, const json& value) {
-  const auto at = connected_.find(name);
-  if (at != connected_.end()) {
-    at->second->Write(value);
+void PeerConnections::OnCall(Connection& connection, const json& frame, const json& call) {
+  if (frame.value("hello", 0) != kProtocolVersion) {
+    return Reject(connection, "a call of another format");
   }
+  if (connection.is_dialed()) {
+    return Reject(connection, "a call instead of a hello");
+  }
+  if (connection.call() == 0) {
+    --unidentified_count_;
+    connection.set_call(next_call_++);
+    calls_[connection.call()] = &connection;
+  }
+  listener_->OnCall(connection.call(), call);
 }
 
-void PeerConnections::Reply(uint64_t call, const json& value) {
-  const auto at = calls_.find(call);
-  if (at == calls_.end()) {
+std::string PeerConnections::ReasonToReject(const Connection& connection,
+                                            const Hello& hello) const {
+  if (hello.version != kProtocolVersion) {
+    return hello.from + " speaks format " + hello.version.dump() + ", expected " +
+           std::to_string(kProtocolVersion);
+  }
+  if (hello.cluster_name != options_.cluster_name) {
+    return hello.from + " is of bank '" + hello.cluster_name + "'";
+  }
+  if (hello.to != options_.name) {
+    return hello.from + " looks for " + hello.to;
+  }
+  if (!options_.members.contains(hello.from) || hello.from == options_.name) {
+    return hello.from + " is no member";
+  }
+  if (connection.is_dialed() && hello.from != connection.dialed_name()) {
+    return hello.from + " answers for " + connection.dialed_name();
+  }
+  return "";
+}
+
+bool PeerConnections::IsStale(const Hello& hello) const {
+  const auto stale = stale_incarnations_.find(hello.from);
+  if (stale != stale_incarnations_.end() &&
+      std::ranges::find(stale->second, hello.incarnation) != stale->second.end()) {
+    return true;
+  }
+  const auto current = connected_.find(hello.from);
+  return current != connected_.end() && current->second->incarnation() == hello.incarnation &&
+         current->second->restart_count() > hello.restart_count;
+}
+
+void PeerConnections::ReplaceConnection(const Hello& hello) {
+  const auto found = connected_.find(hello.from);
+  if (found == connected_.end()) {
+    return;
+  }
+  Connection& earlier = *found->second;
+  if (earlier.incarnation() != hello.incarnation) {
+    std::vector<uint64_t>& stale = stale_incarnations_[hello.from];
+    stale.push_back(earlier.incarnation());
+    if (stale.size() > kMaxStaleIncarnations) {
+      stale.erase(stale.begin());
+    }
+  }
+  OnEnd(earlier, "another connection of it");
+}
+
+void PeerConnections::OnHello(Connection& connection, const Hello& hello) {
+  if (const std::string reason = ReasonToReject(connection, hello); !reason.empty()) {
+    return Reject(connection, reason);
+  }
+  if (IsStale(hello)) {
+    ++statistics_.stale_incarnations;
+    return Reject(connection, hello.from + " comes with a stale incarnation");
+  }
+  ReplaceConnection(hello);
+  if (connection.is_dialed()) {
+    dials_[hello.from].wait = Duration(0);
+  } else {
+    connection.Send(HelloTo(hello.from));
+  }
+  // It may have ended while the earlier one was closed or the hello was sent.
+  if (connection.closed()) {
     return;
   }
-  Connection& link = *at->second;
-  link.ends_ = true;
-  link.Write(value);
-  if (!link.over_ && link.stream().flushed()) {
-    Drop(link, "");
+  if (!connection.is_dialed()) {
+    --unidentified_count_;
+  }
+  connection.SetMember(hello.from, hello.incarnation, hello.restart_count);
+  connected_[hello.from] = &connection;
+  ++statistics_.connected;
+  Log(LogLevel::kInfo, "bank: connection to {} is established", hello.from);
+  listener_->OnConnected(hello.from, hello.incarnation, hello.claim);
+}
+
+// ---- Sending ----------------------------------------------------------------------------------
+
+void PeerConnections::Send(const std::string& name, const json& value) {
+  const auto found = connected_.find(name);
+  if (found != connected_.end()) {
+    found->second->Send(value);
+  }
+}
+
+void PeerConnections::Reply(uint64_t call, const json& value) {
+  const auto found = calls_.find(call);
+  if (found != calls_.end()) {
+    found->second->SendLast(value);
   }
 }
 
