--- a/tests/raft/raft_node_fixture.h
+++ b/tests/raft/raft_node_fixture.h
@@ -5,10 +5,12 @@
 
 #include <gtest/gtest.h>
 
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "raft/invariants.h"
 #include "raft/raft_node.h"
 
 namespace paddlestile::raft {
@@ -71,8 +73,11 @@
   RaftOutput Receive(Time at, const Message& message) {
     RaftOutput out;
     node.OnMessage(at, message, out);
+    ExpectInvariants();
     return out;
   }
+  void TearDown() override { ExpectInvariants(); }
+  void ExpectInvariants() const { EXPECT_EQ(FindBrokenInvariant(node).value_or(""), ""); }
   // Lets time pass until the election timeout.
   Time WaitUntilPreCandidate(RaftOutput& out) {
     Time now{0};
--- a/tests/raft/raft_node_test.cpp
+++ b/tests/raft/raft_node_test.cpp
@@ -1,4 +1,4 @@
-// The Raft node: settings, and storage that was rolled back.
+// The Raft node: settings, invariants, and storage that was rolled back.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -20,6 +20,19 @@
   EXPECT_TRUE(Receive(3 * kSecond, RequestVote(4, false, 9, 3)).messages.empty());
 }
 
+// The invariants that the fixtures check after each message.
+TEST(RaftInvariantsTest, FindsTermsThatContradictTheLog) {
+  PersistentState state = StateWithVoters(1, 2, kThreeVoters);
+  EXPECT_FALSE(FindBrokenInvariant(RaftNode("a", {}, state, 7, Time(0))));
+  state.log.push_back(DataEntry(3, "x"));
+  EXPECT_EQ(FindBrokenInvariant(RaftNode("a", {}, state, 7, Time(0))),
+            "a term above the current one, at 2");
+  state.current_term = 3;
+  state.log.push_back(DataEntry(2, "y"));
+  EXPECT_EQ(FindBrokenInvariant(RaftNode("a", {}, state, 7, Time(0))),
+            "a term below that of the entry before it, at 3");
+}
+
 TEST(RaftTimingTest, RejectsInvalidSettings) {
   RaftTiming timing;
   timing.lease_duration = timing.heartbeat_interval;
