--- a/src/balancer/admission.h
+++ b/src/balancer/admission.h
@@ -32,7 +32,8 @@
 
   bool TakeQuotaToken(const EventContext& context, size_t tenant, double since_last_arrival_us);
   [[nodiscard]] double Priority(const Settings& settings, size_t request_class) const;
-  double PriorityPercentile(const EventContext& context, const Request& request) const;
+  [[nodiscard]] double PriorityPercentile(const EventContext& context,
+                                          const Request& request) const;
 
   const TrafficStatistics& traffic_;
   std::vector<TenantBucket> tenant_buckets_;  // by index of the tenant
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -21,12 +21,27 @@
   endpoint.busy_counted_until = now;
 }
 
-void ConcurrencyLimit::RecordAttempt(Endpoint& endpoint, double in_flight_at_send) {
+void ConcurrencyLimit::RecordAttemptStarted(Time now, Endpoint& endpoint) {
+  CountBusyTime(now, endpoint);
+  ++endpoint.attempts_in_flight;
+}
+
+void ConcurrencyLimit::RecordAttemptFinished(Time now, Endpoint& endpoint) {
+  CountBusyTime(now, endpoint);
+  --endpoint.attempts_in_flight;
+}
+
+void ConcurrencyLimit::RecordThroughput(Endpoint& endpoint, double in_flight_at_send) {
   endpoint.local_estimate.Record(in_flight_at_send, kSampleWeight);
   ThroughputEstimate& kind = endpoints_.MachineKind(endpoint);
   kind.Record(kind.reported_in_flight, kSlowSampleWeight);
 }
 
+void ConcurrencyLimit::RecordRoundTrip(Endpoint& endpoint, Duration elapsed) {
+  MoveTowards(endpoint.round_trip_us, ToUs(elapsed),
+              endpoint.round_trip_us > 0 ? kSampleWeight : 1);
+}
+
 void ConcurrencyLimit::RecordReport(const EventContext& context, Endpoint& endpoint,
                                     const ReportedLoad& load) {
   // The first counts in full; so does each where endpoints are probed before an attempt.
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -40,10 +40,14 @@
   void ApplySettings(const Settings& settings) { target_us_ = LatencyTargetUs(settings); }
   [[nodiscard]] double target_us() const { return target_us_; }
 
-  // Counts the time that attempts have spent in flight. Call before their number changes.
-  void CountBusyTime(Time now, Endpoint& endpoint);
-  // Counts an attempt that ended or timed out: responses alone would flatter a crowded endpoint.
-  void RecordAttempt(Endpoint& endpoint, double in_flight_at_send);
+  // Counts an attempt of this gateway in flight, and no longer.
+  void RecordAttemptStarted(Time now, Endpoint& endpoint);
+  void RecordAttemptFinished(Time now, Endpoint& endpoint);
+  // Takes an attempt into the throughput estimates: one with a successful response, or one that
+  // timed out or was cancelled, since responses alone would flatter a crowded endpoint.
+  void RecordThroughput(Endpoint& endpoint, double in_flight_at_send);
+  // Takes the round-trip time of a probe into the mean.
+  static void RecordRoundTrip(Endpoint& endpoint, Duration elapsed);
   void RecordReport(const EventContext& context, Endpoint& endpoint, const ReportedLoad& load);
 
   // Requests in flight at the endpoint, of this gateway and, by estimate, of others. An old report
@@ -83,9 +87,9 @@
     const ThroughputEstimate& kind = endpoints_.MachineKind(endpoint);
     const double throughput = Throughput(context, endpoint);
     // One more while it is quick, to learn whether it can do more.
-    const double trial = endpoint.local_estimate.MeanTimeUs() < target_us_ ? 1 : 0;
+    const double headroom = endpoint.local_estimate.MeanTimeUs() < target_us_ ? 1 : 0;
     const double learned =
-        trial + throughput * target_us_ * (key_affinity ? kAffinityLimitFraction : 1);
+        headroom + throughput * target_us_ * (key_affinity ? kAffinityLimitFraction : 1);
     // Endpoints that are probed before each attempt may hold more while their kind is quick.
     const double allowance =
         key_affinity && !strict ? kIdleKindLimit * (1 - kind.reported_latency_us / target_us_) : 0;
@@ -109,6 +113,9 @@
   }
 
  private:
+  // Counts the time that attempts have spent in flight. Call before their number changes.
+  void CountBusyTime(Time now, Endpoint& endpoint);
+
   static constexpr double kReportFadeUs = 6e6;  // queues turn over within some service times
   static constexpr double kMinLimit = 2;        // requests
   static constexpr double kInitialLimit = 4;    // requests; does not crowd an unknown endpoint
--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -6,13 +6,14 @@
 
 #include "balancer/affinity.h"
 #include "balancer/averages.h"
+#include "balancer/outlier_detection.h"
 #include "balancer/retry_policy.h"
 
 namespace paddlestile {
 namespace {
 
 constexpr double kMaxQueueFraction = 0.1;  // of the latency objective that a request may be queued
-constexpr int kRetryAfterDivisor = 16;     // of the latency objective: a client that stays away
+constexpr int kRetryAfterDivisor = 16;     // of the latency objective: a client that waits
                                            // for longer comes back too late
 constexpr size_t kLastResortEndpoints = kAffinityEndpoints + 2;  // two more at random
 
@@ -126,10 +127,8 @@
     throw std::logic_error("an attempt that is not permitted");
   }
   SlowStart::Spend(endpoint, traffic_.Cost(request));
-  concurrency_limit_.CountBusyTime(context.now, endpoint);
-  if (endpoint.attempts_in_flight++ == 0) {
-    endpoint.last_response_at = context.now;
-  }
+  OutlierDetection::RecordAttemptStarted(context.now, endpoint);
+  concurrency_limit_.RecordAttemptStarted(context.now, endpoint);
   request.attempts.push_back(
       {.endpoint = selection.endpoint,
        .sent_at = context.now,
--- a/src/balancer/learned_state.h
+++ b/src/balancer/learned_state.h
@@ -50,11 +50,11 @@
   bool was_up = false;   // state is kUp by the last list
   // EndpointSubset
   bool in_subset = false;  // exactly the members of the subset have it set
-  // Dispatcher and load_balancer.cpp: this gateway's own work there
-  int attempts_in_flight = 0;
-  int probes_in_flight = 0;
-  double round_trip_us = 0;  // mean of probes; 0 unknown
+  // Prober
+  int probes_in_flight = 0;  // of this gateway
   // ConcurrencyLimit
+  int attempts_in_flight = 0;         // of this gateway
+  double round_trip_us = 0;           // mean of probes; 0 unknown
   double external_in_flight = 0;      // of other gateways, by reports
   Time reported_at{-1'000'000};       // the last report; below 0: never
   Time busy_counted_until{0};         // local_estimate.busy_us is counted until then
--- a/src/balancer/load_balancer.cpp
+++ b/src/balancer/load_balancer.cpp
@@ -8,7 +8,6 @@
 
 #include "balancer/admission.h"
 #include "balancer/affinity.h"
-#include "balancer/averages.h"
 #include "balancer/concurrency_limit.h"
 #include "balancer/discovery_schedule.h"
 #include "balancer/dispatcher.h"
@@ -182,8 +181,7 @@
 
   Endpoint& endpoint = endpoints[attempt.endpoint];
   const bool was_unresponsive = outliers.IsUnresponsive(context.now, endpoint);
-  concurrency_limit.CountBusyTime(context.now, endpoint);
-  --endpoint.attempts_in_flight;
+  concurrency_limit.RecordAttemptFinished(context.now, endpoint);
   if (event.load_report) {
     RecordReport(context, attempt.endpoint, *event.load_report);
   }
@@ -208,7 +206,7 @@
   Endpoint& endpoint = endpoints[attempt.endpoint];
   if (!EndedWithoutResponse(event.outcome) &&
       (attempt.may_have_run || event.outcome == Outcome::kRejected)) {
-    endpoint.last_response_at = context.now;
+    OutlierDetection::RecordResponse(context.now, endpoint);
   }
   switch (event.outcome) {
     case Outcome::kOk:
@@ -216,7 +214,7 @@
           request.met_objective ||
           context.now <= request.arrived_at + request.request_class.latency_objective;
       outliers.RecordSuccess(context, endpoint);
-      concurrency_limit.RecordAttempt(endpoint, attempt.in_flight_at_send);
+      concurrency_limit.RecordThroughput(endpoint, attempt.in_flight_at_send);
       traffic.RecordSuccess(context, request, event.elapsed);
       break;
     case Outcome::kError:
@@ -231,7 +229,7 @@
       break;
     case Outcome::kTimeout:
     case Outcome::kCancelled:
-      concurrency_limit.RecordAttempt(endpoint, attempt.in_flight_at_send);
+      concurrency_limit.RecordThroughput(endpoint, attempt.in_flight_at_send);
       if (was_unresponsive) {
         outliers.RecordUnresponsive(context, endpoint);
       }
@@ -259,10 +257,9 @@
     return;
   }
   Endpoint& endpoint = endpoints[*index];
-  endpoint.probes_in_flight = std::max(0, endpoint.probes_in_flight - 1);
+  Prober::RecordProbeFinished(endpoint);
   if (event.outcome == Outcome::kOk) {
-    MoveTowards(endpoint.round_trip_us, ToUs(event.elapsed),
-                endpoint.round_trip_us > 0 ? kSampleWeight : 1);
+    ConcurrencyLimit::RecordRoundTrip(endpoint, event.elapsed);
     if (event.load_report && IsUp(endpoint)) {
       RecordReport(context, *index, *event.load_report);
     }
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -67,7 +67,7 @@
 }
 
 // The time is spread at random, so that gateways don't return together. An endpoint that is met
-// seldom stays away for as long as between two outcomes at least.
+// seldom stays ejected for as long as between two outcomes at least.
 void OutlierDetection::Eject(const EventContext& context, Endpoint& endpoint) const {
   const int doublings = std::min(endpoint.consecutive_ejections++, kMaxEjectionDoublings);
   const double base_us = std::max(ToUs(kFirstEjection), endpoint.outcome_interval_us);
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -42,6 +42,15 @@
     return IsOnTrial(endpoint) || endpoint.error_rate > kDoubtfulErrorRate;
   }
 
+  // An attempt starts there; call before it is counted in flight.
+  static void RecordAttemptStarted(Time now, Endpoint& endpoint) {
+    if (endpoint.attempts_in_flight == 0) {
+      endpoint.last_response_at = now;
+    }
+  }
+  // A response came back, whatever it says of the endpoint's health.
+  static void RecordResponse(Time now, Endpoint& endpoint) { endpoint.last_response_at = now; }
+
   void RecordSuccess(const EventContext& context, Endpoint& endpoint) const;
   void RecordError(const EventContext& context, Endpoint& endpoint) const;
   // A broken connection or an invalid response.
--- a/src/balancer/probe_pool.cpp
+++ b/src/balancer/probe_pool.cpp
@@ -24,7 +24,7 @@
   if (!settings.allowed.probes) {
     return 0;
   }
-  // A first view of the whole subset before the first seconds crowd it.
+  // A first view of all of the subset before the first seconds crowd it.
   if (settings.costs.probe <= 0 || probes_sent_ < static_cast<int>(subset_.size())) {
     return kMaxProbesPerRequest;
   }
--- a/src/balancer/prober.cpp
+++ b/src/balancer/prober.cpp
@@ -24,6 +24,11 @@
   }
 }
 
+void Prober::RecordProbeFinished(Endpoint& endpoint) {
+  // A probe may outlive the record of its endpoint.
+  endpoint.probes_in_flight = std::max(0, endpoint.probes_in_flight - 1);
+}
+
 void Prober::ProbeForRetry(const EventContext& context, Request& request) {
   request.probed_count = 0;
   if (!request.affinity_endpoints.empty()) {
--- a/src/balancer/prober.h
+++ b/src/balancer/prober.h
@@ -33,6 +33,8 @@
 
   // The probes that accompany an arriving request.
   void ProbeForRequest(const EventContext& context, Request& request);
+  // Counts a probe that ended, however it did.
+  static void RecordProbeFinished(Endpoint& endpoint);
   // Before a further attempt: all affinity endpoints of the request.
   void ProbeForRetry(const EventContext& context, Request& request);
   // Whether the request need not wait for probes: they came back, had their time, or its deadline
--- a/src/balancer/request_table.h
+++ b/src/balancer/request_table.h
@@ -23,7 +23,8 @@
   double in_flight_at_send = 0;  // requests at its endpoint, itself included
 };
 
-// Open from its arrival until it is finished, not queued and without attempts in flight.
+// Open from its arrival until it is finished, not queued and without attempts in flight. Prober
+// writes the fields of its probes, Admission its rank, Dispatcher its attempts and state.
 struct Request {
   uint64_t sequence_number = 0;  // in order of arrival
   RequestClass request_class;    // as it and max_attempts were at the arrival
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -23,8 +23,8 @@
   [[nodiscard]] bool IsAttemptPermitted(const EventContext& context, const Request& request,
                                         const Endpoint& endpoint) const;
 
-  // Whether the client may be told that it can send the request again: no attempt may have run, or
-  // its repeats do no harm wherever they go.
+  // Whether the client may get the response that it can send the request again: no attempt may have
+  // run, or its repeats do no harm wherever they go.
   [[nodiscard]] static bool MayReject(const Request& request);
 
   // Each request that arrives earns a fraction of a further attempt.
--- a/src/balancer/settings.h
+++ b/src/balancer/settings.h
@@ -122,7 +122,7 @@
   std::vector<std::pair<size_t, TenantQuota>> entries;
 };
 
-// Checks the ranges. Throws std::invalid_argument that names the setting by the operators' word.
+// Checks the ranges. Throws std::invalid_argument that names the setting as operators do.
 void ValidateSettings(const Settings& settings);
 
 // Puts the quotas into `settings`. Throws std::invalid_argument for a negative share, and then
