--- a/tests/balancer/affinity_test.cpp
+++ b/tests/balancer/affinity_test.cpp
@@ -1,5 +1,5 @@
-// A gateway beside every client process, over hosts that keep keys warm: homes, asking first, and
-// what must hold while a request waits for its probes.
+// Key affinity, with a gateway beside every client process: which endpoint a key goes to, and how
+// long a request waits for its probes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,57 +13,60 @@
 namespace paddlestile::testing {
 namespace {
 
-Settings MakeThin() {
-  Settings s = MakeSettings();
-  s.instance_count = 900;
-  s.key_affinity = true;
-  s.costs.probe = 0.004;
-  return s;
+Settings MakeAffinitySettings() {
+  Settings settings = MakeSettings();
+  settings.instance_count = 900;
+  settings.key_affinity = true;
+  settings.costs.probe = 0.004;
+  return settings;
 }
 
-class Thin : public LoadBalancerHarness {
+class AffinityGateway : public LoadBalancerHarness {
  public:
-  explicit Thin(const Settings& settings, uint64_t seed = 7) : LoadBalancerHarness(settings, seed) {
-    Endpoints(20);
+  explicit AffinityGateway(const Settings& settings, uint64_t seed = 7)
+      : LoadBalancerHarness(settings, seed) {
+    ListEndpoints(20);
   }
 
-  std::vector<Action> AskKey(const std::string& id, const std::string& key, size_t cls = 0,
-                             Duration patience = Ms(1000)) {
-    RequestArrived submit;
-    submit.id = id;
-    submit.request_class = cls;
-    submit.deadline = now + patience;
-    submit.key = key;
-    submit.expected_work = Ms(50);
-    return Give(submit);
+  std::vector<Action> ArriveWithKey(const std::string& id, const std::string& key,
+                                    size_t request_class = 0, Duration time_left = Ms(1000)) {
+    RequestArrived arrival;
+    arrival.id = id;
+    arrival.request_class = request_class;
+    arrival.deadline = now + time_left;
+    arrival.key = key;
+    arrival.expected_work = Ms(50);
+    return Handle(arrival);
   }
 
-  // Answers all probes that are out, by what each endpoint holds; one round brings the next.
-  void Answer(const std::map<std::string, double>& held = {}, double others = 1) {
-    for (; answered < log.size(); ++answered) {
-      const auto* const probe = std::get_if<StartProbe>(&log[answered]);
+  // Finishes all probes in flight with the load given for each endpoint, once.
+  void AnswerProbes(const std::map<std::string, double>& in_flight = {},
+                    double other_in_flight = 1) {
+    for (; answered_actions < log.size(); ++answered_actions) {
+      const auto* const probe = std::get_if<StartProbe>(&log[answered_actions]);
       if (probe == nullptr)
         continue;
       const std::string id = probe->endpoint;
-      Probed(id, held.contains(id) ? held.at(id) : others, 20);
+      FinishProbe(id, in_flight.contains(id) ? in_flight.at(id) : other_in_flight, 20);
     }
   }
 
-  // Where a request of a key goes; it is served at once.
-  std::string HomeOf(const std::string& key, const std::map<std::string, double>& held = {}) {
-    const std::string id = "k" + std::to_string(asked++);
-    const size_t before = sends.size();
-    AskKey(id, key);
-    Answer(held);
-    Pass(Ms(200));
-    if (sends.size() == before)
+  // The endpoint that a request of the key goes to; it is served at once.
+  std::string EndpointOfKey(const std::string& key,
+                            const std::map<std::string, double>& in_flight = {}) {
+    const std::string id = "k" + std::to_string(request_count++);
+    const size_t before = attempts.size();
+    ArriveWithKey(id, key);
+    AnswerProbes(in_flight);
+    Advance(Ms(200));
+    if (attempts.size() == before)
       return "";
-    End(id, 0, sends.back().endpoint, Outcome::kOk, Ms(20), true);
-    return sends.back().endpoint;
+    FinishAttempt(id, 0, attempts.back().endpoint, Outcome::kOk, Ms(20), true);
+    return attempts.back().endpoint;
   }
 
-  // Whether a request got its one answer of the module's own.
-  [[nodiscard]] bool GivenUp(const std::string& id) const {
+  // Whether the request was rejected or failed.
+  [[nodiscard]] bool IsUnserved(const std::string& id) const {
     return std::ranges::any_of(log, [&](const Action& a) {
       const auto* const refuse = std::get_if<RejectRequest>(&a);
       const auto* const fail = std::get_if<FailRequest>(&a);
@@ -71,177 +74,175 @@
     });
   }
 
-  size_t answered = 0;
-  int asked = 0;
+  size_t answered_actions = 0;
+  int request_count = 0;
 };
 
-// The trouble: a thousand gateways scattered each key over all hosts, and none kept it warm.
-TEST(Homes, GatewaysThatShareNothingSendAKeyToTheSameHost) {
-  Thin one(MakeThin(), 1), other(MakeThin(), 2);
-  std::set<std::string> homes;
+// Else a thousand gateways scatter each key over all endpoints and none keeps it warm.
+TEST(AffinityTest, GatewaysWithoutSharedStateAgreeOnAKeysEndpoint) {
+  AffinityGateway one(MakeAffinitySettings(), 1), other(MakeAffinitySettings(), 2);
+  std::set<std::string> endpoints;
   for (int k = 0; k < 40; ++k) {
     const std::string key = "key" + std::to_string(k);
-    const std::string home = one.HomeOf(key);
-    EXPECT_NE(home, "");
-    EXPECT_EQ(other.HomeOf(key), home) << key;
-    homes.insert(home);
+    const std::string first = one.EndpointOfKey(key);
+    EXPECT_NE(first, "");
+    EXPECT_EQ(other.EndpointOfKey(key), first) << key;
+    endpoints.insert(first);
   }
-  EXPECT_GT(homes.size(), 12u);
+  EXPECT_GT(endpoints.size(), 12u);
 }
 
-TEST(Homes, WithoutWarmKeysNothingWaitsForProbes) {
-  Settings s = MakeThin();
-  s.key_affinity = false;
-  Thin g(s);
-  g.AskKey("r", "key");
-  EXPECT_EQ(g.sends.size(), 1u);
+TEST(AffinityTest, WithoutAffinityNoRequestWaitsForProbes) {
+  Settings settings = MakeAffinitySettings();
+  settings.key_affinity = false;
+  AffinityGateway gateway(settings);
+  gateway.ArriveWithKey("r", "key");
+  EXPECT_EQ(gateway.attempts.size(), 1u);
 }
 
-// The trouble: at the start of a burst requests went to hosts last heard of seconds before, which
-// held fifty by then, and all of them slowed down and stayed slow.
-TEST(Homes, ACrowdedHomeIsPassedOverAndACrowdedFleetRefusesAtOnce) {
-  Thin g(MakeThin());
+// At the start of a burst requests must not go to endpoints whose last report is seconds old.
+TEST(AffinityTest, ACrowdedEndpointIsPassedOverAndACrowdedFleetRejectsAtOnce) {
+  AffinityGateway gateway(MakeAffinitySettings());
   for (int k = 0; k < 60; ++k)
-    g.HomeOf("other" + std::to_string(k));  // all were idle, once
-  const std::string home = g.HomeOf("key");
-  g.Pass(Ms(500));
-  const std::string second = g.HomeOf("key", {{home, 50}});
+    gateway.EndpointOfKey("other" + std::to_string(k));  // all were idle then
+  const std::string first = gateway.EndpointOfKey("key");
+  gateway.Advance(Ms(500));
+  const std::string second = gateway.EndpointOfKey("key", {{first, 50}});
   EXPECT_NE(second, "");
-  EXPECT_NE(second, home);
-  g.Pass(Ms(500));
-  const size_t before = g.sends.size();
-  g.AskKey("full", "key");
+  EXPECT_NE(second, first);
+  gateway.Advance(Ms(500));
+  const size_t before = gateway.attempts.size();
+  gateway.ArriveWithKey("full", "key");
   for (int i = 0; i < 20; ++i)
-    g.Answer({}, 50), g.Pass(Ms(5));
-  EXPECT_EQ(g.sends.size(), before);
-  EXPECT_TRUE(g.GivenUp("full"));  // within a tenth of a second of a deadline a second away
+    gateway.AnswerProbes({}, 50), gateway.Advance(Ms(5));
+  EXPECT_EQ(gateway.attempts.size(), before);
+  EXPECT_TRUE(
+      gateway.IsUnserved("full"));  // within a tenth of a second of a deadline a second away
 }
 
-// The trouble: a request that had to try again waited for its probes past its deadline, and nobody
-// answered it (tartu, rules-2 of 2511513762).
-TEST(Homes, TheWaitForProbesEndsBeforeTheDeadline) {
+// A retry must not wait for its probes past its deadline.
+TEST(AffinityTest, TheWaitForProbesEndsBeforeTheDeadline) {
   for (const double left : {1.0, 15.0, 25.0, 45.0, 70.0}) {
-    Thin g(MakeThin());
-    g.HomeOf("key");
-    g.Pass(Ms(500));
-    g.AskKey("r", "key", 0, Ms(100));
-    g.Answer();
-    ASSERT_EQ(g.sends.back().id, "r");
-    g.Pass(Ms(100 - left));
-    g.End("r", 0, g.sends.back().endpoint, Outcome::kRejected, Ms(1));
-    g.Pass(Ms(left));  // no probe answers any more
-    EXPECT_TRUE(g.GivenUp("r") || g.sends.back().endpoint != g.sends.front().endpoint) << left;
-    Thin first(MakeThin());
-    first.AskKey("r", "key", 0, Ms(left));
-    first.Pass(Ms(left));
-    EXPECT_TRUE(first.GivenUp("r") || !first.sends.empty()) << left;
+    AffinityGateway gateway(MakeAffinitySettings());
+    gateway.EndpointOfKey("key");
+    gateway.Advance(Ms(500));
+    gateway.ArriveWithKey("r", "key", 0, Ms(100));
+    gateway.AnswerProbes();
+    ASSERT_EQ(gateway.attempts.back().id, "r");
+    gateway.Advance(Ms(100 - left));
+    gateway.FinishAttempt("r", 0, gateway.attempts.back().endpoint, Outcome::kRejected, Ms(1));
+    gateway.Advance(Ms(left));  // no probe answers any more
+    EXPECT_TRUE(gateway.IsUnserved("r") ||
+                gateway.attempts.back().endpoint != gateway.attempts.front().endpoint)
+        << left;
+    AffinityGateway first(MakeAffinitySettings());
+    first.ArriveWithKey("r", "key", 0, Ms(left));
+    first.Advance(Ms(left));
+    EXPECT_TRUE(first.IsUnserved("r") || !first.attempts.empty()) << left;
   }
 }
 
-// The trouble: a timer every ten milliseconds at each of a thousand gateways, most of them idle.
-TEST(Homes, AGatewayThatHoldsNothingSetsNoTimer) {
-  Thin g(MakeThin());
-  g.HomeOf("key");
-  g.Pass(Ms(1000));
-  const size_t before = g.log.size();
-  g.Pass(Ms(60'000));
-  EXPECT_EQ(g.log.size(), before);
+// A timer every ten milliseconds would be costly at a thousand idle gateways.
+TEST(AffinityTest, AGatewayWithoutQueuedRequestsSetsNoTimer) {
+  AffinityGateway gateway(MakeAffinitySettings());
+  gateway.EndpointOfKey("key");
+  gateway.Advance(Ms(1000));
+  const size_t before = gateway.log.size();
+  gateway.Advance(Ms(60'000));
+  EXPECT_EQ(gateway.log.size(), before);
 }
 
-// The trouble: hosts that fail quickly are met once in many seconds; two failures in a row to learn
-// it came too late, and what must not run twice was lost there again and again.
-TEST(Homes, OneErrorIsEnoughWhereAHostIsMetSeldom) {
-  Thin g(MakeThin());
-  const std::string home = g.HomeOf("key");
-  g.Pass(Ms(20'000));
-  g.AskKey("bad", "key");
-  g.Answer();
-  ASSERT_EQ(g.sends.back().endpoint, home);
-  g.End("bad", 0, home, Outcome::kError, Ms(2), true);
-  EXPECT_NE(g.HomeOf("key"), home);
-  for (int i = 0; i < 5; ++i) {  // back in the set by then, but on trial
-    g.Pass(Ms(10'000));
+// Where an endpoint is used once in many seconds, two errors in a row are learned of too late.
+TEST(AffinityTest, OneErrorEjectsWhereOutcomesAreRare) {
+  AffinityGateway gateway(MakeAffinitySettings());
+  const std::string first = gateway.EndpointOfKey("key");
+  gateway.Advance(Ms(20'000));
+  gateway.ArriveWithKey("bad", "key");
+  gateway.AnswerProbes();
+  ASSERT_EQ(gateway.attempts.back().endpoint, first);
+  gateway.FinishAttempt("bad", 0, first, Outcome::kError, Ms(2), true);
+  EXPECT_NE(gateway.EndpointOfKey("key"), first);
+  for (int i = 0; i < 5; ++i) {  // in the subset by then, but on a half-open trial
+    gateway.Advance(Ms(10'000));
     const std::string id = "unsafe" + std::to_string(i);
-    g.AskKey(id, "key", 4);
-    g.Answer();
-    EXPECT_NE(g.sends.back().endpoint, home) << i;
-    g.End(id, 0, g.sends.back().endpoint, Outcome::kOk, Ms(20), true);
+    gateway.ArriveWithKey(id, "key", 4);
+    gateway.AnswerProbes();
+    EXPECT_NE(gateway.attempts.back().endpoint, first) << i;
+    gateway.FinishAttempt(id, 0, gateway.attempts.back().endpoint, Outcome::kOk, Ms(20), true);
   }
 }
 
-// The trouble: each of a thousand gateways meets every host, and a host takes a few hundred
-// connections.
-TEST(Homes, IdleConnectionsAreClosedWhereTheyAreCharged) {
+// Each of a thousand gateways uses every endpoint, and one accepts a few hundred connections.
+TEST(AffinityTest, IdleConnectionsAreClosedWhereTheyAreCharged) {
   for (const double charge : {0.0, 0.02}) {
-    Settings s = MakeThin();
-    s.costs.connection = charge;
-    Thin g(s);
-    const std::string home = g.HomeOf("key");
-    const auto closed = LoadBalancerHarness::All<CloseIdleConnections>(g.log);
+    Settings settings = MakeAffinitySettings();
+    settings.costs.connection = charge;
+    AffinityGateway gateway(settings);
+    const std::string first = gateway.EndpointOfKey("key");
+    const auto closed = LoadBalancerHarness::ActionsOf<CloseIdleConnections>(gateway.log);
     ASSERT_EQ(closed.size(), charge > 0 ? 1u : 0u);
     for (const CloseIdleConnections& close : closed)
-      EXPECT_EQ(close.endpoint, home);
+      EXPECT_EQ(close.endpoint, first);
   }
 }
 
-// A burst after a long silence, with and without a fleet that is all cold: each request gets its
-// one answer in time, and no host is sent more than its part of a burst.
-TEST(Homes, ABurstAfterALongSilenceIsAnsweredWholeAndKeepsToTheLimits) {
+// A burst after a long pause, with and without a fleet that warms up: each request is answered once
+// and in time, and no endpoint gets more than its share of the burst.
+TEST(AffinityTest, ABurstAfterALongPauseIsAnsweredAndKeepsToTheLimits) {
   for (const bool cold : {false, true}) {
-    Thin g(MakeThin());
+    AffinityGateway gateway(MakeAffinitySettings());
     for (int k = 0; k < 30; ++k)
-      g.HomeOf("key" + std::to_string(k));
-    g.Pass(Ms(600'000));
+      gateway.EndpointOfKey("key" + std::to_string(k));
+    gateway.Advance(Ms(600'000));
     if (cold) {
       for (int i = 0; i < 20; ++i)
-        g.Change("e" + std::to_string(i), EndpointState::kUp, g.now, i % 2);
+        gateway.UpdateEndpoint("e" + std::to_string(i), EndpointState::kUp, gateway.now, i % 2);
     }
-    const size_t before = g.sends.size();
+    const size_t before = gateway.attempts.size();
     for (int i = 0; i < 300; ++i) {
-      g.AskKey("b" + std::to_string(i), "key" + std::to_string(i % 30));
-      g.Answer();
+      gateway.ArriveWithKey("b" + std::to_string(i), "key" + std::to_string(i % 30));
+      gateway.AnswerProbes();
     }
     for (int i = 0; i < 200; ++i)
-      g.Answer(), g.Pass(Ms(5));
+      gateway.AnswerProbes(), gateway.Advance(Ms(5));
     std::map<std::string, int> at;
     std::set<std::string> done;
-    for (size_t i = before; i < g.sends.size(); ++i) {
-      ++at[g.sends[i].endpoint];
-      done.insert(g.sends[i].id);
+    for (size_t i = before; i < gateway.attempts.size(); ++i) {
+      ++at[gateway.attempts[i].endpoint];
+      done.insert(gateway.attempts[i].id);
     }
     for (const auto& [host, n] : at)
       EXPECT_LE(n, cold ? 2 : 12) << host;
     for (int i = 0; i < 300; ++i) {
       const std::string id = "b" + std::to_string(i);
-      EXPECT_NE(done.contains(id), g.GivenUp(id)) << id;
+      EXPECT_NE(done.contains(id), gateway.IsUnserved(id)) << id;
     }
   }
 }
 
-TEST(Homes, EdgesOfTheShape) {
-  Settings s = MakeThin();
-  s.allowed.probes = false;  // forbidden, so none is sent; the request goes by the fallback
-  Thin blind(s);
-  blind.AskKey("r", "key");
-  EXPECT_TRUE(LoadBalancerHarness::All<StartProbe>(blind.log).empty());
-  EXPECT_EQ(blind.sends.size(), 1u);
-
-  LoadBalancerHarness empty(
-      MakeThin());  // no list yet: refused within a tenth of its aim, and not lost
-  RequestArrived submit;
-  submit.id = "early";
-  submit.deadline = empty.now + Ms(1000);
-  submit.key = "key";
-  empty.Give(submit);
-  empty.Pass(Ms(200));
-  EXPECT_EQ(LoadBalancerHarness::All<RejectRequest>(empty.log).size(), 1u);
-
-  LoadBalancerHarness one(MakeThin());
-  one.Endpoints(1);
-  one.Give(submit);
-  one.Give(PeerMessage{4711, std::string("\xff\x00wrong", 7)});  // none of ours: ignored
-  one.Probed("e0", 1, 20);
-  EXPECT_EQ(one.sends.size(), 1u);
+TEST(AffinityTest, NoProbesNoListAndOneEndpoint) {
+  Settings settings = MakeAffinitySettings();
+  settings.allowed.probes = false;  // forbidden, so none is sent; the request goes by the fallback
+  AffinityGateway blind(settings);
+  blind.ArriveWithKey("r", "key");
+  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartProbe>(blind.log).empty());
+  EXPECT_EQ(blind.attempts.size(), 1u);
+
+  LoadBalancerHarness empty(MakeAffinitySettings());  // no list yet: rejected, not lost
+  RequestArrived arrival;
+  arrival.id = "early";
+  arrival.deadline = empty.now + Ms(1000);
+  arrival.key = "key";
+  empty.Handle(arrival);
+  empty.Advance(Ms(200));
+  EXPECT_EQ(LoadBalancerHarness::ActionsOf<RejectRequest>(empty.log).size(), 1u);
+
+  LoadBalancerHarness one(MakeAffinitySettings());
+  one.ListEndpoints(1);
+  one.Handle(arrival);
+  one.Handle(PeerMessage{4711, std::string("\xff\x00wrong", 7)});  // not by a gateway: ignored
+  one.FinishProbe("e0", 1, 20);
+  EXPECT_EQ(one.attempts.size(), 1u);
 }
 
 }  // namespace
--- a/tests/balancer/invariants_test.cpp
+++ b/tests/balancer/invariants_test.cpp
@@ -1,5 +1,5 @@
-// Seeded random but legal event sequences, with the four rules checked from outside the module:
-// only what went in and came out counts. Outcomes are drawn, no server is modelled.
+// Invariants over random but legal events, by seed, checked from outside the module: only events
+// and actions count. Outcomes are drawn, no server is modelled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,25 +16,25 @@
 using testing::MakeSettings;
 using testing::Ms;
 
-struct Sent {
+struct SentAttempt {
   std::string endpoint;
   Time at{0};
-  bool out = true;
+  bool in_flight = true;
   bool may_have_run = true;
-  bool called_off = false;
+  bool cancelled = false;
 };
 
-struct Known {
-  size_t cls = 0;
+struct ClientRequest {
+  size_t request_class = 0;
   Time deadline{0};
   bool answered = false;  // by this gateway or known to it
-  std::vector<Sent> sent;
+  std::vector<SentAttempt> sent;
 };
 
-class World {
+class RandomWorld {
  public:
-  World(Settings settings, uint64_t seed)
-      : s_(std::move(settings)), rng_(seed), brain_(s_, seed + 1) {}
+  RandomWorld(Settings settings, uint64_t seed)
+      : settings_(std::move(settings)), rng_(seed), balancer_(settings_, seed + 1) {}
 
   void Run(int steps) {
     EndpointUpdate all{EndpointUpdateKind::kCached, {}};
@@ -51,10 +51,10 @@
       Step();
     for (int i = 0; i < 4000; ++i) {  // until all is answered
       now_ += Ms(2);
-      Due();
+      ReportDue();
     }
-    for (const auto& [id, r] : requests_)
-      EXPECT_TRUE(r.answered) << id << " was lost";
+    for (const auto& [id, request] : requests_)
+      EXPECT_TRUE(request.answered) << id << " was lost";
   }
 
   std::vector<std::string> trace;
@@ -64,26 +64,26 @@
 
   void Step() {
     now_ += Ms(Draw() * 8);
-    Due();
+    ReportDue();
     const double what = Draw();
     if (what < 0.6) {
       const std::string id = "r" + std::to_string(next_++);
-      Known& r = requests_[id];
-      RequestArrived submit;
-      submit.id = id;
-      r.cls = submit.request_class =
-          static_cast<size_t>(Draw() * static_cast<double>(s_.classes.size()));
-      r.deadline = submit.deadline = now_ + Ms(10 + Draw() * 900);
-      Give(submit);
+      ClientRequest& request = requests_[id];
+      RequestArrived arrival;
+      arrival.id = id;
+      request.request_class = arrival.request_class =
+          static_cast<size_t>(Draw() * static_cast<double>(settings_.classes.size()));
+      request.deadline = arrival.deadline = now_ + Ms(10 + Draw() * 900);
+      Give(arrival);
     } else if (what < 0.63) {
       EndpointInfo& info = info_["e" + std::to_string(static_cast<int>(Draw() * 8))];
       if (info.state == EndpointState::kUp) {
         info.state = Draw() < 0.5 ? EndpointState::kDraining : EndpointState::kRemoved;
-        told_[info.id] = now_;
+        left_at_[info.id] = now_;
       } else {
         info.state = EndpointState::kUp;
         info.started_at = now_;
-        told_.erase(info.id);
+        left_at_.erase(info.id);
       }
       Give(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
     } else if (what < 0.65 && !requests_.empty()) {
@@ -96,70 +96,72 @@
     }
   }
 
-  // What comes back for an attempt: drawn when it is sent.
-  void Due() {
+  // Reports what is due; the outcome of an attempt was drawn when it started.
+  void ReportDue() {
     while (!queue_.empty() && queue_.begin()->first <= now_) {
       const Event event = queue_.begin()->second;
       queue_.erase(queue_.begin());
       Event give = event;
-      if (auto* settled = std::get_if<AttemptFinished>(&give)) {
-        Known& r = requests_[settled->id];
-        Sent& sent = r.sent[settled->attempt];
-        if (!sent.out)
+      if (auto* finished = std::get_if<AttemptFinished>(&give)) {
+        ClientRequest& request = requests_[finished->id];
+        SentAttempt& sent = request.sent[finished->attempt];
+        if (!sent.in_flight)
           continue;
-        sent.out = false;
-        if (sent.called_off)
-          settled->outcome = Outcome::kCancelled;
-        settled->elapsed = now_ - sent.at;
-        if (now_ >= r.deadline)
-          settled->outcome = Outcome::kTimeout;
-        sent.may_have_run = settled->outcome != Outcome::kRejected &&
-                            settled->outcome != Outcome::kConnectFailed &&
-                            settled->outcome != Outcome::kNotSent;
-        if (settled->outcome == Outcome::kOk)
-          r.answered = true;
-        settled->request_finished = r.answered;
+        sent.in_flight = false;
+        if (sent.cancelled)
+          finished->outcome = Outcome::kCancelled;
+        finished->elapsed = now_ - sent.at;
+        if (now_ >= request.deadline)
+          finished->outcome = Outcome::kTimeout;
+        sent.may_have_run = finished->outcome != Outcome::kRejected &&
+                            finished->outcome != Outcome::kConnectFailed &&
+                            finished->outcome != Outcome::kNotSent;
+        if (finished->outcome == Outcome::kOk)
+          request.answered = true;
+        finished->request_finished = request.answered;
       }
       Give(give);
     }
-    for (const auto& [id, r] : requests_) {
-      EXPECT_FALSE(!r.answered && now_ > r.deadline + s_.rules.response_slack) << id;
+    for (const auto& [id, request] : requests_) {
+      EXPECT_FALSE(!request.answered && now_ > request.deadline + settings_.rules.response_slack)
+          << id;
     }
   }
 
   void Give(const Event& event) {
     std::vector<Action> actions;
-    brain_.Handle(now_, event, actions);
+    balancer_.Handle(now_, event, actions);
     for (const Action& action : actions)
-      Take(action);
+      Check(action);
   }
 
-  void Take(const Action& action) {
+  void Check(const Action& action) {
     if (const auto* send = std::get_if<StartAttempt>(&action)) {
       trace.push_back(send->id + ">" + send->endpoint);
-      TakeSend(*send);
-    } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
-      trace.push_back(refuse->id + " refused");
-      Known& r = requests_.at(refuse->id);
-      EXPECT_FALSE(r.answered) << "two answers";
-      r.answered = true;
-      const RequestClass& c = s_.classes[r.cls];
-      const bool free = c.idempotency == Idempotency::kSafe ||
-                        (c.idempotency == Idempotency::kKeyed &&
-                         c.deduplication_scope == DeduplicationScope::kAll);
-      for (const Sent& a : r.sent)
-        EXPECT_TRUE(free || !a.may_have_run) << "refused what may run";
+      CheckAttempt(*send);
+    } else if (const auto* reject = std::get_if<RejectRequest>(&action)) {
+      trace.push_back(reject->id + " rejected");
+      ClientRequest& request = requests_.at(reject->id);
+      EXPECT_FALSE(request.answered) << "two answers";
+      request.answered = true;
+      const RequestClass& request_class = settings_.classes[request.request_class];
+      const bool free = request_class.idempotency == Idempotency::kSafe ||
+                        (request_class.idempotency == Idempotency::kKeyed &&
+                         request_class.deduplication_scope == DeduplicationScope::kAll);
+      for (const SentAttempt& a : request.sent)
+        EXPECT_TRUE(free || !a.may_have_run) << "rejected what may run";
     } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       trace.push_back(fail->id + " failed");
       EXPECT_FALSE(requests_.at(fail->id).answered) << "two answers";
       requests_.at(fail->id).answered = true;
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-      Known& r = requests_.at(cancel->id);
-      ASSERT_LT(cancel->attempt, r.sent.size());
-      r.sent[cancel->attempt].called_off = true;
-      queue_.emplace(now_ + Ms(1),
-                     AttemptFinished{cancel->id, cancel->attempt, r.sent[cancel->attempt].endpoint,
-                                     Outcome::kCancelled, Ms(0), false, std::nullopt});
+      ClientRequest& request = requests_.at(cancel->id);
+      ASSERT_LT(cancel->attempt, request.sent.size());
+      request.sent[cancel->attempt].cancelled = true;
+      queue_.emplace(
+          now_ + Ms(1),
+          AttemptFinished{cancel->id, cancel->attempt, request.sent[cancel->attempt].endpoint,
+                          Outcome::kCancelled, Ms(0), false, std::nullopt});
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       queue_.emplace(now_ + timer->after + Ms(Draw() * 2), TimerFired{timer->token});
     } else if (const auto* probe = std::get_if<StartProbe>(&action)) {
@@ -169,61 +171,63 @@
     }
   }
 
-  void TakeSend(const StartAttempt& send) {
-    Known& r = requests_.at(send.id);
-    const RequestClass& c = s_.classes[r.cls];
-    EXPECT_FALSE(r.answered) << "sent for a request that is over";
-    EXPECT_LT(r.sent.size(), static_cast<size_t>(s_.allowed.max_attempts));
-    const auto told = told_.find(send.endpoint);
-    EXPECT_TRUE(told == told_.end() || now_ <= told->second + s_.rules.drain_grace);
+  void CheckAttempt(const StartAttempt& send) {
+    ClientRequest& request = requests_.at(send.id);
+    const RequestClass& request_class = settings_.classes[request.request_class];
+    EXPECT_FALSE(request.answered) << "sent for a request that is over";
+    EXPECT_LT(request.sent.size(), static_cast<size_t>(settings_.allowed.max_attempts));
+    const auto left_at = left_at_.find(send.endpoint);
+    EXPECT_TRUE(left_at == left_at_.end() || now_ <= left_at->second + settings_.rules.drain_grace);
     const EndpointInfo& to = info_.at(send.endpoint);
-    for (const Sent& a : r.sent) {
-      EXPECT_TRUE(s_.allowed.parallel_attempts || !a.out) << "two attempts out";
+    for (const SentAttempt& a : request.sent) {
+      EXPECT_TRUE(settings_.allowed.parallel_attempts || !a.in_flight) << "two attempts out";
       if (!a.may_have_run)
         continue;
-      EXPECT_NE(c.idempotency, Idempotency::kUnsafe) << "an unsafe request sent twice";
-      if (c.idempotency != Idempotency::kKeyed)
+      EXPECT_NE(request_class.idempotency, Idempotency::kUnsafe) << "an unsafe request sent twice";
+      if (request_class.idempotency != Idempotency::kKeyed)
         continue;
       const EndpointInfo& was = info_.at(a.endpoint);
-      EXPECT_TRUE(c.deduplication_scope != DeduplicationScope::kZone || was.zone == to.zone);
-      EXPECT_TRUE(c.deduplication_scope != DeduplicationScope::kCell || was.cell == to.cell);
-      EXPECT_LT(now_, a.at + c.deduplication_window);
+      EXPECT_TRUE(request_class.deduplication_scope != DeduplicationScope::kZone ||
+                  was.zone == to.zone);
+      EXPECT_TRUE(request_class.deduplication_scope != DeduplicationScope::kCell ||
+                  was.cell == to.cell);
+      EXPECT_LT(now_, a.at + request_class.deduplication_window);
     }
-    r.sent.push_back({send.endpoint, now_});
+    request.sent.push_back({send.endpoint, now_});
     static constexpr Outcome kDrawn[] = {
         Outcome::kOk,    Outcome::kOk,     Outcome::kOk,       Outcome::kOk,
         Outcome::kOk,    Outcome::kError,  Outcome::kRejected, Outcome::kConnectFailed,
         Outcome::kReset, Outcome::kTimeout};
     const Outcome outcome = kDrawn[static_cast<size_t>(Draw() * 10)];
     Time at = now_ + Ms(1 + Draw() * (Draw() < 0.1 ? 900 : 60));
-    if (outcome == Outcome::kTimeout || at > r.deadline)
-      at = std::max(now_, r.deadline);
-    queue_.emplace(at, AttemptFinished{send.id, r.sent.size() - 1, send.endpoint, outcome, Ms(0),
-                                       false, std::nullopt});
+    if (outcome == Outcome::kTimeout || at > request.deadline)
+      at = std::max(now_, request.deadline);
+    queue_.emplace(at, AttemptFinished{send.id, request.sent.size() - 1, send.endpoint, outcome,
+                                       Ms(0), false, std::nullopt});
   }
 
-  Settings s_;
+  Settings settings_;
   std::mt19937_64 rng_;
-  LoadBalancer brain_;
+  LoadBalancer balancer_;
   Time now_ = Ms(5'000'000);
   std::multimap<Time, Event> queue_;
-  std::map<std::string, Known> requests_;
+  std::map<std::string, ClientRequest> requests_;
   std::map<std::string, EndpointInfo> info_;
-  std::map<std::string, Time> told_;
+  std::map<std::string, Time> left_at_;
   int next_ = 0;
 };
 
-// The pick against a slow reference, on generated pools: the cut by sorting, then every entry that
-// no other allowed entry beats. One in three holds far more than any limit there, so not allowed.
-TEST(HotCold, AgreesWithASlowReferenceOnGeneratedPools) {
+// The selection against a slow reference on generated pools: the cut by sorting, then every entry
+// that no other eligible entry beats. One in three is far above any limit and so not eligible.
+TEST(HotColdOrderTest, AgreesWithASlowReferenceOnGeneratedPools) {
   std::mt19937_64 rng(11);
   const auto draw = [&](int n) {
     return static_cast<int>(rng() % static_cast<uint64_t>(n));
   };
   int cold = 0, hot = 0;
   for (int round = 0; round < 400; ++round) {
-    testing::LoadBalancerHarness g(MakeSettings(), static_cast<uint64_t>(round));
-    g.Endpoints(30);
+    testing::LoadBalancerHarness gateway(MakeSettings(), static_cast<uint64_t>(round));
+    gateway.ListEndpoints(30);
     struct Entry {
       std::string id;
       double rif;
@@ -233,7 +237,7 @@
     for (int i = 0, n = 2 + draw(14); i < n; ++i) {
       const double rif = i > 1 && i % 3 == 0 ? 30 : draw(8) * 0.2;
       pool.push_back({"e" + std::to_string(i), rif, 5 + draw(6)});
-      g.Probed(pool.back().id, pool.back().rif, pool.back().latency);
+      gateway.FinishProbe(pool.back().id, pool.back().rif, pool.back().latency);
     }
     std::vector<double> rifs;
     for (const Entry& e : pool) {
@@ -256,34 +260,34 @@
       if (!beaten)
         best.insert(e.id);
     }
-    g.Ask("r", 4);
-    ASSERT_EQ(g.sends.size(), 1U);
-    EXPECT_TRUE(best.contains(g.sends[0].endpoint)) << "round " << round;
-    ++(g.brain.statistics().last_selection == SelectionMethod::kCold ? cold : hot);
+    gateway.Arrive("r", 4);
+    ASSERT_EQ(gateway.attempts.size(), 1U);
+    EXPECT_TRUE(best.contains(gateway.attempts[0].endpoint)) << "round " << round;
+    ++(gateway.balancer.statistics().last_selection == SelectionMethod::kCold ? cold : hot);
   }
   EXPECT_GT(cold, 200);
 }
 
-class Rules : public ::testing::TestWithParam<uint64_t> {};
+class RandomEventsTest : public ::testing::TestWithParam<uint64_t> {};
 
-TEST_P(Rules, HoldOverRandomLegalEvents) {
+TEST_P(RandomEventsTest, InvariantsHoldOverRandomLegalEvents) {
   Settings s = MakeSettings();
   s.allowed.parallel_attempts = GetParam() % 2 == 0;
   s.allowed.cancel = GetParam() % 3 != 0;
   if (GetParam() >= 6)
     s.allowed.max_attempts = 2;
-  World world(s, GetParam());
+  RandomWorld world(s, GetParam());
   world.Run(3000);
   EXPECT_GT(world.trace.size(), 500U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Rules, ::testing::Range<uint64_t>(0, 12));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomEventsTest, ::testing::Range<uint64_t>(0, 12));
 
-TEST(Determinism, TheSameEventsGiveTheSameActionsWhateverRunsBeside) {
-  World alone(MakeSettings(), 3);
+TEST(DeterminismTest, TheSameEventsGiveTheSameActionsWhateverRunsBeside) {
+  RandomWorld alone(MakeSettings(), 3);
   alone.Run(800);
-  World other(MakeSettings(), 4);
-  World again(MakeSettings(), 3);
+  RandomWorld other(MakeSettings(), 4);
+  RandomWorld again(MakeSettings(), 3);
   other.Run(400);
   again.Run(800);
   EXPECT_EQ(alone.trace, again.trace);
--- a/tests/balancer/load_balancer_fixture.h
+++ b/tests/balancer/load_balancer_fixture.h
@@ -1,5 +1,5 @@
-// Helpers that play one gateway's events by hand. There is no model of servers here: a test says
-// what every attempt and probe comes back with.
+// Helpers that play one gateway'settings events by hand. There is no model of servers here: a test
+// says what every attempt and probe comes back with.
 #ifndef PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
 #define PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
 
@@ -16,59 +16,61 @@
   return Duration(static_cast<int64_t>(ms * 1000));
 }
 
-inline RequestClass MakeClass(Idempotency effect,
-                              DeduplicationScope group = DeduplicationScope::kAll) {
-  RequestClass c;
-  c.idempotency = effect;
-  c.deduplication_scope = group;
-  c.deduplication_window = Ms(1500);
-  c.latency_objective = Ms(400);
-  c.deadline = Ms(2000);
-  c.priority_weight = 1;
-  return c;
+inline RequestClass MakeClass(Idempotency idempotency,
+                              DeduplicationScope scope = DeduplicationScope::kAll) {
+  RequestClass request_class;
+  request_class.idempotency = idempotency;
+  request_class.deduplication_scope = scope;
+  request_class.deduplication_window = Ms(1500);
+  request_class.latency_objective = Ms(400);
+  request_class.deadline = Ms(2000);
+  request_class.priority_weight = 1;
+  return request_class;
 }
 
 // Classes 0 safe, 1 keyed over all, 2 keyed by zone, 3 keyed by cell, 4 unsafe.
 inline Settings MakeSettings() {
-  Settings s;
-  s.instance_count = 3;
-  s.zone_count = 2;
-  s.classes = {
+  Settings settings;
+  settings.instance_count = 3;
+  settings.zone_count = 2;
+  settings.classes = {
       MakeClass(Idempotency::kSafe), MakeClass(Idempotency::kKeyed, DeduplicationScope::kAll),
       MakeClass(Idempotency::kKeyed, DeduplicationScope::kZone),
       MakeClass(Idempotency::kKeyed, DeduplicationScope::kCell), MakeClass(Idempotency::kUnsafe)};
-  s.allowed.cancel = true;
-  s.allowed.parallel_attempts = true;
-  s.allowed.probes = true;
-  s.allowed.max_attempts = 5;
-  s.allowed.connect_timeout = Ms(50);
-  s.allowed.max_held_requests = 1000;
-  s.rules.response_slack = Ms(20);
-  s.rules.drain_grace = Ms(1000);
-  s.rules.discovery_interval = Ms(10000);
-  s.rules.slow_start_initial_capacity = 0.25;
-  s.rules.slow_start_duration = Ms(10000);
-  s.rules.overload_collapse_multiple = 3;
-  s.rules.overload_collapse_duration = Ms(1500);
-  s.load_report.source = LoadReportSource::kProbes;
-  s.load_report.inflight = 0;
-  s.load_report.latency_ms = 1;
-  return s;
+  settings.allowed.cancel = true;
+  settings.allowed.parallel_attempts = true;
+  settings.allowed.probes = true;
+  settings.allowed.max_attempts = 5;
+  settings.allowed.connect_timeout = Ms(50);
+  settings.allowed.max_held_requests = 1000;
+  settings.rules.response_slack = Ms(20);
+  settings.rules.drain_grace = Ms(1000);
+  settings.rules.discovery_interval = Ms(10000);
+  settings.rules.slow_start_initial_capacity = 0.25;
+  settings.rules.slow_start_duration = Ms(10000);
+  settings.rules.overload_collapse_multiple = 3;
+  settings.rules.overload_collapse_duration = Ms(1500);
+  settings.load_report.source = LoadReportSource::kProbes;
+  settings.load_report.inflight = 0;
+  settings.load_report.latency_ms = 1;
+  return settings;
 }
 
+// A load balancer with a clock. The test reports the end of each attempt and probe.
 class LoadBalancerHarness {
  public:
   explicit LoadBalancerHarness(const Settings& settings, uint64_t seed = 7)
-      : brain(settings, seed) {}
+      : balancer(settings, seed) {}
 
-  // Hands over one event and returns what was done about it.
-  std::vector<Action> Give(const Event& event) {
+  // Passes one event on and returns the actions that it led to.
+  std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
-    brain.Handle(now, event, actions);
-    for (const Action& a : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&a))
-        sends.push_back(*send);
-      if (const auto* timer = std::get_if<SetTimer>(&a)) {
+    balancer.Handle(now, event, actions);
+    for (const Action& action : actions) {
+      if (const auto* const attempt = std::get_if<StartAttempt>(&action)) {
+        attempts.push_back(*attempt);
+      }
+      if (const auto* const timer = std::get_if<SetTimer>(&action)) {
         timers.emplace(now + timer->after, timer->token);
       }
     }
@@ -76,88 +78,93 @@
     return actions;
   }
 
-  void Endpoints(int count, EndpointUpdateKind kind = EndpointUpdateKind::kCached) {
-    EndpointUpdate m;
-    m.kind = kind;
+  // A list of the endpoints e0, e1, .. in two zones and three cells.
+  void ListEndpoints(int count, EndpointUpdateKind kind = EndpointUpdateKind::kCached) {
+    EndpointUpdate update;
+    update.kind = kind;
     for (int i = 0; i < count; ++i) {
       EndpointInfo info;
       info.id = "e" + std::to_string(i);
       info.zone = i % 2;
       info.cell = i % 3;
-      m.endpoints.push_back(info);
+      update.endpoints.push_back(info);
     }
-    Give(m);
+    Handle(update);
   }
 
-  std::vector<Action> Change(const std::string& id, EndpointState state, Time launched = Time(0),
-                             int zone = 0) {
+  std::vector<Action> UpdateEndpoint(const std::string& id, EndpointState state,
+                                     Time started_at = Time(0), int zone = 0) {
     EndpointInfo info;
     info.id = id;
     info.state = state;
-    info.started_at = launched;
+    info.started_at = started_at;
     info.zone = zone;
-    return Give(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
+    return Handle(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
   }
 
-  std::vector<Action> Ask(const std::string& id, size_t cls = 0, Duration patience = Ms(1000),
-                          size_t tenant = 0) {
-    RequestArrived submit;
-    submit.id = id;
-    submit.request_class = cls;
-    submit.tenant = tenant;
-    submit.deadline = now + patience;
-    return Give(submit);
+  std::vector<Action> Arrive(const std::string& id, size_t request_class = 0,
+                             Duration time_left = Ms(1000), size_t tenant = 0) {
+    RequestArrived arrival;
+    arrival.id = id;
+    arrival.request_class = request_class;
+    arrival.tenant = tenant;
+    arrival.deadline = now + time_left;
+    return Handle(arrival);
   }
 
-  std::vector<Action> End(const std::string& id, size_t attempt, const std::string& endpoint,
-                          Outcome outcome, Duration took, bool final = false) {
-    return Give(AttemptFinished{id, attempt, endpoint, outcome, took, final, std::nullopt});
+  std::vector<Action> FinishAttempt(const std::string& id, size_t attempt,
+                                    const std::string& endpoint, Outcome outcome, Duration elapsed,
+                                    bool request_finished = false) {
+    return Handle(
+        AttemptFinished{id, attempt, endpoint, outcome, elapsed, request_finished, std::nullopt});
   }
 
-  std::vector<Action> Probed(const std::string& endpoint, double inflight, double latency_ms) {
-    return Give(ProbeFinished{endpoint, Outcome::kOk, Ms(1), LoadReport{inflight, latency_ms}});
+  std::vector<Action> FinishProbe(const std::string& endpoint, double inflight, double latency_ms) {
+    return Handle(ProbeFinished{endpoint, Outcome::kOk, Ms(1), LoadReport{inflight, latency_ms}});
   }
 
-  // Moves the clock, handing over the timers that come due.
-  void Pass(Duration span) {
+  // Advances the clock and fires the timers that are due.
+  void Advance(Duration span) {
     const Time until = now + span;
     while (!timers.empty() && timers.begin()->first <= until) {
       now = std::max(now, timers.begin()->first);
       const std::string token = timers.begin()->second;
       timers.erase(timers.begin());
-      Give(TimerFired{token});
+      Handle(TimerFired{token});
     }
     now = until;
   }
 
-  // Serves requests in turn until the module knows its endpoints; none stays out.
-  void WarmUp(int requests, Duration took = Ms(20), Duration apart = Ms(5)) {
+  // Serves requests in turn until the endpoints are known; none stays in flight.
+  void WarmUp(int requests, Duration elapsed = Ms(20), Duration interval = Ms(5)) {
     for (int i = 0; i < requests; ++i) {
-      const std::string id = "warm" + std::to_string(warmed++);
-      const size_t before = sends.size();
-      Ask(id);
-      Pass(apart);
-      if (sends.size() > before)
-        End(id, 0, sends[before].endpoint, Outcome::kOk, took, true);
+      const std::string id = "warm" + std::to_string(warm_up_count++);
+      const size_t before = attempts.size();
+      Arrive(id);
+      Advance(interval);
+      if (attempts.size() > before) {
+        FinishAttempt(id, 0, attempts[before].endpoint, Outcome::kOk, elapsed, true);
+      }
     }
   }
 
   template <typename T>
-  static std::vector<T> All(const std::vector<Action>& actions) {
-    std::vector<T> out;
-    for (const Action& a : actions) {
-      if (const auto* t = std::get_if<T>(&a))
-        out.push_back(*t);
+  static std::vector<T> ActionsOf(const std::vector<Action>& actions) {
+    std::vector<T> found;
+    for (const Action& action : actions) {
+      if (const auto* const typed = std::get_if<T>(&action)) {
+        found.push_back(*typed);
+      }
     }
-    return out;
+    return found;
   }
 
-  LoadBalancer brain;
+  LoadBalancer balancer;
   Time now = Ms(1'000'000);
-  std::multimap<Time, std::string> timers;
-  std::vector<StartAttempt> sends;
-  std::vector<Action> log;
-  int warmed = 0;
+  std::multimap<Time, std::string> timers;  // tokens by the time when they are due
+  std::vector<StartAttempt> attempts;       // all that were started
+  std::vector<Action> log;                  // all actions
+  int warm_up_count = 0;
 };
 
 }  // namespace paddlestile::testing
