--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -14,20 +14,22 @@
 #include <set>
 #include <string_view>
 
+#include "config/balancer_settings.h"
 #include "config/gateway_config.h"
-#include "simulator/protocol.h"
 
 namespace paddlestile {
 namespace {
 
+// Ordered, so that the new file keeps the order of the old one.
 using Object = nlohmann::ordered_json;
 
-constexpr const char* kOldShape = "proxy";
-constexpr const char* kNewShape = "mesh";
+// Values of settings.KindOfService.
+constexpr const char* kProxyKind = "proxy";
+constexpr const char* kMeshKind = "mesh";
 
-// What the program reads beside the settings, and what it knows them by.
-const std::set<std::string, std::less<>> kTopLevel = {"seed",   "limits",    "known", "settings",
-                                                      "listen", "discovery", "name"};
+// The keys that the program reads beside the settings, or knows.
+const std::set<std::string, std::less<>> kKnownKeys = {"seed",   "limits",    "known", "settings",
+                                                       "listen", "discovery", "name"};
 
 class Migrator {
  public:
@@ -35,60 +37,100 @@
       : json_(std::move(json)), options_(options) {}
 
   Migration Run() {
-    Object& settings = json_["settings"];
-    Put(settings, "settings.", "KindOfService", kNewShape);
-    Put(settings, "settings.", "NInstances", options_.gateways);
-    Put(settings, "settings.", "Me", 0);
-    Note(
+    MigrateSettings(json_["settings"]);
+    Set(json_["limits"], "limits.", "sockets", options_.sockets);
+    MigrateListenAddress();
+    NoteUnreadKeys();
+    return {json_.dump(2) + "\n", std::move(notes_)};
+  }
+
+ private:
+  void MigrateSettings(Object& settings) {
+    Set(settings, "settings.", "KindOfService", kMeshKind);
+    Set(settings, "settings.", "NInstances", options_.gateways);
+    Set(settings, "settings.", "Me", 0);
+    AddNote(
         "not carried over: settings.Me, seed: each gateway needs its own; both stand for the "
         "first");
     if (options_.warm_keys) {
-      Put(settings["FamilyInfo"], "settings.FamilyInfo.", "WarmKeys", true);
+      Set(settings["FamilyInfo"], "settings.FamilyInfo.", "WarmKeys", true);
     }
     if (settings.contains("Allowed") && settings["Allowed"].value("PeerMessages", false)) {
-      Put(settings["Allowed"], "settings.Allowed.", "PeerMessages", false);
-      Note("not carried over: settings.Allowed.PeerMessages: gateways on sockets send none");
+      Set(settings["Allowed"], "settings.Allowed.", "PeerMessages", false);
+      AddNote("not carried over: settings.Allowed.PeerMessages: gateways on sockets send none");
     }
-    Put(json_["limits"], "limits.", "sockets", options_.sockets);
-    if (json_.contains("listen")) {
-      const auto listen = ParseAddress(json_["listen"].get<std::string>());
-      Put(json_, "", "listen", fmt::format("127.0.0.1:{}", listen.port));
-      Note("not carried over: listen: a gateway beside its client listens on this machine alone");
-    }
-    Unread();
-    return {json_.dump(2) + "\n", std::move(notes_)};
   }
 
- private:
-  void Note(std::string line) { notes_.push_back(std::move(line)); }
-
-  template <typename T>
-  void Put(Object& at, std::string_view where, const char* name, const T& value) {
-    const std::string was = at.contains(name) ? at[name].dump() : "absent";
-    at[name] = value;
-    if (was != at[name].dump()) {
-      Note(fmt::format("changed: {}{}: {} to {}", where, name, was, at[name].dump()));
+  void MigrateListenAddress() {
+    if (!json_.contains("listen")) {
+      return;
     }
+    const Address listen = ParseAddress(json_["listen"].get<std::string>());
+    Set(json_, "", "listen", fmt::format("127.0.0.1:{}", listen.port));
+    AddNote("not carried over: listen: a gateway beside its client listens on this machine alone");
   }
 
-  // All that this program does not read stays as it is, and is named.
-  void Unread() {
-    for (const auto& [name, value] : json_.items()) {
-      if (!kTopLevel.contains(name)) {
-        Note(fmt::format("kept, but not known here: {}", name));
+  // Keys that the program does not read are kept, and named.
+  void NoteUnreadKeys() {
+    for (const auto& [key, value] : json_.items()) {
+      if (!kKnownKeys.contains(key)) {
+        AddNote(fmt::format("kept, but not known here: {}", key));
       }
     }
-    for (const std::string& name :
-         simulator::UnreadSettings(FlattenSettings(Json::Parse(json_["settings"].dump())))) {
-      Note(fmt::format("kept, but not read by the gateway: settings.{}", name));
+    const Json settings = Json::Parse(json_["settings"].dump());
+    for (const std::string& name : UnreadSettings(FlattenSettings(settings))) {
+      AddNote(fmt::format("kept, but not read by the gateway: settings.{}", name));
     }
   }
 
+  // Sets a field of `object`, whose path is `path`, and notes the change if there is one.
+  template <typename Value>
+  void Set(Object& object, std::string_view path, const char* key, const Value& value) {
+    const std::string before = object.contains(key) ? object[key].dump() : "absent";
+    object[key] = value;
+    const std::string after = object[key].dump();
+    if (before != after) {
+      AddNote(fmt::format("changed: {}{}: {} to {}", path, key, before, after));
+    }
+  }
+
+  void AddNote(std::string line) { notes_.push_back(std::move(line)); }
+
   Object json_;
   MigrateOptions options_;
   std::vector<std::string> notes_;
 };
 
+// The error of the last system call, with the file's path.
+ConfigError WriteError(const std::string& path) {
+  return ConfigError(fmt::format("{}: cannot write it: {}", path, std::strerror(errno)));
+}
+
+// Writes all of `text`; false on an error, with errno set.
+bool WriteAll(int fd, const std::string& text) {
+  size_t written = 0;
+  while (written < text.size()) {
+    const ssize_t count = write(fd, text.data() + written, text.size() - written);
+    if (count < 0 && errno == EINTR) {
+      continue;
+    }
+    if (count <= 0) {
+      return false;
+    }
+    written += static_cast<size_t>(count);
+  }
+  return true;
+}
+
+// Writes, syncs and closes; false on an error, with errno set to that of writing or syncing.
+bool WriteAndClose(int fd, const std::string& text) {
+  const bool is_synced = WriteAll(fd, text) && fsync(fd) == 0;
+  const int error = errno;
+  const bool is_closed = close(fd) == 0;
+  errno = error;
+  return is_synced && is_closed;
+}
+
 }  // namespace
 
 Migration Migrate(const std::string& path, const MigrateOptions& options) {
@@ -103,56 +145,40 @@
     throw ConfigError(fmt::format("{}: no JSON object, expected one", path));
   }
   const Object& settings = json["settings"];
-  const std::string shape =
+  const std::string kind =
       settings.contains("KindOfService") ? settings["KindOfService"].dump() : "";
-  if (shape == fmt::format("\"{}\"", kNewShape)) {
+  if (kind == fmt::format("\"{}\"", kMeshKind)) {
     throw ConfigError(fmt::format(
         "{}: settings.KindOfService is {}: of the new shape already, expected \"{}\" or none", path,
-        shape, kOldShape));
+        kind, kProxyKind));
   }
   return Migrator(std::move(json), options).Run();
 }
 
 void WriteFileAtomically(const std::string& path, const std::string& text, bool replace) {
-  const auto bad = [&](const std::string& what) {
-    return ConfigError(fmt::format("{}: {}: {}", path, what, std::strerror(errno)));
-  };
-  struct stat found {};
-  if (!replace && lstat(path.c_str(), &found) == 0) {
+  struct stat existing {};
+  if (!replace && lstat(path.c_str(), &existing) == 0) {
     throw ConfigError(fmt::format("{}: is there already, expected a new name or --replace", path));
   }
-  const std::string beside = fmt::format("{}.{}.new", path, getpid());
-  const int fd = open(beside.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
+  const std::string temporary = fmt::format("{}.{}.new", path, getpid());
+  constexpr mode_t kMode = 0644;
+  const int fd = open(temporary.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kMode);
   if (fd < 0) {
-    throw bad("cannot write it");
-  }
-  size_t done = 0;
-  bool good = true;
-  while (good && done < text.size()) {
-    const ssize_t n = write(fd, text.data() + done, text.size() - done);
-    if (n < 0 && errno == EINTR) {
-      continue;
-    }
-    good = n > 0;
-    if (good) {
-      done += static_cast<size_t>(n);
-    }
+    throw WriteError(path);
   }
-  good = good && fsync(fd) == 0;
-  int error = errno;
-  good = close(fd) == 0 && good;
-  // Without --replace a link fails where somebody was quicker; a rename would overwrite.
-  if (good) {
-    good = replace ? std::rename(beside.c_str(), path.c_str()) == 0
-                   : link(beside.c_str(), path.c_str()) == 0;
-    error = errno;
+  bool is_written = WriteAndClose(fd, text);
+  if (is_written) {
+    // Unlike a rename, a link fails where another process has made the file meanwhile.
+    is_written = replace ? std::rename(temporary.c_str(), path.c_str()) == 0
+                         : link(temporary.c_str(), path.c_str()) == 0;
   }
-  if (!good || !replace) {
-    unlink(beside.c_str());
+  const int error = errno;
+  if (!is_written || !replace) {
+    unlink(temporary.c_str());
   }
   errno = error;
-  if (!good) {
-    throw bad("cannot write it");
+  if (!is_written) {
+    throw WriteError(path);
   }
 }
 
--- a/src/config/migration.h
+++ b/src/config/migration.h
@@ -1,5 +1,5 @@
-// From a bank of proxies to a gateway beside every client process: an operator's configuration file
-// of the old shape becomes its counterpart for the new one. Nothing is dropped in silence.
+// Migration of an operator's configuration file: from a group of proxies, which clients share, to a
+// gateway beside every client process. Nothing is dropped without a note.
 #ifndef PADDLESTILE_CONFIG_MIGRATION_H_
 #define PADDLESTILE_CONFIG_MIGRATION_H_
 
@@ -11,8 +11,8 @@
 
 struct MigrateOptions {
   int gateways = 0;        // client processes, each with a gateway: 1 to 100,000
-  bool warm_keys = false;  // hosts serve a key that they met lately with less work
-  size_t sockets = 256;  // descriptors of one gateway, 64 or more; a bank's proxy had more clients
+  bool warm_keys = false;  // endpoints do less work for a key that they served lately
+  size_t sockets = 256;    // descriptors of one gateway, 64 or more; a proxy had more clients
 };
 
 struct Migration {
@@ -20,12 +20,12 @@
   std::vector<std::string> notes;  // a line each: what changed, is not read, was not carried over
 };
 
-// The counterpart of a file's text. Throws ConfigError with one line (what, where, what was
-// expected) where the text is no configuration, has faults, or is of the new shape already.
+// Makes the new file from the one at `path`, which is not changed. Throws ConfigError with one line
+// (what, where, what was expected) where the file is invalid or was migrated already.
 Migration Migrate(const std::string& path, const MigrateOptions& options);
 
-// Writes a file whole or not at all, beside its place first. Throws ConfigError with one line; a
-// file that is there is left as it was unless `replace`.
+// Writes a file completely or not at all: to a temporary file beside it first. A file that exists
+// is overwritten only with `replace`. Throws ConfigError with one line, and then changes nothing.
 void WriteFileAtomically(const std::string& path, const std::string& text, bool replace);
 
 }  // namespace paddlestile
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -3,7 +3,6 @@
 #include <exception>
 #include <map>
 #include <string>
-#include <utility>
 #include <variant>
 #include <vector>
 
@@ -13,44 +12,62 @@
 namespace paddlestile::simulator {
 namespace {
 
-void Apply(const simulator::InstanceEvent& input, Time now, std::map<int64_t, LoadBalancer>& brains,
-           std::vector<Action>& actions) {
-  if (const auto* start = std::get_if<simulator::StartInstance>(&input.event)) {
-    brains.insert_or_assign(input.instance, LoadBalancer(start->settings, start->seed));
-  } else if (std::holds_alternative<simulator::RetireInstance>(input.event)) {
-    brains.erase(input.instance);
-  } else if (const auto brain = brains.find(input.instance); brain != brains.end()) {
-    brain->second.Handle(now, std::get<Event>(input.event), actions);
+// The decision modules of all instances.
+class Instances {
+ public:
+  // Hands a message to its instance and appends the reply. Messages for an instance that was not
+  // started are ignored.
+  void Handle(const InstanceEvent& message, Time now, std::string& reply) {
+    actions_.clear();
+    try {
+      Apply(message, now);
+      for (const Action& action : actions_) {
+        PrintAction(message.instance, action, reply);
+      }
+    } catch (const std::exception& error) {
+      load_balancers_.erase(message.instance);
+      PrintPanic(message.instance, error.what(), reply);
+    }
   }
-}
+
+ private:
+  void Apply(const InstanceEvent& message, Time now) {
+    if (const auto* const start = std::get_if<StartInstance>(&message.event)) {
+      load_balancers_.insert_or_assign(message.instance,
+                                       LoadBalancer(start->settings, start->seed));
+      return;
+    }
+    if (std::holds_alternative<RetireInstance>(message.event)) {
+      load_balancers_.erase(message.instance);
+      return;
+    }
+    const auto instance = load_balancers_.find(message.instance);
+    if (instance != load_balancers_.end()) {
+      instance->second.Handle(now, std::get<Event>(message.event), actions_);
+    }
+  }
+
+  std::map<int64_t, LoadBalancer> load_balancers_;  // by instance
+  std::vector<Action> actions_;                     // of the message at hand
+};
 
 }  // namespace
 
 int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err) {
-  simulator::ProtocolReader reader(in);
-  simulator::Batch batch;
-  std::map<int64_t, LoadBalancer> brains;
-  std::vector<Action> actions;
+  ProtocolReader reader(in);
+  Instances instances;
+  Batch batch;
   std::string reply;
   try {
     while (reader.Next(batch)) {
       reply.clear();
-      for (const simulator::InstanceEvent& input : batch.events) {
-        actions.clear();
-        try {
-          Apply(input, batch.now, brains, actions);
-          for (const Action& action : actions) {
-            simulator::PrintAction(input.instance, action, reply);
-          }
-        } catch (const std::exception& error) {
-          brains.erase(input.instance);
-          simulator::PrintPanic(input.instance, error.what(), reply);
-        }
+      for (const InstanceEvent& message : batch.events) {
+        instances.Handle(message, batch.now, reply);
       }
-      simulator::PrintEnd(batch.sequence, reply);
+      PrintEnd(batch.sequence, reply);
       out << reply << std::flush;
     }
-  } catch (const simulator::ProtocolError& error) {
+  } catch (const ProtocolError& error) {
     err << "paddlestile_simulator_adapter: " << error.what() << std::endl;
     return 1;
   }
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,4 +1,4 @@
-// Runs many instances of the module over one pair of streams.
+// The simulator's adapter: runs many instances of the decision module over one pair of streams.
 #ifndef PADDLESTILE_SIMULATOR_ADAPTER_H_
 #define PADDLESTILE_SIMULATOR_ADAPTER_H_
 
@@ -7,8 +7,9 @@
 
 namespace paddlestile::simulator {
 
-// Answers batches until the input ends. Returns the exit code: 0 after a clean end, 1 after one
-// line on `err` about malformed input.
+// Replies to batches until the input ends. An instance whose decision module throws is reported as
+// failed and destroyed; the others go on. Returns the exit code: 0 after a clean end, 1 after
+// malformed input, which one line on `err` describes.
 int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace paddlestile::simulator
--- a/tests/lab/experiment_test.cpp
+++ b/tests/lab/experiment_test.cpp
@@ -9,7 +9,6 @@
 
 #include "config/gateway_config.h"
 #include "config/json.h"
-#include "simulator/protocol.h"
 
 namespace paddlestile::lab {
 namespace {
@@ -62,7 +61,7 @@
           "[rules]\ndrain_grace_s = 0.4\nsend_cap = 2\nfall_s = 0.9\n"
           "[gateway]\ncount = 3\n[gateway.settings.Allowed]\nMostHeld = 17\n",
       "x.toml");
-  const Settings s = simulator::ParseSettings(FlattenSettings(Json::Parse(SettingsJson(e, 2))));
+  const Settings s = ParseSettings(FlattenSettings(Json::Parse(SettingsJson(e, 2))));
   EXPECT_EQ(s.instance_index, 2);
   EXPECT_EQ(s.instance_count, 3);
   ASSERT_EQ(s.classes.size(), 1u);
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -16,7 +16,7 @@
 constexpr const char* kList = "roster 0 1\nhost - host.a 0 0 1 0 up\nannounce 3 warm_copy 1 0\n";
 
 struct Result {
-  int code = 0;
+  int exit_code = 0;
   std::string out, err;
 };
 
@@ -24,43 +24,43 @@
   std::istringstream in(text);
   std::ostringstream out, err;
   Result result;
-  result.code = RunAdapter(in, out, err);
+  result.exit_code = RunAdapter(in, out, err);
   result.out = out.str();
   result.err = err.str();
   return result;
 }
 
-TEST(Host, AnswersEachBatchAndEndsCleanly) {
-  const Result r = Drive(std::string("clock 1 1\neob\nclock 2 2\n") + kStart + kList +
-                         "submit 3 id-1 900 0 0 0 - - 0\neob\n");
-  EXPECT_EQ(r.code, 0);
-  EXPECT_EQ(r.out.substr(0, 6), "end 1\n");
-  EXPECT_NE(r.out.find("place 3 id-1 host.a"), std::string::npos);
-  EXPECT_EQ(r.out.substr(r.out.size() - 6), "end 2\n");
-  EXPECT_TRUE(r.err.empty());
+TEST(Adapter, RepliesToEachBatchAndEndsCleanly) {
+  const Result result = Drive(std::string("clock 1 1\neob\nclock 2 2\n") + kStart + kList +
+                              "submit 3 id-1 900 0 0 0 - - 0\neob\n");
+  EXPECT_EQ(result.exit_code, 0);
+  EXPECT_EQ(result.out.substr(0, 6), "end 1\n");
+  EXPECT_NE(result.out.find("place 3 id-1 host.a"), std::string::npos);
+  EXPECT_EQ(result.out.substr(result.out.size() - 6), "end 2\n");
+  EXPECT_TRUE(result.err.empty());
 }
 
-TEST(Host, ARetiredInstanceKnowsNothingWhenItStartsAgain) {
-  const Result r =
+TEST(Adapter, RetiredInstanceStartsWithoutState) {
+  const Result result =
       Drive(std::string("clock 2 1\n") + kStart + kList + "eob\nclock 3 2\nretire 3\n" + kStart +
             "roster 0 0\nannounce 3 warm_copy 1 0\n" + "submit 3 id-1 900 0 0 0 - - 0\neob\n");
-  EXPECT_EQ(r.code, 0);
-  EXPECT_EQ(r.out.find("place"), std::string::npos);
+  EXPECT_EQ(result.exit_code, 0);
+  EXPECT_EQ(result.out.find("place"), std::string::npos);
 }
 
-TEST(Host, BadSettingsArePanicForThatInstanceAlone) {
-  const Result r = Drive(std::string("clock 1 1\nstart 9 5 NInstances=0\n") + kStart + kList +
-                         "submit 3 id-1 900 0 0 0 - - 0\neob\n");
-  EXPECT_EQ(r.code, 0);
-  EXPECT_NE(r.out.find("panic 9 setting out of range: NInstances"), std::string::npos);
-  EXPECT_NE(r.out.find("place 3 id-1 host.a"), std::string::npos);
+TEST(Adapter, InvalidSettingsFailThatInstanceAlone) {
+  const Result result = Drive(std::string("clock 1 1\nstart 9 5 NInstances=0\n") + kStart + kList +
+                              "submit 3 id-1 900 0 0 0 - - 0\neob\n");
+  EXPECT_EQ(result.exit_code, 0);
+  EXPECT_NE(result.out.find("panic 9 setting out of range: NInstances"), std::string::npos);
+  EXPECT_NE(result.out.find("place 3 id-1 host.a"), std::string::npos);
 }
 
-TEST(Host, MalformedInputIsOneLineAndANonZeroExit) {
-  const Result r = Drive("clock 1 1\nbogus 3\neob\n");
-  EXPECT_EQ(r.code, 1);
-  EXPECT_NE(r.err.find("line 2"), std::string::npos);
-  EXPECT_EQ(std::count(r.err.begin(), r.err.end(), '\n'), 1);
+TEST(Adapter, MalformedInputIsOneLineAndANonZeroExit) {
+  const Result result = Drive("clock 1 1\nbogus 3\neob\n");
+  EXPECT_EQ(result.exit_code, 1);
+  EXPECT_NE(result.err.find("line 2"), std::string::npos);
+  EXPECT_EQ(std::count(result.err.begin(), result.err.end(), '\n'), 1);
 }
 
 }  // namespace
--- a/tests/simulator/protocol_test.cpp
+++ b/tests/simulator/protocol_test.cpp
@@ -30,11 +30,11 @@
 }
 
 template <typename T>
-const T& EventOf(const Batch& batch, size_t at = 0) {
-  return std::get<T>(std::get<Event>(batch.events.at(at).event));
+const T& EventOf(const Batch& batch, size_t index = 0) {
+  return std::get<T>(std::get<Event>(batch.events.at(index).event));
 }
 
-TEST(Read, EmptyBatchThenCleanEnd) {
+TEST(ProtocolReader, EmptyBatchThenCleanEnd) {
   std::istringstream in("clock 8412.25 1\neob\n");
   ProtocolReader reader(in);
   Batch batch;
@@ -45,7 +45,7 @@
   EXPECT_FALSE(reader.Next(batch));
 }
 
-TEST(Read, SubmitWithAndWithoutOptionalValues) {
+TEST(ProtocolReader, RequestWithAndWithoutOptionalValues) {
   const Batch batch = ReadOne(
       "clock 1 2\nsubmit 3 id-1 8652.25 4 1 2 91f03b7c55d20a64 12.5 1\n"
       "submit 3 id-2 9 - - 0 - - -\neob\n");
@@ -64,7 +64,7 @@
   EXPECT_FALSE(b.is_client_retry);
 }
 
-TEST(Read, EveryOtherEvent) {
+TEST(ProtocolReader, EveryOtherEvent) {
   const Batch batch = ReadOne(
       "clock 1 2\n"
       "established 1 id 0 host.a 3.5\n"
@@ -86,7 +86,7 @@
   EXPECT_TRUE(std::holds_alternative<RetireInstance>(batch.events[6].event));
 }
 
-TEST(Read, EveryOutcome) {
+TEST(ProtocolReader, EveryOutcome) {
   const std::pair<const char*, Outcome> all[] = {{"OK", Outcome::kOk},
                                                  {"INTERNAL", Outcome::kError},
                                                  {"RESOURCE_EXHAUSTED", Outcome::kRejected},
@@ -102,7 +102,7 @@
   }
 }
 
-TEST(Read, ANumberedListIsResolvedInOrderAndOutlivesItsBatch) {
+TEST(ProtocolReader, EndpointListsAreKeptAcrossBatches) {
   std::istringstream in(
       "clock 1 1\nroster 0 1\nhost - a 0 0 1 0 up\nannounce 1 warm_copy 4 0\n"
       "roster 0 1\nhost 6100.5 b 1 2 1.5 3 draining\nannounce 2 incr 5 0\neob\n"
@@ -125,47 +125,22 @@
   EXPECT_EQ(EventOf<EndpointUpdate>(batch, 1).kind, EndpointUpdateKind::kFailed);
 }
 
-TEST(Read, SettingsOfEveryPart) {
-  const Settings s = ParseSettings(
-      "Me=1 NInstances=4 Zone=3 FailureDomains=a,b,c,d Classes.count=1 Classes.0.Effect=keyed "
-      "Classes.0.Group=zone Classes.0.Window=2000.0 Classes.0.Slo=150.0 Classes.0.Deadline=400.0 "
-      "Classes.0.Worth=8.0 Tenants.count=1 Tenants.0.QuotaPerS=41.5 Tenants.0.Share=0.5 "
-      "RegistryMode=subscribe ValueBy=work WeightKind=none Allowed.ParallelTries=true "
-      "Allowed.SendCap=5 Charges.Probe=0.04 Obligations.Fall=1500.0 Obligations.ColdFrom=0.31 "
-      "Stats.Fields=util,inflight,latency_ms Stats.Source=probe ResultMix.Whole=0.25 "
-      "Brand.New=whatever OverShareWorth=0.05");
-  EXPECT_EQ(s.instance_count, 4);
-  EXPECT_EQ(s.zone_count, 4);
-  ASSERT_EQ(s.classes.size(), 1U);
-  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kKeyed);
-  EXPECT_EQ(s.classes[0].deduplication_scope, DeduplicationScope::kZone);
-  EXPECT_EQ(s.classes[0].deduplication_window, Duration(2'000'000));
-  EXPECT_DOUBLE_EQ(s.classes[0].priority_weight, 8);
-  EXPECT_DOUBLE_EQ(s.tenants.at(0).requests_per_second, 41.5);
-  EXPECT_EQ(s.discovery_mode, DiscoveryMode::kPoll);
-  EXPECT_TRUE(s.priority_scales_with_work);
-  EXPECT_TRUE(s.allowed.parallel_attempts);
-  EXPECT_EQ(s.load_report.inflight, 1U);
-  EXPECT_EQ(s.load_report.latency_ms, 2U);
-  EXPECT_DOUBLE_EQ(s.over_quota_priority_factor, 0.05);
-}
-
 struct Malformed {
   const char* text;
   const char* line;
   const char* reason;
 };
 
-class Bad : public ::testing::TestWithParam<Malformed> {};
+class MalformedInput : public ::testing::TestWithParam<Malformed> {};
 
-TEST_P(Bad, IsToldWithLineAndReason) {
+TEST_P(MalformedInput, IsReportedWithLineAndReason) {
   const std::string error = Failure(GetParam().text);
   EXPECT_EQ(error.rfind(std::string("line ") + GetParam().line + ":", 0), 0U) << error;
   EXPECT_NE(error.find(GetParam().reason), std::string::npos) << error;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Lines, Bad,
+    Lines, MalformedInput,
     ::testing::Values(
         Malformed{"hello\n", "1", "before clock"}, Malformed{"clock x 1\neob\n", "1", "clock"},
         Malformed{"clock 1\neob\n", "1", "2 values"},
@@ -195,7 +170,7 @@
         Malformed{"clock 1 1\neo", "2", "middle of a line"},
         Malformed{"clock 1 1\nroster 0 2\nhost - a 0 0 1 0 up\n", "4", "middle of a list"}));
 
-TEST(Write, EveryAction) {
+TEST(ProtocolWriter, EveryAction) {
   std::string out;
   PrintAction(3, StartAttempt{"id", "host.a", Duration(80'000)}, out);
   PrintAction(3, RejectRequest{"id", Duration(1'500'250)}, out);
