--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -10,6 +10,15 @@
 namespace paddlestile {
 namespace {
 
+constexpr unsigned char kFirstPrintable = 0x20;
+constexpr int kHexDigits = 4;  // of an escaped character
+
+// UTF-16's surrogates: a character beyond 16 bits is escaped as a high one and a low one.
+constexpr uint32_t kHighSurrogates = 0xd800;
+constexpr uint32_t kLowSurrogates = 0xdc00;
+constexpr uint32_t kLastLowSurrogate = 0xdfff;
+constexpr uint32_t kFirstInPair = 0x10000;
+
 bool IsSpace(char c) {
   return c == ' ' || c == '\t' || c == '\n' || c == '\r';
 }
@@ -17,42 +26,60 @@
   return c >= '0' && c <= '9';
 }
 
-// A number as JSON writes it, which is stricter than what from_chars takes.
-std::optional<double> ToNumber(std::string_view text) {
-  size_t at = 0;
-  const auto digits = [&] {
-    const size_t from = at;
-    while (at < text.size() && IsDigit(text[at])) {
-      ++at;
+// Steps over the parts of a number.
+class NumberScanner {
+ public:
+  explicit NumberScanner(std::string_view text) : text_(text) {}
+
+  [[nodiscard]] bool AtEnd() const { return at_ == text_.size(); }
+
+  // Steps over the next character if it is one of `characters`.
+  bool Skip(std::string_view characters) {
+    if (AtEnd() || characters.find(text_[at_]) == std::string_view::npos) {
+      return false;
     }
-    return at - from;
-  };
-  const auto is = [&](char c) {
-    return at < text.size() && text[at] == c;
-  };
-  if (is('-')) {
-    ++at;
+    ++at_;
+    return true;
   }
-  const bool zero = is('0');
-  const size_t whole = digits();
-  if (whole == 0 || (zero && whole > 1)) {
-    return std::nullopt;
+
+  // Steps over digits and returns how many there were.
+  size_t SkipDigits() {
+    const size_t begin = at_;
+    while (!AtEnd() && IsDigit(text_[at_])) {
+      ++at_;
+    }
+    return at_ - begin;
   }
-  if (is('.') && (++at, digits() == 0)) {
-    return std::nullopt;
+
+ private:
+  std::string_view text_;
+  size_t at_ = 0;
+};
+
+// Whether the text is a number in JSON's form, which is stricter than that of from_chars.
+bool IsJsonNumber(std::string_view text) {
+  NumberScanner scanner(text);
+  scanner.Skip("-");
+  // A digit behind a leading zero is left over at the end, which makes the text invalid.
+  if (!scanner.Skip("0") && scanner.SkipDigits() == 0) {
+    return false;
   }
-  if (is('e') || is('E')) {
-    ++at;
-    if (is('+') || is('-')) {
-      ++at;
-    }
-    if (digits() == 0) {
-      return std::nullopt;
+  if (scanner.Skip(".") && scanner.SkipDigits() == 0) {
+    return false;
+  }
+  if (scanner.Skip("eE")) {
+    scanner.Skip("+-");
+    if (scanner.SkipDigits() == 0) {
+      return false;
     }
   }
+  return scanner.AtEnd();
+}
+
+std::optional<double> ToNumber(std::string_view text) {
   double value = 0;
-  const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (at != text.size() || read.ec != std::errc() || !std::isfinite(value)) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (!IsJsonNumber(text) || error != std::errc() || !std::isfinite(value)) {
     return std::nullopt;
   }
   return value;
@@ -91,10 +118,7 @@
     }
     EndOfNumber();  // and c is what follows it
   }
-  const bool within = state_ == State::kString || state_ == State::kEscape ||
-                      state_ == State::kHex || state_ == State::kLow || state_ == State::kLowU ||
-                      state_ == State::kWord;
-  if (!within && IsSpace(c)) {
+  if (!IsWithinToken() && IsSpace(c)) {
     return;
   }
   begun_ = true;
@@ -104,77 +128,27 @@
     case State::kFirstItem:
       return c == ']' ? Close(c) : Begin(c);
     case State::kFirstName:
-      if (c == '}') {
-        return Close(c);
-      }
-      [[fallthrough]];
+      return c == '}' ? Close(c) : BeginName(c);
     case State::kName:
-      if (c != '"') {
-        Fail("no name");
-      }
-      name_ = true;
-      text_.clear();
-      state_ = State::kString;
-      return;
+      return BeginName(c);
     case State::kNameEnd:
-      if (c != ':') {
-        Fail("no colon");
-      }
-      state_ = State::kValue;
-      return;
+      return TakeExpected(c, ':', "no colon", State::kValue);
     case State::kAfter:
-      if (c != ',') {
-        return Close(c);
-      }
-      state_ = open_.back().type_ == Json::Type::kObject ? State::kName : State::kValue;
-      return;
+      return TakeSeparator(c);
     case State::kString:
-      if (c == '"') {
-        return EndOfString();
-      }
-      if (static_cast<unsigned char>(c) < 0x20) {
-        Fail("control character in a string");
-      }
-      if (c == '\\') {
-        state_ = State::kEscape;
-      } else {
-        text_ += c;
-      }
-      return;
+      return TakeInString(c);
     case State::kEscape:
-      return Escape(c);
+      return TakeEscape(c);
     case State::kHex:
-      return Hex(c);
+      return TakeHexDigit(c);
     case State::kLow:
-      if (c != '\\') {
-        Fail("half a character");
-      }
-      state_ = State::kLowU;
-      return;
+      return TakeExpected(c, '\\', "half a character", State::kLowU);
     case State::kLowU:
-      if (c != 'u') {
-        Fail("half a character");
-      }
-      state_ = State::kHex;
       code_ = 0;
       digits_ = 0;
-      return;
-    case State::kWord: {
-      text_ += c;
-      for (const std::string_view word : {"true", "false", "null"}) {
-        if (!word.starts_with(text_)) {
-          continue;
-        }
-        if (word.size() > text_.size()) {
-          return;
-        }
-        Json value;
-        value.type_ = word == "null" ? Json::Type::kNull : Json::Type::kBool;
-        value.boolean_ = word == "true";
-        return Complete(std::move(value));
-      }
-      Fail("no value");
-    }
+      return TakeExpected(c, 'u', "half a character", State::kHex);
+    case State::kWord:
+      return TakeInWord(c);
     case State::kNumber:
       return;
     case State::kDone:
@@ -182,6 +156,74 @@
   }
 }
 
+bool JsonParser::IsWithinToken() const {
+  switch (state_) {
+    case State::kString:
+    case State::kEscape:
+    case State::kHex:
+    case State::kLow:
+    case State::kLowU:
+    case State::kWord:
+      return true;
+    default:
+      return false;
+  }
+}
+
+void JsonParser::TakeExpected(char c, char expected, std::string_view fault, State next) {
+  if (c != expected) {
+    Fail(fault);
+  }
+  state_ = next;
+}
+
+void JsonParser::TakeSeparator(char c) {
+  if (c != ',') {
+    return Close(c);
+  }
+  state_ = open_.back().type_ == Json::Type::kObject ? State::kName : State::kValue;
+}
+
+void JsonParser::TakeInString(char c) {
+  if (c == '"') {
+    return EndOfString();
+  }
+  if (static_cast<unsigned char>(c) < kFirstPrintable) {
+    Fail("control character in a string");
+  }
+  if (c == '\\') {
+    state_ = State::kEscape;
+  } else {
+    text_ += c;
+  }
+}
+
+void JsonParser::TakeInWord(char c) {
+  text_ += c;
+  for (const std::string_view word : {"true", "false", "null"}) {
+    if (!word.starts_with(text_)) {
+      continue;
+    }
+    if (word.size() > text_.size()) {
+      return;
+    }
+    Json value;
+    value.type_ = word == "null" ? Json::Type::kNull : Json::Type::kBool;
+    value.boolean_ = word == "true";
+    return Complete(std::move(value));
+  }
+  Fail("no value");
+}
+
+void JsonParser::BeginName(char c) {
+  if (c != '"') {
+    Fail("no name");
+  }
+  is_name_ = true;
+  text_.clear();
+  state_ = State::kString;
+}
+
 void JsonParser::Begin(char c) {
   text_.clear();
   if (c == '{') {
@@ -191,7 +233,7 @@
     return Open(Json::Type::kArray);
   }
   if (c == '"') {
-    name_ = false;
+    is_name_ = false;
     state_ = State::kString;
   } else if (c == '-' || IsDigit(c)) {
     text_ = c;
@@ -213,9 +255,9 @@
 }
 
 void JsonParser::Close(char c) {
-  const bool object = open_.back().type_ == Json::Type::kObject;
-  if (c != (object ? '}' : ']')) {
-    Fail(object ? "no end of an object" : "no end of a list");
+  const bool is_object = open_.back().type_ == Json::Type::kObject;
+  if (c != (is_object ? '}' : ']')) {
+    Fail(is_object ? "no end of an object" : "no end of a list");
   }
   Json value = std::move(open_.back());
   open_.pop_back();
@@ -228,17 +270,17 @@
     state_ = State::kDone;
     return;
   }
-  Json& in = open_.back();
-  if (in.type_ == Json::Type::kObject) {
-    in.fields_.back().second = std::move(value);
+  Json& parent = open_.back();
+  if (parent.type_ == Json::Type::kObject) {
+    parent.fields_.back().second = std::move(value);
   } else {
-    in.items_.push_back(std::move(value));
+    parent.items_.push_back(std::move(value));
   }
   state_ = State::kAfter;
 }
 
 void JsonParser::EndOfString() {
-  if (name_) {
+  if (is_name_) {
     open_.back().fields_.emplace_back(std::move(text_), Json());
     state_ = State::kNameEnd;
     return;
@@ -261,45 +303,48 @@
   Complete(std::move(value));
 }
 
-void JsonParser::Escape(char c) {
-  static constexpr std::string_view kFrom = "\"\\/bfnrt", kTo = "\"\\/\b\f\n\r\t";
+void JsonParser::TakeEscape(char c) {
+  static constexpr std::string_view kEscapes = "\"\\/bfnrt";
+  static constexpr std::string_view kCharacters = "\"\\/\b\f\n\r\t";
   if (c == 'u') {
     state_ = State::kHex;
-    code_ = high_ = 0;
+    code_ = 0;
+    high_ = 0;
     digits_ = 0;
     return;
   }
-  const size_t place = kFrom.find(c);
-  if (place == std::string_view::npos) {
+  const size_t index = kEscapes.find(c);
+  if (index == std::string_view::npos) {
     Fail("bad escape");
   }
-  text_ += kTo[place];
+  text_ += kCharacters[index];
   state_ = State::kString;
 }
 
-void JsonParser::Hex(char c) {
+void JsonParser::TakeHexDigit(char c) {
   if (std::isxdigit(static_cast<unsigned char>(c)) == 0) {
     Fail("bad escape");
   }
   code_ = code_ * 16 + static_cast<uint32_t>(IsDigit(c) ? c - '0' : (c | 0x20) - 'a' + 10);
-  if (++digits_ < 4) {
+  ++digits_;
+  if (digits_ < kHexDigits) {
     return;
   }
-  const bool low = code_ >= 0xdc00 && code_ <= 0xdfff;
-  if ((high_ != 0) != low) {
+  const bool is_low = code_ >= kLowSurrogates && code_ <= kLastLowSurrogate;
+  if ((high_ != 0) != is_low) {
     Fail("half a character");
   }
-  if (code_ >= 0xd800 && code_ < 0xdc00) {
+  if (code_ >= kHighSurrogates && code_ < kLowSurrogates) {
     high_ = code_;
     state_ = State::kLow;
     return;
   }
-  Add(low ? 0x10000 + ((high_ - 0xd800) << 10) + (code_ - 0xdc00) : code_);
+  const uint32_t pair = kFirstInPair + ((high_ - kHighSurrogates) << 10) + (code_ - kLowSurrogates);
+  AppendUtf8(is_low ? pair : code_);
   state_ = State::kString;
 }
 
-// As UTF-8.
-void JsonParser::Add(uint32_t code) {
+void JsonParser::AppendUtf8(uint32_t code) {
   const auto add = [&](uint32_t byte) {
     text_ += static_cast<char>(byte);
   };
--- a/tests/config/json_test.cpp
+++ b/tests/config/json_test.cpp
@@ -27,7 +27,7 @@
             "\"\\/\nA\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80");
 }
 
-TEST(Json, RefusesWhatIsMalformed) {
+TEST(Json, RejectsMalformedText) {
   for (const char* const text : {"",
                                  "{",
                                  "[1,]",
@@ -60,7 +60,7 @@
   EXPECT_THROW(Json::Parse(std::string(100000, '[')), JsonError);
 }
 
-TEST(Json, NamesWhatIsMissing) {
+TEST(Json, NamesMissingFields) {
   const Json v = Json::Parse(R"({"a":1})");
   try {
     (void)v.Require("b", Json::Type::kNumber);
@@ -71,7 +71,7 @@
   EXPECT_THROW((void)v.Require("a", Json::Type::kString), JsonError);
 }
 
-TEST(Json, EveryPrefixOfAnObjectIsRefused) {
+TEST(Json, RejectsEveryPrefixOfAnObject) {
   const std::string text = R"({"revision":4,"members":[{"id":"a\u0041","up":1.5e3},true,null]})";
   EXPECT_NO_THROW(Json::Parse(text));
   for (size_t size = 0; size < text.size(); ++size) {
@@ -97,7 +97,7 @@
   }
 }
 
-TEST(Json, KnowsABlankText) {
+TEST(Json, RecognizesABlankText) {
   JsonParser parser;
   parser.Feed(" \r\n\t");
   EXPECT_FALSE(parser.begun());
@@ -107,18 +107,19 @@
   EXPECT_EQ(parser.End().number(), 7);
 }
 
-TEST(Json, TakesAnyMutation) {
+TEST(Json, HandlesAnyMutation) {
   std::mt19937 rng(7);
   const std::string good = R"({"revision":4,"members":[{"id":"a\u0041","up":-1.5e3},true,null]})";
   static constexpr char kAlphabet[] = "{}[]\",:\\u0e-.\x00\xff";
   const std::string alphabet(kAlphabet, sizeof(kAlphabet) - 1);
   const auto by_bytes = [](const std::string& text) {
     JsonParser parser;
-    for (const char c : text)
+    for (const char c : text) {
       parser.Feed(std::string(1, c));
+    }
     return parser.End();
   };
-  int refused = 0;
+  int rejected = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string text = good;
     for (int changes = 1 + static_cast<int>(rng() % 4); changes > 0; --changes) {
@@ -128,11 +129,11 @@
       Json::Parse(text);
       EXPECT_NO_THROW(by_bytes(text)) << text;
     } catch (const JsonError&) {
-      ++refused;
+      ++rejected;
       EXPECT_THROW(by_bytes(text), JsonError) << text;
     }
   }
-  EXPECT_GT(refused, 10000);
+  EXPECT_GT(rejected, 10000);
 }
 
 }  // namespace
