--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -8,178 +8,174 @@
 #include <set>
 #include <utility>
 
-#define TOML_EXCEPTIONS 1
-#include <toml++/toml.h>
+#include "config/toml_reader.h"
 
 namespace paddlestile {
 namespace {
 
-class Reader {
- public:
-  Reader(std::string path, std::vector<std::string>& faults)
-      : path_(std::move(path)), faults_(faults) {}
-
-  void Fault(const toml::node* node, std::string_view key, std::string_view what,
-             std::string_view expected) {
-    const auto line = node != nullptr ? node->source().begin.line : 0;
-    faults_.push_back(
-        line > 0 ? fmt::format("{}:{}: {}: {}, expected {}", path_, line, key, what, expected)
-                 : fmt::format("{}: {}: {}, expected {}", path_, key, what, expected));
-  }
-  std::string Text(const toml::table& at, std::string_view key, const std::string& name) {
-    const toml::node* const node = at.get(key);
-    const auto text = node != nullptr ? node->value<std::string>() : std::nullopt;
-    if (!text || text->empty()) {
-      Fault(node != nullptr ? node : &at, name, node != nullptr ? "no text" : "missing", "a text");
-      return {};
-    }
-    return *text;
-  }
-  std::optional<Address> Place(const toml::table& at, std::string_view key,
-                               const std::string& name) {
-    const std::string text = Text(at, key, name);
-    if (text.empty()) {
-      return std::nullopt;
-    }
-    try {
-      return ParseAddress(text);
-    } catch (const ConfigError&) {
-      Fault(at.get(key), name, fmt::format("'{}'", text), "an address such as 127.0.0.1:7000");
-      return std::nullopt;
-    }
-  }
-  void Number(const toml::table& at, std::string_view key, double& value, double least,
-              double most) {
-    const toml::node* const node = at.get(key);
-    if (node == nullptr) {
-      return;
-    }
-    const auto read = node->value<double>();
-    if (!read || !(*read >= least && *read <= most)) {
-      return Fault(node, fmt::format("bank.{}", key), "out of range or no number",
-                   fmt::format("a number from {} to {}", least, most));
-    }
-    value = *read;
-  }
-  void Known(const toml::table& at, const std::string& where, const std::set<std::string>& keys) {
-    for (const auto& [key, node] : at) {
-      if (keys.contains(std::string(key.str()))) {
-        continue;
-      }
-      Fault(&node, fmt::format("{}{}", where, key.str()), "unknown key",
-            fmt::format("one of {}", fmt::join(keys, ", ")));
-    }
-  }
+constexpr int kMinHeartbeatsPerTimeout = 3;
+constexpr std::string_view kMemberNamePlaceholder = "{name}";
 
- private:
-  std::string path_;
-  std::vector<std::string>& faults_;
+// Milliseconds as the file has them.
+struct TimingMillis {
+  double heartbeat = 100;
+  double election = 500;
+  double lease = 1000;
 };
 
-Duration Millis(double ms) {
-  return Duration(static_cast<int64_t>(ms * 1000));
+Duration FromMillis(double millis) {
+  return Duration(static_cast<int64_t>(millis * 1000));
 }
 
-ClusterConfig Read(std::string_view text, const std::string& path,
-                   std::vector<std::string>& faults) {
-  ClusterConfig config;
-  config.path = path;
-  Reader read(path, faults);
-  toml::table file;
+// An election or a lease outlasts the loss of a heartbeat or two.
+void CheckOutlastsHeartbeats(TomlTable& cluster, std::string_view key, double millis,
+                             double heartbeat_millis) {
+  if (millis < kMinHeartbeatsPerTimeout * heartbeat_millis) {
+    cluster.FaultAt(cluster.Get(key), cluster.Path(key), "too short", "3 heartbeats at least");
+  }
+}
+
+void ReadTiming(TomlTable& cluster, ClusterConfig& config) {
+  TimingMillis millis;
+  cluster.Read("heartbeat_ms", millis.heartbeat, 5, 10'000);
+  cluster.Read("election_ms", millis.election, 15, 60'000);
+  cluster.Read("lease_ms", millis.lease, 15, 60'000);
+  cluster.Read("clock_rate", config.timing.clock_rate_error, 0, 0.2);
+  cluster.Read("lab_clock_factor", config.clock_factor, 0.5, 2);
+  if (cluster.Get("lab_disk") != nullptr) {
+    config.disk_control = cluster.RequireText("lab_disk");
+  }
+  CheckOutlastsHeartbeats(cluster, "election_ms", millis.election, millis.heartbeat);
+  CheckOutlastsHeartbeats(cluster, "lease_ms", millis.lease, millis.heartbeat);
+  config.timing.heartbeat_interval = FromMillis(millis.heartbeat);
+  config.timing.election_timeout = FromMillis(millis.election);
+  config.timing.lease_duration = FromMillis(millis.lease);
+}
+
+void ReadPolicies(TomlTable& cluster, ClusterConfig& config) {
+  static const TomlWords<WhenDisconnected> kWhenDisconnected = {
+      {"serve", WhenDisconnected::kServe}, {"drain", WhenDisconnected::kDrain}};
+  static const TomlWords<ChangeEncoding> kChangeEncodings = {{"whole", ChangeEncoding::kWhole},
+                                                             {"delta", ChangeEncoding::kDelta}};
+  cluster.Read("when_lost", config.when_disconnected, kWhenDisconnected, "serve or drain");
+  cluster.Read("changes", config.change_encoding, kChangeEncodings, "whole or delta");
+}
+
+std::optional<Address> RequireAddress(TomlTable& member, std::string_view key) {
+  const std::string text = member.RequireText(key);
+  if (text.empty()) {
+    return std::nullopt;
+  }
   try {
-    file = toml::parse(text, path);
-  } catch (const toml::parse_error& error) {
-    faults.push_back(fmt::format("{}:{}: {}, expected TOML", path, error.source().begin.line,
-                                 error.description()));
-    return config;
+    return ParseAddress(text);
+  } catch (const ConfigError&) {
+    member.Fault(key, fmt::format("'{}'", text), "an address such as 127.0.0.1:7000");
+    return std::nullopt;
   }
-  const toml::table* const bank = file["bank"].as_table();
-  if (bank == nullptr) {
-    read.Fault(file.get("bank"), "bank", "missing", "a table [bank]");
-    return config;
+}
+
+bool ReadVotes(TomlTable& member) {
+  const toml::node* const node = member.Get("votes");
+  if (node == nullptr) {
+    return false;
   }
-  read.Known(file, "", {"bank"});
-  read.Known(*bank, "bank.",
-             {"name", "folder", "heartbeat_ms", "election_ms", "lease_ms", "clock_rate",
-              "when_lost", "changes", "members", "lab_clock_factor", "lab_disk"});
-  config.cluster_name = read.Text(*bank, "name", "bank.name");
-  config.folder = read.Text(*bank, "folder", "bank.folder");
-  double heartbeat = 100, election = 500, lease = 1000;
-  read.Number(*bank, "heartbeat_ms", heartbeat, 5, 10'000);
-  read.Number(*bank, "election_ms", election, 15, 60'000);
-  read.Number(*bank, "lease_ms", lease, 15, 60'000);
-  read.Number(*bank, "clock_rate", config.timing.clock_rate_error, 0, 0.2);
-  read.Number(*bank, "lab_clock_factor", config.clock_factor, 0.5, 2);
-  if (bank->get("lab_disk") != nullptr) {
-    config.disk_control = read.Text(*bank, "lab_disk", "bank.lab_disk");
-  }
-  if (election < 3 * heartbeat) {
-    read.Fault(bank->get("election_ms"), "bank.election_ms", "too short", "3 heartbeats at least");
-  }
-  if (lease < 3 * heartbeat) {
-    read.Fault(bank->get("lease_ms"), "bank.lease_ms", "too short", "3 heartbeats at least");
-  }
-  config.timing.heartbeat_interval = Millis(heartbeat);
-  config.timing.election_timeout = Millis(election);
-  config.timing.lease_duration = Millis(lease);
-  if (const toml::node* const lost = bank->get("when_lost")) {
-    const std::string word = lost->value<std::string>().value_or("");
-    if (word != "serve" && word != "drain") {
-      read.Fault(lost, "bank.when_lost", fmt::format("'{}'", word), "serve or drain");
-    }
-    config.when_disconnected =
-        word == "drain" ? WhenDisconnected::kDrain : WhenDisconnected::kServe;
+  // Not exact: files with 0 and 1 have been accepted.
+  const auto votes = node->value<bool>();
+  if (!votes) {
+    member.Fault("votes", "no boolean", "true or false");
   }
-  if (const toml::node* const changes = bank->get("changes")) {
-    const std::string word = changes->value<std::string>().value_or("");
-    if (word != "whole" && word != "delta") {
-      read.Fault(changes, "bank.changes", fmt::format("'{}'", word), "whole or delta");
+  return votes.value_or(false);
+}
+
+// Reads one member into `config`; whether it votes. `addresses` are those of the members before.
+bool ReadMember(TomlTable& member, std::set<std::pair<uint32_t, uint16_t>>& addresses,
+                ClusterConfig& config) {
+  member.ReportUnknownKeys({"name", "address", "dial", "votes"});
+  ClusterConfig::MemberAddress entry;
+  const std::string name = member.RequireText("name");
+  const auto address = RequireAddress(member, "address");
+  if (address) {
+    entry.address = *address;
+    entry.dial_address = *address;
+    if (!addresses.emplace(address->host, address->port).second) {
+      member.Fault("address", "another member has it", "its own");
     }
-    config.change_encoding = word == "delta" ? ChangeEncoding::kDelta : ChangeEncoding::kWhole;
   }
-  const toml::array* const members = (*bank)["members"].as_array();
+  if (member.Get("dial") != nullptr) {
+    entry.dial_address = RequireAddress(member, "dial").value_or(entry.dial_address);
+  }
+  entry.votes = ReadVotes(member);
+  const bool is_new = config.members.emplace(name, entry).second;
+  if (!is_new && !name.empty()) {
+    member.Fault("name", fmt::format("'{}' a second time", name), "each member once");
+  }
+  return entry.votes;
+}
+
+void CheckVoterCount(const toml::node* members, size_t voters, TomlFaults& faults) {
+  if (voters % 2 == 0 || voters > raft::kMaxVoters) {
+    faults.Add(members, "bank.members", fmt::format("{} members vote", voters),
+               "an odd number of them, 3 or 5 for a bank that bears a loss");
+  }
+}
+
+void ReadMembers(const toml::node* node, TomlFaults& faults, ClusterConfig& config) {
+  const toml::array* const members = node != nullptr ? node->as_array() : nullptr;
   if (members == nullptr || members->empty()) {
-    read.Fault(bank->get("members"), "bank.members", "missing", "[[bank.members]], one each");
-    return config;
+    return faults.Add(node, "bank.members", "missing", "[[bank.members]], one each");
   }
-  size_t votes = 0;
-  std::set<std::pair<uint32_t, uint16_t>> taken;
+  std::set<std::pair<uint32_t, uint16_t>> addresses;
+  size_t voters = 0;
   for (size_t i = 0; i < members->size(); ++i) {
-    const std::string where = fmt::format("bank.members.{}.", i);
-    const toml::table* const member = members->get(i)->as_table();
-    if (member == nullptr) {
-      read.Fault(members->get(i), where, "no table", "name, address, votes");
+    const std::string path = fmt::format("bank.members.{}", i);
+    const toml::table* const table = members->get(i)->as_table();
+    if (table == nullptr) {
+      faults.Add(members->get(i), path + ".", "no table", "name, address, votes");
       continue;
     }
-    read.Known(*member, where, {"name", "address", "dial", "votes"});
-    ClusterConfig::MemberAddress seat;
-    const std::string name = read.Text(*member, "name", where + "name");
-    const auto address = read.Place(*member, "address", where + "address");
-    if (address) {
-      seat.address = seat.dial_address = *address;
-    }
-    if (address && !taken.emplace(address->host, address->port).second) {
-      read.Fault(member->get("address"), where + "address", "another member has it", "its own");
-    }
-    if (member->get("dial") != nullptr) {
-      seat.dial_address = read.Place(*member, "dial", where + "dial").value_or(seat.dial_address);
-    }
-    if (const toml::node* const node = member->get("votes")) {
-      const auto vote = node->value<bool>();
-      if (!vote) {
-        read.Fault(node, where + "votes", "no boolean", "true or false");
-      }
-      seat.votes = vote.value_or(false);
-    }
-    votes += seat.votes ? 1 : 0;
-    if (!config.members.emplace(name, seat).second && !name.empty()) {
-      read.Fault(member->get("name"), where + "name", fmt::format("'{}' a second time", name),
-                 "each member once");
-    }
+    TomlTable member(*table, path, faults);
+    voters += ReadMember(member, addresses, config) ? 1 : 0;
   }
-  if (votes % 2 == 0 || votes > raft::kMaxVoters) {
-    read.Fault(members, "bank.members", fmt::format("{} members vote", votes),
-               "an odd number of them, 3 or 5 for a bank that bears a loss");
+  CheckVoterCount(members, voters, faults);
+}
+
+void ReadCluster(const toml::table& table, TomlFaults& faults, ClusterConfig& config) {
+  TomlTable cluster(table, "bank", faults);
+  cluster.ReportUnknownKeys({"name", "folder", "heartbeat_ms", "election_ms", "lease_ms",
+                             "clock_rate", "when_lost", "changes", "members", "lab_clock_factor",
+                             "lab_disk"});
+  config.cluster_name = cluster.RequireText("name");
+  config.folder = cluster.RequireText("folder");
+  ReadTiming(cluster, config);
+  ReadPolicies(cluster, config);
+  ReadMembers(cluster.Get("members"), faults, config);
+}
+
+// The file's TOML keys keep the word `bank`, by which operators know the cluster.
+ClusterConfig ParseClusterConfig(std::string_view text, const std::string& path,
+                                 TomlFaults& faults) {
+  ClusterConfig config;
+  config.path = path;
+  const std::optional<toml::table> file = faults.Parse(text);
+  if (!file) {
+    return config;
+  }
+  const toml::table* const cluster = (*file)["bank"].as_table();
+  if (cluster == nullptr) {
+    faults.Add(file->get("bank"), "bank", "missing", "a table [bank]");
+    return config;
+  }
+  TomlTable(*file, "", faults).ReportUnknownKeys({"bank"});
+  ReadCluster(*cluster, faults, config);
+  return config;
+}
+
+// Throws ConfigError with all faults, a line each.
+ClusterConfig ParseValidClusterConfig(std::string_view text, const std::string& path) {
+  TomlFaults faults(path);
+  ClusterConfig config = ParseClusterConfig(text, path, faults);
+  if (!faults.lines().empty()) {
+    throw ConfigError(fmt::format("{}", fmt::join(faults.lines(), "\n")));
   }
   return config;
 }
@@ -187,22 +183,18 @@
 }  // namespace
 
 std::vector<std::string> ValidateClusterConfig(std::string_view text, const std::string& path) {
-  std::vector<std::string> faults;
-  Read(text, path, faults);
-  return faults;
+  TomlFaults faults(path);
+  ParseClusterConfig(text, path, faults);
+  return faults.lines();
 }
 
 std::map<std::string, Address> ReadMemberAddresses(std::string_view text, const std::string& path) {
-  std::vector<std::string> faults;
-  const ClusterConfig config = Read(text, path, faults);
-  if (!faults.empty()) {
-    throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
-  }
-  std::map<std::string, Address> members;
-  for (const auto& [name, seat] : config.members) {
-    members[name] = seat.address;
+  const ClusterConfig config = ParseValidClusterConfig(text, path);
+  std::map<std::string, Address> addresses;
+  for (const auto& [name, member] : config.members) {
+    addresses[name] = member.address;
   }
-  return members;
+  return addresses;
 }
 
 ClusterConfig ReadClusterConfig(const std::string& path, const std::string& name) {
@@ -211,18 +203,14 @@
   if (!file) {
     throw ConfigError(fmt::format("{}: cannot read it, expected the operator's file", path));
   }
-  std::vector<std::string> faults;
-  ClusterConfig config = Read(text, path, faults);
-  if (!faults.empty()) {
-    throw ConfigError(fmt::format("{}", fmt::join(faults, "\n")));
-  }
+  ClusterConfig config = ParseValidClusterConfig(text, path);
   if (!config.members.contains(name)) {
     throw ConfigError(
         fmt::format("{}: bank.members: no '{}', expected this gateway's LB_NAME", path, name));
   }
-  const size_t at = config.folder.find("{name}");
-  if (at != std::string::npos) {
-    config.folder.replace(at, 6, name);
+  const size_t placeholder = config.folder.find(kMemberNamePlaceholder);
+  if (placeholder != std::string::npos) {
+    config.folder.replace(placeholder, kMemberNamePlaceholder.size(), name);
   }
   return config;
 }
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -11,8 +11,7 @@
 #include <sstream>
 #include <utility>
 
-#define TOML_EXCEPTIONS 1
-#include <toml++/toml.h>
+#include "config/toml_reader.h"
 
 namespace paddlestile::lab {
 namespace {
@@ -21,295 +20,94 @@
 constexpr double kLengthMost = 3600;  // s
 constexpr double kRateMost = 200'000;
 
-template <typename Enum>
-using Words = std::vector<std::pair<std::string_view, Enum>>;
-
-const Words<BadKind> kBadKinds = {{"rubbish", BadKind::kRubbish},
-                                  {"endless-head", BadKind::kEndlessHead},
-                                  {"bad-length", BadKind::kBadLength},
-                                  {"negative-length", BadKind::kNegativeLength},
-                                  {"huge-length", BadKind::kHugeLength},
-                                  {"two-framings", BadKind::kTwoFramings},
-                                  {"unknown-class", BadKind::kUnknownClass},
-                                  {"bad-budget", BadKind::kBadBudget},
-                                  {"no-id", BadKind::kNoId},
-                                  {"half-request", BadKind::kHalfRequest},
-                                  {"silent", BadKind::kSilent},
-                                  {"trickle", BadKind::kTrickle}};
-const Words<FaultKind> kFaultKinds = {{"slow", FaultKind::kSlow},
-                                      {"silent", FaultKind::kSilent},
-                                      {"errors", FaultKind::kErrors},
-                                      {"stall", FaultKind::kStall},
-                                      {"neighbour", FaultKind::kNeighbour},
-                                      {"resets", FaultKind::kResets},
-                                      {"turned-away", FaultKind::kTurnedAway},
-                                      {"spoilt", FaultKind::kSpoilt},
-                                      {"half-dead", FaultKind::kHalfDead},
-                                      {"cut-off", FaultKind::kCutOff},
-                                      {"restart", FaultKind::kRestart},
-                                      {"drain", FaultKind::kDrain},
-                                      {"kill", FaultKind::kKill},
-                                      {"add", FaultKind::kAdd},
-                                      {"list-silent", FaultKind::kListSilent},
-                                      {"list-lag", FaultKind::kListLag},
-                                      {"list-malformed", FaultKind::kListMalformed},
-                                      {"list-old", FaultKind::kListOld},
-                                      {"list-moved", FaultKind::kListMoved},
-                                      {"gateway-term", FaultKind::kGatewayTerm},
-                                      {"gateway-kill", FaultKind::kGatewayKill},
-                                      {"gateway-quiesce", FaultKind::kGatewayQuiesce},
-                                      {"gateway-reload", FaultKind::kGatewayReload},
-                                      {"gateway-upgrade", FaultKind::kGatewayUpgrade},
-                                      {"gateway-hang", FaultKind::kGatewayHang},
-                                      {"gateway-stop", FaultKind::kGatewayStop},
-                                      {"gateway-disk", FaultKind::kGatewayDisk},
-                                      {"link-cut", FaultKind::kLinkCut},
-                                      {"link-slow", FaultKind::kLinkSlow},
-                                      {"link-flap", FaultKind::kLinkFlap},
-                                      {"link-noise", FaultKind::kLinkNoise}};
-const Words<Ways> kWays = {{"both", Ways::kBoth}, {"out", Ways::kOut}, {"in", Ways::kIn}};
-const Words<DiskIs> kDisks = {{"kept", DiskIs::kKept}, {"old", DiskIs::kOld},
-                              {"none", DiskIs::kNone}, {"full", DiskIs::kFull},
-                              {"slow", DiskIs::kSlow}, {"sync-fails", DiskIs::kSyncFails}};
-const Words<TamperOutgoing> kSpoils = {{"any", TamperOutgoing::kAny},
-                                       {"noise", TamperOutgoing::kNoise},
-                                       {"bad-head", TamperOutgoing::kBadHead},
-                                       {"endless-head", TamperOutgoing::kEndlessHead},
-                                       {"short-length", TamperOutgoing::kShortLength},
-                                       {"long-length", TamperOutgoing::kLongLength},
-                                       {"huge", TamperOutgoing::kHuge},
-                                       {"second-answer", TamperOutgoing::kSecondAnswer},
-                                       {"noise-behind", TamperOutgoing::kNoiseBehind},
-                                       {"interim", TamperOutgoing::kInterim},
-                                       {"bad-report", TamperOutgoing::kBadReport}};
-const Words<Idempotency> kEffects = {
+const TomlWords<BadKind> kBadKinds = {{"rubbish", BadKind::kRubbish},
+                                      {"endless-head", BadKind::kEndlessHead},
+                                      {"bad-length", BadKind::kBadLength},
+                                      {"negative-length", BadKind::kNegativeLength},
+                                      {"huge-length", BadKind::kHugeLength},
+                                      {"two-framings", BadKind::kTwoFramings},
+                                      {"unknown-class", BadKind::kUnknownClass},
+                                      {"bad-budget", BadKind::kBadBudget},
+                                      {"no-id", BadKind::kNoId},
+                                      {"half-request", BadKind::kHalfRequest},
+                                      {"silent", BadKind::kSilent},
+                                      {"trickle", BadKind::kTrickle}};
+const TomlWords<FaultKind> kFaultKinds = {{"slow", FaultKind::kSlow},
+                                          {"silent", FaultKind::kSilent},
+                                          {"errors", FaultKind::kErrors},
+                                          {"stall", FaultKind::kStall},
+                                          {"neighbour", FaultKind::kNeighbour},
+                                          {"resets", FaultKind::kResets},
+                                          {"turned-away", FaultKind::kTurnedAway},
+                                          {"spoilt", FaultKind::kSpoilt},
+                                          {"half-dead", FaultKind::kHalfDead},
+                                          {"cut-off", FaultKind::kCutOff},
+                                          {"restart", FaultKind::kRestart},
+                                          {"drain", FaultKind::kDrain},
+                                          {"kill", FaultKind::kKill},
+                                          {"add", FaultKind::kAdd},
+                                          {"list-silent", FaultKind::kListSilent},
+                                          {"list-lag", FaultKind::kListLag},
+                                          {"list-malformed", FaultKind::kListMalformed},
+                                          {"list-old", FaultKind::kListOld},
+                                          {"list-moved", FaultKind::kListMoved},
+                                          {"gateway-term", FaultKind::kGatewayTerm},
+                                          {"gateway-kill", FaultKind::kGatewayKill},
+                                          {"gateway-quiesce", FaultKind::kGatewayQuiesce},
+                                          {"gateway-reload", FaultKind::kGatewayReload},
+                                          {"gateway-upgrade", FaultKind::kGatewayUpgrade},
+                                          {"gateway-hang", FaultKind::kGatewayHang},
+                                          {"gateway-stop", FaultKind::kGatewayStop},
+                                          {"gateway-disk", FaultKind::kGatewayDisk},
+                                          {"link-cut", FaultKind::kLinkCut},
+                                          {"link-slow", FaultKind::kLinkSlow},
+                                          {"link-flap", FaultKind::kLinkFlap},
+                                          {"link-noise", FaultKind::kLinkNoise}};
+const TomlWords<Ways> kWays = {{"both", Ways::kBoth}, {"out", Ways::kOut}, {"in", Ways::kIn}};
+const TomlWords<DiskIs> kDisks = {{"kept", DiskIs::kKept}, {"old", DiskIs::kOld},
+                                  {"none", DiskIs::kNone}, {"full", DiskIs::kFull},
+                                  {"slow", DiskIs::kSlow}, {"sync-fails", DiskIs::kSyncFails}};
+const TomlWords<TamperOutgoing> kSpoils = {{"any", TamperOutgoing::kAny},
+                                           {"noise", TamperOutgoing::kNoise},
+                                           {"bad-head", TamperOutgoing::kBadHead},
+                                           {"endless-head", TamperOutgoing::kEndlessHead},
+                                           {"short-length", TamperOutgoing::kShortLength},
+                                           {"long-length", TamperOutgoing::kLongLength},
+                                           {"huge", TamperOutgoing::kHuge},
+                                           {"second-answer", TamperOutgoing::kSecondAnswer},
+                                           {"noise-behind", TamperOutgoing::kNoiseBehind},
+                                           {"interim", TamperOutgoing::kInterim},
+                                           {"bad-report", TamperOutgoing::kBadReport}};
+const TomlWords<Idempotency> kEffects = {
     {"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}};
-const Words<DeduplicationScope> kGroups = {{"all", DeduplicationScope::kAll},
-                                           {"zone", DeduplicationScope::kZone},
-                                           {"cell", DeduplicationScope::kCell}};
+const TomlWords<DeduplicationScope> kGroups = {{"all", DeduplicationScope::kAll},
+                                               {"zone", DeduplicationScope::kZone},
+                                               {"cell", DeduplicationScope::kCell}};
 
 bool OnHosts(FaultKind kind) {
   return kind < FaultKind::kAdd;
 }
 
-// Collects what is wrong, so that one reading names it all.
-class Faults {
- public:
-  explicit Faults(std::string path) : path_(std::move(path)) {}
-  void Add(const toml::node* node, std::string_view key, std::string_view what,
-           std::string_view expected) {
-    const auto line = node != nullptr ? node->source().begin.line : 0;
-    lines_.push_back(
-        line > 0 ? fmt::format("{}:{}: {}: {}, expected {}", path_, line, key, what, expected)
-                 : fmt::format("{}: {}: {}, expected {}", path_, key, what, expected));
-  }
-  void Throw() const {
-    if (!lines_.empty()) {
-      throw ExperimentError(fmt::format("{}", fmt::join(lines_, "\n")));
-    }
-  }
-
- private:
-  std::string path_;
-  std::vector<std::string> lines_;
-};
-
-// One table of the file: each key is asked for once; what was never asked for is a fault.
-class Table {
- public:
-  Table(const toml::table& table, std::string at, Faults& faults)
-      : table_(table), at_(std::move(at)), faults_(faults) {}
-  Table(const Table&) = delete;
-  Table& operator=(const Table&) = delete;
-  ~Table() {
-    for (const auto& [key, node] : table_) {
-      if (known_.contains(std::string(key.str()))) {
-        continue;
-      }
-      std::vector<std::string> names(known_.begin(), known_.end());
-      faults_.Add(&node, Path(key.str()), "unknown key",
-                  fmt::format("one of {}", fmt::join(names, ", ")));
-    }
-  }
-
-  [[nodiscard]] const toml::node* Get(std::string_view key) {
-    known_.insert(std::string(key));
-    return table_.get(key);
-  }
-  void Fault(std::string_view key, std::string_view what, std::string_view expected) {
-    const toml::node* const node = table_.get(key);
-    faults_.Add(node != nullptr ? node : &table_, Path(key), what, expected);
-  }
-  void FaultAt(const toml::node* node, std::string_view key, std::string_view what,
-               std::string_view expected) {
-    faults_.Add(node, key, what, expected);
-  }
-  [[nodiscard]] std::string Path(std::string_view key) const {
-    return at_.empty() ? std::string(key) : fmt::format("{}.{}", at_, key);
-  }
-
-  void Read(std::string_view key, double& value, double least, double most) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    const auto read = Number(*node);
-    if (!read || !(*read >= least && *read <= most)) {
-      return faults_.Add(node, Path(key), "out of range or no number",
-                         fmt::format("a number from {} to {}", least, most));
-    }
-    value = *read;
-  }
-  void Read(std::string_view key, std::optional<double>& value, double least, double most) {
-    if (Get(key) == nullptr) {
-      return;
-    }
-    double read = least;
-    Read(key, read, least, most);
-    value = read;
-  }
-  template <typename Int>
-  requires std::is_integral_v<Int> &&
-      (!std::is_same_v<Int, bool>)void Read(std::string_view key, Int& value, Int least, Int most) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    const auto read = node->value_exact<int64_t>();
-    if (!read || *read < static_cast<int64_t>(least) ||
-        static_cast<uint64_t>(*read) > static_cast<uint64_t>(most)) {
-      return faults_.Add(node, Path(key), "out of range or no whole number",
-                         fmt::format("a whole number from {} to {}", least, most));
-    }
-    value = static_cast<Int>(*read);
-  }
-  void Read(std::string_view key, bool& value) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    if (!node->is_boolean()) {
-      return faults_.Add(node, Path(key), "no boolean", "true or false");
-    }
-    value = *node->value_exact<bool>();
-  }
-  void Read(std::string_view key, std::string& value) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    if (!node->is_string()) {
-      return faults_.Add(node, Path(key), "no text", "a text in quotes");
-    }
-    value = *node->value_exact<std::string>();
-  }
-  // `unit` is microseconds of one of the file's.
-  void ReadTime(std::string_view key, Duration& value, double unit, double most) {
-    double in_file = static_cast<double>(value.count()) / unit;
-    Read(key, in_file, 0, most);
-    value = Duration(std::llround(in_file * unit));
-  }
-  void ReadS(std::string_view key, Duration& value) { ReadTime(key, value, 1e6, kLengthMost); }
-  void ReadMs(std::string_view key, Duration& value) {
-    ReadTime(key, value, 1e3, kLengthMost * 1000);
-  }
-  // A number, or [low, high].
-  void Read(std::string_view key, Span& value, double least, double most) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    std::optional<double> low, high;
-    if (const toml::array* const both = node->as_array(); both != nullptr && both->size() == 2) {
-      low = Number(*both->get(0));
-      high = Number(*both->get(1));
-    } else {
-      low = high = Number(*node);
-    }
-    if (!low || !high || !(*low >= least && *low <= *high && *high <= most)) {
-      return faults_.Add(node, Path(key), "no range",
-                         fmt::format("a number, or [low, high], from {} to {}", least, most));
-    }
-    value = {*low, *high};
-  }
-  template <typename Enum>
-  void Read(std::string_view key, Enum& value, const Words<Enum>& words) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    const auto text = node->value_exact<std::string>().value_or("");
-    std::vector<std::string_view> expected;
-    for (const auto& [word, meaning] : words) {
-      if (word == text) {
-        value = meaning;
-        return;
-      }
-      expected.push_back(word);
-    }
-    faults_.Add(node, Path(key), fmt::format("'{}'", text),
-                fmt::format("one of {}", fmt::join(expected, ", ")));
-  }
-  // Calls `read` for each table of a list of tables.
-  template <typename Reader>
-  void Each(std::string_view key, const Reader& read) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    const toml::array* const list = node->as_array();
-    if (list == nullptr || !list->is_array_of_tables()) {
-      return faults_.Add(node, Path(key), "no list of tables", fmt::format("[[{}]]", Path(key)));
-    }
-    size_t place = 0;
-    for (const toml::node& entry : *list) {
-      Table table(*entry.as_table(), fmt::format("{}[{}]", Path(key), place++), faults_);
-      read(table);
-    }
-  }
-  template <typename Reader>
-  void One(std::string_view key, const Reader& read) {
-    const toml::node* const node = Get(key);
-    if (node == nullptr) {
-      return;
-    }
-    if (!node->is_table()) {
-      return faults_.Add(node, Path(key), "no table", fmt::format("[{}]", Path(key)));
-    }
-    Table table(*node->as_table(), Path(key), faults_);
-    read(table);
-  }
-
- private:
-  static std::optional<double> Number(const toml::node& node) {
-    if (node.is_integer()) {
-      return static_cast<double>(*node.value_exact<int64_t>());
-    }
-    if (node.is_floating_point()) {
-      return node.value_exact<double>();
-    }
-    return std::nullopt;
+void ThrowFaults(const TomlFaults& faults) {
+  if (!faults.lines().empty()) {
+    throw ExperimentError(fmt::format("{}", fmt::join(faults.lines(), "\n")));
   }
-  const toml::table& table_;
-  std::string at_;
-  Faults& faults_;
-  std::set<std::string> known_;
-};
+}
 
-HostGroup ReadHosts(Table& t) {
+HostGroup ReadHosts(TomlTable& t) {
   HostGroup g;
   t.Read("name", g.name);
   t.Read<size_t>("count", g.count, 1, kHostsMost);
   t.Read<int>("cores", g.cores, 1, 1024);
-  t.Read("speed", g.speed, 0.01, 100);
+  t.ReadRange("speed", g.speed.low, g.speed.high, 0.01, 100);
   t.Read("zone", g.zone);
   t.Read("kind", g.kind);
   t.Read<int>("cell", g.cell, 0, 1'000'000);
   t.Read<size_t>("held_most", g.held_most, 1, 1'000'000);
   t.Read<size_t>("connections_most", g.connections_most, 1, 1'000'000);
-  t.ReadMs("handshake_ms", g.handshake);
-  t.ReadMs("probe_work_ms", g.probe_work);
-  t.Read("report_ms", g.report_ms, 0, 10'000);
+  t.ReadMillis("handshake_ms", g.handshake);
+  t.ReadMillis("probe_work_ms", g.probe_work);
+  t.ReadRange("report_ms", g.report_ms.low, g.report_ms.high, 0, 10'000);
   t.Read("stops_work", g.stops_work);
   if (g.name.empty()) {
     t.Fault("name", "empty", "a name");
@@ -317,7 +115,7 @@
   return g;
 }
 
-ClassSpec ReadClass(Table& t) {
+ClassSpec ReadClass(TomlTable& t) {
   ClassSpec c;
   c.rules.latency_objective = Duration(1'000'000);
   c.rules.deadline = Duration(3'000'000);
@@ -327,16 +125,16 @@
   }
   t.Read("effect", c.rules.idempotency, kEffects);
   t.Read("group", c.rules.deduplication_scope, kGroups);
-  t.ReadMs("window_ms", c.rules.deduplication_window);
-  t.ReadMs("aim_ms", c.rules.latency_objective);
-  t.ReadMs("deadline_ms", c.rules.deadline);
+  t.ReadMillis("window_ms", c.rules.deduplication_window);
+  t.ReadMillis("aim_ms", c.rules.latency_objective);
+  t.ReadMillis("deadline_ms", c.rules.deadline);
   t.Read("worth", c.rules.priority_weight, 0, 1e6);
   t.Read("late_share", c.rules.late_value_fraction, 0, 1);
   t.Read("share", c.share, 0, 1e6);
-  t.Read("work_ms", c.work_ms, 0, 60'000);
-  t.Read("wait_ms", c.wait_ms, 0, 60'000);
-  t.Read("body_bytes", c.body_bytes, 0, 65'536);
-  t.Read("answer_bytes", c.answer_bytes, 0, 65'000);
+  t.ReadRange("work_ms", c.work_ms.low, c.work_ms.high, 0, 60'000);
+  t.ReadRange("wait_ms", c.wait_ms.low, c.wait_ms.high, 0, 60'000);
+  t.ReadRange("body_bytes", c.body_bytes.low, c.body_bytes.high, 0, 65'536);
+  t.ReadRange("answer_bytes", c.answer_bytes.low, c.answer_bytes.high, 0, 65'000);
   if (c.rules.latency_objective <= Duration(0)) {
     t.Fault("aim_ms", "0", "more than 0");
   }
@@ -349,15 +147,15 @@
   return c;
 }
 
-Fault ReadFault(Table& t) {
+Fault ReadFault(TomlTable& t) {
   Fault f;
   if (t.Get("kind") == nullptr) {
     t.Fault("kind", "missing", "a kind of fault");
   }
   t.Read("kind", f.kind, kFaultKinds);
   t.Read("kind", f.name);
-  t.ReadS("at_s", f.at);
-  t.ReadS("for_s", f.lasts);
+  t.ReadSeconds("at_s", f.at);
+  t.ReadSeconds("for_s", f.lasts);
   t.Read("hosts", f.hosts, 0, 1);
   t.Read<size_t>("count", f.count, 1, kHostsMost);
   if (const toml::node* const names = t.Get("names")) {
@@ -372,11 +170,11 @@
   t.Read("zone", f.zone);
   t.Read("factor", f.factor, 0.01, 1000);
   t.Read("share", f.share, 0, 1);
-  t.ReadS("down_s", f.down);
-  t.ReadS("leave_s", f.leave);
-  t.ReadMs("stop_ms", f.stop);
-  t.ReadS("every_s", f.every);
-  t.ReadMs("lag_ms", f.lag);
+  t.ReadSeconds("down_s", f.down);
+  t.ReadSeconds("leave_s", f.leave);
+  t.ReadMillis("stop_ms", f.stop);
+  t.ReadSeconds("every_s", f.every);
+  t.ReadMillis("lag_ms", f.lag);
   t.Read("how", f.spoil, kSpoils);
   t.Read<size_t>("gateway", f.gateway, 0, 10'000);
   t.Read("class", f.cls);
@@ -396,7 +194,7 @@
   }
   t.Read("ways", f.ways, kWays);
   t.Read("resets", f.resets);
-  t.Read("delay_ms", f.delay_ms, 0, 60'000);
+  t.ReadRange("delay_ms", f.delay_ms.low, f.delay_ms.high, 0, 60'000);
   t.Read<size_t>("bytes_per_s", f.bytes_per_s, 1, 1'000'000'000);
   t.Read("disk", f.disk, kDisks);
   const int ways = (f.hosts > 0 ? 1 : 0) + (f.count > 0 ? 1 : 0) + (f.names.empty() ? 0 : 1);
@@ -413,7 +211,7 @@
   return f;
 }
 
-void ReadLoad(Table& t, LoadSpec& load) {
+void ReadLoad(TomlTable& t, LoadSpec& load) {
   const toml::node* const rate = t.Get("rate");
   if (rate == nullptr) {
     t.Fault("rate", "missing", "requests a second, or [[second, rate], ...]");
@@ -439,11 +237,11 @@
   t.Read<size_t>("connections_most", load.connections_most, 1, 100'000);
   t.Read<size_t>("idle_connections", load.idle_connections, 0, 100'000);
   t.Read<int>("retries", load.retries, 0, 10);
-  t.Read("retry_wait_ms", load.retry_wait_ms, 0, 60'000);
+  t.ReadRange("retry_wait_ms", load.retry_wait_ms.low, load.retry_wait_ms.high, 0, 60'000);
   t.Read("leave_share", load.leave_share, 0, 1);
   t.Read("trickle_share", load.trickle_share, 0, 1);
   t.Read("once_share", load.once_share, 0, 1);
-  t.Each("bad", [&](Table& b) {
+  t.ReadEach("bad", [&](TomlTable& b) {
     BadClients bad;
     bad.to = Duration(std::llround(kLengthMost * 1e6));
     if (b.Get("kind") == nullptr) {
@@ -451,13 +249,13 @@
     }
     b.Read("kind", bad.kind, kBadKinds);
     b.Read("per_s", bad.per_s, 0.01, 10'000);
-    b.ReadS("from_s", bad.from);
-    b.ReadS("to_s", bad.to);
+    b.ReadSeconds("from_s", bad.from);
+    b.ReadSeconds("to_s", bad.to);
     load.bad.push_back(bad);
   });
 }
 
-void ReadMust(Table& t, Must& must) {
+void ReadMust(TomlTable& t, Must& must) {
   t.Read("worth_share_least", must.worth_share_least, 0, 1);
   t.Read("served_share_least", must.served_share_least, 0, 1);
   t.Read("refused_share_most", must.refused_share_most, 0, 1);
@@ -473,10 +271,10 @@
   t.Read("unavailable_ms_most", must.unavailable_ms_most, 0, 1e6);
   t.Read("follow_ms_p50_most", must.follow_ms_p50_most, 0, 1e6);
   t.Read("changes_done_share_least", must.changes_done_share_least, 0, 1);
-  t.Each("window", [&](Table& w) {
+  t.ReadEach("window", [&](TomlTable& w) {
     WindowMust window;
-    w.ReadS("from_s", window.from);
-    w.ReadS("to_s", window.to);
+    w.ReadSeconds("from_s", window.from);
+    w.ReadSeconds("to_s", window.to);
     w.Read("worth_share_least", window.worth_share_least, 0, 1);
     if (window.to <= window.from) {
       w.Fault("to_s", "not after from_s", "a later second");
@@ -485,22 +283,22 @@
   });
 }
 
-void ReadRules(Table& t, Experiment& e) {
-  t.ReadS("drain_grace_s", e.drain_grace);
+void ReadRules(TomlTable& t, Experiment& e) {
+  t.ReadSeconds("drain_grace_s", e.drain_grace);
   t.Read("cold_from", e.slow_start_initial_capacity, 0.01, 1);
-  t.ReadS("warm_s", e.slow_start_duration);
+  t.ReadSeconds("warm_s", e.slow_start_duration);
   t.Read("fall_multiple", e.overload_collapse_multiple, 1, 100);
-  t.ReadS("fall_s", e.fall);
+  t.ReadSeconds("fall_s", e.fall);
   t.Read<int>("send_cap", e.max_attempts, 1, 100);
-  t.ReadMs("connect_timeout_ms", e.connect_timeout);
-  t.ReadS("idle_close_s", e.idle_close);
-  t.ReadS("list_every_s", e.list_every);
+  t.ReadMillis("connect_timeout_ms", e.connect_timeout);
+  t.ReadSeconds("idle_close_s", e.idle_close);
+  t.ReadSeconds("list_every_s", e.list_every);
   t.Read("probes", e.probes);
   t.Read("retry_after", e.retry_after);
   t.Read("marks_retry", e.marks_retry);
 }
 
-void CheckTogether(Table& t, Experiment& e) {
+void CheckTogether(TomlTable& t, Experiment& e) {
   if (e.hosts.empty()) {
     t.Fault("hosts", "missing", "at least one [[hosts]]");
   }
@@ -627,29 +425,24 @@
 Experiment ParseExperiment(std::string_view text, const std::string& path) {
   Experiment e;
   e.path = path;
-  toml::table root;
-  try {
-    root = toml::parse(text);
-  } catch (const toml::parse_error& error) {
-    throw ExperimentError(fmt::format("{}:{}: {}, expected TOML", path, error.source().begin.line,
-                                      error.description()));
-  }
-  Faults faults(path);
+  TomlFaults faults(path);
+  const std::optional<toml::table> root = faults.Parse(text);
+  ThrowFaults(faults);
   {
-    Table t(root, "", faults);
+    TomlTable t(*root, "", faults);
     t.Read("name", e.name);
     t.Read("about", e.about);
     t.Read<uint64_t>("seed", e.seed, 0, INT64_MAX);
-    t.ReadS("seconds", e.length);
+    t.ReadSeconds("seconds", e.length);
     if (e.name.empty()) {
       t.Fault("name", "missing", "the experiment's name");
     }
     if (e.length < Duration(1'000'000)) {
       t.Fault("seconds", "under 1", "1 to 3600");
     }
-    t.Each("hosts", [&](Table& h) { e.hosts.push_back(ReadHosts(h)); });
-    t.Each("classes", [&](Table& c) { e.classes.push_back(ReadClass(c)); });
-    t.Each("tenants", [&](Table& n) {
+    t.ReadEach("hosts", [&](TomlTable& h) { e.hosts.push_back(ReadHosts(h)); });
+    t.ReadEach("classes", [&](TomlTable& c) { e.classes.push_back(ReadClass(c)); });
+    t.ReadEach("tenants", [&](TomlTable& n) {
       TenantSpec tenant;
       n.Read("name", tenant.name);
       n.Read("share", tenant.share, 0, 1);
@@ -661,8 +454,8 @@
     if (t.Get("load") == nullptr) {
       t.Fault("load", "missing", "[load]");
     }
-    t.One("load", [&](Table& l) { ReadLoad(l, e.load); });
-    t.One("gateway", [&](Table& g) {
+    t.ReadTable("load", [&](TomlTable& l) { ReadLoad(l, e.load); });
+    t.ReadTable("gateway", [&](TomlTable& g) {
       g.Read<size_t>("count", e.gateway.count, 1, 200);
       g.Read<size_t>("sockets", e.gateway.sockets, 64, 1'000'000);
       g.Read("listen", e.gateway.listen);
@@ -670,24 +463,24 @@
         e.gateway.settings_json = ToJson(*settings).dump();
       }
     });
-    t.One("bank", [&](Table& b) {
+    t.ReadTable("bank", [&](TomlTable& b) {
       e.bank.on = true;
       b.Read<size_t>("voters", e.bank.voters, 1, 9);
-      b.ReadMs("change_every_ms", e.bank.change_every);
-      b.ReadS("quiet_last_s", e.bank.quiet_last);
+      b.ReadMillis("change_every_ms", e.bank.change_every);
+      b.ReadSeconds("quiet_last_s", e.bank.quiet_last);
       b.Read("drains", e.bank.drains);
       b.Read("effects", e.bank.effects);
       b.Read<size_t>("hollow", e.bank.hollow, 0, 5000);
       b.Read<size_t>("hollow_restarts", e.bank.hollow_restarts, 0, 5000);
       b.Read<size_t>("hollow_cuts", e.bank.hollow_cuts, 0, 5000);
       b.Read("hollow_stalls", e.bank.hollow_stalls);
-      b.ReadMs("hollow_stall_ms", e.bank.hollow_stall);
+      b.ReadMillis("hollow_stall_ms", e.bank.hollow_stall);
       b.Read<size_t>("hollow_read_bytes_per_s", e.bank.hollow_read_bytes_per_s, 0, 1'000'000'000);
-      b.ReadS("hollow_faults_at_s", e.bank.hollow_faults_at);
+      b.ReadSeconds("hollow_faults_at_s", e.bank.hollow_faults_at);
       b.Read("deltas", e.bank.deltas);
       b.Read<size_t>("version_tenants", e.bank.version_tenants, 0, 70'000);
       if (b.Get("clocks") != nullptr) {
-        b.One("clocks", [&](Table& clocks) {
+        b.ReadTable("clocks", [&](TomlTable& clocks) {
           for (size_t i = 0; i < e.gateway.count; ++i) {
             double factor = 1;
             clocks.Read(fmt::format("g{}", i), factor, 0.5, 2);
@@ -710,12 +503,12 @@
         b.Fault("hollow_stall_ms", "0", "more than 0");
       }
     });
-    t.One("rules", [&](Table& r) { ReadRules(r, e); });
-    t.Each("faults", [&](Table& f) { e.faults.push_back(ReadFault(f)); });
-    t.One("must", [&](Table& m) { ReadMust(m, e.must); });
+    t.ReadTable("rules", [&](TomlTable& r) { ReadRules(r, e); });
+    t.ReadEach("faults", [&](TomlTable& f) { e.faults.push_back(ReadFault(f)); });
+    t.ReadTable("must", [&](TomlTable& m) { ReadMust(m, e.must); });
     CheckTogether(t, e);
   }
-  faults.Throw();
+  ThrowFaults(faults);
   return e;
 }
 
