--- a/src/cli/cluster_commands.h
+++ b/src/cli/cluster_commands.h
@@ -1,21 +1,22 @@
-// `paddlestile bank`: an operator's calls to the members of a bank.
+// `paddlestile bank ...`: an operator's calls to the members of the cluster, which the command line
+// calls a bank. Each subcommand has a file of its own, cluster_NAME_command.cpp.
 #ifndef PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
 #define PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
 
-#include <functional>
-#include <nlohmann/json.hpp>
-#include <optional>
-
-#include "config/gateway_config.h"
-
-namespace CLI {
-class App;
-}
+#include "cli/subcommand.h"
 
 namespace paddlestile {
 
-// Adds the commands; what it gives runs the one that was parsed: an exit code, or -1 for none.
-std::function<int()> AddBankCommands(CLI::App& app);
+// Adds `bank` with all of its subcommands. Its exit codes: 0 done, 1 not done, 2 wrong usage.
+Subcommand AddClusterCommands(CLI::App& app);
+
+// One function a subcommand, which adds it to `bank`.
+Subcommand AddClusterInitCommand(CLI::App& bank);
+Subcommand AddClusterStatusCommand(CLI::App& bank);
+Subcommand AddClusterHistoryCommand(CLI::App& bank);
+Subcommand AddClusterDiffCommand(CLI::App& bank);
+Subcommand AddClusterChangeCommand(CLI::App& bank);
+Subcommand AddClusterVotersCommand(CLI::App& bank);
 
 }  // namespace paddlestile
 
--- a/src/cli/lab_commands.h
+++ b/src/cli/lab_commands.h
@@ -1,25 +1,34 @@
-// `paddlestile lab ...`: the lab's part of the command line.
+// `paddlestile lab ...`: the lab's part of the command line. Each subcommand has a file of its own,
+// lab_NAME_command.cpp.
 #ifndef PADDLESTILE_CLI_LAB_COMMANDS_H_
 #define PADDLESTILE_CLI_LAB_COMMANDS_H_
 
-#include <functional>
 #include <string>
 #include <vector>
 
-namespace CLI {
-class App;
-}
+#include "cli/subcommand.h"
 
 namespace paddlestile::lab {
 
-// Adds the subcommand `lab`. What is returned carries out what was parsed and gives the exit code:
-// 0 done or held, 1 it did not hold, 2 wrong usage; nothing is carried out where `lab` was not
-// asked for, and -1 comes back.
-std::function<int()> AddCommands(CLI::App& app);
+// Adds `lab` with all of its subcommands. Its exit codes: 0 done or held, 1 it did not hold, 2
+// wrong usage.
+Subcommand AddLabCommands(CLI::App& app);
 
-// All that is wrong in an experiment file, a line each; empty: it can be played.
+// All faults of the experiment file at `path`, a line each; empty: it can be run.
 std::vector<std::string> CheckExperiment(const std::string& path);
 
+// One function a subcommand, which adds it to `lab`.
+Subcommand AddRunCommand(CLI::App& lab);
+Subcommand AddListCommand(CLI::App& lab);
+Subcommand AddReportCommand(CLI::App& lab);
+Subcommand AddFleetReportCommand(CLI::App& lab);
+Subcommand AddBenchCommand(CLI::App& lab);
+Subcommand AddGatewayCommand(CLI::App& lab);
+Subcommand AddWorldCommand(CLI::App& lab);
+Subcommand AddScaleCommand(CLI::App& lab);
+Subcommand AddHollowCommand(CLI::App& lab);
+Subcommand AddCapacityCommand(CLI::App& lab);
+
 }  // namespace paddlestile::lab
 
 #endif  // PADDLESTILE_CLI_LAB_COMMANDS_H_
--- /dev/null
+++ b/src/cli/subcommand.h
@@ -0,0 +1,29 @@
+// A subcommand of the command line together with what carries it out.
+#ifndef PADDLESTILE_CLI_SUBCOMMAND_H_
+#define PADDLESTILE_CLI_SUBCOMMAND_H_
+
+#include <CLI/CLI.hpp>
+#include <functional>
+#include <optional>
+#include <vector>
+
+namespace paddlestile {
+
+struct Subcommand {
+  CLI::App* app = nullptr;   // owned by the application that it was added to
+  std::function<int()> run;  // to be called after parsing; returns an exit code
+};
+
+// Runs the subcommand that was parsed; nullopt where none of them was.
+inline std::optional<int> RunParsed(const std::vector<Subcommand>& subcommands) {
+  for (const Subcommand& subcommand : subcommands) {
+    if (subcommand.app->parsed()) {
+      return subcommand.run();
+    }
+  }
+  return std::nullopt;
+}
+
+}  // namespace paddlestile
+
+#endif  // PADDLESTILE_CLI_SUBCOMMAND_H_
--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -1,4 +1,4 @@
-// The program itself: what it says of a bad start, and how it leaves.
+// The program as a process: its command line, logs, signals, exit codes and memory.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -46,7 +46,7 @@
 
   void Start() {
     child_.Kill();
-    child_.Start(env_, words_);
+    child_.Start(env_, arguments_);
   }
   const std::string& Text() { return child_.Text(); }
   bool Says(const std::string& what) { return child_.Says(what); }
@@ -55,7 +55,7 @@
   Port discovery;
   Address address;
   std::map<std::string, std::string> env_;
-  std::vector<std::string> words_;  // behind the program's name
+  std::vector<std::string> arguments_;  // after the program's name
   std::string path_;
 
  private:
@@ -65,16 +65,16 @@
   [[nodiscard]] pid_t pid() const { return child_.pid(); }
 };
 
-TEST_F(Program, ABadStartEndsAtOnceWithOneLine) {
+TEST_F(Program, InvalidStartEndsAtOnceWithOneLine) {
   env_.erase("LB_DISCOVERY");
   Start();
   EXPECT_EQ(Wait(), 1);
   EXPECT_EQ(Text(), "error: paddlestile: LB_DISCOVERY is not set\n");
 }
 
-// One object a line, whatever a peer or a file puts into it: nobody forges a line or a field.
-TEST_F(Program, LogsJsonThatCannotBeForged) {
-  words_ = {"--log-format", "json", "serve"};
+// One JSON object a line: text from a peer or a file adds neither a line nor a field.
+TEST_F(Program, JsonLogLinesCannotBeForged) {
+  arguments_ = {"--log-format", "json", "serve"};
   env_["LB_LISTEN"] = "x\"}\n{\"level\":\"info\xff";
   Start();
   EXPECT_EQ(Wait(), 1);
@@ -86,14 +86,14 @@
   EXPECT_EQ(line.size(), 3u);
 }
 
-TEST_F(Program, AWrongCommandLineEndsWithTwo) {
-  words_ = {"serf"};
+TEST_F(Program, WrongCommandLineExitsWithTwo) {
+  arguments_ = {"serf"};
   Start();
   EXPECT_EQ(Wait(), 2);
   EXPECT_EQ(std::ranges::count(Text(), '\n'), 1) << Text();
 }
 
-TEST_F(Program, BadSettingsAreNamed) {
+TEST_F(Program, NamesInvalidSettings) {
   std::ofstream(path_) << R"({"seed":"1","known":{"revision":0,"members":[]},)"
                           R"("settings":{"Classes":[{"Name":"a","Slo":0.0,"Deadline":1.0}]}})";
   Start();
@@ -104,7 +104,7 @@
                         "most\n");
 }
 
-TEST_F(Program, AnAddressInUseIsNamed) {
+TEST_F(Program, NamesAnAddressInUse) {
   Port taken;
   env_["LB_LISTEN"] = taken.text();
   Start();
@@ -112,13 +112,14 @@
   EXPECT_NE(Text().find("listen on " + taken.text()), std::string::npos) << Text();
 }
 
-TEST_F(Program, TellsItsCountersOnRequestAndAtItsEnd) {
+TEST_F(Program, LogsCountersOnRequestAndAtTheEnd) {
   Start();
   ASSERT_TRUE(Says("listens on"));
   Peer client = Peer::To(address);
   client.Say("GET /_health HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i)
+  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) {
     usleep(5000);
+  }
   ASSERT_TRUE(client.Has("200 OK"));
   kill(pid(), SIGUSR1);
   ASSERT_TRUE(Says("counters: clients="));
@@ -130,17 +131,18 @@
   EXPECT_TRUE(client.Ended());
 }
 
-// The counts of a fleet are added up by second, from lines that each gateway writes by itself.
-TEST_F(Program, TellsItsCountersOnABeatWithTheTime) {
-  words_ = {"serve", "--counters-every", "0.1"};
+// `lab fleet-report` adds up the counters of all gateways by second, from these lines.
+TEST_F(Program, LogsCountersPeriodicallyWithTheTime) {
+  arguments_ = {"serve", "--counters-every", "0.1"};
   Start();
   ASSERT_TRUE(Says("listens on"));
   std::string text;
   for (int i = 0; i < 1000 && std::ranges::count(text, '@') < 3; ++i) {
     usleep(5000);
     text = Text();
-    for (size_t at = 0; (at = text.find("counters: ", at)) != std::string::npos;)
+    for (size_t at = 0; (at = text.find("counters: ", at)) != std::string::npos;) {
       text[at] = '@';
+    }
   }
   EXPECT_GE(std::ranges::count(text, '@'), 3) << text;
   const size_t at = text.find(" at=");
@@ -152,20 +154,22 @@
   EXPECT_GT(std::stol(text.substr(memory + 11)), 500) << text;
 }
 
-// Whether somebody has begun a watch at a port.
+// Whether a gateway has begun a watch at a port.
 bool Watched(Port& port, Peer& peer) {
   for (int i = 0; i < 1000; ++i) {
-    if (!peer)
+    if (!peer) {
       peer = port.TryTake();
-    if (peer && peer.Has("follow=1"))
+    }
+    if (peer && peer.Has("follow=1")) {
       return true;
+    }
     usleep(5000);
   }
   return false;
 }
 
-// SIGHUP, more than once and while draining: the file is read again, and nothing else changes.
-TEST_F(Program, ReadsItsConfigurationAgainOnHangUp) {
+// SIGHUP, more than once and while draining: the file is reloaded, and nothing else changes.
+TEST_F(Program, ReloadsItsConfigurationOnHangUp) {
   const auto write = [&](const std::string& discovery_text) {
     std::string text = kConfig;
     text.insert(1, R"("discovery":")" + discovery_text + R"(",)");
@@ -178,8 +182,9 @@
   first.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
   Peer client = Peer::To(address);
   client.Say("GET /_health HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i)
+  for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) {
     usleep(5000);
+  }
 
   std::ofstream(path_) << kConfig.substr(0, 100);  // half of it, at first
   kill(pid(), SIGHUP);
@@ -189,8 +194,9 @@
   write(elsewhere.text());
   ASSERT_TRUE(Watched(elsewhere, second));  // without a second signal
   second.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-  for (int i = 0; i < 1000 && !first.Ended(); ++i)
+  for (int i = 0; i < 1000 && !first.Ended(); ++i) {
     usleep(5000);
+  }
   EXPECT_TRUE(first.Ended());
 
   std::remove(path_.c_str());
@@ -207,8 +213,8 @@
   EXPECT_EQ(Wait(), 0);
 }
 
-// What an operator's move runs: a file of a bank's proxy in, one for a gateway beside its client
-// out. Nothing may be lost on the way, neither a key nor a file that is there.
+// `paddlestile migrate`: from the file of a shared proxy to that of a gateway beside its client. No
+// key and no existing file may be lost.
 class Migration : public Program {
  protected:
   Migration() {
@@ -221,8 +227,8 @@
   }
   ~Migration() override { std::remove(to_.c_str()); }
   // The exit code of one call; its text is in Text().
-  int Call(const std::vector<std::string>& words) {
-    words_ = words;
+  int Call(const std::vector<std::string>& arguments) {
+    arguments_ = arguments;
     Start();
     return Wait();
   }
@@ -233,7 +239,7 @@
   std::string to_;
 };
 
-TEST_F(Migration, WritesAFileThatPassesTheCheckAndStartsAGateway) {
+TEST_F(Migration, WritesAFileThatIsValidAndStartsAGateway) {
   const std::string before = Slurp(path_);
   ASSERT_EQ(Call({"migrate", path_, "--gateways", "900", "--warm-keys", "--to", to_}), 0) << Text();
   for (const char* const line :
@@ -251,12 +257,12 @@
   EXPECT_EQ(json["listen"], "127.0.0.1:5000");
   EXPECT_EQ(Call({"check", to_}), 0) << Text();
   env_["LB_CONFIG"] = to_;
-  words_.clear();
+  arguments_.clear();
   Start();
   EXPECT_TRUE(Says("listens on"));
 }
 
-TEST_F(Migration, ADryRunWritesNothing) {
+TEST_F(Migration, DryRunWritesNothing) {
   const std::string before = Slurp(path_);
   EXPECT_EQ(Call({"migrate", path_, "--gateways", "900", "--dry-run"}), 0);
   EXPECT_NE(Text().find("changed: settings.NInstances"), std::string::npos) << Text();
@@ -264,10 +270,10 @@
   EXPECT_NE(access(to_.c_str(), F_OK), 0);
 }
 
-TEST_F(Migration, WhatCannotBeDoneIsOneLineAndLeavesAllAsItWas) {
-  const auto fails = [&](const std::vector<std::string>& words, const std::string& what) {
+TEST_F(Migration, FailureIsOneLineAndChangesNothing) {
+  const auto fails = [&](const std::vector<std::string>& arguments, const std::string& what) {
     const size_t from = Text().size();
-    EXPECT_EQ(Call(words), 2) << what;
+    EXPECT_EQ(Call(arguments), 2) << what;
     const std::string said = Text().substr(from);
     EXPECT_EQ(std::ranges::count(said, '\n'), 1) << said;
     EXPECT_NE(said.find(what), std::string::npos) << said;
@@ -291,9 +297,9 @@
   EXPECT_EQ(Slurp(to_), written);
 }
 
-// Sixty answers of 32 MiB to clients that read nothing, then sixty requests as long to a host that
-// does not: what the program holds of them is bounded, whatever their length.
-TEST_F(Program, HoldsDozensOfSlowLargeBodiesInItsMemory) {
+// Sixty responses of 32 MiB to clients that read nothing, then sixty such requests to a host that
+// reads nothing: the memory for their bodies is bounded, whatever their length.
+TEST_F(Program, BoundsMemoryForDozensOfSlowLargeBodies) {
   Port host;
   std::string config = kConfig;
   config.replace(config.find("256"), 3, "1024");
@@ -317,32 +323,35 @@
     for (int round = 0; round < 600; ++round) {
       while (Peer peer = host.TryTake()) {
         hosts.push_back(std::move(peer));
-        if (answers)
+        if (answers) {
           hosts.back().Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
+        }
       }
       for (Peer& peer : answers ? hosts : clients) {
         const ssize_t n = send(peer.fd(), part.data(), part.size(), MSG_NOSIGNAL);
-        if (n > 0)
+        if (n > 0) {
           sent += static_cast<size_t>(n);
+        }
       }
       usleep(2000);
     }
-    EXPECT_GE(hosts.size(), 36u);         // some are refused at a host that nothing is known of
+    EXPECT_GE(hosts.size(), 36u);         // some are rejected, as the host's capacity is unknown
     EXPECT_GT(sent, hosts.size() << 20);  // most of it in the kernel's buffers
   }
 #ifndef __SANITIZE_ADDRESS__  // which keeps its own memory
   std::ifstream status("/proc/" + std::to_string(pid()) + "/status");
   long kib = 0;
   for (std::string line; std::getline(status, line);) {
-    if (line.starts_with("VmHWM:"))
+    if (line.starts_with("VmHWM:")) {
       kib = std::stol(line.substr(6));
+    }
   }
   EXPECT_LT(kib, 32L * 1024);
 #endif
 }
 
-// Each of five hundred clients has sent all but the last byte of the longest body.
-TEST_F(Program, HoldsATableOfLongRequestsInItsMemory) {
+// Five hundred clients, each of which has sent all but the last byte of the longest body.
+TEST_F(Program, BoundsMemoryForATableOfLongRequests) {
   rlimit files{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &files), 0);
   files.rlim_cur = std::min<rlim_t>(files.rlim_max, 4096);
@@ -356,34 +365,39 @@
   const std::string text = head + std::string(65535, 'x');
   std::vector<Peer> clients;
   std::vector<size_t> sent(500, 0);
-  for (size_t i = 0; i < sent.size(); ++i)
+  for (size_t i = 0; i < sent.size(); ++i) {
     clients.push_back(Peer::To(address));
+  }
   // A part to each in turn: the sockets take no whole body at once.
   for (int round = 0; round < 5000; ++round) {
     size_t left = 0;
     for (size_t i = 0; i < sent.size(); ++i) {
       const std::string_view rest = std::string_view(text).substr(sent[i]);
       const ssize_t n = send(clients[i].fd(), rest.data(), rest.size(), MSG_NOSIGNAL);
-      if (n > 0)
+      if (n > 0) {
         sent[i] += static_cast<size_t>(n);
+      }
       left += text.size() - sent[i];
     }
-    if (left == 0)
+    if (left == 0) {
       break;
+    }
     usleep(1000);
   }
   EXPECT_EQ(sent.back(), text.size());
-  Peer late = Peer::To(address);  // the loop has come round after all that
+  Peer late = Peer::To(address);  // served once the event loop has read all of it
   late.Say("GET /_health HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 1000 && !late.Has("200 OK"); ++i)
+  for (int i = 0; i < 1000 && !late.Has("200 OK"); ++i) {
     usleep(5000);
+  }
   EXPECT_TRUE(late.Has("200 OK"));
 #ifndef __SANITIZE_ADDRESS__  // which keeps its own memory
   std::ifstream status("/proc/" + std::to_string(pid()) + "/status");
   long kib = 0;
   for (std::string line; std::getline(status, line);) {
-    if (line.starts_with("VmHWM:"))
+    if (line.starts_with("VmHWM:")) {
       kib = std::stol(line.substr(6));
+    }
   }
   EXPECT_GT(kib, 30L * 1024);  // all of it is there
   EXPECT_LT(kib, 70L * 1024);
