--- a/src/lab/capacity.cpp
+++ b/src/lab/capacity.cpp
@@ -16,6 +16,8 @@
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
 
+#include "lab/result.h"
+
 namespace paddlestile::lab {
 namespace {
 
@@ -636,10 +638,9 @@
   need("command", r.contains("command") && r["command"].is_string(), "a text");
   need("commit", r.contains("commit") && r["commit"].is_string(), "a text");
   need("seed", r.contains("seed") && r["seed"].is_number_unsigned(), "a whole number");
-  const std::set<std::string> verdicts = {"held", "broken", "void"};
-  need("verdict",
-       r.contains("verdict") && r["verdict"].is_string() && verdicts.contains(r["verdict"]),
-       "held, broken or void");
+  const bool has_verdict = r.contains("verdict") && r["verdict"].is_string() &&
+                           ParseVerdict(r["verdict"].get<std::string>()).has_value();
+  need("verdict", has_verdict, "held, broken or void");
   if (!r.contains("members") && !r.contains("hosts")) {
     Fail(path + ": members", "missing, and hosts as well", "one of them, the run's size");
   }
--- a/src/lab/result.cpp
+++ b/src/lab/result.cpp
@@ -37,6 +37,15 @@
   return "";
 }
 
+std::optional<Verdict> ParseVerdict(std::string_view name) {
+  for (const Verdict verdict : {Verdict::kHeld, Verdict::kBroken, Verdict::kVoid}) {
+    if (NameOf(verdict) == name) {
+      return verdict;
+    }
+  }
+  return std::nullopt;
+}
+
 uint32_t Quantile(std::vector<uint32_t>& values, double part) {
   if (values.empty()) {
     return 0;
@@ -230,83 +239,109 @@
   return out.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
+namespace {
+
+Ledger::Counts ReadCounts(const json& file) {
+  const json& requests = file.at("requests");
+  Ledger::Counts counts;
+  counts.asked = requests.at("asked");
+  counts.served = requests.at("served");
+  counts.late = requests.at("late");
+  counts.refused = requests.at("refused");
+  counts.failed = requests.at("failed");
+  counts.lost = requests.at("lost");
+  counts.answered_twice = requests.at("answered_twice");
+  counts.tries = requests.at("tries");
+  counts.receipts = file.at("receipts").at("total");
+  counts.twice_unlawful = file.at("receipts").at("twice_unlawful");
+  counts.late_sends = file.at("drains").at("late_sends");
+  counts.fell_over = file.at("cold").at("fell_over");
+  counts.worth_asked = file.at("worth").at("asked");
+  counts.worth_served = file.at("worth").at("served");
+  return counts;
+}
+
+// Requests in flight by host; in a window of many hosts only their spread.
+std::vector<std::pair<std::string, size_t>> ReadInflight(const json& window) {
+  std::vector<std::pair<std::string, size_t>> inflight;
+  for (const auto& [name, value] : window.at("hosts").items()) {
+    inflight.emplace_back(name, value.get<size_t>());
+  }
+  if (!inflight.empty()) {
+    return inflight;
+  }
+  for (const char* const name : {"least", "median", "most"}) {
+    inflight.emplace_back(name, window.at("inflight").at(name).get<size_t>());
+  }
+  return inflight;
+}
+
+WindowResult ReadWindow(const json& file) {
+  WindowResult window;
+  window.at_s = file.at("at_s");
+  window.counts.asked = file.at("asked");
+  window.counts.served = file.at("served");
+  window.counts.late = file.at("late");
+  window.counts.refused = file.at("refused");
+  window.counts.failed = file.at("failed");
+  window.counts.worth_asked = file.at("worth").at("asked");
+  window.counts.worth_served = file.at("worth").at("served");
+  window.p50_us = file.at("latency_us").at("p50");
+  window.p99_us = file.at("latency_us").at("p99");
+  window.inflight = ReadInflight(file);
+  window.cpu_share = file.at("cpu_share");
+  window.rss_kb = file.at("rss_kb");
+  window.descriptors = file.at("descriptors");
+  return window;
+}
+
+void ReadFigures(const json& file, Result& result) {
+  result.worst_10s = file.at("worth").at("worst_10s");
+  result.p50_us = file.at("latency_us").at("p50");
+  result.p99_us = file.at("latency_us").at("p99");
+  result.p999_us = file.at("latency_us").at("p999");
+  result.cpu_us_per_request = file.at("gateway").at("cpu_us_per_request");
+  result.rss_kb_max = file.at("gateway").at("rss_kb_max");
+  result.descriptors_max = file.at("gateway").at("descriptors_max");
+  result.hosts = file.at("fleet").at("hosts");
+  result.gateways = file.at("fleet").at("gateways");
+  result.lab_cpu_share = file.at("lab").at("cpu_share");
+  result.lab_lag_ms_max = file.at("lab").at("lag_ms_max");
+}
+
+Result ReadResult(const json& file, const std::string& path) {
+  Result result;
+  result.experiment = file.at("experiment");
+  result.about = file.value("about", "");
+  result.path = path;
+  result.seed = file.at("seed");
+  result.seconds = file.at("seconds");
+  const std::string verdict = file.at("verdict");
+  result.verdict = ParseVerdict(verdict).value_or(Verdict::kVoid);
+  result.broken = file.at("broken").get<std::vector<std::string>>();
+  result.late = file.at("lab_late").get<std::vector<std::string>>();
+  result.counts = ReadCounts(file);
+  ReadFigures(file, result);
+  for (const json& fault : file.at("faults")) {
+    result.faults.push_back({fault.at("from_s"), fault.at("to_s"), fault.at("name"),
+                             fault.at("hosts").get<std::vector<std::string>>()});
+  }
+  for (const json& window : file.at("windows")) {
+    result.windows.push_back(ReadWindow(window));
+  }
+  result.logs = file.at("logs").get<std::vector<std::string>>();
+  return result;
+}
+
+}  // namespace
+
 Result ResultFromJson(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
     throw std::runtime_error(path + ": cannot read it, expected a result of lab run");
   }
   try {
-    const json j = json::parse(file);
-    Result r;
-    r.experiment = j.at("experiment");
-    r.about = j.value("about", "");
-    r.path = path;
-    r.seed = j.at("seed");
-    r.seconds = j.at("seconds");
-    const std::string verdict = j.at("verdict");
-    r.verdict = verdict == "held"     ? Verdict::kHeld
-                : verdict == "broken" ? Verdict::kBroken
-                                      : Verdict::kVoid;
-    r.broken = j.at("broken").get<std::vector<std::string>>();
-    r.late = j.at("lab_late").get<std::vector<std::string>>();
-    const json& q = j.at("requests");
-    Ledger::Counts& c = r.counts;
-    c.asked = q.at("asked");
-    c.served = q.at("served");
-    c.late = q.at("late");
-    c.refused = q.at("refused");
-    c.failed = q.at("failed");
-    c.lost = q.at("lost");
-    c.answered_twice = q.at("answered_twice");
-    c.tries = q.at("tries");
-    c.receipts = j.at("receipts").at("total");
-    c.twice_unlawful = j.at("receipts").at("twice_unlawful");
-    c.late_sends = j.at("drains").at("late_sends");
-    c.fell_over = j.at("cold").at("fell_over");
-    c.worth_asked = j.at("worth").at("asked");
-    c.worth_served = j.at("worth").at("served");
-    r.worst_10s = j.at("worth").at("worst_10s");
-    r.p50_us = j.at("latency_us").at("p50");
-    r.p99_us = j.at("latency_us").at("p99");
-    r.p999_us = j.at("latency_us").at("p999");
-    r.cpu_us_per_request = j.at("gateway").at("cpu_us_per_request");
-    r.rss_kb_max = j.at("gateway").at("rss_kb_max");
-    r.descriptors_max = j.at("gateway").at("descriptors_max");
-    r.hosts = j.at("fleet").at("hosts");
-    r.gateways = j.at("fleet").at("gateways");
-    r.lab_cpu_share = j.at("lab").at("cpu_share");
-    r.lab_lag_ms_max = j.at("lab").at("lag_ms_max");
-    for (const json& f : j.at("faults")) {
-      r.faults.push_back({f.at("from_s"), f.at("to_s"), f.at("name"),
-                          f.at("hosts").get<std::vector<std::string>>()});
-    }
-    for (const json& w : j.at("windows")) {
-      WindowResult window;
-      window.at_s = w.at("at_s");
-      window.counts.asked = w.at("asked");
-      window.counts.served = w.at("served");
-      window.counts.late = w.at("late");
-      window.counts.refused = w.at("refused");
-      window.counts.failed = w.at("failed");
-      window.counts.worth_asked = w.at("worth").at("asked");
-      window.counts.worth_served = w.at("worth").at("served");
-      window.p50_us = w.at("latency_us").at("p50");
-      window.p99_us = w.at("latency_us").at("p99");
-      for (const auto& [name, value] : w.at("hosts").items()) {
-        window.inflight.emplace_back(name, value.get<size_t>());
-      }
-      if (window.inflight.empty()) {
-        for (const char* const name : {"least", "median", "most"}) {
-          window.inflight.emplace_back(name, w.at("inflight").at(name).get<size_t>());
-        }
-      }
-      window.cpu_share = w.at("cpu_share");
-      window.rss_kb = w.at("rss_kb");
-      window.descriptors = w.at("descriptors");
-      r.windows.push_back(std::move(window));
-    }
-    r.logs = j.at("logs").get<std::vector<std::string>>();
-    return r;
+    return ReadResult(json::parse(file), path);
   } catch (const json::exception& error) {
     throw std::runtime_error(
         fmt::format("{}: {}, expected a result of lab run", path, error.what()));
--- a/src/lab/result.h
+++ b/src/lab/result.h
@@ -4,7 +4,9 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <utility>
 #include <vector>
 
@@ -65,7 +67,9 @@
   }
 };
 
+// The word for a verdict in results, and the verdict of a word; nullopt for another word.
 std::string_view NameOf(Verdict verdict);
+std::optional<Verdict> ParseVerdict(std::string_view name);
 
 // The exact quantile of values; 0 where there are none. Moves the values.
 uint32_t Quantile(std::vector<uint32_t>& values, double part);
