--- a/src/base/address.h
+++ b/src/base/address.h
@@ -9,13 +9,14 @@
 namespace paddlestile {
 
 struct Address {
-  uint32_t host = 0;  // IPv4, in host order
+  uint32_t host = 0;  // in host byte order
   uint16_t port = 0;
   bool operator==(const Address&) const = default;
 };
 
-// "10.0.0.4:5000"; throws ConfigError. There is no DNS.
+// Reads "10.0.0.4:5000"; host names are not resolved. Throws ConfigError.
 Address ParseAddress(std::string_view text);
+// As ParseAddress reads it.
 std::string ToText(const Address& address);
 
 }  // namespace paddlestile
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-// The monotonic clock of a process, and wall time on it.
+// The monotonic clock of a process, and conversion of wall time to it.
 #ifndef PADDLESTILE_BASE_CLOCK_H_
 #define PADDLESTILE_BASE_CLOCK_H_
 
@@ -8,18 +8,20 @@
 
 namespace paddlestile {
 
-// Both clocks, tied together once at the start: a host's start, told in wall time, must come out
-// the same each time it is told, or it would look like another start.
+// The two clocks are related once, at construction: the start of an endpoint, which comes as wall
+// time, must convert to the same value each time, or it would look like a restart.
 class Clock {
  public:
   Clock();
-  [[nodiscard]] Time Now() const;  // monotonic; begins an arbitrary while ago
-  // Unix time in milliseconds to the clock of Now(). What is 0 or before its beginning is 0.
+  // Monotonic; positive from the start.
+  [[nodiscard]] Time Now() const;
+  // Converts Unix time to the clock of Now(). 0 for values that are not positive, out of range, or
+  // before the origin.
   [[nodiscard]] Time FromUnixMillis(double unix_ms) const;
 
  private:
-  int64_t monotonic_origin_us_ = 0;  // the steady clock's reading at Time(0)
-  int64_t wall_origin_us_ = 0;       // the wall clock's at that moment
+  int64_t monotonic_origin_us_ = 0;  // std::chrono::steady_clock at Time(0)
+  int64_t wall_origin_us_ = 0;       // std::chrono::system_clock at Time(0)
 };
 
 }  // namespace paddlestile
--- a/src/base/config_error.h
+++ b/src/base/config_error.h
@@ -1,4 +1,4 @@
-// The error of settings, addresses and files that make no sense.
+// The error for invalid settings, addresses and files.
 #ifndef PADDLESTILE_BASE_CONFIG_ERROR_H_
 #define PADDLESTILE_BASE_CONFIG_ERROR_H_
 
@@ -6,7 +6,7 @@
 
 namespace paddlestile {
 
-// Its text is one line that names what is wrong, where, and what was expected.
+// what() is one line that names what is wrong, where, and what was expected.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/base/file_descriptor.cpp
+++ b/src/base/file_descriptor.cpp
@@ -5,7 +5,7 @@
 namespace paddlestile {
 
 void FileDescriptor::Reset() {
-  // Not repeated on EINTR: on Linux the descriptor is free by then.
+  // Not repeated on EINTR: Linux has closed the descriptor by then.
   if (fd_ >= 0) {
     close(fd_);
   }
--- a/src/base/file_descriptor.h
+++ b/src/base/file_descriptor.h
@@ -6,7 +6,7 @@
 
 namespace paddlestile {
 
-// Owns a descriptor.
+// Closes its descriptor when it goes. Not valid, with -1, when default constructed or moved from.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -24,6 +24,7 @@
   ~FileDescriptor() { Reset(); }
   [[nodiscard]] int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
+  // Closes the descriptor, if there is one.
   void Reset();
 
  private:
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,5 @@
-// Lines on standard error, through spdlog, at most so many a second: text for people, or one JSON
-// object a line. One thread logs at a time.
+// Log lines on standard error, at a limited rate: as text, or as one JSON object a line. Not
+// thread-safe.
 #ifndef PADDLESTILE_BASE_LOG_H_
 #define PADDLESTILE_BASE_LOG_H_
 
@@ -21,15 +21,15 @@
   kJson
 };
 
-// Lines below this are dropped; kInfo at first.
+// Lines below the level are dropped; kInfo at first.
 void SetLogLevel(LogLevel level);
 [[nodiscard]] bool IsLogEnabled(LogLevel level);
 
-// kText at first: "warning: words". kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
+// kText at first: "warning: text". kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
 void SetLogFormat(LogFormat format);
 
-// Writes one line. Control characters in it become '?', so that no peer can forge a line; in JSON,
-// what is no UTF-8 becomes U+FFFD.
+// Writes one line. Control characters in it become '?', so that no peer can forge a line. In JSON,
+// invalid UTF-8 becomes U+FFFD.
 void LogLine(LogLevel level, std::string_view text);
 
 template <typename... Args>
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -1,4 +1,4 @@
-// Reading numbers out of text.
+// Parsing of numbers.
 #ifndef PADDLESTILE_BASE_PARSE_NUMBER_H_
 #define PADDLESTILE_BASE_PARSE_NUMBER_H_
 
@@ -8,8 +8,8 @@
 
 namespace paddlestile {
 
-// A whole number of decimal digits and nothing else; nothing for any other text, and for a number
-// past 64 bits.
+// Reads an unsigned integer of decimal digits. Nothing for any other text, and for numbers of more
+// than 64 bits.
 std::optional<uint64_t> ParseWholeNumber(std::string_view text);
 
 }  // namespace paddlestile
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -7,7 +7,7 @@
 namespace paddlestile {
 
 using Duration = std::chrono::microseconds;
-// Time since an arbitrary beginning, by a clock that only ever advances.
+// A point in time, counted from an arbitrary origin by a monotonic clock.
 using Time = std::chrono::microseconds;
 
 }  // namespace paddlestile
--- /dev/null
+++ b/src/discovery/discovery_call.cpp
@@ -0,0 +1,206 @@
+#include "discovery/discovery_call.h"
+
+#include <fmt/format.h>
+
+#include <chrono>
+#include <string>
+#include <utility>
+
+namespace paddlestile {
+namespace {
+
+using std::chrono::seconds;
+
+// From one line of a watch to the next. Lines, empty ones at the least, are due every 2 s.
+constexpr Duration kLineTimeout = seconds(5);
+constexpr Duration kCallTimeout = seconds(2);  // to connect, and for a complete list
+constexpr size_t kMaxUnreadBytes = 1 << 17;    // then other connections have their turn
+constexpr int kContentTooLarge = 413;
+
+}  // namespace
+
+DiscoveryClient::Call::Call(DiscoveryClient& client, Socket socket, bool watch)
+    : client_(client),
+      loop_(client.loop_),
+      is_watch_(watch),
+      response_parser_(HttpParser::Kind::kResponse, client.max_list_bytes_),
+      stream_(client.loop_, std::move(socket), this, true) {
+  stream_.set_max_unread_bytes(kMaxUnreadBytes);
+}
+
+DiscoveryClient::Call::~Call() {
+  loop_.CancelTimer(timer_);
+}
+
+bool DiscoveryClient::Call::Start() {
+  if (!stream_.Start()) {
+    return false;
+  }
+  SetTimer(kCallTimeout);
+  return true;
+}
+
+void DiscoveryClient::Call::Stop() {
+  loop_.CancelTimer(timer_);
+  stream_.Close();
+}
+
+void DiscoveryClient::Call::SetTimer(Duration timeout) {
+  loop_.CancelTimer(timer_);
+  timer_ = loop_.RunAfter(timeout, [this] {
+    timer_ = {};
+    client_.OnCallFailed(*this, "silent");
+  });
+}
+
+void DiscoveryClient::Call::OnConnected() {
+  const std::string query =
+      is_watch_ ? fmt::format("?follow=1&since={:.0f}", client_.revision_) : std::string();
+  stream_.Write(fmt::format("GET /catalog/members{} HTTP/1.1\r\nHost: {}\r\n\r\n", query,
+                            ToText(client_.discovery_)));
+  // An agent that pushes sends what it has at once. One that accepts and sends nothing is asked
+  // again soon, or changes that a silent watch before it missed would come too late.
+  SetTimer(is_watch_ && !client_.self_renewing_watch_ ? kLineTimeout : kCallTimeout);
+  reachable_at_ = loop_.Now();
+}
+
+void DiscoveryClient::Call::OnError() {
+  client_.OnCallFailed(*this, "connection broken");
+}
+
+void DiscoveryClient::Call::OnData() {
+  if (!is_watch_) {
+    ReadPollResponse();
+  } else if (in_body_ || ReadWatchHead()) {
+    ReadWatchLines();
+  }
+  if (stream_.closed()) {
+    return;
+  }
+  if (stream_.ended()) {
+    return client_.OnCallFailed(*this, "connection ended");
+  }
+  ResumeReadingAfterRound();
+}
+
+// What is not read stays with the agent, which is not to send all of a list past the limit.
+void DiscoveryClient::Call::ResumeReadingAfterRound() {
+  if (!stream_.readable() || std::exchange(resume_scheduled_, true)) {
+    return;
+  }
+  loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
+    if (alive.expired()) {
+      return;
+    }
+    resume_scheduled_ = false;
+    stream_.ResumeReading();
+  });
+}
+
+// ---- Poll -----------------------------------------------------------------------------------
+
+void DiscoveryClient::Call::ReadPollResponse() {
+  const ParseProgress progress = response_parser_.Feed(stream_.input());
+  if (progress == ParseProgress::kNeedMore) {
+    // The parser limits the body; a response is buffered as one.
+    return stream_.set_max_unread_bytes(client_.max_list_bytes_ + kMaxHeadBytes);
+  }
+  if (progress == ParseProgress::kMalformed &&
+      response_parser_.error_status() == kContentTooLarge) {
+    return client_.OnOversizedList(*this);
+  }
+  const HttpMessage& message = response_parser_.message();
+  if (progress == ParseProgress::kMalformed || message.status != 200) {
+    return client_.OnCallFailed(*this, "malformed answer");
+  }
+  JsonParser parser;
+  if (!client_.Parse(parser, message.body.In(stream_.input().view())) ||
+      !client_.AcceptList(*this, parser, true)) {
+    return client_.OnCallFailed(*this, "malformed list");
+  }
+  client_.Close(client_.poll_);
+}
+
+// ---- Watch ----------------------------------------------------------------------------------
+
+bool DiscoveryClient::Call::ReadWatchHead() {
+  const ParseProgress progress = head_parser_.FeedHead(stream_.input());
+  if (progress == ParseProgress::kNeedMore) {
+    return false;
+  }
+  const HttpMessage& message = head_parser_.message();
+  if (progress == ParseProgress::kMalformed || message.status != 200 || !message.chunked) {
+    client_.OnCallFailed(*this, "malformed answer");
+    return false;
+  }
+  stream_.input().Consume(message.total_bytes);
+  in_body_ = true;
+  return true;
+}
+
+// Chunks may split lines anywhere, and reads may split chunks.
+void DiscoveryClient::Call::ReadWatchLines() {
+  Buffer& in = stream_.input();
+  if (in.empty()) {
+    return;
+  }
+  size_t read = 0, written = 0;
+  const ParseProgress progress = chunk_decoder_.Decode(in.view(), in.data(), read, written);
+  for (std::string_view text = in.view().substr(0, written); !text.empty();) {
+    const size_t line_end = text.find('\n');
+    const bool ends_line = line_end != std::string_view::npos;
+    const std::string_view piece = text.substr(0, ends_line ? line_end + 1 : line_end);
+    if (!ReadPiece(piece, ends_line)) {
+      return;
+    }
+    text.remove_prefix(piece.size());
+  }
+  in.Consume(in.size());
+  if (progress == ParseProgress::kMalformed) {
+    return client_.OnCallFailed(*this, "malformed framing");
+  }
+  if (progress == ParseProgress::kDone) {
+    client_.OnCallFailed(*this, "watch ended");
+  }
+}
+
+bool DiscoveryClient::Call::ReadPiece(std::string_view piece, bool ends_line) {
+  line_is_blank_ = line_is_blank_ && piece.find_first_not_of(" \t\r\n") == std::string_view::npos;
+  if (line_parser_.size() + piece.size() > client_.max_list_bytes_) {
+    client_.OnOversizedList(*this);
+    return false;
+  }
+  // Within an object no line begins with a brace: the next object begins, and this one was cut off.
+  const bool cut_off =
+      std::exchange(at_line_start_, ends_line) && line_parser_.open() && piece.front() == '{';
+  if (cut_off || !client_.Parse(line_parser_, piece) || (ends_line && !OnLineEnd())) {
+    client_.OnCallFailed(*this, "malformed line");
+    return false;
+  }
+  return true;
+}
+
+bool DiscoveryClient::Call::OnLineEnd() {
+  // Objects may be indented over several lines. An empty line stands by itself: an object before it
+  // was cut off.
+  if (line_parser_.open()) {
+    return !std::exchange(line_is_blank_, true) || client_.OnMalformed("a line cut short");
+  }
+  line_is_blank_ = true;
+  SetTimer(kLineTimeout);
+  reachable_at_ = loop_.Now();
+  client_.OnDelivered(*this);
+  const bool is_keep_alive = !line_parser_.begun();
+  const bool accepted = is_keep_alive || client_.AcceptList(*this, line_parser_, false);
+  line_parser_ = JsonParser();
+  if (!accepted || !client_.StaleForTooLong()) {
+    return accepted;
+  }
+  // The agent counts revisions in a way of its own: from now on these count, and the next watch
+  // asks for the complete list.
+  client_.revision_ = 0;
+  client_.stale_since_ = Time(-1);
+  return false;
+}
+
+}  // namespace paddlestile
--- a/src/event/buffer.cpp
+++ b/src/event/buffer.cpp
@@ -15,15 +15,14 @@
   std::swap(end_, other.end_);
 }
 
-char* Buffer::Prepare(size_t least) {
-  if (Room() < least) {
-    if (begin_ > 0 && capacity_ - size() >= least && begin_ >= size()) {
+char* Buffer::Prepare(size_t min_bytes) {
+  if (Room() < min_bytes) {
+    if (begin_ > 0 && capacity_ - size() >= min_bytes && begin_ >= size()) {
       std::memcpy(bytes_.get(), bytes_.get() + begin_, size());
     } else {
-      // By a quarter: a thousand clients may each hold a whole request, and doubling would hold
-      // twice what they sent.
-      const size_t capacity = size() + std::max(least, size() / 4);
-      // for_overwrite: what is read next needs no zeroes first.
+      // Grows by a quarter: a thousand clients may each have a buffered request, and doubling would
+      // hold twice what they sent.
+      const size_t capacity = size() + std::max(min_bytes, size() / 4);
       auto bytes = std::make_unique_for_overwrite<char[]>(capacity);
       if (size() > 0) {
         std::memcpy(bytes.get(), bytes_.get() + begin_, size());
--- a/src/event/buffer.h
+++ b/src/event/buffer.h
@@ -1,5 +1,5 @@
-// A growing buffer that bytes are read into, and slices of it. A message is looked at where it was
-// read; a whole buffer changes hands rather than its bytes.
+// A growing byte buffer, and ranges of it. Messages are parsed in the buffer that they were read
+// into; buffers are moved rather than copied.
 #ifndef PADDLESTILE_EVENT_BUFFER_H_
 #define PADDLESTILE_EVENT_BUFFER_H_
 
@@ -10,12 +10,14 @@
 
 namespace paddlestile {
 
-// A part of a buffer by place, so that it outlives the buffer's growth.
+// A part of a buffer, by position: valid when the buffer has grown or moved.
 struct Range {
-  size_t at = 0, size = 0;
+  size_t at = 0, size = 0;  // bytes
+  // The bytes; `base` is the content of the buffer.
   [[nodiscard]] std::string_view In(std::string_view base) const { return base.substr(at, size); }
 };
 
+// Content, followed by room for more. Not copyable.
 class Buffer {
  public:
   Buffer() = default;
@@ -29,9 +31,12 @@
   Buffer& operator=(const Buffer&) = delete;
   ~Buffer() = default;
 
-  // Room for at least `least` bytes behind the content; moves or copies it, so views into it end.
-  char* Prepare(size_t least);
+  // Makes room for at least `min_bytes` behind the content and returns where it begins. Invalidates
+  // views of the content.
+  char* Prepare(size_t min_bytes);
+  // Bytes of room behind the content.
   [[nodiscard]] size_t Room() const { return capacity_ - end_; }
+  // Adds the first `size` bytes of the room to the content.
   void Commit(size_t size);
   void Append(std::string_view text);
 
@@ -40,20 +45,21 @@
   [[nodiscard]] size_t size() const { return end_ - begin_; }
   [[nodiscard]] bool empty() const { return begin_ == end_; }
 
-  // Forgets all behind the first bytes.
+  // Drops all but the first `size` bytes of the content.
   void Truncate(size_t size);
 
-  // Forgets the first bytes. An emptied buffer gives its memory back.
+  // Drops the first `size` bytes of the content. An empty buffer frees its memory.
   void Consume(size_t size);
 
-  // The first bytes with the memory they lie in; what follows them stays here, as a copy.
+  // Moves the first `size` bytes out, with the memory that they lie in; the rest is copied.
   Buffer TakeFront(size_t size);
 
  private:
   void Swap(Buffer& other) noexcept;
 
   std::unique_ptr<char[]> bytes_;
-  size_t capacity_ = 0, begin_ = 0, end_ = 0;
+  size_t capacity_ = 0;
+  size_t begin_ = 0, end_ = 0;  // of the content, positions in bytes_
 };
 
 }  // namespace paddlestile
--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -18,17 +18,17 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-constexpr Duration kLag{20'000};          // us; a round that long delays others
-constexpr Duration kUrgentWait{50'000};   // us; for what is urgent, within a round
-constexpr int kLooksMost = 16;            // at the sockets, before timers have their turn
-constexpr uint64_t kUrgentToken = ~0ULL;  // of the inner epoll
+constexpr Duration kLagThreshold = std::chrono::milliseconds(20);    // longer rounds are counted
+constexpr Duration kUrgentInterval = std::chrono::milliseconds(50);  // within a long round
+constexpr int kMaxPollsPerRound = 16;     // of the sockets, before timers have their turn
+constexpr uint64_t kUrgentToken = ~0ULL;  // of urgent_epoll_
 
 }  // namespace
 
 EventLoop::EventLoop()
     : epoll_(epoll_create1(EPOLL_CLOEXEC)), urgent_epoll_(epoll_create1(EPOLL_CLOEXEC)) {
   epoll_event event{};
-  event.events = EPOLLIN;  // by level: told as long as anything urgent is left
+  event.events = EPOLLIN;  // level-triggered: reported as long as an urgent event is left
   event.data.u64 = kUrgentToken;
   if (!epoll_ || !urgent_epoll_ ||
       epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, urgent_epoll_.get(), &event) != 0) {
@@ -41,8 +41,8 @@
     free_slots_.push_back(static_cast<uint32_t>(slots_.size()));
     slots_.emplace_back();
   }
-  const uint32_t place = free_slots_.back();
-  token = (static_cast<uint64_t>(slots_[place].generation) << 32) | place;
+  const uint32_t index = free_slots_.back();
+  token = (static_cast<uint64_t>(slots_[index].generation) << 32) | index;
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = token;
@@ -50,27 +50,27 @@
   if (epoll_ctl(epoll.get(), EPOLL_CTL_ADD, fd, &event) != 0) {
     return false;
   }
-  slots_[place].handler = handler;
-  slots_[place].urgent = urgent;
+  slots_[index].handler = handler;
+  slots_[index].urgent = urgent;
   free_slots_.pop_back();
   return true;
 }
 
 void EventLoop::Unwatch(int fd, uint64_t token) {
-  const auto place = static_cast<uint32_t>(token);
-  if (!PADDLESTILE_CHECK(place < slots_.size() && slots_[place].generation == token >> 32)) {
+  const auto index = static_cast<uint32_t>(token);
+  if (!PADDLESTILE_CHECK(index < slots_.size() && slots_[index].generation == token >> 32)) {
     return;
   }
-  const FileDescriptor& epoll = slots_[place].urgent ? urgent_epoll_ : epoll_;
+  const FileDescriptor& epoll = slots_[index].urgent ? urgent_epoll_ : epoll_;
   epoll_ctl(epoll.get(), EPOLL_CTL_DEL, fd, nullptr);
-  slots_[place].handler = nullptr;
-  ++slots_[place].generation;
-  free_slots_.push_back(place);
+  slots_[index].handler = nullptr;
+  ++slots_[index].generation;
+  free_slots_.push_back(index);
 }
 
-EventLoop::TimerId EventLoop::RunAfter(Duration delay, std::function<void()> then) {
+EventLoop::TimerId EventLoop::RunAfter(Duration delay, std::function<void()> callback) {
   const TimerId id{Now() + std::max(delay, Duration(0)), next_timer_++};
-  timers_.emplace(std::pair(id.due, id.number), std::move(then));
+  timers_.emplace(std::pair(id.due, id.number), std::move(callback));
   return id;
 }
 
@@ -83,16 +83,16 @@
 
 void EventLoop::RunDeferredTasks() {
   while (!deferred_tasks_.empty()) {
-    std::vector<std::function<void()>> now;
-    now.swap(deferred_tasks_);
-    for (const auto& then : now) {
-      then();
+    std::vector<std::function<void()>> tasks;
+    tasks.swap(deferred_tasks_);
+    for (const auto& task : tasks) {
+      task();
     }
   }
 }
 
 void EventLoop::RunTimers() {
-  // Only those due at the beginning: one that sets itself anew must not starve the sockets.
+  // Only those due at the beginning: one that restarts itself must not starve the sockets.
   const Time now = Now();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
     auto node = timers_.extract(timers_.begin());
@@ -102,22 +102,22 @@
 }
 
 void EventLoop::RunAfterRoundTasks() {
-  std::vector<std::function<void()>> now;
-  now.swap(after_round_tasks_);
-  for (const auto& then : now) {
-    then();
+  std::vector<std::function<void()>> tasks;
+  tasks.swap(after_round_tasks_);
+  for (const auto& task : tasks) {
+    task();
     RunDeferredTasks();
   }
 }
 
 void EventLoop::RunEvent(uint64_t token, uint32_t events) {
-  const auto place = static_cast<uint32_t>(token);
-  if (place >= slots_.size()) {
+  const auto index = static_cast<uint32_t>(token);
+  if (index >= slots_.size()) {
     return;
   }
-  const Slot slot = slots_[place];
+  const Slot slot = slots_[index];
   if (slot.handler == nullptr || slot.generation != token >> 32) {
-    return;  // closed meanwhile
+    return;  // closed within this round
   }
   slot.handler->OnEvents(events);
   RunDeferredTasks();
@@ -126,45 +126,46 @@
 void EventLoop::RunUrgent() {
   urgent_polled_at_ = Now();
   std::array<epoll_event, 16> events;
-  const int n = epoll_wait(urgent_epoll_.get(), events.data(), static_cast<int>(events.size()), 0);
-  for (int i = 0; i < n; ++i) {
+  const int count =
+      epoll_wait(urgent_epoll_.get(), events.data(), static_cast<int>(events.size()), 0);
+  for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<size_t>(i)];
     RunEvent(event.data.u64, event.events);
   }
 }
 
-void EventLoop::RunOnce(Duration at_most) {
+void EventLoop::RunOnce(Duration max_wait) {
   RunDeferredTasks();
-  Duration wait = after_round_tasks_.empty() ? std::max(at_most, Duration(0)) : Duration(0);
+  Duration wait = after_round_tasks_.empty() ? std::max(max_wait, Duration(0)) : Duration(0);
   if (!timers_.empty()) {
     wait = std::clamp(timers_.begin()->first.first - Now(), Duration(0), wait);
   }
   // Rounded up, or the last part of a millisecond would be spent spinning.
-  const auto ms = static_cast<int>(std::min<int64_t>((wait.count() + 999) / 1000, 60'000));
+  const auto wait_ms = static_cast<int>(std::min<int64_t>((wait.count() + 999) / 1000, 60'000));
   std::array<epoll_event, 256> events;
-  constexpr auto kMost = static_cast<int>(events.size());
-  int n = epoll_wait(epoll_.get(), events.data(), kMost, ms);
-  const Time began = Now();
+  constexpr auto kMaxEvents = static_cast<int>(events.size());
+  int count = epoll_wait(epoll_.get(), events.data(), kMaxEvents, wait_ms);
+  const Time started_at = Now();
   RunUrgent();
   RunAfterRoundTasks();
-  for (int looks = 1;; ++looks) {
-    for (int i = 0; i < n; ++i) {
+  for (int polls = 1;; ++polls) {
+    for (int i = 0; i < count; ++i) {
       const epoll_event& event = events[static_cast<size_t>(i)];
       if (event.data.u64 != kUrgentToken) {
         RunEvent(event.data.u64, event.events);
       }
-      if (Now() - urgent_polled_at_ > kUrgentWait) {
+      if (Now() - urgent_polled_at_ > kUrgentInterval) {
         RunUrgent();
       }
     }
-    if (n < kMost || looks == kLooksMost) {
+    if (count < kMaxEvents || polls == kMaxPollsPerRound) {
       break;
     }
-    n = epoll_wait(epoll_.get(), events.data(), kMost, 0);  // more are ready than one look shows
+    count = epoll_wait(epoll_.get(), events.data(), kMaxEvents, 0);  // more may be ready
   }
-  // After the sockets: what had come in by the time a limit is reached still counts.
+  // After the sockets: bytes that had come by the time of a limit still count.
   RunTimers();
-  if (Now() - began > kLag) {
+  if (Now() - started_at > kLagThreshold) {
     ++GlobalCounters().loop_lagged;
   }
 }
--- a/src/event/event_loop.h
+++ b/src/event/event_loop.h
@@ -1,5 +1,5 @@
-// One thread's events: sockets by plain edge-triggered epoll, timers by the monotonic clock, and
-// work put off until the present handler has returned.
+// The event loop of one thread: sockets by edge-triggered epoll, timers by the monotonic clock,
+// deferred tasks.
 #ifndef PADDLESTILE_EVENT_EVENT_LOOP_H_
 #define PADDLESTILE_EVENT_EVENT_LOOP_H_
 
@@ -15,10 +15,12 @@
 
 namespace paddlestile {
 
+// Not thread-safe. Callbacks run one after another, in RunOnce and Run only.
 class EventLoop {
  public:
   class Handler {
    public:
+    // `events`: the epoll events of the descriptor.
     virtual void OnEvents(uint32_t events) = 0;
 
    protected:
@@ -26,30 +28,34 @@
   };
   struct TimerId {
     Time due{0};
-    uint64_t number = 0;  // 0: none
+    uint64_t number = 0;  // 0: no timer
   };
 
   EventLoop();  // throws std::system_error
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Reports all edges of a descriptor until Unwatch. False where the kernel refuses. What is urgent
-  // has its turn before all else of a round, and within a long one.
+  // Reports all events of a descriptor, edge-triggered, until Unwatch, which takes the `token` set
+  // here. False where the kernel refuses. `urgent` ones come first in a round, and also within a
+  // long one. `handler` must stay valid until Unwatch.
   bool Watch(int fd, Handler* handler, uint64_t& token, bool urgent = false);
   void Unwatch(int fd, uint64_t token);
 
-  TimerId RunAfter(Duration delay, std::function<void()> then);
+  // Runs `callback` once, after the delay.
+  TimerId RunAfter(Duration delay, std::function<void()> callback);
+  // Cancels a timer that has not run, and resets the id. Without effect for one that has run.
   void CancelTimer(TimerId& timer);
 
-  // Runs after the handler now at work has returned and before any other.
-  void RunDeferred(std::function<void()> then) { deferred_tasks_.push_back(std::move(then)); }
+  // Runs `task` after the running handler has returned, before any other handler.
+  void RunDeferred(std::function<void()> task) { deferred_tasks_.push_back(std::move(task)); }
 
-  // Runs after all that this round of the loop has still to do: for work that would go on and on
-  // and must let others have their turn.
-  void RunAfterRound(std::function<void()> then) { after_round_tasks_.push_back(std::move(then)); }
+  // Runs `task` after the other events of this round: for work that could go on without end, so
+  // that others have their turn.
+  void RunAfterRound(std::function<void()> task) { after_round_tasks_.push_back(std::move(task)); }
 
-  // One wait, until something is due, and what it brought.
-  void RunOnce(Duration at_most);
+  // One round: waits for events, for `max_wait` at most, and runs their handlers.
+  void RunOnce(Duration max_wait);
+  // Rounds until Stop.
   void Run();
   void Stop() { stopped_ = true; }
   [[nodiscard]] bool stopped() const { return stopped_; }
@@ -61,7 +67,7 @@
   struct Slot {
     Handler* handler = nullptr;
     bool urgent = false;
-    uint32_t generation = 0;  // tells a stale event of a closed descriptor from one of its heir
+    uint32_t generation = 0;  // raised by Unwatch: events with an older one are stale
   };
   void RunDeferredTasks();
   void RunEvent(uint64_t token, uint32_t events);
@@ -70,9 +76,9 @@
   void RunAfterRoundTasks();
 
   Clock clock_;
-  FileDescriptor epoll_, urgent_epoll_;  // the second is watched by the first
-  Time urgent_polled_at_{0};             // when what is urgent last had its turn
-  std::vector<Slot> slots_;
+  FileDescriptor epoll_, urgent_epoll_;  // the first watches the second
+  Time urgent_polled_at_{0};
+  std::vector<Slot> slots_;  // a token is generation (high 32 bits) and index of a slot
   std::vector<uint32_t> free_slots_;
   std::map<std::pair<Time, uint64_t>, std::function<void()>> timers_;
   uint64_t next_timer_ = 1;
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -1,4 +1,4 @@
-// Sockets that are counted in the descriptor budget; listening and connecting.
+// TCP sockets that are counted in the descriptor budget; listening and connecting.
 #ifndef PADDLESTILE_EVENT_SOCKET_H_
 #define PADDLESTILE_EVENT_SOCKET_H_
 
@@ -11,9 +11,10 @@
 
 namespace paddlestile {
 
-// A descriptor counted in the budget for as long as it is open.
+// A descriptor that is counted in a budget while it is open.
 class Socket {
  public:
+  // Takes a descriptor that `budget` has counted by TryAcquire, or none with null.
   Socket(FileDescriptor fd, DescriptorBudget* budget) : fd_(std::move(fd)), budget_(budget) {}
   Socket(Socket&& other) noexcept
       : fd_(std::move(other.fd_)), budget_(std::exchange(other.budget_, nullptr)) {}
@@ -41,14 +42,14 @@
   DescriptorBudget* budget_;
 };
 
-// A listening socket; none where the kernel refuses, with errno. `shared`: others of the same user
-// may listen there too.
+// A non-blocking listening socket; none, with errno set, where the kernel refuses. `shared`: other
+// processes of the same user may listen on the address too.
 FileDescriptor Listen(const Address& listen, int backlog, bool shared);
-// Where a socket is bound.
+// The address that a socket is bound to.
 Address LocalAddress(int fd);
 
-// Begins a connection, out of the reserve where no budget is given. Nothing where the budget or the
-// kernel has no descriptor; `refused` where the address itself gives none.
+// Begins to connect, without blocking; from the reserve where `budget` is null. Nothing where the
+// budget or the kernel has no descriptor left, or, with `refused` set, where the connect fails.
 std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused);
 
 }  // namespace paddlestile
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -17,21 +17,24 @@
 
 namespace paddlestile {
 namespace {
-constexpr size_t kPiecesAtOnce = 16;
-// A peer may have 60 MB more to say: past so much it is left to its own full buffers.
-constexpr size_t kDiscardMost = 1 << 20;
-constexpr size_t kDiscardAtOnce = 1 << 17;
+
+constexpr size_t kMaxSegmentsPerWrite = 16;
+// A peer may have far more to send: past this it is left to its own full buffers.
+constexpr size_t kMaxDiscardedBytes = 1 << 20;
+constexpr size_t kDiscardBytesPerRead = 1 << 17;
+
 }  // namespace
 
-Stream::Stream(EventLoop& loop, Socket socket, Listener* owner, bool connecting)
-    : loop_(loop), socket_(std::move(socket)), listener_(owner), connected_(!connecting) {}
+Stream::Stream(EventLoop& loop, Socket socket, Listener* listener, bool connecting)
+    : loop_(loop), socket_(std::move(socket)), listener_(listener), connected_(!connecting) {}
 
 Stream::~Stream() {
   Close();
 }
 
 bool Stream::Start(bool urgent) {
-  return watched_ = loop_.Watch(socket_.get(), this, token_, urgent);
+  watched_ = loop_.Watch(socket_.get(), this, token_, urgent);
+  return watched_;
 }
 
 void Stream::Close() {
@@ -61,8 +64,8 @@
 }
 
 bool Stream::DiscardAvailable() {
-  while (discarded_ < kDiscardMost) {
-    const ssize_t n = recv(socket_.get(), nullptr, kDiscardAtOnce, MSG_TRUNC);
+  while (discarded_ < kMaxDiscardedBytes) {
+    const ssize_t n = recv(socket_.get(), nullptr, kDiscardBytesPerRead, MSG_TRUNC);
     if (n > 0) {
       discarded_ += static_cast<size_t>(n);
       continue;
@@ -87,44 +90,45 @@
   if (discarding_) {
     return !closed_ && !ended_ && !broken_ && DiscardAvailable();
   }
-  bool news = false;
+  bool has_news = false;
   while (!closed_ && !ended_ && !broken_) {
     if (input_.size() >= max_unread_bytes_) {
-      return news;  // the edge stays open for Resume
+      return has_news;  // readable_ stays set for ResumeReading
     }
     char* const to = input_.Prepare(min_read_bytes_);
     const ssize_t n = recv(socket_.get(), to, input_.Room(), 0);
     if (n > 0) {
-      const bool all = static_cast<size_t>(n) < input_.Room();
+      const bool read_all = static_cast<size_t>(n) < input_.Room();
       input_.Commit(static_cast<size_t>(n));
-      news = true;
-      // Less than there was room for is all that there was: what comes next is an edge of its own.
-      if (all && !hung_up_) {
+      has_news = true;
+      // A read that leaves room has read all: later bytes are another edge.
+      if (read_all && !hung_up_) {
         readable_ = false;
-        return news;
+        return has_news;
       }
     } else if (n == 0) {
-      ended_ = news = true;
+      ended_ = true;
+      has_news = true;
     } else if (errno == EINTR) {
       continue;
     } else {
       readable_ = false;
-      // An emptied buffer keeps no memory while the connection idles.
+      // Frees the memory of the buffer while the connection idles.
       if (input_.empty()) {
         input_.Consume(0);
       }
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
-        // What came before the break may still be a whole message.
-        if (news) {
+        // The bytes before the error may complete a message.
+        if (has_news) {
           listener_->OnData();
         }
-        news = false;
+        has_news = false;
         ReportError();
       }
-      return news;
+      return has_news;
     }
   }
-  return news;
+  return has_news;
 }
 
 void Stream::ResumeReading() {
@@ -136,31 +140,35 @@
   }
 }
 
-void Stream::OnEvents(uint32_t events) {
-  if (!connected_) {
-    int error = 0;
-    socklen_t size = sizeof(error);
-    getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) {
-      return ReportError();
-    }
-    if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
-      return;
-    }
-    // A socket that has not begun to connect reports a hang-up too.
-    sockaddr_in peer{};
-    size = sizeof(peer);
-    if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
-      if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) {
-        ReportError();
-      }
-      return;
-    }
-    connected_ = true;
-    listener_->OnConnected();
-    if (closed_) {
-      return;
+// Reports the connection or its failure; true where it has come up and the stream is open.
+bool Stream::FinishConnect(uint32_t events) {
+  int error = 0;
+  socklen_t size = sizeof(error);
+  getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
+  if (error != 0) {
+    ReportError();
+    return false;
+  }
+  if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
+    return false;
+  }
+  // A socket that has not begun to connect reports EPOLLHUP too.
+  sockaddr_in peer{};
+  size = sizeof(peer);
+  if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
+    if ((events & (EPOLLERR | EPOLLHUP)) != 0 && errno != ENOTCONN) {
+      ReportError();
     }
+    return false;
+  }
+  connected_ = true;
+  listener_->OnConnected();
+  return !closed_;
+}
+
+void Stream::OnEvents(uint32_t events) {
+  if (!connected_ && !FinishConnect(events)) {
+    return;
   }
   if ((events & EPOLLOUT) != 0 && !output_.empty()) {
     Flush();
@@ -169,27 +177,32 @@
     }
   }
   if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
-    readable_ = true;
-    const bool before = hung_up_;
-    hung_up_ = hung_up_ || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-    const bool news = ReadAvailable();
-    // Behind what there is no room to read the end would else be told of by nothing.
-    const bool hidden = hung_up_ && !before && !discarding_ && input_.size() >= max_unread_bytes_;
-    if (!closed_ && !broken_ && (news || hidden)) {
-      listener_->OnData();
-    }
+    OnReadable((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
+  }
+}
+
+void Stream::OnReadable(bool hung_up) {
+  readable_ = true;
+  const bool hung_up_before = hung_up_;
+  hung_up_ = hung_up_ || hung_up;
+  const bool has_news = ReadAvailable();
+  // The end behind bytes that there is no room to read is not reported by the kernel again.
+  const bool end_hidden =
+      hung_up_ && !hung_up_before && !discarding_ && input_.size() >= max_unread_bytes_;
+  if (!closed_ && !broken_ && (has_news || end_hidden)) {
+    listener_->OnData();
   }
 }
 
 void Stream::Flush() {
   while (!output_.empty() && !broken_) {
-    std::array<iovec, kPiecesAtOnce> parts{};
+    std::array<iovec, kMaxSegmentsPerWrite> parts{};
     size_t count = 0;
-    for (const WriteSegment& piece : output_) {
+    for (const WriteSegment& segment : output_) {
       if (count == parts.size()) {
         break;
       }
-      parts[count++] = {const_cast<char*>(piece.remaining.data()), piece.remaining.size()};
+      parts[count++] = {const_cast<char*>(segment.remaining.data()), segment.remaining.size()};
     }
     msghdr message{};
     message.msg_iov = parts.data();
@@ -202,35 +215,44 @@
       if (errno == EAGAIN || errno == EWOULDBLOCK) {
         return;
       }
-      // A peer may have answered and closed before it read all: that answer is still there.
-      readable_ = hung_up_ = true;
-      output_.clear();
-      if (ReadAvailable()) {
-        listener_->OnData();
-      }
-      if (!closed_) {
-        ReportError();
-      }
-      return;
-    }
-    for (auto left = static_cast<size_t>(n);
-         left > 0 || (!output_.empty() && output_.front().remaining.empty());) {
-      WriteSegment& piece = output_.front();
-      const size_t part = std::min(left, piece.remaining.size());
-      piece.remaining.remove_prefix(part);
-      left -= part;
-      if (!piece.remaining.empty()) {
-        break;
-      }
-      output_.pop_front();
+      return OnWriteFailed();
     }
+    ConsumeOutput(static_cast<size_t>(n));
   }
   if (output_.empty() && !broken_) {
     listener_->OnWriteComplete();
   }
 }
 
-void Stream::Write(std::string head, std::shared_ptr<const void> keep, std::string_view body) {
+// A peer may have responded and closed before it read all: the response can still be read.
+void Stream::OnWriteFailed() {
+  readable_ = true;
+  hung_up_ = true;
+  output_.clear();
+  if (ReadAvailable()) {
+    listener_->OnData();
+  }
+  if (!closed_) {
+    ReportError();
+  }
+}
+
+// Drops so many bytes from the queue, and empty segments at its front.
+void Stream::ConsumeOutput(size_t bytes) {
+  while (bytes > 0 || (!output_.empty() && output_.front().remaining.empty())) {
+    WriteSegment& segment = output_.front();
+    const size_t consumed = std::min(bytes, segment.remaining.size());
+    segment.remaining.remove_prefix(consumed);
+    bytes -= consumed;
+    if (!segment.remaining.empty()) {
+      return;
+    }
+    output_.pop_front();
+  }
+}
+
+void Stream::Write(std::string head, std::shared_ptr<const void> keep_alive,
+                   std::string_view body) {
   if (closed_ || broken_) {
     return;
   }
@@ -240,7 +262,7 @@
   first.remaining = first.owned;
   if (!body.empty()) {
     WriteSegment& second = output_.emplace_back();
-    second.keep_alive = std::move(keep);
+    second.keep_alive = std::move(keep_alive);
     second.remaining = body;
   }
   if (connected_ && idle) {
@@ -249,9 +271,9 @@
 }
 
 void Stream::CloseByReset() {
-  const linger now{1, 0};
+  const linger reset{1, 0};
   if (!closed_) {
-    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
   }
   Close();
 }
--- a/src/gateway/admin.cpp
+++ b/src/gateway/admin.cpp
@@ -5,23 +5,27 @@
 #include <sys/socket.h>
 
 #include <cerrno>
+#include <chrono>
 #include <iterator>
 #include <system_error>
 #include <utility>
 
 #include "base/log.h"
 #include "base/metrics.h"
+#include "event/socket.h"
 #include "event/stream.h"
-#include "gateway/downstream.h"
+#include "gateway/response_head.h"
 #include "http/http_parser.h"
 
 namespace paddlestile {
 namespace {
 
-constexpr Duration kCallTime{5'000'000};  // us; for a whole call
-constexpr Duration kLinger{1'000'000};    // us; for the caller to read its answer
-constexpr size_t kMostCallBody = 4096;    // bytes; nothing of it is read
-constexpr int kBacklog = 64;
+using std::chrono::seconds;
+
+constexpr Duration kCallTimeout = seconds(5);    // for a whole call
+constexpr Duration kLingerTimeout = seconds(1);  // for the caller to read the response
+constexpr size_t kMaxBodyBytesOfCall = 4096;     // the content is ignored
+constexpr int kBacklog = 64;                     // connections
 
 }  // namespace
 
@@ -46,73 +50,79 @@
   uint64_t token_ = 0;
 };
 
+// One connection, for one call.
 class Admin::Caller final : public Stream::Listener {
  public:
   Caller(Admin& admin, FileDescriptor fd)
       : admin_(admin),
         loop_(admin.loop_),
         stream_(admin.loop_, Socket(std::move(fd), nullptr), this, false) {
-    stream_.set_max_unread_bytes(kMaxHeadBytes + kMostCallBody);
+    stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBodyBytesOfCall);
   }
   Caller(const Caller&) = delete;
   Caller& operator=(const Caller&) = delete;
   virtual ~Caller() { loop_.CancelTimer(timer_); }
 
+  // False where the kernel does not watch the connection.
   bool Start() {
-    timer_ = loop_.RunAfter(kCallTime, [this] { admin_.Drop(*this); });
+    timer_ = loop_.RunAfter(kCallTimeout, [this] { admin_.Close(*this); });
     return stream_.Start(true);
   }
   Stream& stream() { return stream_; }
-  std::list<std::shared_ptr<Caller>>::iterator place;
+  std::list<std::shared_ptr<Caller>>::iterator position;  // in the list of the owner
 
  private:
   void OnData() override {
-    if (answered_) {
+    if (responded_) {
       stream_.input().Consume(stream_.input().size());
       if (stream_.ended()) {
-        admin_.Drop(*this);
+        admin_.Close(*this);
       }
       return;
     }
     const ParseProgress progress = parser_.Feed(stream_.input());
     if (progress == ParseProgress::kNeedMore) {
       if (stream_.ended()) {
-        admin_.Drop(*this);
+        admin_.Close(*this);
       }
       return;
     }
-    AdminResponse said{parser_.error_status(), "malformed call"};
+    AdminResponse response{parser_.error_status(), "malformed call"};
     if (progress == ParseProgress::kDone) {
       const std::string_view base = stream_.input().view();
-      const HttpMessage& m = parser_.message();
-      said = admin_.HandleCall(m.method.In(base), m.target.In(base));
+      const HttpMessage& message = parser_.message();
+      response = admin_.HandleCall(message.method.In(base), message.target.In(base));
     }
-    answered_ = true;
+    Respond(response);
+  }
+
+  void Respond(const AdminResponse& response) {
+    responded_ = true;
     stream_.input().Consume(stream_.input().size());
-    stream_.Write(ResponseHead({.status = said.status, .reason = said.text + '\n'}, false) +
-                  said.text + '\n');
+    const std::string body = response.text + '\n';
+    stream_.Write(ResponseHead({.status = response.status, .reason = body}, false) + body);
   }
 
   void OnWriteComplete() override {
     stream_.ShutdownWrite();
     loop_.CancelTimer(timer_);
-    timer_ = loop_.RunAfter(kLinger, [this] { admin_.Drop(*this); });
+    timer_ = loop_.RunAfter(kLingerTimeout, [this] { admin_.Close(*this); });
     if (stream_.ended()) {
-      admin_.Drop(*this);
+      admin_.Close(*this);
     }
   }
-  void OnError() override { admin_.Drop(*this); }
+  void OnError() override { admin_.Close(*this); }
 
   Admin& admin_;
-  EventLoop& loop_;  // may outlive the listener, as what is put off may
+  EventLoop& loop_;  // may outlive the owner, as tasks that were put off may
   Stream stream_;
-  HttpParser parser_{HttpParser::Kind::kRequest, kMostCallBody};
-  bool answered_ = false;
+  HttpParser parser_{HttpParser::Kind::kRequest, kMaxBodyBytesOfCall};
+  bool responded_ = false;
   EventLoop::TimerId timer_;
 };
 
-Admin::Admin(EventLoop& loop, const Address& listen, Lifecycle& life)
-    : loop_(loop), lifecycle_(life), address_(listen) {
+Admin::Admin(EventLoop& loop, const Address& listen, Lifecycle& lifecycle)
+    : loop_(loop), lifecycle_(lifecycle), address_(listen) {
   acceptor_ = std::make_unique<Acceptor>(*this, listen);
 }
 
@@ -129,56 +139,71 @@
       if (errno == EINTR || errno == ECONNABORTED) {
         continue;
       }
-      // The table is full: whoever waits longest makes room, or the timer of one does.
+      // No descriptor is left: the longest open connection closes for this one.
       if ((errno == EMFILE || errno == ENFILE) && !callers_.empty()) {
-        Drop(*callers_.front());
+        Close(*callers_.front());
         continue;
       }
       return;
     }
     if (callers_.size() >= kMaxCallers) {
-      Drop(*callers_.front());
+      Close(*callers_.front());
     }
     callers_.push_back(std::make_shared<Caller>(*this, std::move(fd)));
     Caller& caller = *callers_.back();
-    caller.place = std::prev(callers_.end());
+    caller.position = std::prev(callers_.end());
     if (!caller.Start()) {
-      Drop(caller);
+      Close(caller);
     }
   }
 }
 
-void Admin::Drop(Caller& caller) {
+void Admin::Close(Caller& caller) {
   if (caller.stream().closed()) {
     return;
   }
   caller.stream().Close();
-  // It may be the one whose handler is at work: its memory goes once that has returned.
-  loop_.RunDeferred([kept = *caller.place] {});
-  callers_.erase(caller.place);
+  // Its handler may be running: its memory is freed after that has returned.
+  loop_.RunDeferred([kept = *caller.position] {});
+  callers_.erase(caller.position);
 }
 
-Admin::AdminResponse Admin::HandleCall(std::string_view method, std::string_view path) {
-  path = path.substr(0, path.find('?'));
+// ---- Calls ----------------------------------------------------------------------------------
+
+Admin::AdminResponse Admin::HandleCall(std::string_view method, std::string_view target) {
+  const std::string_view path = target.substr(0, target.find('?'));
   ++GlobalCounters().admin_calls;
   if (path == "/admin/health") {
-    if (method != "GET") {
-      return {405, "expected GET"};
-    }
-    return lifecycle_.can_serve() ? AdminResponse{200, "yes"} : AdminResponse{503, "no"};
+    return HandleHealth(method);
+  }
+  if (path == "/admin/quiesce") {
+    return SetDrained(method, true);
   }
-  const bool quiesce = path == "/admin/quiesce";
-  if (!quiesce && path != "/admin/resume") {
-    return {404, "no such call"};
+  if (path == "/admin/resume") {
+    return SetDrained(method, false);
   }
+  return {404, "no such call"};
+}
+
+Admin::AdminResponse Admin::HandleHealth(std::string_view method) const {
+  if (method != "GET") {
+    return {405, "expected GET"};
+  }
+  return lifecycle_.can_serve() ? AdminResponse{200, "yes"} : AdminResponse{503, "no"};
+}
+
+Admin::AdminResponse Admin::SetDrained(std::string_view method, bool drained) {
   if (method != "POST") {
     return {405, "expected POST"};
   }
-  if (!quiesce && (lifecycle_.replaced() || lifecycle_.stage() == LifecycleStage::kEnding)) {
-    return {409, lifecycle_.replaced() ? "another process has taken over" : "it is ending"};
+  if (!drained && lifecycle_.replaced()) {
+    return {409, "another process has taken over"};
+  }
+  if (!drained && lifecycle_.stage() == LifecycleStage::kEnding) {
+    return {409, "it is ending"};
   }
-  lifecycle_.set_drained(quiesce);
-  return {200, quiesce ? "emptying" : "taking clients"};
+  lifecycle_.set_drained(drained);
+  return {200, drained ? "emptying" : "taking clients"};
 }
 
 }  // namespace paddlestile
--- a/src/gateway/admin.h
+++ b/src/gateway/admin.h
@@ -1,12 +1,14 @@
-// Where operators call: a listener of its own, one short HTTP/1.1 call to a connection.
-//   GET /admin/health    200 once this process can serve, else 503
-//   POST /admin/quiesce  empties the gateway; it stays, and may be told again
-//   POST /admin/resume   takes clients again; 409 where another process has taken over, or at the
-//   end
-// Any other path is 404, any other method 405, what cannot be read 4xx.
+// The admin interface for operators: a listener of its own, one short HTTP/1.1 call a connection.
+//
+//   GET /admin/health    200 where this process can serve, else 503
+//   POST /admin/quiesce  drains the gateway; the process stays
+//   POST /admin/resume   serves again; 409 where a new process has taken over, or this one ends
+//
+// Other paths are 404, other methods 405, malformed calls another 4xx.
 #ifndef PADDLESTILE_GATEWAY_ADMIN_H_
 #define PADDLESTILE_GATEWAY_ADMIN_H_
 
+#include <cstddef>
 #include <list>
 #include <memory>
 #include <string>
@@ -20,15 +22,17 @@
 
 class Admin {
  public:
-  // Callers at once; the longest waiting goes for the next. Their descriptors are of the reserve.
+  // Connections at once; the longest open one closes for the next. Their descriptors come from the
+  // reserve, so that operators get in when clients hold all others.
   static constexpr size_t kMaxCallers = 12;
 
-  // Listens at once; throws std::system_error.
-  Admin(EventLoop& loop, const Address& listen, Lifecycle& life);
+  // Listens at once; throws std::system_error. `loop` and `lifecycle` must outlive it.
+  Admin(EventLoop& loop, const Address& listen, Lifecycle& lifecycle);
   ~Admin();
   Admin(const Admin&) = delete;
   Admin& operator=(const Admin&) = delete;
 
+  // Where it listens, with the port that the kernel chose where any was asked for.
   [[nodiscard]] const Address& address() const { return address_; }
   [[nodiscard]] size_t callers() const { return callers_.size(); }
 
@@ -40,14 +44,16 @@
     std::string text;
   };
   void Accept();
-  void Drop(Caller& caller);
-  AdminResponse HandleCall(std::string_view method, std::string_view path);
+  void Close(Caller& caller);
+  AdminResponse HandleCall(std::string_view method, std::string_view target);
+  AdminResponse HandleHealth(std::string_view method) const;
+  AdminResponse SetDrained(std::string_view method, bool drained);
 
   EventLoop& loop_;
   Lifecycle& lifecycle_;
   Address address_;
   std::unique_ptr<Acceptor> acceptor_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the longest waiting first
+  std::list<std::shared_ptr<Caller>> callers_;  // longest open first
 };
 
 }  // namespace paddlestile
--- a/src/gateway/hot_restart.h
+++ b/src/gateway/hot_restart.h
@@ -1,17 +1,20 @@
-// A new version takes over from the running one: the listening socket of the clients' address goes
-// from process to process over a Unix socket in $TMPDIR, and no connection in its queue is lost.
+// Hot restart: a new process takes over from the running one without losing a connection. The
+// listening socket goes from process to process over a Unix socket in $TMPDIR; the connections in
+// its queue stay. hot_restart_protocol.h has the lines.
 //
-//   new: paddlestile 1 take 10.0.0.4:5000      old: paddlestile 1 listen 180 7012   (with the
-//   socket)
-//                                                   7012 bytes: what it has learned, as JSON
-//   new: ready                                 old: holds 164                  (again and again)
+//   step | old process                             | new process
+//   -----+-----------------------------------------+------------------------------------------
+//   1    | serves                                  | RequestHotRestart
+//   2    | passes listening socket, learned state  | starts its gateway, accepts nothing
+//   3    | serves                                  | ReportReady, then accepts
+//   4    | accepts no more, ends what is open      | serves
+//   5    | ends; its channel closes                | has all of the descriptor budget
 //
-// `holds` is how many descriptors the old one keeps of the two's one budget; it is gone when its
-// end closes. The old one stops to accept at `ready`, and takes up again where the new one
-// vanishes.
+// Where the new process vanishes, the old one accepts again.
 #ifndef PADDLESTILE_GATEWAY_HOT_RESTART_H_
 #define PADDLESTILE_GATEWAY_HOT_RESTART_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <memory>
@@ -25,25 +28,28 @@
 
 namespace paddlestile {
 
-// Where the process at `listen` can be asked; empty where $TMPDIR is not set.
+// The socket of the process that listens at `listen`; empty where `tmpdir`, the value of $TMPDIR,
+// is null or not absolute.
 std::string HotRestartSocketPath(const char* tmpdir, const Address& listen);
 
-// What a new process was given.
+// What a new process was given. All empty where there is no old process.
 struct HotRestartState {
-  FileDescriptor listening_socket;  // none: nobody gave one
-  FileDescriptor channel;
-  size_t descriptors_held = 0;
-  std::string learned_state;  // empty: none was told
+  FileDescriptor listening_socket;
+  FileDescriptor channel;       // to the old process
+  size_t descriptors_held = 0;  // of the shared budget, by the old process
+  std::string learned_state;    // as text; empty: none
 };
 
-// Asks at `path`, for half a second at most. Gives nothing where there is no one, or one that makes
-// no sense or does not answer; throws std::runtime_error where another new process has asked.
+// Asks the process at `path` to hand over. Blocks, half a second at most for each read. Returns an
+// empty state where `path` is empty, or nobody listens there or gives a valid reply. Throws
+// std::runtime_error where another new process has asked before.
 HotRestartState RequestHotRestart(const std::string& path, const Address& listen);
 
-// Of the new process, as long as the old one lives.
+// The new process' side, until the old process ends.
 class NewProcess final : public Stream::Listener {
  public:
-  NewProcess(EventLoop& loop, HotRestartState taken, DescriptorBudget& budget);
+  // `loop` and `budget` must outlive it.
+  NewProcess(EventLoop& loop, HotRestartState state, DescriptorBudget& budget);
   // To be called once this process can serve.
   void ReportReady();
 
@@ -55,12 +61,13 @@
   Stream stream_;
 };
 
-// Waits at `path` for a new process. Without a Unix socket it does nothing.
+// The old process' side: waits at `path` for a new process. Without effect where the socket cannot
+// be made.
 class OldProcess {
  public:
-  // `know` gives what the module has learned.
-  OldProcess(EventLoop& loop, std::string path, Lifecycle& life, const Downstream& clients,
-             DescriptorBudget& budget, std::function<std::string()> know);
+  // All references must outlive it. An empty `path`: without effect.
+  OldProcess(EventLoop& loop, std::string path, Lifecycle& lifecycle, const Downstream& downstream,
+             DescriptorBudget& budget, std::function<std::string()> export_learned_state);
   ~OldProcess();
   OldProcess(const OldProcess&) = delete;
   OldProcess& operator=(const OldProcess&) = delete;
@@ -78,10 +85,10 @@
   const Downstream& downstream_;
   DescriptorBudget& budget_;
   std::function<std::string()> export_learned_state_;
-  std::unique_ptr<Acceptor> acceptor_;
-  uint64_t inode_ = 0;  // of the socket's file
-  std::shared_ptr<Channel> channel_;
-  EventLoop::TimerId tell_;
+  std::unique_ptr<Acceptor> acceptor_;  // null: without effect
+  uint64_t inode_ = 0;                  // of the socket's file, which a newer process may replace
+  std::shared_ptr<Channel> channel_;    // to the new process; null: none
+  EventLoop::TimerId report_timer_;
 };
 
 }  // namespace paddlestile
--- a/src/gateway/learned_state_codec.cpp
+++ b/src/gateway/learned_state_codec.cpp
@@ -12,25 +12,31 @@
 using nlohmann::json;
 
 constexpr int kVersion = 1;
+constexpr double kMaxNumber = 1e15;
+constexpr double kMaxAgeMs = 1e12;
+constexpr int kMaxConsecutiveEjections = 16;
+
+// ForEachField calls `field` with the JSON key and a reference for each number of a record, in
+// encoding and decoding alike. Overloads are chosen by a member that only one record has.
 
-// Each field of a record under one name, on both ways alike.
 template <typename Record, typename Field>
-void EachOf(Record& e, const Field& field) requires requires {
-  e.consecutive_ejections;
+void ForEachField(Record& endpoint, const Field& field) requires requires {
+  endpoint.consecutive_ejections;
 }
 {
-  field("f", e.local_estimate.mean_in_flight);
-  field("busy", e.local_estimate.busy_us);
-  field("done", e.local_estimate.finished_attempts);
-  field("others", e.external_in_flight);
-  field("link", e.round_trip_us);
-  field("latency", e.reported_latency_us);
-  field("gap", e.outcome_interval_us);
-  field("err", e.error_rate);
-  field("cold", e.slow_start_tokens);
+  field("f", endpoint.local_estimate.mean_in_flight);
+  field("busy", endpoint.local_estimate.busy_us);
+  field("done", endpoint.local_estimate.finished_attempts);
+  field("others", endpoint.external_in_flight);
+  field("link", endpoint.round_trip_us);
+  field("latency", endpoint.reported_latency_us);
+  field("gap", endpoint.outcome_interval_us);
+  field("err", endpoint.error_rate);
+  field("cold", endpoint.slow_start_tokens);
 }
+
 template <typename Record, typename Field>
-void EachOf(Record& kind, const Field& field) requires requires {
+void ForEachField(Record& kind, const Field& field) requires requires {
   kind.report_count;
 }
 {
@@ -41,101 +47,152 @@
   field("reports", kind.report_count);
   field("latency", kind.reported_latency_us);
 }
+
 template <typename Record, typename Field>
-void EachOf(Record& all, const Field& field) requires requires {
-  all.mean_request_time_us;
+void ForEachField(Record& state, const Field& field) requires requires {
+  state.mean_request_time_us;
 }
 {
-  field("mean_time", all.mean_request_time_us);
-  field("mean_expected", all.mean_expected_us);
-  field("pace", all.finished_work_per_us);
-  field("arrivals", all.decayed_arrivals);
-  field("counted", all.arrivals_span_us);
-  field("retry_tokens", all.retry_tokens);
+  field("mean_time", state.mean_request_time_us);
+  field("mean_expected", state.mean_expected_us);
+  field("pace", state.finished_work_per_us);
+  field("arrivals", state.decayed_arrivals);
+  field("counted", state.arrivals_span_us);
+  field("retry_tokens", state.retry_tokens);
 }
 
 template <typename Record>
-json Write(const Record& record) {
-  json out = json::object();
-  EachOf(record, [&](const char* name, double value) { out[name] = value; });
-  return out;
+json EncodeFields(const Record& record) {
+  json object = json::object();
+  ForEachField(record, [&](const char* key, double value) { object[key] = value; });
+  return object;
 }
 
-double Number(const json& from, const char* name) {
-  constexpr double kMost = 1e15;
-  const double value = from.at(name).get<double>();
-  if (!std::isfinite(value) || std::abs(value) > kMost) {
-    throw std::out_of_range(name);
+// These throw, as json does, where a value is missing or out of range.
+
+double DecodeNumber(const json& object, const char* key) {
+  const double value = object.at(key).get<double>();
+  if (!std::isfinite(value) || std::abs(value) > kMaxNumber) {
+    throw std::out_of_range(key);
   }
   return value;
 }
 
 template <typename Record>
-void Read(const json& from, Record& record) {
-  EachOf(record, [&](const char* name, double& value) { value = Number(from, name); });
+void DecodeFields(const json& object, Record& record) {
+  ForEachField(record, [&](const char* key, double& value) { value = DecodeNumber(object, key); });
 }
 
-// Times as milliseconds before (or, of what is to come, after) now; null: never.
-json Age(Time at, Time now) {
-  if (at <= Time(0)) {
+// A time as milliseconds before `now`, negative for a later one; null: never.
+json EncodeTime(Time time, Time now) {
+  if (time <= Time(0)) {
     return nullptr;
   }
-  return static_cast<double>((now - at).count()) / 1000;
+  return static_cast<double>((now - time).count()) / 1000;
 }
-Time At(const json& age, Time now, Time never) {
+
+Time DecodeTime(const json& age, Time now, Time never) {
   if (age.is_null()) {
     return never;
   }
-  const double ms = age.get<double>();
-  if (!std::isfinite(ms) || std::abs(ms) > 1e12) {
+  const double age_ms = age.get<double>();
+  if (!std::isfinite(age_ms) || std::abs(age_ms) > kMaxAgeMs) {
     throw std::out_of_range("age");
   }
-  return now - Duration(std::llround(ms * 1000));
+  return now - Duration(std::llround(age_ms * 1000));
+}
+
+json EncodeEndpoint(const Endpoint& endpoint, Time now) {
+  json object = EncodeFields(endpoint);
+  object["id"] = endpoint.info.id;
+  object["launched"] = EncodeTime(endpoint.info.started_at, now);
+  object["reported"] = EncodeTime(endpoint.reported_at, now);
+  object["judged"] = EncodeTime(endpoint.last_outcome_at, now);
+  object["away"] = EncodeTime(endpoint.ejected_until, now);
+  object["filled"] = EncodeTime(endpoint.slow_start_refilled_at, now);
+  object["trips"] = endpoint.consecutive_ejections;
+  return object;
 }
 
-// By the places of a table; the one place of a table without names is "".
-template <typename Then>
-void EachName(const NameTable& table, size_t size, const Then& then) {
+Endpoint DecodeEndpoint(const json& object, Time now) {
+  Endpoint endpoint;
+  DecodeFields(object, endpoint);
+  endpoint.info.id = object.at("id").get<std::string>();
+  endpoint.info.started_at = DecodeTime(object.at("launched"), now, Time(0));
+  endpoint.reported_at = DecodeTime(object.at("reported"), now, endpoint.reported_at);
+  endpoint.last_outcome_at = DecodeTime(object.at("judged"), now, endpoint.last_outcome_at);
+  endpoint.ejected_until = DecodeTime(object.at("away"), now, endpoint.ejected_until);
+  endpoint.slow_start_refilled_at =
+      DecodeTime(object.at("filled"), now, endpoint.slow_start_refilled_at);
+  endpoint.consecutive_ejections =
+      std::clamp(object.at("trips").get<int>(), 0, kMaxConsecutiveEjections);
+  return endpoint;
+}
+
+// Calls `callback` with name and index of each entry of `table` below `size`. A table without names
+// has one entry, which is named "".
+template <typename Callback>
+void ForEachName(const NameTable& table, size_t size, const Callback& callback) {
   if (table.size() == 0 && size > 0) {
-    return then(std::string(), size_t{0});
+    return callback(std::string(), size_t{0});
+  }
+  for (const auto& [name, index] : table.positions()) {
+    if (index < size) {
+      callback(name, index);
+    }
+  }
+}
+
+void DecodeKinds(const json& kinds, const NameTables& names, LearnedState& state) {
+  for (const auto& [name, kind] : kinds.items()) {
+    const size_t index = names.kinds.size() == 0 ? 0 : names.kinds.Find(name);
+    if (index >= std::max<size_t>(names.kinds.size(), 1)) {
+      continue;
+    }
+    state.machine_kinds.resize(std::max(state.machine_kinds.size(), index + 1));
+    DecodeFields(kind, state.machine_kinds[index]);
   }
-  for (const auto& [name, place] : table.positions()) {
-    if (place < size) {
-      then(name, place);
+}
+
+void DecodeClasses(const json& classes, const NameTables& names, LearnedState& state) {
+  for (const auto& [name, request_class] : classes.items()) {
+    const size_t index = names.classes.Find(name);
+    if (index >= names.classes.size()) {
+      continue;
     }
+    const size_t size = std::max(state.mean_time_us.size(), index + 1);
+    state.mean_time_us.resize(size);
+    state.objective_met_rate.resize(size);
+    state.arrival_shares.resize(size);
+    state.mean_time_us[index] = DecodeNumber(request_class, "time");
+    state.objective_met_rate[index] = DecodeNumber(request_class, "served");
+    state.arrival_shares[index] = DecodeNumber(request_class, "share");
   }
 }
 
 }  // namespace
 
 std::string EncodeLearnedState(const LearnedState& learned, const NameTables& names, Time now) {
-  json out = Write(learned);
+  json out = EncodeFields(learned);
   out["version"] = kVersion;
   json& hosts = out["hosts"] = json::array();
-  for (const Endpoint& e : learned.endpoints) {
-    if (e.info.state == EndpointState::kRemoved) {
-      continue;
+  for (const Endpoint& endpoint : learned.endpoints) {
+    if (endpoint.info.state != EndpointState::kRemoved) {
+      hosts.push_back(EncodeEndpoint(endpoint, now));
     }
-    json host = Write(e);
-    host["id"] = e.info.id;
-    host["launched"] = Age(e.info.started_at, now);
-    host["reported"] = Age(e.reported_at, now);
-    host["judged"] = Age(e.last_outcome_at, now);
-    host["away"] = Age(e.ejected_until, now);
-    host["filled"] = Age(e.slow_start_refilled_at, now);
-    host["trips"] = e.consecutive_ejections;
-    hosts.push_back(std::move(host));
   }
   json& kinds = out["kinds"] = json::object();
-  EachName(names.kinds, learned.machine_kinds.size(), [&](const std::string& name, size_t i) {
-    kinds[name] = Write(learned.machine_kinds[i]);
-  });
+  ForEachName(names.kinds, learned.machine_kinds.size(),
+              [&](const std::string& name, size_t index) {
+                kinds[name] = EncodeFields(learned.machine_kinds[index]);
+              });
   json& classes = out["classes"] = json::object();
-  EachName(names.classes, learned.mean_time_us.size(), [&](const std::string& name, size_t i) {
-    classes[name] = {{"time", learned.mean_time_us[i]},
-                     {"served", learned.objective_met_rate[i]},
-                     {"share", learned.arrival_shares[i]}};
-  });
+  ForEachName(names.classes, learned.mean_time_us.size(),
+              [&](const std::string& name, size_t index) {
+                classes[name] = {{"time", learned.mean_time_us[index]},
+                                 {"served", learned.objective_met_rate[index]},
+                                 {"share", learned.arrival_shares[index]}};
+              });
   std::string text = out.dump(-1, ' ', true, json::error_handler_t::replace);
   return text.size() <= kMaxLearnedStateBytes ? text : std::string();
 }
@@ -146,46 +203,14 @@
   if (in.at("version") != kVersion) {
     return std::nullopt;
   }
-  LearnedState told;
-  Read(in, told);
+  LearnedState state;
+  DecodeFields(in, state);
   for (const json& host : in.at("hosts")) {
-    Endpoint e;
-    Read(host, e);
-    e.info.id = host.at("id").get<std::string>();
-    e.info.started_at = At(host.at("launched"), now, Time(0));
-    e.reported_at = At(host.at("reported"), now, e.reported_at);
-    e.last_outcome_at = At(host.at("judged"), now, e.last_outcome_at);
-    e.ejected_until = At(host.at("away"), now, e.ejected_until);
-    e.slow_start_refilled_at = At(host.at("filled"), now, e.slow_start_refilled_at);
-    e.consecutive_ejections = std::clamp(host.at("trips").get<int>(), 0, 16);
-    told.endpoints.push_back(std::move(e));
-  }
-  // A place that nothing is told of stays empty, and is not taken over.
-  const auto place = [](const NameTable& table, const std::string& name) {
-    return table.size() == 0 ? 0 : table.Find(name);
-  };
-  for (const auto& [name, kind] : in.at("kinds").items()) {
-    const size_t at = place(names.kinds, name);
-    if (at >= std::max<size_t>(names.kinds.size(), 1)) {
-      continue;
-    }
-    told.machine_kinds.resize(std::max(told.machine_kinds.size(), at + 1));
-    Read(kind, told.machine_kinds[at]);
-  }
-  for (const auto& [name, cls] : in.at("classes").items()) {
-    const size_t at = names.classes.Find(name);
-    if (at >= names.classes.size()) {
-      continue;
-    }
-    const size_t n = std::max(told.mean_time_us.size(), at + 1);
-    told.mean_time_us.resize(n);
-    told.objective_met_rate.resize(n);
-    told.arrival_shares.resize(n);
-    told.mean_time_us[at] = Number(cls, "time");
-    told.objective_met_rate[at] = Number(cls, "served");
-    told.arrival_shares[at] = Number(cls, "share");
+    state.endpoints.push_back(DecodeEndpoint(host, now));
   }
-  return told;
+  DecodeKinds(in.at("kinds"), names, state);
+  DecodeClasses(in.at("classes"), names, state);
+  return state;
 } catch (const std::exception&) {
   return std::nullopt;
 }
--- a/src/gateway/learned_state_codec.h
+++ b/src/gateway/learned_state_codec.h
@@ -1,6 +1,6 @@
-// What a module has learned, as a text that one process hands another: JSON, by names and ids,
-// times as ages. What was handed by a process of another version, or broken on the way, is told as
-// that.
+// The learned state of the load balancer as text that one process hands another in a hot restart:
+// JSON, by names and ids, points in time as ages. The keys are an outside format, read by processes
+// of other versions. No I/O.
 #ifndef PADDLESTILE_GATEWAY_LEARNED_STATE_CODEC_H_
 #define PADDLESTILE_GATEWAY_LEARNED_STATE_CODEC_H_
 
@@ -13,12 +13,13 @@
 
 namespace paddlestile {
 
-constexpr size_t kMaxLearnedStateBytes = 8U << 20;  // bytes; some ten thousand hosts
+constexpr size_t kMaxLearnedStateBytes = 8U << 20;  // enough for some ten thousand endpoints
 
-// Empty where it would be longer than that.
+// Empty where the text would be longer than kMaxLearnedStateBytes.
 std::string EncodeLearnedState(const LearnedState& learned, const NameTables& names, Time now);
 
-// Nothing where any of it makes no sense. Classes and kinds that `names` lacks are left out.
+// Nothing where the text is malformed or of another version. Classes and kinds that `names` lacks
+// are left out; entries that the text lacks are empty.
 std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names,
                                                Time now);
 
--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -11,6 +11,7 @@
 #include <exception>
 #include <memory>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <utility>
 
@@ -28,69 +29,75 @@
 namespace paddlestile {
 namespace {
 
-// What a gateway is made of beside its loop.
-struct Parts {
+using std::chrono::milliseconds;
+
+// A file may be written at the moment of SIGHUP, and no second signal comes once it is complete: an
+// invalid one is read again for a while.
+constexpr Duration kReloadRetryInterval = milliseconds(200);
+constexpr int kMaxReloadRetries = 15;
+// While the process waits to become ready.
+constexpr Duration kReadyCheckInterval = milliseconds(100);
+
+// The gateway and, where it is a member of a cluster, its agent.
+struct ServedGateway {
   Gateway& gateway;
-  std::unique_ptr<ClusterAgent>& membership;
+  std::unique_ptr<ClusterAgent>& cluster_agent;  // null: no member
 };
 
-void PrintCounters(const Parts& parts) {
-  LogLine(LogLevel::kInfo, "counters: " + parts.gateway.DescribeState() +
-                               (parts.membership ? ' ' + parts.membership->DescribeState() : ""));
+void LogCounters(const ServedGateway& served) {
+  const std::string cluster_state =
+      served.cluster_agent ? ' ' + served.cluster_agent->DescribeState() : "";
+  LogLine(LogLevel::kInfo, "counters: " + served.gateway.DescribeState() + cluster_state);
 }
 
-// Lines of counters in step with the wall clock, so that those of a fleet can be added up.
-class Beat {
+// Logs the counters at multiples of an interval of the wall clock, so that those of a fleet can be
+// added up.
+class CounterLogger {
  public:
-  Beat(EventLoop& loop, const Parts& parts, Duration every)
-      : loop_(loop), parts_(parts), every_(every) {
-    if (every_ > Duration(0)) {
-      Next();
+  CounterLogger(EventLoop& loop, const ServedGateway& served, Duration interval)
+      : loop_(loop), served_(served), interval_(interval) {
+    if (interval_ > Duration(0)) {
+      ScheduleNext();
     }
   }
-  Beat(const Beat&) = delete;
-  Beat& operator=(const Beat&) = delete;
-  ~Beat() { loop_.CancelTimer(timer_); }
+  CounterLogger(const CounterLogger&) = delete;
+  CounterLogger& operator=(const CounterLogger&) = delete;
+  ~CounterLogger() { loop_.CancelTimer(timer_); }
 
  private:
-  void Next() {
-    const auto into = std::chrono::duration_cast<Duration>(
-        std::chrono::system_clock::now().time_since_epoch() % every_);
-    timer_ = loop_.RunAfter(every_ - into, [this] {
-      PrintCounters(parts_);
-      Next();
+  void ScheduleNext() {
+    const auto since_multiple = std::chrono::duration_cast<Duration>(
+        std::chrono::system_clock::now().time_since_epoch() % interval_);
+    timer_ = loop_.RunAfter(interval_ - since_multiple, [this] {
+      LogCounters(served_);
+      ScheduleNext();
     });
   }
 
   EventLoop& loop_;
-  Parts parts_;
-  Duration every_;
+  ServedGateway served_;
+  Duration interval_;
   EventLoop::TimerId timer_;
 };
 
-// A file that is being written may make no sense at the moment of the signal, and no second signal
-// comes once it does: it is looked at again for a while.
-constexpr Duration kRereadAgain{200'000};  // us
-constexpr int kRereads = 15;
-constexpr Duration kReadyLook{100'000};  // us
-
-// SIGTERM and SIGINT drain, SIGUSR1 prints the counters, SIGHUP has the file read again.
-class Signals final : public EventLoop::Handler {
+// SIGTERM and SIGINT drain, SIGUSR1 logs the counters, SIGHUP reloads the configuration.
+class SignalHandler final : public EventLoop::Handler {
  public:
-  // Blocks them; done before anything else, so that none ends the program between.
+  // Blocks the signals. Before anything else, so that none ends the process meanwhile.
   static sigset_t Block() {
-    sigset_t set;
-    sigemptyset(&set);
+    sigset_t signals;
+    sigemptyset(&signals);
     for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP}) {
-      sigaddset(&set, signal);
+      sigaddset(&signals, signal);
     }
-    sigprocmask(SIG_BLOCK, &set, nullptr);
-    return set;
+    sigprocmask(SIG_BLOCK, &signals, nullptr);
+    return signals;
   }
 
-  Signals(EventLoop& loop, const Parts& parts, const sigset_t& set)
-      : loop_(loop), parts_(parts), gateway_(parts.gateway) {
-    fd_ = FileDescriptor(signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
+  // Throws std::runtime_error.
+  SignalHandler(EventLoop& loop, const ServedGateway& served, const sigset_t& signals)
+      : loop_(loop), served_(served) {
+    fd_ = FileDescriptor(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
     uint64_t token = 0;
     if (!fd_ || !loop_.Watch(fd_.get(), this, token)) {
       throw std::runtime_error("cannot watch for signals");
@@ -101,138 +108,187 @@
     signalfd_siginfo info{};
     while (read(fd_.get(), &info, sizeof(info)) == static_cast<ssize_t>(sizeof(info))) {
       if (info.ssi_signo == SIGUSR1) {
-        PrintCounters(parts_);
+        LogCounters(served_);
       } else if (info.ssi_signo == SIGHUP) {
-        Reread(kRereads);
-      } else if (!draining_) {
-        draining_ = true;
-        Log(LogLevel::kInfo, "draining");
-        gateway_.Drain([this] { loop_.Stop(); });
+        Reload(kMaxReloadRetries);
+      } else {
+        Drain();
       }
     }
   }
 
  private:
-  // What runs is kept where the file makes no sense. Also while draining: hosts go on changing.
-  void Reread(int more) {
-    loop_.CancelTimer(reread_);
+  void Drain() {
+    if (std::exchange(draining_, true)) {
+      return;
+    }
+    Log(LogLevel::kInfo, "draining");
+    served_.gateway.Drain([this] { loop_.Stop(); });
+  }
+
+  // Keeps the present configuration where the new one is invalid. Also while draining: the endpoint
+  // list goes on changing.
+  void Reload(int remaining_retries) {
+    loop_.CancelTimer(reload_timer_);
     ++GlobalCounters().config_rereads;
     try {
-      const GatewayConfig& was = parts_.membership ? parts_.membership->file() : gateway_.config();
-      GatewayConfig next = ReloadGatewayConfig(
-          was, loop_.Now(), [&](double ms) { return loop_.clock().FromUnixMillis(ms); });
-      const std::string changes = DescribeChanges(was, next);
-      if (parts_.membership) {
-        Log(LogLevel::kInfo, "bank: what it has agreed on goes before the file, where both speak");
-        parts_.membership->set_file(std::move(next));
-      } else {
-        gateway_.ApplyConfig(std::move(next));
-      }
-      Log(LogLevel::kInfo, "configuration read again: {}",
-          changes.empty() ? "nothing of note is new" : changes);
+      ReloadConfig();
     } catch (const std::exception& error) {
       ++GlobalCounters().config_rejected;
-      // The first try and the last say so.
-      if (more == kRereads || more == 0) {
+      if (remaining_retries == kMaxReloadRetries || remaining_retries == 0) {
         Log(LogLevel::kWarning, "configuration kept as it was: {}", error.what());
       }
-      if (more > 0) {
-        reread_ = loop_.RunAfter(kRereadAgain, [this, more] { Reread(more - 1); });
+      if (remaining_retries > 0) {
+        reload_timer_ = loop_.RunAfter(
+            kReloadRetryInterval, [this, remaining_retries] { Reload(remaining_retries - 1); });
       }
     }
   }
 
+  // Throws where the file is invalid.
+  void ReloadConfig() {
+    ClusterAgent* const cluster_agent = served_.cluster_agent.get();
+    const GatewayConfig& present =
+        cluster_agent != nullptr ? cluster_agent->file() : served_.gateway.config();
+    GatewayConfig reloaded = ReloadGatewayConfig(present, loop_.Now(), [&](double unix_ms) {
+      return loop_.clock().FromUnixMillis(unix_ms);
+    });
+    const std::string changes = DescribeChanges(present, reloaded);
+    if (cluster_agent != nullptr) {
+      Log(LogLevel::kInfo, "bank: what it has agreed on goes before the file, where both speak");
+      cluster_agent->set_file(std::move(reloaded));
+    } else {
+      served_.gateway.ApplyConfig(std::move(reloaded));
+    }
+    Log(LogLevel::kInfo, "configuration read again: {}",
+        changes.empty() ? "nothing of note is new" : changes);
+  }
+
   EventLoop& loop_;
-  Parts parts_;
-  Gateway& gateway_;
-  EventLoop::TimerId reread_;
+  ServedGateway served_;
+  EventLoop::TimerId reload_timer_;
   FileDescriptor fd_;
   bool draining_ = false;
 };
 
+// By the LB_* variables; no more sockets than the system grants.
+GatewayConfig ReadConfigFromEnvironment(const EventLoop& loop) {
+  GatewayConfig config =
+      ReadGatewayConfig([](const char* name) { return std::getenv(name); },
+                        [&](double unix_ms) { return loop.clock().FromUnixMillis(unix_ms); });
+  rlimit limit{};
+  if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
+    config.max_sockets = std::min<size_t>(config.max_sockets, limit.rlim_cur);
+  }
+  return config;
+}
+
+// Nothing where there is no operator's file.
+std::optional<ClusterConfig> ReadOperatorFile(const ServeOptions& options,
+                                              const std::string& gateway_name) {
+  std::string path = options.operator_file;
+  const char* const from_environment = std::getenv("LB_OPERATOR");
+  if (path.empty() && from_environment != nullptr) {
+    path = from_environment;
+  }
+  if (path.empty()) {
+    return std::nullopt;
+  }
+  return ReadClusterConfig(path, gateway_name);
+}
+
+void LogUnsupportedSettings(const Settings& settings) {
+  for (const std::string& line : UnsupportedSettings(settings)) {
+    Log(LogLevel::kWarning, "not carried out: {}", line);
+  }
+}
+
+void ImportLearnedState(const std::string& text, Gateway& gateway) {
+  if (text.empty()) {
+    return;
+  }
+  if (gateway.ImportLearnedState(text)) {
+    Log(LogLevel::kInfo, "hot restart: learned state of the old process imported");
+  } else {
+    Log(LogLevel::kWarning, "hot restart: learned state of the old process is malformed, left out");
+  }
+}
+
+std::unique_ptr<ClusterAgent> MakeClusterAgent(const ServeOptions& options, EventLoop& loop,
+                                               ClusterConfig cluster, Gateway& gateway,
+                                               Lifecycle& lifecycle, GatewayConfig file) {
+  if (options.membership) {
+    return options.membership(loop, std::move(cluster), gateway, lifecycle, std::move(file));
+  }
+  return std::make_unique<ClusterAgent>(loop, std::move(cluster), gateway, lifecycle,
+                                        std::move(file));
+}
+
+void RunGateway(const ServeOptions& options, const sigset_t& signals) {
+  EventLoop loop;
+  GatewayConfig config = ReadConfigFromEnvironment(loop);
+  const std::string name = config.name;
+  std::optional<ClusterConfig> cluster = ReadOperatorFile(options, name);
+  GatewayConfig file;  // as read, for the cluster agent
+  if (cluster) {
+    file = config;
+  }
+  const size_t known_endpoints = config.initial_endpoints.endpoints.size();
+  LogUnsupportedSettings(config.settings);
+
+  // A second process may be started beside this one only where there is an admin interface.
+  const std::optional<Address> admin_address = config.admin;
+  const std::string hot_restart_path =
+      admin_address ? HotRestartSocketPath(std::getenv("TMPDIR"), config.listen) : std::string();
+  HotRestartState inherited = RequestHotRestart(hot_restart_path, config.listen);
+  Lifecycle lifecycle(!inherited.listening_socket);
+  Gateway gateway(loop, std::move(config), lifecycle, std::move(inherited.listening_socket),
+                  admin_address.has_value());
+  ImportLearnedState(inherited.learned_state, gateway);
+  std::optional<Admin> admin;
+  if (admin_address) {
+    admin.emplace(loop, *admin_address, lifecycle);
+  }
+  std::optional<NewProcess> new_process;
+  if (inherited.channel) {
+    new_process.emplace(loop, std::move(inherited), gateway.budget());
+  }
+  std::unique_ptr<ClusterAgent> cluster_agent;
+  if (cluster) {
+    cluster_agent =
+        MakeClusterAgent(options, loop, std::move(*cluster), gateway, lifecycle, std::move(file));
+  }
+  const ServedGateway served{gateway, cluster_agent};
+  Log(LogLevel::kInfo, "{} listens on {}, {} hosts known", name, ToText(gateway.address()),
+      known_endpoints);
+  const SignalHandler signal_handler(loop, served, signals);
+
+  while (!lifecycle.accepts() && !loop.stopped()) {
+    loop.RunOnce(kReadyCheckInterval);
+  }
+  // Told to end meanwhile, it leaves the old process as it was.
+  const bool serves = !loop.stopped() && lifecycle.stage() != LifecycleStage::kEnding;
+  if (new_process && serves) {
+    new_process->ReportReady();
+  }
+  // From now on a newer process can take over from this one.
+  std::optional<OldProcess> old_process;
+  if (admin_address && serves) {
+    old_process.emplace(loop, hot_restart_path, lifecycle, gateway.downstream(), gateway.budget(),
+                        [&] { return gateway.ExportLearnedState(); });
+  }
+  const CounterLogger counter_logger(loop, served, options.counters_every);
+  loop.Run();
+  LogCounters(served);
+}
+
 }  // namespace
 
 int Serve(const ServeOptions& options) {
   std::signal(SIGPIPE, SIG_IGN);
-  const sigset_t signals_set = Signals::Block();
+  const sigset_t signals = SignalHandler::Block();
   try {
-    EventLoop loop;
-    GatewayConfig config =
-        ReadGatewayConfig([](const char* name) { return std::getenv(name); },
-                          [&](double ms) { return loop.clock().FromUnixMillis(ms); });
-    // What the system grants may be less than what was promised.
-    rlimit limit{};
-    if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
-      config.max_sockets = std::min<size_t>(config.max_sockets, limit.rlim_cur);
-    }
-    const std::string name = config.name;
-    std::optional<ClusterConfig> bank;
-    std::string operator_file = options.operator_file;
-    if (const char* const told = std::getenv("LB_OPERATOR");
-        operator_file.empty() && told != nullptr) {
-      operator_file = told;
-    }
-    if (!operator_file.empty()) {
-      bank = ReadClusterConfig(operator_file, name);
-    }
-    GatewayConfig file;
-    if (bank) {
-      file = config;
-    }
-    const size_t known = config.initial_endpoints.endpoints.size();
-    for (const std::string& line : UnsupportedSettings(config.settings)) {
-      Log(LogLevel::kWarning, "not carried out: {}", line);
-    }
-    // Only where operators call may a second process be started beside this one.
-    const std::optional<Address> admin_at = config.admin;
-    const std::string path_over =
-        admin_at ? HotRestartSocketPath(std::getenv("TMPDIR"), config.listen) : std::string();
-    HotRestartState taken = RequestHotRestart(path_over, config.listen);
-    Lifecycle life(!taken.listening_socket);
-    Gateway gateway(loop, std::move(config), life, std::move(taken.listening_socket),
-                    admin_at.has_value());
-    if (!taken.learned_state.empty()) {
-      const bool good = gateway.ImportLearnedState(taken.learned_state);
-      Log(good ? LogLevel::kInfo : LogLevel::kWarning, "hand-over: {}",
-          good ? "what the running process has learned is taken over"
-               : "what the running process has learned makes no sense here, left out");
-    }
-    std::optional<Admin> admin;
-    if (admin_at) {
-      admin.emplace(loop, *admin_at, life);
-    }
-    std::optional<NewProcess> successor;
-    if (taken.channel) {
-      successor.emplace(loop, std::move(taken), gateway.budget());
-    }
-    std::unique_ptr<ClusterAgent> membership;
-    if (bank && options.membership) {
-      membership = options.membership(loop, std::move(*bank), gateway, life, std::move(file));
-    } else if (bank) {
-      membership =
-          std::make_unique<ClusterAgent>(loop, std::move(*bank), gateway, life, std::move(file));
-    }
-    const Parts parts{gateway, membership};
-    Log(LogLevel::kInfo, "{} listens on {}, {} hosts known", name, ToText(gateway.address()),
-        known);
-    const Signals signals(loop, parts, signals_set);
-    while (!life.accepts() && !loop.stopped()) {
-      loop.RunOnce(kReadyLook);
-    }
-    // One that was told to end meanwhile leaves the old one as it was.
-    const bool serves = !loop.stopped() && life.stage() != LifecycleStage::kEnding;
-    if (successor && serves) {
-      successor->ReportReady();
-    }
-    // From now on this process can itself be followed by a newer one.
-    std::optional<OldProcess> predecessor;
-    if (admin_at && serves) {
-      predecessor.emplace(loop, path_over, life, gateway.downstream(), gateway.budget(),
-                          [&] { return gateway.ExportLearnedState(); });
-    }
-    const Beat beat(loop, parts, options.counters_every);
-    loop.Run();
-    PrintCounters(parts);
+    RunGateway(options, signals);
     return 0;
   } catch (const std::exception& error) {
     LogLine(LogLevel::kError, std::string("paddlestile: ") + error.what());
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -1,4 +1,4 @@
-// One gateway as a program: reads what it is told, serves, and leaves in good order on SIGTERM.
+// One gateway as a program: reads its configuration, serves, and drains on SIGTERM.
 #ifndef PADDLESTILE_GATEWAY_SERVE_H_
 #define PADDLESTILE_GATEWAY_SERVE_H_
 
@@ -18,19 +18,20 @@
 struct GatewayConfig;
 
 struct ServeOptions {
-  // Between two lines of counters in the log; 0: on SIGUSR1 and at the end alone.
+  // Between two lines of counters in the log; 0: on SIGUSR1 and at the end only.
   Duration counters_every{0};
-  // The operator's file; empty: what LB_OPERATOR names, or none, and all that it could switch on is
-  // off.
+  // The operator's file; empty: the one that LB_OPERATOR names, or none, and all that it could
+  // switch on is off.
   std::string operator_file;
-  // Of tests: another part in the bank than the honest one.
+  // For tests: makes a cluster agent that misbehaves, in place of the usual one.
   std::function<std::unique_ptr<ClusterAgent>(EventLoop&, ClusterConfig, Gateway&, Lifecycle&,
                                               GatewayConfig)>
       membership;
 };
 
-// Runs until it is told to leave; the process's signals and the LB_* variables are its own. The
-// process's exit code: 0, or 1 with one line in the log where it cannot start.
+// Runs until SIGTERM or SIGINT, and the drain after that. Takes over the signals of the process and
+// reads the LB_* variables. Returns the exit code of the process: 0, or 1, with one line in the
+// log, where it cannot start.
 int Serve(const ServeOptions& options = {});
 
 }  // namespace paddlestile
--- a/src/http/http_parser.h
+++ b/src/http/http_parser.h
@@ -1,111 +1,71 @@
-// HTTP/1.1 messages, parsed a byte at a time if need be, as places in the buffer they lie in.
+// Parses HTTP/1.1 messages incrementally, in the buffer that they are read into. No I/O.
 #ifndef PADDLESTILE_HTTP_HTTP_PARSER_H_
 #define PADDLESTILE_HTTP_HTTP_PARSER_H_
 
 #include <cstddef>
+#include <cstdint>
 #include <optional>
-#include <string>
 #include <string_view>
-#include <utility>
-#include <vector>
 
 #include "event/buffer.h"
+#include "http/chunk_decoder.h"
+#include "http/http_limits.h"
+#include "http/http_message.h"
+#include "http/parse_progress.h"
 
 namespace paddlestile {
 
-constexpr size_t kMaxHeadBytes = 16'384;
-constexpr size_t kMaxBufferedBodyBytes = 65'536;  // of a message held whole
-constexpr size_t kMaxBodyBytes = 34U << 20;       // of any
-constexpr size_t kMaxHeaders = 100;
-
-enum class ParseProgress {
-  kNeedMore,
-  kDone,
-  kMalformed
-};
-
-bool HeaderNamesEqual(std::string_view a, std::string_view b);  // letters in any case
-std::string_view Trim(std::string_view text);                   // spaces and tabs at both ends
-
-// Undoes the chunked framing in place.
-class ChunkDecoder {
- public:
-  // Reads `in`, which lies at or behind `out`, and writes the content to `out`; adds to `read` and
-  // `written` how many bytes that were. kDone once the last chunk and its trailer are over.
-  ParseProgress Decode(std::string_view in, char* out, size_t& read, size_t& written);
-
- private:
-  enum class State {
-    kSize,
-    kExtension,
-    kSizeEnd,
-    kData,
-    kDataCr,
-    kDataLf,
-    kTrailer,
-    kDone
-  };
-  State state_ = State::kSize;
-  size_t left_ = 0;
-  int digits_ = 0;
-  size_t trailer_ = 0, line_ = 0;  // bytes of the trailer; of its present line
-  char last_ = 0;
-};
-
-struct HttpMessage {
-  Range method, target;  // of a request
-  int status = 0;        // of an answer
-  std::vector<std::pair<Range, Range>> headers;
-  Range body;
-  size_t total_bytes = 0;  // all its bytes in the buffer
-  bool keep_alive = true;
-  bool chunked = false;
-  bool body_until_close = false;  // an answer that ends with its connection
-  bool is_http10 = false;         // its peer knows no chunks
-
-  // The value of a header that stands there once; nothing where it is absent.
-  [[nodiscard]] std::optional<std::string_view> FindHeader(std::string_view base,
-                                                           std::string_view name) const;
-  [[nodiscard]] size_t CountHeader(std::string_view base, std::string_view name) const;
-};
-
-// True for headers that concern one connection only and are not passed on.
-bool IsHopByHop(const HttpMessage& message, std::string_view base, std::string_view name);
-
+// One message at a time; Reset before the next. The buffer is the caller's, and must hold the same
+// unread bytes, with more at the end, from call to call.
+//
+//   state        | reads                                            | next
+//   -------------+--------------------------------------------------+------------------------------
+//   kStart       | request line or status line                      | kHeaders
+//   kHeaders     | header lines, to the empty one                   | by the head one of the next
+//                |                                                  | three; kStart after a 1xx
+//   kLength      | a body of known length, which may be 0           | kDone
+//   kChunks      | a chunked body                                   | kDone
+//   kUntilClose  | a body that ends with the connection (response)  | kDone
 class HttpParser {
  public:
   enum class Kind {
     kRequest,
     kResponse
   };
-  explicit HttpParser(Kind kind, size_t max_body = kMaxBufferedBodyBytes)
-      : kind_(kind), max_body_(max_body) {}
+  // Bodies of more than `max_body_bytes` are malformed.
+  explicit HttpParser(Kind kind, size_t max_body_bytes = kMaxBufferedBodyBytes)
+      : kind_(kind), max_body_bytes_(max_body_bytes) {}
 
-  // Goes on with what is unread in `in`. Undoes chunks in place. kBad is final.
+  // Parses on in `in` and decodes chunks in place. kDone with the end of the message; its bytes
+  // stay in `in`, and message() refers to them.
   ParseProgress Feed(Buffer& in);
-  // The same, but done once the head is: for a body without end.
+  // The same, but kDone with the end of the head.
   ParseProgress FeedHead(Buffer& in);
 
-  // The peer has sent its last: whether that was the end of an answer that has no other.
+  // To be called when the peer has closed its side: whether that is the end of the message.
   bool EndsWithConnection(Buffer& in);
 
-  // ---- Where a body is not to be held whole.
+  // ---- Bodies that stream.
+  // Whether the head has been parsed, and the body not to its end.
   [[nodiscard]] bool head_done() const {
     return state_ == State::kLength || state_ == State::kChunks || state_ == State::kUntilClose;
   }
-  // What the head says of the length; nothing where only the end tells.
+  // Nothing where it is known at the end only.
   [[nodiscard]] std::optional<uint64_t> body_length() const;
-  // Bytes of the body that have come, in a buffer that Feed has seen.
+  // Bytes of the body that Feed has seen in `in`, without their framing.
   [[nodiscard]] size_t body_bytes_received(const Buffer& in) const;
-  // Takes the head out of `in`, a message without a body. From here on TakeBody gives the rest.
+  // Moves the head from `in` to `head` and returns it as a message without a body. The body is read
+  // by TakeBody from then on.
   HttpMessage TakeHead(Buffer& in, Buffer& head);
-  // Gives what has come of the body, its framing undone. kDone with the last; kBad is final.
-  // `ended`: the peer has sent its last.
+  // Moves what has come of the body from `in` to `piece`, decoded. kDone with its end. `ended`: the
+  // peer has closed its side.
   ParseProgress TakeBody(Buffer& in, Buffer& piece, bool ended);
 
   [[nodiscard]] const HttpMessage& message() const { return message_; }
-  [[nodiscard]] int error_status() const { return error_status_; }  // what to answer where kBad
-  [[nodiscard]] bool begun() const { return scanned_ > 0; }
+  // The HTTP status to respond with to a malformed request; else 0.
+  [[nodiscard]] int error_status() const { return error_status_; }
+  // Whether bytes of the present message have been seen.
+  [[nodiscard]] bool begun() const { return scanned_bytes_ > 0; }
   void Reset();
 
  private:
@@ -117,21 +77,34 @@
     kUntilClose,
     kDone
   };
-  ParseProgress Fail(int status);
+  // `all` is the content of the buffer in each of these.
   ParseProgress ParseHeadLines(std::string_view all);
-  ParseProgress ParseStartLine(std::string_view all, Range line);
+  ParseProgress ParseHeadLine(std::string_view all, Range line);
+  ParseProgress ParseRequestLine(std::string_view all, Range line);
+  ParseProgress ParseStatusLine(std::string_view text);
   ParseProgress ParseHeaderLine(std::string_view all, Range line);
   ParseProgress FinishHead(std::string_view all);
+  ParseProgress ParseBodyFraming(std::string_view all);
+  void ReadConnectionHeaders(std::string_view all);
+  void SetVersion(std::string_view version);
+
+  ParseProgress FeedSizedBody(const Buffer& in);
+  ParseProgress FeedChunkedBody(Buffer& in);
+  ParseProgress FeedBodyUntilClose(const Buffer& in);
+  ParseProgress TakeSizedBody(Buffer& in, Buffer& piece);
+  ParseProgress TakeChunkedBody(Buffer& in, Buffer& piece);
+
+  ParseProgress Fail(int status);
 
   Kind kind_;
-  size_t max_body_;
+  size_t max_body_bytes_;
   State state_ = State::kStart;
   HttpMessage message_;
-  size_t scanned_ = 0;     // bytes looked at
-  size_t line_begin_ = 0;  // where the present line begins
-  size_t length_ = 0;
-  size_t body_bytes_taken_ = 0;  // bytes of the body given by TakeBody
-  size_t decoded_bytes_ = 0;     // at the front of the buffer, of which TakeBody has seen none
+  size_t scanned_bytes_ = 0;     // of the buffer, parsed
+  size_t line_begin_ = 0;        // position in the buffer of the present line
+  size_t content_length_ = 0;    // where state_ is kLength
+  size_t body_bytes_taken_ = 0;  // by TakeBody
+  size_t decoded_bytes_ = 0;     // at the front of the buffer, decoded by Feed before TakeHead
   ChunkDecoder chunk_decoder_;
   int error_status_ = 0;
 };
--- a/src/http/streaming_body.cpp
+++ b/src/http/streaming_body.cpp
@@ -6,13 +6,13 @@
 
 namespace paddlestile {
 
-BodyWriter::BodyWriter(Stream& stream, std::shared_ptr<StreamingBody> body, bool chunked, bool last,
-                       std::function<void(bool whole)> done)
+BodyWriter::BodyWriter(Stream& stream, std::shared_ptr<StreamingBody> body, bool chunked,
+                       bool cancel_on_destruction, std::function<void(bool complete)> done)
     : stream_(stream),
       body_(std::move(body)),
       done_(std::move(done)),
       chunked_(chunked),
-      last_(last) {
+      cancel_on_destruction_(cancel_on_destruction) {
   body_->SetDataCallback([this] { Resume(); });
 }
 
@@ -21,33 +21,27 @@
     return;
   }
   body_->SetDataCallback(nullptr);
-  if (last_) {
+  if (cancel_on_destruction_) {
     body_->Cancel();
   }
 }
 
-void BodyWriter::Finish(bool whole) {
-  // Whoever is told may end this writer.
-  if (whole) {
+void BodyWriter::Finish(bool complete) {
+  if (complete) {
     body_->SetDataCallback(nullptr);
-  }
-  if (whole) {
     body_ = nullptr;
   }
-  const auto done = std::exchange(done_, nullptr);
-  if (done) {
-    done(whole);
+  // The callback may release this writer.
+  if (const auto done = std::exchange(done_, nullptr)) {
+    done(complete);
   }
 }
 
 void BodyWriter::Resume() {
-  if (busy_ || !done_ || stream_.closed()) {
-    return;
-  }
-  if (!stream_.flushed()) {
+  if (writing_ || !done_ || stream_.closed() || !stream_.flushed()) {
     return;
   }
-  if (over_) {
+  if (read_all_) {
     return Finish(true);
   }
   Buffer piece;
@@ -55,34 +49,37 @@
   if (progress == ParseProgress::kMalformed) {
     return Finish(false);
   }
-  over_ = progress == ParseProgress::kDone;
-  std::string head;
-  if (chunked_ && !piece.empty()) {
-    head = fmt::format("{}{:x}\r\n", first_ ? "" : "\r\n", piece.size());
-    first_ = false;
-  }
-  busy_ = true;  // what is written at once is told of at once
+  read_all_ = progress == ParseProgress::kDone;
   const std::weak_ptr<bool> alive = alive_;
-  if (!piece.empty()) {
-    const auto kept = std::make_shared<Buffer>(std::move(piece));
-    stream_.Write(std::move(head), kept, kept->view());
-  }
+  writing_ = true;
+  WritePiece(std::move(piece));
   if (alive.expired()) {
     return;
   }
-  if (over_ && chunked_) {
-    stream_.Write(first_ ? "0\r\n\r\n" : "\r\n0\r\n\r\n");
+  writing_ = false;
+  // Where the body has not ended, the reading side reports what comes next.
+  if (read_all_ && !stream_.closed() && stream_.flushed()) {
+    Finish(true);
   }
-  if (alive.expired()) {
-    return;
+}
+
+// The stream may call back within each Write, and this writer be gone after it.
+void BodyWriter::WritePiece(Buffer piece) {
+  const std::weak_ptr<bool> alive = alive_;
+  if (!piece.empty()) {
+    std::string chunk_head;
+    if (chunked_) {
+      chunk_head = fmt::format("{}{:x}\r\n", first_chunk_ ? "" : "\r\n", piece.size());
+      first_chunk_ = false;
+    }
+    const auto kept = std::make_shared<Buffer>(std::move(piece));
+    stream_.Write(std::move(chunk_head), kept, kept->view());
   }
-  busy_ = false;
-  if (stream_.closed() || !stream_.flushed()) {
+  if (alive.expired()) {
     return;
   }
-  // What comes next is told of by the reading side.
-  if (over_) {
-    Finish(true);
+  if (read_all_ && chunked_) {
+    stream_.Write(first_chunk_ ? "0\r\n\r\n" : "\r\n0\r\n\r\n");
   }
 }
 
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -170,14 +170,14 @@
   Load load(address, 0, 8);
   usleep(200'000);
   Start(second, 6002);
-  ASSERT_TRUE(second.Says("what the running process has learned is taken over")) << second.Text();
-  ASSERT_TRUE(second.Says("ready, the running process is told")) << second.Text();
+  ASSERT_TRUE(second.Says("learned state of the old process imported")) << second.Text();
+  ASSERT_TRUE(second.Says("ready, reported to the old process")) << second.Text();
   EXPECT_TRUE(Yes(6002));
   ASSERT_TRUE(first.Says("the new process serves"));
   EXPECT_FALSE(Yes(6001));
   first.Signal(SIGTERM);
   EXPECT_EQ(first.Wait(), 0);
-  ASSERT_TRUE(second.Says("the process before has gone"));
+  ASSERT_TRUE(second.Says("the old process has ended"));
   usleep(200'000);
   // And once more, killed at once: nothing is open at the old one by then.
   Start(third, 6003);
@@ -194,7 +194,7 @@
   temporary_ = folder_ + "/none";
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("hand-over: no Unix socket"));
+  ASSERT_TRUE(first.Says("hot restart: no Unix socket"));
   Load load(address, 0, 8);
   usleep(300'000);
   Start(second, 6002);
@@ -243,7 +243,7 @@
   ASSERT_TRUE(second.Says("listens on"));
   second.Signal(SIGTERM);
   EXPECT_EQ(second.Wait(), 0);
-  EXPECT_EQ(second.Text().find("the running process is told"), std::string::npos);
+  EXPECT_EQ(second.Text().find("reported to the old process"), std::string::npos);
   usleep(200'000);
   EXPECT_TRUE(Yes(6001));
   ExpectWhole(load);
