--- a/src/base/address.h
+++ b/src/base/address.h
@@ -8,16 +8,15 @@
 
 namespace paddlestile {
 
-// An IPv4 address with a port.
 struct Address {
   uint32_t host = 0;  // in host byte order
   uint16_t port = 0;
   bool operator==(const Address&) const = default;
 };
 
-// Reads "10.0.0.4:5000". Throws ConfigError for anything else; names are not resolved.
+// Reads "10.0.0.4:5000"; host names are not resolved. Throws ConfigError.
 Address ParseAddress(std::string_view text);
-// The same form: "10.0.0.4:5000".
+// As ParseAddress reads it.
 std::string ToText(const Address& address);
 
 }  // namespace paddlestile
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-// The monotonic clock of a process, and wall time on it.
+// The monotonic clock of a process, and conversion of wall time to it.
 #ifndef PADDLESTILE_BASE_CLOCK_H_
 #define PADDLESTILE_BASE_CLOCK_H_
 
@@ -8,19 +8,20 @@
 
 namespace paddlestile {
 
-// The monotonic clock, and the wall clock as read once at the start. A host's start time arrives as
-// wall time again and again: converted by one fixed offset it gives the same Time each time.
+// The two clocks are related once, at construction: the start of an endpoint, which comes as wall
+// time, must convert to the same value each time, or it would look like a restart.
 class Clock {
  public:
   Clock();
-  // Monotonic; its zero is a day before the clock was made.
+  // Monotonic; positive from the start.
   [[nodiscard]] Time Now() const;
-  // Converts Unix milliseconds to the time of Now(). Gives 0 for 0 and for times before its zero.
+  // Converts Unix time to the clock of Now(). 0 for values that are not positive, out of range, or
+  // before the origin.
   [[nodiscard]] Time FromUnixMillis(double unix_ms) const;
 
  private:
-  int64_t monotonic_origin_us_ = 0;  // what the steady clock reads at Time(0)
-  int64_t wall_origin_us_ = 0;       // what the wall clock reads at Time(0)
+  int64_t monotonic_origin_us_ = 0;  // std::chrono::steady_clock at Time(0)
+  int64_t wall_origin_us_ = 0;       // std::chrono::system_clock at Time(0)
 };
 
 }  // namespace paddlestile
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,5 @@
-// Log lines on standard error, through spdlog: text, or one JSON object a line. At most 100 lines a
-// second; how many were dropped is logged. Not thread-safe.
+// Log lines on standard error, at a limited rate: as text, or as one JSON object a line. Not
+// thread-safe.
 #ifndef PADDLESTILE_BASE_LOG_H_
 #define PADDLESTILE_BASE_LOG_H_
 
@@ -21,20 +21,17 @@
   kJson
 };
 
-// Lines below `level` are dropped. kInfo by default.
+// Lines below the level are dropped; kInfo at first.
 void SetLogLevel(LogLevel level);
-// Whether a line of `level` would be written.
 [[nodiscard]] bool IsLogEnabled(LogLevel level);
 
-// kText, the default: "warning: text". kJson: {"time": ISO 8601 in UTC, "level": ..., "message":
-// ...}.
+// kText at first: "warning: text". kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
 void SetLogFormat(LogFormat format);
 
-// Writes one line. Control characters become '?', so that no peer can forge a line; in JSON, bytes
-// that are not UTF-8 become U+FFFD.
+// Writes one line. Control characters in it become '?', so that no peer can forge a line. In JSON,
+// invalid UTF-8 becomes U+FFFD.
 void LogLine(LogLevel level, std::string_view text);
 
-// Formats and writes one line; the arguments are not formatted where the level is off.
 template <typename... Args>
 void Log(LogLevel level, fmt::format_string<Args...> format, Args&&... args) {
   if (IsLogEnabled(level)) {
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,4 +1,4 @@
-// What the gateway counts of its own work; printed on SIGUSR1 and at exit.
+// The counters of a process, logged on SIGUSR1 and at exit; checks of invariants.
 #ifndef PADDLESTILE_BASE_METRICS_H_
 #define PADDLESTILE_BASE_METRICS_H_
 
@@ -7,81 +7,80 @@
 
 namespace paddlestile {
 
-// Counter names, with what each counts. X(name) is expanded once a counter.
-#define PADDLESTILE_COUNTERS(X)                                                      \
-  X(downstream_connections_accepted)  /* connections from clients */                 \
-  X(downstream_connections_closed)    /* of those, ended */                          \
-  X(downstream_connections_reclaimed) /* idle ones closed for want of descriptors */ \
-  X(accept_waits)                     /* times that accepting had to wait */         \
-  X(health_checks)                    /* GET /_health */                             \
-  X(admin_calls)                      /* operators' calls that could be read */      \
-  X(drains)                           /* begun by an operator */                     \
-  X(hot_restarts)                     /* of the clients' address, to or from */      \
-  X(requests_admitted)                /* requests given to the load balancer */      \
-  X(requests_malformed)               /* answered 4xx or 5xx before that */          \
-  X(requests_over_limit)              /* past the limit of unanswered ones */        \
-  X(responses_served)                 /* 200 */                                      \
-  X(responses_rejected)               /* 503 */                                      \
-  X(responses_failed)                 /* 502 */                                      \
-  X(responses_streamed)               /* of those served, passed on as they came */  \
-  X(requests_streamed)                /* not buffered completely */                  \
-  X(bodies_truncated)                 /* that ended early while streamed */          \
-  X(responses_overdue)                /* 502, as the load balancer gave none */      \
-  X(clients_disconnected)             /* before their response */                    \
-  X(attempts_started)                 /* attempts at hosts */                        \
-  X(attempts_to_warming_hosts)        /* of those, to a host that warms up */        \
-  X(attempts_to_draining_hosts)       /* of those, to a draining or removed one */   \
-  X(attempts_ok)                      /* outcomes of attempts */                     \
-  X(attempts_error)                                                                  \
-  X(attempts_rejected)                                                               \
-  X(attempts_timeout)                                                                \
-  X(attempts_connect_failed)                                                         \
-  X(attempts_reset)                                                                  \
-  X(attempts_cancelled)                                                              \
-  X(attempts_not_sent)                                                               \
-  X(attempts_invalid_response)   /* malformed, or a 4xx */                           \
-  X(upstream_connections_opened) /* connections opened to hosts */                   \
-  X(upstream_idle_closed)        /* closed by this side while idle */                \
-  X(upstream_idle_lost)          /* closed by the host while idle */                 \
-  X(upstream_no_descriptor)      /* attempts, probes without descriptor */           \
-  X(upstream_malformed)          /* responses that are not HTTP */                   \
-  X(load_reports_malformed)      /* load reports that cannot be read */              \
-  X(probes)                                                                          \
-  X(probes_ok)                                                                       \
-  X(config_rereads)           /* configuration files read at SIGHUP */               \
-  X(config_rejected)          /* of those, not applied */                            \
-  X(discovery_updates)        /* lists and changes applied */                        \
-  X(discovery_malformed)      /* lists that cannot be read */                        \
-  X(discovery_too_long)       /* lists past the size limit */                        \
-  X(discovery_stale)          /* lists older than the one in use */                  \
-  X(discovery_watches)        /* watches started */                                  \
-  X(discovery_polls)          /* calls for the full list */                          \
-  X(discovery_failures)       /* watches and calls that failed */                    \
-  X(load_balancer_events)     /* events given to the load balancer */                \
-  X(load_balancer_exceptions) /* exceptions that it threw */                         \
-  X(loop_lagged)              /* event loop rounds over 20 ms */                     \
-  X(invariant_failures)       /* failed checks of invariants */
+// Name, and what is counted.
+#define PADDLESTILE_COUNTERS(X)                                                     \
+  X(downstream_connections_accepted)  /* connections from clients */                \
+  X(downstream_connections_closed)    /* of those, ended */                         \
+  X(downstream_connections_reclaimed) /* idle ones closed for their descriptors */  \
+  X(accept_waits)                     /* accepting put off, without descriptors */  \
+  X(health_checks)                    /* GET /_health */                            \
+  X(admin_calls)                      /* well-formed calls of operators */          \
+  X(drains)                           /* begun by an operator */                    \
+  X(hot_restarts)                     /* listening sockets passed on or received */ \
+  X(requests_admitted)                /* passed to the load balancer */             \
+  X(requests_malformed)               /* 4xx or 5xx without the load balancer */    \
+  X(requests_over_limit)              /* over the limit on concurrent requests */   \
+  X(responses_served)                 /* 200 */                                     \
+  X(responses_rejected)               /* 503 */                                     \
+  X(responses_failed)                 /* 502 */                                     \
+  X(responses_streamed)               /* of those served, with a streamed body */   \
+  X(requests_streamed)                /* with a streamed body */                    \
+  X(bodies_truncated)                 /* streamed bodies that broke off */          \
+  X(responses_overdue)                /* 502, as the load balancer gave none */     \
+  X(clients_disconnected)             /* left before their response */              \
+  X(attempts_started)                 /* actions of the load balancer */            \
+  X(attempts_to_warming_hosts)        /* of those, to a host in slow start */       \
+  X(attempts_to_draining_hosts)       /* of those, to one draining or not listed */ \
+  X(attempts_ok)                      /* outcomes of attempts */                    \
+  X(attempts_error)                                                                 \
+  X(attempts_rejected)                                                              \
+  X(attempts_timeout)                                                               \
+  X(attempts_connect_failed)                                                        \
+  X(attempts_reset)                                                                 \
+  X(attempts_cancelled)                                                             \
+  X(attempts_not_sent)                                                              \
+  X(attempts_invalid_response)   /* malformed, or the request is blamed */          \
+  X(upstream_connections_opened) /* connections to hosts */                         \
+  X(upstream_idle_closed)        /* idle ones closed by the gateway */              \
+  X(upstream_idle_lost)          /* idle ones closed by the host */                 \
+  X(upstream_no_descriptor)      /* attempts and probes without a descriptor */     \
+  X(upstream_malformed)          /* malformed responses */                          \
+  X(load_reports_malformed)      /* malformed load reports */                       \
+  X(probes)                                                                         \
+  X(probes_ok)                                                                      \
+  X(config_rereads)           /* reloads after SIGHUP */                            \
+  X(config_rejected)          /* of those, invalid */                               \
+  X(discovery_updates)        /* lists and changes accepted */                      \
+  X(discovery_malformed)      /* malformed lists */                                 \
+  X(discovery_too_long)       /* lists over the size limit */                       \
+  X(discovery_stale)          /* lists older than the present one */                \
+  X(discovery_watches)        /* watches started */                                 \
+  X(discovery_polls)          /* requests for the complete list */                  \
+  X(discovery_failures)       /* watches and calls that failed */                   \
+  X(load_balancer_events)     /* events handled */                                  \
+  X(load_balancer_exceptions) /* exceptions from the load balancer */               \
+  X(loop_lagged)              /* rounds of the event loop over 20 ms */             \
+  X(invariant_failures)       /* failed PADDLESTILE_CHECKs */
 
-// The counters of a process; each starts at 0 and only grows.
 struct Counters {
 #define PADDLESTILE_FIELD(name) uint64_t name = 0;
   PADDLESTILE_COUNTERS(PADDLESTILE_FIELD)
 #undef PADDLESTILE_FIELD
 
-  // Counters that are not zero, as "name=value" separated by spaces.
+  // The counters that are not zero, as name=value separated by spaces.
   [[nodiscard]] std::string ToText() const;
 };
 
-// The counters of this process.
+// The counters of this process. Not thread-safe.
 Counters& GlobalCounters();
 
-// Counts a broken invariant and logs the first 20. Always returns false.
+// Counts a failed check, and logs the first few. Always false.
 bool CheckFailed(const char* what, const char* file, int line);
 
 }  // namespace paddlestile
 
-// An invariant: a debug build aborts where it does not hold, a release build counts it. The value
-// is whether it holds, so that the caller can return safely.
+// Checks an invariant. A failure aborts a debug build; in a release build it is counted, and the
+// value is false, so that the caller can return safely.
 #ifdef NDEBUG
 #define PADDLESTILE_CHECK(condition) \
   (static_cast<bool>(condition) || ::paddlestile::CheckFailed(#condition, __FILE__, __LINE__))
--- a/src/event/buffer.h
+++ b/src/event/buffer.h
@@ -1,5 +1,5 @@
-// A growing byte buffer, and ranges of it. Messages are parsed where they were read, and a buffer
-// is moved rather than copied.
+// A growing byte buffer, and ranges of it. Messages are parsed in the buffer that they were read
+// into; buffers are moved rather than copied.
 #ifndef PADDLESTILE_EVENT_BUFFER_H_
 #define PADDLESTILE_EVENT_BUFFER_H_
 
@@ -10,34 +10,33 @@
 
 namespace paddlestile {
 
-// A part of a buffer by offset, which stays valid when the buffer grows.
+// A part of a buffer, by position: valid when the buffer has grown or moved.
 struct Range {
-  size_t at = 0;    // bytes from the buffer's first
-  size_t size = 0;  // bytes
-  // The part of `base`, the buffer's view.
+  size_t at = 0, size = 0;  // bytes
+  // The bytes; `base` is the content of the buffer.
   [[nodiscard]] std::string_view In(std::string_view base) const { return base.substr(at, size); }
 };
 
-// Invariant: 0 <= begin_ <= end_ <= capacity_; the content is what lies between begin_ and end_.
+// Content, followed by room for more. Not copyable.
 class Buffer {
  public:
   Buffer() = default;
   Buffer(Buffer&& other) noexcept { Swap(other); }
   Buffer& operator=(Buffer&& other) noexcept {
-    Buffer moved(std::move(other));
-    Swap(moved);
+    Buffer taken(std::move(other));
+    Swap(taken);
     return *this;
   }
   Buffer(const Buffer&) = delete;
   Buffer& operator=(const Buffer&) = delete;
   ~Buffer() = default;
 
-  // Makes room for `bytes` or more behind the content and returns where it begins. May move the
-  // content: views into it become invalid.
-  char* Prepare(size_t bytes);
+  // Makes room for at least `min_bytes` behind the content and returns where it begins. Invalidates
+  // views of the content.
+  char* Prepare(size_t min_bytes);
   // Bytes of room behind the content.
   [[nodiscard]] size_t Room() const { return capacity_ - end_; }
-  // Adds the first `size` bytes of the room to the content; at most Room().
+  // Adds the first `size` bytes of the room to the content.
   void Commit(size_t size);
   void Append(std::string_view text);
 
@@ -46,13 +45,13 @@
   [[nodiscard]] size_t size() const { return end_ - begin_; }
   [[nodiscard]] bool empty() const { return begin_ == end_; }
 
-  // Keeps the first `size` bytes of the content only.
+  // Drops all but the first `size` bytes of the content.
   void Truncate(size_t size);
 
-  // Removes the first `size` bytes. An empty buffer frees its memory.
+  // Drops the first `size` bytes of the content. An empty buffer frees its memory.
   void Consume(size_t size);
 
-  // Returns the first `size` bytes with their memory; what follows them stays here, as a copy.
+  // Moves the first `size` bytes out, with the memory that they lie in; the rest is copied.
   Buffer TakeFront(size_t size);
 
  private:
@@ -60,8 +59,7 @@
 
   std::unique_ptr<char[]> bytes_;
   size_t capacity_ = 0;
-  size_t begin_ = 0;
-  size_t end_ = 0;
+  size_t begin_ = 0, end_ = 0;  // of the content, positions in bytes_
 };
 
 }  // namespace paddlestile
--- a/src/event/descriptor_budget.h
+++ b/src/event/descriptor_budget.h
@@ -1,4 +1,4 @@
-// The budget of file descriptors that all connections of a gateway draw from.
+// The budget of file descriptors that all connections of a gateway share.
 #ifndef PADDLESTILE_EVENT_DESCRIPTOR_BUDGET_H_
 #define PADDLESTILE_EVENT_DESCRIPTOR_BUDGET_H_
 
@@ -6,17 +6,15 @@
 
 namespace paddlestile {
 
-// Counts the descriptors in use against a limit, less a reserve for the descriptors that every
-// process needs: log, epoll, listeners, discovery. Invariant: used() never exceeds what TryAcquire
-// granted and Release gave back.
+// Counts descriptors in use against a limit. During a hot restart two processes share one budget.
 class DescriptorBudget {
  public:
-  static constexpr size_t kReserve = 32;  // descriptors
-
-  // `limit`: descriptors that the process may have open.
+  // Descriptors kept for what is not budgeted: files, admin interface, discovery.
+  static constexpr size_t kReserve = 32;
+  // `limit`: descriptors that the process may open.
   explicit DescriptorBudget(size_t limit)
       : limit_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
-  // Counts one more descriptor; false, and nothing counted, where the limit is reached.
+  // Counts one descriptor; false, without effect, where the limit is reached.
   bool TryAcquire() {
     if (used_ + held_by_other_process_ >= limit_) {
       return false;
@@ -24,18 +22,16 @@
     ++used_;
     return true;
   }
-  // Gives back one that TryAcquire granted.
   void Release() { --used_; }
   [[nodiscard]] size_t used() const { return used_; }
-  // Descriptors that may be acquired in all; downstream and upstream take shares of it.
+  // Without the reserve.
   [[nodiscard]] size_t limit() const { return limit_; }
-  // During a hot restart: how many the other process of this gateway holds. They count as used.
+  // Descriptors of the budget that the other process of a hot restart holds; 0 without one.
   void set_held_by_other_process(size_t count) { held_by_other_process_ = count; }
 
  private:
   size_t limit_;
-  size_t used_ = 0;
-  size_t held_by_other_process_ = 0;
+  size_t used_ = 0, held_by_other_process_ = 0;
 };
 
 }  // namespace paddlestile
--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -15,12 +15,13 @@
 namespace paddlestile {
 namespace {
 
-constexpr Duration kLongRound{20'000};       // us; a longer round is counted as a lag
-constexpr Duration kMaxUrgentDelay{50'000};  // us; of urgent descriptors within a round
-constexpr int kMaxPollsPerRound = 16;        // of epoll, before the timers run
-constexpr uint64_t kUrgentToken = ~0ULL;     // of urgent_epoll_ in epoll_
-constexpr size_t kEventsPerPoll = 256;
-constexpr size_t kUrgentEventsPerPoll = 16;
+using std::chrono::duration_cast;
+using std::chrono::microseconds;
+
+constexpr Duration kLagThreshold = std::chrono::milliseconds(20);    // longer rounds are counted
+constexpr Duration kUrgentInterval = std::chrono::milliseconds(50);  // within a long round
+constexpr int kMaxPollsPerRound = 16;     // of the sockets, before timers have their turn
+constexpr uint64_t kUrgentToken = ~0ULL;  // of urgent_epoll_
 
 }  // namespace
 
@@ -60,17 +61,16 @@
   if (!PADDLESTILE_CHECK(index < slots_.size() && slots_[index].generation == token >> 32)) {
     return;
   }
-  Slot& slot = slots_[index];
-  const FileDescriptor& epoll = slot.urgent ? urgent_epoll_ : epoll_;
+  const FileDescriptor& epoll = slots_[index].urgent ? urgent_epoll_ : epoll_;
   epoll_ctl(epoll.get(), EPOLL_CTL_DEL, fd, nullptr);
-  slot.handler = nullptr;
-  ++slot.generation;
+  slots_[index].handler = nullptr;
+  ++slots_[index].generation;
   free_slots_.push_back(index);
 }
 
-EventLoop::TimerId EventLoop::RunAfter(Duration delay, std::function<void()> then) {
+EventLoop::TimerId EventLoop::RunAfter(Duration delay, std::function<void()> callback) {
   const TimerId id{Now() + std::max(delay, Duration(0)), next_timer_++};
-  timers_.emplace(std::pair(id.due, id.number), std::move(then));
+  timers_.emplace(std::pair(id.due, id.number), std::move(callback));
   return id;
 }
 
@@ -92,7 +92,7 @@
 }
 
 void EventLoop::RunTimers() {
-  // Only those due at the beginning: a timer that sets itself again must not starve the sockets.
+  // Only those due at the beginning: one that restarts itself must not starve the sockets.
   const Time now = Now();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
     auto node = timers_.extract(timers_.begin());
@@ -117,7 +117,7 @@
   }
   const Slot slot = slots_[index];
   if (slot.handler == nullptr || slot.generation != token >> 32) {
-    return;  // no longer watched
+    return;  // closed within this round
   }
   slot.handler->OnEvents(events);
   RunDeferredTasks();
@@ -125,7 +125,7 @@
 
 void EventLoop::RunUrgent() {
   urgent_polled_at_ = Now();
-  std::array<epoll_event, kUrgentEventsPerPoll> events;
+  std::array<epoll_event, 16> events;
   const int count =
       epoll_wait(urgent_epoll_.get(), events.data(), static_cast<int>(events.size()), 0);
   for (int i = 0; i < count; ++i) {
@@ -134,18 +134,18 @@
   }
 }
 
-void EventLoop::RunOnce(Duration at_most) {
+void EventLoop::RunOnce(Duration max_wait) {
   RunDeferredTasks();
-  Duration wait = after_round_tasks_.empty() ? std::max(at_most, Duration(0)) : Duration(0);
+  Duration wait = after_round_tasks_.empty() ? std::max(max_wait, Duration(0)) : Duration(0);
   if (!timers_.empty()) {
     wait = std::clamp(timers_.begin()->first.first - Now(), Duration(0), wait);
   }
-  // Rounded up, so that the last part of a millisecond is not spent spinning.
+  // Rounded up, or the last part of a millisecond would be spent spinning.
   const auto wait_ms = static_cast<int>(std::min<int64_t>((wait.count() + 999) / 1000, 60'000));
-  std::array<epoll_event, kEventsPerPoll> events;
-  constexpr auto kMaxEvents = static_cast<int>(kEventsPerPoll);
+  std::array<epoll_event, 256> events;
+  constexpr auto kMaxEvents = static_cast<int>(events.size());
   int count = epoll_wait(epoll_.get(), events.data(), kMaxEvents, wait_ms);
-  const Time round_began = Now();
+  const Time started_at = Now();
   RunUrgent();
   RunAfterRoundTasks();
   for (int polls = 1;; ++polls) {
@@ -154,7 +154,7 @@
       if (event.data.u64 != kUrgentToken) {
         RunEvent(event.data.u64, event.events);
       }
-      if (Now() - urgent_polled_at_ > kMaxUrgentDelay) {
+      if (Now() - urgent_polled_at_ > kUrgentInterval) {
         RunUrgent();
       }
     }
@@ -163,9 +163,9 @@
     }
     count = epoll_wait(epoll_.get(), events.data(), kMaxEvents, 0);  // more may be ready
   }
-  // After the sockets: what arrived before a time limit was reached still counts.
+  // After the sockets: bytes that had come by the time of a limit still count.
   RunTimers();
-  if (Now() - round_began > kLongRound) {
+  if (Now() - started_at > kLagThreshold) {
     ++GlobalCounters().loop_lagged;
   }
 }
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -1,4 +1,4 @@
-// Sockets that are counted in the descriptor budget; listening and connecting.
+// TCP sockets that are counted in the descriptor budget; listening and connecting.
 #ifndef PADDLESTILE_EVENT_SOCKET_H_
 #define PADDLESTILE_EVENT_SOCKET_H_
 
@@ -11,10 +11,10 @@
 
 namespace paddlestile {
 
-// An owned descriptor that counts in a budget until it is closed. The budget, which may be null,
-// outlives the socket and has granted the descriptor already.
+// A descriptor that is counted in a budget while it is open.
 class Socket {
  public:
+  // Takes a descriptor that `budget` has counted by TryAcquire, or none with null.
   Socket(FileDescriptor fd, DescriptorBudget* budget) : fd_(std::move(fd)), budget_(budget) {}
   Socket(Socket&& other) noexcept
       : fd_(std::move(other.fd_)), budget_(std::exchange(other.budget_, nullptr)) {}
@@ -42,16 +42,14 @@
   DescriptorBudget* budget_;
 };
 
-// A non-blocking socket that listens at `listen` with SO_REUSEADDR. `shared`: other processes of
-// the same user may listen there too (SO_REUSEPORT); the newest then gets all new connections.
-// Returns an empty descriptor where the kernel refuses, with errno set.
+// A non-blocking listening socket; none, with errno set, where the kernel refuses. `shared`: other
+// processes of the same user may listen on the address too.
 FileDescriptor Listen(const Address& listen, int backlog, bool shared);
-// The address that a socket is bound to; a default one where it is not.
+// The address that a socket is bound to.
 Address LocalAddress(int fd);
 
-// Begins a non-blocking TCP connection to `to`. `budget` may be null: the descriptor then comes out
-// of the reserve. Returns nothing where the budget or the kernel has no descriptor, or, with
-// `refused` set, where the connection itself fails at once.
+// Begins to connect, without blocking; from the reserve where `budget` is null. Nothing where the
+// budget or the kernel has no descriptor left, or, with `refused` set, where the connect fails.
 std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused);
 
 }  // namespace paddlestile
--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -17,10 +17,12 @@
 
 namespace paddlestile {
 namespace {
-constexpr size_t kSegmentsPerWrite = 16;
-// A peer may send far more than anybody wants: past this it waits for its own full buffers.
-constexpr size_t kMaxDiscardBytes = 1 << 20;
+
+constexpr size_t kMaxSegmentsPerWrite = 16;
+// A peer may have far more to send: past this it is left to its own full buffers.
+constexpr size_t kMaxDiscardedBytes = 1 << 20;
 constexpr size_t kDiscardBytesPerRead = 1 << 17;
+
 }  // namespace
 
 Stream::Stream(EventLoop& loop, Socket socket, Listener* listener, bool connecting)
@@ -31,7 +33,8 @@
 }
 
 bool Stream::Start(bool urgent) {
-  return watched_ = loop_.Watch(socket_.get(), this, token_, urgent);
+  watched_ = loop_.Watch(socket_.get(), this, token_, urgent);
+  return watched_;
 }
 
 void Stream::Close() {
@@ -61,20 +64,20 @@
 }
 
 bool Stream::DiscardAvailable() {
-  while (discarded_bytes_ < kMaxDiscardBytes) {
-    const ssize_t received = recv(socket_.get(), nullptr, kDiscardBytesPerRead, MSG_TRUNC);
-    if (received > 0) {
-      discarded_bytes_ += static_cast<size_t>(received);
+  while (discarded_ < kMaxDiscardedBytes) {
+    const ssize_t n = recv(socket_.get(), nullptr, kDiscardBytesPerRead, MSG_TRUNC);
+    if (n > 0) {
+      discarded_ += static_cast<size_t>(n);
       continue;
     }
-    if (received < 0 && errno == EINTR) {
+    if (n < 0 && errno == EINTR) {
       continue;
     }
     readable_ = false;
-    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       return false;
     }
-    ended_ = received == 0;
+    ended_ = n == 0;
     if (!ended_) {
       ReportError();
     }
@@ -90,32 +93,32 @@
   bool has_news = false;
   while (!closed_ && !ended_ && !broken_) {
     if (input_.size() >= max_unread_bytes_) {
-      return has_news;  // ResumeReading goes on
+      return has_news;  // readable_ stays set for ResumeReading
     }
-    char* const room = input_.Prepare(min_read_bytes_);
-    const ssize_t received = recv(socket_.get(), room, input_.Room(), 0);
-    if (received > 0) {
-      const bool read_all = static_cast<size_t>(received) < input_.Room();
-      input_.Commit(static_cast<size_t>(received));
+    char* const to = input_.Prepare(min_read_bytes_);
+    const ssize_t n = recv(socket_.get(), to, input_.Room(), 0);
+    if (n > 0) {
+      const bool read_all = static_cast<size_t>(n) < input_.Room();
+      input_.Commit(static_cast<size_t>(n));
       has_news = true;
-      // Less than there was room for: the kernel has no more, and reports the next byte as a new
-      // edge.
+      // A read that leaves room has read all: later bytes are another edge.
       if (read_all && !hung_up_) {
         readable_ = false;
         return has_news;
       }
-    } else if (received == 0) {
-      ended_ = has_news = true;
+    } else if (n == 0) {
+      ended_ = true;
+      has_news = true;
     } else if (errno == EINTR) {
       continue;
     } else {
       readable_ = false;
-      // An emptied buffer keeps no memory while the connection idles.
+      // Frees the memory of the buffer while the connection idles.
       if (input_.empty()) {
         input_.Consume(0);
       }
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
-        // What arrived before the error may still be a complete message.
+        // The bytes before the error may complete a message.
         if (has_news) {
           listener_->OnData();
         }
@@ -137,7 +140,8 @@
   }
 }
 
-bool Stream::FinishConnecting(uint32_t events) {
+// Reports the connection or its failure; true where it has come up and the stream is open.
+bool Stream::FinishConnect(uint32_t events) {
   int error = 0;
   socklen_t size = sizeof(error);
   getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
@@ -148,7 +152,7 @@
   if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
     return false;
   }
-  // A socket that has not begun to connect reports a hang-up too.
+  // A socket that has not begun to connect reports EPOLLHUP too.
   sockaddr_in peer{};
   size = sizeof(peer);
   if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
@@ -163,7 +167,7 @@
 }
 
 void Stream::OnEvents(uint32_t events) {
-  if (!connected_ && !FinishConnecting(events)) {
+  if (!connected_ && !FinishConnect(events)) {
     return;
   }
   if ((events & EPOLLOUT) != 0 && !output_.empty()) {
@@ -173,72 +177,82 @@
     }
   }
   if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
-    readable_ = true;
-    const bool was_hung_up = hung_up_;
-    hung_up_ = hung_up_ || (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-    const bool has_news = ReadAvailable();
-    // Where the bound stops reading, the end behind it would not be reported by a read.
-    const bool end_unreported =
-        hung_up_ && !was_hung_up && !discarding_ && input_.size() >= max_unread_bytes_;
-    if (!closed_ && !broken_ && (has_news || end_unreported)) {
-      listener_->OnData();
-    }
+    OnReadable((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
   }
 }
 
-void Stream::RemoveWritten(size_t bytes) {
-  while (bytes > 0 || (!output_.empty() && output_.front().remaining.empty())) {
-    WriteSegment& segment = output_.front();
-    const size_t part = std::min(bytes, segment.remaining.size());
-    segment.remaining.remove_prefix(part);
-    bytes -= part;
-    if (!segment.remaining.empty()) {
-      break;
-    }
-    output_.pop_front();
+void Stream::OnReadable(bool hung_up) {
+  readable_ = true;
+  const bool hung_up_before = hung_up_;
+  hung_up_ = hung_up_ || hung_up;
+  const bool has_news = ReadAvailable();
+  // The end behind bytes that there is no room to read is not reported by the kernel again.
+  const bool end_hidden =
+      hung_up_ && !hung_up_before && !discarding_ && input_.size() >= max_unread_bytes_;
+  if (!closed_ && !broken_ && (has_news || end_hidden)) {
+    listener_->OnData();
   }
 }
 
 void Stream::Flush() {
   while (!output_.empty() && !broken_) {
-    std::array<iovec, kSegmentsPerWrite> vectors{};
+    std::array<iovec, kMaxSegmentsPerWrite> parts{};
     size_t count = 0;
     for (const WriteSegment& segment : output_) {
-      if (count == vectors.size()) {
+      if (count == parts.size()) {
         break;
       }
-      vectors[count++] = {const_cast<char*>(segment.remaining.data()), segment.remaining.size()};
+      parts[count++] = {const_cast<char*>(segment.remaining.data()), segment.remaining.size()};
     }
     msghdr message{};
-    message.msg_iov = vectors.data();
+    message.msg_iov = parts.data();
     message.msg_iovlen = count;
-    const ssize_t sent = sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
-    if (sent < 0) {
+    const ssize_t n = sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
+    if (n < 0) {
       if (errno == EINTR) {
         continue;
       }
       if (errno == EAGAIN || errno == EWOULDBLOCK) {
         return;
       }
-      // A peer may have responded and closed before it read everything: read its response first.
-      readable_ = hung_up_ = true;
-      output_.clear();
-      if (ReadAvailable()) {
-        listener_->OnData();
-      }
-      if (!closed_) {
-        ReportError();
-      }
-      return;
+      return OnWriteFailed();
     }
-    RemoveWritten(static_cast<size_t>(sent));
+    ConsumeOutput(static_cast<size_t>(n));
   }
   if (output_.empty() && !broken_) {
     listener_->OnWriteComplete();
   }
 }
 
-void Stream::Write(std::string head, std::shared_ptr<const void> keep, std::string_view body) {
+// A peer may have responded and closed before it read all: the response can still be read.
+void Stream::OnWriteFailed() {
+  readable_ = true;
+  hung_up_ = true;
+  output_.clear();
+  if (ReadAvailable()) {
+    listener_->OnData();
+  }
+  if (!closed_) {
+    ReportError();
+  }
+}
+
+// Drops so many bytes from the queue, and empty segments at its front.
+void Stream::ConsumeOutput(size_t bytes) {
+  while (bytes > 0 || (!output_.empty() && output_.front().remaining.empty())) {
+    WriteSegment& segment = output_.front();
+    const size_t consumed = std::min(bytes, segment.remaining.size());
+    segment.remaining.remove_prefix(consumed);
+    bytes -= consumed;
+    if (!segment.remaining.empty()) {
+      return;
+    }
+    output_.pop_front();
+  }
+}
+
+void Stream::Write(std::string head, std::shared_ptr<const void> keep_alive,
+                   std::string_view body) {
   if (closed_ || broken_) {
     return;
   }
@@ -248,7 +262,7 @@
   first.remaining = first.owned;
   if (!body.empty()) {
     WriteSegment& second = output_.emplace_back();
-    second.keep_alive = std::move(keep);
+    second.keep_alive = std::move(keep_alive);
     second.remaining = body;
   }
   if (connected_ && idle) {
@@ -257,9 +271,9 @@
 }
 
 void Stream::CloseByReset() {
-  const linger reset_on_close{1, 0};
+  const linger reset{1, 0};
   if (!closed_) {
-    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
+    setsockopt(socket_.get(), SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
   }
   Close();
 }
@@ -281,8 +295,8 @@
     return false;
   }
   char byte = 0;
-  const ssize_t received = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t n = recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 }  // namespace paddlestile
