--- a/src/cli/cluster_commands.cpp
+++ b/src/cli/cluster_commands.cpp
@@ -242,7 +242,7 @@
       last = (*answer)["error"].get<std::string>();
       continue;
     }
-    const auto told = cluster::ReadAnswer(answer->value("answer", json()));
+    const auto told = cluster::ReadChangeResult(answer->value("answer", json()));
     if (!told) {
       continue;
     }
--- a/src/cluster/change_proposal.cpp
+++ b/src/cluster/change_proposal.cpp
@@ -56,10 +56,10 @@
   if (!change.is_delta) {
     delta.document = ComputeDelta(base, next);
     if (delta.document.size() > std::min(kMaxDeltaBytes, change.document.size())) {
-      return VersionHistory::ChangeEntry(change);
+      return EncodeChangeEntry(change);
     }
   }
-  return VersionHistory::ChangeEntry(delta, {latest.latest_version(), HashOf(next)});
+  return EncodeChangeEntry(delta, {latest.latest_version(), HashOf(next)});
 }
 
 }  // namespace
@@ -73,7 +73,7 @@
     return {{}, std::move(faults)};
   }
   if (!encodes_deltas || has_mismatch) {
-    return {VersionHistory::ChangeEntry(change), {}};
+    return {EncodeChangeEntry(change), {}};
   }
   const std::optional<VersionHistory> ahead = HistoryWithPendingEntries(history, raft_node);
   try {
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -294,7 +294,7 @@
     return;
   }
   const bool sends_hash = options_.deltas && !has_content_mismatch_;
-  const std::string entry = VersionHistory::InForceEntry(
+  const std::string entry = EncodeInForceEntry(
       history_.latest_version(), sends_hash ? history_.versions().back().hash : std::string());
   if (raft_node_.Propose(now, entry, output)) {
     last_in_force_proposal_ = proposal;
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -11,66 +11,75 @@
 
 using nlohmann::json;
 
-ChangeRequest AWish(const json& v) {
-  ChangeRequest wish;
-  wish.kind = raft::DecodeEnum(v.at(0), ChangeRequest::Kind::kReplaceVoter);
-  wish.name = v.at(1);
-  wish.change = {v.at(2), v.at(3), v.at(4), v.at(5), std::nullopt, v.at(7), false};
-  if (!v.at(6).is_null()) {
-    wish.change.expected_version = v.at(6).get<uint64_t>();
+constexpr size_t kDeltaPosition = 8;  // in a change request; missing where it is a whole version
+
+ChangeRequest DecodeChangeRequest(const json& value) {
+  ChangeRequest request;
+  request.kind = raft::DecodeEnum(value.at(0), ChangeRequest::Kind::kReplaceVoter);
+  request.name = value.at(1);
+  Change& change = request.change;
+  change.id = value.at(2);
+  change.author = value.at(3);
+  change.reason = value.at(4);
+  change.submitted_unix_s = value.at(5);
+  if (!value.at(6).is_null()) {
+    change.expected_version = value.at(6).get<uint64_t>();
   }
-  wish.change.is_delta = v.size() > 8;
-  if (wish.change.is_delta) {
-    wish.change.document = v.at(8);
+  change.document = value.at(7);
+  change.is_delta = value.size() > kDeltaPosition;
+  if (change.is_delta) {
+    change.document = value.at(kDeltaPosition);
   }
-  return wish;
+  return request;
 }
 
-ChangeResult AnAnswer(const json& v) {
-  return {raft::DecodeEnum(v.at(0), ChangeResult::Kind::kUnknown), v.at(1), v.at(2), v.at(3)};
+ChangeResult DecodeChangeResult(const json& value) {
+  return {raft::DecodeEnum(value.at(0), ChangeResult::Kind::kUnknown), value.at(1), value.at(2),
+          value.at(3)};
 }
 
 }  // namespace
 
-json ToJson(const ChangeRequest& w) {
-  const Change& c = w.change;
-  json all = {w.kind, w.name, c.id, c.author, c.reason, c.submitted_unix_s,
-              c.expected_version ? json(*c.expected_version) : json(),
-              // Where a whole version stands a delta is not: a program that knows none refuses it.
-              c.is_delta ? std::string() : c.document};
-  if (c.is_delta) {
-    all.push_back(c.document);
+json ToJson(const ChangeRequest& request) {
+  const Change& change = request.change;
+  json value = {request.kind, request.name, change.id, change.author, change.reason,
+                change.submitted_unix_s,
+                change.expected_version ? json(*change.expected_version) : json(),
+                // Empty for a delta: a program that knows none refuses that as a version.
+                change.is_delta ? std::string() : change.document};
+  if (change.is_delta) {
+    value.push_back(change.document);
   }
-  return all;
+  return value;
 }
 
-json ToJson(const ChangeResult& a) {
-  return {a.kind, a.id, a.version, a.text};
+json ToJson(const ChangeResult& result) {
+  return {result.kind, result.id, result.version, result.text};
 }
 
-json ToJson(const MemberMessage& n) {
-  return {n.from, n.to, n.request ? ToJson(*n.request) : json(),
-          n.result ? ToJson(*n.result) : json()};
+json ToJson(const MemberMessage& message) {
+  return {message.from, message.to, message.request ? ToJson(*message.request) : json(),
+          message.result ? ToJson(*message.result) : json()};
 }
 
-std::optional<ChangeRequest> ReadWish(const json& v) {
-  return raft::TryDecode([&] { return AWish(v); });
+std::optional<ChangeRequest> ReadChangeRequest(const json& value) {
+  return raft::TryDecode([&] { return DecodeChangeRequest(value); });
 }
 
-std::optional<ChangeResult> ReadAnswer(const json& v) {
-  return raft::TryDecode([&] { return AnAnswer(v); });
+std::optional<ChangeResult> ReadChangeResult(const json& value) {
+  return raft::TryDecode([&] { return DecodeChangeResult(value); });
 }
 
-std::optional<MemberMessage> ReadNote(const json& v) {
+std::optional<MemberMessage> ReadMemberMessage(const json& value) {
   return raft::TryDecode([&] {
-    MemberMessage n{v.at(0), v.at(1), std::nullopt, std::nullopt};
-    if (!v.at(2).is_null()) {
-      n.request = AWish(v.at(2));
+    MemberMessage message{value.at(0), value.at(1), std::nullopt, std::nullopt};
+    if (!value.at(2).is_null()) {
+      message.request = DecodeChangeRequest(value.at(2));
     }
-    if (!v.at(3).is_null()) {
-      n.result = AnAnswer(v.at(3));
+    if (!value.at(3).is_null()) {
+      message.result = DecodeChangeResult(value.at(3));
     }
-    return n;
+    return message;
   });
 }
 
--- a/src/cluster/config_document.cpp
+++ b/src/cluster/config_document.cpp
@@ -3,173 +3,206 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <array>
 #include <stdexcept>
 #include <utility>
 
+#include "cluster/document_json.h"
+
 namespace paddlestile::cluster {
 namespace {
 
 using nlohmann::json;
 
-void CheckList(const json& rules, const char* key, std::vector<std::string>& faults) {
-  const auto at = rules.find(key);
-  if (at == rules.end()) {
-    return;
+// ---- Parts of a document ----------------------------------------------------------------------
+
+void ValidateKeys(const json& document, std::vector<std::string>& faults) {
+  constexpr std::array kKeys = {kSettingsKey, kExcludedKey, kDrainingKey, kZoneOnlyKey};
+  for (const auto& [key, value] : document.items()) {
+    if (std::ranges::find(kKeys, std::string_view(key)) == kKeys.end()) {
+      faults.push_back(key + ": expected settings, barred, drain or zone_only");
+    }
   }
-  const bool good = at->is_array() && std::ranges::all_of(*at, [](const json& id) {
-                      return id.is_string() && !id.get_ref<const std::string&>().empty();
-                    });
-  if (!good) {
+}
+
+void ValidateHosts(const json& document, const char* key, std::vector<std::string>& faults) {
+  const auto hosts = document.find(key);
+  if (hosts != document.end() && !IsHostIdList(*hosts)) {
     faults.push_back(std::string(key) + ": expected a list of hosts' ids");
   }
 }
 
-void CheckSettings(const json& settings, std::vector<std::string>& faults) {
-  for (const char* const key : {"Classes", "Tenants"}) {
-    if (const auto at = settings.find(key); at != settings.end()) {
-      std::string where = "settings.";
-      ValidateNamedList(where.append(key), *at, faults);
+void ValidateZones(const json& document, std::vector<std::string>& faults) {
+  const auto zones = document.find(kZoneOnlyKey);
+  if (zones == document.end()) {
+    return;
+  }
+  const bool is_valid = zones->is_object() && std::ranges::all_of(*zones, [](const json& zone) {
+                          return zone.is_string();
+                        });
+  if (!is_valid) {
+    faults.emplace_back("zone_only: expected an object of host to zone");
+  }
+}
+
+void ValidateSettings(const json& document, std::vector<std::string>& faults) {
+  const auto settings = document.find(kSettingsKey);
+  if (settings == document.end()) {
+    return;
+  }
+  if (!settings->is_object()) {
+    faults.emplace_back("settings: expected an object");
+    return;
+  }
+  for (const char* const key : kNamedListKeys) {
+    if (const auto list = settings->find(key); list != settings->end()) {
+      std::string path = "settings.";
+      ValidateNamedList(path.append(key), *list, faults);
     }
   }
-  const auto allowed = settings.find("Allowed");
-  if (allowed != settings.end()) {
+  if (const auto allowed = settings->find(kAllowedKey); allowed != settings->end()) {
     ValidateAllowed(*allowed, faults);
   }
 }
 
-std::vector<std::string> Check(std::string_view text, size_t most, json& rules) {
-  std::vector<std::string> faults = ValidateSize(text.size(), most);
-  if (!faults.empty()) {
-    return faults;
+// ---- A document -------------------------------------------------------------------------------
+
+struct ParsedText {
+  json value;  // an object, where there are no faults
+  std::vector<std::string> faults;
+};
+
+ParsedText ParseText(std::string_view text, size_t max_bytes) {
+  ParsedText parsed;
+  parsed.faults = ValidateSize(text.size(), max_bytes);
+  if (!parsed.faults.empty()) {
+    return parsed;
+  }
+  parsed.value = json::parse(text, nullptr, false);
+  if (parsed.value.is_discarded() || !parsed.value.is_object()) {
+    parsed.faults = {"expected one JSON object"};
+    return parsed;
+  }
+  ValidateKeys(parsed.value, parsed.faults);
+  ValidateHosts(parsed.value, kExcludedKey, parsed.faults);
+  ValidateHosts(parsed.value, kDrainingKey, parsed.faults);
+  ValidateZones(parsed.value, parsed.faults);
+  ValidateSettings(parsed.value, parsed.faults);
+  return parsed;
+}
+
+ConfigDocument Parse(std::string_view text, size_t max_bytes) {
+  const ParsedText parsed = ParseText(text, max_bytes);
+  if (!parsed.faults.empty()) {
+    throw std::invalid_argument(parsed.faults.front());
+  }
+  const json& value = parsed.value;
+  ConfigDocument document;
+  document.settings = value.value(kSettingsKey, json::object());
+  document.excluded = value.value(kExcludedKey, std::set<std::string>());
+  document.draining = value.value(kDrainingKey, std::set<std::string>());
+  document.zone_only = value.value(kZoneOnlyKey, std::map<std::string, std::string>());
+  return document;
+}
+
+// ---- One object of a named list ---------------------------------------------------------------
+
+// The object's `Name`; null where it has none.
+const std::string* NameOf(const json& item) {
+  if (!item.is_object()) {
+    return nullptr;
   }
-  rules = json::parse(text, nullptr, false);
-  if (rules.is_discarded() || !rules.is_object()) {
-    return {"expected one JSON object"};
+  const auto name = item.find("Name");
+  if (name == item.end() || !name->is_string()) {
+    return nullptr;
   }
-  for (const auto& [key, value] : rules.items()) {
-    if (key != "settings" && key != "barred" && key != "drain" && key != "zone_only") {
-      faults.push_back(key + ": expected settings, barred, drain or zone_only");
-    }
+  return &name->get_ref<const std::string&>();
+}
+
+void ValidateEffect(const std::string& path, const json& item, std::vector<std::string>& faults) {
+  const auto effect = item.find("Effect");
+  if (effect == item.end()) {
+    return;
   }
-  CheckList(rules, "barred", faults);
-  CheckList(rules, "drain", faults);
-  if (const auto at = rules.find("zone_only"); at != rules.end()) {
-    const bool good = at->is_object() &&
-                      std::ranges::all_of(*at, [](const json& zone) { return zone.is_string(); });
-    if (!good) {
-      faults.emplace_back("zone_only: expected an object of host to zone");
-    }
+  const bool is_valid =
+      effect->is_string() &&
+      std::ranges::find(kIdempotencyLevels, effect->get<std::string>()) != kIdempotencyLevels.end();
+  if (!is_valid) {
+    faults.push_back(path + ".Effect: expected safe, keyed or unsafe");
   }
-  const auto settings = rules.find("settings");
-  if (settings == rules.end()) {
-    return faults;
+}
+
+void ValidateNumber(const std::string& path, const json& item, const char* key, bool allows_zero,
+                    const char* expected, std::vector<std::string>& faults) {
+  const auto number = item.find(key);
+  if (number == item.end()) {
+    return;
   }
-  if (!settings->is_object()) {
-    faults.emplace_back("settings: expected an object");
-    return faults;
+  const bool is_valid = number->is_number() &&
+                        (number->get<double>() > 0 || (allows_zero && number->get<double>() == 0));
+  if (!is_valid) {
+    std::string fault = path;
+    faults.push_back(fault.append(".").append(key).append(": expected ").append(expected));
   }
-  CheckSettings(*settings, faults);
-  return faults;
 }
 
 }  // namespace
 
 std::vector<std::string> ValidateDocument(std::string_view text) {
-  json rules;
-  return Check(text, kMaxDocumentBytes, rules);
+  return ParseText(text, kMaxDocumentBytes).faults;
 }
 
-std::vector<std::string> ValidateSize(size_t bytes, size_t most) {
-  if (bytes <= most) {
+std::vector<std::string> ValidateSize(size_t bytes, size_t max_bytes) {
+  if (bytes <= max_bytes) {
     return {};
   }
-  return {"a version of " + std::to_string(bytes) + " bytes, expected " + std::to_string(most) +
-          " at most"};
+  return {"a version of " + std::to_string(bytes) + " bytes, expected " +
+          std::to_string(max_bytes) + " at most"};
 }
 
-void ValidateNamedObject(const std::string& where, const json& item,
+void ValidateNamedObject(const std::string& path, const json& item,
                          std::vector<std::string>& faults) {
-  const auto fault = [&](const char* what, const char* expected) {
-    std::string line = where;
-    faults.push_back(line.append(what).append(": expected ").append(expected));
-  };
-  const auto name = item.is_object() ? item.find("Name") : item.end();
-  if (!item.is_object() || name == item.end() || !name->is_string()) {
-    return fault("", "an object with a Name");
-  }
-  if (const auto e = item.find("Effect"); e != item.end()) {
-    if (!e->is_string() ||
-        std::ranges::find(kIdempotencyLevels, e->get<std::string>()) == kIdempotencyLevels.end()) {
-      fault(".Effect", "safe, keyed or unsafe");
-    }
+  if (NameOf(item) == nullptr) {
+    faults.push_back(path + ": expected an object with a Name");
+    return;
+  }
+  ValidateEffect(path, item, faults);
+  for (const char* const key : {"Deadline", "Slo"}) {
+    ValidateNumber(path, item, key, false, "milliseconds above 0", faults);
+  }
+  for (const char* const key : {"Window", "QuotaPerS", "Share"}) {
+    ValidateNumber(path, item, key, true, "a number of 0 or more", faults);
   }
-  const auto numbers = [&](const auto& keys, bool zero, const char* expected) {
-    for (const char* const key : keys) {
-      const auto d = item.find(key);
-      if (d == item.end()) {
-        continue;
-      }
-      if (d->is_number() && (d->get<double>() > 0 || (zero && d->get<double>() == 0))) {
-        continue;
-      }
-      fault(std::string(".").append(key).c_str(), expected);
-    }
-  };
-  numbers(std::array{"Deadline", "Slo"}, false, "milliseconds above 0");
-  numbers(std::array{"Window", "QuotaPerS", "Share"}, true, "a number of 0 or more");
 }
 
-void ValidateNamedList(const std::string& where, const json& list,
+void ValidateNamedList(const std::string& path, const json& list,
                        std::vector<std::string>& faults) {
   if (!list.is_array()) {
-    faults.push_back(where + ": expected a list");
+    faults.push_back(path + ": expected a list");
     return;
   }
   std::set<std::string_view> seen;
   for (size_t i = 0; i < list.size(); ++i) {
-    const json& item = list[i];
-    std::string at = where;
-    at.append(".").append(std::to_string(i));
-    ValidateNamedObject(at, item, faults);
-    const auto name = item.is_object() ? item.find("Name") : item.end();
-    if (name == item.end() || !name->is_string()) {
-      continue;
-    }
-    if (!seen.insert(name->get_ref<const std::string&>()).second) {
-      faults.push_back(at + ".Name: '" + name->get<std::string>() +
-                       "' a second time, expected each once");
+    std::string item_path = path;
+    item_path.append(".").append(std::to_string(i));
+    ValidateNamedObject(item_path, list[i], faults);
+    const std::string* const name = NameOf(list[i]);
+    if (name != nullptr && !seen.insert(*name).second) {
+      faults.push_back(item_path + ".Name: '" + *name + "' a second time, expected each once");
     }
   }
 }
 
 void ValidateAllowed(const json& allowed, std::vector<std::string>& faults) {
-  const auto cap = allowed.is_object() ? allowed.find("SendCap") : allowed.end();
   if (!allowed.is_object()) {
     faults.emplace_back("settings.Allowed: expected an object");
-  } else if (cap != allowed.end() && (!cap->is_number_integer() || cap->get<int64_t>() < 1)) {
-    faults.emplace_back("settings.Allowed.SendCap: expected a whole number above 0");
+    return;
   }
-}
-
-namespace {
-
-ConfigDocument Parse(std::string_view text, size_t most) {
-  json all;
-  const std::vector<std::string> faults = Check(text, most, all);
-  if (!faults.empty()) {
-    throw std::invalid_argument(faults.front());
+  const auto cap = allowed.find("SendCap");
+  if (cap != allowed.end() && (!cap->is_number_integer() || cap->get<int64_t>() < 1)) {
+    faults.emplace_back("settings.Allowed.SendCap: expected a whole number above 0");
   }
-  ConfigDocument rules;
-  rules.settings = all.value("settings", json::object());
-  rules.excluded = all.value("barred", std::set<std::string>());
-  rules.draining = all.value("drain", std::set<std::string>());
-  rules.zone_only = all.value("zone_only", std::map<std::string, std::string>());
-  return rules;
 }
 
-}  // namespace
-
 ConfigDocument ParseDocument(std::string_view text) {
   return Parse(text, kMaxDocumentBytes);
 }
@@ -178,25 +211,22 @@
   return Parse(text, kMaxVersionBytes);
 }
 
-std::string ToText(const ConfigDocument& rules) {
-  const auto dumped = [](const json& value) {
-    return value.dump(-1, ' ', false, json::error_handler_t::replace);
-  };
-  // The keys in their order, one by one: put together as one object the settings would be copied.
-  return R"({"barred":)" + dumped(rules.excluded) + R"(,"drain":)" + dumped(rules.draining) +
-         R"(,"settings":)" + dumped(rules.settings) + R"(,"zone_only":)" + dumped(rules.zone_only) +
-         "}";
+std::string ToText(const ConfigDocument& document) {
+  // The keys in their order, one by one: to put them into one object would copy the settings.
+  return R"({"barred":)" + DumpJson(document.excluded) + R"(,"drain":)" +
+         DumpJson(document.draining) + R"(,"settings":)" + DumpJson(document.settings) +
+         R"(,"zone_only":)" + DumpJson(document.zone_only) + "}";
 }
 
 std::string HashOf(std::string_view text) {
   const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
-  std::string out;
+  std::string digits;
   for (const uint64_t half : {hash.high64, hash.low64}) {
     for (int shift = 60; shift >= 0; shift -= 4) {
-      out += "0123456789abcdef"[(half >> shift) & 15];
+      digits += "0123456789abcdef"[(half >> shift) & 15];
     }
   }
-  return out;
+  return digits;
 }
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/config_document.h
+++ b/src/cluster/config_document.h
@@ -1,5 +1,5 @@
-// What the bank agrees on: a patch of the platform's settings and lists of hosts, one whole version
-// at a time. No I/O. What contradicts what is told in bank/content.h and docs/bank.md.
+// A version of the replicated configuration as operators write and read it: settings laid over the
+// platform's, and lists of hosts. No I/O.
 #ifndef PADDLESTILE_CLUSTER_CONFIG_DOCUMENT_H_
 #define PADDLESTILE_CLUSTER_CONFIG_DOCUMENT_H_
 
@@ -14,43 +14,44 @@
 
 namespace paddlestile::cluster {
 
-// What a class may be, each stricter than the one before.
+// The values of a class's `Effect`, each stricter than the one before.
 inline constexpr std::array kIdempotencyLevels = {"safe", "keyed", "unsafe"};
 
-inline constexpr size_t kMaxDocumentBytes = 256 << 10;  // bytes of a version that is sent whole
-inline constexpr size_t kMaxVersionBytes = 3 << 20;     // bytes of one that deltas made
+inline constexpr size_t kMaxDocumentBytes = 256 << 10;  // of a version that is submitted whole
+inline constexpr size_t kMaxVersionBytes = 3 << 20;     // of a version that deltas made
 
 struct ConfigDocument {
-  nlohmann::json settings = nlohmann::json::object();  // laid over the platform's, RFC 7396
-  std::set<std::string> excluded, draining;            // ids of hosts
-  std::map<std::string, std::string> zone_only;        // host to the one zone that may use it
-  // Nothing is sent twice, whatever its class allows: what holds when it is not known which rules
-  // the others act on.
+  nlohmann::json settings = nlohmann::json::object();  // a merge patch (RFC 7396) of the platform's
+  std::set<std::string> excluded;                      // ids of hosts that get no request
+  std::set<std::string> draining;                      // ids of hosts that get no new request
+  std::map<std::string, std::string> zone_only;        // host id to the one zone that may use it
+  // No request is retried, whatever its class allows. In force while a gateway does not know which
+  // version the others act on; never in a document's text.
   bool strict = false;
   bool operator==(const ConfigDocument&) const = default;
 };
 
-// All that is wrong in a version's text, a line each with its key and what was expected.
+// All faults of a version's text, a line each with its key and what was expected; empty: none.
 std::vector<std::string> ValidateDocument(std::string_view text);
 
-// What a version may hold, in bytes of its text: the fault, or none.
-std::vector<std::string> ValidateSize(size_t bytes, size_t most);
+// The fault of a version whose text has more than `max_bytes`, or none.
+std::vector<std::string> ValidateSize(size_t bytes, size_t max_bytes);
 
-// What is wrong in one part; `where` names it in the lines that are added. A list of objects by
-// name, an object of such a list, the value of `Allowed`.
-void ValidateNamedList(const std::string& where, const nlohmann::json& list,
+// Each adds the faults of one part to `faults`; `path` names the part in them. A list of named
+// objects, one object of such a list, and the value of `Allowed`.
+void ValidateNamedList(const std::string& path, const nlohmann::json& list,
                        std::vector<std::string>& faults);
-void ValidateNamedObject(const std::string& where, const nlohmann::json& item,
+void ValidateNamedObject(const std::string& path, const nlohmann::json& item,
                          std::vector<std::string>& faults);
 void ValidateAllowed(const nlohmann::json& allowed, std::vector<std::string>& faults);
 
-// Of a text without faults; throws std::invalid_argument with the first fault otherwise.
+// Throw std::invalid_argument with the first fault. ParseDocument takes up to kMaxDocumentBytes,
+// ParseVersion up to kMaxVersionBytes.
 ConfigDocument ParseDocument(std::string_view text);
-// The same of what deltas made, which may be larger.
 ConfigDocument ParseVersion(std::string_view text);
 
-// The same rules have the same text.
-std::string ToText(const ConfigDocument& rules);
+// The canonical text: equal documents have the same one.
+std::string ToText(const ConfigDocument& document);
 
 // Of a version's text: 32 hexadecimal digits (XXH3, 128 bits).
 std::string HashOf(std::string_view text);
--- a/src/cluster/delta.h
+++ b/src/cluster/delta.h
@@ -1,5 +1,5 @@
-// A change by its own size: what a delta adds to a version and takes from it, by keyed parts. No
-// I/O. What it looks like and what it cannot say stands in docs/bank.md.
+// Deltas: the keyed parts that a change sets in a version and removes from it. A delta costs what
+// it names, whatever the version's size. docs/bank.md has the format. No I/O.
 #ifndef PADDLESTILE_CLUSTER_DELTA_H_
 #define PADDLESTILE_CLUSTER_DELTA_H_
 
@@ -12,20 +12,20 @@
 
 namespace paddlestile::cluster {
 
-inline constexpr size_t kMaxDeltaBytes = 64 << 10;  // bytes of one delta
+inline constexpr size_t kMaxDeltaBytes = 64 << 10;  // of one delta's text
 
-// All that is wrong in a delta's text, a line each with its key and what was expected.
+// All faults of a delta's text, a line each with its key and what was expected; empty: none.
 std::vector<std::string> ValidateDelta(std::string_view text);
 
-// `base` with the parts that the delta sets, without those that it removes; what is not there and
-// is removed changes nothing. Items of `Classes` and `Tenants` keep their places, new ones come
-// behind them in the order of their names. It costs what the delta names. Throws
-// std::invalid_argument with the first fault of the delta, or of the version that it makes.
+// `base` with the parts that the delta sets and without those that it removes; to remove what is
+// not there changes nothing. Items of `Classes` and `Tenants` keep their places, new ones follow in
+// the order of their names. Throws std::invalid_argument with the first fault of the delta, or of
+// the version that it makes.
 VersionContent ApplyDelta(VersionContent base, std::string_view delta);
 
-// What makes `b` of `a`, so that ToText(ApplyDelta(a, Difference(a, b))) == ToText(b) for any two.
-// It may be larger than `b`, or than a delta may be.
-std::string ComputeDelta(const VersionContent& a, const VersionContent& b);
+// The delta from `from` to `to`: ToText(ApplyDelta(from, ComputeDelta(from, to))) == ToText(to) for
+// any two. It may be larger than `to`, or than kMaxDeltaBytes.
+std::string ComputeDelta(const VersionContent& from, const VersionContent& to);
 
 }  // namespace paddlestile::cluster
 
--- /dev/null
+++ b/src/cluster/delta_validation.cpp
@@ -0,0 +1,179 @@
+#include "cluster/delta_validation.h"
+
+#include <algorithm>
+#include <array>
+#include <set>
+#include <utility>
+
+#include "cluster/delta.h"
+#include "cluster/document_json.h"
+
+namespace paddlestile::cluster {
+namespace {
+
+using nlohmann::json;
+
+constexpr int kMaxNesting = 32;
+
+void ValidateKeys(const json& delta, std::vector<std::string>& faults) {
+  constexpr std::array kKeys = {kSettingsKey, kReplaceKey, kExcludedKey, kDrainingKey,
+                                kZoneOnlyKey};
+  for (const auto& [key, value] : delta.items()) {
+    if (std::ranges::find(kKeys, std::string_view(key)) == kKeys.end()) {
+      faults.push_back(key + ": expected settings, replace, barred, drain or zone_only");
+    }
+  }
+}
+
+void ValidateHosts(const json& delta, const char* key, std::vector<std::string>& faults) {
+  const auto hosts = delta.find(key);
+  if (hosts == delta.end()) {
+    return;
+  }
+  if (!hosts->is_object()) {
+    faults.push_back(std::string(key) + ": expected an object of add and remove");
+    return;
+  }
+  std::set<std::string> seen;
+  for (const auto& [action, ids] : hosts->items()) {
+    const std::string path = std::string(key) + "." + action;
+    if (action != "add" && action != "remove") {
+      faults.push_back(path + ": expected add or remove");
+      continue;
+    }
+    if (!IsHostIdList(ids)) {
+      faults.push_back(path + ": expected a list of hosts' ids");
+      continue;
+    }
+    for (const json& id : ids) {
+      if (!seen.insert(id).second) {
+        faults.push_back(path + ": '" + id.get<std::string>() +
+                         "' a second time, expected each once");
+      }
+    }
+  }
+}
+
+void ValidateZones(const json& delta, std::vector<std::string>& faults) {
+  const auto zones = delta.find(kZoneOnlyKey);
+  if (zones == delta.end()) {
+    return;
+  }
+  const bool is_valid = zones->is_object() && std::ranges::all_of(*zones, [](const json& zone) {
+                          return zone.is_string() || zone.is_null();
+                        });
+  if (!is_valid) {
+    faults.emplace_back("zone_only: expected an object of host to zone, or to null");
+  }
+}
+
+void ValidateNamedListPatch(const std::string& key, const json& patch,
+                            std::vector<std::string>& faults) {
+  if (patch.is_null()) {
+    return;
+  }
+  const std::string list_path = "settings." + key;
+  if (!patch.is_object()) {
+    faults.push_back(list_path + ": expected an object of name to what it changes");
+    return;
+  }
+  for (const auto& [name, item] : patch.items()) {
+    std::string path = list_path;
+    path.append(".").append(name);
+    if (!item.is_object() && !item.is_null()) {
+      faults.push_back(path + ": expected an object, or null to remove it");
+    } else if (item.is_object() && item.contains("Name")) {
+      faults.push_back(path + ".Name: expected none, the key is the name");
+    }
+  }
+}
+
+void ValidateSettings(const json& delta, std::vector<std::string>& faults) {
+  const auto settings = delta.find(kSettingsKey);
+  if (settings == delta.end()) {
+    return;
+  }
+  if (!settings->is_object()) {
+    faults.emplace_back("settings: expected an object");
+    return;
+  }
+  for (const auto& [key, patch] : settings->items()) {
+    if (IsNamedList(key)) {
+      ValidateNamedListPatch(key, patch, faults);
+    }
+  }
+}
+
+void ValidateReplace(const json& delta, std::vector<std::string>& faults) {
+  const auto replace = delta.find(kReplaceKey);
+  if (replace == delta.end()) {
+    return;
+  }
+  if (!replace->is_object()) {
+    faults.emplace_back("replace: expected an object of keys of the settings");
+    return;
+  }
+  const auto settings = delta.find(kSettingsKey);
+  for (const auto& [key, value] : replace->items()) {
+    if (settings != delta.end() && settings->is_object() && settings->contains(key)) {
+      faults.push_back("replace." + key + ": in settings too, expected in one of them");
+    }
+  }
+}
+
+// How deep the text's brackets are nested, outside of strings.
+int NestingOf(std::string_view text) {
+  int nesting = 0;
+  int max_nesting = 0;
+  bool in_string = false;
+  for (size_t i = 0; i < text.size(); ++i) {
+    const char character = text[i];
+    if (in_string) {
+      if (character == '\\') {
+        ++i;  // the escaped character
+      }
+      if (character == '"') {
+        in_string = false;
+      }
+    } else if (character == '"') {
+      in_string = true;
+    } else if (character == '{' || character == '[') {
+      max_nesting = std::max(max_nesting, ++nesting);
+    } else if (character == '}' || character == ']') {
+      --nesting;
+    }
+  }
+  return max_nesting;
+}
+
+}  // namespace
+
+ParsedDelta ParseDelta(std::string_view text) {
+  if (text.size() > kMaxDeltaBytes) {
+    return {{},
+            {"a delta of " + std::to_string(text.size()) + " bytes, expected " +
+             std::to_string(kMaxDeltaBytes) + " at most"}};
+  }
+  // Before it is parsed: the parser's own callback at each depth goes through all siblings.
+  if (NestingOf(text) > kMaxNesting) {
+    return {{}, {"nested more than " + std::to_string(kMaxNesting) + " deep, expected less"}};
+  }
+  ParsedDelta delta;
+  delta.value = json::parse(text, nullptr, false);
+  if (delta.value.is_discarded() || !delta.value.is_object()) {
+    return {{}, {"expected one JSON object"}};
+  }
+  ValidateKeys(delta.value, delta.faults);
+  ValidateHosts(delta.value, kExcludedKey, delta.faults);
+  ValidateHosts(delta.value, kDrainingKey, delta.faults);
+  ValidateZones(delta.value, delta.faults);
+  ValidateSettings(delta.value, delta.faults);
+  ValidateReplace(delta.value, delta.faults);
+  return delta;
+}
+
+std::vector<std::string> ValidateDelta(std::string_view text) {
+  return ParseDelta(text).faults;
+}
+
+}  // namespace paddlestile::cluster
--- a/src/cluster/effective_config.h
+++ b/src/cluster/effective_config.h
@@ -27,7 +27,7 @@
   bool operator==(const EffectiveConfig&) const = default;
 };
 
-// The word for it in operators' status and in the gateway's log line, where it must stay.
+// Its name in operators' status and in the gateway's log line, where it must stay.
 const char* StatusNameOf(EffectiveConfig::Kind kind);
 
 // The longest that two gateways may act on versions that contradict each other: a lease that was
--- a/src/cluster/persistent_map.cpp
+++ b/src/cluster/persistent_map.cpp
@@ -3,50 +3,67 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
+#include <iterator>
 #include <utility>
 
+#include "cluster/document_json.h"
+
 namespace paddlestile::cluster {
 namespace {
 
-bool Before(const MapEntry& part, std::string_view name) {
-  return part.name < name;
+PersistentMap::Hash128 HashOf(const MapEntry& entry) {
+  // The name's hash seeds the text's, so that it matters where the name ends.
+  const uint64_t seed = XXH3_64bits(entry.name.data(), entry.name.size());
+  const XXH128_hash_t hash = XXH3_128bits_withSeed(entry.text.data(), entry.text.size(), seed);
+  return {hash.high64, hash.low64};
 }
 
-PersistentMap::Hash128 HashOf(const MapEntry& part) {
-  // The name's hash seeds the text's: no two splits of the same bytes are alike.
-  const uint64_t seed = XXH3_64bits(part.name.data(), part.name.size());
-  const XXH128_hash_t hash = XXH3_128bits_withSeed(part.text.data(), part.text.size(), seed);
-  return {hash.high64, hash.low64};
+size_t JsonBytes(const std::string& name) {
+  return DumpJson(name).size();
 }
 
-size_t Written(const std::string& name) {
-  return nlohmann::json(name).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace).size();
+// The entry of this name in a chunk, or where it would be.
+template <typename Entries>
+auto LowerBound(Entries& chunk, std::string_view name) {
+  return std::lower_bound(
+      chunk.begin(), chunk.end(), name,
+      [](const MapEntry& entry, std::string_view wanted) { return entry.name < wanted; });
 }
 
 }  // namespace
 
-PersistentMap::PersistentMap(std::vector<MapEntry> parts) {
-  for (MapEntry& part : parts) {
-    part.order = next_order_++;
-    Count(part, true);
+PersistentMap::Hash128& PersistentMap::Hash128::operator+=(const Hash128& other) {
+  high += other.high;
+  low += other.low;
+  return *this;
+}
+
+PersistentMap::Hash128& PersistentMap::Hash128::operator-=(const Hash128& other) {
+  high -= other.high;
+  low -= other.low;
+  return *this;
+}
+
+PersistentMap::PersistentMap(std::vector<MapEntry> entries) {
+  for (MapEntry& entry : entries) {
+    entry.order = next_order_++;
+    AddToTotals(entry);
   }
-  std::ranges::sort(parts, {}, &MapEntry::name);
-  Chunks all;
-  for (size_t at = 0; at < parts.size(); at += kMaxChunkEntries) {
-    const auto first = parts.begin() + static_cast<long>(at);
-    const auto end =
-        parts.begin() + static_cast<long>(std::min(at + kMaxChunkEntries, parts.size()));
-    all.push_back(std::make_shared<std::vector<MapEntry>>(std::make_move_iterator(first),
-                                                          std::make_move_iterator(end)));
+  std::ranges::sort(entries, {}, &MapEntry::name);
+  Chunks chunks;
+  for (size_t begin = 0; begin < entries.size(); begin += kMaxChunkEntries) {
+    const size_t end = std::min(begin + kMaxChunkEntries, entries.size());
+    chunks.push_back(std::make_shared<std::vector<MapEntry>>(
+        std::make_move_iterator(entries.begin() + static_cast<long>(begin)),
+        std::make_move_iterator(entries.begin() + static_cast<long>(end))));
   }
-  chunks_ = std::make_shared<Chunks>(std::move(all));
+  chunks_ = std::make_shared<Chunks>(std::move(chunks));
 }
 
 size_t PersistentMap::ChunkIndexOf(std::string_view name) const {
   const Chunks& all = chunks();
   const auto after = std::ranges::upper_bound(
-      all, name, {}, [](const Chunk& c) -> std::string_view { return c->front().name; });
+      all, name, {}, [](const Chunk& chunk) -> std::string_view { return chunk->front().name; });
   return after == all.begin() ? 0 : static_cast<size_t>(after - all.begin()) - 1;
 }
 
@@ -55,26 +72,22 @@
     return nullptr;
   }
   const std::vector<MapEntry>& chunk = *chunks()[ChunkIndexOf(name)];
-  const auto at = std::lower_bound(chunk.begin(), chunk.end(), name, Before);
-  return at != chunk.end() && at->name == name ? &*at : nullptr;
-}
-
-void PersistentMap::Count(const MapEntry& part, bool added) {
-  const Hash128 hash = HashOf(part);
-  const size_t text = part.text.size(), name = Written(part.name);
-  if (added) {
-    ++size_;
-    text_bytes_ += text;
-    name_bytes_ += name;
-    hash_.high += hash.high;
-    hash_.low += hash.low;
-  } else {
-    --size_;
-    text_bytes_ -= text;
-    name_bytes_ -= name;
-    hash_.high -= hash.high;
-    hash_.low -= hash.low;
-  }
+  const auto entry = LowerBound(chunk, name);
+  return entry != chunk.end() && entry->name == name ? &*entry : nullptr;
+}
+
+void PersistentMap::AddToTotals(const MapEntry& entry) {
+  ++size_;
+  text_bytes_ += entry.text.size();
+  name_bytes_ += JsonBytes(entry.name);
+  hash_ += HashOf(entry);
+}
+
+void PersistentMap::SubtractFromTotals(const MapEntry& entry) {
+  --size_;
+  text_bytes_ -= entry.text.size();
+  name_bytes_ -= JsonBytes(entry.name);
+  hash_ -= HashOf(entry);
 }
 
 PersistentMap::Chunks& PersistentMap::MutableChunks() {
@@ -99,49 +112,54 @@
   if (all.empty()) {
     all.push_back(std::make_shared<std::vector<MapEntry>>());
   }
-  const size_t place = size_ == 0 ? 0 : ChunkIndexOf(name);
-  std::vector<MapEntry>& chunk = MutableChunk(all[place]);
-  auto at = std::lower_bound(chunk.begin(), chunk.end(), name, Before);
-  if (at != chunk.end() && at->name == name) {
-    Count(*at, false);
-    at->text = std::move(text);
+  const size_t index = size_ == 0 ? 0 : ChunkIndexOf(name);
+  std::vector<MapEntry>& chunk = MutableChunk(all[index]);
+  auto entry = LowerBound(chunk, name);
+  if (entry != chunk.end() && entry->name == name) {
+    SubtractFromTotals(*entry);
+    entry->text = std::move(text);
   } else {
-    at = chunk.insert(at, MapEntry{std::string(name), std::move(text), next_order_++});
+    entry = chunk.insert(entry, MapEntry{std::string(name), std::move(text), next_order_++});
   }
-  Count(*at, true);
+  AddToTotals(*entry);
   if (chunk.size() <= kMaxChunkEntries) {
     return;
   }
-  // What is added behind the last, as a list that is read does, leaves full chunks.
-  const bool last = place + 1 == all.size() && at + 1 == chunk.end();
-  const auto half = last ? chunk.end() - 1 : chunk.begin() + kMaxChunkEntries / 2;
-  auto rest = std::make_shared<std::vector<MapEntry>>(std::make_move_iterator(half),
+  // Entries that come in the order of their names, as from a list that is read, leave full chunks.
+  const bool is_last = index + 1 == all.size() && entry + 1 == chunk.end();
+  SplitChunk(all, index, is_last ? chunk.end() - 1 : chunk.begin() + kMaxChunkEntries / 2);
+}
+
+void PersistentMap::SplitChunk(Chunks& chunks, size_t index,
+                               std::vector<MapEntry>::iterator first) {
+  std::vector<MapEntry>& chunk = *chunks[index];
+  auto rest = std::make_shared<std::vector<MapEntry>>(std::make_move_iterator(first),
                                                       std::make_move_iterator(chunk.end()));
-  chunk.erase(half, chunk.end());
-  all.insert(all.begin() + static_cast<long>(place) + 1, std::move(rest));
+  chunk.erase(first, chunk.end());
+  chunks.insert(chunks.begin() + static_cast<long>(index) + 1, std::move(rest));
 }
 
 void PersistentMap::Remove(std::string_view name) {
   if (!contains(name)) {
     return;
   }
-  const size_t place = ChunkIndexOf(name);
+  const size_t index = ChunkIndexOf(name);
   Chunks& all = MutableChunks();
-  std::vector<MapEntry>& chunk = MutableChunk(all[place]);
-  const auto at = std::lower_bound(chunk.begin(), chunk.end(), name, Before);
-  Count(*at, false);
-  chunk.erase(at);
+  std::vector<MapEntry>& chunk = MutableChunk(all[index]);
+  const auto entry = LowerBound(chunk, name);
+  SubtractFromTotals(*entry);
+  chunk.erase(entry);
   if (chunk.empty()) {
-    all.erase(all.begin() + static_cast<long>(place));
+    all.erase(all.begin() + static_cast<long>(index));
   }
 }
 
 std::vector<const MapEntry*> PersistentMap::EntriesInOrder() const {
-  std::vector<const MapEntry*> all;
-  all.reserve(size_);
-  ForEach([&](const MapEntry& part) { all.push_back(&part); });
-  std::ranges::sort(all, {}, &MapEntry::order);
-  return all;
+  std::vector<const MapEntry*> entries;
+  entries.reserve(size_);
+  ForEach([&](const MapEntry& entry) { entries.push_back(&entry); });
+  std::ranges::sort(entries, {}, &MapEntry::order);
+  return entries;
 }
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/persistent_map.h
+++ b/src/cluster/persistent_map.h
@@ -1,11 +1,11 @@
-// Keyed parts of a version: an immutable map from name to text whose copies share what they have in
-// common. A copy costs a pointer, a change of one part the chunk that holds it and a list of
-// chunks, and two that came of one another are compared by the chunks that differ. No I/O.
+// A map from name to text whose copies share what they have in common: a copy costs a pointer, a
+// change one chunk and the list of chunks, and two maps of one origin are compared by the chunks
+// that differ. No I/O.
 //
-// Sorted chunks of names with copy on write: the leaves of a persistent B-tree (Driscoll and others
-// 1989) under one root, as 2,000 chunks of 128 hold what the size to plan for needs. The hash is
-// the sum of the parts' hashes (Bellare and Micciancio 1997, AdHash), so that a change costs its
-// own parts and not a look through all; it tells accidents, not forgers.
+// Sorted chunks of entries, copied on write: the leaves of a persistent B-tree (Driscoll, Sarnak,
+// Sleator and Tarjan 1989) under one root. 2,000 chunks of 128 hold the 240,000 entries to plan
+// for. The hash is the sum of the entries' hashes (AdHash, Bellare and Micciancio 1997), so that a
+// change costs its own entry; it protects against accidents, not against forgery.
 #ifndef PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
 #define PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
 
@@ -19,22 +19,24 @@
 namespace paddlestile::cluster {
 
 struct MapEntry {
-  std::string name, text;  // the text is a JSON value
-  uint64_t order = 0;      // among the parts as somebody listed them; no part of hash or comparison
+  std::string name;
+  std::string text;    // a JSON value
+  uint64_t order = 0;  // position in the list that the entries came from; not compared, not hashed
 };
 
 class PersistentMap {
  public:
-  static constexpr size_t kMaxChunkEntries = 128;  // parts of one chunk
+  static constexpr size_t kMaxChunkEntries = 128;
 
   PersistentMap() = default;
-  // In the order in which they are given, whatever theirs says. No two may have one name.
-  explicit PersistentMap(std::vector<MapEntry> parts);
+  // Numbers the entries in the order in which they are given. No two may have one name.
+  explicit PersistentMap(std::vector<MapEntry> entries);
 
-  // Of 128 bits, added up over the parts.
   struct Hash128 {
     uint64_t high = 0, low = 0;
     bool operator==(const Hash128&) const = default;
+    Hash128& operator+=(const Hash128& other);  // each half modulo 2^64
+    Hash128& operator-=(const Hash128& other);
   };
 
   [[nodiscard]] size_t size() const { return size_; }
@@ -42,28 +44,30 @@
   // Of all texts, and of all names as JSON strings.
   [[nodiscard]] size_t text_bytes() const { return text_bytes_; }
   [[nodiscard]] size_t name_bytes() const { return name_bytes_; }
+  // The sum over the entries, whatever their order.
   [[nodiscard]] const Hash128& hash() const { return hash_; }
 
-  // Null where there is none of that name; until the next change.
+  // Null where there is none of that name. Valid until the next change of this map.
   [[nodiscard]] const MapEntry* Find(std::string_view name) const;
   [[nodiscard]] bool contains(std::string_view name) const { return Find(name) != nullptr; }
-  // One that is there keeps its order, a new one comes last.
+  // An existing entry keeps its order, a new one comes last.
   void Set(std::string_view name, std::string text);
+  // Does nothing where there is none of that name.
   void Remove(std::string_view name);
 
-  // By name.
+  // each(entry), by name.
   template <typename Each>
   void ForEach(Each&& each) const {
     for (const Chunk& chunk : chunks()) {
-      for (const MapEntry& part : *chunk) {
-        each(part);
+      for (const MapEntry& entry : *chunk) {
+        each(entry);
       }
     }
   }
-  // By order.
+  // By MapEntry::order.
   [[nodiscard]] std::vector<const MapEntry*> EntriesInOrder() const;
 
-  // each(name, its text in a, its text in b), by name, for those whose texts differ; null: none.
+  // each(name, text in a, text in b), by name, for the names whose texts differ; null: not there.
   template <typename Each>
   static void ForEachDifference(const PersistentMap& a, const PersistentMap& b, Each&& each);
 
@@ -72,27 +76,57 @@
     if (a.size_ != b.size_ || a.hash_ != b.hash_) {
       return false;
     }
-    bool same = true;
-    ForEachDifference(a, b, [&](const auto&, const auto*, const auto*) { same = false; });
-    return same;
+    bool is_equal = true;
+    ForEachDifference(a, b, [&](const auto&, const auto*, const auto*) { is_equal = false; });
+    return is_equal;
   }
 
  private:
-  // What no other map holds is changed in its place, all else copied first.
+  // Entries by name. A chunk or list of chunks that another map holds too is copied before it is
+  // changed.
   using Chunk = std::shared_ptr<std::vector<MapEntry>>;
   using Chunks = std::vector<Chunk>;
 
+  // Walks through the entries of a list of chunks.
+  class Cursor {
+   public:
+    explicit Cursor(const Chunks& chunks) : chunks_(chunks) {}
+    [[nodiscard]] bool at_end() const { return chunk_ == chunks_.size(); }
+    [[nodiscard]] const MapEntry& entry() const { return (*chunks_[chunk_])[entry_]; }
+    void Next() {
+      if (++entry_ == chunks_[chunk_]->size()) {
+        NextChunk();
+      }
+    }
+    void NextChunk() {
+      ++chunk_;
+      entry_ = 0;
+    }
+    // Both are at the beginning of a chunk that the two lists share.
+    [[nodiscard]] bool IsAtSharedChunk(const Cursor& other) const {
+      return !at_end() && !other.at_end() && entry_ == 0 && other.entry_ == 0 &&
+             chunks_[chunk_] == other.chunks_[other.chunk_];
+    }
+
+   private:
+    const Chunks& chunks_;
+    size_t chunk_ = 0, entry_ = 0;
+  };
+
   [[nodiscard]] const Chunks& chunks() const {
     static const Chunks kNone;
     return chunks_ ? *chunks_ : kNone;
   }
   // The chunk that has this name, or would have it.
   [[nodiscard]] size_t ChunkIndexOf(std::string_view name) const;
-  void Count(const MapEntry& part, bool added);
+  void AddToTotals(const MapEntry& entry);
+  void SubtractFromTotals(const MapEntry& entry);
   Chunks& MutableChunks();
   static std::vector<MapEntry>& MutableChunk(Chunk& chunk);
+  // Moves the entries from `first` on into a new chunk behind the one at `index`.
+  static void SplitChunk(Chunks& chunks, size_t index, std::vector<MapEntry>::iterator first);
 
-  std::shared_ptr<Chunks> chunks_;  // none of them empty
+  std::shared_ptr<Chunks> chunks_;  // null or without empty chunks
   size_t size_ = 0, text_bytes_ = 0, name_bytes_ = 0;
   uint64_t next_order_ = 0;
   Hash128 hash_;
@@ -103,35 +137,31 @@
   if (a.chunks_ == b.chunks_) {
     return;
   }
-  const Chunks &in_a = a.chunks(), &in_b = b.chunks();
-  size_t i = 0, j = 0, at_a = 0, at_b = 0;  // chunk, and part within it
-  const std::string* const none = nullptr;
-  while (i < in_a.size() || j < in_b.size()) {
-    if (i < in_a.size() && j < in_b.size() && at_a == 0 && at_b == 0 && in_a[i] == in_b[j]) {
-      ++i;
-      ++j;
+  const std::string* const kNotThere = nullptr;
+  Cursor in_a(a.chunks());
+  Cursor in_b(b.chunks());
+  while (!in_a.at_end() || !in_b.at_end()) {
+    if (in_a.IsAtSharedChunk(in_b)) {
+      in_a.NextChunk();
+      in_b.NextChunk();
       continue;
     }
-    const bool more_a = i < in_a.size(), more_b = j < in_b.size();
-    const int way = !more_a   ? 1
-                    : !more_b ? -1
-                              : (*in_a[i])[at_a].name.compare((*in_b[j])[at_b].name);
-    if (way < 0) {
-      const MapEntry& part = (*in_a[i])[at_a];
-      each(part.name, &part.text, none);
-    } else if (way > 0) {
-      const MapEntry& part = (*in_b[j])[at_b];
-      each(part.name, none, &part.text);
-    } else if (const MapEntry& x = (*in_a[i])[at_a], &y = (*in_b[j])[at_b]; x.text != y.text) {
-      each(x.name, &x.text, &y.text);
+    // Below 0: the name is in a alone; above 0: in b alone.
+    const int comparison = in_a.at_end()   ? 1
+                           : in_b.at_end() ? -1
+                                           : in_a.entry().name.compare(in_b.entry().name);
+    if (comparison < 0) {
+      each(in_a.entry().name, &in_a.entry().text, kNotThere);
+    } else if (comparison > 0) {
+      each(in_b.entry().name, kNotThere, &in_b.entry().text);
+    } else if (in_a.entry().text != in_b.entry().text) {
+      each(in_a.entry().name, &in_a.entry().text, &in_b.entry().text);
     }
-    if (way <= 0 && ++at_a == in_a[i]->size()) {
-      ++i;
-      at_a = 0;
+    if (comparison <= 0) {
+      in_a.Next();
     }
-    if (way >= 0 && ++at_b == in_b[j]->size()) {
-      ++j;
-      at_b = 0;
+    if (comparison >= 0) {
+      in_b.Next();
     }
   }
 }
--- a/src/cluster/version_history.cpp
+++ b/src/cluster/version_history.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "cluster/cbor.h"
 #include "cluster/delta.h"
 
 namespace paddlestile::cluster {
@@ -11,189 +12,187 @@
 
 using nlohmann::json;
 
-std::string Packed(const json& value) {
-  std::string out;
-  json::to_cbor(value, out);
-  return out;
+// A hash of a content's parts; else it is one of a version's text.
+bool IsPartsHash(const std::string& hash) {
+  return hash.starts_with('p');
 }
 
-json Unpacked(const std::string& bytes) {
-  json value = json::from_cbor(bytes, true, false);
-  return value.is_object() ? value : json::object();
+// The version's hash of the kind that `agreed` is.
+std::string HashAs(const std::string& agreed, const Version& version) {
+  if (agreed.empty() || !version.content || IsPartsHash(agreed) == IsPartsHash(version.hash)) {
+    return version.hash;
+  }
+  return IsPartsHash(agreed) ? HashOf(*version.content) : HashOf(ToText(*version.content));
 }
 
 }  // namespace
 
-std::string VersionHistory::ChangeEntry(const Change& change, const DeltaResult& made) {
-  json value = {{"kind", "change"},
-                {"id", change.id},
-                {"author", change.author},
-                {"reason", change.reason},
-                {"unix_s", change.submitted_unix_s},
-                {"rules", change.document}};
-  if (change.expected_version) {
-    value["expect"] = *change.expected_version;
-  }
-  if (change.is_delta) {
-    // Under a key of its own: a program that knows no deltas refuses it, and takes it for no whole.
-    value["delta"] = std::move(value["rules"]);
-    value.erase("rules");
-    value["base"] = made.base_version;
-    value["hash"] = made.hash;
-  }
-  return Packed(value);
-}
-
-std::string VersionHistory::InForceEntry(uint64_t version, const std::string& hash) {
-  json value = {{"kind", "on"}, {"version", version}};
-  if (!hash.empty()) {
-    value["hash"] = hash;
+std::string HashOf(const Version& version) {
+  if (!version.delta.empty() || IsPartsHash(version.hash)) {
+    return HashOf(*version.content);
   }
-  return Packed(value);
-}
-
-std::string VersionHistory::FormedEntry() {
-  return Packed({{"kind", "formed"}});
+  return HashOf(version.document.empty() ? ToText(*version.content) : version.document);
 }
 
-namespace {
+// ---- Entries ----------------------------------------------------------------------------------
 
-// The version's hash in the form in which `agreed` was told.
-std::string HashAs(const std::string& agreed, const Version& version) {
-  const bool parts = agreed.starts_with('p');
-  if (agreed.empty() || !version.content || parts == version.hash.starts_with('p')) {
-    return version.hash;
+VersionHistory::Result VersionHistory::Apply(raft::Index index, const std::string& bytes) {
+  const ClusterEntry entry = DecodeClusterEntry(bytes);
+  Result result;
+  switch (entry.kind) {
+    case ClusterEntry::Kind::kChange:
+      return ApplyChange(index, entry);
+    case ClusterEntry::Kind::kInForce:
+      ApplyInForce(entry);
+      result.is_in_force = true;
+      result.version = entry.version;
+      break;
+    case ClusterEntry::Kind::kFormed:
+      formed_ = true;
+      break;
+    case ClusterEntry::Kind::kOther:
+      break;
   }
-  return parts ? HashOf(*version.content) : HashOf(ToText(*version.content));
+  return result;
 }
 
-}  // namespace
-
-std::string HashOf(const Version& version) {
-  const bool parts = !version.delta.empty() || version.hash.starts_with('p');
-  return parts ? HashOf(*version.content)
-               : HashOf(version.document.empty() ? ToText(*version.content) : version.document);
+void VersionHistory::ApplyInForce(const ClusterEntry& entry) {
+  const Version* const version = Find(entry.version);
+  // Nothing can be compared with a version that is no longer remembered.
+  if (version != nullptr || entry.version > latest_version()) {
+    CompareHash(entry.version, version != nullptr ? HashAs(entry.hash, *version) : "missing",
+                entry.hash);
+  }
+  if (entry.version > version_in_force_ && entry.version <= latest_version()) {
+    PutInForce(entry.version);
+  }
 }
 
-VersionHistory::Result VersionHistory::Apply(raft::Index index, const std::string& entry) {
-  const json value = Unpacked(entry);
-  const std::string kind = value.value("kind", "");
+VersionHistory::Result VersionHistory::ApplyChange(raft::Index index, const ClusterEntry& entry) {
+  if (auto earlier = Find(entry.change.id)) {
+    earlier->is_repeat = true;
+    return *earlier;
+  }
   Result result;
-  if (kind == "formed") {
-    formed_ = true;
+  result.is_change = true;
+  result.id = entry.change.id;
+  AppliedChange applied = MakeContent(entry);
+  if (applied.refusal_reason.empty()) {
+    AddVersion(index, entry, std::move(applied.content));
+    result.version = latest_version();
+  } else {
+    result.refusal_reason = std::move(applied.refusal_reason);
   }
-  if (kind == "on") {
-    result.is_in_force = true;
-    result.version = value.value("version", uint64_t{0});
-    const Version* const version = Find(result.version);
-    if (version != nullptr || result.version > latest_version()) {
-      const std::string agreed = value.value("hash", "");
-      CompareHash(result.version, version != nullptr ? HashAs(agreed, *version) : "missing",
-                  agreed);
-    }
-    if (result.version > version_in_force_ && result.version <= latest_version()) {
-      PutInForce(result.version);
+  applied_ids_.push_back({result.id, result});
+  Trim();
+  return result;
+}
+
+VersionHistory::AppliedChange VersionHistory::MakeContent(const ClusterEntry& entry) {
+  const Change& change = entry.change;
+  AppliedChange applied;
+  try {
+    if (!change.is_delta) {
+      applied.content = ParseDocument(change.document);
+    } else if (const auto faults = ValidateDelta(change.document); !faults.empty()) {
+      return {{}, faults.front()};
     }
+  } catch (const std::invalid_argument& fault) {
+    return {{}, fault.what()};
   }
-  if (kind != "change") {
-    return result;
+  const std::string latest = std::to_string(latest_version());
+  if (change.expected_version.value_or(latest_version()) != latest_version()) {
+    return {{},
+            "the latest version is " + latest + ", expected " +
+                std::to_string(*change.expected_version)};
   }
-  result.is_change = true;
-  result.id = value.value("id", "");
-  if (auto before = Find(result.id)) {
-    before->is_repeat = true;
-    return *before;
+  if (const uint64_t base = entry.base_version.value_or(latest_version());
+      base != latest_version()) {
+    // The leader knew what comes before the delta, so a version is missing here.
+    const std::string reason =
+        "a delta to version " + std::to_string(base) + ", the latest is " + latest + " here";
+    RecordMismatch(kNumberingMismatch, reason);
+    return {{}, reason};
+  }
+  if (!change.is_delta) {
+    return applied;
   }
-  const bool delta = value.contains("delta");
-  std::string rules = value.value(delta ? "delta" : "rules", "");
-  const auto expect = value.find("expect");
-  const auto base = value.value("base", latest_version());
-  const std::string agreed = value.value("hash", "");
-  VersionContent next;
   try {
-    if (!delta) {
-      next = ParseDocument(rules);
-    } else if (const auto faults = ValidateDelta(rules); !faults.empty()) {
-      result.refusal_reason = faults.front();
-    }
+    applied.content = ApplyDelta(latest_content_, change.document);
   } catch (const std::invalid_argument& fault) {
-    result.refusal_reason = fault.what();
-  }
-  if (!result.refusal_reason.empty()) {
-    // Told above.
-  } else if (expect != value.end() && *expect != latest_version()) {
-    result.refusal_reason = "the latest version is " + std::to_string(latest_version()) +
-                            ", expected " + expect->dump();
-  } else if (base != latest_version()) {
-    // The leader knew what comes before it: whoever has another version there has missed one.
-    result.refusal_reason = "a delta to version " + std::to_string(base) + ", the latest is " +
-                            std::to_string(latest_version()) + " here";
-    RecordMismatch(UINT64_MAX, result.refusal_reason);
-  } else if (delta) {
-    try {
-      next = ApplyDelta(latest_content_, rules);
-    } catch (const std::invalid_argument& fault) {
-      result.refusal_reason = fault.what();
-      // The leader made a version of it.
-      if (!agreed.empty()) {
-        RecordMismatch(UINT64_MAX, result.refusal_reason);
-      }
+    applied.refusal_reason = fault.what();
+    // Where a hash is stated, the leader made a version of it.
+    if (!entry.hash.empty()) {
+      RecordMismatch(kNumberingMismatch, applied.refusal_reason);
     }
   }
-  if (result.refusal_reason.empty()) {
-    Version version;
-    version.number = result.version = latest_version() + 1;
-    version.id = result.id;
-    version.author = value.value("author", "");
-    version.reason = value.value("reason", "");
-    version.submitted_unix_s = value.value("unix_s", 0.0);
-    version.index = index;
-    version.content = next;
-    if (delta) {
-      version.delta = std::move(rules);
-    } else {
-      version.document = ToText(next);
-      last_full_version_ = version.number;
-    }
-    version.hash = HashOf(version);
-    CompareHash(version.number, HashAs(agreed, version), agreed);
-    const bool waits =
-        version_in_force_ != latest_version() || !Contradictions(effective_content_, next).empty();
-    versions_.push_back(std::move(version));
-    latest_content_ = std::move(next);
-    if (!waits) {
-      PutInForce(latest_version());
-    } else {
-      effective_content_ = StricterOf(effective_content_, latest_content_);
-    }
+  return applied;
+}
+
+void VersionHistory::AddVersion(raft::Index index, const ClusterEntry& entry,
+                                VersionContent content) {
+  const Change& change = entry.change;
+  Version version;
+  version.number = latest_version() + 1;
+  version.id = change.id;
+  version.author = change.author;
+  version.reason = change.reason;
+  version.submitted_unix_s = change.submitted_unix_s;
+  version.index = index;
+  version.content = content;
+  if (change.is_delta) {
+    version.delta = change.document;
+  } else {
+    version.document = ToText(content);
+    last_whole_version_ = version.number;
+  }
+  version.hash = HashOf(version);
+  CompareHash(version.number, HashAs(entry.hash, version), entry.hash);
+  // Without a contradiction it does not matter which of the two a gateway acts on.
+  const bool in_force_at_once =
+      version_in_force_ == latest_version() && Contradictions(effective_content_, content).empty();
+  versions_.push_back(std::move(version));
+  latest_content_ = std::move(content);
+  if (in_force_at_once) {
+    PutInForce(latest_version());
+  } else {
+    effective_content_ = StricterOf(effective_content_, latest_content_);
   }
-  ids_.emplace_back(result.id, result);
-  Trim();
-  return result;
 }
 
 std::optional<VersionHistory::Result> VersionHistory::Find(const std::string& id) const {
-  const auto at = std::ranges::find(ids_, id, &std::pair<std::string, Result>::first);
-  if (at == ids_.end()) {
+  const auto applied = std::ranges::find(applied_ids_, id, &AppliedId::id);
+  if (applied == applied_ids_.end()) {
     return std::nullopt;
   }
-  return at->second;
+  return applied->result;
 }
 
 const Version* VersionHistory::Find(uint64_t number) const {
-  const auto at = std::ranges::find(versions_, number, &Version::number);
-  return at == versions_.end() ? nullptr : &*at;
+  const auto version = std::ranges::find(versions_, number, &Version::number);
+  return version == versions_.end() ? nullptr : &*version;
+}
+
+void VersionHistory::ForEachVersion(
+    uint64_t first, const std::function<void(const Version&, const VersionContent&)>& each) const {
+  for (const Version& version : versions_) {
+    if (version.content && version.number >= first) {
+      each(version, *version.content);
+    }
+  }
 }
 
-void VersionHistory::RecordMismatch(uint64_t version, const std::string& why) {
-  content_mismatch_ = why;
+// ---- Mismatches -------------------------------------------------------------------------------
+
+void VersionHistory::RecordMismatch(uint64_t version, const std::string& reason) {
+  content_mismatch_ = reason;
   mismatch_version_ = std::max(mismatch_version_, version);
 }
 
 void VersionHistory::CompareHash(uint64_t version, const std::string& here,
                                  const std::string& agreed) {
   if (agreed.empty()) {
-    return;  // of a bank whose changes are whole
+    return;
   }
   if (here != agreed) {
     return RecordMismatch(version, "version " + std::to_string(version) + " is " + here +
@@ -204,35 +203,27 @@
   }
 }
 
-void VersionHistory::ForEachVersion(
-    uint64_t first, const std::function<void(const Version&, const VersionContent&)>& each) const {
-  for (const Version& v : versions_) {
-    if (v.content && v.number >= first) {
-      each(v, *v.content);
-    }
-  }
-}
+// ---- In force ---------------------------------------------------------------------------------
 
-// Those behind it are still to come.
 void VersionHistory::PutInForce(uint64_t version) {
   version_in_force_ = version;
-  // What came whole owes nothing to what was here before.
-  if (version_in_force_ >= last_full_version_ && last_full_version_ > mismatch_version_) {
+  // A whole version depends on nothing that was here before.
+  if (version_in_force_ >= last_whole_version_ && last_whole_version_ > mismatch_version_) {
     content_mismatch_.clear();
   }
   if (version_in_force_ == latest_version()) {
     effective_content_ = latest_content_;
     return;
   }
-  bool first = true;
+  bool is_first = true;
   ForEachVersion(version_in_force_, [&](const Version&, const VersionContent& content) {
     effective_content_ =
-        std::exchange(first, false) ? content : StricterOf(effective_content_, content);
+        std::exchange(is_first, false) ? content : StricterOf(effective_content_, content);
   });
 }
 
+// The version in force and those behind it keep their content.
 void VersionHistory::Trim() {
-  // What is in force or to come stays whole.
   for (size_t i = 0;
        i + kFullVersions < versions_.size() && versions_[i].number < version_in_force_; ++i) {
     Version& old = versions_[i];
@@ -242,66 +233,73 @@
     old.content.reset();
     old.document.clear();
     old.delta.clear();
-    // The oldest that is kept is told whole, those behind it from it.
+    // The next one has lost its base, and is saved by its content.
     versions_[i + 1].delta.clear();
   }
   while (versions_.size() > kMaxVersions && versions_.front().number < version_in_force_) {
     versions_.pop_front();
   }
-  while (ids_.size() > kMaxChangeIds) {
-    ids_.pop_front();
+  while (applied_ids_.size() > kMaxChangeIds) {
+    applied_ids_.pop_front();
   }
 }
 
+// ---- Snapshots: positional, and stored ---------------------------------------------------------
+
 std::string VersionHistory::Save() const {
-  json versions = json::array(), ids = json::array();
-  for (const Version& v : versions_) {
-    const bool untold = v.content && v.document.empty() && v.delta.empty();
-    versions.push_back({v.number, v.id, v.author, v.reason, v.hash, v.submitted_unix_s,
-                        untold ? ToText(*v.content) : v.document, v.index});
-    if (!v.delta.empty()) {
-      versions.back().push_back(v.delta);
+  json versions = json::array();
+  json ids = json::array();
+  for (const Version& version : versions_) {
+    const bool is_saved_by_content =
+        version.content && version.document.empty() && version.delta.empty();
+    versions.push_back({version.number, version.id, version.author, version.reason, version.hash,
+                        version.submitted_unix_s,
+                        is_saved_by_content ? ToText(*version.content) : version.document,
+                        version.index});
+    if (!version.delta.empty()) {
+      versions.back().push_back(version.delta);
     }
   }
-  for (const auto& [id, r] : ids_) {
-    ids.push_back({id, r.version, r.refusal_reason});
+  for (const AppliedId& applied : applied_ids_) {
+    ids.push_back({applied.id, applied.result.version, applied.result.refusal_reason});
   }
-  return Packed(
+  return EncodeCbor(
       {{"on", version_in_force_}, {"formed", formed_}, {"versions", versions}, {"ids", ids}});
 }
 
 void VersionHistory::Load(const std::string& saved) {
-  const json value = Unpacked(saved);
+  const json value = DecodeCborObject(saved);
   *this = VersionHistory();
   formed_ = value.value("formed", false);
-  for (const json& v : value.value("versions", json::array())) {
-    versions_.push_back({v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]});
-    if (v.size() > 8) {
-      versions_.back().delta = v[8];
+  for (const json& fields : value.value("versions", json::array())) {
+    versions_.push_back(
+        {fields[0], fields[1], fields[2], fields[3], fields[4], fields[5], fields[6], fields[7]});
+    if (fields.size() > 8) {
+      versions_.back().delta = fields[8];
     }
   }
-  for (const json& r : value.value("ids", json::array())) {
+  for (const json& fields : value.value("ids", json::array())) {
     Result result;
     result.is_change = true;
-    result.id = r[0];
-    result.version = r[1];
-    result.refusal_reason = r[2];
-    ids_.emplace_back(result.id, result);
+    result.id = fields[0];
+    result.version = fields[1];
+    result.refusal_reason = fields[2];
+    applied_ids_.push_back({result.id, result});
   }
-  for (Version& v : versions_) {
-    if (v.document.empty() && v.delta.empty()) {
-      continue;
+  for (Version& version : versions_) {
+    if (version.document.empty() && version.delta.empty()) {
+      continue;  // its content was not kept
     }
-    v.content = v.document.empty() ? ApplyDelta(latest_content_, v.delta)
-                                   : VersionContent(ParseVersion(v.document));
-    latest_content_ = *v.content;
+    version.content = version.document.empty() ? ApplyDelta(latest_content_, version.delta)
+                                               : VersionContent(ParseVersion(version.document));
+    latest_content_ = *version.content;
   }
   if (!versions_.empty()) {
     CompareHash(latest_version(), HashOf(versions_.back()), versions_.back().hash);
   }
-  const uint64_t on = value.value("on", uint64_t{0});
-  if (on > 0) {
-    return PutInForce(on);
+  const uint64_t in_force = value.value("on", uint64_t{0});
+  if (in_force > 0) {
+    return PutInForce(in_force);
   }
   ForEachVersion(0, [&](const Version&, const VersionContent& content) {
     effective_content_ = StricterOf(effective_content_, content);
--- a/src/cluster/voter_manager.cpp
+++ b/src/cluster/voter_manager.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cluster/version_history.h"
+#include "cluster/cluster_entry.h"
 
 namespace paddlestile::cluster {
 namespace {
@@ -196,8 +196,7 @@
     return;
   }
   if (all_vote) {
-    formed_entry_proposed_ =
-        raft_node_.Propose(now, VersionHistory::FormedEntry(), output).has_value();
+    formed_entry_proposed_ = raft_node_.Propose(now, EncodeFormedEntry(), output).has_value();
   }
 }
 
--- a/src/gateway/cluster_agent.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -1,7 +1,5 @@
 #include "gateway/cluster_agent.h"
 
-#include <fmt/format.h>
-
 #include <algorithm>
 #include <utility>
 
@@ -19,8 +17,6 @@
 using cluster::MemberOutput;
 using nlohmann::json;
 
-constexpr Duration kOwnershipCheckInterval{100'000};  // us
-
 // Keys of a frame between members.
 constexpr const char* kRaftMessageKey = "m";
 constexpr const char* kMemberMessageKey = "n";
@@ -91,163 +87,6 @@
       static_cast<int64_t>(static_cast<double>(member_duration.count()) / config_.clock_factor));
 }
 
-// ---- Participation ----------------------------------------------------------------------------
-
-void ClusterAgent::CheckOwnership() {
-  try {
-    if (lifecycle_.replaced() && folder_lock_) {
-      Log(LogLevel::kInfo, "bank: leaves it to the newer process");
-      StopParticipating();
-      CreateMember(ReadPersistentState(files(), config_, file_.name));
-    } else if (!lifecycle_.replaced() && !folder_lock_) {
-      TryParticipate();
-    }
-  } catch (const std::exception& error) {
-    Log(LogLevel::kError, "bank: {}", error.what());
-    StopParticipating();
-  }
-  ownership_timer_ = loop_.RunAfter(kOwnershipCheckInterval, [this] { CheckOwnership(); });
-}
-
-void ClusterAgent::TryParticipate() {
-  folder_lock_ = files().Lock(LockPathIn(config_.folder));
-  if (folder_lock_) {
-    OpenStorage();
-  }
-}
-
-void ClusterAgent::StopParticipating() {
-  loop_.CancelTimer(member_timer_);
-  loop_.CancelTimer(lease_timer_);
-  gateway_.RunBeforeEventsFrom(Time::max(), nullptr);
-  connections_.reset();
-  storage_thread_.reset();
-  folder_lock_.reset();
-}
-
-void ClusterAgent::OpenStorage() {
-  raft::PersistentState state;
-  try {
-    std::unique_ptr<storage::WriteAheadLog> log = OpenLog(state);
-    if (state.incarnation == 0) {
-      state.incarnation = NewIncarnation();
-    }
-    ++state.restart_count;
-    const std::string identity = EncodeIdentityRecord(config_, file_.name, state);
-    log->Append(identity);
-    log->Sync();
-    storage_thread_ = std::make_unique<StorageThread>(loop_, std::move(log), identity,
-                                                      [this] { OnStorageStateChange(); });
-    without_storage_ = false;
-  } catch (const storage::FileError& error) {
-    return RestartWithoutStorage(error.what());
-  }
-  OpenConnections(state.incarnation, state.restart_count);
-  CreateMember(std::move(state));
-  Log(LogLevel::kInfo, "bank: {} takes part in '{}', bound {} ms", file_.name, config_.cluster_name,
-      cluster::MaxDisagreement(config_.timing, cluster::kDetectionDelay).count() / 1000);
-}
-
-std::unique_ptr<storage::WriteAheadLog> ClusterAgent::OpenLog(raft::PersistentState& state) {
-  const auto open = [&] {
-    state = {};
-    return std::make_unique<storage::WriteAheadLog>(
-        files(), config_.folder,
-        [&](std::string_view record) { ApplyLogRecord(config_, file_.name, record, state); });
-  };
-  const std::string path = storage::WriteAheadLog::PathIn(config_.folder);
-  std::unique_ptr<storage::WriteAheadLog> log;
-  try {
-    log = open();
-  } catch (const storage::CorruptionError& error) {
-    // It must not vote as if it remembered its votes; the file is kept for whoever investigates.
-    Log(LogLevel::kError, "bank: {}; restarts as a non-voting member until it is voted in",
-        error.what());
-    files().Rename(path, path + ".damaged");
-    log = open();
-  }
-  if (log->cut_off() > 0) {
-    Log(LogLevel::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power", path,
-        log->cut_off());
-  }
-  return log;
-}
-
-void ClusterAgent::OpenConnections(uint64_t incarnation, uint64_t restart_count) {
-  peer::PeerConnectionOptions options;
-  options.cluster_name = config_.cluster_name;
-  options.name = file_.name;
-  options.incarnation = incarnation;
-  options.restart_count = restart_count;
-  options.seed = NewIncarnation();
-  options.listen = config_.members.at(file_.name).address;
-  for (const auto& [name, member] : config_.members) {
-    options.members[name] = member.dial_address;
-  }
-  connections_ =
-      std::make_unique<peer::PeerConnections>(loop_, gateway_.budget(), std::move(options), this);
-}
-
-void ClusterAgent::CreateMember(raft::PersistentState state) {
-  ClusterMember::Options options;
-  options.name = file_.name;
-  options.timing = config_.timing;
-  options.deltas = config_.change_encoding == ChangeEncoding::kDelta;
-  for (const auto& [name, member] : config_.members) {
-    if (member.votes) {
-      options.initial_voters.insert(name);
-    }
-  }
-  durable_sequence_number_ = 0;
-  waiting_messages_.clear();
-  wanted_connections_.clear();
-  member_ = std::make_unique<ClusterMember>(std::move(options), std::move(state), NewIncarnation(),
-                                            Now());
-  effective_config_.reset();
-  OnTimeout();
-}
-
-void ClusterAgent::RestartWithEmptyLog(const std::string& reason) {
-  CloseForRestart(reason);
-  const std::string path = storage::WriteAheadLog::PathIn(config_.folder);
-  try {
-    files().Rename(path, path + ".forgotten");
-    return OpenStorage();
-  } catch (const storage::FileError& error) {
-    Log(LogLevel::kError, "bank: {}", error.what());
-  }
-  RunWithoutStorage();
-}
-
-void ClusterAgent::RestartWithoutStorage(const std::string& reason) {
-  CloseForRestart(reason);
-  RunWithoutStorage();
-}
-
-void ClusterAgent::CloseForRestart(const std::string& reason) {
-  Log(LogLevel::kError, "bank: {}; restarts as a non-voting member until it is voted in", reason);
-  connections_.reset();
-  storage_thread_.reset();
-}
-
-void ClusterAgent::RunWithoutStorage() {
-  ++storage_failure_count_;
-  without_storage_ = true;
-  raft::PersistentState state;
-  state.incarnation = 0;  // no member without storage can become a voter
-  state.restart_count = 1;
-  OpenConnections(state.incarnation, state.restart_count);
-  CreateMember(std::move(state));
-}
-
-void ClusterAgent::RunDeferredWhileOwner(std::function<void()> task) {
-  loop_.RunDeferred([task = std::move(task), owner = std::weak_ptr(folder_lock_)] {
-    if (!owner.expired()) {
-      task();
-    }
-  });
-}
-
 // ---- The member -------------------------------------------------------------------------------
 
 template <typename Step>
@@ -289,7 +128,7 @@
     if (storage_thread_) {
       storage_thread_->Add(write);
     } else {
-      // Without storage nothing is waited for: the incarnation 0 tells the others not to count on
+      // Without storage nothing is waited for: with its incarnation 0 the others do not count on
       // what this member acknowledges.
       durable_sequence_number_ = std::max(durable_sequence_number_, write.sequence_number);
     }
@@ -414,7 +253,7 @@
     });
   }
   if (const auto field = value.find(kMemberMessageKey); field != value.end()) {
-    const auto message = cluster::ReadNote(*field);
+    const auto message = cluster::ReadMemberMessage(*field);
     if (!message || message->from != name) {
       return;
     }
@@ -452,44 +291,6 @@
   });
 }
 
-// The keys are the operators' and stay.
-json ClusterAgent::Status() const {
-  json status = member_->Status(Now());
-  status["bank"] = config_.cluster_name;
-  status["disk"] = without_storage_ ? "none" : storage_thread_ ? "good" : "another process has it";
-  if (storage_thread_) {
-    const StorageThread::State state = storage_thread_->state();
-    status["log_bytes"] = state.log_bytes;
-    if (!state.error.empty()) {
-      status["disk"] = state.error;
-    }
-  }
-  if (connections_) {
-    const peer::PeerConnections::Statistics& statistics = connections_->statistics();
-    status["frames_in"] = statistics.frames_in;
-    status["frames_out"] = statistics.frames_out;
-    status["bytes_in"] = statistics.bytes_in;
-    status["bytes_out"] = statistics.bytes_out;
-    status["dropped"] = statistics.dropped;
-    status["nonsense"] = statistics.malformed_frames;
-    status["strangers"] = statistics.unidentified;
-    status["old_lives"] = statistics.stale_incarnations;
-  }
-  return status;
-}
-
-std::string ClusterAgent::DescribeState() const {
-  const EffectiveConfig effective = member_->CurrentConfig(Now());
-  const std::string& leader = member_->raft_node().leader();
-  return fmt::format(
-      "bank_stance={} bank_on={} bank_latest={} bank_term={} bank_leader={} bank_links={} "
-      "bank_rule_changes={} bank_lost={} bank_disk_failures={} bank_content_differed={}",
-      cluster::StatusNameOf(effective.kind), effective.version_in_force, effective.latest_version,
-      member_->raft_node().current_term(), leader.empty() ? "none" : leader,
-      connections_ ? connections_->connected_count() : 0, applier_.applied_count(),
-      isolation_count_, storage_failure_count_, content_mismatch_count_);
-}
-
 // ---- What the gateway acts on -----------------------------------------------------------------
 
 void ClusterAgent::UpdateEffectiveConfig() {
--- a/tests/cluster/config_document_test.cpp
+++ b/tests/cluster/config_document_test.cpp
@@ -93,7 +93,7 @@
   change.id = id;
   change.document = rules;
   change.expected_version = expect;
-  return VersionHistory::ChangeEntry(change);
+  return EncodeChangeEntry(change);
 }
 
 // A change whose answer was lost is submitted again: it must not count twice.
@@ -118,7 +118,7 @@
   EXPECT_TRUE(h.effective_content().excluded.contains("h"));  // held: nothing goes there any more
   h.Apply(3, Entry("z", "{}"));
   EXPECT_TRUE(h.effective_content().excluded.contains("h"));  // not allowed again before it is on
-  h.Apply(4, VersionHistory::InForceEntry(3));
+  h.Apply(4, EncodeInForceEntry(3));
   EXPECT_EQ(h.version_in_force(), 3U);
   EXPECT_FALSE(h.effective_content().excluded.contains("h"));
 }
@@ -129,7 +129,7 @@
     h.Apply(2 * i + 1,
             Entry("c" + std::to_string(i), R"({"barred":["h)" + std::to_string(i) + "\"]}"));
     if (i < 299)
-      h.Apply(2 * i + 2, VersionHistory::InForceEntry(h.latest_version()));
+      h.Apply(2 * i + 2, EncodeInForceEntry(h.latest_version()));
   }
   copy.Load(h.Save());
   EXPECT_EQ(copy.Save(), h.Save());
--- a/tests/cluster/delta_test.cpp
+++ b/tests/cluster/delta_test.cpp
@@ -193,7 +193,7 @@
   Change change;
   change.id = id;
   change.document = rules;
-  return VersionHistory::ChangeEntry(change);
+  return EncodeChangeEntry(change);
 }
 // As an honest leader whose history is `h` proposes it.
 std::string DeltaOf(const VersionHistory& h, const std::string& id, const std::string& delta,
@@ -203,8 +203,8 @@
   change.document = delta;
   change.expected_version = expect;
   change.is_delta = true;
-  return VersionHistory::ChangeEntry(
-      change, {h.latest_version(), HashOf(ApplyDelta(h.latest_content(), delta))});
+  return EncodeChangeEntry(change,
+                           {h.latest_version(), HashOf(ApplyDelta(h.latest_content(), delta))});
 }
 std::vector<std::string> Texts(const VersionHistory& h) {
   std::vector<std::string> texts;
@@ -229,9 +229,9 @@
       ASSERT_GT(deltas.Apply(2 * i + 1, entry).version, 0U) << seed;
       whole.Apply(2 * i + 1, Whole(id, ToText(next)));
       if (draws.Pick(3) > 0) {
-        deltas.Apply(2 * i + 2, VersionHistory::InForceEntry(deltas.latest_version(),
-                                                             deltas.versions().back().hash));
-        whole.Apply(2 * i + 2, VersionHistory::InForceEntry(whole.latest_version()));
+        deltas.Apply(2 * i + 2,
+                     EncodeInForceEntry(deltas.latest_version(), deltas.versions().back().hash));
+        whole.Apply(2 * i + 2, EncodeInForceEntry(whole.latest_version()));
       }
       if (i % 9 == 8) {
         VersionHistory copy;
@@ -264,7 +264,7 @@
   h.Apply(1, Whole("first", rules.dump()));
   for (int i = 0; i < 50; ++i) {
     h.Apply(2 * i + 2, DeltaOf(h, "c" + std::to_string(i), Bars(i)));
-    h.Apply(2 * i + 3, VersionHistory::InForceEntry(h.latest_version(), h.versions().back().hash));
+    h.Apply(2 * i + 3, EncodeInForceEntry(h.latest_version(), h.versions().back().hash));
   }
   EXPECT_EQ(Texts(h).size(), VersionHistory::kFullVersions);
   EXPECT_GT(h.latest_bytes(), 40'000U);
@@ -281,7 +281,7 @@
   bad.id = "bad";
   bad.is_delta = true;
   bad.document = R"({"settings":{"Allowed":3}})";
-  EXPECT_EQ(h.Apply(5, VersionHistory::ChangeEntry(bad, {2, ""})).version, 0U);
+  EXPECT_EQ(h.Apply(5, EncodeChangeEntry(bad, {2, ""})).version, 0U);
   EXPECT_EQ(h.content_mismatch(), "");
   EXPECT_EQ(h.latest_version(), 2U);
 }
@@ -304,30 +304,30 @@
   other.id = "c0";
   other.is_delta = true;
   other.document = Bars(7);
-  misapplied.Apply(1, VersionHistory::ChangeEntry(other, {0, h.versions()[0].hash}));
+  misapplied.Apply(1, EncodeChangeEntry(other, {0, h.versions()[0].hash}));
   EXPECT_NE(misapplied.content_mismatch().find("version 1 is"), std::string::npos);
   misapplied.Apply(2, entries[1]);
   EXPECT_NE(misapplied.content_mismatch(), "");
   // The word that turns a version on tells it too, of a version that came whole as well.
   VersionHistory on;
   on.Apply(1, Whole("w", R"({"barred":["h"]})"));
-  on.Apply(2, VersionHistory::InForceEntry(1, "0"));
+  on.Apply(2, EncodeInForceEntry(1, "0"));
   EXPECT_NE(on.content_mismatch(), "");
   VersionHistory without;
-  without.Apply(1, VersionHistory::InForceEntry(4, "0"));
+  without.Apply(1, EncodeInForceEntry(4, "0"));
   EXPECT_NE(without.content_mismatch(), "");
   // An entry of a program that tells no hash speaks against nothing.
   on = {};
   on.Apply(1, Whole("w", "{}"));
-  on.Apply(2, VersionHistory::InForceEntry(1));
+  on.Apply(2, EncodeInForceEntry(1));
   EXPECT_EQ(on.content_mismatch(), "");
   // A later version with the right hash settles it, an earlier one does not.
-  misapplied.Apply(3, VersionHistory::InForceEntry(2, h.versions()[1].hash));
+  misapplied.Apply(3, EncodeInForceEntry(2, h.versions()[1].hash));
   EXPECT_NE(misapplied.content_mismatch(), "");
-  misapplied.Apply(4, VersionHistory::InForceEntry(1, misapplied.versions()[0].hash));
+  misapplied.Apply(4, EncodeInForceEntry(1, misapplied.versions()[0].hash));
   EXPECT_NE(misapplied.content_mismatch(), "") << "version 2 is the one in question";
   misapplied.Apply(5, Whole("c2", ToText(h.latest_content())));
-  misapplied.Apply(6, VersionHistory::InForceEntry(3, h.versions()[2].hash));
+  misapplied.Apply(6, EncodeInForceEntry(3, h.versions()[2].hash));
   EXPECT_EQ(misapplied.content_mismatch(), "");
 }
 
@@ -342,13 +342,13 @@
   other.id = "c0";
   other.is_delta = true;
   other.document = Bars(7);
-  misapplied.Apply(1, VersionHistory::ChangeEntry(other, {0, h.versions()[0].hash}));
+  misapplied.Apply(1, EncodeChangeEntry(other, {0, h.versions()[0].hash}));
   missed.Apply(2, DeltaOf(h, "c1", Bars(1)));
   for (VersionHistory* const one : {&misapplied, &missed}) {
     ASSERT_NE(one->content_mismatch(), "");
     one->Apply(3, Whole("w", R"({"barred":["h"]})"));
     EXPECT_NE(one->content_mismatch(), "") << "it is not on";
-    one->Apply(4, VersionHistory::InForceEntry(one->latest_version()));
+    one->Apply(4, EncodeInForceEntry(one->latest_version()));
   }
   EXPECT_EQ(misapplied.content_mismatch(), "");
   EXPECT_FALSE(misapplied.numbering_mismatch());
@@ -547,7 +547,7 @@
   w.change.document = R"({"zone_only":{"h":"z"}})";
   const json wish = ToJson(w);
   EXPECT_FALSE(ValidateDocument(wish[7].get<std::string>()).empty());
-  const auto read = ReadWish(wish);
+  const auto read = ReadChangeRequest(wish);
   ASSERT_TRUE(read.has_value());
   EXPECT_TRUE(read->change.is_delta);
   EXPECT_EQ(read->change.document, w.change.document);
@@ -598,9 +598,8 @@
   for (int i = 0; i < 3; ++i) {
     const std::string entry = DeltaOf(leader, "c" + std::to_string(i), Bars(i));
     leader.Apply(i + 1, entry);
-    f.Take({entry,
-            VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash)});
-    leader.Apply(100 + i, VersionHistory::InForceEntry(leader.latest_version()));
+    f.Take({entry, EncodeInForceEntry(leader.latest_version(), leader.versions().back().hash)});
+    leader.Apply(100 + i, EncodeInForceEntry(leader.latest_version()));
   }
   EXPECT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kAgreed);
   EXPECT_EQ(f.member.CurrentConfig(f.now).version_in_force, 3U);
@@ -625,8 +624,7 @@
   for (int i = 0; i < 30; ++i) {
     entries.push_back(Whole("c" + std::to_string(i), Quotas(2000, i)));
     leader.Apply(2 * i + 2, entries.back());
-    entries.push_back(
-        VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
+    entries.push_back(EncodeInForceEntry(leader.latest_version(), leader.versions().back().hash));
     leader.Apply(2 * i + 3, entries.back());
   }
   f.Take(entries);
@@ -661,8 +659,7 @@
     for (int i = 1; i <= 200; ++i) {
       entries.push_back(DeltaOf(leader, "c" + std::to_string(i), QuotaDelta(i)));
       leader.Apply(2 * i + 2, entries.back());
-      entries.push_back(
-          VersionHistory::InForceEntry(leader.latest_version(), leader.versions().back().hash));
+      entries.push_back(EncodeInForceEntry(leader.latest_version(), leader.versions().back().hash));
       leader.Apply(2 * i + 3, entries.back());
     }
     f.Take(entries);
@@ -718,14 +715,13 @@
     leader.Apply(1, first);
     const std::string second = DeltaOf(leader, "c1", Bars(1));
     leader.Apply(2, second);
-    f.Take({first, VersionHistory::InForceEntry(1, leader.versions().front().hash)});
+    f.Take({first, EncodeInForceEntry(1, leader.versions().front().hash)});
     ASSERT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kAgreed);
     Change other;
     other.id = "c1";
     other.is_delta = true;
     other.document = Bars(8);
-    MemberOutput out =
-        f.Take({VersionHistory::ChangeEntry(other, {1, leader.versions().back().hash})});
+    MemberOutput out = f.Take({EncodeChangeEntry(other, {1, leader.versions().back().hash})});
     EXPECT_EQ(f.member.CurrentConfig(f.now).kind, EffectiveConfig::Kind::kIsolated);
     EXPECT_TRUE(f.member.ContentOf(f.member.CurrentConfig(f.now)).strict);
     EXPECT_EQ(f.member.content_mismatch_count(), 1U);
--- a/tests/cluster/persistent_map_test.cpp
+++ b/tests/cluster/persistent_map_test.cpp
@@ -231,8 +231,8 @@
     Change whole;
     whole.id = "whole";
     whole.document = ToText(Quotas(tenants));
-    ASSERT_EQ(h.Apply(1, VersionHistory::ChangeEntry(whole)).version, 1U);
-    h.Apply(2, VersionHistory::InForceEntry(1));
+    ASSERT_EQ(h.Apply(1, EncodeChangeEntry(whole)).version, 1U);
+    h.Apply(2, EncodeInForceEntry(1));
     raft::Index index = 2;
     took[large ? 1 : 0] = Least([&] {
       Change change;
@@ -243,11 +243,10 @@
       const VersionContent next = ApplyDelta(h.latest_content(), change.document);
       ++index;
       ASSERT_GT(
-          h.Apply(index, VersionHistory::ChangeEntry(change, {h.latest_version(), HashOf(next)}))
-              .version,
+          h.Apply(index, EncodeChangeEntry(change, {h.latest_version(), HashOf(next)})).version,
           1U);
       ++index;
-      h.Apply(index, VersionHistory::InForceEntry(h.latest_version(), HashOf(next)));
+      h.Apply(index, EncodeInForceEntry(h.latest_version(), HashOf(next)));
       ASSERT_EQ(h.version_in_force(), h.latest_version());
       ASSERT_EQ(h.content_mismatch(), "");
     });
