--- /dev/null
+++ b/tests/cluster/version_content_test.cpp
@@ -0,0 +1,87 @@
+// The text, the size and the hash of a version's content, and what a change of it costs.
+#include "cluster/version_content.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "cluster/test_costs.h"
+
+namespace paddlestile::cluster {
+namespace {
+
+using testing::LeastMicroseconds;
+using testing::TenantName;
+using testing::TenantQuotas;
+
+// Each part of a version's content changes its hash, and the order of its lists does not: members
+// that came to one content by different ways must agree.
+TEST(VersionContent, HashDependsOnEachPartAndNoOrder) {
+  const std::string texts[] = {
+      "{}",
+      R"({"barred":["h"]})",
+      R"({"drain":["h"]})",
+      R"({"zone_only":{"h":"z"}})",
+      R"({"settings":{"Tenants":[]}})",
+      R"({"settings":{"Classes":[]}})",
+      R"({"settings":{"Odd":[]}})",
+      R"({"settings":{"Tenants":[{"Name":"a"},{"Name":"b"}]}})",
+      R"({"settings":{"Classes":[{"Name":"a"},{"Name":"b"}]}})",
+      R"({"settings":{"Tenants":[{"Name":"a","QuotaPerS":1},{"Name":"b"}]}})",
+      R"({"settings":{"Tenants":[{"Name":"a","QuotaPerS":1.0},{"Name":"b"}]}})"};
+  for (const std::string& a : texts) {
+    for (const std::string& b : texts) {
+      EXPECT_EQ(
+          HashOf(VersionContent(ParseDocument(a))) == HashOf(VersionContent(ParseDocument(b))),
+          a == b)
+          << a << b;
+    }
+    const VersionContent content = ParseDocument(a);
+    EXPECT_EQ(TextBytes(content), ToText(content).size());
+    EXPECT_EQ(ToText(content), ToText(ParseDocument(a)));
+    EXPECT_EQ(ToText(content.ToDocument()), ToText(content));
+  }
+  const VersionContent reordered =
+      ParseDocument(R"({"settings":{"Tenants":[{"Name":"b"},{"QuotaPerS":1,"Name":"a"}]}})");
+  EXPECT_EQ(HashOf(reordered), HashOf(VersionContent(ParseDocument(texts[9]))));
+  EXPECT_NE(ToText(reordered), ToText(ParseDocument(texts[9])));
+}
+
+// Keys of the settings stand in their order, the lists among them: another order is another text,
+// and a version's text is what operators and older programs read.
+TEST(VersionContent, WritesTheTextOfItsDocument) {
+  const ConfigDocument document = ParseDocument(
+      R"({"settings":{"Zone":1,"Tenants":[{"Name":"q\"\u00e9"}],"Classes":[{"Name":"z"},
+          {"Name":"a"}],"Allowed":{"SendCap":2},"D":{"x":null},"A":3,"U\n":-0.0},"barred":["b","a"],
+          "zone_only":{"h\"":"z","g":""},"drain":["\u00fc"]})");
+  EXPECT_EQ(ToText(VersionContent(document)), ToText(document));
+  EXPECT_EQ(TextBytes(document), ToText(document).size());
+  EXPECT_EQ(VersionContent(document).ToDocument(), document);
+}
+
+// At 240,000 tenants, to copy, read, write or compare all of a version takes a second of a
+// gateway's loop. Here 64 times as many may cost 16 times as much: the list of chunks grows, and
+// none of their entries is looked at.
+TEST(VersionContent, ChangeCostsWhatItChanges) {
+  double least_us[2] = {};
+  for (const bool large : {false, true}) {
+    const size_t tenants = large ? 64 * 1000 : 1000;
+    const VersionContent base = TenantQuotas(tenants);
+    int turn = 0;
+    least_us[large ? 1 : 0] = LeastMicroseconds([&] {
+      VersionContent next = base;
+      const size_t at = static_cast<size_t>(++turn) * 7919 % tenants;
+      next.tenants->Set(TenantName(at), R"({"Name":")" + TenantName(at) + R"(","QuotaPerS":0.5})");
+      EXPECT_EQ(Contradictions(base, next).size(), 1U);
+      const VersionContent stricter = StricterOf(base, next);
+      EXPECT_NE(stricter, base);
+      EXPECT_NE(HashOf(next), HashOf(base));
+      EXPECT_GT(TextBytes(next), 0U);
+    });
+  }
+  EXPECT_LT(least_us[1], 16 * least_us[0])
+      << "at 1,000: " << least_us[0] << " us, at 64,000: " << least_us[1];
+}
+
+}  // namespace
+}  // namespace paddlestile::cluster
