--- a/src/peer/hello.h
+++ b/src/peer/hello.h
@@ -13,20 +13,23 @@
 inline constexpr int kProtocolVersion = 1;
 
 struct Hello {
-  nlohmann::json version = kProtocolVersion;  // as sent; any value
   std::string cluster_name;
   std::string from;            // name of the sender
   std::string to;              // name of the member that it wants to reach
   uint64_t incarnation = 0;    // of the sender's storage
   uint64_t restart_count = 0;  // starts of the sender with that storage
-  nlohmann::json claim;        // what the sender knows of the receiver's storage; null: nothing
 };
 
 // The keys are those of the wire and differ from the names of the fields.
-nlohmann::json EncodeHello(const Hello& hello);
+// `claim`: what the sender knows of the receiver's storage; null: nothing.
+nlohmann::json EncodeHello(const Hello& hello, const nlohmann::json& claim);
 
-// Throws nlohmann::json::exception for a malformed value.
+// These throw nlohmann::json::exception for a malformed value.
 Hello DecodeHello(const nlohmann::json& value);
+// The version of a hello, as sent: any JSON value.
+const nlohmann::json& VersionOfHello(const nlohmann::json& value);
+// Null where the sender knows nothing.
+nlohmann::json ClaimOfHello(const nlohmann::json& value);
 
 }  // namespace paddlestile::peer
 
--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -225,8 +225,7 @@
   hello.to = name;
   hello.incarnation = options_.incarnation;
   hello.restart_count = options_.restart_count;
-  hello.claim = listener_->ClaimKnownOf(name);
-  return EncodeHello(hello);
+  return EncodeHello(hello, listener_->ClaimKnownOf(name));
 }
 
 void PeerConnections::Reject(Connection& connection, const std::string& reason) {
@@ -240,7 +239,7 @@
     if (const auto call = value.find("call"); call != value.end()) {
       OnCall(connection, value, *call);
     } else {
-      OnHello(connection, DecodeHello(value));
+      OnHello(connection, value);
     }
   } catch (const json::exception&) {
     // Also one that the listener throws for the contents of the call or the claim.
@@ -265,9 +264,9 @@
 }
 
 std::string PeerConnections::ReasonToReject(const Connection& connection,
-                                            const Hello& hello) const {
-  if (hello.version != kProtocolVersion) {
-    return hello.from + " speaks format " + hello.version.dump() + ", expected " +
+                                            const Hello& hello, const json& version) const {
+  if (version != kProtocolVersion) {
+    return hello.from + " speaks format " + version.dump() + ", expected " +
            std::to_string(kProtocolVersion);
   }
   if (hello.cluster_name != options_.cluster_name) {
@@ -312,8 +311,11 @@
   OnEnd(earlier, "another connection of it");
 }
 
-void PeerConnections::OnHello(Connection& connection, const Hello& hello) {
-  if (const std::string reason = ReasonToReject(connection, hello); !reason.empty()) {
+void PeerConnections::OnHello(Connection& connection, const json& frame) {
+  const json& version = VersionOfHello(frame);
+  const Hello hello = DecodeHello(frame);
+  const json claim = ClaimOfHello(frame);
+  if (const std::string reason = ReasonToReject(connection, hello, version); !reason.empty()) {
     return Reject(connection, reason);
   }
   if (IsStale(hello)) {
@@ -337,7 +339,7 @@
   connected_[hello.from] = &connection;
   ++statistics_.connected;
   Log(LogLevel::kInfo, "bank: connection to {} is established", hello.from);
-  listener_->OnConnected(hello.from, hello.incarnation, hello.claim);
+  listener_->OnConnected(hello.from, hello.incarnation, claim);
 }
 
 // ---- Sending ----------------------------------------------------------------------------------
--- a/src/peer/peer_connections.h
+++ b/src/peer/peer_connections.h
@@ -107,11 +107,12 @@
   [[nodiscard]] nlohmann::json HelloTo(const std::string& name);
   void OnIntroduction(Connection& connection, const nlohmann::json& value);
   void OnCall(Connection& connection, const nlohmann::json& frame, const nlohmann::json& call);
-  void OnHello(Connection& connection, const Hello& hello);
+  void OnHello(Connection& connection, const nlohmann::json& frame);
   // Counts and closes a connection that is not accepted.
   void Reject(Connection& connection, const std::string& reason);
   // Why a hello is not accepted, whatever connections there are; empty: it is.
-  [[nodiscard]] std::string ReasonToReject(const Connection& connection, const Hello& hello) const;
+  [[nodiscard]] std::string ReasonToReject(const Connection& connection, const Hello& hello,
+                                           const nlohmann::json& version) const;
   [[nodiscard]] bool IsStale(const Hello& hello) const;
   // Closes an earlier connection of the member, and remembers its incarnation if it is another.
   void ReplaceConnection(const Hello& hello);
