--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -11,20 +11,20 @@
 namespace paddlestile {
 namespace {
 
-// A log that floods would cost more than what it tells, and a full pipe would hold up the loop.
+// More lines would cost too much time, and a full pipe would block the event loop.
 constexpr int kLinesPerSecond = 100;
 
-struct State {
-  State() { Use(LogFormat::kText); }
-  void Use(LogFormat to) {
-    format = to;
-    // The message of a JSON line brings its own quotes.
-    logger.set_pattern(to == LogFormat::kJson
+struct Logger {
+  Logger() { SetFormat(LogFormat::kText); }
+  void SetFormat(LogFormat new_format) {
+    format = new_format;
+    // The message of a JSON line has its own quotes.
+    logger.set_pattern(format == LogFormat::kJson
                            ? R"({"time":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","message":%v})"
                            : "%l: %v",
                        spdlog::pattern_time_type::utc);
-    logger.set_level(spdlog::level::trace);  // what is dropped is dropped before
-    logger.flush_on(spdlog::level::trace);   // the last line before a crash is the one that counts
+    logger.set_level(spdlog::level::trace);  // IsLogEnabled filters
+    logger.flush_on(spdlog::level::trace);   // so that the last line before a crash is written
   }
   void Write(LogLevel level, std::string_view text) {
     static constexpr spdlog::level::level_enum kLevels[] = {
@@ -43,44 +43,47 @@
 
   spdlog::logger logger{"paddlestile", std::make_shared<spdlog::sinks::stderr_sink_st>()};
   LogFormat format = LogFormat::kText;
-  LogLevel least = LogLevel::kInfo;
-  std::chrono::steady_clock::time_point second;
-  int lines = 0;
-  int dropped = 0;
+  LogLevel min_level = LogLevel::kInfo;
+  std::chrono::steady_clock::time_point second_started_at;  // of the rate limit
+  int lines = 0;                                            // in that second
+  int dropped = 0;                                          // of those
 };
 
-State& state() {
-  static State state;
-  return state;
+Logger& GlobalLogger() {
+  static Logger logger;
+  return logger;
 }
 
 }  // namespace
 
 void SetLogLevel(LogLevel level) {
-  state().least = level;
+  GlobalLogger().min_level = level;
 }
+
 bool IsLogEnabled(LogLevel level) {
-  return level >= state().least;
+  return level >= GlobalLogger().min_level;
 }
+
 void SetLogFormat(LogFormat format) {
-  state().Use(format);
+  GlobalLogger().SetFormat(format);
 }
 
 void LogLine(LogLevel level, std::string_view text) {
-  State& s = state();
+  Logger& logger = GlobalLogger();
   const auto now = std::chrono::steady_clock::now();
-  if (now - s.second >= std::chrono::seconds(1)) {
-    if (s.dropped > 0) {
-      s.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", s.dropped));
+  if (now - logger.second_started_at >= std::chrono::seconds(1)) {
+    if (logger.dropped > 0) {
+      logger.Write(LogLevel::kWarning, fmt::format("{} log lines dropped", logger.dropped));
     }
-    s.second = now;
-    s.lines = s.dropped = 0;
+    logger.second_started_at = now;
+    logger.lines = 0;
+    logger.dropped = 0;
   }
-  if (++s.lines > kLinesPerSecond) {
-    ++s.dropped;
+  if (++logger.lines > kLinesPerSecond) {
+    ++logger.dropped;
     return;
   }
-  s.Write(level, text);
+  logger.Write(level, text);
 }
 
 }  // namespace paddlestile
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -29,8 +29,8 @@
 }
 
 bool CheckFailed(const char* what, const char* file, int line) {
-  constexpr uint64_t kLogged = 20;
-  if (++GlobalCounters().invariant_failures <= kLogged) {
+  constexpr uint64_t kMaxLoggedFailures = 20;
+  if (++GlobalCounters().invariant_failures <= kMaxLoggedFailures) {
     Log(LogLevel::kError, "check failed: {} at {}:{}", what, file, line);
   }
   return false;
--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -10,13 +10,30 @@
 
 namespace paddlestile {
 
+namespace {
+
+sockaddr_in ToSocketAddress(const Address& address) {
+  sockaddr_in result{};
+  result.sin_family = AF_INET;
+  result.sin_port = htons(address.port);
+  result.sin_addr.s_addr = htonl(address.host);
+  return result;
+}
+
+// Of several sockets that listen on an address the newest gets all new connections, and an older
+// one can empty its queue. Without this the kernel spreads them.
+void PreferNewestListener(int fd) {
+  sock_filter newest{BPF_RET | BPF_K, 0, 0, 1};
+  const sock_fprog choice{1, &newest};
+  setsockopt(fd, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &choice, sizeof(choice));
+}
+
+}  // namespace
+
 FileDescriptor Listen(const Address& listen, int backlog, bool shared) {
   FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int on = 1;
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(listen.port);
-  address.sin_addr.s_addr = htonl(listen.host);
+  const sockaddr_in address = ToSocketAddress(listen);
   const auto* const name = reinterpret_cast<const sockaddr*>(&address);
   if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
       (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof(on)) != 0) ||
@@ -25,12 +42,8 @@
     fd.Reset();
     errno = error;
   }
-  // Of several that listen there the newest gets all that comes, and the one that leaves can empty
-  // its queue. Without this, or with one alone, the kernel chooses.
-  sock_filter newest{BPF_RET | BPF_K, 0, 0, 1};
-  const sock_fprog choice{1, &newest};
   if (fd && shared) {
-    setsockopt(fd.get(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &choice, sizeof(choice));
+    PreferNewestListener(fd.get());
   }
   return fd;
 }
@@ -56,10 +69,7 @@
   }
   const int on = 1;
   setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(to.port);
-  address.sin_addr.s_addr = htonl(to.host);
+  const sockaddr_in address = ToSocketAddress(to);
   if (connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 &&
       errno != EINPROGRESS && errno != EINTR) {
     refused = true;
--- a/src/gateway/admin.cpp
+++ b/src/gateway/admin.cpp
@@ -22,7 +22,7 @@
 
 using std::chrono::seconds;
 
-constexpr Duration kCallTimeout = seconds(5);    // for a whole call
+constexpr Duration kCallTimeout = seconds(5);    // for a complete call
 constexpr Duration kLingerTimeout = seconds(1);  // for the caller to read the response
 constexpr size_t kMaxBodyBytesOfCall = 4096;     // the content is ignored
 constexpr int kBacklog = 64;                     // connections
--- a/src/gateway/downstream.h
+++ b/src/gateway/downstream.h
@@ -64,7 +64,7 @@
  private:
   enum class AcceptResult {
     kContinue,      // one was accepted, or the next may be tried
-    kQueueEmpty,    // nobody waits
+    kQueueEmpty,    // no connection is pending
     kNoDescriptor,  // to be tried again later
   };
   void AcceptPending();
--- a/src/gateway/hot_restart.h
+++ b/src/gateway/hot_restart.h
@@ -41,7 +41,7 @@
 };
 
 // Asks the process at `path` to hand over. Blocks, half a second at most for each read. Returns an
-// empty state where `path` is empty, or nobody listens there or gives a valid reply. Throws
+// empty state where `path` is empty, or no process listens there or gives a valid reply. Throws
 // std::runtime_error where another new process has asked before.
 HotRestartState RequestHotRestart(const std::string& path, const Address& listen);
 
--- a/src/gateway/unix_socket.cpp
+++ b/src/gateway/unix_socket.cpp
@@ -9,6 +9,7 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <cerrno>
 #include <chrono>
 #include <cstring>
 #include <optional>
@@ -87,7 +88,12 @@
   const bool listens = address && bind(fd.get(), address->get(), sizeof(address->address)) == 0 &&
                        chmod(path.c_str(), S_IRUSR | S_IWUSR) == 0 &&
                        ::listen(fd.get(), kBacklog) == 0;
-  return listens ? std::move(fd) : FileDescriptor();
+  if (!listens) {
+    const int error = errno;
+    fd.Reset();
+    errno = error;
+  }
+  return fd;
 }
 
 bool IsPeerOfSameUser(int fd) {
--- a/src/gateway/unix_socket.h
+++ b/src/gateway/unix_socket.h
@@ -11,7 +11,7 @@
 
 namespace paddlestile {
 
-// Connects to the socket at `path`, blocking; no descriptor where nobody listens there.
+// Connects to the socket at `path`, blocking; no descriptor where no process listens there.
 FileDescriptor ConnectUnix(const std::string& path);
 // Listens at `path`, non-blocking, in place of a file that is there, with access for the present
 // user alone. No descriptor, with errno set, where that fails.
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -32,7 +32,7 @@
 constexpr size_t kMinReadBytes = 2048;  // most responses are short
 constexpr size_t kMaxUnreadBytes = 2 * kMaxBufferedBodyBytes;
 // An endpoint may send a second response some milliseconds after the first. On a connection in use
-// again it would be taken for the next request's: nothing in it tells them apart.
+// again it would be taken for the next request's: nothing in it says which one it is for.
 constexpr Duration kSettleTime = UpstreamConnectionPool::kSettleTime;
 
 }  // namespace
--- a/src/http/streaming_body.cpp
+++ b/src/http/streaming_body.cpp
@@ -63,7 +63,7 @@
   }
 }
 
-// The stream may call back within each Write, and this writer be gone after it.
+// The stream may call back within each Write, and the callback may destroy this writer.
 void BodyWriter::WritePiece(Buffer piece) {
   const std::weak_ptr<bool> alive = alive_;
   if (!piece.empty()) {
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -38,18 +38,18 @@
 }
 const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-class ListTest : public ::testing::Test, public DiscoveryClient::Listener {
+class DiscoveryClientTest : public ::testing::Test, public DiscoveryClient::Listener {
  protected:
-  ListTest() { names.zones.Add("a"); }
-  void OnEndpointList(EndpointList list) override { lists.push_back(std::move(list)); }
+  DiscoveryClientTest() { names.zones.Add("a"); }
+  void OnEndpointList(EndpointList client) override { lists.push_back(std::move(client)); }
   void OnDiscoveryFailed() override { ++failed; }
 
-  void Begin(bool own_watch, double revision = 40) {
-    list =
-        std::make_unique<DiscoveryClient>(loop, port.address(), names, revision, own_watch, this);
-    list->Start();
+  void StartClient(bool self_renewing_watch, double revision = 40) {
+    client = std::make_unique<DiscoveryClient>(loop, port.address(), names, revision,
+                                               self_renewing_watch, this);
+    client->Start();
   }
-  // The next call to discovery, with its request read.
+  // The next connection to the agent, with its request read.
   Peer Call() {
     Peer peer = port.Take(loop);
     EXPECT_TRUE(RunUntil(loop, [&] { return peer.Has("\r\n\r\n"); }));
@@ -61,11 +61,11 @@
   testing::Port port;
   std::vector<EndpointList> lists;
   int failed = 0;
-  std::unique_ptr<DiscoveryClient> list;
+  std::unique_ptr<DiscoveryClient> client;
 };
 
-TEST_F(ListTest, WatchesFromTheRevisionHeld) {
-  Begin(true);
+TEST_F(DiscoveryClientTest, WatchesFromThePresentRevision) {
+  StartClient(true);
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("GET /catalog/members?follow=1&since=40 HTTP/1.1\r\n"));
   agent.Say(kHead + Chunk(Line(41, false, Entry("h1"))));
@@ -77,8 +77,8 @@
   EXPECT_EQ(failed, 0);
 }
 
-TEST_F(ListTest, LinesSplitAtEveryByteComeOutTheSame) {
-  Begin(true);
+TEST_F(DiscoveryClientTest, LinesSplitAtEveryByteComeOutTheSame) {
+  StartClient(true);
   Peer agent = Call();
   std::string all = kHead;
   // Chunks that end within lines, and lines that end within chunks.
@@ -95,7 +95,7 @@
   EXPECT_EQ(failed, 0);
 }
 
-TEST_F(ListTest, EachMalformedWatchFailsOnceAndIsBegunAgainFromTheListHeld) {
+TEST_F(DiscoveryClientTest, MalformedWatchFailsOnceAndIsRenewedFromThePresentRevision) {
   const std::string bad[] = {
       kHead + Chunk("{not json}\n"),
       kHead + Chunk("{\"revision\":44}\n"),
@@ -106,7 +106,7 @@
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
       "nonsense\r\n\r\n",
   };
-  Begin(true);
+  StartClient(true);
   for (const std::string& text : bad) {
     Peer agent = Call();
     EXPECT_TRUE(agent.Has("since=40"));
@@ -121,9 +121,9 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
-// It lags, as one of another machine may: it catches up on the same watch.
-TEST_F(ListTest, AnOlderListIsPassedOverUntilTheAgentHasCaughtUp) {
-  Begin(true);
+// It lags, as the agent of another machine may: it catches up on the same watch.
+TEST_F(DiscoveryClientTest, StaleListIsIgnoredUntilTheAgentCatchesUp) {
+  StartClient(true);
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(38, true, Entry("gone"))) + Chunk(Line(39, false, Entry("gone"))));
   agent.Say(Chunk(Line(41, false, Entry("h1"))));
@@ -132,10 +132,10 @@
   EXPECT_EQ(failed, 0);
 }
 
-// It counts by itself: passed over for ever, the list held would never change again.
-TEST_F(ListTest, AnAgentThatStaysBehindIsBelievedInTheEnd) {
-  Begin(true);
-  list->set_max_staleness(Ms(300));
+// It has its own count of revisions: ignored for ever, the list would never change again.
+TEST_F(DiscoveryClientTest, AgentThatStaysStaleIsAcceptedInTheEnd) {
+  StartClient(true);
+  client->set_max_staleness(Ms(300));
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(3, true, Entry("h1"))));
   testing::RunFor(loop, Ms(100));
@@ -147,17 +147,17 @@
   EXPECT_TRUE(next.Has("since=0"));
   next.Say(kHead + Chunk(Line(4, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
-  EXPECT_EQ(list->revision(), 4);
+  EXPECT_EQ(client->revision(), 4);
 }
 
-// The old agent goes on telling until the new one has spoken; its end then is no failure.
-TEST_F(ListTest, ANewAddressIsWatchedAtOnceBesideTheOldOne) {
-  Begin(true);
+// The watch at the old address delivers until the new one has; its end then is no failure.
+TEST_F(DiscoveryClientTest, NewAddressIsWatchedAtOnceBesideTheOldOne) {
+  StartClient(true);
   Peer old = Call();
   old.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port elsewhere;
-  list->Redirect(elsewhere.address());
+  client->Redirect(elsewhere.address());
   Peer agent = elsewhere.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return agent.Has("since=41"); }));
   old.Say(Chunk(Line(42, false, Entry("h2"))));
@@ -173,32 +173,32 @@
   EXPECT_FALSE(port.TryTake());  // the old one is left alone
 }
 
-// The first new address is silent, as may be one that was named by mistake.
-TEST_F(ListTest, TwoNewAddressesInARowKeepTheOneThatSpeaks) {
-  Begin(true);
+// The first new address is silent, as one configured by mistake may be.
+TEST_F(DiscoveryClientTest, TwoNewAddressesInARowKeepTheOneThatDelivers) {
+  StartClient(true);
   Peer old = Call();
   old.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port silent, good;
-  list->Redirect(silent.address());
+  client->Redirect(silent.address());
   Peer first = silent.Take(loop);
-  list->Redirect(good.address());
+  client->Redirect(good.address());
   Peer second = good.Take(loop);
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
   EXPECT_FALSE(old.Ended());
-  list->Redirect(good.address());  // the same again changes nothing
+  client->Redirect(good.address());  // the same again changes nothing
   second.Say(kHead + Chunk("\n"));
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended(); }));
   EXPECT_FALSE(second.Ended());
 }
 
-TEST_F(ListTest, AnOldWatchThatEndsIsNotBegunAgainWhileTheNewAddressIsSilent) {
-  Begin(true);
+TEST_F(DiscoveryClientTest, PreviousWatchIsNotRenewedWhileTheNewAddressIsSilent) {
+  StartClient(true);
   Peer old = Call();
   old.Say(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(20));
   testing::Port elsewhere;
-  list->Redirect(elsewhere.address());
+  client->Redirect(elsewhere.address());
   Peer agent = elsewhere.Take(loop);
   old.Reset();
   testing::RunFor(loop, Ms(600));
@@ -207,25 +207,25 @@
   EXPECT_FALSE(agent.Ended());
 }
 
-TEST_F(ListTest, WhereTheModuleAsksItsWatchMovesToo) {
-  Begin(false);
+TEST_F(DiscoveryClientTest, WatchOnRequestMovesToTheNewAddress) {
+  StartClient(false);
   testing::Port elsewhere;
-  list->Redirect(elsewhere.address());
+  client->Redirect(elsewhere.address());
   testing::RunFor(loop, Ms(20));
   EXPECT_FALSE(elsewhere.TryTake());  // nobody has asked for one
-  list->SetWatching(true);
+  client->SetWatching(true);
   Peer old = elsewhere.Take(loop);
   old.Say(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(20));
-  list->Redirect(port.address());
+  client->Redirect(port.address());
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("follow=1"));
-  list->SetWatching(false);
+  client->SetWatching(false);
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended() && agent.Ended(); }));
 }
 
-TEST_F(ListTest, ABrokenWatchIsBegunAgain) {
-  Begin(true);
+TEST_F(DiscoveryClientTest, BrokenWatchIsRenewed) {
+  StartClient(true);
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
@@ -235,9 +235,9 @@
   EXPECT_TRUE(next.Has("since=41"));
 }
 
-// Discovery that is down is silent and closes nothing: only the missing empty lines tell.
-TEST_F(ListTest, ASilentWatchIsGivenUpButEmptyLinesKeepIt) {
-  Begin(true);
+// An agent that is down is silent and closes nothing: only the missing empty lines show it.
+TEST_F(DiscoveryClientTest, SilentWatchTimesOutButEmptyLinesKeepIt) {
+  StartClient(true);
   Peer agent = Call();
   agent.Say(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(2500));
@@ -249,27 +249,27 @@
   EXPECT_TRUE(agent.Ended());
 }
 
-TEST_F(ListTest, WithoutAnOwnWatchOnlyTheModuleAsks) {
-  Begin(false);
+TEST_F(DiscoveryClientTest, WatchOnRequestBeginsOnRequest) {
+  StartClient(false);
   testing::RunFor(loop, Ms(30));
   EXPECT_FALSE(port.TryTake());
-  list->SetWatching(true);
+  client->SetWatching(true);
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("follow=1"));
   agent.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
   testing::RunFor(loop, Ms(300));
   EXPECT_FALSE(port.TryTake());  // it asks again itself, when it wants to
-  list->SetWatching(true);
+  client->SetWatching(true);
   Peer next = Call();
-  list->SetWatching(false);
+  client->SetWatching(false);
   EXPECT_TRUE(RunUntil(loop, [&] { return next.Ended(); }));
   EXPECT_EQ(failed, 1);
 }
 
-TEST_F(ListTest, FetchesTheWholeListOnce) {
-  Begin(false);
-  list->Poll();
+TEST_F(DiscoveryClientTest, PollsTheCompleteListOnce) {
+  StartClient(false);
+  client->Poll();
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("GET /catalog/members HTTP/1.1\r\n"));
   const std::string body = Line(50, true, Entry("h1") + "," + Entry("h2", "leaving"));
@@ -277,23 +277,23 @@
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_TRUE(lists[0].complete);
   EXPECT_EQ(lists[0].endpoints.size(), 2u);
-  EXPECT_EQ(list->revision(), 50);
+  EXPECT_EQ(client->revision(), 50);
 }
 
-TEST_F(ListTest, AListFetchedInPartIsNone) {
-  Begin(false);
-  list->Poll();
+TEST_F(DiscoveryClientTest, IncompletePollIsNoList) {
+  StartClient(false);
+  client->Poll();
   Peer agent = Call();
   const std::string whole = testing::Http200(Line(50, true, Entry("h1")));
   agent.Say(whole.substr(0, whole.size() - 5));
   agent.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
   EXPECT_TRUE(lists.empty());
-  EXPECT_EQ(list->revision(), 40);
+  EXPECT_EQ(client->revision(), 40);
 }
 
-TEST_F(ListTest, AnEmptyFleetIsAList) {
-  Begin(true);
+TEST_F(DiscoveryClientTest, EmptyListIsAccepted) {
+  StartClient(true);
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(41, true, "")));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
@@ -301,17 +301,17 @@
   EXPECT_EQ(failed, 0);
 }
 
-TEST_F(ListTest, NobodyThereIsAFailedWatchAndTriedAgain) {
+TEST_F(DiscoveryClientTest, RefusedWatchFailsAndIsRetried) {
   port.Close();
-  Begin(true);
+  StartClient(true);
   EXPECT_TRUE(RunUntil(loop, [&] { return failed >= 2; }));
 }
 
-// ---- Where two events cross (docs/crossings.md) ----------------------------------------------
+// ---- Races (docs/crossings.md) ---------------------------------------------------------------
 
-// A watch that falls silent, wherever that is, or that trickles and ends no line: what it misses
-// counts as told 6 s after, so that it is asked for anew before that.
-TEST_F(ListTest, AWatchThatFallsSilentAnywhereIsBegunAnewInTime) {
+// A watch that falls silent anywhere, or drips without a line end: changes that it misses must be
+// in effect 6 s after, so that it is renewed before that.
+TEST_F(DiscoveryClientTest, WatchThatFallsSilentAnywhereIsRenewedInTime) {
   const std::string line = Line(41, false, Entry("h1"));
   const std::string whole = kHead + Chunk(line);
   struct Case {
@@ -377,9 +377,9 @@
   }
 }
 
-// What the agent that it asks anew accepts and says nothing to must not cost five seconds more.
-TEST_F(ListTest, AnAgentThatAcceptsAndSaysNothingIsAskedAgainSoon) {
-  Begin(true);
+// An agent that accepts the new watch and sends nothing must not cost five seconds more.
+TEST_F(DiscoveryClientTest, SilentAgentIsRetriedSoon) {
+  StartClient(true);
   Peer silent = Call();
   const Time began = loop.Now();
   Peer again = Call();
@@ -389,9 +389,9 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
-// Lists may come indented: the ends of lines within an object are white space.
-TEST_F(ListTest, AnIndentedListIsOne) {
-  Begin(true);
+// Lists may be indented: line ends within an object are white space.
+TEST_F(DiscoveryClientTest, IndentedListIsAccepted) {
+  StartClient(true);
   Peer agent = Call();
   const std::string text =
       "{\n  \"revision\": 41,\n  \"complete\": true,\r\n  \"members\": [\n    " + Entry("h1") +
@@ -406,10 +406,10 @@
   EXPECT_EQ(failed, 0);
 }
 
-// A line cut short, with the empty lines that keep a watch behind it, is found out at once.
-TEST_F(ListTest, ALineCutShortIsNotWaitedFor) {
+// A truncated line, with keep-alive lines behind it, is detected at once.
+TEST_F(DiscoveryClientTest, TruncatedLineIsNotWaitedFor) {
   const std::string line = Line(41, false, Entry("h1"));
-  Begin(true);
+  StartClient(true);
   // Within a string, within a number, between two values, in a list; then another line or none.
   for (const size_t at : {line.find("h1") + 1, size_t{13}, size_t{15}, line.find('[') + 1}) {
     for (const std::string& next : {std::string("\n"), line}) {
@@ -425,25 +425,25 @@
   EXPECT_TRUE(lists.empty());
 }
 
-// Two ask for the whole list: the first call serves both, and neither is left without a word.
-TEST_F(ListTest, ASecondFetchIsServedByTheFirst) {
-  Begin(false);
-  list->Poll();
+// Two polls at once: the first call serves both, and both get the list.
+TEST_F(DiscoveryClientTest, SecondPollIsServedByTheFirst) {
+  StartClient(false);
+  client->Poll();
   Peer agent = Call();
-  list->Poll();
+  client->Poll();
   testing::RunFor(loop, Ms(20));
   EXPECT_FALSE(agent.Ended());
   agent.Say(testing::Http200(Line(41, true, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(failed, 0);
-  list->Poll();
+  client->Poll();
   Peer next = Call();
   EXPECT_TRUE(next.Has("GET /catalog/members HTTP/1.1\r\n"));
 }
 
-// Reset just before a change: it is asked for again at once and gets it from there.
-TEST_F(ListTest, AResetJustBeforeADrainLosesLittleTime) {
-  Begin(true);
+// Reset just before a change: the watch is renewed at once and delivers it.
+TEST_F(DiscoveryClientTest, ResetJustBeforeADrainLosesLittleTime) {
+  StartClient(true);
   Peer agent = Call();
   agent.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
@@ -457,16 +457,17 @@
   EXPECT_LT(loop.Now() - began, Ms(300));
 }
 
-// To the new address and back before the new one has spoken: one watch stays, and it is told all.
-TEST_F(ListTest, ToANewAddressAndBackOneWatchStays) {
-  Begin(true);
+// To the new address and back before the new one has delivered: one watch stays, and gets all
+// changes.
+TEST_F(DiscoveryClientTest, RedirectAndBackKeepsOneWatch) {
+  StartClient(true);
   Peer first = Call();
   first.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port other;
-  list->Redirect(other.address());
+  client->Redirect(other.address());
   Peer there = other.Take(loop);
-  list->Redirect(port.address());
+  client->Redirect(port.address());
   Peer back = Call();
   EXPECT_TRUE(RunUntil(loop, [&] { return there.Ended(); }));
   EXPECT_FALSE(first.Ended());  // tells until the new one has spoken
@@ -478,18 +479,19 @@
   EXPECT_EQ(failed, 0);
 }
 
-// ---- Lists past the bound --------------------------------------------------------------------
+// ---- Oversized lists -------------------------------------------------------------------------
 
-class LongLists : public ListTest {
+class OversizedListTest : public DiscoveryClientTest {
  protected:
   static constexpr size_t kMost = 20'000;
-  void BeginShort(bool own_watch) {
-    list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, own_watch, this);
-    list->set_max_list_bytes(kMost);
-    list->set_oversize_backoff(Ms(60), Ms(480));
-    list->Start();
+  void BeginShort(bool self_renewing_watch) {
+    client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, self_renewing_watch,
+                                               this);
+    client->set_max_list_bytes(kMost);
+    client->set_oversize_backoff(Ms(60), Ms(480));
+    client->Start();
   }
-  // Where the module asks, it does so soon after each failure, again and again.
+  // On request: the load balancer requests again soon after each failure.
   void OnDiscoveryFailed() override {
     ++failed;
     loop.RunAfter(Ms(10), [this] {
@@ -505,7 +507,7 @@
       members += "," + Entry("h" + std::to_string(i));
     return Line(revision, true, members);
   }
-  // Says it as fast as it is read, until the other side cuts it off or has all; how much went out.
+  // Sends it as fast as it is read, until the peer closes or has all; returns the bytes sent.
   size_t Say(Peer& agent, std::string_view text, const std::function<bool()>& over) {
     size_t said = 0;
     EXPECT_TRUE(RunUntil(
@@ -526,7 +528,7 @@
   size_t SayUntilCut(Peer& agent, std::string_view text) {
     return Say(agent, text, [&] { return agent.Ended(); });
   }
-  // The times from one call to the next while each gets this.
+  // The delays from one call to the next while each gets this response.
   std::vector<double> Gaps(int count, const std::string& text) {
     std::vector<double> gaps;
     Time last{0};
@@ -560,7 +562,7 @@
   std::function<void()> ask;
 };
 
-TEST_F(LongLists, APushedWatchIsBegunAgainLaterAndLater) {
+TEST_F(OversizedListTest, SelfRenewingWatchBacksOff) {
   const uint64_t too_long = GlobalCounters().discovery_too_long,
                  malformed = GlobalCounters().discovery_malformed;
   ::testing::internal::CaptureStderr();
@@ -572,34 +574,34 @@
   EXPECT_EQ(GlobalCounters().discovery_malformed, malformed);
   EXPECT_EQ(failed, 7);
   EXPECT_TRUE(lists.empty());
-  EXPECT_EQ(list->revision(), 40);
+  EXPECT_EQ(client->revision(), 40);
   EXPECT_EQ(CountOf(log, "too long"), 1u) << log;  // not at each try
   EXPECT_EQ(CountOf(log, "discovery"), 1u) << log;
 }
 
-TEST_F(LongLists, AWatchThatTheModuleAsksForIsPutOffLikewise) {
+TEST_F(OversizedListTest, WatchOnRequestBacksOff) {
   BeginShort(false);
   ask = [this] {
-    list->SetWatching(true);
+    client->SetWatching(true);
   };
-  list->SetWatching(true);
+  client->SetWatching(true);
   ExpectPace(Gaps(5, kHead + Chunk(Long(kMost))), {60, 120, 240, 480, 480});
-  // Given up, it does not come by itself.
+  // Switched off, it is not renewed.
   ask = nullptr;
-  list->SetWatching(true);
-  list->SetWatching(false);
+  client->SetWatching(true);
+  client->SetWatching(false);
   testing::RunFor(loop, Ms(700));
   EXPECT_FALSE(port.TryTake());
 }
 
-TEST_F(LongLists, AFetchIsPutOffLikewise) {
+TEST_F(OversizedListTest, PollBacksOff) {
   const uint64_t too_long = GlobalCounters().discovery_too_long;
   ::testing::internal::CaptureStderr();
   BeginShort(false);
   ask = [this] {
-    list->Poll();
+    client->Poll();
   };
-  list->Poll();
+  client->Poll();
   const auto gaps = Gaps(3, testing::Http200(Long(kMost)));
   const auto chunked = Gaps(1, kHead + Chunk(Long(kMost)) + "0\r\n\r\n");
   const std::string log = ::testing::internal::GetCapturedStderr();
@@ -609,15 +611,15 @@
   EXPECT_EQ(CountOf(log, "discovery"), 1u) << log;
 }
 
-// Only the stretch of lists that are too long is left sooner: by a list that is taken.
-TEST_F(LongLists, AListThatIsTakenAgainEndsIt) {
+// Only an accepted list resets the backoff.
+TEST_F(OversizedListTest, AcceptedListResetsTheBackoff) {
   ::testing::internal::CaptureStderr();
   BeginShort(true);
   Gaps(3, kHead + Chunk(Long(kMost)));
   Peer shrunk = Call();
   shrunk.Say(kHead + Chunk(Line(61, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
-  EXPECT_EQ(list->revision(), 61);
+  EXPECT_EQ(client->revision(), 61);
   SayUntilCut(shrunk, Chunk(Long(kMost, 62)));
   const Time cut = loop.Now();
   Call();
@@ -626,22 +628,22 @@
   EXPECT_EQ(CountOf(log, "too long"), 2u) << log;  // once for each stretch
 }
 
-// An empty line keeps a watch and tells no list.
-TEST_F(LongLists, AnEmptyLineBetweenDoesNotEndIt) {
+// A keep-alive line is no list.
+TEST_F(OversizedListTest, EmptyLineKeepsTheBackoff) {
   BeginShort(true);
   ExpectPace(Gaps(4, kHead + Chunk("\n") + Chunk(Long(kMost))), {60, 120, 240, 480});
 }
 
-// A change counts as told 6 s after discovery had it: only for lists that are too long is it later.
-TEST_F(LongLists, OtherFailuresKeepTheirPace) {
-  list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, true, this);
-  list->set_max_list_bytes(kMost);
-  list->set_oversize_backoff(Ms(700), Ms(1500));
-  list->Start();
+// A change must be in effect 6 s after the agent had it: only for oversized lists is it later.
+TEST_F(OversizedListTest, OtherFailuresKeepTheirRetryDelay) {
+  client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, true, this);
+  client->set_max_list_bytes(kMost);
+  client->set_oversize_backoff(Ms(700), Ms(1500));
+  client->Start();
   Gaps(1, kHead + Chunk(Long(kMost)));
   Call().Reset();  // the wait for it was that of the list
   ExpectPace(Gaps(4, ""), {100, 200, 400, 400});
-  // And the stretch goes on where it was.
+  // And the backoff goes on where it was.
   Peer agent = Call();
   SayUntilCut(agent, kHead + Chunk(Long(kMost)));
   const Time cut = loop.Now();
@@ -649,56 +651,57 @@
   EXPECT_GE(loop.Now() - cut, Ms(1400));
 }
 
-// A fetch that is too long says nothing of the watch, which may be told of changes alone.
-TEST_F(LongLists, AFetchThatIsTooLongLeavesTheWatchItsPace) {
-  list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, false, this);
-  list->set_max_list_bytes(kMost);
-  list->set_oversize_backoff(Ms(5000), Ms(5000));
-  list->Poll();
+// An oversized poll says nothing of the watch, which may deliver changes only.
+TEST_F(OversizedListTest, OversizedPollDoesNotDelayTheWatch) {
+  client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, false, this);
+  client->set_max_list_bytes(kMost);
+  client->set_oversize_backoff(Ms(5000), Ms(5000));
+  client->Poll();
   Peer agent = Call();
   SayUntilCut(agent, testing::Http200(Long(kMost)));
-  list->SetWatching(true);
+  client->SetWatching(true);
   const Time asked = loop.Now();
   Call();
   EXPECT_LT(loop.Now() - asked, Ms(250));
 }
 
-TEST_F(LongLists, ANewAddressIsAskedAtOnce) {
-  for (const bool own_watch : {true, false}) {
-    list = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, own_watch, this);
-    list->set_max_list_bytes(kMost);
-    list->set_oversize_backoff(Ms(300), Ms(20'000));
-    list->Start();
-    ask = own_watch ? std::function<void()>() : [this] {
-      list->SetWatching(true);
+TEST_F(OversizedListTest, NewAddressIsWatchedAtOnce) {
+  for (const bool self_renewing_watch : {true, false}) {
+    client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, self_renewing_watch,
+                                               this);
+    client->set_max_list_bytes(kMost);
+    client->set_oversize_backoff(Ms(300), Ms(20'000));
+    client->Start();
+    ask = self_renewing_watch ? std::function<void()>() : [this] {
+      client->SetWatching(true);
     };
-    if (!own_watch)
-      list->SetWatching(true);
+    if (!self_renewing_watch)
+      client->SetWatching(true);
     Gaps(2, kHead + Chunk(Long(kMost)));  // waits 1.2 s now
     testing::RunFor(loop, Ms(30));
     testing::Port elsewhere;
-    list->Redirect(elsewhere.address());
+    client->Redirect(elsewhere.address());
     const Time asked = loop.Now();
     Peer agent = elsewhere.Take(loop);
-    EXPECT_LT(loop.Now() - asked, Ms(250)) << own_watch;
-    // It begins anew there, too.
+    EXPECT_LT(loop.Now() - asked, Ms(250)) << self_renewing_watch;
+    // The backoff begins anew there, too.
     SayUntilCut(agent, kHead + Chunk(Long(kMost)));
     const Time cut = loop.Now();
     Peer again = elsewhere.Take(loop);
-    EXPECT_GE(loop.Now() - cut, Ms(290)) << own_watch;
-    EXPECT_LT(loop.Now() - cut, Ms(600)) << own_watch;
-    list.reset();
+    EXPECT_GE(loop.Now() - cut, Ms(290)) << self_renewing_watch;
+    EXPECT_LT(loop.Now() - cut, Ms(600)) << self_renewing_watch;
+    client.reset();
   }
 }
 
-// The old watch goes on telling until the new one has spoken: it is no news of the new one's lists.
-TEST_F(LongLists, WhatTheOldAddressTellsDoesNotEndIt) {
+// The previous watch delivers until the new one has: that says nothing of the new one's lists.
+TEST_F(OversizedListTest, ListFromTheOldAddressKeepsTheBackoff) {
   BeginShort(true);
   Peer old = Call();
   old.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port elsewhere;
-  list->Redirect(elsewhere.address());
+  client->Redirect(elsewhere.address());
   Time last{0};
   std::vector<double> gaps;
   for (int i = 0; i < 4; ++i) {
@@ -713,16 +716,15 @@
   ExpectPace(gaps, {60, 120, 240});
 }
 
-// An agent that tells a small change again before each long list is no better than without it.
-TEST_F(LongLists, AChangeThatWasToldBeforeDoesNotEndIt) {
+// An agent that repeats a small change before each oversized list is no better than without it.
+TEST_F(OversizedListTest, RepeatedChangeKeepsTheBackoff) {
   BeginShort(true);
   const std::string change = Chunk(Line(41, false, Entry("h1")));
   ExpectPace(Gaps(4, kHead + change + Chunk(Long(kMost))), {60, 120, 240, 480});
 }
 
-// The true bound, by a peer that says on while this side reads what came: what goes over it is not
-// transferred.
-TEST_F(LongLists, IsCutOffNearTheBound) {
+// The actual limit, by a peer that sends while the client reads: bytes past it are not transferred.
+TEST_F(OversizedListTest, TransferStopsNearTheLimit) {
   const std::string text = Long(13 << 20);
   const size_t bound = size_t{4} << 20, spare = size_t{1} << 20;  // that, and the kernel's buffers
   const auto said = [&](const std::string& all) {
@@ -747,30 +749,30 @@
     const bool ended = RunUntil(
         loop, [&] { return cut.load(); }, Ms(20'000));
     EXPECT_TRUE(ended);
-    list.reset();  // whatever was not cut off is now
+    client.reset();  // whatever was not cut off is now
     says.join();
     return out.load();
   };
-  Begin(false);
-  list->Poll();
+  StartClient(false);
+  client->Poll();
   EXPECT_LT(said(testing::Http200(text)), spare);
-  Begin(false);
-  list->Poll();
+  StartClient(false);
+  client->Poll();
   EXPECT_LT(said(kHead + Chunk(text) + "0\r\n\r\n"), bound + spare);
-  Begin(true);
+  StartClient(true);
   EXPECT_LT(said(kHead + Chunk(text)), bound + spare);
   EXPECT_TRUE(lists.empty());
 }
 
-// More than is read at once, within the bound, and nothing behind it: no later line is waited for.
-TEST_F(LongLists, WhatIsWithinTheBoundIsTakenInOneGo) {
+// More than one read, within the limit, and nothing behind it: no later line is waited for.
+TEST_F(OversizedListTest, ListWithinTheLimitIsReadInOneGo) {
   const std::string text = Long(700'000);
-  Begin(true);
+  StartClient(true);
   Peer agent = Call();
   Say(agent, kHead + Chunk(text), [&] { return lists.size() == 1; });
   ASSERT_EQ(lists.size(), 1u);
   EXPECT_EQ(failed, 0);
-  list->Poll();
+  client->Poll();
   Peer other = Call();
   Say(other, testing::Http200(text), [&] { return lists.size() == 2; });
   ASSERT_EQ(lists.size(), 2u);
--- a/tests/gateway/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -1,4 +1,4 @@
-// Operators call while clients keep the gateway busy, and some callers say nothing.
+// Operators call while clients keep the gateway busy, and some callers send nothing.
 #include "gateway/admin.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 class AdminTest : public ::testing::Test {
  protected:
-  // What one call is told; the connection ends with it.
+  // The response to one call, which ends with its connection.
   std::string Call(const std::string& text) {
     Peer peer = Peer::To(admin.address());
     peer.Say(text);
@@ -30,43 +30,43 @@
     return Call(method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
   }
   EventLoop loop;
-  Lifecycle life{false};
-  Admin admin{loop, Address{INADDR_LOOPBACK, 0}, life};
+  Lifecycle lifecycle{false};
+  Admin admin{loop, Address{INADDR_LOOPBACK, 0}, lifecycle};
 };
 
-TEST_F(AdminTest, TellsOfTheProcessAndTurnsItsLife) {
+TEST_F(AdminTest, ReportsHealthAndDrainsAndResumes) {
   EXPECT_EQ(Call("GET", "/admin/health"), "503");
-  life.set_ready();
+  lifecycle.set_ready();
   EXPECT_EQ(Call("GET", "/admin/health"), "200");
   EXPECT_EQ(Call("POST", "/admin/quiesce"), "200");
   EXPECT_EQ(Call("POST", "/admin/quiesce"), "200");
-  EXPECT_EQ(life.stage(), LifecycleStage::kDrained);
-  EXPECT_FALSE(life.healthy());
+  EXPECT_EQ(lifecycle.stage(), LifecycleStage::kDrained);
+  EXPECT_FALSE(lifecycle.healthy());
   EXPECT_EQ(Call("GET", "/admin/health"), "200");
   EXPECT_EQ(Call("POST", "/admin/resume"), "200");
-  EXPECT_TRUE(life.healthy());
-  // Clients' address is the new process's by then.
-  life.set_replaced(true);
+  EXPECT_TRUE(lifecycle.healthy());
+  // The new process serves the address by then.
+  lifecycle.set_replaced(true);
   EXPECT_EQ(Call("POST", "/admin/resume"), "409");
   EXPECT_EQ(Call("GET", "/admin/health"), "503");
-  EXPECT_TRUE(life.healthy());
+  EXPECT_TRUE(lifecycle.healthy());
 }
 
-TEST_F(AdminTest, WhatIsNoCallIsToldSo) {
+TEST_F(AdminTest, RejectsMalformedCalls) {
   EXPECT_EQ(Call("GET", "/admin/quiesce"), "405");
   EXPECT_EQ(Call("POST", "/admin/health"), "405");
   EXPECT_EQ(Call("GET", "/"), "404");
   EXPECT_EQ(Call("what is this\r\n\r\n"), "400");
   EXPECT_EQ(Call("GET /" + std::string(20'000, 'x') + " HTTP/1.1\r\n\r\n"), "431");
   EXPECT_EQ(Call("POST /admin/quiesce HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"), "413");
-  EXPECT_EQ(life.stage(), LifecycleStage::kStarting);
-  // One call to a connection: the second is not followed.
+  EXPECT_EQ(lifecycle.stage(), LifecycleStage::kStarting);
+  // One call a connection: a second one is ignored.
   Call("GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n");
-  life.set_ready();
-  EXPECT_EQ(life.stage(), LifecycleStage::kServing);
+  lifecycle.set_ready();
+  EXPECT_EQ(lifecycle.stage(), LifecycleStage::kServing);
 }
 
-TEST_F(AdminTest, CallersWhoSayNothingDelayNobodyAndAreBounded) {
+TEST_F(AdminTest, SilentCallersAreLimitedAndDelayNoOther) {
   std::vector<Peer> silent;
   for (size_t i = 0; i < 3 * Admin::kMaxCallers; ++i) {
     silent.push_back(Peer::To(admin.address()));
@@ -76,8 +76,8 @@
   EXPECT_LE(admin.callers(), Admin::kMaxCallers);
 }
 
-// A round of the loop may have hundreds of clients to look after; the operator's call, which came
-// last, has its turn before them.
+// A round of the event loop may have hundreds of clients to serve; the operator's call, which came
+// last, is served before them.
 TEST_F(AdminTest, IsServedBeforeClients) {
   struct Slow final : EventLoop::Handler {
     void OnEvents(uint32_t) override {
--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -1,5 +1,5 @@
-// The operators' terms in force (docs/crossings.md): when a change counts as told, an attempt for a
-// client that has gone, descriptors full of idle clients, and how soon a new process is ready.
+// The operators' time limits (docs/crossings.md): changes from discovery, retries for clients that
+// have left, descriptors full of idle clients, and readiness of a new process.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -41,9 +41,9 @@
   return {0x7f530000U | (static_cast<uint32_t>(getpid()) & 0xffffU), port};
 }
 
-// ---- A change counts as told 6 s after discovery had it and could be reached --------------------
+// ---- A change is in effect 6 s after discovery had it and was reachable -------------------------
 
-// How a call to discovery ends while that is down.
+// How a call to discovery ends while the agent is down.
 enum class Ending {
   kRefused,
   kReset,
@@ -62,9 +62,8 @@
 
 const std::string kNews = R"({"revision":41,"complete":true,"members":[]})";
 
-// Discovery on an address that stays while nobody listens there. It ends calls its way, seen or
-// unseen, until it is back; then it answers what comes from there on, and what it was asked before
-// stays without a word, as with a process that died under it.
+// Discovery on an address that stays while nobody listens there. Ends calls in a given way until it
+// is back; then it responds to new calls, and former ones get nothing, as from a process that died.
 class Discovery {
  public:
   explicit Discovery(uint16_t port) : address_(OwnAddress(port)) {}
@@ -94,7 +93,7 @@
       Open(256);
     filling_.clear();
   }
-  // Takes what has come.
+  // Reads what has come.
   void Play() {
     while (listening_ && (back_ || how_ != Ending::kNeverUp)) {
       FileDescriptor fd(accept4(listening_.get(), nullptr, nullptr, SOCK_CLOEXEC));
@@ -151,10 +150,10 @@
   std::vector<Peer> fresh_, kept_, answered_;
 };
 
-// The trouble: the longest wait after a failed call runs just as discovery comes back. Where lists
-// are pushed a call has 2 s to bring its first line and the next begins 0.4 s later at most: what
-// discovery has is held 2.4 s after it can be reached.
-TEST(Told, WherePushedAnyFailedCallIsFollowedInTime) {
+// Worst case: the longest retry delay begins just as discovery comes back. A pushed watch has 2 s
+// for its first line, and the next begins 0.4 s later at most: the list is in effect 2.4 s after
+// discovery is reachable.
+TEST(DiscoveryDeadlineTest, SelfRenewingWatchRecoversInTimeFromAnyFailure) {
   constexpr int kCalls = 3;  // the third is followed by the longest wait
   struct Watcher final : DiscoveryClient::Listener {
     void OnEndpointList(EndpointList) override { held = true; }
@@ -189,8 +188,8 @@
           w.discovery->Play();
           if (std::exchange(w.failed_before, w.failed) != w.failed)
             w.failed_at = loop.Now();
-          // The worst moment: the wait has just begun; the call has just been read; what was to
-          // come up has been dropped twice.
+          // The worst moment: the delay has just begun; the call has just been read; the connect
+          // has been dropped twice.
           const bool silent = how == Ending::kSilent || how == Ending::kSilentInHead;
           const bool dropped = how != Ending::kNeverUp || loop.Now() - w.failed_at >= Ms(1500);
           const bool worst = silent ? w.discovery->seen() == kCalls : w.failed >= kCalls && dropped;
@@ -214,7 +213,7 @@
   }
 }
 
-// A gateway that asks by itself, and the discovery that it asks.
+// A gateway with a watch on request, and its discovery.
 struct Asker {
   Asker(EventLoop& loop, const Address& discovery, uint64_t seed) {
     GatewayConfig config;
@@ -233,20 +232,20 @@
     config.names.report_fields = {"inflight", "latency_ms"};
     config.initial_endpoints.revision = 40;
     config.initial_endpoints.complete = true;
-    gateway = std::make_unique<Gateway>(loop, config, life);
+    gateway = std::make_unique<Gateway>(loop, config, lifecycle);
   }
   [[nodiscard]] bool Holds() const {
     return gateway->DescribeState().find(" revision=41 ") != std::string::npos;
   }
-  Lifecycle life;
+  Lifecycle lifecycle;
   std::unique_ptr<Gateway> gateway;
   Time back{-1}, told{-1};
 };
 
-// The trouble: the module's wait after the fourth failure in a row is 2 to 6 s, and a call that is
-// silent is given up after 5 s: what discovery had was held up to 11 s after it could be reached.
-// The next call begins 5.6 s at most after the one before was begun or had come up.
-TEST(Told, WhereTheModuleAsksAnyFailedCallIsFollowedInTime) {
+// Worst case: the load balancer's delay after the fourth failure in a row is 2 to 6 s, and a silent
+// call times out after 5 s: the list would be in effect 11 s after discovery is reachable. The next
+// call begins 5.6 s at most after the one before began or connected.
+TEST(DiscoveryDeadlineTest, WatchOnRequestRecoversInTimeFromAnyFailure) {
   constexpr Ending kEndings[] = {Ending::kReset, Ending::kNoWord, Ending::kNoRoom, Ending::kSilent,
                                  Ending::kSilentInHead};
   constexpr uint64_t kSeeds = 4;
@@ -294,9 +293,9 @@
   }
 }
 
-// The same where no call can be seen: nobody listens, or no connection comes up. Eight gateways
-// have one discovery, which comes back as the last of them has failed for the fourth time.
-TEST(Told, WhereTheModuleAsksWhoeverFindsNobodyAsksAgainInTime) {
+// The same where no call is seen: nobody listens, or no connect succeeds. Eight gateways have one
+// discovery, which comes back as the last of them has failed for the fourth time.
+TEST(DiscoveryDeadlineTest, WatchOnRequestRetriesInTimeWhereNobodyListens) {
   EventLoop loop;
   for (const Ending how : {Ending::kRefused, Ending::kNeverUp}) {
     Discovery discovery(static_cast<uint16_t>(5200 + static_cast<int>(how)));
@@ -329,18 +328,18 @@
   }
 }
 
-// ---- A client that has gone: further attempts ---------------------------------------------------
+// ---- Retries for a client that has left ---------------------------------------------------------
 
-class Gone : public GatewayTest {
+class ClientDisconnectTest : public GatewayTest {
  protected:
-  Gone() {
+  ClientDisconnectTest() {
     for (RequestClass& c : config.settings.classes)
       c.latency_objective = Ms(6000), c.deadline = Ms(8000);
     config.settings.allowed.connect_timeout = Ms(3000);
   }
-  // A host that says nothing until the test does.
+  // A host that does not respond until the test does.
   Host& AddQuiet(const std::string& id) { return AddHost(id, Nothing); }
-  // Those at the hosts that have a request and no answer.
+  // Peers at the hosts that have a request without a response.
   void SayAll(const std::string& text) {
     for (const auto& host : hosts) {
       for (Peer& peer : host->peers) {
@@ -352,9 +351,9 @@
   }
 };
 
-// The trouble: a host that ends an attempt in a way that lets it go on, after its client has gone:
-// the next attempt would begin long after the close. Also where the loop learns of both at once.
-TEST_F(Gone, WhatEndsAfterItsClientLeftHasNoFurtherAttempt) {
+// A host ends an attempt so that a retry is permitted, after the client has left: the retry would
+// begin long after the close. Also where both are in one round of the event loop.
+TEST_F(ClientDisconnectTest, NoRetryAfterTheClientLeft) {
   config.settings.allowed.probes = false;
   AddQuiet("h1");
   AddQuiet("h2");
@@ -382,19 +381,19 @@
   }
 }
 
-// Two hosts, each with a connection that is kept, and a request that one of them has.
-class Kept : public Gone {
+// Two hosts, each with a reusable connection, and a request that one of them has.
+class ClientDisconnectWithKeepAliveTest : public ClientDisconnectTest {
  protected:
-  Kept() {
+  ClientDisconnectWithKeepAliveTest() {
     config.settings.allowed.probes = false;
-    // The one that is asked first turns it away, so that the other has a connection, too.
+    // The first host rejects, so that the other has a connection, too.
     const auto script = [this](const std::string& text) {
       return quiet_ ? "" : ++asked_ == 1 ? Full(text) : Ok(text);
     };
     for (const char* const id : {"h1", "h2"})
       AddHost(id, script);
   }
-  // At a new gateway; the host's end of the connection that has the client's request, or null.
+  // At a new gateway; the host's side of the connection that has the request, or null.
   Peer* Begin(Peer& client) {
     quiet_ = false;
     asked_ = 0;
@@ -426,10 +425,9 @@
   int asked_ = 0, n_ = 0, before_ = 0;
 };
 
-// The trouble: a host ends an attempt, then its client goes, and the loop, which stood still for
-// over 0.1 s, learns of both in this order: the further attempt went out on a kept connection
-// before the close was read.
-TEST_F(Kept, WhatEndsJustBeforeItsClientLeavesHasNoFurtherAttempt) {
+// A host ends an attempt, then its client leaves, and the event loop, busy for over 0.1 s, gets
+// both in this order: the retry went out on a reused connection before the close was read.
+TEST_F(ClientDisconnectWithKeepAliveTest, NoRetryWhereTheClientLeavesJustAfterAnAttemptEnds) {
   for (const std::string& says : {Full(""), Error(""), std::string("reset")}) {
     for (const std::string how : {"end", "reset", "half-close"}) {
       Peer client;
@@ -449,13 +447,13 @@
   }
 }
 
-// The same where the client goes while the loop still works off what came with the host's answer:
-// its close is in no event of that round.
-TEST_F(Kept, WhatEndsInARoundInWhichItsClientLeavesHasNoFurtherAttempt) {
+// The same where the client leaves while the event loop still handles the host's response: its
+// close is in no event of that round.
+TEST_F(ClientDisconnectWithKeepAliveTest, NoRetryWhereTheClientLeavesInTheSameRound) {
   Peer client;
   Peer* const peer = Begin(client);
   ASSERT_NE(peer, nullptr);
-  // Something else of the round comes first and holds it up.
+  // Another event of the round comes first and delays it.
   bool held = false;
   loop.RunAfterRound([&] {
     held = true;
@@ -469,14 +467,13 @@
   ExpectNoFurther("");
 }
 
-// The trouble: where keys are kept warm a further attempt waits for the answers of the probes that
-// it asked, and its client leaves meanwhile. Nothing is sent on, neither by those answers nor by
-// the end of that wait.
-TEST_F(Gone, AFurtherAttemptThatWaitsForProbesIsNotSentOn) {
+// With key affinity a retry waits for the responses of its probes, and the client leaves meanwhile.
+// Nothing is sent, neither by those responses nor by the end of that wait.
+TEST_F(ClientDisconnectTest, RetryThatWaitsForProbesIsNotSent) {
   config.settings.key_affinity = true;
   for (const char* const id : {"h1", "h2", "h3"})
     AddHost(id, Full);
-  // Whether a peer of any host has heard this and was not answered.
+  // Whether a peer of any host has received this and has not responded.
   const auto heard = [&](std::string_view text) {
     bool any = false;
     for (const auto& host : hosts) {
@@ -489,7 +486,7 @@
   };
   int held = 0;
   for (int turn = 0; turn < 40 && held < 6; ++turn) {
-    // A new one knows nothing of its hosts, and asks those that it has not asked yet.
+    // A new gateway has learned nothing of its hosts, and probes those that it has not probed yet.
     gateway = nullptr;
     config.seed = static_cast<uint64_t>(turn) + 1;
     Start();
@@ -498,7 +495,7 @@
                       "\r\nX-Budget-Ms: 8000\r\nX-Call-Info: Subject=k" + std::to_string(turn) +
                       "\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
     ASSERT_TRUE(Until([&] { return Requests() > before; }));
-    // It is turned away. From here on no probe is answered until the client has gone.
+    // It is rejected. From here on no probe gets a response until the client has left.
     const int sent = Requests();
     const bool out = RunUntil(
         loop, [&] { return heard("GET /_load") || heard("X-Call-Id"); }, Ms(100));
@@ -523,10 +520,10 @@
   return std::chrono::duration<double>(Clock::now() - begin).count();
 }
 
-// Discovery's side of each connection, on a thread of its own: asked again and again.
+// Discovery's side of each connection, on a thread of its own.
 class Speaker {
  public:
-  // `say`: what to say next on a connection that has been asked, given the bytes said so far.
+  // `say`: what to send next on a connection that has had its request, by the bytes sent so far.
   using Say = std::string (*)(size_t said);
   Speaker(Port& port, Say say) : thread_([this, &port, say] { Play(port, say); }) {}
   Speaker(const Speaker&) = delete;
@@ -582,14 +579,15 @@
   return text;
 }
 
-class TermProgram : public ::testing::Test {
+class GatewayProgramTest : public ::testing::Test {
  protected:
-  TermProgram() : folder_(::testing::TempDir() + "paddlestile-t-" + std::to_string(getpid())) {
+  GatewayProgramTest()
+      : folder_(::testing::TempDir() + "paddlestile-t-" + std::to_string(getpid())) {
     std::filesystem::create_directory(folder_);
     address = {0x7f540000U | (static_cast<uint32_t>(getpid()) & 0xffffU), 5000};
     Write("", 1024);
   }
-  ~TermProgram() override { std::filesystem::remove_all(folder_); }
+  ~GatewayProgramTest() override { std::filesystem::remove_all(folder_); }
   void Write(const std::string& members, int sockets, const std::string& more = "") {
     std::ofstream(folder_ + "/config.json")
         << R"({"name":"n1","seed":"1f","limits":{"sockets":)" << sockets
@@ -616,8 +614,8 @@
       return {};
     return Peer(std::move(fd));
   }
-  // Seconds until GET /_health is answered with 200, asked as a front asks: on a new connection
-  // each time, given up after half a second. 99: not within `most`.
+  // Seconds until GET /_health is 200, checked as a front end does: on a new connection each time,
+  // with a timeout of half a second. 99: not within `most`.
   double ReadyAfter(Clock::time_point start, double most = 15) const {
     while (SecondsSince(start) < most) {
       Peer peer = TryDial();
@@ -638,7 +636,7 @@
     child.Start(Environment(), {});
     return ReadyAfter(start, 60);
   }
-  // How long it could have run and had no core, as others had them all.
+  // How long it was runnable and had no core.
   static double KeptWaiting(const Child& child) {
     std::ifstream file("/proc/" + std::to_string(child.pid()) + "/schedstat");
     double ran = 0, waited = 0;
@@ -659,17 +657,16 @@
   Address address;
 };
 
-// Under the limit that the settings name, as where the platform sets it.
+// Under the descriptor limit of the settings, as the platform sets it.
 void Limit128() {
   const rlimit files{128, 128};
   setrlimit(RLIMIT_NOFILE, &files);
 }
 
-// The trouble: idle clients and what waits at the hosts hold every descriptor while discovery is
-// down, and its watch finds none when it is back. Its two connections come out of the reserve: it
-// has one at once, 0.1 s after the last one ended where lists are pushed, 0.75 s at most where the
-// module asks.
-TEST_F(TermProgram, IdleClientsLeaveDiscoveryItsDescriptors) {
+// Idle clients and attempts hold every descriptor while discovery is down, and its watch finds none
+// when it is back. Its two connections come from the reserve: it has one at once, 0.1 s after the
+// last one ended with a pushed watch, 0.75 s at most on request.
+TEST_F(GatewayProgramTest, IdleClientsLeaveDiscoveryItsDescriptors) {
   Port host;
   std::string members;
   for (int i = 0; i < 100; ++i) {
@@ -691,8 +688,7 @@
       usleep(2000);
     ASSERT_TRUE(watched(first)) << mode;
     first.Say(kChunkedHead + "1\r\n\n\r\n");
-    // Hosts that never answer, and clients that say nothing and come again wherever they are
-    // closed.
+    // Hosts that never respond, and silent clients that connect again wherever they are closed.
     std::vector<Peer> busy(70), idle;
     for (int i = 0; i < 200; ++i)
       idle.push_back(Peer::To(address));
@@ -742,9 +738,9 @@
   }
 }
 
-// The trouble: a new process that waits for discovery, whatever that does, is not taken in by the
-// front. Alone at its address it is ready as soon as it listens.
-TEST_F(TermProgram, ReadyWhateverDiscoveryDoes) {
+// A new process that waits for discovery, whatever that does, gets no traffic from the front end.
+// Alone at its address it is ready as soon as it listens.
+TEST_F(GatewayProgramTest, ReadyInTimeWhateverDiscoveryDoes) {
   struct Case {
     std::string what;
     Speaker::Say say;
@@ -770,7 +766,7 @@
     const double ready = StartAndReady(child);
     std::printf("discovery %s: ready after %.3f s\n", c.what.c_str(), ready);
     EXPECT_LT(ready, 10) << c.what << child.Text();
-    // It has asked by then; the thread counts what it reads.
+    // It has sent its request by then; the thread counts what it reads.
     for (int i = 0; i < 1000 && speaker.asked < 1; ++i)
       usleep(2000);
     EXPECT_GE(speaker.asked, 1) << c.what;
@@ -782,9 +778,8 @@
   EXPECT_LT(ready, 10) << child.Text();
 }
 
-// The trouble: a start that reads a known list of 99,000 hosts, and is told one that is too long to
-// be taken, again and again.
-TEST_F(TermProgram, ReadyWithAKnownListOfManyHostsAndOneTooLongToTake) {
+// A start with a known list of 99,000 hosts, and an oversized list from discovery again and again.
+TEST_F(GatewayProgramTest, ReadyInTimeWithManyHostsAndAnOversizedList) {
 #ifdef __SANITIZE_ADDRESS__  // some times slower; still too long to be taken
   constexpr int kMany = 40'000;
 #else
@@ -800,14 +795,14 @@
                     [](size_t said) { return told.substr(std::min(said, told.size()), 1 << 18); });
     Child child;
     const double ready = StartAndReady(child);
-    // Of its own time: the build may be a slow one, and the machine another's meanwhile.
+    // Of its own CPU time: the build may be a slow one, and the machine busy.
     const double kept = KeptWaiting(child);
     std::printf(
         "%d hosts known, %s: ready after %.3f s, %.3f s of it without a core, peak %ld MiB\n",
         kMany, mode, ready, kept, PeakKiB(child) / 1024);
     EXPECT_LT(ready - kept, 10) << child.Text();
     EXPECT_LT(ready, 30) << child.Text();
-    // And it stays so while it is told what it can't take.
+    // And it stays so while it gets oversized lists.
     for (int i = 0; i < 2000 && speaker.asked < 2; ++i)
       usleep(2000);
     const double again = ReadyAfter(Clock::now());
@@ -817,9 +812,9 @@
   }
 }
 
-// The trouble: idle clients come to a new process before the front's question and hold all that
+// Idle clients connect to a new process before the front end's check and hold all descriptors that
 // clients may hold.
-TEST_F(TermProgram, ReadyThoughIdleClientsFillTheDescriptors) {
+TEST_F(GatewayProgramTest, ReadyInTimeWhereIdleClientsFillTheDescriptors) {
   Write("", 128);
   Child child;
   const auto start = Clock::now();
@@ -835,10 +830,10 @@
   EXPECT_LT(ready, 10) << child.Text();
 }
 
-// The trouble: the old process still drains, with a request in hand that its host has not answered.
-// Where an admin address is named the new one listens beside it. Elsewhere one process listens at a
-// time: the new one says so and ends until the old one has, which its longest deadline bounds.
-TEST_F(TermProgram, ReadyWhileTheOldProcessStillDrains) {
+// The old process still drains, with a request in progress that its host has not responded to. With
+// an admin address the new one listens beside it. Elsewhere one process listens at a time: the new
+// one logs that and ends until the old one has, which its longest deadline bounds.
+TEST_F(GatewayProgramTest, ReadyInTimeWhileTheOldProcessDrains) {
   deadline = 3000;
   for (const bool beside : {true, false}) {
     Port host;
@@ -875,11 +870,11 @@
         usleep(2000);
       EXPECT_TRUE(client.Has("served"));
     } else {
-      // As a platform does that starts it until it stays.
+      // As a platform does that restarts it until it stays.
       int starts = 0;
       do {
-        // Another one each time: its log begins anew, or one line of the first would end them all
-        // before they are up.
+        // Another object each time: its log begins anew, or one line of the first would end the
+        // wait for the later ones.
         fresh = std::make_unique<Child>();
         fresh->Start(environment, {});
         ++starts;
--- a/tests/gateway/downstream_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -23,10 +23,11 @@
   return "GET /read/1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 900\r\n\r\n";
 }
 
-class ClientsTest : public ::testing::Test, public Downstream::Listener {
+class DownstreamTest : public ::testing::Test, public Downstream::Listener {
  protected:
-  explicit ClientsTest(size_t descriptors = 1024) : budget(descriptors) {
-    clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this);
+  explicit DownstreamTest(size_t descriptors = 1024) : budget(descriptors) {
+    downstream =
+        std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, lifecycle, this);
   }
   AdmissionResult OnRequest(BufferedMessage request,
                             ProxiedRequest::ResponseCallback reply) override {
@@ -34,102 +35,102 @@
     std::string id(request.message.FindHeader(base, "X-Call-Id").value_or("none"));
     if (id == "bad")
       return {nullptr, 400, "bad"};
-    taken.push_back(std::make_shared<ProxiedRequest>(std::move(id), std::move(request), Time(0),
-                                                     cls, std::move(reply)));
-    return {taken.back(), 0, {}};
+    requests.push_back(std::make_shared<ProxiedRequest>(std::move(id), std::move(request), Time(0),
+                                                        request_class, std::move(reply)));
+    return {requests.back(), 0, {}};
   }
-  void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& exchange) override {
-    left.push_back(exchange->id());
+  void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& request) override {
+    disconnected.push_back(request->id());
   }
-  void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& exchange) override {
-    whole.push_back(exchange->id());
+  void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& request) override {
+    completed.push_back(request->id());
   }
-  bool OnDescriptorsExhausted() override { return clients && clients->CloseOneIdle(); }
+  bool OnDescriptorsExhausted() override { return downstream && downstream->CloseOneIdle(); }
 
-  Peer Dial() { return Peer::To(clients->address()); }
-  bool HasTaken(size_t count) {
-    return RunUntil(loop, [&] { return taken.size() >= count; });
+  Peer Dial() { return Peer::To(downstream->address()); }
+  bool HasRequests(size_t count) {
+    return RunUntil(loop, [&] { return requests.size() >= count; });
   }
-  bool Hears(Peer& peer, std::string_view text) {
+  bool Receives(Peer& peer, std::string_view text) {
     return RunUntil(loop, [&] { return peer.Has(text); });
   }
-  static std::shared_ptr<const BufferedMessage> HostAnswer(const std::string& text) {
-    auto held = std::make_shared<BufferedMessage>();
+  static std::shared_ptr<const BufferedMessage> UpstreamResponse(const std::string& text) {
+    auto message = std::make_shared<BufferedMessage>();
     HttpParser parser(HttpParser::Kind::kResponse);
-    held->bytes.Append(text);
-    EXPECT_EQ(parser.Feed(held->bytes), ParseProgress::kDone);
-    held->message = parser.message();
-    return held;
+    message->bytes.Append(text);
+    EXPECT_EQ(parser.Feed(message->bytes), ParseProgress::kDone);
+    message->message = parser.message();
+    return message;
   }
 
   EventLoop loop;
-  Lifecycle life;
+  Lifecycle lifecycle;
   DescriptorBudget budget;
-  std::shared_ptr<RequestClass> cls =
+  std::shared_ptr<RequestClass> request_class =
       std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kSafe));
-  std::vector<std::shared_ptr<ProxiedRequest>> taken;
-  std::vector<std::string> left, whole;
-  std::unique_ptr<Downstream> clients;
+  std::vector<std::shared_ptr<ProxiedRequest>> requests;
+  std::vector<std::string> disconnected, completed;
+  std::unique_ptr<Downstream> downstream;
 };
 
-TEST_F(ClientsTest, HealthIsAnsweredWithoutTheModule) {
+TEST_F(DownstreamTest, HealthCheckNeedsNoLoadBalancer) {
   Peer peer = Dial();
   peer.Say("GET /_health HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(Hears(peer, "HTTP/1.1 200 OK\r\n"));
-  EXPECT_TRUE(taken.empty());
+  EXPECT_TRUE(Receives(peer, "HTTP/1.1 200 OK\r\n"));
+  EXPECT_TRUE(requests.empty());
 }
 
-TEST_F(ClientsTest, TakesARequestAndPassesTheHostsAnswerOn) {
+TEST_F(DownstreamTest, PassesOnTheUpstreamResponse) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 200,
-                     .upstream_message = HostAnswer(
-                         "HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\n"
-                         "X-Load-Report: inflight=1\r\nTransfer-Encoding: chunked\r\n\r\n"
-                         "4\r\nbody\r\n0\r\n\r\n")});
-  ASSERT_TRUE(Hears(peer, "body"));
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 200,
+                        .upstream_message = UpstreamResponse(
+                            "HTTP/1.1 200 OK\r\nContent-Type: t\r\nConnection: close\r\n"
+                            "X-Load-Report: inflight=1\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            "4\r\nbody\r\n0\r\n\r\n")});
+  ASSERT_TRUE(Receives(peer, "body"));
   EXPECT_EQ(peer.Heard(), "HTTP/1.1 200 OK\r\nContent-Type: t\r\nContent-Length: 4\r\n\r\nbody");
 }
 
-TEST_F(ClientsTest, RefusalsTellWhenToComeBack) {
+TEST_F(DownstreamTest, RejectionsCarryRetryAfter) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 503, .retry_after = Ms(75)});
-  ASSERT_TRUE(Hears(peer, "\r\n\r\n"));
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 503, .retry_after = Ms(75)});
+  ASSERT_TRUE(Receives(peer, "\r\n\r\n"));
   EXPECT_EQ(peer.Heard(),
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.075\r\nContent-Length: 0\r\n\r\n");
 }
 
-TEST_F(ClientsTest, ARequestAByteAtATimeIsTakenWithItsLastByte) {
+TEST_F(DownstreamTest, RequestAByteAtATimeIsAdmittedWithItsLastByte) {
   Peer peer = Dial();
   const std::string text = Get("a");
   for (const char c : text) {
-    EXPECT_TRUE(taken.empty());
+    EXPECT_TRUE(requests.empty());
     peer.Say(std::string(1, c));
     loop.RunOnce(Duration(0));
   }
-  EXPECT_TRUE(HasTaken(1));
+  EXPECT_TRUE(HasRequests(1));
 }
 
-TEST_F(ClientsTest, APipelinedRequestWaitsForItsTurn) {
+TEST_F(DownstreamTest, PipelinedRequestWaitsForItsTurn) {
   Peer peer = Dial();
   peer.Say(Get("a") + Get("b") + Get("c"));
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(HasRequests(1));
   RunFor(loop, Ms(20));
-  EXPECT_EQ(taken.size(), 1u);
-  taken[0]->Respond({.status = 502});
-  ASSERT_TRUE(HasTaken(2));
-  EXPECT_EQ(taken[1]->id(), "b");
-  taken[1]->Respond({.status = 502});
-  ASSERT_TRUE(HasTaken(3));
-  taken[2]->Respond({.status = 502});
+  EXPECT_EQ(requests.size(), 1u);
+  requests[0]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(2));
+  EXPECT_EQ(requests[1]->id(), "b");
+  requests[1]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(3));
+  requests[2]->Respond({.status = 502});
   RunFor(loop, Ms(10));
-  EXPECT_EQ(clients->connection_count(), 1u);
+  EXPECT_EQ(downstream->connection_count(), 1u);
 }
 
-TEST_F(ClientsTest, LostFramingIsAnsweredAndClosed) {
+TEST_F(DownstreamTest, LostFramingIsRejectedAndTheConnectionCloses) {
   const std::pair<std::string, std::string> cases[] = {
       {"GET /read HTTP/1.1\nX: y\n\n", "HTTP/1.1 400 "},
       {"POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", "HTTP/1.1 413 "},
@@ -142,11 +143,11 @@
     EXPECT_EQ(peer.Heard().substr(0, start.size()), start);
     EXPECT_TRUE(peer.Has("Connection: close\r\n"));
   }
-  EXPECT_TRUE(taken.empty());
+  EXPECT_TRUE(requests.empty());
 }
 
-// Closing with bytes unread would reset the connection and take the answer with it.
-TEST_F(ClientsTest, TheAnswerToTooLongABodyArrivesThoughTheClientGoesOnSending) {
+// A close with bytes unread would reset the connection, and the response with it.
+TEST_F(DownstreamTest, RejectionOfAnOversizedBodyArrivesWhileTheClientSends) {
   Peer peer = Dial();
   peer.Say("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
@@ -157,8 +158,8 @@
   EXPECT_TRUE(peer.Has("HTTP/1.1 413 "));
 }
 
-// Hundreds at once that make no sense: one answer, and nothing behind it is looked at.
-TEST_F(ClientsTest, WhoMakesNoSenseIsAnsweredOnceAndClosed) {
+// Hundreds of invalid requests at once: one response, and nothing behind it is parsed.
+TEST_F(DownstreamTest, InvalidRequestIsRejectedOnceAndTheConnectionCloses) {
   Peer peer = Dial();
   std::string all;
   for (int i = 0; i < 300; ++i)
@@ -168,11 +169,11 @@
   EXPECT_EQ(peer.Heard().substr(0, 13), "HTTP/1.1 400 ");
   EXPECT_TRUE(peer.Heard().ends_with("Connection: close\r\n\r\nbad\n"));  // and says why
   EXPECT_EQ(peer.Heard().rfind("HTTP/1.1"), 0u);
-  EXPECT_TRUE(taken.empty());
+  EXPECT_TRUE(requests.empty());
 }
 
-// Each is its own turn of the loop: a long row of requests keeps nobody else waiting.
-TEST_F(ClientsTest, ARowOfRequestsLeavesOthersTheirTurn) {
+// Each request is a turn of the event loop of its own: a long pipeline delays no other connection.
+TEST_F(DownstreamTest, PipelinedRequestsLeaveOthersTheirTurn) {
   Peer greedy = Dial();
   std::string all;
   for (int i = 0; i < 400; ++i)
@@ -181,24 +182,24 @@
   Peer peer = Dial();
   peer.Say(Get("a"));
   const uint64_t before = GlobalCounters().health_checks;
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(HasRequests(1));
   EXPECT_LT(GlobalCounters().health_checks - before, 20u);
   EXPECT_TRUE(RunUntil(loop, [&] { return GlobalCounters().health_checks - before == 400; }));
 }
 
-// Connections by hundreds: the requests of those let in come between.
-TEST_F(ClientsTest, AcceptingLeavesOthersTheirTurn) {
+// Hundreds of connections: requests of accepted ones come between.
+TEST_F(DownstreamTest, AcceptingLeavesOthersTheirTurn) {
   std::vector<Peer> peers;
   for (int i = 0; i < 200; ++i)
     peers.push_back(Dial());
   peers[0].Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  EXPECT_LT(clients->connection_count(), 100u);
-  EXPECT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 200; }));
+  ASSERT_TRUE(HasRequests(1));
+  EXPECT_LT(downstream->connection_count(), 100u);
+  EXPECT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 200; }));
 }
 
-// Owed within 3 s of connecting: an error or a close, whatever little comes meanwhile.
-TEST_F(ClientsTest, TheSilentAndTheSlowAreClosedInTime) {
+// Required within 3 s of the connect: an error or a close, whatever little comes meanwhile.
+TEST_F(DownstreamTest, SilentAndSlowClientsTimeOut) {
   Peer silent = Dial(), slow = Dial();
   const std::string text = Get("a");
   size_t said = 0;
@@ -220,24 +221,24 @@
   EXPECT_EQ(silent.Heard(), "");
   EXPECT_LT(silent_ended, Ms(1800));
   EXPECT_TRUE(slow.Has("HTTP/1.1 408 "));
-  EXPECT_TRUE(taken.empty());
+  EXPECT_TRUE(requests.empty());
 }
 
-// Some ask once and keep their connection for good.
-TEST_F(ClientsTest, AnIdleConnectionIsClosedInTheEnd) {
+// Some clients send one request and keep their connection for good.
+TEST_F(DownstreamTest, IdleConnectionTimesOut) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 502});
   RunFor(loop, Ms(1500));
   EXPECT_FALSE(peer.Ended());
   EXPECT_TRUE(RunUntil(
       loop, [&] { return peer.Ended(); }, Ms(1500)));
-  EXPECT_EQ(clients->connection_count(), 0u);
+  EXPECT_EQ(downstream->connection_count(), 0u);
 }
 
-// Sixty megabytes behind a refused head are not read to their end.
-TEST_F(ClientsTest, ALongBodyBehindARefusalIsNotReadToItsEnd) {
+// Sixty megabytes behind a rejected head are not read to their end.
+TEST_F(DownstreamTest, LongBodyBehindARejectionIsNotReadToItsEnd) {
   Peer peer = Dial();
   peer.Say("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   const std::string part(1 << 16, 'x');
@@ -250,61 +251,61 @@
   }));
   EXPECT_TRUE(peer.Has("HTTP/1.1 413 "));
   RunFor(loop, Ms(1500));
-  EXPECT_EQ(clients->connection_count(), 0u);
+  EXPECT_EQ(downstream->connection_count(), 0u);
   EXPECT_LT(sent, 16u << 20);
 }
 
-TEST_F(ClientsTest, ConnectionCloseIsHonoured) {
+TEST_F(DownstreamTest, ConnectionCloseIsHonoured) {
   Peer peer = Dial();
   peer.Say("GET /read/1 HTTP/1.1\r\nConnection: close\r\nX-Call-Id: a\r\n\r\n");
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 502});
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
   EXPECT_TRUE(peer.Has("Connection: close\r\n"));
 }
 
-TEST_F(ClientsTest, AClientThatClosesHasLeft) {
+TEST_F(DownstreamTest, CloseIsReportedAsDisconnect) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(HasRequests(1));
   peer.Close();
-  ASSERT_TRUE(RunUntil(loop, [&] { return left.size() == 1; }));
-  EXPECT_FALSE(taken[0]->Respond({.status = 502}));
-  EXPECT_EQ(clients->connection_count(), 0u);
+  ASSERT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
+  EXPECT_FALSE(requests[0]->Respond({.status = 502}));
+  EXPECT_EQ(downstream->connection_count(), 0u);
 }
 
-TEST_F(ClientsTest, AClientThatResetsHasLeft) {
+TEST_F(DownstreamTest, ResetIsReportedAsDisconnect) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(HasRequests(1));
   peer.Reset();
-  EXPECT_TRUE(RunUntil(loop, [&] { return left.size() == 1; }));
+  EXPECT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
 }
 
-TEST_F(ClientsTest, AClientThatBreaksOffInTheMiddleAskedForNothing) {
+TEST_F(DownstreamTest, IncompleteRequestIsNotReported) {
   Peer peer = Dial();
   peer.Say(Get("a").substr(0, 30));
   RunFor(loop, Ms(10));
   peer.Close();
-  ASSERT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 0; }));
-  EXPECT_TRUE(taken.empty());
-  EXPECT_TRUE(left.empty());
+  ASSERT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 0; }));
+  EXPECT_TRUE(requests.empty());
+  EXPECT_TRUE(disconnected.empty());
 }
 
-// The whole request and the close may come in one read: it is taken all the same.
-TEST_F(ClientsTest, ARequestThatComesWithItsCloseIsTaken) {
+// The complete request and the close may come in one read: it is admitted all the same.
+TEST_F(DownstreamTest, RequestTogetherWithCloseIsAdmitted) {
   Peer peer = Dial();
   peer.Say(Get("a"));
   peer.Close();
-  ASSERT_TRUE(HasTaken(1));
-  EXPECT_TRUE(RunUntil(loop, [&] { return left.size() == 1; }));
+  ASSERT_TRUE(HasRequests(1));
+  EXPECT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
 }
 
-TEST_F(ClientsTest, AClientThatSendsNoEndHoldsLittleMemory) {
+TEST_F(DownstreamTest, EndlessRequestHoldsLittleMemory) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  // It goes on sending while its request is in hand.
+  ASSERT_TRUE(HasRequests(1));
+  // It goes on sending while its request is in progress.
   testing::MakeNonBlocking(peer.fd());
   size_t sent = 0;
   const std::string more(10000, 'x');
@@ -315,147 +316,148 @@
     loop.RunOnce(Duration(0));
   }
   EXPECT_LT(sent, 12'000'000u);  // the kernel's part and 80 KiB; 20 MB were offered
-  EXPECT_EQ(clients->connection_count(), 1u);
+  EXPECT_EQ(downstream->connection_count(), 1u);
 }
 
-// Requests behind one another and nothing read: no next one is taken before the last answer has
-// left for the kernel, so that answers do not pile up here; once it reads, it gets them all.
-TEST_F(ClientsTest, AClientThatNeverReadsHoldsOneAnswer) {
+// Pipelined requests and nothing read: no next one is admitted before the last response is with the
+// kernel, so that responses do not pile up here; once the client reads, it gets them all.
+TEST_F(DownstreamTest, ClientThatNeverReadsHoldsOneResponse) {
   constexpr size_t kRequests = 300;
-  const auto answer = HostAnswer(testing::Http200(std::string(60000, 'a')));
+  const auto response = UpstreamResponse(testing::Http200(std::string(60000, 'a')));
   Peer peer = Dial();
   std::string all;
   for (size_t i = 0; i < kRequests; ++i)
     all += Get("id" + std::to_string(i));
-  size_t answered = 0;
+  size_t responded = 0;
   const auto serve = [&] {
-    for (; answered < taken.size(); ++answered) {
-      taken[answered]->Respond({.status = 200, .upstream_message = answer});
+    for (; responded < requests.size(); ++responded) {
+      requests[responded]->Respond({.status = 200, .upstream_message = response});
     }
   };
   peer.Say(all);
   RunUntil(
       loop, [&] { return serve(), false; }, Ms(300));
-  EXPECT_GT(taken.size(), 5u);
-  EXPECT_LT(taken.size(), kRequests);  // 18 MB are more than the kernel holds
+  EXPECT_GT(requests.size(), 5u);
+  EXPECT_LT(requests.size(), kRequests);  // 18 MB are more than the kernel holds
   ASSERT_TRUE(RunUntil(loop, [&] { return serve(), peer.Heard().size() > kRequests * 60000; }));
-  EXPECT_EQ(taken.size(), kRequests);
+  EXPECT_EQ(requests.size(), kRequests);
 }
 
-TEST_F(ClientsTest, ExpectContinueIsAsked) {
+TEST_F(DownstreamTest, SendsContinueWhereExpected) {
   Peer peer = Dial();
   peer.Say(
       "POST /read HTTP/1.1\r\nExpect: 100-continue\r\nX-Call-Id: a\r\nContent-Length: 2\r\n\r\n");
-  ASSERT_TRUE(Hears(peer, "HTTP/1.1 100 Continue\r\n\r\n"));
+  ASSERT_TRUE(Receives(peer, "HTTP/1.1 100 Continue\r\n\r\n"));
   peer.Say("ok");
-  ASSERT_TRUE(HasTaken(1));
-  EXPECT_EQ(taken[0]->message().body(), "ok");
-  taken[0]->Respond({.status = 502});
-  EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
+  ASSERT_TRUE(HasRequests(1));
+  EXPECT_EQ(requests[0]->message().body(), "ok");
+  requests[0]->Respond({.status = 502});
+  EXPECT_TRUE(Receives(peer, "HTTP/1.1 502 "));
 }
 
-// An operator's drain: the front takes a yes back within tenths of a second, but clients go on with
-// the connections that they have, and some never ask again.
-TEST_F(ClientsTest, DrainedItEndsWhatIsOpenAndTakesClientsAgain) {
+// An operator's drain: the front end reacts to health checks within tenths of a second, but clients
+// go on with the connections that they have, and some never send again.
+TEST_F(DownstreamTest, DrainClosesConnectionsAndResumeAcceptsAgain) {
   Peer idle = Dial(), busy = Dial();
   idle.Say("GET /_health HTTP/1.1\r\n\r\n");
   busy.Say(Get("a"));
-  ASSERT_TRUE(Hears(idle, "200 OK"));
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(Receives(idle, "200 OK"));
+  ASSERT_TRUE(HasRequests(1));
   for (int twice = 0; twice < 2; ++twice) {
-    life.set_drained(true);
-    clients->OnLifecycleChanged();
+    lifecycle.set_drained(true);
+    downstream->OnLifecycleChanged();
   }
   Peer front = Dial();
   front.Say("GET /_health HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(Hears(front, "503 "));
+  EXPECT_TRUE(Receives(front, "503 "));
   EXPECT_TRUE(RunUntil(
       loop, [&] { return idle.Ended(); }, Ms(1000)));
   EXPECT_FALSE(busy.Ended());
-  taken[0]->Respond({.status = 200});
-  EXPECT_TRUE(Hears(busy, "Connection: close"));
+  requests[0]->Respond({.status = 200});
+  EXPECT_TRUE(Receives(busy, "Connection: close"));
   EXPECT_TRUE(RunUntil(loop, [&] { return busy.Ended(); }));
-  life.set_drained(false);
-  clients->OnLifecycleChanged();
+  lifecycle.set_drained(false);
+  downstream->OnLifecycleChanged();
   Peer again = Dial();
   again.Say(Get("b"));
-  ASSERT_TRUE(HasTaken(2));
-  taken[1]->Respond({.status = 200});
-  EXPECT_TRUE(Hears(again, "200 OK"));
+  ASSERT_TRUE(HasRequests(2));
+  requests[1]->Respond({.status = 200});
+  EXPECT_TRUE(Receives(again, "200 OK"));
   EXPECT_FALSE(again.Has("Connection: close"));
 }
 
-TEST_F(ClientsTest, DrainingServesWhatComesAndClosesAfterEachAnswer) {
+TEST_F(DownstreamTest, DrainingServesRequestsAndClosesAfterEachResponse) {
   Peer old = Dial(), idle = Dial();
   old.Say("GET /_health HTTP/1.1\r\n\r\n");
-  ASSERT_TRUE(Hears(old, "\r\n\r\n"));
+  ASSERT_TRUE(Receives(old, "\r\n\r\n"));
   bool done = false;
-  clients->Shutdown(Ms(3600), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(3600), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   old.Say(Get("a"));
   Peer fresh = Dial();  // still let in
   fresh.Say(Get("b"));
-  ASSERT_TRUE(HasTaken(2));
+  ASSERT_TRUE(HasRequests(2));
   RunFor(loop, Ms(700));
   EXPECT_TRUE(idle.Ended());  // closed between requests
   EXPECT_FALSE(done);         // two are in hand
-  for (const auto& exchange : taken)
-    exchange->Respond({.status = 502});
-  ASSERT_TRUE(Hears(old, "Connection: close\r\n"));
-  ASSERT_TRUE(Hears(fresh, "Connection: close\r\n"));
+  for (const auto& request : requests)
+    request->Respond({.status = 502});
+  ASSERT_TRUE(Receives(old, "Connection: close\r\n"));
+  ASSERT_TRUE(Receives(fresh, "Connection: close\r\n"));
   old.Close();
   fresh.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-TEST_F(ClientsTest, DrainingKeepsAcceptingForAWhile) {
+TEST_F(DownstreamTest, DrainingKeepsAcceptingForAWhile) {
   bool done = false;
-  clients->Shutdown(Ms(3600), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(3600), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   RunFor(loop, Ms(400));
   EXPECT_FALSE(done);
   Peer late = Dial();
   late.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 502});
   EXPECT_TRUE(RunUntil(loop, [&] { return late.Ended(); }));
   late.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-TEST_F(ClientsTest, DrainingEndsInTimeThoughAClientNeverEndsItsRequest) {
+TEST_F(DownstreamTest, DrainingEndsInTimeDespiteAnEndlessRequest) {
   Peer stuck = Dial();
   stuck.Say(Get("a").substr(0, 20));
   bool done = false;
   const Time begun = loop.Now();
-  clients->Shutdown(Ms(800), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(800), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   ASSERT_TRUE(RunUntil(loop, [&] { return done; }));
   EXPECT_LT(loop.Now() - begun, Ms(1000));
 }
 
-// Whatever the time: to leave with a request in hand would lose it.
-TEST_F(ClientsTest, DrainingWaitsForWhatIsInHand) {
+// Whatever the time limit: to end with a request in progress would lose it.
+TEST_F(DownstreamTest, DrainingWaitsForRequestsInProgress) {
   Peer client = Dial();
   client.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(HasRequests(1));
   bool done = false;
-  clients->Shutdown(Ms(500), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(500), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   RunFor(loop, Ms(800));
   EXPECT_FALSE(done);
-  taken[0]->Respond({.status = 502});
+  requests[0]->Respond({.status = 502});
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
   EXPECT_TRUE(client.Has("HTTP/1.1 502 "));
 }
 
-// The table may be full before our own count is: accepting fails, waits, and goes on; the edge of
-// the listener has been used up by then, and the backlog is not forgotten.
-TEST_F(ClientsTest, AFullTableOfTheSystemDelaysButLosesNothing) {
+// The descriptor limit of the process may be reached before that of the budget: accepting fails,
+// waits, and goes on; the edge of the listener is consumed by then, and the backlog is not
+// forgotten.
+TEST_F(DownstreamTest, DescriptorLimitOfTheSystemDelaysButLosesNothing) {
 #ifdef __SANITIZE_ADDRESS__
   GTEST_SKIP() << "UBSan opens a pipe to look at an object, and finds no descriptor for it";
 #endif
@@ -464,58 +466,60 @@
     peers.push_back(Dial());
     peers.back().Say(Get("id" + std::to_string(i)));
   }
-  rlimit held{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &held), 0);
+  rlimit message{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &message), 0);
   const FileDescriptor probe(dup(0));
-  rlimit none = held;
+  rlimit none = message;
   none.rlim_cur = static_cast<rlim_t>(probe.get()) + 1;  // not one more than there are
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
   const uint64_t waits = GlobalCounters().accept_waits;
   RunFor(loop, Ms(60));
-  EXPECT_EQ(taken.size(), 0u);
+  EXPECT_EQ(requests.size(), 0u);
   EXPECT_GT(GlobalCounters().accept_waits, waits);
   EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);  // and did not spin
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &held), 0);
-  EXPECT_TRUE(HasTaken(5));
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &message), 0);
+  EXPECT_TRUE(HasRequests(5));
 }
 
-class FewDescriptors : public ClientsTest {
+class DownstreamFewDescriptorsTest : public DownstreamTest {
  protected:
-  FewDescriptors() : ClientsTest(DescriptorBudget::kReserve + 55) {}  // 33 connections of clients
+  DownstreamFewDescriptorsTest()
+      : DownstreamTest(DescriptorBudget::kReserve + 55) {}  // 33 connections of clients
 };
 
-// With every descriptor in use by a request, the next connection waits in the backlog and is
-// served once one is free; no loop spins meanwhile.
-TEST_F(FewDescriptors, AcceptingWaitsAndLosesNothing) {
+// With every descriptor in use by a request, the next connection waits in the backlog and is served
+// once one is free; the event loop does not spin meanwhile.
+TEST_F(DownstreamFewDescriptorsTest, AcceptingWaitsAndLosesNothing) {
   std::vector<Peer> peers;
   for (int i = 0; i < 40; ++i) {
     peers.push_back(Dial());
     peers.back().Say(Get("id" + std::to_string(i)));
   }
-  ASSERT_TRUE(HasTaken(33));
+  ASSERT_TRUE(HasRequests(33));
   const uint64_t waits = GlobalCounters().accept_waits;
   RunFor(loop, Ms(60));
-  EXPECT_EQ(taken.size(), 33u);
+  EXPECT_EQ(requests.size(), 33u);
   EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);
   for (size_t i = 0; i < 33; ++i)
-    taken[i]->Respond({.status = 502});
-  EXPECT_TRUE(HasTaken(40));
+    requests[i]->Respond({.status = 502});
+  EXPECT_TRUE(HasRequests(40));
 }
 
-TEST_F(FewDescriptors, IdleConnectionsMakeRoom) {
+TEST_F(DownstreamFewDescriptorsTest, IdleConnectionsMakeRoom) {
   std::vector<Peer> idle;
   for (int i = 0; i < 33; ++i)
     idle.push_back(Dial());
-  ASSERT_TRUE(RunUntil(loop, [&] { return clients->connection_count() == 33; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 33; }));
   Peer fresh = Dial();
   fresh.Say(Get("a"));
-  EXPECT_TRUE(HasTaken(1));
+  EXPECT_TRUE(HasRequests(1));
   EXPECT_TRUE(idle[0].Ended());  // the longest idle
   EXPECT_FALSE(idle[32].Ended());
 }
 
-// A burst on a full table: nobody is closed for the next one before its request could come.
-TEST_F(FewDescriptors, ANewcomerIsNotClosedForTheNext) {
+// A burst without free descriptors: no connection closes for the next one before its request could
+// come.
+TEST_F(DownstreamFewDescriptorsTest, NewConnectionIsNotClosedForTheNext) {
   std::vector<Peer> kept;
   for (int i = 0; i < 33; ++i) {
     kept.push_back(Dial());
@@ -527,34 +531,34 @@
   RunFor(loop, Ms(20));
   for (int i = 0; i < 12; ++i)
     burst[static_cast<size_t>(i)].Say(Get("id" + std::to_string(i)));
-  EXPECT_TRUE(HasTaken(12));
+  EXPECT_TRUE(HasRequests(12));
   EXPECT_TRUE(kept[0].Ended());
 }
 
-// Each request on a connection of its own, kept for good: clients hold a third of the descriptors
-// at most and would have none left to ask on.
-TEST_F(FewDescriptors, OfTheKeptConnectionsTheLongestIdleGo) {
+// Each request on a new connection that is kept for good: clients open a third of the descriptors
+// at most and would have none left for requests.
+TEST_F(DownstreamFewDescriptorsTest, LongestIdleConnectionsCloseFirst) {
   std::vector<Peer> kept;
   for (size_t i = 0; i < 30; ++i) {
     kept.push_back(Dial());
     kept.back().Say(Get("id" + std::to_string(i)));
-    ASSERT_TRUE(HasTaken(i + 1));
-    taken[i]->Respond({.status = 502});
-    ASSERT_TRUE(Hears(kept.back(), "HTTP/1.1 502"));
+    ASSERT_TRUE(HasRequests(i + 1));
+    requests[i]->Respond({.status = 502});
+    ASSERT_TRUE(Receives(kept.back(), "HTTP/1.1 502"));
   }
   RunFor(loop, Ms(10));
-  EXPECT_LE(clients->connection_count(), 14u);  // a quarter of 55
-  EXPECT_GE(clients->connection_count(), 10u);
+  EXPECT_LE(downstream->connection_count(), 14u);  // a quarter of 55
+  EXPECT_GE(downstream->connection_count(), 10u);
   EXPECT_TRUE(kept[0].Ended());
   EXPECT_FALSE(kept[29].Ended());
 }
 
-// Those that say nothing come by hundreds: they go first, and the hosts keep their descriptors.
-TEST_F(FewDescriptors, TheSilentMakeRoomBeforeThoseThatHaveAsked) {
+// Silent connections come by hundreds: they close first, and upstream keeps its descriptors.
+TEST_F(DownstreamFewDescriptorsTest, UnusedConnectionsCloseBeforeIdleOnes) {
   Peer usual = Dial();
   usual.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 502});
   std::vector<Peer> silent;
   for (int i = 0; i < 32; ++i)
     silent.push_back(Dial());
@@ -564,51 +568,51 @@
   RunFor(loop, Ms(10));
   Peer fresh = Dial();
   fresh.Say(Get("b"));
-  EXPECT_TRUE(HasTaken(2));
+  EXPECT_TRUE(HasRequests(2));
   EXPECT_FALSE(usual.Ended());
   EXPECT_TRUE(silent[0].Ended());
   EXPECT_LE(budget.used(), 33u);
   usual.Say(Get("c"));
-  EXPECT_TRUE(HasTaken(3));
+  EXPECT_TRUE(HasRequests(3));
 }
 
-// ---- Where two events cross (docs/crossings.md) ----------------------------------------------
+// ---- Races (docs/crossings.md) ---------------------------------------------------------------
 
-// Behind a request that was answered within the same read: the end had been told of by then, and
-// the leaving of that client was never noticed.
-TEST_F(ClientsTest, ARequestBehindAnotherOneEndsWithItsClient) {
+// Behind a request that got its response within the same read: the end had been reported by then,
+// and the disconnect of that client was never noticed.
+TEST_F(DownstreamTest, PipelinedRequestEndsWithItsClient) {
   for (const char* const how : {"end", "half-close"}) {
-    taken.clear();
-    left.clear();
+    requests.clear();
+    disconnected.clear();
     Peer peer = Dial();
     peer.Say("GET /_health HTTP/1.1\r\n\r\n" + Get("a"));
     if (how == std::string("end"))
       peer.Close();
     if (peer)
       peer.ShutWrite();
-    ASSERT_TRUE(HasTaken(1)) << how;
+    ASSERT_TRUE(HasRequests(1)) << how;
     EXPECT_TRUE(RunUntil(
-        loop, [&] { return left.size() == 1; }, Ms(300)))
+        loop, [&] { return disconnected.size() == 1; }, Ms(300)))
         << how;
-    EXPECT_FALSE(taken[0]->Respond({.status = 502}));
+    EXPECT_FALSE(requests[0]->Respond({.status = 502}));
   }
 }
 
-// One that sends much at once and goes: its end lies behind what there is no room to read while its
-// first request waits.
-TEST_F(ClientsTest, AnEndBehindWhatIsNotReadIsNoticed) {
+// A client that sends much at once and leaves: the end is behind bytes that there is no room to
+// read while its first request waits.
+TEST_F(DownstreamTest, DisconnectBehindUnreadBytesIsNoticed) {
   for (const char* const how : {"end", "half-close", "reset"}) {
-    taken.clear();
-    left.clear();
+    requests.clear();
+    disconnected.clear();
     Peer peer = Dial();
     peer.Say(Get("a"));
-    ASSERT_TRUE(HasTaken(1));
+    ASSERT_TRUE(HasRequests(1));
     std::string rest;
     for (int i = 0; rest.size() < 110'000; ++i)
       rest += Get("more" + std::to_string(i));
     peer.Say(rest);
     RunFor(loop, Ms(20));
-    EXPECT_TRUE(left.empty());
+    EXPECT_TRUE(disconnected.empty());
     if (how == std::string("end"))
       peer.Close();
     if (how == std::string("reset"))
@@ -616,21 +620,21 @@
     if (peer)
       peer.ShutWrite();
     EXPECT_TRUE(RunUntil(
-        loop, [&] { return left.size() == 1; }, Ms(300)))
+        loop, [&] { return disconnected.size() == 1; }, Ms(300)))
         << how;
     RunFor(loop, Ms(20));
-    EXPECT_EQ(taken.size(), 1u) << how;
+    EXPECT_EQ(requests.size(), 1u) << how;
   }
 }
 
-// It waited in the queue for a descriptor and left there: it is told of and ended in one turn.
-TEST_F(FewDescriptors, AClientThatLeftInTheQueueHasLeft) {
+// It waited in the accept queue for a descriptor and left there: accepted and closed in one turn.
+TEST_F(DownstreamFewDescriptorsTest, ClientThatLeftInTheAcceptQueueIsReported) {
   std::vector<Peer> busy;
   for (int i = 0; i < 33; ++i) {
     busy.push_back(Dial());
     busy.back().Say(Get("id" + std::to_string(i)));
   }
-  ASSERT_TRUE(HasTaken(33));
+  ASSERT_TRUE(HasRequests(33));
   Peer ended = Dial(), reset = Dial(), half = Dial();
   ended.Say(Get("ended"));
   reset.Say(Get("reset"));
@@ -639,72 +643,73 @@
   reset.Reset();
   half.ShutWrite();
   RunFor(loop, Ms(30));
-  EXPECT_EQ(taken.size(), 33u);
+  EXPECT_EQ(requests.size(), 33u);
   for (size_t i = 0; i < 33; ++i)
-    taken[i]->Respond({.status = 502});
+    requests[i]->Respond({.status = 502});
   RunFor(loop, Ms(100));
-  for (size_t i = 33; i < taken.size(); ++i)
-    EXPECT_FALSE(taken[i]->Respond({.status = 502}));
-  EXPECT_EQ(left.size(), taken.size() - 33);
+  for (size_t i = 33; i < requests.size(); ++i)
+    EXPECT_FALSE(requests[i]->Respond({.status = 502}));
+  EXPECT_EQ(disconnected.size(), requests.size() - 33);
 }
 
-// At the end of a drain: what is in the kernel by then was taken, and is answered.
-TEST_F(ClientsTest, ARequestThatComesAsTheDrainEndsIsTaken) {
+// At the end of a drain: a request that is with the kernel by then is admitted and gets its
+// response.
+TEST_F(DownstreamTest, RequestThatComesAsTheDrainEndsIsAdmitted) {
   Peer late = Dial();
   late.Say(Get("a").substr(0, 20));
   bool done = false;
-  clients->Shutdown(Ms(600), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(600), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   RunFor(loop, Ms(560));
-  // Its rest and the end of the drain come while the loop is elsewhere.
+  // Its rest and the end of the drain come while the event loop is busy.
   late.Say(Get("a").substr(20));
   Peer later = Dial();  // accepted by the kernel alone
   later.Say(Get("b"));
   usleep(60'000);
-  ASSERT_TRUE(HasTaken(2));
+  ASSERT_TRUE(HasRequests(2));
   EXPECT_FALSE(done);
-  for (const auto& exchange : taken)
-    exchange->Respond({.status = 502});
-  EXPECT_TRUE(Hears(late, "HTTP/1.1 502 "));
-  EXPECT_TRUE(Hears(later, "HTTP/1.1 502 "));
+  for (const auto& request : requests)
+    request->Respond({.status = 502});
+  EXPECT_TRUE(Receives(late, "HTTP/1.1 502 "));
+  EXPECT_TRUE(Receives(later, "HTTP/1.1 502 "));
   late.Close();
   later.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// Our close of a connection that idled against the client's next request: what has come is read.
-TEST_F(ClientsTest, ARequestThatComesAsItsConnectionIsClosedIsTaken) {
+// Close of an idle connection against the client's next request: what has come is read.
+TEST_F(DownstreamTest, RequestThatComesAsItsConnectionClosesIsAdmitted) {
   Peer peer = Dial();
   peer.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 502});
-  ASSERT_TRUE(Hears(peer, "HTTP/1.1 502 "));
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 502});
+  ASSERT_TRUE(Receives(peer, "HTTP/1.1 502 "));
   peer.Forget();
   RunFor(loop, Ms(1960));
   peer.Say(Get("b"));
   usleep(80'000);
-  ASSERT_TRUE(HasTaken(2));
-  taken[1]->Respond({.status = 502});
-  EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
+  ASSERT_TRUE(HasRequests(2));
+  requests[1]->Respond({.status = 502});
+  EXPECT_TRUE(Receives(peer, "HTTP/1.1 502 "));
 }
 
-// An answer half-written when the drain ends: cut there, its request would be lost.
-TEST_F(ClientsTest, AnAnswerHalfReadAsTheDrainEndsComesWhole) {
+// A response half-written when the drain ends: cut there, its request would be lost.
+TEST_F(DownstreamTest, ResponseHalfReadAsTheDrainEndsIsComplete) {
   Peer slow = Dial();
   slow.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
+  ASSERT_TRUE(HasRequests(1));
   const std::string body(6 << 20, 'b');
-  auto held = std::make_shared<BufferedMessage>();
+  auto message = std::make_shared<BufferedMessage>();
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-  held->bytes.Append(head + body);
-  held->message = HostAnswer(head)->message;
-  held->message.body = {head.size(), body.size()};
+  message->bytes.Append(head + body);
+  message->message = UpstreamResponse(head)->message;
+  message->message.body = {head.size(), body.size()};
   bool done = false;
-  clients->Shutdown(Ms(500), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
-  taken[0]->Respond({.status = 200, .upstream_message = held});
+  downstream->Shutdown(Ms(500), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
+  requests[0]->Respond({.status = 200, .upstream_message = message});
   RunFor(loop, Ms(700));
   EXPECT_FALSE(done);
   EXPECT_TRUE(RunUntil(loop, [&] { return slow.Heard().size() > body.size(); }));
@@ -712,64 +717,64 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// Emptied by an operator some time before it is told to end: connections go on coming for a while
-// from then, as at any end.
-TEST_F(ClientsTest, EndedAfterItWasDrainedItKeepsAcceptingForAWhile) {
-  life.set_drained(true);
-  clients->OnLifecycleChanged();
+// Drained by an operator some time before the shutdown: connections still come for a while from
+// then, as at any end.
+TEST_F(DownstreamTest, ShutdownAfterADrainKeepsAcceptingForAWhile) {
+  lifecycle.set_drained(true);
+  downstream->OnLifecycleChanged();
   RunFor(loop, Ms(700));
   bool done = false;
-  clients->Shutdown(Ms(3600), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(3600), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   RunFor(loop, Ms(300));
   EXPECT_FALSE(done);
   Peer late = Dial();
   late.Say(Get("a"));
-  ASSERT_TRUE(HasTaken(1));
-  taken[0]->Respond({.status = 502});
-  EXPECT_TRUE(Hears(late, "HTTP/1.1 502 "));
+  ASSERT_TRUE(HasRequests(1));
+  requests[0]->Respond({.status = 502});
+  EXPECT_TRUE(Receives(late, "HTTP/1.1 502 "));
   late.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// Short of descriptors while it drains: whoever waits in the queue is let in before it closes, also
-// where another process listens at the address.
-class SharedFewDescriptors : public FewDescriptors {
+// Short of descriptors while it drains: whoever waits in the accept queue is accepted before it
+// closes, also where another process listens at the address.
+class DownstreamSharedFewDescriptorsTest : public DownstreamFewDescriptorsTest {
  protected:
-  SharedFewDescriptors() {
-    clients = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, life, this,
-                                           FileDescriptor(), true);
+  DownstreamSharedFewDescriptorsTest() {
+    downstream = std::make_unique<Downstream>(loop, budget, Address{INADDR_LOOPBACK, 0}, lifecycle,
+                                              this, FileDescriptor(), true);
   }
 };
-TEST_F(SharedFewDescriptors, DrainingLetsInWhoWaitsForADescriptor) {
+TEST_F(DownstreamSharedFewDescriptorsTest, DrainingAcceptsWhoWaitsForADescriptor) {
   std::vector<Peer> peers;
   for (int i = 0; i < 40; ++i) {
     peers.push_back(Dial());
     peers.back().Say(Get("id" + std::to_string(i)));
   }
-  ASSERT_TRUE(HasTaken(33));
+  ASSERT_TRUE(HasRequests(33));
   bool done = false;
-  clients->Shutdown(Ms(3600), [&] { done = true; });
-  life.set_ending();
-  clients->OnLifecycleChanged();
+  downstream->Shutdown(Ms(3600), [&] { done = true; });
+  lifecycle.set_ending();
+  downstream->OnLifecycleChanged();
   RunFor(loop, Ms(750));
   for (size_t i = 0; i < 33; ++i)
-    taken[i]->Respond({.status = 502});
-  ASSERT_TRUE(HasTaken(40));
+    requests[i]->Respond({.status = 502});
+  ASSERT_TRUE(HasRequests(40));
   for (size_t i = 33; i < 40; ++i)
-    taken[i]->Respond({.status = 502});
+    requests[i]->Respond({.status = 502});
   for (Peer& peer : peers)
-    EXPECT_TRUE(Hears(peer, "HTTP/1.1 502 "));
+    EXPECT_TRUE(Receives(peer, "HTTP/1.1 502 "));
   peers.clear();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// ---- Understanding --------------------------------------------------------------------------
+// ---- Request parsing -------------------------------------------------------------------------
 
-class UnderstandTest : public ::testing::Test {
+class RequestParsingTest : public ::testing::Test {
  protected:
-  UnderstandTest() {
+  RequestParsingTest() {
     settings = paddlestile::testing::MakeSettings();
     settings.classes.resize(2);  // 0 safe, 1 keyed
     settings.clients_mark_retries = true;
@@ -779,12 +784,12 @@
     names.tenants.Add("other");
   }
   ParsedRequest Of(const std::string& text) {
-    BufferedMessage held;
+    BufferedMessage message;
     HttpParser parser(HttpParser::Kind::kRequest);
-    held.bytes.Append(text);
-    EXPECT_EQ(parser.Feed(held.bytes), ParseProgress::kDone) << text;
-    held.message = parser.message();
-    return ParseRequest(held, names, settings, Time(1'000'000));
+    message.bytes.Append(text);
+    EXPECT_EQ(parser.Feed(message.bytes), ParseProgress::kDone) << text;
+    message.message = parser.message();
+    return ParseRequest(message, names, settings, Time(1'000'000));
   }
   Settings settings;
   NameTables names;
@@ -792,7 +797,7 @@
 
 const std::string kGood = "X-Call-Id: 9b1f\r\nX-Caller: other\r\nX-Budget-Ms: 480\r\n";
 
-TEST_F(UnderstandTest, ReadsWhatTheModuleNeeds) {
+TEST_F(RequestParsingTest, ReadsWhatTheLoadBalancerNeeds) {
   const ParsedRequest u =
       Of("POST /book/x?y HTTP/1.1\r\n" + kGood +
          "Idempotency-Key: k\r\nX-Again: 1\r\nX-Call-Info: Expected=12.5,Subject=s1,IsWrite=1,z=2"
@@ -808,17 +813,17 @@
   EXPECT_EQ(u.arrival.expected_work, Duration(12'500));
 }
 
-TEST_F(UnderstandTest, RepeatsAreMarkedOnlyWhereClientsMarkThem) {
+TEST_F(RequestParsingTest, ClientRetriesCountOnlyWhereClientsMarkThem) {
   settings.clients_mark_retries = false;
   EXPECT_FALSE(Of("GET /read HTTP/1.1\r\n" + kGood + "X-Again: 1\r\n\r\n").arrival.is_client_retry);
 }
 
-TEST_F(UnderstandTest, TenantsAreNotAskedForWhereThereAreNone) {
+TEST_F(RequestParsingTest, CallerIsNotRequiredWithoutTenants) {
   names.tenants = NameTable();
   EXPECT_EQ(Of("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 5\r\n\r\n").error_status, 0);
 }
 
-TEST_F(UnderstandTest, RefusesWhatItCannotPlace) {
+TEST_F(RequestParsingTest, RejectsInvalidRequests) {
   const std::pair<std::string, int> cases[] = {
       {"GET /read HTTP/1.1\r\nX-Caller: acme\r\nX-Budget-Ms: 480\r\n\r\n", 400},
       {"GET /read HTTP/1.1\r\nX-Call-Id:\r\nX-Caller: acme\r\nX-Budget-Ms: 480\r\n\r\n", 400},
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -1,4 +1,4 @@
-// The whole gateway between clients, hosts and discovery that a test plays by hand.
+// A gateway between clients, hosts and discovery that the test plays by hand.
 #ifndef PADDLESTILE_TESTS_GATEWAY_GATEWAY_FIXTURE_H_
 #define PADDLESTILE_TESTS_GATEWAY_GATEWAY_FIXTURE_H_
 
@@ -18,16 +18,16 @@
 
 inline const std::string kChunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-inline std::string Request(const std::string& id, const std::string& cls = "safe",
+inline std::string Request(const std::string& id, const std::string& request_class = "safe",
                            int budget = 1500) {
-  return "POST /" + cls + "/1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id +
+  return "POST /" + request_class + "/1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id +
          "\r\nX-Budget-Ms: " + std::to_string(budget) + "\r\nIdempotency-Key: k" + id +
          "\r\nContent-Length: 4\r\n\r\nbody";
 }
 
 class GatewayTest : public ::testing::Test {
  protected:
-  // What a host says to a request, given the whole text of it; empty: nothing.
+  // The response of a host to a request, given its text; empty: none; "reset": a reset.
   using Script = std::function<std::string(const std::string&)>;
   struct Host {
     std::string id;
@@ -64,11 +64,11 @@
     return *hosts.back();
   }
   void Start() {
-    gateway = std::make_unique<Gateway>(loop, config, life);
+    gateway = std::make_unique<Gateway>(loop, config, lifecycle);
     address = gateway->address();
   }
 
-  // Plays all hosts once.
+  // Runs each host once: accepts, reads, responds.
   void PlayHosts() {
     for (const auto& host : hosts) {
       while (Peer peer = host->port.TryTake())
@@ -123,7 +123,7 @@
 
   std::string report = "inflight=1,latency_ms=5";  // of all hosts
   EventLoop loop;
-  Lifecycle life;
+  Lifecycle lifecycle;
   Port agent;
   GatewayConfig config;
   Address address;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The whole gateway between a client, hosts and discovery that the test plays by hand.
+// The gateway between a client, hosts and discovery that the test plays by hand.
 #include "gateway/gateway.h"
 
 #include <gtest/gtest.h>
@@ -22,9 +22,9 @@
 using testing::RunFor;
 using testing::RunUntil;
 
-// The new shape on sockets: the key and the hint come in X-Call-Info, the request waits for the
-// probes of its key's hosts, and gateways that know nothing of one another send it to the same one.
-TEST_F(GatewayTest, GatewaysOfWarmHostsAskFirstAndAgreeOnAKeysHost) {
+// The key and the hint come in X-Call-Info, the request waits for the probes of its affinity
+// endpoints, and independent gateways send it to the same host.
+TEST_F(GatewayTest, GatewaysOfWarmHostsProbeFirstAndAgreeOnAKeysHost) {
   for (int i = 0; i < 5; ++i)
     AddHost("h" + std::to_string(i), Ok);
   report = "inflight=1,latency_ms=100";
@@ -60,7 +60,7 @@
   EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
-TEST_F(GatewayTest, ServesWhereTheSettingsNameNoConnectTimeOut) {
+TEST_F(GatewayTest, ServesWithoutAConnectTimeoutInTheSettings) {
   config.settings.allowed.connect_timeout = Duration(0);
   AddHost("h1", Ok);
   Start();
@@ -68,7 +68,7 @@
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
 }
 
-TEST_F(GatewayTest, TriesAnotherHostAfterARefusedConnection) {
+TEST_F(GatewayTest, RetriesOnAnotherHostAfterARefusedConnection) {
   AddHost("h1", Ok).port.Close();
   AddHost("h2", Ok);
   Start();
@@ -79,7 +79,7 @@
   EXPECT_EQ(hosts[1]->requests, 6);
 }
 
-TEST_F(GatewayTest, AnUnsafeRequestThatMayHaveRunFailsAndIsNotSentAgain) {
+TEST_F(GatewayTest, UnsafeRequestThatMayHaveRunIsNotRetried) {
   AddHost("h1", [](const std::string&) { return "reset"; });
   AddHost("h2", [](const std::string&) { return "reset"; });
   Start();
@@ -89,7 +89,7 @@
   EXPECT_EQ(Requests(), 1);
 }
 
-TEST_F(GatewayTest, ASafeRequestIsSentAgainAfterAReset) {
+TEST_F(GatewayTest, SafeRequestIsRetriedAfterAReset) {
   int calls = 0;
   const Script once = [&](const std::string&) {
     return ++calls == 1 ? "reset" : Http200("served");
@@ -102,7 +102,7 @@
   EXPECT_EQ(Requests(), 2);
 }
 
-TEST_F(GatewayTest, SilentHostsEndInAnAnswerByTheDeadline) {
+TEST_F(GatewayTest, SilentHostsEndInAResponseByTheDeadline) {
   AddHost("h1", Nothing);
   AddHost("h2", Nothing);
   Start();
@@ -114,13 +114,13 @@
   EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
-TEST_F(GatewayTest, AnEmptyFleetRefuses) {
+TEST_F(GatewayTest, RejectsWithoutHosts) {
   Start();
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return client.Has("HTTP/1.1 503"); }));
 }
 
-TEST_F(GatewayTest, AnIdInHandIsNotTakenAgain) {
+TEST_F(GatewayTest, DuplicateIdOfARequestInProgressIsRejected) {
   AddHost("h1", Nothing);
   Start();
   Peer first = Ask(Request("a"));
@@ -130,8 +130,8 @@
   EXPECT_EQ(Requests(), 1);
 }
 
-// A copy of somebody else's open request that comes when that is over: hosts would turn it away.
-TEST_F(GatewayTest, AnIdIsNotTakenAgainShortlyAfter) {
+// A copy of a request that comes when that is done: hosts would reject it.
+TEST_F(GatewayTest, RecentIdIsRejected) {
   AddHost("h1", Ok);
   Start();
   Peer first = Ask(Request("a"));
@@ -141,8 +141,8 @@
   EXPECT_EQ(Requests(), 1);
 }
 
-// What a host blames the request for, the others would too.
-TEST_F(GatewayTest, AHostThatBlamesTheRequestIsBelieved) {
+// A request that one host blames, the others would blame too.
+TEST_F(GatewayTest, ResponseThatBlamesTheRequestIsPassedOn) {
   for (const char* const id : {"h1", "h2", "h3"}) {
     AddHost(id, [](const std::string&) -> std::string {
       return "HTTP/1.1 400 Bad Request\r\nContent-Length: 4\r\n\r\nwhy?";
@@ -157,8 +157,8 @@
   ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
-// What spoilt answers leave undone is done again elsewhere, where that is lawful.
-TEST_F(GatewayTest, ASafeRequestIsSentAgainAfterASpoiltAnswer) {
+// After a malformed response the request is retried elsewhere, where its class permits it.
+TEST_F(GatewayTest, SafeRequestIsRetriedAfterAMalformedResponse) {
   for (const char* const id : {"h1", "h2", "h3"}) {
     AddHost(id, [this](const std::string&) -> std::string {
       return Requests() == 1 ? "noise\r\n\r\n" : Http200("served");
@@ -185,7 +185,7 @@
   EXPECT_EQ(GlobalCounters().requests_admitted, taken);
 }
 
-TEST_F(GatewayTest, MoreThanMayBeHeldAreTurnedAway) {
+TEST_F(GatewayTest, RequestsOverTheLimitAreRejected) {
   config.settings.allowed.max_held_requests = 2;
   AddHost("h1", Nothing);
   Start();
@@ -196,7 +196,7 @@
   EXPECT_EQ(gateway->request_count(), 2u);
 }
 
-TEST_F(GatewayTest, TheOutcomeAfterTheClientLeftIsStillTold) {
+TEST_F(GatewayTest, OutcomeAfterTheClientLeftIsReported) {
   Host& host = AddHost("h1", Nothing);
   Start();
   Peer client = Ask(Request("a"));
@@ -212,7 +212,7 @@
   EXPECT_EQ(GlobalCounters().responses_served, served);
 }
 
-TEST_F(GatewayTest, TheListReachesTheModuleAndItsHostsAreUsed) {
+TEST_F(GatewayTest, HostsOfTheEndpointListAreUsed) {
   Start();
   Peer watch = agent.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return watch.Has("follow=1&since=40"); }));
@@ -229,7 +229,7 @@
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
 }
 
-TEST_F(GatewayTest, NothingNewGoesToAHostThatDrainsOrLeaves) {
+TEST_F(GatewayTest, DrainingAndRemovedHostsGetNoNewWork) {
   AddHost("h1", Ok);
   AddHost("h2", Ok);
   Start();
@@ -249,7 +249,7 @@
   EXPECT_EQ(hosts[1]->requests, 8);
 }
 
-TEST_F(GatewayTest, TheListHeldStaysWhileDiscoveryIsDown) {
+TEST_F(GatewayTest, EndpointListStaysWhileDiscoveryIsDown) {
   AddHost("h1", Ok);
   Start();
   Peer watch = agent.Take(loop);
@@ -261,7 +261,7 @@
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
 }
 
-TEST_F(GatewayTest, WhereTheListMustBeAskedForTheModuleAsks) {
+TEST_F(GatewayTest, LoadBalancerRequestsTheListWhereItIsNotPushed) {
   config.settings.discovery_mode = DiscoveryMode::kPoll;
   config.settings.rules.discovery_interval = Ms(400);
   AddHost("h1", Ok);
@@ -288,7 +288,7 @@
   EXPECT_EQ(hosts[0]->requests, 5);
 }
 
-TEST_F(GatewayTest, AStreamThatBreaksIsTheEndOfItsRequest) {
+TEST_F(GatewayTest, StreamedResponseThatBreaksEndsItsRequest) {
   config.settings.classes[0].is_streamed = true;
   AddHost("h1",
           [](const std::string&) { return "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"; });
@@ -308,7 +308,7 @@
   EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
-TEST_F(GatewayTest, DrainsWithARequestInHand) {
+TEST_F(GatewayTest, DrainsWithARequestInProgress) {
   AddHost("h1", Nothing);
   Start();
   Peer client = Ask(Request("a", "safe", 1200));
@@ -325,9 +325,10 @@
   EXPECT_TRUE(Until([&] { return done; }));
 }
 
-// A module that forgets a request must not leave its client without an answer.
-TEST_F(GatewayTest, AnOverdueRequestIsEndedAndCounted) {
-  // With less than no slack the request counts as overdue before the module has reason to end it.
+// A request that the load balancer forgets must not leave its client without a response.
+TEST_F(GatewayTest, OverdueRequestIsEndedAndCounted) {
+  // With a negative slack the request counts as overdue before the load balancer has reason to end
+  // it.
   config.settings.rules.response_slack = Ms(-300);
   AddHost("h1", Nothing);
   Start();
@@ -338,7 +339,7 @@
   EXPECT_EQ(GlobalCounters().responses_overdue, overdue + 1);
 }
 
-TEST_F(GatewayTest, TellsItsState) {
+TEST_F(GatewayTest, DescribesItsState) {
   AddHost("h1", Ok);
   Start();
   Peer client = Ask(Request("a"));
@@ -349,9 +350,8 @@
   EXPECT_NE(text.find("picks_"), std::string::npos) << text;
 }
 
-// Requests that are under way when the settings change end by what they began with; the connections
-// and hosts stay.
-TEST_F(GatewayTest, NewSettingsReplaceTheOldUnderLoad) {
+// Requests in progress when the settings change end by their own; connections and hosts stay.
+TEST_F(GatewayTest, SettingsAreReplacedUnderLoad) {
   AddHost("h0", [&](const std::string& text) {
     return text.find("X-Call-Id: slow") != std::string::npos ? "" : Ok(text);
   });
@@ -369,20 +369,20 @@
   for (Peer& peer : hosts[0]->peers)
     peer.Say(Http200("late but whole"));
   EXPECT_TRUE(Until([&] { return slow.Has("late but whole"); }));
-  // Settings that the module does not take change nothing.
+  // Settings that the load balancer rejects change nothing.
   GatewayConfig bad = next;
   bad.settings.allowed.max_attempts = 0;
   EXPECT_THROW(gateway->ApplyConfig(bad), std::invalid_argument);
   EXPECT_EQ(gateway->config().settings.allowed.max_attempts, next.settings.allowed.max_attempts);
 }
 
-// Settings that come twice within one handler, as when a version and the word that turns it on are
-// read at once: the former ones waited behind the later and stayed in force, for good.
-TEST_F(GatewayTest, OfSettingsThatComeAtOnceTheLastAreInForce) {
+// Settings that come twice within one handler, as when a version and its activation are read at
+// once: the former ones waited behind the later and stayed in force for good.
+TEST_F(GatewayTest, LastOfSeveralSettingsIsInForce) {
   for (const char* const id : {"h1", "h2"})
     AddHost(id, Error);
   Start();
-  ASSERT_TRUE(Until([&] { return life.accepts(); }));
+  ASSERT_TRUE(Until([&] { return lifecycle.accepts(); }));
   GatewayConfig once = config;
   once.settings.allowed.max_attempts = 1;
   ASSERT_GT(config.settings.allowed.max_attempts, 1);
@@ -399,17 +399,17 @@
   EXPECT_EQ(Requests(), before + 1);
 }
 
-// Tenants that change in the same handler as all settings: told apart, they would come ahead of the
-// settings that still wait, which have other tenants, or take those settings with them.
-TEST_F(GatewayTest, TenantsThatChangeBesideSettingsLeaveThoseInForce) {
+// Tenants that change in the same handler as all settings: as events of their own they would come
+// ahead of the settings that still wait, which have other tenants, or replace those settings.
+TEST_F(GatewayTest, TenantChangesKeepSettingsThatWait) {
   config.settings.tenants = {{10, 0.5}};
   config.names.tenants.Add("old");
-  // Hosts that turn away: those that fail are left out for a while, by the seed's draw, and each
-  // further attempt takes more of what was saved up for them.
+  // Hosts that reject: those that fail are ejected for a while, by the seed's draw, and each retry
+  // takes a token of the retry budget.
   for (int n = 1; n <= 4; ++n)
     AddHost("h" + std::to_string(n), Full);
   Start();
-  ASSERT_TRUE(Until([&] { return life.accepts(); }));
+  ASSERT_TRUE(Until([&] { return lifecycle.accepts(); }));
   GatewayConfig once = config;
   once.settings.allowed.max_attempts = 1;
   int id = 0;
@@ -430,7 +430,8 @@
   gateway->ApplyTenantChanges({{"old", TenantQuota{5, 0.1}}});
   gateway->ApplyTenantChanges({{"old", TenantQuota{5, 0.3}}});
   EXPECT_GE(attempts("old"), 2);
-  // The module has the fewer attempts by now, and is told of more with a tenant's change behind it.
+  // The load balancer has the fewer attempts by now, and gets more with a tenant's change behind
+  // it.
   gateway->ApplyConfig(once);
   EXPECT_EQ(attempts("old"), 1);
   gateway->ApplyConfig(config);
@@ -439,9 +440,9 @@
   EXPECT_EQ(gateway->config().settings.tenants.at(0).share, 0.3);
 }
 
-// Tenants alone change in their place, with no new start of anything else: a new one is served at
-// once, one that is gone for a while more, and one that cannot be taken changes nothing.
-TEST_F(GatewayTest, TenantsAloneChangeInTheirPlace) {
+// Tenants alone change, without a restart of anything else: a new one is served at once, a removed
+// one for a while more, and an invalid change has no effect.
+TEST_F(GatewayTest, TenantChangesAloneAreApplied) {
   config.settings.tenants = {{10, 0.5}};
   config.names.tenants.Add("old");
   AddHost("h1", Ok);
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -26,7 +26,7 @@
 using testing::Peer;
 using testing::Port;
 
-// A host that answers each request after a moment and counts its ids.
+// A host that responds to each request after a moment and counts its ids.
 class Host {
  public:
   Host() : thread_([this] { Play(); }) {}
@@ -63,11 +63,11 @@
   std::thread thread_;
 };
 
-// Clients who keep their connections and open new ones, until told to stop. Each counts what it
-// was not answered.
+// Clients that keep their connections and open new ones, until they are stopped. Each counts its
+// requests without a response.
 class Load {
  public:
-  // Clients of the numbers from `first` on, which their requests' ids begin with.
+  // Clients numbered from `first` on; the ids of their requests begin with the number.
   Load(const Address& to, int first, int clients) {
     for (int i = first; i < first + clients; ++i) {
       threads_.emplace_back([this, to, i] { Play(to, i); });
@@ -114,9 +114,9 @@
   std::vector<std::thread> threads_;
 };
 
-class Upgrade : public ::testing::Test {
+class HotRestartTest : public ::testing::Test {
  protected:
-  Upgrade()
+  HotRestartTest()
       : folder_(::testing::TempDir() + "paddlestile-up-" + std::to_string(getpid())),
         temporary_(folder_) {
     std::filesystem::create_directory(folder_);
@@ -127,7 +127,7 @@
         << R"(","phase":"active"}]},"settings":{"Classes":[{"Name":"read","Effect":"safe",)"
         << R"("Slo":400.0,"Deadline":1000.0}],"Allowed":{"SendCap":3,"ConnectTimeout":250.0}}})";
   }
-  ~Upgrade() override { std::filesystem::remove_all(folder_); }
+  ~HotRestartTest() override { std::filesystem::remove_all(folder_); }
   void Start(Child& child, uint16_t admin) {
     child.Start({{"LB_NAME", "n1"},
                  {"LB_LISTEN", ToText(address)},
@@ -137,7 +137,7 @@
                  {"TMPDIR", temporary_}},
                 {});
   }
-  // The answer to GET /admin/health.
+  // The response to GET /admin/health.
   bool Yes(uint16_t admin) {
     Peer peer = Peer::To({address.host, admin});
     peer.Say("GET /admin/health HTTP/1.1\r\n\r\n");
@@ -146,7 +146,7 @@
     return peer.Heard().starts_with("HTTP/1.1 200");
   }
   std::string Socket() { return folder_ + "/paddlestile-" + ToText(address) + ".sock"; }
-  // Each request that was answered ran once; none was turned back.
+  // Each request with a response ran once; none was rejected.
   void ExpectWhole(Load& load) {
     load.Stop();
     EXPECT_GT(load.served, 50);
@@ -162,8 +162,9 @@
   Address address;
 };
 
-// The trouble: with an address each the kernel resets what is queued at the process that ends.
-TEST_F(Upgrade, NobodyIsTurnedBackWhileTheNewProcessTakesOver) {
+// With a listening socket each, the kernel would reset the queued connections of the process that
+// ends.
+TEST_F(HotRestartTest, NoRequestFailsWhileTheNewProcessTakesOver) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.Says("listens on"));
@@ -189,8 +190,8 @@
   EXPECT_TRUE(Yes(6003));
 }
 
-// Where no Unix socket is to be had, both listen at the address; the newest gets what comes.
-TEST_F(Upgrade, WithoutAUnixSocketNobodyIsTurnedBackEither) {
+// Without a Unix socket both processes listen on the address; the newest gets the connections.
+TEST_F(HotRestartTest, NoRequestFailsWithoutAUnixSocket) {
   temporary_ = folder_ + "/none";
   Child first, second;
   Start(first, 6001);
@@ -207,7 +208,7 @@
   ExpectWhole(load);
 }
 
-TEST_F(Upgrade, TheOldProcessServesOnWhereTheNewOneDies) {
+TEST_F(HotRestartTest, OldProcessServesOnWhereTheNewOneDies) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.Says("listens on"));
@@ -222,7 +223,7 @@
   usleep(300'000);
   ExpectWhole(load);
   EXPECT_TRUE(Yes(6001));
-  // Also once it had said that it was ready.
+  // Also once it had reported that it was ready.
   Child fourth;
   Start(fourth, 6004);
   ASSERT_TRUE(first.Says("the new process serves"));
@@ -233,8 +234,8 @@
   ExpectWhole(more);
 }
 
-// One that is told to end before it could serve must not have the old one stop for it.
-TEST_F(Upgrade, ANewProcessEndedBeforeItServesChangesNothing) {
+// A process that ends before it could serve must not stop the old one.
+TEST_F(HotRestartTest, NewProcessEndedBeforeItServesChangesNothing) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.Says("listens on"));
@@ -247,13 +248,13 @@
   usleep(200'000);
   EXPECT_TRUE(Yes(6001));
   ExpectWhole(load);
-  // And it can still be followed.
+  // And another process can still take over.
   Start(third, 6003);
   EXPECT_TRUE(first.Says("the new process serves"));
 }
 
-// The trouble: a new process that died just as the old one wrote to it took the old one with it.
-TEST_F(Upgrade, ANewProcessThatDiesUnderAWriteLeavesTheOldOne) {
+// A new process that died just as the old one wrote to it took the old one with it.
+TEST_F(HotRestartTest, NewProcessThatDiesDuringAWriteLeavesTheOldOne) {
   Child first;
   Start(first, 6001);
   ASSERT_TRUE(first.Says("listens on"));
@@ -266,7 +267,7 @@
   const std::string take = "paddlestile 1 take " + ToText(address) + "\n";
   send(fd.get(), take.data(), take.size(), MSG_NOSIGNAL);
   ASSERT_TRUE(first.Says("a new process has the listening socket"));
-  // Nothing comes that an event would tell of: only the next write finds it gone.
+  // No event reports it: only the next write finds it closed.
   shutdown(fd.get(), SHUT_RD);
   usleep(300'000);
   EXPECT_TRUE(Yes(6001)) << first.Text();
@@ -275,7 +276,7 @@
   ExpectWhole(load);
 }
 
-TEST_F(Upgrade, WhatLiesInTheFolderHarmsNothing) {
+TEST_F(HotRestartTest, OtherFilesAtTheSocketPathAreHarmless) {
   const auto starts = [&](const std::string& what) {
     Child child;
     Start(child, 6001);
@@ -289,7 +290,7 @@
   std::ofstream(Socket()) << "no socket";
   starts("a file");
   std::filesystem::remove(Socket());
-  // One that listens and speaks no sense, and one that says nothing.
+  // One that listens and replies with garbage, and one that does not reply.
   for (const char* const said : {"paddlestile 9 listen 1\n", ""}) {
     const FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_un at{};
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -1,5 +1,5 @@
-// Two events that cross, forced over loopback sockets: the rows of docs/crossings.md that need the
-// whole gateway. Those of one part of it stand with that part's tests.
+// Races between two events, forced over loopback sockets: the rows of docs/crossings.md that need a
+// complete gateway. Those of one part of it are among that part's tests.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -49,15 +49,15 @@
   return text.substr(at, text.find('\r', at) - at);
 }
 
-class CrossingsTest : public GatewayTest {
+class RaceTest : public GatewayTest {
  protected:
-  CrossingsTest() {
-    // Long enough to wait in: holding, connecting.
+  RaceTest() {
+    // Long enough to wait in: queue, connect.
     for (RequestClass& c : config.settings.classes)
       c.latency_objective = Ms(6000), c.deadline = Ms(8000);
     config.settings.allowed.connect_timeout = Ms(3000);
   }
-  // A host that counts ids and answers when told.
+  // A host that counts ids and responds when the test says so.
   Host& AddCounting(const std::string& id, std::string answer = "") {
     return AddHost(id, [this, answer = std::move(answer)](const std::string& text) {
       ++got[IdOf(text)];
@@ -71,7 +71,7 @@
     config.initial_endpoints.endpoints.push_back(entry);
   }
   bool Whole(const std::string& id) { return got[id] == 1; }
-  // Discovery says a line, and the gateway has taken it.
+  // Discovery sends a line, and the gateway has accepted it.
   void Tell(Peer& call, const std::string& line, int revision) {
     call.Say(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
     EXPECT_TRUE(Until([&] {
@@ -85,8 +85,8 @@
 
 // ---- A client that has left while its request waited ------------------------------------------
 
-// Held by the module, for want of room at the hosts.
-TEST_F(CrossingsTest, HeldByTheModuleItIsNotSentOn) {
+// Queued by the load balancer, as all hosts are at their limits.
+TEST_F(RaceTest, QueuedRequestOfADisconnectedClientIsNotSent) {
   AddCounting("h1");
   Start();
   std::vector<Peer> clients;
@@ -115,8 +115,8 @@
     EXPECT_TRUE(sent.contains(id)) << id;
 }
 
-// Assigned to a connection that has not come up yet.
-TEST_F(CrossingsTest, WaitingForAConnectionItIsNotSentOn) {
+// Assigned to a connection that is not up yet.
+TEST_F(RaceTest, RequestOfADisconnectedClientIsNotSentAfterTheConnect) {
   CutOff host(loop);
   AddCutOff("h1", host.address());
   Start();
@@ -141,14 +141,14 @@
   EXPECT_EQ(gateway->request_count(), 0u);
 }
 
-// Between two attempts: the first is reset while the second's connection does not come up.
-TEST_F(CrossingsTest, BetweenTwoAttemptsItIsNotSentOn) {
+// Between two attempts: the first is reset while the second's connect does not succeed.
+TEST_F(RaceTest, RequestOfADisconnectedClientIsNotRetried) {
   CutOff second(loop);
   AddCounting("h1");
   Start();
   Peer client = Ask(Request("a", "safe", 8000));
   ASSERT_TRUE(Until([&] { return Whole("a"); }));
-  // The list names the second from here on.
+  // The list has the second host from here on.
   Peer call = agent.Take(loop);
   call.Say(testing::kChunkedHead);
   Tell(call,
@@ -170,8 +170,8 @@
   EXPECT_EQ(gateway->request_count(), 0u);
 }
 
-// It left in the same turn in which the module decided, or behind another request in its buffer.
-TEST_F(CrossingsTest, LeftInTheSameTurnItIsNotSentOn) {
+// It left in the same turn as the decision, or behind another request in its buffer.
+TEST_F(RaceTest, RequestOfAClientThatLeavesInTheSameTurnIsNotSent) {
   AddCounting("h1", Http200("served"));
   Start();
   for (const Leaving how : kLeavings) {
@@ -188,8 +188,9 @@
   EXPECT_EQ(gateway->request_count(), 0u);
 }
 
-// The second of two in a client's buffer begins when the first is answered: not once it has left.
-TEST_F(CrossingsTest, BehindAnotherRequestItIsNotSentOn) {
+// The second of two pipelined requests begins with the response to the first: not once its client
+// has left.
+TEST_F(RaceTest, PipelinedRequestOfADisconnectedClientIsNotSent) {
   AddHost("h1", [this](const std::string& text) {
     ++got[IdOf(text)];
     return std::string();
@@ -211,10 +212,10 @@
   EXPECT_EQ(gateway->request_count(), 0u);
 }
 
-// ---- Told to end --------------------------------------------------------------------------------
+// ---- Shutdown -----------------------------------------------------------------------------------
 
 // Against each state that a request can be in; clients go on sending, hosts hang.
-TEST_F(CrossingsTest, ToldToEndEachRequestHasItsAnswer) {
+TEST_F(RaceTest, EachRequestHasItsResponseAtTheEnd) {
   for (RequestClass& c : config.settings.classes)
     c.latency_objective = Ms(1000), c.deadline = Ms(2000);
   config.settings.allowed.connect_timeout = Ms(1500);
@@ -273,8 +274,8 @@
   EXPECT_LT(loop.Now() - told, Ms(2700));  // the longest deadline and 0.7 s
 }
 
-// New settings with shorter deadlines while it drains: what is in hand keeps its own.
-TEST_F(CrossingsTest, ShorterDeadlinesWhileItDrainsEndNothingInHand) {
+// New settings with shorter deadlines while it drains: requests in progress keep their own.
+TEST_F(RaceTest, ShorterDeadlinesWhileDrainingEndNoRequestInProgress) {
   AddCounting("h1");
   for (RequestClass& c : config.settings.classes)
     c.deadline = Ms(300);
@@ -296,8 +297,8 @@
   EXPECT_TRUE(Until([&] { return done; }));
 }
 
-// A list's change while it drains is obeyed as before: the host that leaves gets nothing new.
-TEST_F(CrossingsTest, AHostThatLeavesWhileItDrainsGetsNothingNew) {
+// Changes of the endpoint list are applied while it drains: the removed host gets no new work.
+TEST_F(RaceTest, HostRemovedWhileDrainingGetsNoNewWork) {
   for (const char* const id : {"h1", "h2"}) {
     AddHost(id, [this, id = std::string(id)](const std::string&) {
       ++got[id];
@@ -323,9 +324,9 @@
 
 // ---- Unsafe requests ----------------------------------------------------------------------------
 
-// Each outcome that does not surely prove that it never ran ends it; the others let it go on, and
-// never are two out.
-TEST_F(CrossingsTest, AnUnsafeRequestGoesOnOnlyWhereItSurelyNeverRan) {
+// Each outcome that does not prove that the request never ran ends it; the others permit a retry,
+// and there are never two attempts in flight.
+TEST_F(RaceTest, UnsafeRequestIsRetriedOnlyWhereItNeverRan) {
   for (RequestClass& c : config.settings.classes)
     c.latency_objective = Ms(400), c.deadline = Ms(2000);
   config.settings.allowed.connect_timeout = Ms(250);
@@ -366,9 +367,9 @@
 
 // ---- Lists and settings -------------------------------------------------------------------------
 
-// A whole list that lacks most hosts, or all, is obeyed: what is not in it has gone. One that says
-// nothing changes nothing. Nobody is left without an answer.
-TEST_F(CrossingsTest, AListThatLacksHostsIsObeyed) {
+// A complete list that lacks most hosts, or all, is applied: hosts that it lacks are removed. A
+// watch without a list changes nothing. Each request has its response.
+TEST_F(RaceTest, HostsMissingFromTheListAreRemoved) {
   std::string entries;
   for (const char* const id : {"h1", "h2", "h3"}) {
     const Host& host = AddHost(id, [this, id = std::string(id)](const std::string&) {
@@ -412,9 +413,9 @@
   EXPECT_EQ(served(12), 12);
 }
 
-// A class gets another effect while one of it is in hand: that one ends as it began, those that
-// come later go by the new.
-TEST_F(CrossingsTest, AClassThatBecomesUnsafeIsSoForWhatComesThen) {
+// The idempotency of a class changes while a request of it is in progress: that one ends by the
+// former, later ones by the new.
+TEST_F(RaceTest, ClassThatBecomesUnsafeIsSoForLaterRequests) {
   for (const char* const id : {"h1", "h2"}) {
     AddHost(id, [this](const std::string& text) {
       const std::string name = IdOf(text);
@@ -443,9 +444,9 @@
   EXPECT_EQ(got["held"], 2);
 }
 
-// Settings at their edges: one host, one gateway, one zone, no tenants, probes or reports, one
+// Settings at their limits: one host, one gateway, one zone, no tenants, probes or reports, one
 // attempt, unsafe classes, deadlines and idle times far under a second.
-TEST_F(CrossingsTest, SettingsAtTheirEdgesServeAndEndInTime) {
+TEST_F(RaceTest, SettingsAtTheirLimitsServeAndEndInTime) {
   Settings& s = config.settings;
   s.classes = {paddlestile::testing::MakeClass(Idempotency::kUnsafe)};
   s.classes[0].latency_objective = Ms(60);
@@ -481,14 +482,14 @@
 
 // ---- The whole program --------------------------------------------------------------------------
 
-class SignalsTest : public ::testing::Test {
+class SignalTest : public ::testing::Test {
  protected:
-  SignalsTest() : folder_(::testing::TempDir() + "paddlestile-x-" + std::to_string(getpid())) {
+  SignalTest() : folder_(::testing::TempDir() + "paddlestile-x-" + std::to_string(getpid())) {
     std::filesystem::create_directory(folder_);
     address = {0x7f510000U | (static_cast<uint32_t>(getpid()) & 0xffffU), 5000};
     Write(1000);
   }
-  ~SignalsTest() override { std::filesystem::remove_all(folder_); }
+  ~SignalTest() override { std::filesystem::remove_all(folder_); }
   std::string Text(int deadline) const {
     return R"({"name":"n1","seed":"1f","limits":{"sockets":256},"known":{"revision":1,)"
            R"("complete":true,"members":[{"id":"h","host_port":")" +
@@ -535,9 +536,9 @@
   Child child;
 };
 
-// A second SIGTERM, a SIGHUP with a file half-written and one whole, in the middle of it: the one
-// request that waits for its host is answered, and the end is one.
-TEST_F(SignalsTest, SignalsThatCrossItsEndCutNothing) {
+// A second SIGTERM, a SIGHUP with an incomplete file and one with a complete file, during the
+// drain: the one request that waits for its host gets its response, and the process ends once.
+TEST_F(SignalTest, SignalsDuringTheDrainCutNothing) {
   Start();
   Peer client = Ask("a", 3000);
   Peer at_host = Request();
@@ -557,8 +558,8 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// Settings that make no sense, told while a request is in hand: what runs is kept and that is said.
-TEST_F(SignalsTest, ABadFileKeepsWhatRuns) {
+// An invalid file while a request is in progress: the configuration is kept, and that is logged.
+TEST_F(SignalTest, InvalidFileKeepsTheConfiguration) {
   Start();
   Peer client = Ask("a", 3000);
   Peer at_host = Request();
@@ -576,8 +577,8 @@
   EXPECT_TRUE(Hears(next, "served"));
 }
 
-// The same file twice changes nothing, and the second telling cuts nothing.
-TEST_F(SignalsTest, TheSameFileTwiceChangesNothing) {
+// The same file twice changes nothing, and the second reload cuts nothing.
+TEST_F(SignalTest, UnchangedFileChangesNothing) {
   Start();
   Peer client = Ask("a", 3000);
   Peer at_host = Request();
--- /dev/null
+++ b/tests/gateway/recent_request_ids_test.cpp
@@ -0,0 +1,31 @@
+#include "gateway/recent_request_ids.h"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <string>
+
+namespace paddlestile {
+namespace {
+
+using std::chrono::seconds;
+
+TEST(RecentRequestIdsTest, ForgetsAfterTheWindow) {
+  RecentRequestIds ids;
+  ids.Add("a", seconds(100));
+  EXPECT_TRUE(ids.Contains("a", seconds(102), seconds(2)));
+  EXPECT_FALSE(ids.Contains("b", seconds(102), seconds(2)));
+  EXPECT_FALSE(ids.Contains("a", seconds(103), seconds(2)));
+}
+
+TEST(RecentRequestIdsTest, ForgetsTheOldestWhereThereAreTooMany) {
+  RecentRequestIds ids;
+  for (int i = 0; i < 8193; ++i) {
+    ids.Add(std::to_string(i), seconds(100));
+  }
+  EXPECT_FALSE(ids.Contains("0", seconds(100), seconds(2)));
+  EXPECT_TRUE(ids.Contains("1", seconds(100), seconds(2)));
+}
+
+}  // namespace
+}  // namespace paddlestile
--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -1,4 +1,4 @@
-// Bodies past 64 KiB through the whole gateway, between a client and a host played by hand.
+// Bodies past 64 KiB through the gateway, between a client and a host played by hand.
 #include "http/streaming_body.h"
 
 #include <fmt/format.h>
@@ -20,9 +20,9 @@
 using testing::RunFor;
 using testing::RunUntil;
 
-class LargeTest : public ::testing::Test {
+class StreamingBodyTest : public ::testing::Test {
  protected:
-  LargeTest() {
+  StreamingBodyTest() {
     GatewayConfig config;
     config.listen = {INADDR_LOOPBACK, 0};
     config.discovery = agent.address();
@@ -41,14 +41,14 @@
       entry.address = port.address();  // one port: the next attempt comes to it too
       config.initial_endpoints.endpoints.push_back(entry);
     }
-    gateway = std::make_unique<Gateway>(loop, std::move(config), life);
+    gateway = std::make_unique<Gateway>(loop, std::move(config), lifecycle);
     client = Peer::To(gateway->address());
   }
   void Ask(const std::string& more = "", const std::string& version = "HTTP/1.1") {
     client.Say("POST /safe " + version + "\r\nX-Call-Id: " + std::to_string(++asked) +
                "\r\nX-Budget-Ms: 1500\r\n" + more + "\r\n");
   }
-  // The next connection to a host, once it has said so much.
+  // The next connection to a host, once so much has come on it.
   bool Host(const std::string& until = "\r\n\r\n") {
     host = Peer();
     return Until([&] {
@@ -60,7 +60,7 @@
   bool Until(const std::function<bool()>& holds, Duration at_most = Ms(4000)) {
     return RunUntil(loop, holds, at_most);
   }
-  // What came behind the head, its chunks undone.
+  // The bytes behind the head, chunks decoded.
   static std::string BodyOf(const std::string& text) {
     Buffer in;
     in.Append(text);
@@ -69,7 +69,7 @@
     parser.EndsWithConnection(in);
     return std::string(parser.message().body.In(in.view()));
   }
-  // Says a long text as the far end takes it.
+  // Sends a long text as fast as the peer reads it.
   void SayAll(Peer& peer, std::string_view text) {
     while (!text.empty()) {
       const ssize_t n = send(peer.fd(), text.data(), text.size(), MSG_NOSIGNAL);
@@ -87,14 +87,14 @@
   }
 
   EventLoop loop;
-  Lifecycle life;
+  Lifecycle lifecycle;
   Port agent, port;
   std::unique_ptr<Gateway> gateway;
   Peer client, host;
   int asked = 0;
 };
 
-TEST_F(LargeTest, AnAnswersFirstBytesGoOnBeforeItsLast) {
+TEST_F(StreamingBodyTest, FirstBytesOfAResponseArriveBeforeItsLast) {
   const std::string body = Noise(300'000);
   Ask("Content-Length: 0\r\n");
   ASSERT_TRUE(Host());
@@ -103,7 +103,7 @@
   SayAll(host, body.substr(20'000));
   ASSERT_TRUE(Until([&] { return client.Heard().ends_with(body.substr(20'000)); }));
   EXPECT_EQ(BodyOf(client.Heard()), body);
-  // Both connections serve on.
+  // Both connections stay in use.
   client.Forget();
   host.Forget();
   Ask("Content-Length: 0\r\n");
@@ -117,8 +117,8 @@
   EXPECT_TRUE(Until([&] { return client.Has("short"); }));
 }
 
-// The forms in which a host may send one, and a client may want it.
-TEST_F(LargeTest, AnAnswerOfAnyFormComesWhole) {
+// The framings that a host may use and a client may need.
+TEST_F(StreamingBodyTest, ResponseOfAnyFramingIsComplete) {
   const std::string body = Noise(200'000);
   std::string chunks;
   for (size_t at = 0; at < body.size(); at += 999) {
@@ -150,8 +150,9 @@
   }
 }
 
-// What has begun is never begun again from another host, and the client can tell that it is cut.
-TEST_F(LargeTest, AnAnswerCutShortIsSeenToBe) {
+// A response that has begun is never taken from another host, and the client can tell that it is
+// truncated.
+TEST_F(StreamingBodyTest, TruncatedResponseIsVisible) {
   for (const char* const form : {"Content-Length: 300000", "Transfer-Encoding: chunked"}) {
     client = Peer::To(gateway->address());
     Ask("Content-Length: 0\r\n");
@@ -166,8 +167,8 @@
   EXPECT_EQ(GlobalCounters().bodies_truncated, 2u);
 }
 
-// A client that takes nothing stops its host, and nobody else.
-TEST_F(LargeTest, AReaderThatStopsHoldsTheHostAndNotTheMemory) {
+// A client that reads nothing stops its host, and no other.
+TEST_F(StreamingBodyTest, SlowReaderStopsTheHostAndHoldsNoMemory) {
   Ask("Content-Length: 0\r\n");
   ASSERT_TRUE(Host());
   host.Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
@@ -190,12 +191,12 @@
   }));
   second.Say(testing::Http200("quick"));
   EXPECT_TRUE(Until([&] { return other.Has("quick"); }));
-  // The client goes: its host is not kept.
+  // The client leaves: the upstream connection is not kept.
   client.Close();
   EXPECT_TRUE(Until([&] { return host.Ended(); }));
 }
 
-TEST_F(LargeTest, ARequestPassesOnAsItComes) {
+TEST_F(StreamingBodyTest, RequestStreams) {
   const std::string body = Noise(3'000'000);
   Ask("Content-Length: 3000000\r\nExpect: 100-continue\r\n");
   ASSERT_TRUE(Until([&] { return client.Has("100 Continue"); }));
@@ -210,7 +211,7 @@
   EXPECT_FALSE(client.Has("Connection: close"));
 }
 
-TEST_F(LargeTest, ARequestInChunksPassesOnInChunks) {
+TEST_F(StreamingBodyTest, ChunkedRequestStreamsInChunks) {
   Ask("Transfer-Encoding: chunked\r\n");
   const std::string part = Noise(50'000);
   for (int i = 0; i < 4; ++i)
@@ -227,8 +228,8 @@
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
 }
 
-// What is held whole may be repeated; what has passed on may not, and is answered at once.
-TEST_F(LargeTest, OnlyWhatIsHeldWholeIsRepeated) {
+// A buffered request may be retried; a streamed one may not, and is responded to at once.
+TEST_F(StreamingBodyTest, OnlyBufferedRequestsAreRetried) {
   const std::string body = Noise(100'000);
   Ask("Content-Length: 100000\r\n");
   SayAll(client, body);
@@ -248,7 +249,7 @@
   EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryTake()); }, Ms(100)));
 }
 
-TEST_F(LargeTest, AHostThatAnswersBeforeTheEndIsHeard) {
+TEST_F(StreamingBodyTest, EarlyResponseIsPassedOn) {
   Ask("Content-Length: 3000000\r\n");
   client.Say(Noise(50'000));
   ASSERT_TRUE(Host(Noise(50'000).substr(40'000)));
@@ -257,8 +258,8 @@
   EXPECT_TRUE(client.Has("Connection: close"));
 }
 
-// A client that leaves midway: nothing ran, and the host is not left with a half.
-TEST_F(LargeTest, AClientThatLeavesMidwayEndsItsAttempt) {
+// A client that leaves midway: nothing ran, and the upstream connection closes.
+TEST_F(StreamingBodyTest, DisconnectMidwayEndsTheAttempt) {
   Ask("Content-Length: 3000000\r\n");
   client.Say(Noise(50'000));
   ASSERT_TRUE(Host(Noise(50'000).substr(40'000)));
@@ -267,7 +268,7 @@
   EXPECT_EQ(gateway->request_count(), 0u);
 }
 
-TEST_F(LargeTest, BadChunksMidwayAreAnsweredAndNotPassedOn) {
+TEST_F(StreamingBodyTest, MalformedChunksMidwayAreRejectedAndNotPassedOn) {
   Ask("Transfer-Encoding: chunked\r\n");
   SayAll(client, "249f0\r\n" + Noise(150'000) + "\r\n");
   ASSERT_TRUE(Host(Noise(150'000).substr(100'000)));
@@ -277,8 +278,8 @@
   EXPECT_FALSE(host.Has("\r\n0\r\n\r\n"));
 }
 
-// By rate: 64 kB a second is slow and good, however small the pieces; silence and drips are not.
-TEST_F(LargeTest, TheSlowAreHeardAndThoseThatStallAreNot) {
+// By rate: 64 kB a second is slow and served, however small the pieces; pauses and drips are not.
+TEST_F(StreamingBodyTest, SlowUploadsAreServedAndStalledOnesAreNot) {
   Peer drips = Peer::To(gateway->address()), stalls = Peer::To(gateway->address());
   for (Peer* const peer : {&drips, &stalls}) {
     peer->Say("POST /safe HTTP/1.1\r\nX-Call-Id: x" + std::to_string(peer->fd()) +
@@ -307,7 +308,7 @@
 }
 
 // Split anywhere, with extensions, trailers and what follows behind it.
-TEST(TakeBody, IsTheSameHoweverItIsSplit) {
+TEST(HttpParserTakeBodyTest, IsTheSameHoweverItIsSplit) {
   const std::string wire =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "5;a=b\r\nhello\r\n00006\r\n world\r\n0\r\nA: b\r\n\r\nnext";
@@ -339,7 +340,7 @@
   }
 }
 
-TEST(TakeBody, NoBodyWhereNoneMayBe) {
+TEST(HttpParserTakeBodyTest, NoBodyWhereNoneMayBe) {
   for (const char* const status : {"204 No", "304 Not"}) {
     Buffer in;
     in.Append("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: 9\r\n\r\nHTTP");
--- /dev/null
+++ b/tests/gateway/upload_progress_test.cpp
@@ -0,0 +1,45 @@
+#include "gateway/upload_progress.h"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+
+namespace paddlestile {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr Time kStart = seconds(1000);
+
+TEST(UploadProgressTest, MeasuresTheRateAfterAGraceTime) {
+  UploadProgress progress;
+  progress.Start(kStart);
+  progress.SetReceived(1, kStart + milliseconds(900));
+  EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(1)));
+  // 16,000 bytes a second are due.
+  progress.SetReceived(15'999, kStart + seconds(2));
+  EXPECT_TRUE(progress.IsTooSlow(kStart + seconds(2)));
+  progress.SetReceived(16'000, kStart + seconds(2));
+  EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(2)));
+}
+
+TEST(UploadProgressTest, APauseIsTooSlowWhateverCameBefore) {
+  UploadProgress progress;
+  progress.Start(kStart);
+  progress.AddReceived(1'000'000, kStart);
+  EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(1)));
+  EXPECT_TRUE(progress.IsTooSlow(kStart + milliseconds(1'001)));
+}
+
+TEST(UploadProgressTest, TimeThatTheGatewayTakesIsExcused) {
+  UploadProgress progress;
+  progress.Start(kStart);
+  progress.AddReceived(100, kStart);
+  progress.ExcuseUntil(kStart + seconds(60));
+  EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(60)));
+  EXPECT_TRUE(progress.IsTooSlow(kStart + seconds(62)));
+}
+
+}  // namespace
+}  // namespace paddlestile
