--- a/tests/gateway/upstream_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -20,12 +20,12 @@
 using testing::RunUntil;
 
 BufferedMessage MakeRequest(const std::string& text) {
-  BufferedMessage held;
+  BufferedMessage message;
   HttpParser parser(HttpParser::Kind::kRequest);
-  held.bytes.Append(text);
-  EXPECT_EQ(parser.Feed(held.bytes), ParseProgress::kDone);
-  held.message = parser.message();
-  return held;
+  message.bytes.Append(text);
+  EXPECT_EQ(parser.Feed(message.bytes), ParseProgress::kDone);
+  message.message = parser.message();
+  return message;
 }
 
 const std::string kPost =
@@ -33,9 +33,9 @@
     "Idempotency-Key: k\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\n"
     "body";
 
-class ServersTest : public ::testing::Test, public Upstream::Listener {
+class UpstreamTest : public ::testing::Test, public Upstream::Listener {
  protected:
-  struct End {
+  struct FinishedAttempt {
     std::string id;
     size_t attempt = 0;
     Outcome outcome = Outcome::kOk;
@@ -43,28 +43,28 @@
     std::string body;
   };
 
-  void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& exchange, size_t attempt,
+  void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& request, size_t attempt,
                          const std::string&, Outcome outcome, Duration,
                          std::optional<LoadReport> report,
-                         std::shared_ptr<const BufferedMessage> from) override {
-    ends.push_back({exchange->id(), attempt, outcome, std::move(report),
-                    from ? std::string(from->body()) : std::string()});
+                         std::shared_ptr<const BufferedMessage> response) override {
+    finished.push_back({request->id(), attempt, outcome, std::move(report),
+                        response ? std::string(response->body()) : std::string()});
   }
   void OnResponseStarted(const std::shared_ptr<ProxiedRequest>&, size_t, const std::string&,
                          Duration) override {
-    ++established;
+    ++responses_started;
   }
   void OnProbeFinished(const std::string&, Outcome outcome, Duration,
                        std::optional<LoadReport> report) override {
     probes.emplace_back(outcome, std::move(report));
   }
-  bool OnDescriptorsExhausted() override { return servers->CloseOneIdle(); }
+  bool OnDescriptorsExhausted() override { return upstream->CloseOneIdle(); }
 
-  void Make(Upstream::Options options) {
-    servers = std::make_unique<Upstream>(loop, budget, std::move(options), this);
-    servers->SetEndpointAddress("h1", port.address());
+  void MakeUpstream(Upstream::Options options) {
+    upstream = std::make_unique<Upstream>(loop, budget, std::move(options), this);
+    upstream->SetEndpointAddress("h1", port.address());
   }
-  Upstream::Options Plain() {
+  Upstream::Options DefaultOptions() {
     Upstream::Options options;
     options.connect_timeout = Ms(100);
     options.endpoint_idle_timeout = Ms(60000);
@@ -73,47 +73,47 @@
     return options;
   }
   std::shared_ptr<ProxiedRequest> Request(const std::string& id = "id1", Duration time = Ms(2000)) {
-    return std::make_shared<ProxiedRequest>(id, MakeRequest(kPost), loop.Now() + time, cls,
-                                            [](const Response&) {});
+    return std::make_shared<ProxiedRequest>(id, MakeRequest(kPost), loop.Now() + time,
+                                            request_class, [](const Response&) {});
   }
   std::shared_ptr<ProxiedRequest> Send(const std::string& id = "id1", Duration time = Ms(2000)) {
-    auto exchange = Request(id, time);
-    servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
-    return exchange;
+    auto request = Request(id, time);
+    upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
+    return request;
   }
-  // Takes the host's end of the next connection and reads the request on it.
+  // The host's side of the next connection, with the request read.
   Peer Host() {
     Peer host = port.Take(loop);
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
     return host;
   }
-  bool Ended(size_t count) {
-    return RunUntil(loop, [&] { return ends.size() >= count; });
+  bool HasFinished(size_t count) {
+    return RunUntil(loop, [&] { return finished.size() >= count; });
   }
-  // Until a connection that has just answered may be used again.
-  void Rest() { testing::RunFor(loop, Ms(25)); }
-  // The answer to a first request, on a connection that is kept for the next.
-  Peer Kept() {
+  // Until a connection that has just had a response may be reused.
+  void WaitUntilSettled() { testing::RunFor(loop, Ms(25)); }
+  // A connection that has had a response to a first request and may be reused.
+  Peer ReusableConnection() {
     Send("first");
     Peer host = Host();
     host.Say(Http200("1"));
-    EXPECT_TRUE(Ended(1));
+    EXPECT_TRUE(HasFinished(1));
     host.Forget();
-    ends.clear();
-    Rest();
+    finished.clear();
+    WaitUntilSettled();
     return host;
   }
-  // A request that no socket takes at once.
-  std::shared_ptr<ProxiedRequest> Big(const std::string& id, Duration time = Ms(2000)) {
+  // A request that no socket buffer takes at once.
+  std::shared_ptr<ProxiedRequest> LargeRequest(const std::string& id, Duration time = Ms(2000)) {
     const std::string head = "POST /book HTTP/1.1\r\nX-Call-Id: big\r\n\r\n";
     BufferedMessage request;
     request.bytes.Append(head + std::string(16 << 20, 'x'));
     request.message = MakeRequest(head).message;
     request.message.body = {head.size(), 16 << 20};
-    return std::make_shared<ProxiedRequest>(id, std::move(request), loop.Now() + time, cls,
-                                            [](const Response&) {});
+    return std::make_shared<ProxiedRequest>(id, std::move(request), loop.Now() + time,
+                                            request_class, [](const Response&) {});
   }
-  // All that a host gets until its gateway's side ends, counted: bodies of what was sent whole.
+  // The bytes that a host receives until the gateway closes: a measure of the bodies sent in full.
   static size_t AllOf(EventLoop& loop, Peer& host) {
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
     return host.Heard().size();
@@ -121,17 +121,17 @@
 
   EventLoop loop;
   DescriptorBudget budget{1024};
-  std::shared_ptr<RequestClass> cls =
+  std::shared_ptr<RequestClass> request_class =
       std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kKeyed));
   testing::Port port;
-  std::vector<End> ends;
+  std::vector<FinishedAttempt> finished;
   std::vector<std::pair<Outcome, std::optional<LoadReport>>> probes;
-  int established = 0;
-  std::unique_ptr<Upstream> servers;
+  int responses_started = 0;
+  std::unique_ptr<Upstream> upstream;
 };
 
-TEST_F(ServersTest, SendsTheRequestOnUnchangedButForItsTime) {
-  Make(Plain());
+TEST_F(UpstreamTest, SendsTheRequestUnchangedButForItsBudget) {
+  MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
   const std::string& text = host.Heard();
@@ -145,8 +145,8 @@
   EXPECT_EQ(text.substr(text.size() - 8), "\r\n\r\nbody");
 }
 
-TEST_F(ServersTest, EachAnswerHasItsOutcome) {
-  Make(Plain());
+TEST_F(UpstreamTest, EachResponseHasItsOutcome) {
+  MakeUpstream(DefaultOptions());
   const std::pair<std::string, Outcome> cases[] = {
       {Http200("yes"), Outcome::kOk},
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n", Outcome::kOk},
@@ -174,43 +174,43 @@
       {"garbage\r\n\r\n", Outcome::kInvalidResponse},
   };
   for (const auto& [answer, outcome] : cases) {
-    ends.clear();
+    finished.clear();
     Send();
     Peer host = Host();
     host.Say(answer);
-    ASSERT_TRUE(Ended(1)) << answer;
-    EXPECT_EQ(ends[0].outcome, outcome) << answer;
-    EXPECT_EQ(ends[0].body, outcome == Outcome::kOk ? "yes" : "") << answer;
-    while (servers->CloseOneIdle()) {
+    ASSERT_TRUE(HasFinished(1)) << answer;
+    EXPECT_EQ(finished[0].outcome, outcome) << answer;
+    EXPECT_EQ(finished[0].body, outcome == Outcome::kOk ? "yes" : "") << answer;
+    while (upstream->CloseOneIdle()) {
     }
   }
 }
 
-// Waiting for the end of an answer that stopped in the middle would cost the next attempt its time.
-TEST_F(ServersTest, AnAnswerThatStopsInTheMiddleIsGivenUp) {
-  Make(Plain());
+// To wait for the end of a response that pauses would cost the time of the next attempt.
+TEST_F(UpstreamTest, ResponseThatPausesForTooLongIsInvalid) {
+  MakeUpstream(DefaultOptions());
   for (const char* const part :
        {"HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes"}) {
-    ends.clear();
+    finished.clear();
     Send("id1", Ms(4000));
     Peer host = Host();
     testing::RunFor(loop, Ms(800));  // until the first byte it has all its time
-    EXPECT_TRUE(ends.empty());
+    EXPECT_TRUE(finished.empty());
     const Time began = loop.Now();
     host.Say(part);
-    ASSERT_TRUE(Ended(1));
-    EXPECT_EQ(ends[0].outcome, Outcome::kInvalidResponse);
+    ASSERT_TRUE(HasFinished(1));
+    EXPECT_EQ(finished[0].outcome, Outcome::kInvalidResponse);
     EXPECT_LT(loop.Now() - began, Ms(1500));
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   }
 }
 
-// Cut anywhere, an answer is a reset and nothing of it is served.
-TEST_F(ServersTest, AnAnswerCutShortIsAReset) {
-  Make(Plain());
+// A response truncated anywhere is a reset, and nothing of it is passed on.
+TEST_F(UpstreamTest, TruncatedResponseIsAReset) {
+  MakeUpstream(DefaultOptions());
   const std::string answer = Http200("hello", "X-A: b\r\n");
   for (size_t size = 0; size < answer.size(); ++size) {
-    ends.clear();
+    finished.clear();
     Send();
     Peer host = Host();
     host.Say(answer.substr(0, size));
@@ -219,322 +219,323 @@
     } else {
       host.Reset();
     }
-    ASSERT_TRUE(Ended(1)) << size;
-    EXPECT_EQ(ends[0].outcome, Outcome::kReset) << size;
-    EXPECT_EQ(ends[0].body, "");
+    ASSERT_TRUE(HasFinished(1)) << size;
+    EXPECT_EQ(finished[0].outcome, Outcome::kReset) << size;
+    EXPECT_EQ(finished[0].body, "");
   }
 }
 
-TEST_F(ServersTest, AnAnswerAByteAtATimeIsServedWhole) {
-  Make(Plain());
+TEST_F(UpstreamTest, ResponseAByteAtATimeIsComplete) {
+  MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
   for (const char c : Http200("hello")) {
-    EXPECT_TRUE(ends.empty());
+    EXPECT_TRUE(finished.empty());
     host.Say(std::string(1, c));
     loop.RunOnce(Duration(0));
   }
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].body, "hello");
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].body, "hello");
 }
 
 // The last bytes and the close may come together.
-TEST_F(ServersTest, AWholeAnswerCountsThoughTheHostClosesAtOnce) {
-  Make(Plain());
+TEST_F(UpstreamTest, CompleteResponseCountsWhereTheHostClosesAtOnce) {
+  MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
   host.Say(Http200("hello"));
   host.Close();
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->idle_count(), 0u);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
+  EXPECT_EQ(upstream->idle_count(), 0u);
 }
 
-TEST_F(ServersTest, RefusedConnectionsNeverRan) {
-  Make(Plain());
+TEST_F(UpstreamTest, RefusedConnectionIsConnectFailed) {
+  MakeUpstream(DefaultOptions());
   port.Close();
   Send();
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kConnectFailed);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
 }
 
-TEST_F(ServersTest, ConnectionsThatNeverComeUpEndByTheSettingsTimeOut) {
-  Make(Plain());
+TEST_F(UpstreamTest, ConnectTimesOutByTheSettings) {
+  MakeUpstream(DefaultOptions());
   const CutOff host(loop);
-  servers->SetEndpointAddress("h1", host.address());
+  upstream->SetEndpointAddress("h1", host.address());
   const Time begun = loop.Now();
   Send();
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kConnectFailed);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
   EXPECT_GE(loop.Now() - begun, Ms(100));
   EXPECT_LT(loop.Now() - begun, Ms(1000));
 }
 
-// The deadline came before the host had its time to connect: no evidence against it.
-TEST_F(ServersTest, ADeadlineWhileConnectingBlamesNobody) {
-  Make(Plain());
+// The deadline came before the connect timeout: no evidence against the host.
+TEST_F(UpstreamTest, DeadlineWhileConnectingIsNotSent) {
+  MakeUpstream(DefaultOptions());
   const CutOff host(loop);
-  servers->SetEndpointAddress("h1", host.address());
+  upstream->SetEndpointAddress("h1", host.address());
   Send("id1", Ms(40));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
 }
 
-TEST_F(ServersTest, SilenceEndsAtTheDeadlineAndClosesTheConnection) {
-  Make(Plain());
+TEST_F(UpstreamTest, SilenceEndsAtTheDeadlineAndClosesTheConnection) {
+  MakeUpstream(DefaultOptions());
   const Time begun = loop.Now();
   Send("id1", Ms(60));
   Peer host = Host();
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kTimeout);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kTimeout);
   EXPECT_GE(loop.Now() - begun, Ms(60));
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
 }
 
-TEST_F(ServersTest, ASendWithNoTimeLeftOrNoKnownHostIsNotTransmitted) {
-  Make(Plain());
+TEST_F(UpstreamTest, AttemptWithoutTimeOrHostIsNotSent) {
+  MakeUpstream(DefaultOptions());
   Send("id1", Ms(0));
-  auto exchange = Request("id2");
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "nobody", exchange->deadline());
-  ASSERT_EQ(ends.size(), 2u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
-  EXPECT_EQ(ends[1].outcome, Outcome::kNotSent);
-  EXPECT_EQ(servers->connection_count(), 0u);
+  auto request = Request("id2");
+  upstream->StartAttempt(request, request->BeginAttempt(), "nobody", request->deadline());
+  ASSERT_EQ(finished.size(), 2u);
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
+  EXPECT_EQ(finished[1].outcome, Outcome::kNotSent);
+  EXPECT_EQ(upstream->connection_count(), 0u);
 }
 
-// The trouble: hosts hold few connections, and a thousand gateways met each of them.
-TEST_F(ServersTest, IdleConnectionsToAHostAreClosedAndThoseAtWorkStay) {
-  Make(Plain());
+// Hosts accept few connections, and a thousand gateways open some to each of them.
+TEST_F(UpstreamTest, ClosesIdleConnectionsOfAHostAndKeepsBusyOnes) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer first = Host();
   Send("id2");
   Peer second = Host();
   first.Say(testing::Http200("ok"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(servers->idle_count(), 1u);
-  servers->CloseIdleConnections("h1");
-  servers->CloseIdleConnections("nobody");
-  EXPECT_EQ(servers->idle_count(), 0u);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(upstream->idle_count(), 1u);
+  upstream->CloseIdleConnections("h1");
+  upstream->CloseIdleConnections("nobody");
+  EXPECT_EQ(upstream->idle_count(), 0u);
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
   second.Say(testing::Http200("ok"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].outcome, Outcome::kOk);
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].outcome, Outcome::kOk);
 }
 
-TEST_F(ServersTest, ACancelClosesAndIsTheOnlyOutcome) {
-  Make(Plain());
-  const auto exchange = Send();
+TEST_F(UpstreamTest, CancelClosesAndIsTheOnlyOutcome) {
+  MakeUpstream(DefaultOptions());
+  const auto request = Send();
   Peer host = Host();
-  servers->CancelAttempt(*exchange, 0);
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kCancelled);
+  upstream->CancelAttempt(*request, 0);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   host.Say(Http200("late"));
-  servers->CancelAttempt(*exchange, 0);
+  upstream->CancelAttempt(*request, 0);
   testing::RunFor(loop, Ms(20));
-  EXPECT_EQ(ends.size(), 1u);
+  EXPECT_EQ(finished.size(), 1u);
 }
 
-// Where the settings allow second copies: each attempt has its outcome, and the first 200 is the
-// only answer.
-TEST_F(ServersTest, TwoAttemptsOfOneRequestEndEachForItself) {
-  Make(Plain());
+// Where the settings allow hedged attempts: each attempt has its outcome, and the first 200 is the
+// only response.
+TEST_F(UpstreamTest, TwoAttemptsOfOneRequestEndIndependently) {
+  MakeUpstream(DefaultOptions());
   testing::Port other;
-  servers->SetEndpointAddress("h2", other.address());
-  const auto exchange = Send();
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h2", exchange->deadline());
+  upstream->SetEndpointAddress("h2", other.address());
+  const auto request = Send();
+  upstream->StartAttempt(request, request->BeginAttempt(), "h2", request->deadline());
   Peer one = Host();
   Peer two = other.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return two.Has("body"); }));
   two.Say(Http200("second"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].attempt, 1u);
-  EXPECT_TRUE(exchange->Respond({.status = 200}));
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].attempt, 1u);
+  EXPECT_TRUE(request->Respond({.status = 200}));
   one.Say(Http200("first"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].attempt, 0u);
-  EXPECT_EQ(ends[1].outcome, Outcome::kOk);
-  EXPECT_FALSE(exchange->Respond({.status = 200}));
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].attempt, 0u);
+  EXPECT_EQ(finished[1].outcome, Outcome::kOk);
+  EXPECT_FALSE(request->Respond({.status = 200}));
 }
 
-TEST_F(ServersTest, KeepsAConnectionForTheNextRequest) {
-  Make(Plain());
+TEST_F(UpstreamTest, KeepsAConnectionForTheNextRequest) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
+  ASSERT_TRUE(HasFinished(1));
   host.Forget();
   Send("id2");
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   host.Say(Http200("2"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].body, "2");
-  EXPECT_EQ(servers->connection_count(), 1u);
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].body, "2");
+  EXPECT_EQ(upstream->connection_count(), 1u);
 }
 
-TEST_F(ServersTest, OneRequestAtATimeOnAConnection) {
-  Make(Plain());
+TEST_F(UpstreamTest, OneRequestAtATimeOnAConnection) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Send("id2");
   Peer one = Host(), two = Host();
-  EXPECT_EQ(servers->connection_count(), 2u);
+  EXPECT_EQ(upstream->connection_count(), 2u);
 }
 
-// The close has reached the kernel but not yet the loop: writing there would end as a reset.
-TEST_F(ServersTest, LooksForTheEndBeforeUsingAConnectionAgain) {
-  Make(Plain());
+// The close has reached the kernel but not yet the event loop: a write would end as a reset.
+TEST_F(UpstreamTest, ClosedConnectionIsNotReused) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
-  ASSERT_EQ(servers->idle_count(), 1u);
+  ASSERT_TRUE(HasFinished(1));
+  ASSERT_EQ(upstream->idle_count(), 1u);
   host.Close();
   Send("id2");  // before the loop has run
   Peer next = Host();
   next.Say(Http200("2"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].outcome, Outcome::kOk);
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].outcome, Outcome::kOk);
 }
 
-TEST_F(ServersTest, BytesOnAnIdleConnectionEndIt) {
-  Make(Plain());
+TEST_F(UpstreamTest, BytesOnAnIdleConnectionCloseIt) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
+  ASSERT_TRUE(HasFinished(1));
   host.Say(Http200("nobody asked"));
-  EXPECT_TRUE(RunUntil(loop, [&] { return servers->connection_count() == 0; }));
+  EXPECT_TRUE(RunUntil(loop, [&] { return upstream->connection_count() == 0; }));
 }
 
-TEST_F(ServersTest, BytesBehindAnAnswerEndTheConnection) {
-  Make(Plain());
+TEST_F(UpstreamTest, BytesBehindAResponseCloseTheConnection) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1") + "more");
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->connection_count(), 0u);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
+  EXPECT_EQ(upstream->connection_count(), 0u);
 }
 
-TEST_F(ServersTest, ClosesIdleConnectionsBeforeTheHostDoes) {
-  Upstream::Options options = Plain();
+TEST_F(UpstreamTest, ClosesIdleConnectionsBeforeTheHostDoes) {
+  Upstream::Options options = DefaultOptions();
   options.endpoint_idle_timeout = Ms(2500);
-  Make(options);
+  MakeUpstream(options);
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
+  ASSERT_TRUE(HasFinished(1));
   const Time since = loop.Now();
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   EXPECT_LT(loop.Now() - since, Ms(2500));
 }
 
-TEST_F(ServersTest, AChangedAddressMeansNewConnections) {
-  Make(Plain());
+TEST_F(UpstreamTest, ChangedAddressMeansNewConnections) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Send("id2");
   Peer one = Host(), two = Host();
   one.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
+  ASSERT_TRUE(HasFinished(1));
   testing::Port moved;
-  servers->SetEndpointAddress("h1", moved.address());
+  upstream->SetEndpointAddress("h1", moved.address());
   EXPECT_TRUE(RunUntil(loop, [&] { return one.Ended(); }));  // it was idle
   two.Say(Http200("2"));  // what was out goes on, but is not kept
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->idle_count(), 0u);
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].outcome, Outcome::kOk);
+  EXPECT_EQ(upstream->idle_count(), 0u);
   Send("id3");
   EXPECT_TRUE(moved.Take(loop));
 }
 
-TEST_F(ServersTest, AHostThatLeftIsForgottenOnceItsWorkIsDone) {
-  Make(Plain());
+TEST_F(UpstreamTest, RemovedHostIsErasedAfterItsTransactions) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  servers->RemoveEndpoint("h1");
+  upstream->RemoveEndpoint("h1");
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
-  EXPECT_EQ(servers->connection_count(), 0u);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
+  EXPECT_EQ(upstream->connection_count(), 0u);
   loop.RunOnce(Duration(0));
-  EXPECT_EQ(servers->host_count(), 0u);
+  EXPECT_EQ(upstream->host_count(), 0u);
 }
 
-TEST_F(ServersTest, ARequestNotWrittenWholeNeverRan) {
-  Make(Plain());
-  // A body that no socket takes at once, to a host that reads nothing.
+TEST_F(UpstreamTest, RequestNotWrittenInFullIsNotSent) {
+  MakeUpstream(DefaultOptions());
+  // A body that no socket buffer takes at once, to a host that reads nothing.
   std::string head = "POST /book HTTP/1.1\r\nX-Call-Id: big\r\n\r\n";
-  BufferedMessage request;
-  request.bytes.Append(head + std::string(16 << 20, 'x'));
-  request.message = MakeRequest(head).message;
-  request.message.body = {head.size(), 16 << 20};
-  auto exchange = std::make_shared<ProxiedRequest>("big", std::move(request), loop.Now() + Ms(300),
-                                                   cls, [](const Response&) {});
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
+  BufferedMessage message;
+  message.bytes.Append(head + std::string(16 << 20, 'x'));
+  message.message = MakeRequest(head).message;
+  message.message.body = {head.size(), 16 << 20};
+  auto request = std::make_shared<ProxiedRequest>("big", std::move(message), loop.Now() + Ms(300),
+                                                  request_class, [](const Response&) {});
+  upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   Peer host = port.Take(loop);
   testing::RunFor(loop, Ms(50));
   host.Reset();
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);  // which shows no host at fault
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);  // which shows no host at fault
 }
 
-// Another host has taken over the address of one that is gone: nothing of that one serves it.
-TEST_F(ServersTest, ANewIdAtAnOldAddressHasItsOwnConnections) {
-  Make(Plain());
+// Another host has the address of a removed one: no connection of the old one serves it.
+TEST_F(UpstreamTest, NewEndpointAtAnOldAddressHasItsOwnConnections) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
-  servers->RemoveEndpoint("h1");
-  servers->SetEndpointAddress("h2", port.address());
-  const auto exchange = Request("id2");
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h2", exchange->deadline());
+  ASSERT_TRUE(HasFinished(1));
+  upstream->RemoveEndpoint("h1");
+  upstream->SetEndpointAddress("h2", port.address());
+  const auto request = Request("id2");
+  upstream->StartAttempt(request, request->BeginAttempt(), "h2", request->deadline());
   Peer next = Host();
   EXPECT_TRUE(next.Has("body"));
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
 }
 
-// Hosts are replaced all day: nothing is kept of those that are gone.
-TEST_F(ServersTest, ThousandsOfHostsThatCameAndWentLeaveNothing) {
-  Make(Plain());
+// Hosts are replaced all day: nothing may remain of removed ones.
+TEST_F(UpstreamTest, RemovedHostsLeaveNothing) {
+  MakeUpstream(DefaultOptions());
   for (int i = 0; i < 5000; ++i) {
-    servers->SetEndpointAddress("n" + std::to_string(i), port.address());
-    servers->RemoveEndpoint("n" + std::to_string(i));
+    upstream->SetEndpointAddress("n" + std::to_string(i), port.address());
+    upstream->RemoveEndpoint("n" + std::to_string(i));
     if (i % 100 == 0)
       loop.RunOnce(Duration(0));
   }
   loop.RunOnce(Duration(0));
-  EXPECT_EQ(servers->host_count(), 1u);
+  EXPECT_EQ(upstream->host_count(), 1u);
 }
 
-// A kept connection that breaks under a send says nothing of the host: the same send goes on.
-TEST_F(ServersTest, WhatAKeptConnectionDidNotTakeGoesOnAnother) {
-  Make(Plain());
-  Peer host = Kept();
-  const auto exchange = Big("big");
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
+// A reused connection that breaks before the response says nothing of the host: the request moves
+// to another connection.
+TEST_F(UpstreamTest, RequestThatAReusedConnectionDidNotTakeMoves) {
+  MakeUpstream(DefaultOptions());
+  Peer host = ReusableConnection();
+  const auto request = LargeRequest("big");
+  upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
   host.Reset();
   Peer next = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return next.Has("X-Call-Id: big"); }));
-  EXPECT_TRUE(ends.empty());
+  EXPECT_TRUE(finished.empty());
   ASSERT_TRUE(RunUntil(loop, [&] { return next.Heard().size() > 16 << 20; }));
   next.Say(Http200("2"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// Something on the way forgets connections that idle: those of an age that breaks are passed over.
-TEST_F(ServersTest, IdleConnectionsOfAnAgeThatBreaksAreNotUsedAgain) {
-  Make(Plain());
+// A network element forgets idle connections: those of an idle time that breaks are not reused.
+TEST_F(UpstreamTest, ConnectionsOfAnIdleTimeThatBreaksAreNotReused) {
+  MakeUpstream(DefaultOptions());
   const auto idle_then_send = [&](Peer& host) {
     Send();
     host = Host();
     host.Say(Http200("1"));
-    ASSERT_TRUE(Ended(1));
+    ASSERT_TRUE(HasFinished(1));
     host.Forget();
     testing::RunFor(loop, Ms(80));
-    ends.clear();
+    finished.clear();
     Send();
   };
   Peer next;
@@ -546,41 +547,41 @@
     if (host.Has("body")) {
       ++broken;
       host.Reset();
-      ASSERT_TRUE(Ended(1));
-      EXPECT_EQ(ends[0].outcome, Outcome::kReset);
+      ASSERT_TRUE(HasFinished(1));
+      EXPECT_EQ(finished[0].outcome, Outcome::kReset);
     } else {
       next = Host();
       next.Say(Http200("2"));
-      ASSERT_TRUE(Ended(1));
-      EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+      ASSERT_TRUE(HasFinished(1));
+      EXPECT_EQ(finished[0].outcome, Outcome::kOk);
     }
-    ends.clear();
+    finished.clear();
   }
   EXPECT_GE(broken, 5);
   EXPECT_LT(broken, 10);
-  // One that has hardly idled is still used.
+  // One that has hardly idled is still reused.
   next.Forget();
   Send();
   EXPECT_TRUE(RunUntil(loop, [&] { return next.Has("body"); }));
 }
 
-TEST_F(ServersTest, ProbesAskForTheReport) {
-  Make(Plain());
-  servers->StartProbe("h1");
+TEST_F(UpstreamTest, ProbesRequestTheLoadReport) {
+  MakeUpstream(DefaultOptions());
+  upstream->StartProbe("h1");
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("GET /_load HTTP/1.1\r\n"); }));
   host.Say(Http200("latency_ms=2.5,new=1,inflight=7"));
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_EQ(probes[0].first, Outcome::kOk);
   EXPECT_EQ(probes[0].second, (LoadReport{7, 2.5}));
-  EXPECT_EQ(servers->idle_count(), 1u);
+  EXPECT_EQ(upstream->idle_count(), 1u);
 }
 
-TEST_F(ServersTest, ProbesWithoutReportsPing) {
-  Upstream::Options options = Plain();
+TEST_F(UpstreamTest, ProbesWithoutReportsPing) {
+  Upstream::Options options = DefaultOptions();
   options.reports_in_probes = false;
-  Make(options);
-  servers->StartProbe("h1");
+  MakeUpstream(options);
+  upstream->StartProbe("h1");
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("GET /ping HTTP/1.1\r\n"); }));
   host.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
@@ -589,18 +590,18 @@
   EXPECT_FALSE(probes[0].second);
 }
 
-TEST_F(ServersTest, ASilentProbeTimesOut) {
-  Make(Plain());
-  servers->StartProbe("h1");
+TEST_F(UpstreamTest, SilentProbeTimesOut) {
+  MakeUpstream(DefaultOptions());
+  upstream->StartProbe("h1");
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_EQ(probes[0].first, Outcome::kTimeout);
 }
 
-TEST_F(ServersTest, ReportsComeOnAnswersWhereTheSettingsSaySo) {
-  Upstream::Options options = Plain();
+TEST_F(UpstreamTest, ReadsReportsInResponsesWhereTheSettingsSaySo) {
+  Upstream::Options options = DefaultOptions();
   options.reports_in_responses = true;
-  Make(options);
+  MakeUpstream(options);
   const std::pair<std::string, std::optional<LoadReport>> cases[] = {
       {"X-Load-Report: inflight=3,latency_ms=9\r\n", LoadReport{3, 9}},
       {"X-Load-Report: inflight=3\r\n", std::nullopt},
@@ -612,284 +613,284 @@
   Send();
   Peer host = Host();
   for (const auto& [header, report] : cases) {
-    ends.clear();
+    finished.clear();
     host.Say(Http200("ok", header));
-    ASSERT_TRUE(Ended(1));
-    EXPECT_EQ(ends[0].outcome, Outcome::kOk) << header;
-    EXPECT_EQ(ends[0].report, report) << header;
+    ASSERT_TRUE(HasFinished(1));
+    EXPECT_EQ(finished[0].outcome, Outcome::kOk) << header;
+    EXPECT_EQ(finished[0].report, report) << header;
     host.Forget();
     Send();
     ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   }
 }
 
-TEST_F(ServersTest, ReportsOnAnswersAreLeftAloneElsewhere) {
-  Make(Plain());
+TEST_F(UpstreamTest, IgnoresReportsInResponsesElsewhere) {
+  MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
   host.Say(Http200("ok", "X-Load-Report: inflight=3,latency_ms=9\r\n"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_FALSE(ends[0].report);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_FALSE(finished[0].report);
 }
 
-// A streamed answer belongs to its client once begun: no time limit ends it.
-TEST_F(ServersTest, AStreamedAnswerOutlivesTheDeadline) {
-  cls->is_streamed = true;
-  Make(Plain());
-  const auto exchange = Send("id1", Ms(60));
+// A streamed response belongs to its client once begun: no deadline ends it.
+TEST_F(UpstreamTest, StreamedResponseOutlivesTheDeadline) {
+  request_class->is_streamed = true;
+  MakeUpstream(DefaultOptions());
+  const auto request = Send("id1", Ms(60));
   Peer host = Host();
   host.Say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
-  ASSERT_TRUE(RunUntil(loop, [&] { return established == 1; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return responses_started == 1; }));
   testing::RunFor(loop, Ms(100));
-  EXPECT_TRUE(ends.empty());
-  servers->CancelAttempt(*exchange, 0);  // is not called off
-  EXPECT_TRUE(ends.empty());
+  EXPECT_TRUE(finished.empty());
+  upstream->CancelAttempt(*request, 0);  // is not called off
+  EXPECT_TRUE(finished.empty());
   host.Say("en");
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].body, "been");
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].body, "been");
 }
 
-TEST_F(ServersTest, AStreamedAnswerEndsWithItsClient) {
-  cls->is_streamed = true;
-  Make(Plain());
-  const auto exchange = Send();
+TEST_F(UpstreamTest, StreamedResponseEndsWithItsClient) {
+  request_class->is_streamed = true;
+  MakeUpstream(DefaultOptions());
+  const auto request = Send();
   Peer host = Host();
   host.Say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
-  ASSERT_TRUE(RunUntil(loop, [&] { return established == 1; }));
-  servers->OnClientDisconnected(*exchange);
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kCancelled);
+  ASSERT_TRUE(RunUntil(loop, [&] { return responses_started == 1; }));
+  upstream->OnClientDisconnected(*request);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
 }
 
-// Our own lack of descriptors says nothing of the host, and idle connections make room first.
-TEST_F(ServersTest, WithoutDescriptorsNothingIsTransmitted) {
+// A lack of descriptors says nothing of the host, and idle connections make room first.
+TEST_F(UpstreamTest, WithoutDescriptorsNothingIsSent) {
   DescriptorBudget small(DescriptorBudget::kReserve + 40);  // 40 in all, 20 for hosts
-  servers = std::make_unique<Upstream>(loop, small, Plain(), this);
-  servers->SetEndpointAddress("h1", port.address());
+  upstream = std::make_unique<Upstream>(loop, small, DefaultOptions(), this);
+  upstream->SetEndpointAddress("h1", port.address());
   testing::Port other;
-  servers->SetEndpointAddress("h2", other.address());
-  servers->StartProbe("h2");
+  upstream->SetEndpointAddress("h2", other.address());
+  upstream->StartProbe("h2");
   Peer probed = other.Take(loop);
   probed.Say(Http200("inflight=1,latency_ms=1"));
-  ASSERT_TRUE(RunUntil(loop, [&] { return servers->idle_count() == 1; }));
-  std::vector<std::shared_ptr<ProxiedRequest>> held;
+  ASSERT_TRUE(RunUntil(loop, [&] { return upstream->idle_count() == 1; }));
+  std::vector<std::shared_ptr<ProxiedRequest>> message;
   for (int i = 0; i < 20; ++i)
-    held.push_back(Send("id" + std::to_string(i)));
-  EXPECT_TRUE(ends.empty());
-  EXPECT_EQ(servers->idle_count(), 0u);
-  held.push_back(Send("one more"));
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
-  servers.reset();
+    message.push_back(Send("id" + std::to_string(i)));
+  EXPECT_TRUE(finished.empty());
+  EXPECT_EQ(upstream->idle_count(), 0u);
+  message.push_back(Send("one more"));
+  ASSERT_EQ(finished.size(), 1u);
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
+  upstream.reset();
 }
 
-// ---- Where two events cross (docs/crossings.md) ----------------------------------------------
+// ---- Races (docs/crossings.md) ---------------------------------------------------------------
 
-// The new term's room: a connection that comes up late carried the request of a client long gone.
-TEST_F(ServersTest, WhatWaitsForItsConnectionEndsWithItsClient) {
-  Upstream::Options options = Plain();
+// A connection that came up late carried the request of a client that had left long before.
+TEST_F(UpstreamTest, ConnectingAttemptEndsWithItsClient) {
+  Upstream::Options options = DefaultOptions();
   options.connect_timeout = Ms(3000);
-  Make(options);
+  MakeUpstream(options);
   CutOff host(loop);
-  servers->SetEndpointAddress("h1", host.address());
-  const auto exchange = Send("id1", Ms(4000));
+  upstream->SetEndpointAddress("h1", host.address());
+  const auto request = Send("id1", Ms(4000));
   testing::RunFor(loop, Ms(50));
-  exchange->Abandon();
-  servers->OnClientDisconnected(*exchange);
-  EXPECT_TRUE(ends.size() == 1 && ends[0].outcome == Outcome::kNotSent);
+  request->Abandon();
+  upstream->OnClientDisconnected(*request);
+  EXPECT_TRUE(finished.size() == 1 && finished[0].outcome == Outcome::kNotSent);
   host.LetIn();
   Peer late;
   RunUntil(
       loop, [&] { return static_cast<bool>(late = host.TryTake()); }, Ms(1800));
   EXPECT_FALSE(late && late.Has("POST"));
-  EXPECT_EQ(ends.size(), 1u);
-  EXPECT_EQ(servers->connection_count(), 0u);
+  EXPECT_EQ(finished.size(), 1u);
+  EXPECT_EQ(upstream->connection_count(), 0u);
 }
 
-// Within the writing of its first bytes: the host is left with a part, which never runs.
-TEST_F(ServersTest, WhatIsHalfWrittenEndsWithItsClient) {
-  Make(Plain());
-  const auto exchange = Big("big");
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
+// During the write: the host is left with a part, which never runs.
+TEST_F(UpstreamTest, HalfWrittenRequestEndsWithItsClient) {
+  MakeUpstream(DefaultOptions());
+  const auto request = LargeRequest("big");
+  upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   Peer host = port.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("X-Call-Id: big"); }));
-  exchange->Abandon();
-  servers->OnClientDisconnected(*exchange);
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
+  request->Abandon();
+  upstream->OnClientDisconnected(*request);
+  ASSERT_EQ(finished.size(), 1u);
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   EXPECT_LT(AllOf(loop, host), 16U << 20);
 }
 
-// What has been written whole may run: its outcome is waited for, whoever has left.
-TEST_F(ServersTest, WhatIsWrittenWholeIsWaitedFor) {
-  Make(Plain());
-  const auto exchange = Send();
+// A request written in full may run: its outcome is waited for although the client has left.
+TEST_F(UpstreamTest, ResponseToAWrittenRequestIsWaitedFor) {
+  MakeUpstream(DefaultOptions());
+  const auto request = Send();
   Peer host = Host();
-  exchange->Abandon();
-  servers->OnClientDisconnected(*exchange);
-  EXPECT_TRUE(ends.empty());
+  request->Abandon();
+  upstream->OnClientDisconnected(*request);
+  EXPECT_TRUE(finished.empty());
   host.Say(Http200("done"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// Between two tries on kept connections: the first breaks when the request is over already.
-TEST_F(ServersTest, WhatIsOverGoesOnNoOtherConnection) {
-  Make(Plain());
-  Peer host = Kept();
-  const auto exchange = Big("big");
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
+// Between two reused connections: the first breaks when the request is already done.
+TEST_F(UpstreamTest, FinishedRequestMovesToNoOtherConnection) {
+  MakeUpstream(DefaultOptions());
+  Peer host = ReusableConnection();
+  const auto request = LargeRequest("big");
+  upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
-  exchange->Respond({.status = 502});
+  request->Respond({.status = 502});
   host.Reset();
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   testing::RunFor(loop, Ms(50));
   EXPECT_FALSE(static_cast<bool>(port.TryTake()));
 }
 
-// The connection is up and the time over when the loop looks: nothing may be written any more.
-TEST_F(ServersTest, AConnectionThatComesUpAsTheTimeEndsCarriesNothing) {
-  Make(Plain());
-  const auto exchange = Send("id1", Ms(40));
+// The connection is up and the deadline past when the event loop runs: nothing may be written.
+TEST_F(UpstreamTest, ConnectionEstablishedAtTheDeadlineCarriesNothing) {
+  MakeUpstream(DefaultOptions());
+  const auto request = Send("id1", Ms(40));
   Peer host;
   while (!host)
     host = port.TryTake();  // up for the kernel, not yet for the loop
   usleep(60'000);
   loop.RunOnce(Duration(0));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   EXPECT_EQ(AllOf(loop, host), 0u);
 }
 
-// A time-out against the answer's last byte: what had come by then is the outcome, once.
-TEST_F(ServersTest, AnAnswerThatCameByItsTimeIsServedThoughTheLoopLooksLater) {
-  Make(Plain());
+// Deadline against the last byte of the response: what had come by then is the one outcome.
+TEST_F(UpstreamTest, ResponseInTimeIsServedThoughTheLoopReadsItLater) {
+  MakeUpstream(DefaultOptions());
   Send("id1", Ms(60));
   Peer host = Host();
   host.Say(Http200("yes"));
   usleep(80'000);
   testing::RunFor(loop, Ms(50));
-  ASSERT_EQ(ends.size(), 1u);
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+  ASSERT_EQ(finished.size(), 1u);
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// A cancel against the answer: one outcome, and the answer reaches nobody else.
-TEST_F(ServersTest, ACancelBeforeTheAnswerIsReadIsItsOnlyOutcome) {
-  Make(Plain());
-  const auto exchange = Send();
+// Cancel against response: one outcome, and no other request gets the response.
+TEST_F(UpstreamTest, CancelBeforeTheResponseIsReadIsTheOnlyOutcome) {
+  MakeUpstream(DefaultOptions());
+  const auto request = Send();
   Peer host = Host();
   host.Say(Http200("late"));
   usleep(5000);
-  servers->CancelAttempt(*exchange, 0);
+  upstream->CancelAttempt(*request, 0);
   Send("id2");
   Peer next = Host();
   next.Say(Http200("own"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[0].outcome, Outcome::kCancelled);
-  EXPECT_EQ(ends[1].body, "own");
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
+  EXPECT_EQ(finished[1].body, "own");
 }
 
-// An answer that drips and never ends is held to the request's time, whatever comes of it.
-TEST_F(ServersTest, AnAnswerThatNeverEndsEndsWithItsTime) {
-  Make(Plain());
+// A response that drips without end is held to the deadline of the request.
+TEST_F(UpstreamTest, EndlessResponseTimesOut) {
+  MakeUpstream(DefaultOptions());
   for (const char* const head :
        {"HTTP/1.1 200 OK\r\nX-Pad: ", "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n"}) {
-    ends.clear();
+    finished.clear();
     const Time began = loop.Now();
     Send("id1", Ms(600));
     Peer host = Host();
     host.Say(head);
-    for (int i = 0; i < 30 && ends.empty(); ++i) {
+    for (int i = 0; i < 30 && finished.empty(); ++i) {
       host.Say("x");
       testing::RunFor(loop, Ms(50));
     }
-    ASSERT_EQ(ends.size(), 1u) << head;
-    EXPECT_EQ(ends[0].outcome, Outcome::kTimeout) << head;
+    ASSERT_EQ(finished.size(), 1u) << head;
+    EXPECT_EQ(finished[0].outcome, Outcome::kTimeout) << head;
     EXPECT_LT(loop.Now() - began, Ms(900)) << head;
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   }
 }
 
-// A keyed repeat was let go within the window for the time of a connect; written after that, it
-// could come when the hosts have forgotten its key.
-TEST_F(ServersTest, ARepeatOfAKeyIsWrittenWithinTheTimeOfAConnect) {
-  Make(Plain());
+// A keyed retry was started within the deduplication window, less a connect timeout; written later,
+// it could arrive when the hosts have forgotten its key.
+TEST_F(UpstreamTest, KeyedRetryIsWrittenWithinTheConnectTimeout) {
+  MakeUpstream(DefaultOptions());
   for (const size_t attempt : {0, 1}) {
-    ends.clear();
-    const auto exchange = Big("big", Ms(700));
+    finished.clear();
+    const auto request = LargeRequest("big", Ms(700));
     const Time began = loop.Now();
-    servers->StartAttempt(exchange, attempt, "h1", exchange->deadline());
+    upstream->StartAttempt(request, attempt, "h1", request->deadline());
     Peer host = port.Take(loop);
-    ASSERT_TRUE(Ended(1));
-    EXPECT_EQ(ends[0].outcome, Outcome::kConnectFailed);
+    ASSERT_TRUE(HasFinished(1));
+    EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
     const Duration took = loop.Now() - began;
     EXPECT_TRUE(attempt == 0 ? took >= Ms(690) : took < Ms(400)) << took.count();
     EXPECT_LT(AllOf(loop, host), 16U << 20);
   }
-  // One that is written in time has all of its own.
-  ends.clear();
-  const auto exchange = Request();
-  servers->StartAttempt(exchange, 1, "h1", exchange->deadline());
+  // One that is written in time has its whole deadline.
+  finished.clear();
+  const auto request = Request();
+  upstream->StartAttempt(request, 1, "h1", request->deadline());
   Peer host = Host();
   testing::RunFor(loop, Ms(300));
-  EXPECT_TRUE(ends.empty());
+  EXPECT_TRUE(finished.empty());
   host.Say(Http200("yes"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// A connect that fails a keyed repeat tells of its host as any other does.
-TEST_F(ServersTest, ARepeatOfAKeyWhoseConnectionNeverComesUpBlamesItsHost) {
-  Make(Plain());
+// A failed connect of a keyed retry counts against its host as any other does.
+TEST_F(UpstreamTest, KeyedRetryWhoseConnectTimesOutBlamesItsHost) {
+  MakeUpstream(DefaultOptions());
   const CutOff host(loop);
-  servers->SetEndpointAddress("h1", host.address());
-  const auto exchange = Request();
-  servers->StartAttempt(exchange, 1, "h1", exchange->deadline());
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kConnectFailed);
+  upstream->SetEndpointAddress("h1", host.address());
+  const auto request = Request();
+  upstream->StartAttempt(request, 1, "h1", request->deadline());
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
 }
 
-// A host that answers twice, the second time some milliseconds late: on a connection used again by
-// then the second would be served for the next request.
-TEST_F(ServersTest, ASecondAnswerIsNobodyElses) {
-  Make(Plain());
+// A host that responds twice, the second time some milliseconds late: on a connection reused by
+// then the second response would be passed on for the next request.
+TEST_F(UpstreamTest, SecondResponseIsNotTakenForAnotherRequests) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
+  ASSERT_TRUE(HasFinished(1));
   Send("id2");
   testing::RunFor(loop, Ms(5));
   host.Say(Http200("1"));
   Peer next = Host();
   next.Say(Http200("2"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].body, "2");
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].body, "2");
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));  // out of step
   EXPECT_FALSE(host.Has("POST /book/1?a=b HTTP/1.1\r\nHost: service\r\nX-Call-Id: id2"));
 }
 
-// It waits for the connection's rest rather than for another connection; its client leaves there,
-// or it stays.
-TEST_F(ServersTest, WhatWaitsForARestEndsWithItsClient) {
-  Make(Plain());
+// The request waits until the connection has settled, rather than open another; its client leaves
+// meanwhile, or stays.
+TEST_F(UpstreamTest, AttemptOnASettlingConnectionEndsWithItsClient) {
+  MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
   for (const bool leaves : {true, false}) {
-    ends.clear();
+    finished.clear();
     host.Say(Http200("1"));
-    ASSERT_TRUE(Ended(1));
+    ASSERT_TRUE(HasFinished(1));
     host.Forget();
-    ends.clear();
+    finished.clear();
     const Time began = loop.Now();
-    const auto exchange = Send("id2");
+    const auto request = Send("id2");
     testing::RunFor(loop, Ms(3));
     if (leaves) {
-      exchange->Abandon();
-      servers->OnClientDisconnected(*exchange);
-      ASSERT_EQ(ends.size(), 1u);
-      EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
+      request->Abandon();
+      upstream->OnClientDisconnected(*request);
+      ASSERT_EQ(finished.size(), 1u);
+      EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
       testing::RunFor(loop, Ms(30));
       EXPECT_EQ(host.Heard(), "");
       Send("id1");  // on another, the first of which nobody knows what it got
@@ -898,69 +899,70 @@
     }
     ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
     EXPECT_GE(loop.Now() - began, Ms(9));
-    EXPECT_EQ(servers->connection_count(), 1u);
+    EXPECT_EQ(upstream->connection_count(), 1u);
   }
 }
 
-// An answer before the request's last byte is written is no answer to it.
-TEST_F(ServersTest, AnAnswerBeforeTheLastByteIsWrittenAnswersNothing) {
-  Make(Plain());
-  Peer host = Kept();
-  const auto exchange = Big("big");
-  servers->StartAttempt(exchange, exchange->BeginAttempt(), "h1", exchange->deadline());
+// A response before the last byte of the request is written is not the response to it.
+TEST_F(UpstreamTest, SuccessBeforeTheLastByteIsWrittenIsNotSent) {
+  MakeUpstream(DefaultOptions());
+  Peer host = ReusableConnection();
+  const auto request = LargeRequest("big");
+  upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
   host.Say(Http200("1"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kNotSent);
-  EXPECT_EQ(ends[0].body, "");
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
+  EXPECT_EQ(finished[0].body, "");
   EXPECT_LT(AllOf(loop, host), 16U << 20);
-  // Being turned away may come as early.
-  ends.clear();
-  const auto other = Big("big");
-  servers->StartAttempt(other, other->BeginAttempt(), "h1", other->deadline());
+  // A rejection may come as early.
+  finished.clear();
+  const auto other = LargeRequest("big");
+  upstream->StartAttempt(other, other->BeginAttempt(), "h1", other->deadline());
   Peer full = port.Take(loop);
   full.Say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kRejected);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kRejected);
 }
 
-// New settings with a shorter time to idle: what has idled past it is not used before it is closed.
-TEST_F(ServersTest, WhatIdledPastANewTimeIsNotUsed) {
-  Make(Plain());
-  Peer host = Kept();
+// New settings with a shorter idle limit: a connection that has idled longer is not reused before
+// it closes.
+TEST_F(UpstreamTest, ConnectionIdlePastAChangedLimitIsNotReused) {
+  MakeUpstream(DefaultOptions());
+  Peer host = ReusableConnection();
   testing::RunFor(loop, Ms(100));
-  Upstream::Options options = Plain();
+  Upstream::Options options = DefaultOptions();
   options.endpoint_idle_timeout = Ms(100);
-  servers->set_options(options);
+  upstream->set_options(options);
   Send("id2");
   Peer next = Host();
   EXPECT_FALSE(host.Has("body"));
   next.Say(Http200("2"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].outcome, Outcome::kOk);
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// It leaves the list and returns under its id at another address: nothing goes to the old one, and
-// what was out there ends as it would have.
-TEST_F(ServersTest, AHostThatReturnsElsewhereIsAskedThere) {
-  Make(Plain());
-  Peer kept = Kept();
+// A host leaves the list and returns under its id at another address: nothing goes to the old one,
+// and transactions there end as usual.
+TEST_F(UpstreamTest, HostThatReturnsAtAnotherAddressIsUsedThere) {
+  MakeUpstream(DefaultOptions());
+  Peer kept = ReusableConnection();
   Send("out");
   ASSERT_TRUE(RunUntil(loop, [&] { return kept.Has("body"); }));
-  servers->RemoveEndpoint("h1");
+  upstream->RemoveEndpoint("h1");
   testing::Port elsewhere;
-  servers->SetEndpointAddress("h1", elsewhere.address());
+  upstream->SetEndpointAddress("h1", elsewhere.address());
   kept.Say(Http200("old"));
-  ASSERT_TRUE(Ended(1));
-  EXPECT_EQ(ends[0].body, "old");
-  Rest();
+  ASSERT_TRUE(HasFinished(1));
+  EXPECT_EQ(finished[0].body, "old");
+  WaitUntilSettled();
   Send("new");
   Peer host = elsewhere.Take(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   EXPECT_TRUE(kept.Ended());
   host.Say(Http200("new"));
-  ASSERT_TRUE(Ended(2));
-  EXPECT_EQ(ends[1].body, "new");
+  ASSERT_TRUE(HasFinished(2));
+  EXPECT_EQ(finished[1].body, "new");
 }
 
 }  // namespace
--- a/tests/http/http_parser_test.cpp
+++ b/tests/http/http_parser_test.cpp
@@ -16,7 +16,7 @@
   std::string base, body, rest;
 };
 
-// Feeds the pieces one by one until the parser has had enough.
+// Feeds the pieces one by one until the parser is done or has failed.
 Parsed Parse(HttpParser::Kind kind, const std::vector<std::string>& pieces) {
   Parsed out;
   Buffer in;
@@ -55,7 +55,7 @@
     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA;x=y\r\n0123456789\r\n"
     "0\r\nTrailer: t\r\n\r\n";
 
-TEST(Http, ReadsARequest) {
+TEST(HttpParserTest, ReadsARequest) {
   const Parsed p = ParseRequest(kPost + "GET");
   ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.message.method.In(p.base), "POST");
@@ -66,7 +66,7 @@
   EXPECT_TRUE(p.message.keep_alive);
 }
 
-TEST(Http, ReadsTheSameSplitAtEveryByte) {
+TEST(HttpParserTest, ReadsTheSameSplitAtEveryByte) {
   for (const std::string& text : {kPost, kChunked}) {
     const Parsed whole = ParseRequest(text);
     ASSERT_EQ(whole.progress, ParseProgress::kDone);
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(Http, IsNotDoneBeforeTheLastByte) {
+TEST(HttpParserTest, IsNotDoneBeforeTheLastByte) {
   for (const std::string& text : {kPost, kChunked}) {
     for (size_t size = 0; size < text.size(); ++size) {
       EXPECT_EQ(ParseRequest(text.substr(0, size)).progress, ParseProgress::kNeedMore) << size;
@@ -91,7 +91,7 @@
   }
 }
 
-TEST(Http, UndoesChunksInPlace) {
+TEST(HttpParserTest, DecodesChunksInPlace) {
   const Parsed p = ParseRequest(kChunked + "next");
   ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.body, "abc0123456789");
@@ -99,7 +99,7 @@
 }
 
 // A body of one-byte chunks is six times as long on the wire; only its content may be kept.
-TEST(Http, KeepsNoFramingOfChunks) {
+TEST(HttpParserTest, KeepsNoFramingOfChunks) {
   Buffer in;
   HttpParser parser(HttpParser::Kind::kRequest);
   in.Append("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -114,7 +114,7 @@
   EXPECT_EQ(parser.message().body.In(in.view()), std::string(1000, 'x'));
 }
 
-TEST(Http, RefusesLostFraming) {
+TEST(HttpParserTest, RejectsLostFraming) {
   const std::pair<std::string, int> bad[] = {
       {"GET /a HTTP/1.1\nHost: s\r\n\r\n", 400},                       // bare line ends
       {"GET /a HTTP/1.1\r\nHost: s\n\r\n", 400},                       //
@@ -154,7 +154,7 @@
   }
 }
 
-TEST(Http, LimitsHeadAndBody) {
+TEST(HttpParserTest, LimitsHeadAndBody) {
   EXPECT_EQ(ParseRequest("GET /" + std::string(kMaxHeadBytes, 'a')).bad, 431);
   std::string many = "GET /a HTTP/1.1\r\n";
   for (size_t i = 0; i <= kMaxHeaders; ++i)
@@ -170,7 +170,7 @@
   EXPECT_EQ(ParseRequest(chunks + "0\r\n\r\n").bad, 413);
 }
 
-TEST(Http, KnowsWhetherTheConnectionIsKept) {
+TEST(HttpParserTest, ReadsKeepAlive) {
   EXPECT_FALSE(ParseRequest("GET /a HTTP/1.1\r\nConnection: x, Close\r\n\r\n").message.keep_alive);
   EXPECT_FALSE(ParseRequest("GET /a HTTP/1.0\r\n\r\n").message.keep_alive);
   EXPECT_TRUE(ParseRequest("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n").message.keep_alive);
@@ -179,7 +179,7 @@
                    .message.keep_alive);
 }
 
-TEST(Http, ReadsAnswers) {
+TEST(HttpParserTest, ReadsResponses) {
   const Parsed p = ParseAnswer("HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno");
   ASSERT_EQ(p.progress, ParseProgress::kDone);
   EXPECT_EQ(p.message.status, 503);
@@ -190,7 +190,7 @@
       "x");
 }
 
-TEST(Http, PassesOverInterimAnswers) {
+TEST(HttpParserTest, SkipsInterimResponses) {
   const Parsed p =
       ParseAnswer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
   ASSERT_EQ(p.progress, ParseProgress::kDone);
@@ -198,9 +198,9 @@
   EXPECT_EQ(p.body, "x");
 }
 
-// The end of the connection is also what a host's death looks like: half a body must not pass.
-// Such an answer ends with its connection and not before; a request never does.
-TEST(Http, AnAnswerWithoutALengthEndsWithItsConnection) {
+// A connection also ends when a host dies: half a body must not pass. Such a response ends with its
+// connection and not before; a request never does.
+TEST(HttpParserTest, ResponseWithoutALengthEndsWithItsConnection) {
   EXPECT_EQ(ParseAnswer("HTTP/1.1 200 OK\r\n\r\nhalf").progress, ParseProgress::kNeedMore);
   Buffer in;
   in.Append("HTTP/1.1 200 OK\r\n\r\nall");
@@ -216,7 +216,7 @@
   EXPECT_FALSE(other.EndsWithConnection(cut));
 }
 
-TEST(Http, RefusesMalformedAnswers) {
+TEST(HttpParserTest, RejectsMalformedResponses) {
   for (const char* const text :
        {"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 999 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n",
         "ICY 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
@@ -225,7 +225,7 @@
   }
 }
 
-TEST(Http, HeadersOfOneConnectionOnly) {
+TEST(HttpParserTest, KnowsHopByHopHeaders) {
   const Parsed p =
       ParseRequest("GET /a HTTP/1.1\r\nConnection: X-Mine, close\r\nX-Mine: 1\r\n\r\n");
   EXPECT_TRUE(IsHopByHop(p.message, p.base, "x-mine"));
@@ -233,9 +233,9 @@
   EXPECT_FALSE(IsHopByHop(p.message, p.base, "X-Call-Id"));
 }
 
-// Seeded changes of good messages: whatever comes, the parser neither runs on for ever nor reads
-// past the buffer (ASan looks), and says the same whole or a byte at a time.
-TEST(Http, TakesAnyMutationTheSameWholeOrByBytes) {
+// Seeded mutations of valid messages: the parser ends, reads nothing past the buffer (for ASan to
+// see), and has the same result in one go as by bytes.
+TEST(HttpParserTest, ParsesAnyMutationTheSameInOneGoOrByBytes) {
   std::mt19937 rng(20261201);
   const std::string answer =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Load-Report: inflight=1\r\n\r\n"
--- a/tests/http/proxied_request_test.cpp
+++ b/tests/http/proxied_request_test.cpp
@@ -9,38 +9,39 @@
 namespace paddlestile {
 namespace {
 
-class ExchangeTest : public ::testing::Test {
+class ProxiedRequestTest : public ::testing::Test {
  protected:
-  std::shared_ptr<const RequestClass> cls =
+  std::shared_ptr<const RequestClass> request_class =
       std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kSafe));
-  std::vector<int> answers;
-  ProxiedRequest exchange{"id", BufferedMessage{}, Time(100), cls, [this](const Response& answer) {
-                            answers.push_back(answer.status);
-                          }};
+  std::vector<int> statuses;
+  ProxiedRequest request{"id", BufferedMessage{}, Time(100), request_class,
+                         [this](const Response& response) {
+                           statuses.push_back(response.status);
+                         }};
 };
 
-TEST_F(ExchangeTest, GivesOneAnswer) {
-  EXPECT_FALSE(exchange.done());
-  EXPECT_TRUE(exchange.Respond({.status = 200}));
-  EXPECT_FALSE(exchange.Respond({.status = 503}));
-  EXPECT_TRUE(exchange.done());
-  EXPECT_EQ(answers, std::vector<int>{200});
+TEST_F(ProxiedRequestTest, SendsOneResponse) {
+  EXPECT_FALSE(request.done());
+  EXPECT_TRUE(request.Respond({.status = 200}));
+  EXPECT_FALSE(request.Respond({.status = 503}));
+  EXPECT_TRUE(request.done());
+  EXPECT_EQ(statuses, std::vector<int>{200});
 }
 
-TEST_F(ExchangeTest, AnswersNobodyOnceTheClientHasLeft) {
-  exchange.Abandon();
-  EXPECT_TRUE(exchange.done());
-  EXPECT_FALSE(exchange.Respond({.status = 200}));
-  EXPECT_TRUE(answers.empty());
+TEST_F(ProxiedRequestTest, SendsNoResponseOnceAbandoned) {
+  request.Abandon();
+  EXPECT_TRUE(request.done());
+  EXPECT_FALSE(request.Respond({.status = 200}));
+  EXPECT_TRUE(statuses.empty());
 }
 
-TEST_F(ExchangeTest, NumbersAttemptsInTheOrderOfTheirSends) {
-  EXPECT_EQ(exchange.BeginAttempt(), 0u);
-  EXPECT_EQ(exchange.BeginAttempt(), 1u);
-  EXPECT_EQ(exchange.attempts_in_flight(), 2);
-  exchange.EndAttempt();
-  EXPECT_EQ(exchange.attempts_in_flight(), 1);
-  EXPECT_EQ(exchange.BeginAttempt(), 2u);
+TEST_F(ProxiedRequestTest, NumbersAttemptsInTheOrderOfTheirStart) {
+  EXPECT_EQ(request.BeginAttempt(), 0u);
+  EXPECT_EQ(request.BeginAttempt(), 1u);
+  EXPECT_EQ(request.attempts_in_flight(), 2);
+  request.EndAttempt();
+  EXPECT_EQ(request.attempts_in_flight(), 1);
+  EXPECT_EQ(request.BeginAttempt(), 2u);
 }
 
 }  // namespace
