--- a/src/cluster/config_document.cpp
+++ b/src/cluster/config_document.cpp
@@ -66,36 +66,31 @@
 
 // ---- A document -------------------------------------------------------------------------------
 
-struct ParsedText {
-  json value;  // an object, where there are no faults
-  std::vector<std::string> faults;
-};
-
-ParsedText ParseText(std::string_view text, size_t max_bytes) {
-  ParsedText parsed;
-  parsed.faults = ValidateSize(text.size(), max_bytes);
-  if (!parsed.faults.empty()) {
-    return parsed;
+// The document of a text: an object, where no fault is added.
+json ParseText(std::string_view text, size_t max_bytes, std::vector<std::string>& faults) {
+  faults = ValidateSize(text.size(), max_bytes);
+  if (!faults.empty()) {
+    return {};
   }
-  parsed.value = json::parse(text, nullptr, false);
-  if (parsed.value.is_discarded() || !parsed.value.is_object()) {
-    parsed.faults = {"expected one JSON object"};
-    return parsed;
+  json value = json::parse(text, nullptr, false);
+  if (value.is_discarded() || !value.is_object()) {
+    faults = {"expected one JSON object"};
+    return {};
   }
-  ValidateKeys(parsed.value, parsed.faults);
-  ValidateHosts(parsed.value, kExcludedKey, parsed.faults);
-  ValidateHosts(parsed.value, kDrainingKey, parsed.faults);
-  ValidateZones(parsed.value, parsed.faults);
-  ValidateSettings(parsed.value, parsed.faults);
-  return parsed;
+  ValidateKeys(value, faults);
+  ValidateHosts(value, kExcludedKey, faults);
+  ValidateHosts(value, kDrainingKey, faults);
+  ValidateZones(value, faults);
+  ValidateSettings(value, faults);
+  return value;
 }
 
 ConfigDocument Parse(std::string_view text, size_t max_bytes) {
-  const ParsedText parsed = ParseText(text, max_bytes);
-  if (!parsed.faults.empty()) {
-    throw std::invalid_argument(parsed.faults.front());
+  std::vector<std::string> faults;
+  const json value = ParseText(text, max_bytes, faults);
+  if (!faults.empty()) {
+    throw std::invalid_argument(faults.front());
   }
-  const json& value = parsed.value;
   ConfigDocument document;
   document.settings = value.value(kSettingsKey, json::object());
   document.excluded = value.value(kExcludedKey, std::set<std::string>());
@@ -148,7 +143,9 @@
 }  // namespace
 
 std::vector<std::string> ValidateDocument(std::string_view text) {
-  return ParseText(text, kMaxDocumentBytes).faults;
+  std::vector<std::string> faults;
+  ParseText(text, kMaxDocumentBytes, faults);
+  return faults;
 }
 
 std::vector<std::string> ValidateSize(size_t bytes, size_t max_bytes) {
--- a/src/cluster/delta.cpp
+++ b/src/cluster/delta.cpp
@@ -110,21 +110,21 @@
 }  // namespace
 
 VersionContent ApplyDelta(VersionContent base, std::string_view text) {
-  ParsedDelta delta = ParseDelta(text);
-  if (!delta.faults.empty()) {
-    throw std::invalid_argument(delta.faults.front());
+  std::vector<std::string> faults;
+  nlohmann::json delta = ParseDelta(text, faults);
+  if (!faults.empty()) {
+    throw std::invalid_argument(faults.front());
   }
   VersionContent content = std::move(base);
-  std::vector<std::string> faults;
   try {
-    MergeSettings(delta.value, content, faults);
-    ReplaceSettings(delta.value, content, faults);
+    MergeSettings(delta, content, faults);
+    ReplaceSettings(delta, content, faults);
   } catch (const std::invalid_argument& fault) {
     throw std::invalid_argument(kResultFaultPrefix + std::string(fault.what()));
   }
-  ApplyHosts(delta.value, kExcludedKey, content.excluded);
-  ApplyHosts(delta.value, kDrainingKey, content.draining);
-  ApplyZones(delta.value, content.zone_only);
+  ApplyHosts(delta, kExcludedKey, content.excluded);
+  ApplyHosts(delta, kDrainingKey, content.draining);
+  ApplyZones(delta, content.zone_only);
   // Parts that the delta does not name were validated in the version that made them.
   if (faults.empty()) {
     faults = ValidateSize(TextBytes(content), kMaxVersionBytes);
--- a/src/cluster/delta_validation.cpp
+++ b/src/cluster/delta_validation.cpp
@@ -148,32 +148,35 @@
 
 }  // namespace
 
-ParsedDelta ParseDelta(std::string_view text) {
+json ParseDelta(std::string_view text, std::vector<std::string>& faults) {
   if (text.size() > kMaxDeltaBytes) {
-    return {{},
-            {"a delta of " + std::to_string(text.size()) + " bytes, expected " +
-             std::to_string(kMaxDeltaBytes) + " at most"}};
+    faults = {"a delta of " + std::to_string(text.size()) + " bytes, expected " +
+              std::to_string(kMaxDeltaBytes) + " at most"};
+    return {};
   }
   // Before it is parsed: the parser's own callback at each depth goes through all siblings.
   if (NestingOf(text) > kMaxNesting) {
-    return {{}, {"nested more than " + std::to_string(kMaxNesting) + " deep, expected less"}};
-  }
-  ParsedDelta delta;
-  delta.value = json::parse(text, nullptr, false);
-  if (delta.value.is_discarded() || !delta.value.is_object()) {
-    return {{}, {"expected one JSON object"}};
-  }
-  ValidateKeys(delta.value, delta.faults);
-  ValidateHosts(delta.value, kExcludedKey, delta.faults);
-  ValidateHosts(delta.value, kDrainingKey, delta.faults);
-  ValidateZones(delta.value, delta.faults);
-  ValidateSettings(delta.value, delta.faults);
-  ValidateReplace(delta.value, delta.faults);
+    faults = {"nested more than " + std::to_string(kMaxNesting) + " deep, expected less"};
+    return {};
+  }
+  json delta = json::parse(text, nullptr, false);
+  if (delta.is_discarded() || !delta.is_object()) {
+    faults = {"expected one JSON object"};
+    return {};
+  }
+  ValidateKeys(delta, faults);
+  ValidateHosts(delta, kExcludedKey, faults);
+  ValidateHosts(delta, kDrainingKey, faults);
+  ValidateZones(delta, faults);
+  ValidateSettings(delta, faults);
+  ValidateReplace(delta, faults);
   return delta;
 }
 
 std::vector<std::string> ValidateDelta(std::string_view text) {
-  return ParseDelta(text).faults;
+  std::vector<std::string> faults;
+  ParseDelta(text, faults);
+  return faults;
 }
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/delta_validation.h
+++ b/src/cluster/delta_validation.h
@@ -9,11 +9,8 @@
 
 namespace paddlestile::cluster {
 
-struct ParsedDelta {
-  nlohmann::json value;             // an object, where there are no faults
-  std::vector<std::string> faults;  // as of ValidateDelta
-};
-ParsedDelta ParseDelta(std::string_view text);
+// The delta of a text: an object, where no fault is added. `faults`: as of ValidateDelta.
+nlohmann::json ParseDelta(std::string_view text, std::vector<std::string>& faults);
 
 }  // namespace paddlestile::cluster
 
--- a/src/cluster/persistent_map.cpp
+++ b/src/cluster/persistent_map.cpp
@@ -25,9 +25,10 @@
 // The entry of this name in a chunk, or where it would be.
 template <typename Entries>
 auto LowerBound(Entries& chunk, std::string_view name) {
-  return std::lower_bound(
-      chunk.begin(), chunk.end(), name,
-      [](const MapEntry& entry, std::string_view wanted) { return entry.name < wanted; });
+  return std::lower_bound(chunk.begin(), chunk.end(), name,
+                          [](const MapEntry& entry, std::string_view wanted) {
+                            return entry.name.compare(wanted) < 0;
+                          });
 }
 
 }  // namespace
--- a/src/cluster/persistent_map.h
+++ b/src/cluster/persistent_map.h
@@ -137,7 +137,7 @@
   if (a.chunks_ == b.chunks_) {
     return;
   }
-  const std::string* const kNotThere = nullptr;
+  const std::string* const absent = nullptr;
   Cursor in_a(a.chunks());
   Cursor in_b(b.chunks());
   while (!in_a.at_end() || !in_b.at_end()) {
@@ -151,9 +151,9 @@
                            : in_b.at_end() ? -1
                                            : in_a.entry().name.compare(in_b.entry().name);
     if (comparison < 0) {
-      each(in_a.entry().name, &in_a.entry().text, kNotThere);
+      each(in_a.entry().name, &in_a.entry().text, absent);
     } else if (comparison > 0) {
-      each(in_b.entry().name, kNotThere, &in_b.entry().text);
+      each(in_b.entry().name, absent, &in_b.entry().text);
     } else if (in_a.entry().text != in_b.entry().text) {
       each(in_a.entry().name, &in_a.entry().text, &in_b.entry().text);
     }
