--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -11,18 +11,20 @@
 namespace paddlestile {
 namespace {
 
-constexpr size_t kMinPoolEntries = 2;        // for the hot-cold order
-constexpr double kMinAffinityRank = 0.6;     // of the cut, for light requests
-constexpr double kPriorityLimitRange = 0.3;  // of the limit: less for the least priority, more for
-                                             // the most; one limit for all would shed all
+constexpr size_t kMinPoolEntries = 2;             // needed for the hot-cold order
+constexpr double kMinAffinityColdQuantile = 0.6;  // for cheap requests
+// The priority of a request scales the concurrency limit by up to this fraction in either
+// direction. With the same limit for all, requests of high priority would be shed as well.
+constexpr double kPriorityLimitRange = 0.3;
 
-// The rank of the in-flight cut. A heavy request gains most where its key is warm, a light one
-// where little else is at work.
-double ColdRank(const Settings& settings, double cost) {
+// The quantile of the in-flight cut. With key affinity it grows with the cost of the request:
+// expensive requests gain most from an endpoint that has their key's work cached, cheap ones from
+// an endpoint with few requests in flight.
+double ColdQuantile(const Settings& settings, double cost) {
   if (!settings.key_affinity) {
-    return ProbePool::kColdRank;
+    return ProbePool::kColdQuantile;
   }
-  return std::clamp(ProbePool::kAffinityColdRank * cost, kMinAffinityRank, 1.0);
+  return std::clamp(ProbePool::kAffinityColdQuantile * cost, kMinAffinityColdQuantile, 1.0);
 }
 
 }  // namespace
@@ -102,8 +104,8 @@
   return reason == ExclusionReason::kNone;
 }
 
-// With a fresh report of one of the endpoints that the request considers, an endpoint without one
-// is not taken: other gateways may have filled it.
+// An endpoint without a fresh load report is excluded if any endpoint that the request considers
+// has one: other gateways may have filled it since.
 bool EndpointSelection::IsLoadKnown(const EventContext& context, const Request& request,
                                     const Endpoint& endpoint) const {
   const auto has_fresh_report = [&](const Endpoint& other) {
@@ -115,18 +117,18 @@
          });
 }
 
-// The best eligible entry of the hot-cold order, of equal ones a random one. At least one entry
-// must be eligible.
+// Returns the best eligible entry of the hot-cold order; ties are broken at random. At least one
+// entry must be eligible.
 Selection EndpointSelection::SelectFromPool(const EventContext& context, const Request& request,
                                             SelectionPass pass) {
   const double cut =
-      pool_.InFlightCut(context.now, ColdRank(context.settings, traffic_.Cost(request)));
+      pool_.InFlightCut(context.now, ColdQuantile(context.settings, traffic_.Cost(request)));
   std::optional<size_t> best;
   HotColdKey best_key;
   size_t ties = 0;
   for (const PoolEntry& entry : pool_.entries()) {
     const HotColdKey key =
-        pool_.OrderOf(context.now, entry, cut, AffinityFactor(request, entry.endpoint));
+        pool_.HotColdKeyOf(context.now, entry, cut, AffinityFactor(request, entry.endpoint));
     if (!IsEligible(context, request, entry.endpoint, pass) || (best && key > best_key)) {
       continue;
     }
@@ -139,8 +141,9 @@
   return {best.value(), best_key.is_hot ? SelectionMethod::kHot : SelectionMethod::kCold};
 }
 
-// The one of two random eligible endpoints with fewer attempts of this gateway in flight. Of a
-// large subset they are drawn first, and all are looked at only if the draws don't find two.
+// Picks two random eligible endpoints and returns the one with fewer attempts of this gateway in
+// flight. A large subset is sampled first and scanned only if the samples contain fewer than two
+// eligible endpoints.
 std::optional<Selection> EndpointSelection::SelectByTwoChoices(const EventContext& context,
                                                                const Request& request,
                                                                SelectionPass pass) {
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -1,5 +1,5 @@
-// Which endpoint gets a request, and why another does not: exclusion first, then the hot-cold order
-// of the probe pool, then two random choices.
+// Selects the endpoint of a request. Ineligible endpoints are excluded first. The hot-cold order of
+// the probe pool then picks one, or two random choices if the pool has no eligible entry.
 #ifndef PADDLESTILE_BALANCER_ENDPOINT_SELECTION_H_
 #define PADDLESTILE_BALANCER_ENDPOINT_SELECTION_H_
 
@@ -21,11 +21,11 @@
 
 namespace paddlestile {
 
-// What an endpoint must satisfy; each pass keeps what the next ones ask for.
+// How strict the exclusion is. Each pass drops conditions of the one before it.
 enum class SelectionPass {
-  kInTime,       // the predicted latency is well within the objective, the limit strict
-  kWithinLimit,  // no prediction
-  kLastResort    // unsafe requests go to doubtful endpoints too
+  kInTime,       // predicted latency well within the objective, strict concurrency limit
+  kWithinLimit,  // as kInTime, without the prediction and with the higher limit of key affinity
+  kLastResort    // as kWithinLimit; unsafe requests may go to doubtful endpoints
 };
 
 struct Selection {
@@ -33,8 +33,8 @@
   SelectionMethod method = SelectionMethod::kNone;
 };
 
-// Reads the state of the other modules; keeps the reasons of its last look. The slow-start buckets
-// are refilled as it asks them.
+// Reads the state of the other modules and keeps the exclusion reasons of the last selection.
+// Checking a slow-start budget refills its bucket.
 class EndpointSelection {
  public:
   EndpointSelection(EndpointTable& endpoints, const EndpointSubset& subset, ProbePool& pool,
@@ -50,17 +50,17 @@
         retry_policy_(retry_policy),
         traffic_(traffic) {}
 
-  // The endpoint for a request, or nothing if none may take it.
+  // Returns the endpoint for a request, or nothing if none is eligible.
   std::optional<Selection> Select(const EventContext& context, const Request& request,
                                   SelectionPass pass);
-  // Why the endpoint may not take the request in this pass; kNone if it may.
+  // Returns why the endpoint is excluded for the request in this pass; kNone if it is eligible.
   ExclusionReason WhyExcluded(const EventContext& context, const Request& request, size_t endpoint,
                               SelectionPass pass);
-  // Whether the retry policy and the slow-start budget let the endpoint have the request. Every
-  // attempt passes here again at the moment of sending.
+  // Whether the retry policy and the slow-start budget permit an attempt at the endpoint. The
+  // dispatcher checks this again for every attempt immediately before it starts.
   bool IsAttemptPermitted(const EventContext& context, const Request& request, Endpoint& endpoint);
-  // The reason that excluded most endpoints at the last Select of any request; kNone if there was
-  // no endpoint.
+  // Returns the reason that excluded the most endpoints at the last Select of any request; kNone if
+  // there was no endpoint.
   [[nodiscard]] ExclusionReason MostFrequentExclusion() const;
 
  private:
@@ -80,7 +80,7 @@
   const SlowStart& slow_start_;
   const RetryPolicy& retry_policy_;
   const TrafficStatistics& traffic_;
-  std::array<int, kExclusionReasonCount> exclusions_{};  // endpoints looked at, by reason
+  std::array<int, kExclusionReasonCount> exclusions_{};  // endpoints checked, by reason
 };
 
 }  // namespace paddlestile
--- a/src/balancer/probe_pool.cpp
+++ b/src/balancer/probe_pool.cpp
@@ -7,16 +7,18 @@
 namespace paddlestile {
 namespace {
 
-constexpr size_t kMinCapacity = 2;              // entries: the hot-cold order compares two
-constexpr size_t kMaxCapacity = 16;             // entries, as in the paper
-constexpr double kSubsetFraction = 0.8;         // below 1 keeps the paper's reuse formula defined
-constexpr double kMaxAgeUs = 1e6;               // longer where requests are few
-constexpr double kProbeSpend = 0.008;           // of the result; what probes may cost where priced
+constexpr size_t kMinCapacity = 2;   // entries; the hot-cold order compares two
+constexpr size_t kMaxCapacity = 16;  // entries, as in the paper
+// Capacity as a fraction of the subset. Below 1, so that the paper's reuse formula is defined.
+constexpr double kMaxSubsetFraction = 0.8;
+constexpr double kMaxAgeUs = 1e6;  // longer at low request rates
+// Where probes have a cost, a request may spend this share of its result on them.
+constexpr double kProbeCostShare = 0.008;
 constexpr double kMinProbesPerRequest = 0.25;   // keeps the pool of a small subset filled
-constexpr double kMaxProbesPerRequest = 2;      // more shows nothing new
-constexpr double kRemovalsPerProbe = 1.0 / 12;  // well inside the formula's domain
-constexpr double kReuseFactor = 2;              // one more than the paper's delta of 1
-constexpr double kMinProbesPerUs = 1e-6;        // it is divided by
+constexpr double kMaxProbesPerRequest = 2;      // more would add no information
+constexpr double kRemovalsPerProbe = 1.0 / 12;  // well within the domain of the reuse formula
+constexpr double kReuseFactor = 2;              // 1 + delta, with the paper's delta of 1
+constexpr double kMinProbesPerUs = 1e-6;        // lower bound of a divisor
 
 }  // namespace
 
@@ -24,19 +26,22 @@
   if (!settings.allowed.probes) {
     return 0;
   }
-  // A first view of all of the subset before the first seconds crowd it.
+  // At the start probe at the full rate, until there was about one probe per endpoint of the
+  // subset. Otherwise the gateway overloads the few endpoints whose load it knows.
   if (settings.costs.probe <= 0 || probes_sent_ < static_cast<int>(subset_.size())) {
     return kMaxProbesPerRequest;
   }
-  return std::clamp(kProbeSpend / settings.costs.probe, kMinProbesPerRequest, kMaxProbesPerRequest);
+  return std::clamp(kProbeCostShare / settings.costs.probe, kMinProbesPerRequest,
+                    kMaxProbesPerRequest);
 }
 
 size_t ProbePool::Capacity() const {
-  const auto fraction = static_cast<size_t>(kSubsetFraction * static_cast<double>(subset_.size()));
+  const auto fraction =
+      static_cast<size_t>(kMaxSubsetFraction * static_cast<double>(subset_.size()));
   return std::clamp(fraction, kMinCapacity, kMaxCapacity);
 }
 
-// The paper's formula; 1 outside its domain.
+// The reuse formula of the paper; 1 outside its domain.
 double ProbePool::UsesPerEntry(const Settings& settings) const {
   const double capacity = static_cast<double>(Capacity());
   const double subset_size = static_cast<double>(subset_.size());
@@ -51,7 +56,7 @@
 void ProbePool::Add(const EventContext& context, size_t endpoint, double latency_us,
                     double round_trip_us) {
   std::erase_if(entries_, [&](const PoolEntry& entry) { return entry.endpoint == endpoint; });
-  // Rounded at random, so that the mean is exact.
+  // Rounded up or down at random, so that the mean is exact.
   const int uses = static_cast<int>(UsesPerEntry(context.settings) + context.random.Uniform());
   if (entries_.size() >= Capacity()) {
     entries_.erase(entries_.begin());
@@ -64,7 +69,7 @@
 }
 
 void ProbePool::DropUnusable(const EventContext& context) {
-  // Where requests are few, entries serve for as long as their probes take to fill the pool.
+  // At low request rates entries live as long as it takes to fill the pool with new ones.
   const double probes_per_us =
       std::max(traffic_.ArrivalsPerUs(ProbesPerRequest(context.settings)), kMinProbesPerUs);
   const double max_age_us = std::max(kMaxAgeUs, static_cast<double>(Capacity()) / probes_per_us);
@@ -89,16 +94,16 @@
     if (entries_.empty()) {
       continue;
     }
-    entries_.erase(remove_oldest_next_ ? entries_.begin() : Worst(context));
+    entries_.erase(remove_oldest_next_ ? entries_.begin() : FindWorst(context));
     remove_oldest_next_ = !remove_oldest_next_;
   }
 }
 
-std::vector<PoolEntry>::iterator ProbePool::Worst(const EventContext& context) {
-  const double cut =
-      InFlightCut(context.now, context.settings.key_affinity ? kAffinityColdRank : kColdRank);
+std::vector<PoolEntry>::iterator ProbePool::FindWorst(const EventContext& context) {
+  const double cut = InFlightCut(
+      context.now, context.settings.key_affinity ? kAffinityColdQuantile : kColdQuantile);
   return std::ranges::max_element(entries_, {}, [&](const PoolEntry& entry) {
-    return OrderOf(context.now, entry, cut, /*latency_factor=*/1);
+    return HotColdKeyOf(context.now, entry, cut, /*latency_factor=*/1);
   });
 }
 
@@ -106,12 +111,12 @@
   return std::ranges::count(entries_, endpoint, &PoolEntry::endpoint) > 0;
 }
 
-double ProbePool::InFlightCut(Time now, double rank) const {
+double ProbePool::InFlightCut(Time now, double quantile) const {
   std::vector<double> in_flight;
   for (const PoolEntry& entry : entries_) {
     in_flight.push_back(concurrency_limit_.InFlight(now, endpoints_[entry.endpoint]));
   }
-  const auto index = static_cast<long>(rank * static_cast<double>(in_flight.size() - 1));
+  const auto index = static_cast<long>(quantile * static_cast<double>(in_flight.size() - 1));
   std::ranges::nth_element(in_flight, in_flight.begin() + index);
   return in_flight[static_cast<size_t>(index)];
 }
--- a/tests/balancer/probe_pool_test.cpp
+++ b/tests/balancer/probe_pool_test.cpp
@@ -1,4 +1,4 @@
-// The age and the use of pool entries.
+// Tests of the age and the uses of pool entries.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -27,7 +27,7 @@
 TEST(ProbePoolTest, OldEntriesAreNotUsed) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(6);
-  gateway.WarmUp(100);  // 200 requests a second: a second's probes fill the pool many times over
+  gateway.WarmUp(100);  // 200 requests per second: their probes fill the pool many times a second
   for (const char* id : {"e0", "e1", "e2", "e3"}) {
     gateway.FinishProbe(id, 0, 10);
   }
@@ -36,14 +36,15 @@
   EXPECT_EQ(gateway.balancer.statistics().last_selection, SelectionMethod::kFallback);
 }
 
-// At five requests a second a maximum age of one second would leave the pool empty.
-TEST(ProbePoolTest, EntriesServeLongerWhereRequestsAreFew) {
+// Guards against a pool that is mostly empty: at five requests per second, entries with a maximum
+// age of one second would expire before the next probes.
+TEST(ProbePoolTest, EntriesLiveLongerAtLowRequestRates) {
   Settings settings = MakeSettings();
   settings.instance_count = 400;
   settings.costs.probe = 0.04;
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(68);
-  size_t met = 0;
+  size_t pool_selections = 0;
   for (int i = 0; i < 300; ++i) {
     const std::string id = "r" + std::to_string(i);
     const size_t before = gateway.attempts.size();
@@ -57,32 +58,32 @@
     }
     gateway.Advance(Ms(180));
     if (i >= 100 && gateway.balancer.statistics().last_selection != SelectionMethod::kFallback) {
-      ++met;
+      ++pool_selections;
     }
   }
-  EXPECT_GT(met, 150U);
+  EXPECT_GT(pool_selections, 150U);
 }
 
-TEST(ProbePoolTest, EntriesAreUsedABoundedNumberOfTimes) {
+TEST(ProbePoolTest, EntriesAreUsedALimitedNumberOfTimes) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(30);
   for (int i = 0; i < 10; ++i) {
     gateway.FinishProbe("e" + std::to_string(i), 0, 10);
   }
-  int pooled = 0;
+  int pool_selections = 0;
   for (int i = 0; i < 300; ++i) {
     const std::string id = "r" + std::to_string(i);
     const size_t before = gateway.attempts.size();
     gateway.Arrive(id);
     if (gateway.balancer.statistics().last_selection != SelectionMethod::kFallback) {
-      ++pooled;
+      ++pool_selections;
     }
     if (gateway.attempts.size() > before) {
       gateway.FinishAttempt(id, 0, gateway.attempts.back().endpoint, Outcome::kOk, Ms(10), true);
     }
   }
-  EXPECT_GT(pooled, 0);
-  EXPECT_LE(pooled, 32);  // ten entries of at most three uses
+  EXPECT_GT(pool_selections, 0);
+  EXPECT_LE(pool_selections, 32);  // ten entries with up to three uses
 }
 
 }  // namespace
