--- a/src/balancer/averages.h
+++ b/src/balancer/averages.h
@@ -1,4 +1,4 @@
-// Arithmetic that the modules share: moving averages and durations as numbers.
+// Moving averages and duration conversion, shared by the modules of the load balancer.
 #ifndef PADDLESTILE_BALANCER_AVERAGES_H_
 #define PADDLESTILE_BALANCER_AVERAGES_H_
 
@@ -6,11 +6,15 @@
 
 namespace paddlestile {
 
-constexpr double kSampleWeight = 0.1;                    // of a new sample in a moving average
-constexpr double kSlowSampleWeight = kSampleWeight / 4;  // where samples come from all endpoints
-constexpr double kMinSamples = 4;    // samples before an average is trusted, and the weight that
-                                     // evidence of the machine kind has beside an endpoint's own
-constexpr double kRateSpanUs = 5e6;  // span over which rates are remembered
+// Weight of a new sample in a moving average.
+constexpr double kSampleWeight = 0.1;
+// The same for averages over all endpoints, which get samples more often.
+constexpr double kSlowSampleWeight = kSampleWeight / 4;
+// Samples needed before an average is used. It is also the weight, in samples, of the average of
+// the machine kind when it is combined with the average of one endpoint.
+constexpr double kMinSamples = 4;
+// Time constant of the exponential decay of rates.
+constexpr double kRateTimeConstantUs = 5e6;
 
 inline double ToUs(Duration duration) {
   return static_cast<double>(duration.count());
--- a/src/balancer/learned_state.cpp
+++ b/src/balancer/learned_state.cpp
@@ -7,12 +7,12 @@
 namespace paddlestile {
 namespace {
 
-constexpr Duration kSameStartTolerance{100'000};  // the two processes read their clocks apart
-constexpr double kMinArrivalShare = 1e-6;         // it is divided by
+constexpr Duration kSameStartTolerance{100'000};  // the two processes read their clocks separately
+constexpr double kMinArrivalShare = 1e-6;         // lower bound of a divisor
 
 bool IsSameProcess(const EndpointInfo& first, const EndpointInfo& second) {
-  const Duration apart = first.started_at - second.started_at;
-  return apart <= kSameStartTolerance && apart >= -kSameStartTolerance;
+  const Duration difference = first.started_at - second.started_at;
+  return difference <= kSameStartTolerance && difference >= -kSameStartTolerance;
 }
 
 void ImportEndpoint(Endpoint& target, const Endpoint& source) {
@@ -65,8 +65,9 @@
   target.mean_expected_us = std::max(source.mean_expected_us, 0.0);
   target.finished_work_per_us = source.finished_work_per_us;
   target.decayed_arrivals = source.decayed_arrivals;
-  // An older version exports no span.
-  target.arrivals_span_us = source.arrivals_span_us > 0 ? source.arrivals_span_us : kRateSpanUs;
+  // Older versions of the gateway do not export the span.
+  target.arrivals_span_us =
+      source.arrivals_span_us > 0 ? source.arrivals_span_us : kRateTimeConstantUs;
   target.finished_work_updated_at = now;
   target.arrivals_updated_at = now;
 }
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -7,22 +7,29 @@
 namespace paddlestile {
 namespace {
 
-constexpr double kOutcomeWeight = 0.2;                        // of one outcome in the error rate
-constexpr double kBrokenResponseWeight = kOutcomeWeight / 4;  // on bad days all endpoints have some
+// Weight of one outcome in the moving average of the error rate.
+constexpr double kOutcomeWeight = 0.2;
+// Lower, because during network trouble all endpoints have some broken responses.
+constexpr double kBrokenResponseWeight = kOutcomeWeight / 4;
 constexpr double kUnresponsiveWeight = 2 * kOutcomeWeight;
-constexpr double kEjectErrorRate = 0.3;  // two errors in a row, or seven broken responses
-constexpr double kErrorRateAfterTrial = kEjectErrorRate * 0.7;  // at most, after a success
-constexpr Duration kFirstEjection{1'000'000};                   // doubles with each consecutive one
-constexpr int kMaxEjectionDoublings = 4;  // up to 16 s, the order of a short outage
+// Reached by two errors or seven broken responses in a row.
+constexpr double kEjectErrorRate = 0.3;
+// Upper bound of the error rate after a successful half-open trial.
+constexpr double kErrorRateAfterTrial = kEjectErrorRate * 0.7;
+// Duration of the first ejection; it doubles with each consecutive one.
+constexpr Duration kFirstEjection{1'000'000};
+constexpr int kMaxEjectionDoublings = 4;  // up to 16 s, about the length of a short outage
 constexpr double kMaxOutcomeIntervalUs = 4e6;
 
-// Counts an outcome and returns its weight: where they come seldom, the last one says most.
+// Records the time of an outcome and returns its weight. With key affinity the weight grows with
+// the time since the outcome before, because earlier outcomes are then out of date.
 double RecordOutcome(const EventContext& context, Endpoint& endpoint) {
   const double interval_us =
       ToUs(context.now - std::exchange(endpoint.last_outcome_at, context.now));
   endpoint.outcome_interval_us = std::clamp(interval_us, 1.0, kMaxOutcomeIntervalUs);
-  return std::max(kOutcomeWeight,
-                  context.settings.key_affinity ? 1 - std::exp(-interval_us / kRateSpanUs) : 0);
+  return std::max(kOutcomeWeight, context.settings.key_affinity
+                                      ? 1 - std::exp(-interval_us / kRateTimeConstantUs)
+                                      : 0);
 }
 
 }  // namespace
@@ -46,7 +53,7 @@
 
 void OutlierDetection::RecordConnectFailure(const EventContext& context, Endpoint& endpoint) const {
   if (endpoint.in_subset) {
-    Eject(context, endpoint);  // once, however many attempts fail together
+    Eject(context, endpoint);  // once, even if many attempts fail at the same time
   }
 }
 
@@ -66,8 +73,9 @@
   }
 }
 
-// The time is spread at random, so that gateways don't return together. An endpoint that is met
-// seldom stays ejected for as long as between two outcomes at least.
+// The ejection time is randomized, so that gateways do not return to the endpoint all at once. It
+// is based on the interval between outcomes if that is longer, because an endpoint that is rarely
+// used would otherwise be back before its next attempt.
 void OutlierDetection::Eject(const EventContext& context, Endpoint& endpoint) const {
   const int doublings = std::min(endpoint.consecutive_ejections++, kMaxEjectionDoublings);
   const double base_us = std::max(ToUs(kFirstEjection), endpoint.outcome_interval_us);
--- a/src/balancer/traffic_statistics.cpp
+++ b/src/balancer/traffic_statistics.cpp
@@ -6,9 +6,11 @@
 namespace paddlestile {
 namespace {
 
-constexpr double kInitialTimeFraction = 0.25;        // of the latency objective, as a class's time
-constexpr double kInitialSpanUs = kRateSpanUs / 10;  // that the first arrival stands for
-constexpr double kMinExpectedWorkUs = 1;             // it is divided by
+// Initial mean time of a class, as a fraction of its latency objective.
+constexpr double kInitialTimeFraction = 0.25;
+// Assumed time before the first arrival.
+constexpr double kInitialSpanUs = kRateTimeConstantUs / 10;
+constexpr double kMinExpectedWorkUs = 1;  // lower bound of a divisor
 
 }  // namespace
 
@@ -23,7 +25,7 @@
     records_.mean_time_us.push_back(kInitialTimeFraction *
                                     ToUs(settings.classes[i].latency_objective));
   }
-  // All begin anew: a class that was removed must not stay the worst served.
+  // Reset for all classes: otherwise a class that was removed would stay the worst served.
   records_.objective_met_rate.assign(count, 1);
   records_.arrival_shares.resize(count, 1.0 / static_cast<double>(count));
 }
@@ -41,8 +43,8 @@
   const double elapsed_us = records_.arrivals_span_us > 0
                                 ? ToUs(context.now - records_.arrivals_updated_at)
                                 : kInitialSpanUs;
-  const double kept_fraction = std::exp(-elapsed_us / kRateSpanUs);
-  MoveTowards(records_.arrivals_span_us, kRateSpanUs, 1 - kept_fraction);
+  const double kept_fraction = std::exp(-elapsed_us / kRateTimeConstantUs);
+  MoveTowards(records_.arrivals_span_us, kRateTimeConstantUs, 1 - kept_fraction);
   records_.decayed_arrivals = records_.decayed_arrivals * kept_fraction + 1;
   records_.arrivals_updated_at = context.now;
   return elapsed_us;
@@ -55,8 +57,8 @@
   MoveTowards(records_.mean_request_time_us, elapsed_us, kSlowSampleWeight);
   const double since_update_us = ToUs(context.now - records_.finished_work_updated_at);
   records_.finished_work_per_us =
-      records_.finished_work_per_us * std::exp(-since_update_us / kRateSpanUs) +
-      Cost(request) / kRateSpanUs;
+      records_.finished_work_per_us * std::exp(-since_update_us / kRateTimeConstantUs) +
+      Cost(request) / kRateTimeConstantUs;
   records_.finished_work_updated_at = context.now;
 }
 
