--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -12,15 +12,19 @@
 namespace paddlestile {
 namespace {
 
-constexpr double kMaxQueueFraction = 0.1;  // of the latency objective that a request may be queued
-constexpr int kRetryAfterDivisor = 16;     // of the latency objective: a client that waits
-                                           // for longer comes back too late
-constexpr size_t kLastResortEndpoints = kAffinityEndpoints + 2;  // two more at random
+// A request may be queued for this fraction of its latency objective.
+constexpr double kMaxQueueFraction = 0.1;
+// Retry-after is at most the latency objective divided by this. A client that waits for longer
+// misses its objective.
+constexpr int kRetryAfterDivisor = 16;
+// Endpoints that a request with key affinity considers before its last resort: its affinity
+// endpoints and two random ones.
+constexpr size_t kLastResortEndpoints = kAffinityEndpoints + 2;
 
 }  // namespace
 
 void Dispatcher::Enqueue(Request& request) {
-  request.waiting = true;
+  request.queued = true;
   queue_.push_back(request.sequence_number);
 }
 
@@ -31,8 +35,8 @@
   bool endpoints_full = false;
   for (const uint64_t sequence_number : TakeQueueByPriority()) {
     Request& request = requests_.At(sequence_number);
-    request.waiting = DispatchOne(context, request, endpoints_full);
-    if (request.waiting) {
+    request.queued = DispatchOne(context, request, endpoints_full);
+    if (request.queued) {
       queue_.push_back(sequence_number);
     } else {
       CloseIfDone(request);
@@ -48,7 +52,8 @@
   DispatchQueued(context);
 }
 
-// Empties the queue. Of equal priority the earlier request comes first.
+// Empties the queue and returns its requests by descending priority; requests of the same priority
+// are in order of arrival.
 std::vector<uint64_t> Dispatcher::TakeQueueByPriority() {
   std::vector<uint64_t> sequence_numbers;
   sequence_numbers.swap(queue_);
@@ -74,12 +79,12 @@
   }
   const bool is_retry = !request.attempts.empty();
   if (is_retry || !endpoints_full) {
-    const Look look = LookForEndpoint(context, request);
-    if (look.waits_for_probes) {
+    const SearchResult result = FindEndpoint(context, request);
+    if (result.awaits_probes) {
       return true;
     }
-    if (look.selection) {
-      StartAttemptAt(context, request, *look.selection);
+    if (result.selection) {
+      StartAttemptAt(context, request, *result.selection);
       return false;
     }
   }
@@ -93,17 +98,17 @@
   return true;
 }
 
-Dispatcher::Look Dispatcher::LookForEndpoint(const EventContext& context, Request& request) {
+Dispatcher::SearchResult Dispatcher::FindEndpoint(const EventContext& context, Request& request) {
   std::optional<Selection> selection = Select(context, request, SelectionPass::kInTime);
   if ((!selection || selection->method == SelectionMethod::kHot) &&
       prober_.ConsiderMoreEndpoints(context, request, kAffinityEndpoints)) {
-    return {.selection = std::nullopt, .waits_for_probes = true};
+    return {.selection = std::nullopt, .awaits_probes = true};
   }
   if (!selection) {
     selection = Select(context, request, SelectionPass::kWithinLimit);
   }
   if (!selection && prober_.ConsiderMoreEndpoints(context, request, kLastResortEndpoints)) {
-    return {.selection = std::nullopt, .waits_for_probes = true};
+    return {.selection = std::nullopt, .awaits_probes = true};
   }
   if (!selection) {
     selection = Select(context, request, SelectionPass::kLastResort);
@@ -159,7 +164,7 @@
 }
 
 void Dispatcher::CloseIfDone(Request& request) {
-  if (!request.finished || request.attempts_in_flight > 0 || request.waiting) {
+  if (!request.finished || request.attempts_in_flight > 0 || request.queued) {
     return;
   }
   traffic_.RecordClosed(request);
--- a/src/balancer/dispatcher.h
+++ b/src/balancer/dispatcher.h
@@ -1,13 +1,14 @@
-// The queue of requests: sends each to an endpoint, keeps it for a while, or rejects it.
+// The request queue: sends each request to an endpoint, keeps it queued for a while, or rejects it.
 //
-//   request state   left when                                           to
-//   queued          an endpoint may take it                             in flight
-//                   probes of affinity endpoints are awaited            queued, until the next look
-//                   none may take it, and it is a retry, near its       rejected or failed
-//                   deadline or was queued for long
-//   in flight       its last attempt ends and a retry is permitted      queued
-//                   its last attempt ends otherwise                     finished, rejected or
-//                   failed
+//   state       event                                                 next state
+//   queued      an endpoint is selected                               in flight
+//   queued      waiting for probes of affinity endpoints              queued
+//   queued      no endpoint is eligible, and the request is a         rejected or failed
+//               retry, near its deadline or has been queued too
+//               long
+//   queued      no endpoint is eligible otherwise                     queued
+//   in flight   the last attempt ends and a retry is permitted        queued
+//   in flight   the last attempt ends otherwise                       finished, rejected or failed
 #ifndef PADDLESTILE_BALANCER_DISPATCHER_H_
 #define PADDLESTILE_BALANCER_DISPATCHER_H_
 
@@ -28,11 +29,11 @@
 
 namespace paddlestile {
 
-// The timer that OnQueueTick answers; an outside name, part of the simulator's protocol.
+// Token of the timer that OnQueueTick handles. It is part of the simulator's protocol.
 constexpr const char* kQueueTickToken = "sweep";
 
-// Keeps the queue and writes the statistics. The only module that starts attempts, rejects requests
-// and closes them.
+// Owns the queue and writes the statistics. No other module starts attempts, rejects requests or
+// closes them.
 class Dispatcher {
  public:
   Dispatcher(EndpointTable& endpoints, RequestTable& requests, EndpointSelection& selection,
@@ -47,30 +48,31 @@
         traffic_(traffic),
         statistics_(statistics) {}
 
-  // Puts the request into the queue.
   void Enqueue(Request& request);
-  // Looks at every queued request, the highest priority first. Asks for a queue tick if some stay.
+  // Tries to dispatch every queued request, in order of descending priority. Sets a timer for the
+  // next queue tick if any request stays queued.
   void DispatchQueued(const EventContext& context);
   void OnQueueTick(const EventContext& context);
-  // Finishes the request without a response: rejects it where that is permitted, so that the client
-  // may try again, else fails it. Does nothing if it is finished already.
+  // Finishes the request without a response: rejects it if RetryPolicy::MayReject, so that the
+  // client can send it again, and fails it otherwise. Does nothing if it is already finished.
+  // `reason` is counted in the statistics.
   void RejectOrFail(const EventContext& context, Request& request, ExclusionReason reason);
-  // Removes the request from the table if nothing is left to do for it; the reference is then no
-  // longer valid.
+  // Erases the request from the table if it is finished, not queued and has no attempt in flight.
+  // The reference is then no longer valid.
   void CloseIfDone(Request& request);
 
  private:
-  // What a look at a queued request found; neither if no endpoint may take it.
-  struct Look {
+  // The result of the search for an endpoint. Neither field is set if no endpoint is eligible.
+  struct SearchResult {
     std::optional<Selection> selection;
-    bool waits_for_probes = false;
+    bool awaits_probes = false;
   };
 
   [[nodiscard]] std::vector<uint64_t> TakeQueueByPriority();
-  // Returns whether the request stays queued. `endpoints_full`: an earlier request of this round
-  // found no endpoint, so new ones are not looked at; set if this one finds none.
+  // Returns whether the request stays queued. `endpoints_full` is set if no endpoint is eligible
+  // for it; in the rest of the round only retries are then tried.
   bool DispatchOne(const EventContext& context, Request& request, bool& endpoints_full);
-  Look LookForEndpoint(const EventContext& context, Request& request);
+  SearchResult FindEndpoint(const EventContext& context, Request& request);
   std::optional<Selection> Select(const EventContext& context, const Request& request,
                                   SelectionPass pass);
   void StartAttemptAt(const EventContext& context, Request& request, const Selection& selection);
@@ -83,7 +85,7 @@
   ConcurrencyLimit& concurrency_limit_;
   TrafficStatistics& traffic_;
   Statistics& statistics_;
-  std::vector<uint64_t> queue_;  // sequence numbers, unsorted
+  std::vector<uint64_t> queue_;  // sequence numbers of requests, unsorted
   bool queue_tick_set_ = false;
 };
 
--- a/tests/balancer/dispatcher_test.cpp
+++ b/tests/balancer/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Queue and rejection of requests.
+// Tests of the request queue and of rejections.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 using testing::MakeSettings;
 using testing::Ms;
 
-TEST(DispatcherTest, ARequestThatCannotBeInTimeIsRejectedPromptly) {
+TEST(DispatcherTest, RequestsThatNoEndpointCanTakeAreRejectedPromptly) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(2);
   for (int i = 0; i < 100; ++i) {
@@ -25,52 +25,53 @@
       100U);
 }
 
-// The statistics name the filter that left requests unserved.
+// The statistics must show which exclusion reason left requests unserved.
 TEST(DispatcherTest, UnservedRequestsAreCountedByTheMostFrequentExclusion) {
-  const auto counted = [](LoadBalancerHarness& gateway, ExclusionReason reason) {
+  const auto unserved_count = [](LoadBalancerHarness& gateway, ExclusionReason reason) {
     return gateway.balancer.statistics().unserved_by_reason[static_cast<size_t>(reason)];
   };
-  LoadBalancerHarness none(MakeSettings());
-  none.Arrive("r");
-  none.Advance(Ms(100));
-  EXPECT_EQ(counted(none, ExclusionReason::kNone), 1U);
-  EXPECT_EQ(LoadBalancerHarness::ActionsOf<RejectRequest>(none.log).size(), 1U);
+  LoadBalancerHarness no_endpoints(MakeSettings());
+  no_endpoints.Arrive("r");
+  no_endpoints.Advance(Ms(100));
+  EXPECT_EQ(unserved_count(no_endpoints, ExclusionReason::kNone), 1U);
+  EXPECT_EQ(LoadBalancerHarness::ActionsOf<RejectRequest>(no_endpoints.log).size(), 1U);
 
   LoadBalancerHarness warming_up(MakeSettings());
   warming_up.UpdateEndpoint("new", EndpointState::kUp, warming_up.now - Ms(10));
   warming_up.Arrive("r");
   warming_up.Advance(Ms(100));
-  EXPECT_EQ(counted(warming_up, ExclusionReason::kWarmingUp), 1U);
+  EXPECT_EQ(unserved_count(warming_up, ExclusionReason::kWarmingUp), 1U);
 
-  LoadBalancerHarness fresh(MakeSettings());
-  fresh.ListEndpoints(2);
+  LoadBalancerHarness unmeasured(MakeSettings());
+  unmeasured.ListEndpoints(2);
   for (int i = 0; i < 40; ++i) {
-    fresh.Arrive("r" + std::to_string(i));
+    unmeasured.Arrive("r" + std::to_string(i));
   }
-  fresh.Advance(Ms(100));
-  EXPECT_GT(counted(fresh, ExclusionReason::kCapacityUnknown), 20U);
-  EXPECT_EQ(counted(fresh, ExclusionReason::kAtConcurrencyLimit), 0U);
+  unmeasured.Advance(Ms(100));
+  EXPECT_GT(unserved_count(unmeasured, ExclusionReason::kCapacityUnknown), 20U);
+  EXPECT_EQ(unserved_count(unmeasured, ExclusionReason::kAtConcurrencyLimit), 0U);
 
-  LoadBalancerHarness full(MakeSettings());
-  full.ListEndpoints(2);
-  full.WarmUp(100);
+  LoadBalancerHarness overloaded(MakeSettings());
+  overloaded.ListEndpoints(2);
+  overloaded.WarmUp(100);
   for (int i = 0; i < 400; ++i) {
-    full.Arrive("r" + std::to_string(i));
+    overloaded.Arrive("r" + std::to_string(i));
   }
-  full.Advance(Ms(100));
-  EXPECT_GT(counted(full, ExclusionReason::kAtConcurrencyLimit), 10U);
+  overloaded.Advance(Ms(100));
+  EXPECT_GT(unserved_count(overloaded, ExclusionReason::kAtConcurrencyLimit), 10U);
 
-  Settings once = MakeSettings();
-  once.allowed.max_attempts = 1;
-  LoadBalancerHarness exhausted(once);
+  Settings single_attempt = MakeSettings();
+  single_attempt.allowed.max_attempts = 1;
+  LoadBalancerHarness exhausted(single_attempt);
   exhausted.ListEndpoints(2);
   exhausted.Arrive("r", 4);
   exhausted.Advance(Ms(390));
   exhausted.FinishAttempt("r", 0, exhausted.attempts[0].endpoint, Outcome::kError, Ms(390));
-  EXPECT_EQ(counted(exhausted, ExclusionReason::kRetryBudgetExhausted), 1U);
+  EXPECT_EQ(unserved_count(exhausted, ExclusionReason::kRetryBudgetExhausted), 1U);
 }
 
-// With milliseconds left the request is answered at once: no timer comes early.
+// Guards against a request that arrives shortly before its deadline and is answered after it: the
+// timer of the next queue tick may fire late.
 TEST(DispatcherTest, ARequestNearItsDeadlineIsRejectedInTime) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(1);
@@ -85,7 +86,7 @@
                           [](const RejectRequest& request) { return request.id == "r"; }));
 }
 
-TEST(DispatcherTest, ADeadlineAlreadyPastAndNoEndpointAtAll) {
+TEST(DispatcherTest, RequestsWithoutAnyEndpointOrPastTheirDeadlineAreRejected) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(0);
   EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartAttempt>(gateway.Arrive("a")).empty());
@@ -105,7 +106,7 @@
   EXPECT_EQ(LoadBalancerHarness::ActionsOf<FailRequest>(actions).size(), 1U);
 }
 
-// A rejected client that stays away for longer than its latency objective comes back too late.
+// Guards against a retry-after longer than the latency objective: the client's retry would miss it.
 TEST(DispatcherTest, RetryAfterIsWithinTheLatencyObjective) {
   Settings settings = MakeSettings();
   settings.allowed.retry_after = true;
