--- a/src/balancer/endpoint_subset.cpp
+++ b/src/balancer/endpoint_subset.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kMinSize = 8;              // endpoints
-constexpr double kGatewaysPerEndpoint = 4;  // on average over the fleet
-constexpr int kZoneRedraws = 2;             // further draws for an endpoint of the own zone
+constexpr double kGatewaysPerEndpoint = 4;  // average over the fleet
+constexpr int kZoneRedraws = 2;             // further draws to find an endpoint in the same zone
 constexpr Duration kRefillInterval{1'000'000};
 
 bool IsUsable(const Endpoint& endpoint, Time now) {
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-void EndpointSubset::MixNewEndpointsIn(const EventContext& context,
-                                       const std::vector<size_t>& newly_up) {
+void EndpointSubset::SampleNewEndpoints(const EventContext& context,
+                                        const std::vector<size_t>& newly_up) {
   for (const size_t index : newly_up) {
     const double draw = context.random.Uniform() * static_cast<double>(endpoints_.up_count());
     Endpoint& endpoint = endpoints_[index];
@@ -42,7 +42,8 @@
     return;
   }
   FillUpTo(context, target, /*include_ejected=*/false);
-  // Ejected endpoints only up to half: where most fail alike, none is worse than the others.
+  // Ejected endpoints fill the subset up to half at most. If most of the fleet fails, an ejected
+  // endpoint is no worse than the others.
   FillUpTo(context, (reachable + 1) / 2, /*include_ejected=*/true);
 }
 
@@ -54,7 +55,7 @@
 }
 
 size_t EndpointSubset::TargetSize(const Settings& settings) const {
-  // With key affinity any endpoint may be one of a key's.
+  // With key affinity every endpoint is an affinity endpoint of some keys.
   if (settings.key_affinity) {
     return endpoints_.up_count();
   }
@@ -93,7 +94,8 @@
   }
 }
 
-// Prefers the own zone, as crossing costs, but by chance: zones still share their load.
+// Prefers endpoints in the gateway's own zone, because traffic across zones has a cost. The choice
+// stays random, so zones still share their load.
 size_t EndpointSubset::DrawCandidate(const EventContext& context,
                                      const std::vector<size_t>& candidates) const {
   size_t drawn = context.random.IndexBelow(candidates.size());
--- a/src/balancer/endpoint_subset.h
+++ b/src/balancer/endpoint_subset.h
@@ -1,5 +1,6 @@
-// The endpoints that this gateway works with: a random share of a large fleet, so that each is met
-// often enough to be known and holds connections of a few gateways only.
+// The random subset of the fleet that this gateway sends to. In a large fleet a subset keeps the
+// load estimates of its endpoints current, because the gateway uses each of them often, and limits
+// the number of gateways that connect to an endpoint.
 #ifndef PADDLESTILE_BALANCER_ENDPOINT_SUBSET_H_
 #define PADDLESTILE_BALANCER_ENDPOINT_SUBSET_H_
 
@@ -11,23 +12,24 @@
 
 namespace paddlestile {
 
-// Keeps the subset, and Endpoint::in_subset in step with it. Ejected endpoints and those that are
-// not up lose their place at the next refill.
+// Maintains the subset and Endpoint::in_subset. Endpoints that are ejected or not up are removed at
+// the next refill.
 class EndpointSubset {
  public:
   explicit EndpointSubset(EndpointTable& endpoints) : endpoints_(endpoints) {}
 
-  // Notes that a member may no longer be usable: the next refill looks at all of them.
+  // Records that a member may no longer be usable, so that the next refill checks all members.
   void MarkChanged() { all_members_usable_ = false; }
-  // Lets each endpoint that came up replace a random member with the probability that any endpoint
-  // has of being one: a full subset would else never take it in.
-  void MixNewEndpointsIn(const EventContext& context, const std::vector<size_t>& newly_up);
-  // Drops members that are not usable and draws others in their place.
+  // Lets each newly up endpoint replace a random member, with a probability of members / endpoints
+  // up. Without this a full subset would never include new endpoints.
+  void SampleNewEndpoints(const EventContext& context, const std::vector<size_t>& newly_up);
+  // Removes members that are not usable and draws random replacements.
   void Refill(const EventContext& context);
-  // Refills if the last such call is at least a second past: for places that could not be filled.
+  // Calls Refill at most once per second, to fill places for which earlier refills had no usable
+  // candidate.
   void RefillPeriodically(const EventContext& context);
 
-  // In no particular order, without repeats.
+  // Unordered and without duplicates.
   [[nodiscard]] const std::vector<size_t>& members() const { return members_; }
   [[nodiscard]] bool empty() const { return members_.empty(); }
   [[nodiscard]] size_t size() const { return members_.size(); }
@@ -41,7 +43,7 @@
 
   EndpointTable& endpoints_;
   std::vector<size_t> members_;
-  bool all_members_usable_ = false;  // at the last look, and no change was noted since
+  bool all_members_usable_ = false;  // at the last check, and no change was recorded since
   Time next_periodic_refill_at_{0};
 };
 
--- a/src/balancer/load_balancer.cpp
+++ b/src/balancer/load_balancer.cpp
@@ -1,4 +1,4 @@
-// Dispatch of events to the modules that decide.
+// Dispatches events to the modules of the load balancer.
 #include "balancer/load_balancer.h"
 
 #include <algorithm>
@@ -32,7 +32,7 @@
   return settings;
 }
 
-// Nothing if the report does not say how many requests are in flight.
+// Returns nothing if the report does not include the number of requests in flight.
 std::optional<ReportedLoad> ReadLoadReport(const Settings& settings, const LoadReport& report) {
   constexpr double kUsPerMs = 1000;
   constexpr double kNotReported = -1;
@@ -53,14 +53,14 @@
          outcome != Outcome::kNotSent;
 }
 
-// Whether the attempt ended without the endpoint's doing.
+// Whether the attempt ended by a timeout or cancellation, not by an event at the endpoint.
 bool EndedWithoutResponse(Outcome outcome) {
   return outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
 }
 
 }  // namespace
 
-// Owns the settings, the random numbers, what was learned and the modules.
+// Owns the settings, the random numbers, the learned state and the modules.
 struct LoadBalancer::Impl {
   Impl(const Settings& initial_settings, uint64_t seed)
       : settings(Validated(initial_settings)),
@@ -68,21 +68,21 @@
         traffic(learned, LatencyTargetUs(settings)) {
     ApplySettingsToModules();
   }
-  Impl(const Impl&) = delete;  // the modules refer to one another
+  Impl(const Impl&) = delete;  // the modules hold references to one another
   Impl& operator=(const Impl&) = delete;
 
   void On(const EventContext& context, const EndpointUpdate& update);
   void On(const EventContext& context, const RequestArrived& arrival);
-  // The attempt is its client's from here.
+  // Nothing to decide: the response is already on its way to the client.
   void On(const EventContext& /*context*/, const ResponseStarted& /*event*/) {}
   void On(const EventContext& context, const AttemptFinished& event);
   void On(const EventContext& context, const ClientDisconnected& event);
   void On(const EventContext& context, const TimerFired& event);
   void On(const EventContext& context, const ProbeFinished& event);
-  // Each gateway decides by what it sees itself.
+  // Peer messages are ignored: each gateway decides from its own observations.
   void On(const EventContext& /*context*/, const PeerMessage& /*event*/) {}
   void On(const EventContext& context, const Settings& new_settings);
-  // Quotas matter for arrivals alone: the queue is not looked at.
+  // Quotas affect only arriving requests, so the queue is not dispatched.
   void On(const EventContext& /*context*/, const TenantQuotaUpdate& update) {
     ApplyTenantQuotas(update, settings);
   }
@@ -98,7 +98,7 @@
   Statistics statistics;
   LearnedState learned;
 
-  // In the order in which they refer to one another.
+  // In order of construction: a module refers only to members declared before it.
   RequestTable requests;
   EndpointTable endpoints{learned};
   TrafficStatistics traffic;
@@ -141,7 +141,7 @@
   if (result.subset_needs_refill) {
     subset.MarkChanged();
   }
-  subset.MixNewEndpointsIn(context, result.newly_up);
+  subset.SampleNewEndpoints(context, result.newly_up);
   subset.Refill(context);
   discovery.OnUpdate(context, update.kind);
   dispatcher.DispatchQueued(context);
@@ -160,7 +160,8 @@
   if (settings.key_affinity && arrival.key) {
     request.affinity_endpoints = FindAffinityEndpoints(endpoints, *arrival.key);
   }
-  // A client's retry is served by the probes of its first try.
+  // A client's retry sends no further probes, because its first try already sent some. With key
+  // affinity the affinity endpoints are still probed.
   if (!arrival.is_client_retry || !request.affinity_endpoints.empty()) {
     prober.ProbeForRequest(context, request);
   }
@@ -191,7 +192,8 @@
   if (!request->finished && request->attempts_in_flight == 0) {
     RetryOrReject(context, *request, event);
   }
-  // Where open connections are charged, a gateway beside each client closes its idle ones.
+  // With key affinity a gateway runs beside each client and uses every endpoint. Where open
+  // connections have a cost, it closes its idle ones.
   if (endpoint.attempts_in_flight == 0 && settings.key_affinity && settings.costs.connection > 0) {
     context.Emit(CloseIdleConnections{endpoint.info.id});
   }
@@ -199,7 +201,8 @@
   dispatcher.DispatchQueued(context);
 }
 
-// What the end of an attempt says of its endpoint. `was_unresponsive`: before it ended.
+// Updates the state of the endpoint from the outcome of an attempt. `was_unresponsive`: whether the
+// endpoint was unresponsive before the attempt ended.
 void LoadBalancer::Impl::RecordOutcome(const EventContext& context, Request& request,
                                        const Attempt& attempt, const AttemptFinished& event,
                                        bool was_unresponsive) {
@@ -240,10 +243,10 @@
   }
 }
 
-// After the last attempt of a request that has no response yet.
+// Called after the last attempt in flight of a request that has no response yet.
 void LoadBalancer::Impl::RetryOrReject(const EventContext& context, Request& request,
                                        const AttemptFinished& event) {
-  if (event.request_consumed || !retry_policy.TakeRetry(context, request, event.outcome)) {
+  if (event.request_consumed || !retry_policy.SpendRetryBudget(context, request, event.outcome)) {
     dispatcher.RejectOrFail(context, request, ExclusionReason::kRetryBudgetExhausted);
     return;
   }
@@ -277,8 +280,8 @@
   }
   Endpoint& endpoint = endpoints[index];
   concurrency_limit.RecordReport(context, endpoint, *load);
-  // Reported latency leaves out the way there; the price of crossing zones is a share of the
-  // latency objective.
+  // The reported latency does not include the network. The cost of crossing zones is a fraction of
+  // the latency objective.
   const double crossing_us =
       endpoint.info.zone != settings.zone
           ? settings.costs.cross_zone * concurrency_limit.target_us() / kObjectiveFraction
--- a/src/balancer/load_balancer.h
+++ b/src/balancer/load_balancer.h
@@ -1,6 +1,6 @@
-// The decision module: takes events, returns actions. It does no I/O and has no clock, thread or
-// global: the caller passes the time, performs the actions and reports what became of them. The
-// same events with the same seed give the same actions.
+// The decision module: handles events and returns actions. It does no I/O and uses no clock, thread
+// or global variable. The caller passes the time, performs the actions and reports their results as
+// events. The same events with the same seed give the same actions.
 #ifndef PADDLESTILE_BALANCER_LOAD_BALANCER_H_
 #define PADDLESTILE_BALANCER_LOAD_BALANCER_H_
 
@@ -17,29 +17,29 @@
 
 struct LearnedState;  // learned_state.h
 
-// Decides for one gateway. Not thread-safe: one caller at a time.
+// Makes the decisions of one gateway. Not thread-safe.
 class LoadBalancer {
  public:
-  // `seed` starts the random numbers. Throws std::invalid_argument, naming the setting, where
-  // ValidateSettings does.
+  // `seed` initializes the random numbers. Throws std::invalid_argument, which names the setting,
+  // if ValidateSettings does.
   LoadBalancer(const Settings& settings, uint64_t seed);
   ~LoadBalancer();
   LoadBalancer(LoadBalancer&&) noexcept;
   LoadBalancer& operator=(LoadBalancer&&) noexcept;
 
-  // Takes one event and appends to `actions` what is to be done about it, in this order. `now`
-  // never goes back between calls. Throws std::invalid_argument for new settings or quotas that
-  // are out of range; the earlier ones then stay.
+  // Handles one event and appends the resulting actions to `actions`, in the order in which they
+  // must be performed. `now` must not decrease between calls. Throws std::invalid_argument for new
+  // settings or quotas that are out of range; the previous ones then stay in force.
   void Handle(Time now, const Event& event, std::vector<Action>& actions);
 
-  // Counts since construction. The reference is valid as long as this object.
+  // Counters since construction. The reference is valid for the lifetime of this object.
   [[nodiscard]] const Statistics& statistics() const;
 
-  // What was learned of endpoints and requests, for export. The reference is valid as long as this
-  // object; its content changes with each event.
+  // What was learned about endpoints and requests, for export. The reference is valid for the
+  // lifetime of this object; its content changes with each event.
   [[nodiscard]] const LearnedState& learned_state() const;
 
-  // Takes over what another load balancer has learned of the same fleet (see ImportState).
+  // Imports what another load balancer has learned about the same fleet (see ImportState).
   void ImportLearnedState(Time now, const LearnedState& learned);
 
  private:
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -7,11 +7,13 @@
 namespace paddlestile {
 namespace {
 
-constexpr double kTokensPerRequest = 0.2;    // further attempts
-constexpr double kMaxTokens = 10;            // further attempts
-constexpr double kRejectionRetryCost = 0.2;  // of a further attempt: a rejected attempt cost its
-                                             // endpoint nothing, but retry storms must end
-constexpr double kMinTimeLeft = 0.5;         // of the class's mean time
+// A token pays for one further attempt.
+constexpr double kTokensPerRequest = 0.2;
+constexpr double kMaxTokens = 10;
+// Tokens for a retry after a rejection. A rejected attempt cost its endpoint almost nothing, but
+// the retries must still be bounded.
+constexpr double kRejectionRetryCost = 0.2;
+constexpr double kMinTimeLeft = 0.5;  // of the mean time of the request class
 
 }  // namespace
 
@@ -38,7 +40,7 @@
   });
 }
 
-// Whether `attempt`, made earlier, lets the request go to the endpoint too.
+// Whether the earlier `attempt` permits another attempt of the request at `endpoint`.
 bool RetryPolicy::MayRepeat(const EventContext& context, const Request& request,
                             const Attempt& attempt, const Endpoint& endpoint) const {
   const RequestClass& request_class = request.request_class;
@@ -56,7 +58,7 @@
   if (scope == DeduplicationScope::kCell && earlier.cell != endpoint.info.cell) {
     return false;
   }
-  // The time to connect is left for the repeat to arrive within the window.
+  // The repeat has to arrive within the window, so the time to connect is added.
   return context.now - attempt.sent_at + context.settings.allowed.connect_timeout <
          request_class.deduplication_window;
 }
@@ -77,7 +79,8 @@
   records_.retry_tokens = std::min(kMaxTokens, records_.retry_tokens + kTokensPerRequest);
 }
 
-bool RetryPolicy::TakeRetry(const EventContext& context, const Request& request, Outcome outcome) {
+bool RetryPolicy::SpendRetryBudget(const EventContext& context, const Request& request,
+                                   Outcome outcome) {
   const double cost = outcome == Outcome::kRejected ? kRejectionRetryCost : 1;
   const Time objective_at = request.arrived_at + request.request_class.latency_objective;
   const double min_time_us = kMinTimeLeft * traffic_.MeanTimeUs(request.arrival.request_class);
--- a/tests/balancer/load_balancer_test.cpp
+++ b/tests/balancer/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Unusual events and lists.
+// Tests of unusual events and endpoint lists.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,7 +12,7 @@
 using testing::MakeSettings;
 using testing::Ms;
 
-TEST(LoadBalancerTest, AMachineKindOutOfBoundsAndAClusterOfHundreds) {
+TEST(LoadBalancerTest, ServesWithMachineKindsOutOfRangeAndThousandsOfGateways) {
   Settings settings = MakeSettings();
   settings.instance_count = 4000;  // far more gateways than endpoints
   LoadBalancerHarness gateway(settings);
@@ -21,14 +21,14 @@
   for (int i = 0; i < 300; ++i) {
     EndpointInfo info;
     info.id = "e" + std::to_string(i);
-    info.zone = i;  // one endpoint a zone
+    info.zone = i;  // one endpoint per zone
     info.machine_kind = i % 2 ? SIZE_MAX : 0;
     update.endpoints.push_back(info);
   }
   gateway.Handle(update);
   for (int i = 0; i < 50; ++i) {
     const auto actions = gateway.Arrive("r" + std::to_string(i));
-    EXPECT_LE(actions.size(), 3U);  // an attempt and two probes, however large the fleet
+    EXPECT_LE(actions.size(), 3U);  // an attempt and two probes, whatever the size of the fleet
     gateway.FinishAttempt("r" + std::to_string(i), 0, gateway.attempts.back().endpoint,
                           Outcome::kOk, Ms(5), true);
   }
@@ -54,7 +54,7 @@
   EXPECT_TRUE(gateway.Handle(ProbeFinished{"e0", Outcome::kOk, Ms(1), std::nullopt}).empty());
 }
 
-TEST(LoadBalancerTest, UnknownClassAndTenantAreServed) {
+TEST(LoadBalancerTest, RequestsOfUnknownClassAndTenantAreServed) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(2);
   EXPECT_EQ(
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which attempts a request may make after each outcome, and the retry budget.
+// Tests of the attempts that a request may make after each outcome, and of the retry budget.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -31,40 +31,42 @@
   }
 }
 
-// A rejected attempt cost its endpoint nothing: retries go on where others would exhaust the
-// budget.
+// A rejected attempt cost its endpoint almost nothing. Retries after rejections must go on where
+// other retries would exhaust the budget.
 TEST(RetryPolicyTest, ARejectedAttemptCostsAFractionOfTheRetryBudget) {
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(6);
   gateway.WarmUp(100);
-  size_t refused = 0;
+  size_t rejected_requests = 0;
   for (int i = 0; i < 20; ++i) {
     const std::string id = "r" + std::to_string(i);
     const size_t before = gateway.attempts.size();
     gateway.Arrive(id);
     for (size_t k = before; k < gateway.attempts.size(); ++k) {
-      const bool full = k < before + 2;
-      refused += LoadBalancerHarness::ActionsOf<RejectRequest>(
-                     gateway.FinishAttempt(id, k - before, gateway.attempts[k].endpoint,
-                                           full ? Outcome::kRejected : Outcome::kOk, Ms(1), !full))
-                     .size();
+      const bool is_rejected = k < before + 2;
+      rejected_requests +=
+          LoadBalancerHarness::ActionsOf<RejectRequest>(
+              gateway.FinishAttempt(id, k - before, gateway.attempts[k].endpoint,
+                                    is_rejected ? Outcome::kRejected : Outcome::kOk, Ms(1),
+                                    !is_rejected))
+              .size();
     }
     gateway.Advance(Ms(5));
   }
-  EXPECT_EQ(refused, 0U);
+  EXPECT_EQ(rejected_requests, 0U);
 }
 
 struct RetryCase {
   size_t request_class;
   Outcome outcome;
-  bool other_zone_ok;  // a further attempt may go to another zone and cell
+  bool may_retry_elsewhere;  // in another zone and cell
   bool may_reject;
 };
 
 class RetryPolicyOutcomeTest : public ::testing::TestWithParam<RetryCase> {};
 
-// Endpoint e0 is in zone 0, cell 0; the only other one is in zone 1, cell 1.
-TEST_P(RetryPolicyOutcomeTest, AFurtherAttemptElsewhere) {
+// Endpoint e0 is in zone 0 and cell 0. The only other endpoint is in zone 1 and cell 1.
+TEST_P(RetryPolicyOutcomeTest, RetriesElsewhereOnlyIfPermitted) {
   const RetryCase retry_case = GetParam();
   LoadBalancerHarness gateway(MakeSettings());
   gateway.ListEndpoints(1);
@@ -78,8 +80,8 @@
   gateway.Advance(Ms(5));
   const auto actions = gateway.FinishAttempt("r", 0, "e0", retry_case.outcome, Ms(5));
   EXPECT_EQ(LoadBalancerHarness::ActionsOf<StartAttempt>(actions).size(),
-            retry_case.other_zone_ok ? 1U : 0U);
-  if (!retry_case.other_zone_ok) {
+            retry_case.may_retry_elsewhere ? 1U : 0U);
+  if (!retry_case.may_retry_elsewhere) {
     EXPECT_EQ(LoadBalancerHarness::ActionsOf<RejectRequest>(actions).size(),
               retry_case.may_reject ? 1U : 0U);
     EXPECT_EQ(LoadBalancerHarness::ActionsOf<FailRequest>(actions).size(),
@@ -105,7 +107,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Outcomes, RetryPolicyOutcomeTest, ::testing::ValuesIn(RetryCases()));
 
-TEST(RetryPolicyTest, AKeyedRetryStaysInItsDeduplicationWindow) {
+TEST(RetryPolicyTest, AKeyedRetryStaysWithinItsDeduplicationWindow) {
   for (const bool late : {false, true}) {
     Settings settings = MakeSettings();
     settings.classes[1].deduplication_window = Ms(150);
@@ -114,7 +116,7 @@
     LoadBalancerHarness gateway(settings);
     gateway.ListEndpoints(4);
     gateway.Arrive("r", 1);
-    gateway.now += late ? Ms(120) : Ms(50);  // 50 ms of the window are left to connect
+    gateway.now += late ? Ms(120) : Ms(50);  // the last 50 ms of the window are needed to connect
     const auto actions =
         gateway.FinishAttempt("r", 0, gateway.attempts[0].endpoint, Outcome::kError, Ms(50));
     EXPECT_EQ(LoadBalancerHarness::ActionsOf<StartAttempt>(actions).size(), late ? 0U : 1U);
@@ -142,7 +144,7 @@
     gateway.WarmUp(100);
     gateway.Arrive("r");
     const size_t sent = gateway.attempts.size();
-    gateway.Advance(Ms(300));  // it stays where it is, however long
+    gateway.Advance(Ms(300));  // no second attempt, however long the first takes
     EXPECT_EQ(gateway.attempts.size(), sent);
     gateway.FinishAttempt("r", 0, gateway.attempts.back().endpoint, Outcome::kReset, Ms(300));
     EXPECT_LE(gateway.attempts.size(), sent + 1);
