--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -7,11 +7,11 @@
 namespace paddlestile {
 namespace {
 
-constexpr double kQuotaSlack = 1.3;      // tenants are not spread alike over the gateways
-constexpr double kQuotaBurstUs = 1e6;    // of a tenant's rate that may come at once
-constexpr double kMinQuotaBurst = 2;     // requests, on top of that
-constexpr double kMinScoreWeight = 0.1;  // it is divided by
-constexpr double kMinArrivalShare = kSampleWeight;  // it is divided by
+constexpr double kQuotaSlack = 1.3;      // tenant traffic is not spread evenly over the gateways
+constexpr double kQuotaBurstUs = 1e6;    // a burst may use the tokens of this much time
+constexpr double kMinQuotaBurst = 2;     // requests, added to the burst
+constexpr double kMinScoreWeight = 0.1;  // lower bound of a divisor
+constexpr double kMinArrivalShare = kSampleWeight;  // lower bound of a divisor
 
 }  // namespace
 
@@ -21,8 +21,8 @@
   request.priority_percentile = PriorityPercentile(context, request);
 }
 
-// Takes a token of the tenant; false if it has none, that is, the request is over quota. A tenant
-// without a quota always has one.
+// Takes one quota token of the tenant. Returns false if none is left, which means that the request
+// is over quota. Requests of a tenant without a quota never are.
 bool Admission::TakeQuotaToken(const EventContext& context, size_t tenant,
                                double since_last_arrival_us) {
   const std::vector<TenantQuota>& tenants = context.settings.tenants;
@@ -45,7 +45,8 @@
   return true;
 }
 
-// Value for work, higher first. The class served worst gains what the site's score adds for it.
+// The value of a request of the class per unit of work; a higher priority is served first. The
+// worst-served class gains the weight that the site's score gives to the worst class.
 double Admission::Priority(const Settings& settings, size_t request_class) const {
   const std::vector<double>& shares = traffic_.ArrivalShares();
   double value = settings.classes[request_class].priority_weight;
@@ -63,8 +64,8 @@
   return value / (settings.priority_scales_with_work ? 1 : traffic_.MeanTimeUs(request_class));
 }
 
-// The request's place in the arriving work, from the lowest priority (0) to the highest (1). What
-// tenants send over their quota comes below all else.
+// The fraction of the arriving work that has a lower priority than the request, from 0 to 1.
+// Requests over quota rank below all others.
 double Admission::PriorityPercentile(const EventContext& context, const Request& request) const {
   const std::vector<double>& shares = traffic_.ArrivalShares();
   const size_t own_class = request.arrival.request_class;
@@ -75,7 +76,7 @@
     const double work = shares[i] * traffic_.MeanTimeUs(i);
     all_work += work;
     if (i == own_class) {
-      lower_work += work * context.random.Uniform();  // requests of one class rank at random
+      lower_work += work * context.random.Uniform();  // random order within a class
     }
     if (Priority(context.settings, i) < own_priority) {
       lower_work += work;
--- a/src/balancer/admission.h
+++ b/src/balancer/admission.h
@@ -1,5 +1,5 @@
-// How an arriving request ranks against the others: its tenant's quota and its priority. The rank
-// orders the queue and moves the concurrency limits; no request is rejected here.
+// Ranks arriving requests by tenant quota and priority. The rank orders the queue and scales the
+// concurrency limits; this module rejects no request.
 #ifndef PADDLESTILE_BALANCER_ADMISSION_H_
 #define PADDLESTILE_BALANCER_ADMISSION_H_
 
@@ -12,22 +12,22 @@
 
 namespace paddlestile {
 
-// Keeps a token bucket for each tenant. Judges a tenant by its part of the arrivals at this gateway
-// alone.
+// Keeps a token bucket per tenant. A tenant's quota is its share of the arrivals at this gateway;
+// arrivals at other gateways are not taken into account.
 class Admission {
  public:
   explicit Admission(const TrafficStatistics& traffic) : traffic_(traffic) {}
 
-  // Sets `over_quota` and `priority_percentile` of an arriving request. `since_last_arrival_us`:
-  // as TrafficStatistics::RecordArrival returned it.
+  // Sets `over_quota` and `priority_percentile` of an arriving request. `since_last_arrival_us` is
+  // the value that TrafficStatistics::RecordArrival returned for this request.
   void Rank(const EventContext& context, Request& request, double since_last_arrival_us);
 
  private:
-  // Quota tokens, in requests. Brought up to date only when its tenant has a request, as there may
-  // be very many tenants.
+  // Quota tokens, in requests. A bucket is refilled only when its tenant sends a request, because
+  // there can be hundreds of thousands of tenants.
   struct TenantBucket {
     double tokens = 1;
-    double full_share_credit = 0;  // full_share_credit_ when the tokens were last refilled
+    double full_share_credit = 0;  // value of full_share_credit_ at the last refill
   };
 
   bool TakeQuotaToken(const EventContext& context, size_t tenant, double since_last_arrival_us);
@@ -36,9 +36,9 @@
                                           const Request& request) const;
 
   const TrafficStatistics& traffic_;
-  std::vector<TenantBucket> tenant_buckets_;  // by index of the tenant
-  double full_share_credit_ = 0;  // requests that a tenant with a share of 1 could have sent so far
-  double over_quota_fraction_ = 0;  // of the arrivals, decayed
+  std::vector<TenantBucket> tenant_buckets_;  // indexed by tenant
+  double full_share_credit_ = 0;              // tokens granted so far to a tenant with a share of 1
+  double over_quota_fraction_ = 0;            // fraction of arrivals over quota, moving average
 };
 
 }  // namespace paddlestile
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -1,4 +1,4 @@
-// Tenant quotas and priorities.
+// Tests of tenant quotas and request priorities.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,10 +20,10 @@
 using testing::MakeSettings;
 using testing::Ms;
 
-// Under overload the class with the least value for work must not be starved where the score
-// counts the worst class.
-TEST(AdmissionTest, TheClassServedWorstGainsItsScoreWeight) {
-  const auto sent_of_lesser = [](double worst_class) {
+// Guards against starving the class with the lowest value per unit of work under overload, if the
+// score gives weight to the worst-served class.
+TEST(AdmissionTest, TheWorstServedClassGainsItsScoreWeight) {
+  const auto count_low_priority_attempts = [](double worst_class) {
     Settings settings = MakeSettings();
     settings.instance_count = 1;
     settings.classes = {settings.classes[4], settings.classes[4]};
@@ -34,30 +34,30 @@
     LoadBalancerHarness gateway(settings);
     gateway.ListEndpoints(1);
     std::map<std::string, Time> in_flight;
-    size_t lesser = 0, seen = 0;
+    size_t low_priority_attempts = 0, recorded = 0;
     for (int i = 0; i < 400; ++i) {
       gateway.Arrive("a" + std::to_string(i), 0);
       gateway.Arrive("b" + std::to_string(i), 1);
       gateway.Advance(Ms(20));
-      for (auto at = in_flight.begin(); at != in_flight.end();) {
-        if (gateway.now - at->second < Ms(200)) {
-          ++at;
+      for (auto entry = in_flight.begin(); entry != in_flight.end();) {
+        if (gateway.now - entry->second < Ms(200)) {
+          ++entry;
           continue;
         }
-        gateway.FinishAttempt(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
-        at = in_flight.erase(at);
+        gateway.FinishAttempt(entry->first, 0, "e0", Outcome::kOk, Ms(200), true);
+        entry = in_flight.erase(entry);
       }
-      for (; seen < gateway.attempts.size(); ++seen) {
-        in_flight[gateway.attempts[seen].id] = gateway.now;
-        if (i >= 100 && gateway.attempts[seen].id[0] == 'b') {
-          ++lesser;
+      for (; recorded < gateway.attempts.size(); ++recorded) {
+        in_flight[gateway.attempts[recorded].id] = gateway.now;
+        if (i >= 100 && gateway.attempts[recorded].id[0] == 'b') {
+          ++low_priority_attempts;
         }
       }
     }
-    return lesser;
+    return low_priority_attempts;
   };
-  EXPECT_EQ(sent_of_lesser(0), 0U);
-  EXPECT_GE(sent_of_lesser(0.8), 10U);
+  EXPECT_EQ(count_low_priority_attempts(0), 0U);
+  EXPECT_GE(count_low_priority_attempts(0.8), 10U);
 }
 
 TEST(AdmissionTest, OnlyRequestsOverQuotaLosePriority) {
@@ -69,66 +69,66 @@
   gateway.ListEndpoints(1);
   std::map<size_t, size_t> sent;
   std::map<std::string, Time> in_flight;
-  size_t seen = 0;
-  for (int i = 0; i < 600; ++i) {  // both send alike, so tenant 1 is far over quota
+  size_t recorded = 0;
+  for (int i = 0; i < 600; ++i) {  // both send equally, so tenant 1 is far over its quota
     for (const int tenant : {i % 2, (i + 1) % 2}) {
       gateway.Arrive(std::to_string(tenant) + "-" + std::to_string(i), 4, Ms(1000),
                      static_cast<size_t>(tenant));
     }
     gateway.Advance(Ms(20));
-    for (auto at = in_flight.begin(); at != in_flight.end();) {
-      const bool done = gateway.now - at->second >= Ms(200);
+    for (auto entry = in_flight.begin(); entry != in_flight.end();) {
+      const bool done = gateway.now - entry->second >= Ms(200);
       if (done) {
-        gateway.FinishAttempt(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
+        gateway.FinishAttempt(entry->first, 0, "e0", Outcome::kOk, Ms(200), true);
       }
-      at = done ? in_flight.erase(at) : std::next(at);
+      entry = done ? in_flight.erase(entry) : std::next(entry);
     }
-    for (; seen < gateway.attempts.size(); ++seen) {
-      in_flight[gateway.attempts[seen].id] = gateway.now;
+    for (; recorded < gateway.attempts.size(); ++recorded) {
+      in_flight[gateway.attempts[recorded].id] = gateway.now;
       if (i >= 300) {
-        ++sent[gateway.attempts[seen].id[0] == '0' ? 0 : 1];
+        ++sent[gateway.attempts[recorded].id[0] == '0' ? 0 : 1];
       }
     }
   }
   EXPECT_GT(sent[0], 2 * sent[1]);
-  EXPECT_GT(sent[1], 0U);  // requests within its quota are served
+  EXPECT_GT(sent[1], 0U);  // its requests within the quota are served
 }
 
-// The attempts of a gateway, in order, with two tenants that send alike, of which one has nine
-// tenths of the shares.
-std::vector<std::string> SentOfTwoTenants(
+// Returns the attempts of a gateway, in order, for two tenants that send equally.
+// `change_settings` runs before the first request.
+std::vector<std::string> AttemptsOfTwoTenants(
     const Settings& settings, const std::function<void(LoadBalancerHarness&)>& change_settings) {
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(1);
   change_settings(gateway);
   std::map<std::string, Time> in_flight;
-  size_t seen = 0;
+  size_t recorded = 0;
   for (int i = 0; i < 200; ++i) {
     for (const int tenant : {i % 2, (i + 1) % 2}) {
       gateway.Arrive(std::to_string(tenant) + "-" + std::to_string(i), 4, Ms(1000),
                      static_cast<size_t>(tenant));
     }
     gateway.Advance(Ms(20));
-    for (auto at = in_flight.begin(); at != in_flight.end();) {
-      const bool done = gateway.now - at->second >= Ms(200);
+    for (auto entry = in_flight.begin(); entry != in_flight.end();) {
+      const bool done = gateway.now - entry->second >= Ms(200);
       if (done) {
-        gateway.FinishAttempt(at->first, 0, "e0", Outcome::kOk, Ms(200), true);
+        gateway.FinishAttempt(entry->first, 0, "e0", Outcome::kOk, Ms(200), true);
       }
-      at = done ? in_flight.erase(at) : std::next(at);
+      entry = done ? in_flight.erase(entry) : std::next(entry);
     }
-    for (; seen < gateway.attempts.size(); ++seen) {
-      in_flight[gateway.attempts[seen].id] = gateway.now;
+    for (; recorded < gateway.attempts.size(); ++recorded) {
+      in_flight[gateway.attempts[recorded].id] = gateway.now;
     }
   }
   std::vector<std::string> sent;
-  for (const StartAttempt& send : gateway.attempts) {
-    sent.push_back(send.id + " " + send.endpoint);
+  for (const StartAttempt& attempt : gateway.attempts) {
+    sent.push_back(attempt.id + " " + attempt.endpoint);
   }
   return sent;
 }
 
-// A quota update decides as new settings with the same quotas do, without a copy of 240,000
-// tenants; one that is out of range changes nothing.
+// A quota update avoids copying the settings with 240,000 tenants. It must have the same effect as
+// new settings with the same quotas. An update that is out of range must change nothing.
 TEST(AdmissionTest, AQuotaUpdateEqualsNewSettings) {
   Settings before = MakeSettings();
   before.instance_count = 1;
@@ -137,18 +137,18 @@
   Settings after = before;
   after.tenants = {{180, 0.9}, {20, 0.1}};
   const auto by_settings =
-      SentOfTwoTenants(before, [&](LoadBalancerHarness& gateway) { gateway.Handle(after); });
-  const auto by_update = SentOfTwoTenants(before, [&](LoadBalancerHarness& gateway) {
+      AttemptsOfTwoTenants(before, [&](LoadBalancerHarness& gateway) { gateway.Handle(after); });
+  const auto by_update = AttemptsOfTwoTenants(before, [&](LoadBalancerHarness& gateway) {
     gateway.Handle(TenantQuotaUpdate{{{0, {180, 0.9}}, {1, {20, 0.1}}}});
     EXPECT_THROW(gateway.Handle(TenantQuotaUpdate{{{0, {1, 0.01}}, {1, {1, -1}}}}),
                  std::invalid_argument);
   });
   EXPECT_EQ(by_update, by_settings);
-  EXPECT_NE(SentOfTwoTenants(before, [](LoadBalancerHarness&) {}), by_settings);
+  EXPECT_NE(AttemptsOfTwoTenants(before, [](LoadBalancerHarness&) {}), by_settings);
 }
 
-// The time of an update must not grow with the tenants: for 64 times as many it may be four times
-// as long.
+// Guards against a quota update whose time grows with the number of tenants. With 64 times as many
+// tenants it may take up to four times as long.
 TEST(AdmissionTest, AQuotaUpdateVisitsOneTenantOnly) {
   double time_us[2] = {};
   for (const bool many : {false, true}) {
@@ -157,13 +157,13 @@
     LoadBalancerHarness gateway(settings);
     gateway.ListEndpoints(1);
     time_us[many ? 1 : 0] = 1e18;
-    for (int turn = 0; turn < 5; ++turn) {
-      const auto from = std::chrono::steady_clock::now();
+    for (int repetition = 0; repetition < 5; ++repetition) {
+      const auto start = std::chrono::steady_clock::now();
       for (size_t i = 0; i < 200; ++i) {
         gateway.Handle(TenantQuotaUpdate{{{i * 3, {2, 0.002}}}});
       }
       const std::chrono::duration<double, std::micro> elapsed =
-          std::chrono::steady_clock::now() - from;
+          std::chrono::steady_clock::now() - start;
       time_us[many ? 1 : 0] = std::min(time_us[many ? 1 : 0], elapsed.count() / 200);
     }
   }
@@ -171,18 +171,18 @@
       << "at 1,000: " << time_us[0] << " us, at 64,000: " << time_us[1];
 }
 
-// The time of a request must not grow with the tenants: for 64 times as many it may be four times
-// as long.
+// Guards against requests whose time grows with the number of tenants. With 64 times as many
+// tenants a request may take up to four times as long.
 TEST(AdmissionTest, ARequestVisitsItsOwnTenantOnly) {
   double time_us[2] = {};
   for (const bool many : {false, true}) {
     Settings settings = MakeSettings();
     settings.tenants.assign(many ? 64'000 : 1'000, {1, 0.001});
     time_us[many ? 1 : 0] = 1e18;
-    for (int turn = 0; turn < 5; ++turn) {
+    for (int repetition = 0; repetition < 5; ++repetition) {
       LoadBalancerHarness gateway(settings);
       gateway.ListEndpoints(1);
-      const auto from = std::chrono::steady_clock::now();
+      const auto start = std::chrono::steady_clock::now();
       for (int i = 0; i < 60; ++i) {
         const std::string id = std::to_string(i);
         gateway.Arrive(id, 4, Ms(1000), static_cast<size_t>(i * 13));
@@ -190,7 +190,7 @@
         gateway.Advance(Ms(20));
       }
       const std::chrono::duration<double, std::micro> elapsed =
-          std::chrono::steady_clock::now() - from;
+          std::chrono::steady_clock::now() - start;
       time_us[many ? 1 : 0] = std::min(time_us[many ? 1 : 0], elapsed.count() / 60);
     }
   }
@@ -198,9 +198,9 @@
       << "at 1,000: " << time_us[0] << " us, at 64,000: " << time_us[1];
 }
 
-// A gateway with one request at a time has no queue to order: at the limit, requests of low
-// priority must be the first to be turned away.
-TEST(AdmissionTest, TheConcurrencyLimitGrowsWithPriority) {
+// A gateway with one request at a time has no queue that it could order by priority. Endpoints at
+// the concurrency limit must exclude requests of low priority first.
+TEST(AdmissionTest, TheConcurrencyLimitIncreasesWithPriority) {
   Settings settings = MakeSettings();
   settings.classes = {MakeClass(Idempotency::kSafe), MakeClass(Idempotency::kSafe)};
   settings.classes[1].priority_weight = 5;
@@ -210,7 +210,7 @@
   int sent[2] = {0, 0};
   for (int i = 0; i < 400; ++i) {
     for (const char* id : {"e0", "e1", "e2", "e3"}) {
-      gateway.FinishProbe(id, 3, 20);  // at the first limit
+      gateway.FinishProbe(id, 3, 20);  // one more request reaches the initial limit
     }
     const size_t before = gateway.attempts.size(), request_class = static_cast<size_t>(i % 2);
     const std::string id = "r" + std::to_string(i);
