--- a/src/balancer/affinity.cpp
+++ b/src/balancer/affinity.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr double kBestFactor = 0.3;  // at the first affinity endpoint
-constexpr double kFactorStep = 0.3;  // more at each further one, which met the key less often
-constexpr double kMinWeight = 1e-3;  // it is divided by
+constexpr double kFactorStep = 0.3;  // added per rank: later endpoints see the key less often
+constexpr double kMinWeight = 1e-3;  // lower bound of a divisor
 
 struct Candidate {
   double score = 0;
--- a/src/balancer/affinity.h
+++ b/src/balancer/affinity.h
@@ -1,4 +1,4 @@
-// Key affinity: which endpoints keep a key's cached work warm, and what that is worth.
+// Key affinity: which endpoints have the cached work of a key, and how much latency that saves.
 #ifndef PADDLESTILE_BALANCER_AFFINITY_H_
 #define PADDLESTILE_BALANCER_AFFINITY_H_
 
@@ -11,14 +11,16 @@
 
 namespace paddlestile {
 
-constexpr size_t kAffinityEndpoints = 3;  // of a key; a popular one needs two or three
+constexpr size_t kAffinityEndpoints = 3;  // per key; a popular key needs two or three
 
-// The affinity endpoints of a key, best first, by weighted rendezvous hashing over the endpoints
-// that are up: gateways with the same list agree on them without exchanging messages.
+// Returns the affinity endpoints of a key, best first, by weighted rendezvous hashing over the
+// endpoints that are up. Gateways with the same endpoint list get the same result without
+// exchanging messages.
 std::vector<size_t> FindAffinityEndpoints(const EndpointTable& endpoints, const std::string& key);
 
-// The fraction of its usual latency that an endpoint takes for the request, by how warm its key is
-// there: 1 without affinity.
+// Returns the expected latency of the request at the endpoint as a fraction of the endpoint's usual
+// latency. It is lowest at the first affinity endpoint, where the key's work is most likely cached,
+// and 1 without affinity.
 double AffinityFactor(const Request& request, size_t endpoint);
 
 }  // namespace paddlestile
--- a/tests/balancer/affinity_test.cpp
+++ b/tests/balancer/affinity_test.cpp
@@ -1,5 +1,5 @@
-// Key affinity, with a gateway beside every client process: which endpoint a key goes to, and how
-// long a request waits for its probes.
+// Tests of key affinity, where a gateway runs beside every client process: which endpoint a key
+// goes to, and how long a request waits for its probes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,7 +39,7 @@
     return Handle(arrival);
   }
 
-  // Finishes all probes in flight with the load given for each endpoint, once.
+  // Finishes each probe that has not been answered yet with the load given for its endpoint.
   void AnswerProbes(const std::map<std::string, double>& in_flight = {},
                     double other_in_flight = 1) {
     for (; answered_actions < log.size(); ++answered_actions) {
@@ -52,7 +52,7 @@
     }
   }
 
-  // The endpoint that a request of the key goes to; it is served at once.
+  // Sends and serves a request of the key. Returns its endpoint, or "" if it was not sent.
   std::string EndpointOfKey(const std::string& key,
                             const std::map<std::string, double>& in_flight = {}) {
     const std::string id = "k" + std::to_string(request_count++);
@@ -69,10 +69,10 @@
 
   // Whether the request was rejected or failed.
   [[nodiscard]] bool IsUnserved(const std::string& id) const {
-    return std::ranges::any_of(log, [&](const Action& a) {
-      const auto* const refuse = std::get_if<RejectRequest>(&a);
-      const auto* const fail = std::get_if<FailRequest>(&a);
-      return (refuse != nullptr && refuse->id == id) || (fail != nullptr && fail->id == id);
+    return std::ranges::any_of(log, [&](const Action& action) {
+      const auto* const reject = std::get_if<RejectRequest>(&action);
+      const auto* const fail = std::get_if<FailRequest>(&action);
+      return (reject != nullptr && reject->id == id) || (fail != nullptr && fail->id == id);
     });
   }
 
@@ -80,12 +80,13 @@
   int request_count = 0;
 };
 
-// Else a thousand gateways scatter each key over all endpoints and none keeps it warm.
-TEST(AffinityTest, GatewaysWithoutSharedStateAgreeOnAKeysEndpoint) {
+// Guards against a thousand gateways spreading each key over all endpoints, so that none has its
+// work cached.
+TEST(AffinityTest, GatewaysWithoutSharedStateSelectTheSameEndpointForAKey) {
   AffinityGateway one(MakeAffinitySettings(), 1), other(MakeAffinitySettings(), 2);
   std::set<std::string> endpoints;
-  for (int k = 0; k < 40; ++k) {
-    const std::string key = "key" + std::to_string(k);
+  for (int i = 0; i < 40; ++i) {
+    const std::string key = "key" + std::to_string(i);
     const std::string first = one.EndpointOfKey(key);
     EXPECT_NE(first, "");
     EXPECT_EQ(other.EndpointOfKey(key), first) << key;
@@ -102,11 +103,11 @@
   EXPECT_EQ(gateway.attempts.size(), 1u);
 }
 
-// At the start of a burst requests must not go to endpoints whose last report is seconds old.
-TEST(AffinityTest, ACrowdedEndpointIsPassedOverAndACrowdedFleetRejectsAtOnce) {
+// Guards against sending the first requests of a burst by load reports that are seconds old.
+TEST(AffinityTest, AnOverloadedEndpointIsSkippedAndAnOverloadedFleetRejectsPromptly) {
   AffinityGateway gateway(MakeAffinitySettings());
-  for (int k = 0; k < 60; ++k) {
-    gateway.EndpointOfKey("other" + std::to_string(k));  // all were idle then
+  for (int i = 0; i < 60; ++i) {
+    gateway.EndpointOfKey("other" + std::to_string(i));  // all endpoints report that they are idle
   }
   const std::string first = gateway.EndpointOfKey("key");
   gateway.Advance(Ms(500));
@@ -120,33 +121,33 @@
     gateway.AnswerProbes({}, 50), gateway.Advance(Ms(5));
   }
   EXPECT_EQ(gateway.attempts.size(), before);
-  EXPECT_TRUE(
-      gateway.IsUnserved("full"));  // within a tenth of a second of a deadline a second away
+  // Rejected within 100 ms, although the deadline is 1 s away.
+  EXPECT_TRUE(gateway.IsUnserved("full"));
 }
 
-// A retry must not wait for its probes past its deadline.
+// Guards against requests and retries that wait for their probes beyond the deadline.
 TEST(AffinityTest, TheWaitForProbesEndsBeforeTheDeadline) {
-  for (const double left : {1.0, 15.0, 25.0, 45.0, 70.0}) {
+  for (const double time_left : {1.0, 15.0, 25.0, 45.0, 70.0}) {
     AffinityGateway gateway(MakeAffinitySettings());
     gateway.EndpointOfKey("key");
     gateway.Advance(Ms(500));
     gateway.ArriveWithKey("r", "key", 0, Ms(100));
     gateway.AnswerProbes();
     ASSERT_EQ(gateway.attempts.back().id, "r");
-    gateway.Advance(Ms(100 - left));
+    gateway.Advance(Ms(100 - time_left));
     gateway.FinishAttempt("r", 0, gateway.attempts.back().endpoint, Outcome::kRejected, Ms(1));
-    gateway.Advance(Ms(left));  // no probe answers any more
+    gateway.Advance(Ms(time_left));  // no further probe is answered
     EXPECT_TRUE(gateway.IsUnserved("r") ||
                 gateway.attempts.back().endpoint != gateway.attempts.front().endpoint)
-        << left;
+        << time_left;
     AffinityGateway first(MakeAffinitySettings());
-    first.ArriveWithKey("r", "key", 0, Ms(left));
-    first.Advance(Ms(left));
-    EXPECT_TRUE(first.IsUnserved("r") || !first.attempts.empty()) << left;
+    first.ArriveWithKey("r", "key", 0, Ms(time_left));
+    first.Advance(Ms(time_left));
+    EXPECT_TRUE(first.IsUnserved("r") || !first.attempts.empty()) << time_left;
   }
 }
 
-// A timer every ten milliseconds would be costly at a thousand idle gateways.
+// Guards against a timer every 10 ms on each of a thousand idle gateways.
 TEST(AffinityTest, AGatewayWithoutQueuedRequestsSetsNoTimer) {
   AffinityGateway gateway(MakeAffinitySettings());
   gateway.EndpointOfKey("key");
@@ -156,7 +157,8 @@
   EXPECT_EQ(gateway.log.size(), before);
 }
 
-// Where an endpoint is used once in many seconds, two errors in a row are learned of too late.
+// A gateway that uses an endpoint only once in many seconds would otherwise need many seconds to
+// see the two errors in a row that eject it.
 TEST(AffinityTest, OneErrorEjectsWhereOutcomesAreRare) {
   AffinityGateway gateway(MakeAffinitySettings());
   const std::string first = gateway.EndpointOfKey("key");
@@ -166,7 +168,7 @@
   ASSERT_EQ(gateway.attempts.back().endpoint, first);
   gateway.FinishAttempt("bad", 0, first, Outcome::kError, Ms(2), true);
   EXPECT_NE(gateway.EndpointOfKey("key"), first);
-  for (int i = 0; i < 5; ++i) {  // in the subset by then, but on a half-open trial
+  for (int i = 0; i < 5; ++i) {  // back in the subset, but on a half-open trial
     gateway.Advance(Ms(10'000));
     const std::string id = "unsafe" + std::to_string(i);
     gateway.ArriveWithKey(id, "key", 4);
@@ -176,31 +178,32 @@
   }
 }
 
-// Each of a thousand gateways uses every endpoint, and one accepts a few hundred connections.
-TEST(AffinityTest, IdleConnectionsAreClosedWhereTheyAreCharged) {
-  for (const double charge : {0.0, 0.02}) {
+// Each of a thousand gateways uses every endpoint, but an endpoint accepts only a few hundred
+// connections.
+TEST(AffinityTest, IdleConnectionsAreClosedWhereTheyHaveACost) {
+  for (const double connection_cost : {0.0, 0.02}) {
     Settings settings = MakeAffinitySettings();
-    settings.costs.connection = charge;
+    settings.costs.connection = connection_cost;
     AffinityGateway gateway(settings);
     const std::string first = gateway.EndpointOfKey("key");
     const auto closed = LoadBalancerHarness::ActionsOf<CloseIdleConnections>(gateway.log);
-    ASSERT_EQ(closed.size(), charge > 0 ? 1u : 0u);
+    ASSERT_EQ(closed.size(), connection_cost > 0 ? 1u : 0u);
     for (const CloseIdleConnections& close : closed) {
       EXPECT_EQ(close.endpoint, first);
     }
   }
 }
 
-// A burst after a long pause, with and without a fleet that warms up: each request is answered once
-// and in time, and no endpoint gets more than its share of the burst.
-TEST(AffinityTest, ABurstAfterALongPauseIsAnsweredAndKeepsToTheLimits) {
-  for (const bool cold : {false, true}) {
+// A burst after a long pause, with a warm fleet and with one that is warming up. Each request must
+// be answered once, by an attempt or a rejection, and no endpoint may get more than its share.
+TEST(AffinityTest, ABurstAfterALongPauseIsAnsweredWithinTheLimits) {
+  for (const bool warming_up : {false, true}) {
     AffinityGateway gateway(MakeAffinitySettings());
-    for (int k = 0; k < 30; ++k) {
-      gateway.EndpointOfKey("key" + std::to_string(k));
+    for (int i = 0; i < 30; ++i) {
+      gateway.EndpointOfKey("key" + std::to_string(i));
     }
     gateway.Advance(Ms(600'000));
-    if (cold) {
+    if (warming_up) {
       for (int i = 0; i < 20; ++i) {
         gateway.UpdateEndpoint("e" + std::to_string(i), EndpointState::kUp, gateway.now, i % 2);
       }
@@ -213,31 +216,31 @@
     for (int i = 0; i < 200; ++i) {
       gateway.AnswerProbes(), gateway.Advance(Ms(5));
     }
-    std::map<std::string, int> at;
-    std::set<std::string> done;
+    std::map<std::string, int> attempts_by_endpoint;
+    std::set<std::string> attempted;
     for (size_t i = before; i < gateway.attempts.size(); ++i) {
-      ++at[gateway.attempts[i].endpoint];
-      done.insert(gateway.attempts[i].id);
+      ++attempts_by_endpoint[gateway.attempts[i].endpoint];
+      attempted.insert(gateway.attempts[i].id);
     }
-    for (const auto& [host, n] : at) {
-      EXPECT_LE(n, cold ? 2 : 12) << host;
+    for (const auto& [endpoint, count] : attempts_by_endpoint) {
+      EXPECT_LE(count, warming_up ? 2 : 12) << endpoint;
     }
     for (int i = 0; i < 300; ++i) {
       const std::string id = "b" + std::to_string(i);
-      EXPECT_NE(done.contains(id), gateway.IsUnserved(id)) << id;
+      EXPECT_NE(attempted.contains(id), gateway.IsUnserved(id)) << id;
     }
   }
 }
 
-TEST(AffinityTest, NoProbesNoListAndOneEndpoint) {
+TEST(AffinityTest, RequestsWithoutProbesOrListOrWithOneEndpoint) {
   Settings settings = MakeAffinitySettings();
-  settings.allowed.probes = false;  // forbidden, so none is sent; the request goes by the fallback
-  AffinityGateway blind(settings);
-  blind.ArriveWithKey("r", "key");
-  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartProbe>(blind.log).empty());
-  EXPECT_EQ(blind.attempts.size(), 1u);
+  settings.allowed.probes = false;  // no probe is sent; the fallback selects the endpoint
+  AffinityGateway without_probes(settings);
+  without_probes.ArriveWithKey("r", "key");
+  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartProbe>(without_probes.log).empty());
+  EXPECT_EQ(without_probes.attempts.size(), 1u);
 
-  LoadBalancerHarness empty(MakeAffinitySettings());  // no list yet: rejected, not lost
+  LoadBalancerHarness empty(MakeAffinitySettings());  // no list yet: the request is rejected
   RequestArrived arrival;
   arrival.id = "early";
   arrival.deadline = empty.now + Ms(1000);
@@ -249,7 +252,7 @@
   LoadBalancerHarness one(MakeAffinitySettings());
   one.ListEndpoints(1);
   one.Handle(arrival);
-  one.Handle(PeerMessage{4711, std::string("\xff\x00wrong", 7)});  // not by a gateway: ignored
+  one.Handle(PeerMessage{4711, std::string("\xff\x00wrong", 7)});  // not from a gateway: ignored
   one.FinishProbe("e0", 1, 20);
   EXPECT_EQ(one.attempts.size(), 1u);
 }
