--- a/src/balancer/discovery_schedule.cpp
+++ b/src/balancer/discovery_schedule.cpp
@@ -10,11 +10,14 @@
 namespace {
 
 constexpr int kMaxBackoffDoublings = 3;
-constexpr double kBackoffDivisor = 20;   // of the discovery interval
-constexpr double kMinBackoffUs = 2.5e5;  // soon at first: changes were missed
+// The first backoff is the discovery interval divided by kBackoffDivisor, within these bounds. It
+// is short because changes are missed while there is no watch.
+constexpr double kBackoffDivisor = 20;
+constexpr double kMinFirstBackoffUs = 2.5e5;
 constexpr double kMaxFirstBackoffUs = 5e5;
-constexpr double kStartSpreadDivisor = 5;  // of the discovery interval; many gateways may start
-                                           // together, and the registry is small
+// The first watch is delayed by up to the discovery interval divided by this: many gateways may
+// start at the same time, and the registry has little capacity.
+constexpr double kStartSpreadDivisor = 5;
 
 }  // namespace
 
@@ -36,8 +39,8 @@
 
 void DiscoverySchedule::OnFailure(const EventContext& context) {
   const double base_us =
-      std::clamp(ToUs(context.settings.rules.discovery_interval) / kBackoffDivisor, kMinBackoffUs,
-                 kMaxFirstBackoffUs);
+      std::clamp(ToUs(context.settings.rules.discovery_interval) / kBackoffDivisor,
+                 kMinFirstBackoffUs, kMaxFirstBackoffUs);
   const int doublings = std::min(failures_++, kMaxBackoffDoublings);
   const double delay_us = base_us * std::pow(2, doublings) * (0.5 + context.random.Uniform());
   context.Emit(SetTimer{Duration(std::llround(delay_us)), kDiscoveryToken});
--- a/src/balancer/discovery_schedule.h
+++ b/src/balancer/discovery_schedule.h
@@ -1,4 +1,4 @@
-// When the gateway asks for the endpoint list, where the list has to be asked for.
+// When the gateway requests the endpoint list in DiscoveryMode::kPoll.
 #ifndef PADDLESTILE_BALANCER_DISCOVERY_SCHEDULE_H_
 #define PADDLESTILE_BALANCER_DISCOVERY_SCHEDULE_H_
 
@@ -6,20 +6,21 @@
 
 namespace paddlestile {
 
-// The timer that OnTimer answers; an outside name, part of the simulator's protocol.
+// Token of the timer that OnTimer handles. It is part of the simulator's protocol.
 constexpr const char* kDiscoveryToken = "follow";
 
-// Watches once after the first list, and again after each failure with a growing, random delay.
+// Starts a watch after the first list, and again after each failure with an exponential, randomized
+// backoff.
 class DiscoverySchedule {
  public:
-  // After an update of any kind but kFailed was applied.
+  // Called after an update of any kind except kFailed was applied.
   void OnUpdate(const EventContext& context, EndpointUpdateKind kind);
   void OnFailure(const EventContext& context);
   void OnTimer(const EventContext& context) const;
 
  private:
   bool started_ = false;
-  int failures_ = 0;  // since the last list that was not from the cache
+  int failures_ = 0;  // since the last list that did not come from the cache
 };
 
 }  // namespace paddlestile
--- a/tests/balancer/discovery_schedule_test.cpp
+++ b/tests/balancer/discovery_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When the endpoint list is asked for.
+// Tests of when the endpoint list is requested.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,23 +14,23 @@
 
 TEST(DiscoveryScheduleTest, WatchesAtStartAndAfterAFailureInPollModeOnly) {
   Settings settings = MakeSettings();
-  LoadBalancerHarness pushed(settings);
-  pushed.ListEndpoints(2);
-  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<WatchEndpoints>(pushed.log).empty());
+  LoadBalancerHarness push_gateway(settings);
+  push_gateway.ListEndpoints(2);
+  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<WatchEndpoints>(push_gateway.log).empty());
   settings.discovery_mode = DiscoveryMode::kPoll;
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(2);
-  gateway.Advance(settings.rules.discovery_interval /
-                  5);  // a random delay where there are other gateways
+  // With several gateways the first watch has a random delay.
+  gateway.Advance(settings.rules.discovery_interval / 5);
   EXPECT_EQ(LoadBalancerHarness::ActionsOf<WatchEndpoints>(gateway.log).size(), 1U);
   const auto failed = gateway.Handle(EndpointUpdate{EndpointUpdateKind::kFailed, {}});
-  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<WatchEndpoints>(failed)
-                  .empty());  // not at once: the registry is small
+  // Not immediately, because the registry has little capacity.
+  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<WatchEndpoints>(failed).empty());
   gateway.Advance(settings.rules.discovery_interval / 2);
   EXPECT_EQ(LoadBalancerHarness::ActionsOf<WatchEndpoints>(gateway.log).size(), 2U);
 }
 
-// A single gateway overloads no registry: it asks without delay.
+// A single gateway cannot overload the registry, so it starts its watch without delay.
 TEST(DiscoveryScheduleTest, ASingleGatewayWatchesAtOnce) {
   Settings settings = MakeSettings();
   settings.discovery_mode = DiscoveryMode::kPoll;
@@ -49,17 +49,17 @@
   gateway.Advance(settings.rules.discovery_interval / 5);
   Duration longest{0};
   for (int i = 0; i < 8; ++i) {
-    for (const SetTimer& t : LoadBalancerHarness::ActionsOf<SetTimer>(
+    for (const SetTimer& timer : LoadBalancerHarness::ActionsOf<SetTimer>(
              gateway.Handle(EndpointUpdate{EndpointUpdateKind::kFailed, {}}))) {
-      longest = std::max(longest, t.after);
-      EXPECT_LT(t.after, settings.rules.discovery_interval);
+      longest = std::max(longest, timer.after);
+      EXPECT_LT(timer.after, settings.rules.discovery_interval);
     }
   }
   EXPECT_GT(longest, settings.rules.discovery_interval / 10);
 }
 
-// With a discovery interval of a minute too, a broken watch is renewed within a second: changes are
-// missed meanwhile.
+// Changes are missed while a watch is broken, so it must be renewed within a second even if the
+// discovery interval is a minute.
 TEST(DiscoveryScheduleTest, ABrokenWatchIsRenewedSoonHoweverLongTheDiscoveryInterval) {
   Settings settings = MakeSettings();
   settings.discovery_mode = DiscoveryMode::kPoll;
