--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -8,14 +8,15 @@
 namespace paddlestile {
 namespace {
 
-constexpr size_t kMaxMachineKind = 64;  // a fleet has a handful; further ones share one estimate
+// A fleet has only a few machine kinds. Kinds above this index share one estimate.
+constexpr size_t kMaxMachineKind = 64;
 
 }  // namespace
 
 EndpointTable::UpdateResult EndpointTable::Apply(const EndpointUpdate& update,
                                                  const IsReferenced& is_referenced) {
   UpdateResult result;
-  // Of a delta only the endpoints that it names are visited: a large fleet changes often.
+  // For a delta only the endpoints that it lists are visited, because a large fleet changes often.
   const bool is_complete = update.kind != EndpointUpdateKind::kDelta;
   if (is_complete) {
     result.subset_needs_refill = true;
@@ -89,19 +90,19 @@
     return *known;
   }
   std::vector<Endpoint>& endpoints = records_.endpoints;
-  const auto is_free = [&](size_t i) {
+  const auto is_reusable = [&](size_t i) {
     const Endpoint& endpoint = endpoints[i];
     return !endpoint.was_up && !endpoint.in_subset && endpoint.attempts_in_flight <= 0 &&
            !is_referenced(i);
   };
-  const auto free = std::ranges::find_if(removed_, is_free);
-  const size_t index = free == removed_.end() ? endpoints.size() : *free;
-  if (free == removed_.end()) {
+  const auto reusable = std::ranges::find_if(removed_, is_reusable);
+  const size_t index = reusable == removed_.end() ? endpoints.size() : *reusable;
+  if (reusable == removed_.end()) {
     endpoints.emplace_back();
   } else {
     records_.endpoint_index.erase(endpoints[index].info.id);
     endpoints[index] = Endpoint{};
-    removed_.erase(free);
+    removed_.erase(reusable);
   }
   endpoints[index].info.id = id;
   records_.endpoint_index[id] = index;
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint list updates.
+// Tests of endpoint list updates.
 #include "balancer/endpoint_table.h"
 
 #include <gtest/gtest.h>
@@ -32,8 +32,8 @@
   gateway.Handle(full);  // e2 is absent from a full list, so it is removed
   gateway.WarmUp(60);
   ASSERT_FALSE(gateway.attempts.empty());
-  for (const StartAttempt& send : gateway.attempts) {
-    EXPECT_EQ(send.endpoint, "e1");
+  for (const StartAttempt& attempt : gateway.attempts) {
+    EXPECT_EQ(attempt.endpoint, "e1");
   }
 }
 
@@ -57,46 +57,47 @@
                           [](const StartAttempt& attempt) { return attempt.endpoint == "e0"; }));
 }
 
-// Endpoints are replaced all day under new ids: the table must not grow with each.
+// Endpoints are often replaced by others with new ids. Guards against a table that grows with each.
 TEST(EndpointTableTest, IndicesOfRemovedEndpointsAreReused) {
   EndpointRecords records;
   EndpointTable table(records);
-  RequestTable open;
+  RequestTable requests;
   std::vector<PoolEntry> pool;
   const auto is_referenced = [&](size_t endpoint) {
-    return open.RefersTo(endpoint) || std::ranges::count(pool, endpoint, &PoolEntry::endpoint) > 0;
+    return requests.RefersTo(endpoint) ||
+           std::ranges::count(pool, endpoint, &PoolEntry::endpoint) > 0;
   };
   for (int i = 0; i < 5000; ++i) {
-    const size_t place = table.IndexFor("e" + std::to_string(i), is_referenced);
-    EXPECT_EQ(table[place].info.id, "e" + std::to_string(i));
-    EXPECT_EQ(table[place].error_rate, 0);  // nothing of the endpoint before
-    table[place].error_rate = 1;
+    const size_t index = table.IndexFor("e" + std::to_string(i), is_referenced);
+    EXPECT_EQ(table[index].info.id, "e" + std::to_string(i));
+    EXPECT_EQ(table[index].error_rate, 0);  // not that of the previous endpoint
+    table[index].error_rate = 1;
     if (i < 10) {
       continue;
     }
-    const size_t old = records.endpoint_index.at("e" + std::to_string(i - 10));
-    table.SetState(old, EndpointState::kRemoved);
+    const size_t removed = records.endpoint_index.at("e" + std::to_string(i - 10));
+    table.SetState(removed, EndpointState::kRemoved);
   }
   EXPECT_LE(table.size(), 12U);
   EXPECT_LE(records.endpoint_index.size(), 12U);
-  // Not while a request or a pool entry refers to it.
-  const size_t gone = records.endpoint_index.begin()->second;
+  // An index is not reused while a request or a pool entry refers to it.
+  const size_t removed = records.endpoint_index.begin()->second;
   for (size_t i = 0; i < table.size(); ++i) {
     table.SetState(i, EndpointState::kUp);
   }
-  table.SetState(gone, EndpointState::kRemoved);
-  Request& request = open.Add(RequestArrived{}, 0, MakeSettings(), Time(0));
-  request.attempts.push_back({.endpoint = gone});
-  EXPECT_NE(table.IndexFor("x", is_referenced), gone);
-  open.Erase(request);
-  pool.push_back({.endpoint = gone});
-  EXPECT_NE(table.IndexFor("y", is_referenced), gone);
+  table.SetState(removed, EndpointState::kRemoved);
+  Request& request = requests.Add(RequestArrived{}, 0, MakeSettings(), Time(0));
+  request.attempts.push_back({.endpoint = removed});
+  EXPECT_NE(table.IndexFor("x", is_referenced), removed);
+  requests.Erase(request);
+  pool.push_back({.endpoint = removed});
+  EXPECT_NE(table.IndexFor("y", is_referenced), removed);
   pool.clear();
-  EXPECT_EQ(table.IndexFor("z", is_referenced), gone);
+  EXPECT_EQ(table.IndexFor("z", is_referenced), removed);
 }
 
-// An id that a list names twice must not take two places of the subset.
-TEST(EndpointTableTest, AnIdListedTwiceIsOneEndpoint) {
+// Guards against an id that is listed twice and takes two places in the subset.
+TEST(EndpointTableTest, AnIdThatIsListedTwiceIsOneEndpoint) {
   Settings settings = MakeSettings();
   settings.instance_count = 1;
   settings.allowed.probes = false;
@@ -115,7 +116,7 @@
   }
   EXPECT_EQ(count.size(), 41U);
   EXPECT_GT(count["twice"], 100);
-  EXPECT_LT(count["twice"], 300);  // 195 are its share
+  EXPECT_LT(count["twice"], 300);  // its share is 195
 }
 
 }  // namespace
