--- a/src/balancer/event_context.h
+++ b/src/balancer/event_context.h
@@ -1,5 +1,5 @@
-// What the modules of one load balancer are given with each event: time, settings, random numbers
-// and the list of actions.
+// The context in which the modules of a load balancer handle an event: time, settings, random
+// numbers and the list of actions.
 #ifndef PADDLESTILE_BALANCER_EVENT_CONTEXT_H_
 #define PADDLESTILE_BALANCER_EVENT_CONTEXT_H_
 
@@ -15,14 +15,16 @@
 
 namespace paddlestile {
 
-// The only source of chance: the same seed and calls give the same numbers.
+// The only source of random numbers. The same seed and the same sequence of calls give the same
+// numbers.
 class RandomSource {
  public:
   explicit RandomSource(uint64_t seed) : engine_(seed) {}
 
-  // In [0, 1).
+  // Returns a number in [0, 1).
   double Uniform() { return std::uniform_real_distribution<double>(0, 1)(engine_); }
-  // In [0, count); `count` is above 0. Draws a number for a count of 1 too.
+  // Returns a number in [0, count). `count` must be above 0. Also advances the generator if `count`
+  // is 1.
   size_t IndexBelow(size_t count) {
     return static_cast<size_t>(Uniform() * static_cast<double>(count)) % count;
   }
@@ -31,14 +33,14 @@
   std::mt19937_64 engine_;
 };
 
-// Lives as long as one event is handled; owns nothing.
+// Valid while one event is handled. Owns nothing.
 struct EventContext {
   Time now;
   const Settings& settings;
   RandomSource& random;
   std::vector<Action>& actions;
 
-  // `action`: one of the types of Action.
+  // Appends an action. `T` must be one of the alternatives of Action.
   template <typename T>
   void Emit(T action) const {
     actions.emplace_back(std::move(action));
--- a/src/balancer/hashing.h
+++ b/src/balancer/hashing.h
@@ -1,4 +1,5 @@
-// Hashes that are the same at every gateway and in every build, unlike std::hash.
+// Hash functions whose results, unlike those of std::hash, are the same on every gateway and in
+// every build.
 #ifndef PADDLESTILE_BALANCER_HASHING_H_
 #define PADDLESTILE_BALANCER_HASHING_H_
 
@@ -10,8 +11,7 @@
 // FNV-1a.
 uint64_t HashOfId(const std::string& text);
 
-// A number in (0, 1) for a pair of hashes, spread as if drawn at random (the last steps of
-// splitmix64).
+// Maps a pair of hashes to a pseudo-random number in (0, 1), using the finalizer of splitmix64.
 double UniformFromHashes(uint64_t first, uint64_t second);
 
 }  // namespace paddlestile
--- a/src/balancer/sampling.h
+++ b/src/balancer/sampling.h
@@ -1,4 +1,4 @@
-// When members of a large subset are drawn at random instead of looked at one by one.
+// Limits for sampling a large subset at random instead of scanning it.
 #ifndef PADDLESTILE_BALANCER_SAMPLING_H_
 #define PADDLESTILE_BALANCER_SAMPLING_H_
 
@@ -7,7 +7,8 @@
 namespace paddlestile {
 
 constexpr size_t kMaxScannedSubset = 64;  // endpoints; a larger subset is sampled
-constexpr int kMaxDraws = 32;  // enough: most endpoints are eligible, or the site is overloaded
+// Enough draws to find an eligible endpoint: unless the site is overloaded, most are eligible.
+constexpr int kMaxDraws = 32;
 
 }  // namespace paddlestile
 
