--- a/src/balancer/events.h
+++ b/src/balancer/events.h
@@ -1,5 +1,5 @@
-// Events that a load balancer is given and actions that it asks for. Plain values without
-// behaviour: the gateway and the simulator's adapter translate them from and to their own formats.
+// The events that a load balancer handles and the actions that it requests. Plain values without
+// behaviour; the gateway and the simulator's adapter convert them from and to their own formats.
 #ifndef PADDLESTILE_BALANCER_EVENTS_H_
 #define PADDLESTILE_BALANCER_EVENTS_H_
 
@@ -17,26 +17,26 @@
 // ---- Events ---------------------------------------------------------------------------------
 
 enum class EndpointState {
-  kUp,        // may get new requests
-  kDraining,  // finishes what it has; no new requests
-  kRemoved    // has left the list
+  kUp,        // accepts new requests
+  kDraining,  // finishes its requests in flight; gets no new ones
+  kRemoved    // no longer in the endpoint list
 };
 
 struct EndpointInfo {
   std::string id;
-  Time started_at{0};  // of its process; 0: long ago
+  Time started_at{0};  // start of its process; 0: long ago
   int zone = 0;
   size_t machine_kind = 0;  // index; endpoints of one kind have about the same throughput
   int cell = 0;
-  double weight = 1;  // as listed; how far to trust it says Settings::weight_kind
+  double weight = 1;  // as listed; Settings::weight_kind describes how reliable it is
   EndpointState state = EndpointState::kUp;
 };
 
 enum class EndpointUpdateKind {
-  kDelta,   // names only the endpoints that changed
-  kFull,    // names all endpoints: one that is absent has been removed
-  kCached,  // as kFull, from the gateway's own copy
-  kFailed   // no list came: it has to be asked for again
+  kDelta,   // contains only the endpoints that changed
+  kFull,    // contains all endpoints; endpoints that are absent have been removed
+  kCached,  // as kFull, from the gateway's local copy
+  kFailed   // the list could not be obtained and has to be requested again
 };
 
 struct EndpointUpdate {
@@ -45,14 +45,14 @@
 };
 
 struct RequestArrived {
-  std::string id;  // unique among the open requests; a repeated one is ignored
+  std::string id;  // unique among the open requests; an arrival with the id of one is ignored
   Time deadline{0};
-  size_t tenant = 0;  // index into Settings::tenants, past its end without a quota
+  size_t tenant = 0;  // index into Settings::tenants; an index past the end has no quota
   bool is_write = false;
   size_t request_class = 0;               // index into Settings::classes
   std::optional<std::string> key;         // requests with the same key share cached work
-  std::optional<Duration> expected_work;  // hint by the client
-  bool is_client_retry = false;           // where Settings::clients_mark_retries
+  std::optional<Duration> expected_work;  // hint from the client
+  bool is_client_retry = false;           // set only with Settings::clients_mark_retries
 };
 
 // How an attempt or a probe ended.
@@ -60,7 +60,7 @@
   kOk,
   kError,           // error response; may have run
   kRejected,        // rejected by the endpoint before it ran
-  kTimeout,         // may have run or still run
+  kTimeout,         // may have run or may still be running
   kConnectFailed,   // never reached the endpoint
   kReset,           // the connection broke; may have run
   kCancelled,       // cancelled by the gateway; may have run
@@ -68,7 +68,7 @@
   kInvalidResponse  // unreadable response, or one that blames the request; may have run
 };
 
-using LoadReport = std::vector<double>;  // values in the order that the settings give
+using LoadReport = std::vector<double>;  // values in the order defined by the settings
 
 struct ResponseStarted {
   std::string id;
@@ -79,13 +79,13 @@
 
 struct AttemptFinished {
   std::string id;
-  size_t attempt = 0;  // index, in the order of StartAttempt
+  size_t attempt = 0;  // index among the request's StartAttempt actions
   std::string endpoint;
   Outcome outcome = Outcome::kOk;
   Duration elapsed{0};            // since the attempt started
-  bool request_finished = false;  // the client has its response: no further attempt is wanted
+  bool request_finished = false;  // the client has its response; no further attempt is needed
   std::optional<LoadReport> load_report;
-  bool request_consumed = false;  // no longer buffered: no further attempt can be made
+  bool request_consumed = false;  // no longer buffered; no further attempt is possible
 };
 
 struct ClientDisconnected {
@@ -108,9 +108,9 @@
   std::string bytes;
 };
 
-// `Settings`: new ones, in force for what comes from now on. A request under way keeps its class;
-// what was learned stays, by the indices of classes and tenants. Those that are removed keep
-// theirs.
+// A `Settings` event replaces the settings for all later events. Open requests keep their request
+// class. Learned state is kept by the indices of classes and tenants, so classes and tenants that
+// are removed must keep their indices.
 using Event = std::variant<EndpointUpdate, RequestArrived, ResponseStarted, AttemptFinished,
                            ClientDisconnected, TimerFired, ProbeFinished, PeerMessage, Settings,
                            TenantQuotaUpdate>;
@@ -121,16 +121,16 @@
 struct StartAttempt {
   std::string id;
   std::string endpoint;
-  Duration timeout{0};  // 0: until the client gives up
+  Duration timeout{0};  // 0: no timeout, the attempt may last until the client gives up
 };
 
-// Answers the client that the request did not run and may be sent again.
+// Responds to the client that the request did not run and may be sent again.
 struct RejectRequest {
   std::string id;
-  Duration retry_after{0};  // 0: none is named
+  Duration retry_after{0};  // 0: the response has no retry-after
 };
 
-// Answers the client that the request may have run.
+// Responds to the client that the request may have run.
 struct FailRequest {
   std::string id;
 };
@@ -140,7 +140,7 @@
   size_t attempt = 0;
 };
 
-// Asks for TimerFired with the same token, not before `after` has passed.
+// Requests a TimerFired event with the same token, no earlier than `after` from now.
 struct SetTimer {
   Duration after{0};
   std::string token;
@@ -160,7 +160,7 @@
   bool on = true;
 };
 
-// Asks for the endpoint list once.
+// Requests the endpoint list once.
 struct PollEndpoints {};
 
 struct LogMessage {
