--- a/src/balancer/statistics.h
+++ b/src/balancer/statistics.h
@@ -1,4 +1,4 @@
-// What a load balancer counts of its decisions, for logs and metrics. No decision reads it.
+// Counters of a load balancer's decisions, for logs and metrics. No decision depends on them.
 #ifndef PADDLESTILE_BALANCER_STATISTICS_H_
 #define PADDLESTILE_BALANCER_STATISTICS_H_
 
@@ -8,29 +8,32 @@
 
 namespace paddlestile {
 
-// How an endpoint was selected. Cold and hot are Prequal's terms: with as many or fewer requests
-// in flight than the cut of the probe pool, and with more.
+// How an endpoint was selected. Cold and hot are Prequal's terms. A cold entry of the probe pool
+// has no more requests in flight than the pool's cut, a hot entry has more.
 enum class SelectionMethod {
   kNone,
-  kCold,     // from the pool, the lowest latency
-  kHot,      // from the pool, the fewest in flight
-  kFallback  // without the pool: two random choices
+  kCold,     // the cold pool entry with the lowest latency
+  kHot,      // the hot pool entry with the fewest requests in flight
+  kFallback  // two random choices, without the pool
 };
 
-// Why an endpoint may not take a request now.
+// Why an endpoint is excluded for a request.
 enum class ExclusionReason {
-  kNone,          // it may; of an unserved request: there was no endpoint at all
-  kNotPermitted,  // drains, had this request before, or the class, the attempts or the time forbid
-  kWarmingUp,     // has just started and its slow-start budget is spent
-  kUnhealthy,     // unresponsive, on a half-open trial, or doubtful and the request is unsafe
+  kNone,  // not excluded; as the reason of an unserved request: there was no endpoint
+  // Not up, was already tried, or the request class, the number of attempts or the deadline does
+  // not permit an attempt.
+  kNotPermitted,
+  kWarmingUp,  // has just started and its slow-start budget is used up
+  // Unresponsive, has a half-open trial in flight, or is doubtful and the request is unsafe.
+  kUnhealthy,
   kAtConcurrencyLimit,      // holds as many requests as its learned limit
-  kCapacityUnknown,         // at the initial limit, or its load is not freshly known
-  kMissesLatencyObjective,  // the predicted response would come too late
-  kRetryBudgetExhausted     // none was looked for: no attempt, time or retry budget is left
+  kCapacityUnknown,         // at the initial limit, or without a fresh load report
+  kMissesLatencyObjective,  // the predicted latency is too long for the latency objective
+  kRetryBudgetExhausted     // no endpoint was searched: no attempt, time or retry budget is left
 };
 constexpr size_t kExclusionReasonCount = 8;
 
-// The name in logs and metrics.
+// Returns the name in logs and metrics.
 inline const char* ToText(ExclusionReason reason) {
   constexpr std::array<const char*, kExclusionReasonCount> kNames = {"no_endpoint",
                                                                      "not_permitted",
@@ -45,7 +48,8 @@
 
 struct Statistics {
   std::array<uint64_t, 4> selections{};  // attempts started, by SelectionMethod
-  // Rejected and failed requests, by the reason that excluded most endpoints at the last look.
+  // Rejected and failed requests, by the reason that excluded the most endpoints at the last
+  // selection.
   std::array<uint64_t, kExclusionReasonCount> unserved_by_reason{};
   SelectionMethod last_selection = SelectionMethod::kNone;
 };
