--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-// The name is composed only for the message: there may be many items.
+// Builds the name of an item only if the check fails, because the list can be long.
 void RequireItem(bool valid, const char* list, size_t index, const char* name,
                  const char* expected) {
   if (!valid) {
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-// The names in the messages are the operators' words for the settings.
+// Error messages use the operators' names of the settings.
 void ValidateSettings(const Settings& settings) {
   Require(settings.instance_count >= 1, "NInstances", "1 or more");
   Require(!settings.classes.empty(), "Classes", "one at the least");
--- a/src/balancer/settings.h
+++ b/src/balancer/settings.h
@@ -1,5 +1,5 @@
-// Settings of the decision module: what a site allows, what results are worth, and their check.
-// Plain values; the configuration codecs map the operators' words to these fields.
+// Settings of the decision module: what a site permits and how results are valued. Plain values
+// with range checks; the configuration codecs map the setting names of operators to these fields.
 #ifndef PADDLESTILE_BALANCER_SETTINGS_H_
 #define PADDLESTILE_BALANCER_SETTINGS_H_
 
@@ -12,14 +12,14 @@
 
 namespace paddlestile {
 
-// What a second execution of the same request does.
+// The effect of executing the same request a second time.
 enum class Idempotency {
-  kSafe,   // no harm: may be repeated anywhere
-  kKeyed,  // dropped by the endpoints of its deduplication scope, within the window
-  kUnsafe  // harm: never repeated once it may have run
+  kSafe,   // harmless: may be repeated anywhere
+  kKeyed,  // dropped by endpoints in the deduplication scope, within the deduplication window
+  kUnsafe  // harmful: never repeated once it may have run
 };
 
-// The endpoints that drop one another's repeats of a keyed request.
+// The endpoints that recognize repeats of each other's keyed requests.
 enum class DeduplicationScope {
   kAll,
   kZone,
@@ -28,8 +28,8 @@
 
 // How the endpoint list reaches the gateway.
 enum class DiscoveryMode {
-  kPush,  // sent unasked
-  kPoll   // after WatchEndpoints or PollEndpoints
+  kPush,  // sent without a request
+  kPoll   // requested by WatchEndpoints or PollEndpoints
 };
 
 // Which responses carry a load report.
@@ -39,7 +39,7 @@
   kNone
 };
 
-// How far the endpoint list's weights can be trusted.
+// How reliable the weights in the endpoint list are.
 enum class WeightKind {
   kNone,
   kNominal,
@@ -50,36 +50,36 @@
 struct RequestClass {
   Idempotency idempotency = Idempotency::kSafe;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
-  Duration deduplication_window{0};  // from the first attempt that may have run; repeats within it
-                                     // are dropped
-  Duration latency_objective{0};     // a response within this earns the full value; above 0
-  Duration deadline{0};              // how long a client waits in all; above 0
+  // Repeats are dropped for this long after the first attempt that may have run.
+  Duration deduplication_window{0};
+  Duration latency_objective{0};  // a response within this time has the full value; above 0
+  Duration deadline{0};           // how long a client waits in total; above 0
   double latency_objective_stretch = 0;
-  double priority_weight = 1;      // value of a response in time; 0 or more
-  double late_value_fraction = 0;  // part of that value for a response after the objective
+  double priority_weight = 1;      // value of a response within the objective; 0 or more
+  double late_value_fraction = 0;  // fraction of that value for a later response
   bool is_streamed = false;
   bool operator==(const RequestClass&) const = default;
 };
 
 struct TenantQuota {
   double requests_per_second = 0;  // over all gateways
-  double share = 0;                // part of all arrivals; 0 or more
+  double share = 0;                // fraction of all arrivals; 0 or more
 };
 
 struct Settings {
-  int instance_index = 0;  // this gateway among `instance_count`
+  int instance_index = 0;  // of this gateway, below `instance_count`
   int instance_count = 1;  // gateways of the site; 1 or more
   int zone = 0;            // of this gateway
   int zone_count = 1;
-  std::vector<RequestClass> classes;  // never empty
+  std::vector<RequestClass> classes;  // must not be empty
   std::vector<TenantQuota> tenants;   // a tenant past the end has no quota
   double over_quota_priority_factor = 1;
-  bool priority_scales_with_work = false;  // a large request is worth more in proportion
+  bool priority_scales_with_work = false;  // the value of a request is proportional to its work
   DiscoveryMode discovery_mode = DiscoveryMode::kPush;
   WeightKind weight_kind = WeightKind::kNone;
   bool clients_mark_retries = false;
-  bool key_affinity = false;  // an endpoint that lately served a key serves it with less work
-  struct {                    // what the site lets the gateway do
+  bool key_affinity = false;  // an endpoint that recently served a key serves it with less work
+  struct {                    // what the site permits the gateway to do
     bool cancel = false;
     bool parallel_attempts = false;
     bool probes = false;
@@ -87,45 +87,50 @@
     bool retry_after = false;
     Duration max_retry_after{0};
     Duration connect_timeout{0};
-    int max_attempts = 1;  // of one request; 1 to 1000
+    int max_attempts = 1;  // per request; 1 to 1000
     int max_held_requests = 0;
     int max_streams = 1;
     double cpu_us_per_s = 0;
   } allowed;
-  struct {  // what an action costs, as a share of the result
+  struct {  // the cost of an action, as a fraction of the result
     double cross_zone = 0, handshake = 0, late_failure = 0, probe = 0, wasted_work = 0,
            connection = 0;
   } costs;
-  struct {  // how the result is composed
+  struct {  // weights of the components of the score
     double whole = 1, worst_class = 0, worst_tenant = 0, worst_window = 0;
-    double nines = 0, top_nines = 3;  // part of the nines; how many earn it in full, above 0
+    // Weight of the number of nines, and the number that earns the weight in full (above 0).
+    double nines = 0, top_nines = 3;
   } score_weights;
   struct {
     Duration response_slack{0};
     Duration drain_grace{0};
-    Duration discovery_interval{0};          // longest time between two lists; 0: never asked for
-    double slow_start_initial_capacity = 1;  // fraction of its capacity that an endpoint has at
-                                             // its start at least; 0 to 1
-    Duration slow_start_duration{0};         // until it has all of it
-    double overload_collapse_multiple = 1;   // of its capacity; more makes it collapse
-    Duration overload_collapse_duration{0};  // load above the multiple for this long
+    Duration discovery_interval{0};  // longest time between two lists; 0: lists are not requested
+    // Minimum fraction of its full capacity that an endpoint has right after its start; 0 to 1.
+    double slow_start_initial_capacity = 1;
+    Duration slow_start_duration{0};  // from the start of an endpoint to its full capacity
+    // An endpoint collapses under a load above this multiple of its capacity that lasts for
+    // overload_collapse_duration.
+    double overload_collapse_multiple = 1;
+    Duration overload_collapse_duration{0};
   } rules;
   struct {
     LoadReportSource source = LoadReportSource::kNone;
-    size_t inflight = SIZE_MAX;  // index into the report's values; past its end if not reported
+    // Indices into the values of a report; past its end if not reported.
+    size_t inflight = SIZE_MAX;
     size_t latency_ms = SIZE_MAX;
   } load_report;
 };
 
-// New quotas of some tenants, by index into Settings::tenants; all else stays. An index may be new.
+// New quotas for some tenants, by index into Settings::tenants. Other tenants and settings do not
+// change. An index past the end of the list adds tenants.
 struct TenantQuotaUpdate {
   std::vector<std::pair<size_t, TenantQuota>> entries;
 };
 
-// Checks the ranges. Throws std::invalid_argument that names the setting as operators do.
+// Checks the ranges. Throws std::invalid_argument, with the operators' name of the setting.
 void ValidateSettings(const Settings& settings);
 
-// Puts the quotas into `settings`. Throws std::invalid_argument for a negative share, and then
+// Applies the update to `settings`. Throws std::invalid_argument for a negative share and then
 // changes nothing.
 void ApplyTenantQuotas(const TenantQuotaUpdate& update, Settings& settings);
 
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: their check, and new ones while requests are under way.
+// Tests of range checks and of new settings while requests are open.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -15,48 +15,50 @@
 using testing::Ms;
 
 TEST(SettingsTest, ErrorNamesTheSetting) {
-  const auto error = [](auto change) -> std::string {
+  const auto error_after = [](auto change) -> std::string {
     Settings settings = MakeSettings();
     change(settings);
     try {
       LoadBalancer balancer(settings, 1);
-    } catch (const std::invalid_argument& e) {
-      return e.what();
+    } catch (const std::invalid_argument& exception) {
+      return exception.what();
     }
     return "";
   };
-  EXPECT_EQ(error([](Settings&) {}), "");
-  EXPECT_NE(error([](Settings& settings) { settings.instance_count = 0; }).find("NInstances"),
+  EXPECT_EQ(error_after([](Settings&) {}), "");
+  EXPECT_NE(error_after([](Settings& settings) { settings.instance_count = 0; }).find("NInstances"),
             std::string::npos);
-  EXPECT_NE(error([](Settings& settings) { settings.classes.clear(); }).find("Classes"),
+  EXPECT_NE(error_after([](Settings& settings) { settings.classes.clear(); }).find("Classes"),
+            std::string::npos);
+  EXPECT_NE(error_after([](Settings& settings) {
+              settings.classes[1].latency_objective = Ms(0);
+            }).find("Slo"),
             std::string::npos);
   EXPECT_NE(
-      error([](Settings& settings) { settings.classes[1].latency_objective = Ms(0); }).find("Slo"),
+      error_after([](Settings& settings) { settings.allowed.max_attempts = 0; }).find("SendCap"),
       std::string::npos);
-  EXPECT_NE(error([](Settings& settings) { settings.allowed.max_attempts = 0; }).find("SendCap"),
-            std::string::npos);
-  EXPECT_NE(error([](Settings& settings) {
+  EXPECT_NE(error_after([](Settings& settings) {
               settings.rules.slow_start_initial_capacity = 2;
             }).find("ColdFrom"),
             std::string::npos);
 }
 
-// A request under way keeps the class that it began with, unless fewer attempts are allowed; what
-// was learned of endpoints stays.
+// An open request keeps the class from its arrival, but a lower maximum of attempts applies to it.
+// What was learned about endpoints is kept.
 TEST(SettingsTest, NewSettingsApplyToNewRequests) {
   Settings settings = MakeSettings();
   settings.allowed.probes = false;
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(4);
   gateway.WarmUp(60);
-  const auto fallbacks = gateway.balancer.statistics().selections;
+  const auto selections_before = gateway.balancer.statistics().selections;
   gateway.Arrive("before", 0);
   ASSERT_EQ(gateway.attempts.back().id, "before");
-  Settings next = settings;
-  next.classes[0].idempotency = Idempotency::kUnsafe;
-  next.classes.push_back(MakeClass(Idempotency::kSafe));
-  gateway.Handle(next);
-  // It began as safe, so it may be repeated though it may have run.
+  Settings new_settings = settings;
+  new_settings.classes[0].idempotency = Idempotency::kUnsafe;
+  new_settings.classes.push_back(MakeClass(Idempotency::kSafe));
+  gateway.Handle(new_settings);
+  // It arrived as safe, so it may be repeated although it may have run.
   const auto repeated =
       gateway.FinishAttempt("before", 0, gateway.attempts.back().endpoint, Outcome::kReset, Ms(5));
   EXPECT_EQ(LoadBalancerHarness::ActionsOf<StartAttempt>(repeated).size(), 1u);
@@ -67,20 +69,20 @@
   EXPECT_EQ(LoadBalancerHarness::ActionsOf<FailRequest>(failed).size(), 1u);
   gateway.Arrive("new", 5);
   EXPECT_EQ(gateway.attempts.back().id, "new");
-  // Fewer attempts apply at once.
-  next.allowed.max_attempts = 1;
-  gateway.Handle(next);
-  const auto none =
+  // A lower maximum of attempts applies to open requests.
+  new_settings.allowed.max_attempts = 1;
+  gateway.Handle(new_settings);
+  const auto rejected =
       gateway.FinishAttempt("new", 0, gateway.attempts.back().endpoint, Outcome::kRejected, Ms(5));
-  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartAttempt>(none).empty());
-  // As many at once as before: the throughput of the endpoints is still known.
+  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartAttempt>(rejected).empty());
+  // As many requests at once as before, because the throughput of the endpoints is still known.
   size_t sent = 0;
   for (int i = 0; i < 12; ++i) {
     sent += LoadBalancerHarness::ActionsOf<StartAttempt>(gateway.Arrive("m" + std::to_string(i), 1))
                 .size();
   }
   EXPECT_GE(sent, 12u);
-  EXPECT_GT(gateway.balancer.statistics().selections, fallbacks);
+  EXPECT_GT(gateway.balancer.statistics().selections, selections_before);
 }
 
 }  // namespace
