--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -1,4 +1,5 @@
-// Endpoints that have just started: what they can do so far, and how much of it this gateway uses.
+// Slow start: the reduced capacity of endpoints that have just started, and the part of it that
+// this gateway may use.
 #ifndef PADDLESTILE_BALANCER_SLOW_START_H_
 #define PADDLESTILE_BALANCER_SLOW_START_H_
 
@@ -12,9 +13,9 @@
 
 namespace paddlestile {
 
-// The least fraction of its full capacity that an endpoint has now; 1 when it has warmed up.
+// Returns the minimum fraction of its full capacity that an endpoint has now; 1 once it is warm.
 inline double CapacityFraction(const EventContext& context, const Endpoint& endpoint) {
-  constexpr double kDurationMargin = 1.1;  // clocks and start times are not exact
+  constexpr double kDurationMargin = 1.1;  // clocks and start times are imprecise
   const Time started_at = endpoint.info.started_at;
   const Duration warm_up = context.settings.rules.slow_start_duration;
   if (started_at <= Time(0) || context.now - started_at >= warm_up * kDurationMargin) {
@@ -25,20 +26,20 @@
   return initial + (1 - initial) * std::clamp(progress, 0.0, 1.0);
 }
 
-// A token bucket for each endpoint that warms up: it collapses if all gateways together send more
-// than it can do, so each keeps to its part of that.
+// Keeps a token bucket for each endpoint that is warming up. Such an endpoint collapses if all
+// gateways together send more than its reduced capacity, so each gateway sends only its share.
 class SlowStart {
  public:
   SlowStart(const EndpointTable& endpoints, const EndpointSubset& subset,
             const TrafficStatistics& traffic)
       : endpoints_(endpoints), subset_(subset), traffic_(traffic) {}
 
-  // Refills the endpoint's bucket and returns whether a request of `cost` (in mean requests) fits.
-  // Only for an endpoint that warms up. `warm_throughput`: requests per us of the endpoint when
-  // warm, 0 if unknown.
+  // Refills the endpoint's bucket and returns whether it has enough tokens for a request of `cost`,
+  // in mean requests. Only for endpoints that are warming up. `warm_throughput`: requests per us of
+  // the endpoint when warm; 0 if unknown.
   bool HasBudget(const EventContext& context, Endpoint& endpoint, double cost,
                  double warm_throughput) const;
-  // Takes a request that is sent from the bucket.
+  // Takes the tokens for a request from the bucket when the request is sent.
   static void Spend(Endpoint& endpoint, double cost);
 
  private:
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// The slow-start budget of endpoints that have just started.
+// Tests of the slow-start budget of endpoints that have just started.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,23 +14,23 @@
 using testing::MakeSettings;
 using testing::Ms;
 
-// No window of the collapse duration holds more attempts than multiple x capacity fraction x
-// throughput x window and one more. `throughput`: requests that a warm endpoint gets a second.
+// Expects that no window of the collapse duration contains more attempts than multiple x capacity
+// fraction x throughput x window + 1. `throughput`: requests per second that a warm endpoint gets.
 void ExpectWithinSlowStartBudget(const std::vector<Time>& attempt_times, Time started_at,
                                  const Settings& settings, double throughput) {
   const double window =
       static_cast<double>(settings.rules.overload_collapse_duration.count()) / 1e6;
   for (size_t i = 0; i < attempt_times.size(); ++i) {
-    const auto sent = std::count_if(attempt_times.begin(), attempt_times.end(), [&](Time t) {
-      return t >= attempt_times[i] &&
-             t < attempt_times[i] + settings.rules.overload_collapse_duration;
+    const auto sent = std::count_if(attempt_times.begin(), attempt_times.end(), [&](Time time) {
+      return time >= attempt_times[i] &&
+             time < attempt_times[i] + settings.rules.overload_collapse_duration;
     });
     const double age = static_cast<double>((attempt_times[i] - started_at).count()) /
                        static_cast<double>(settings.rules.slow_start_duration.count());
-    const double from = settings.rules.slow_start_initial_capacity,
-                 share = from + (1 - from) * std::min(1.0, age);
+    const double initial = settings.rules.slow_start_initial_capacity,
+                 fraction = initial + (1 - initial) * std::min(1.0, age);
     EXPECT_LE(static_cast<double>(sent),
-              settings.rules.overload_collapse_multiple * share * throughput * window + 1)
+              settings.rules.overload_collapse_multiple * fraction * throughput * window + 1)
         << "at " << age;
   }
 }
@@ -39,12 +39,12 @@
   Settings settings = MakeSettings();
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(5);
-  gateway.WarmUp(1500, Ms(20), Ms(5));  // 40 a second on each endpoint
+  gateway.WarmUp(1500, Ms(20), Ms(5));  // 40 requests per second at each endpoint
   std::vector<Time> attempt_times;
   gateway.UpdateEndpoint("new", EndpointState::kUp, gateway.now);
   const Time started_at = gateway.now;
   for (int i = 0; i < 1500; ++i) {
-    gateway.FinishProbe("new", 0, 1);  // looks like the best there is
+    gateway.FinishProbe("new", 0, 1);  // reports less load than all others
     gateway.FinishProbe("e1", 1, 20);
     gateway.FinishProbe("e2", 1, 20);
     const size_t before = gateway.attempts.size();
@@ -56,7 +56,7 @@
     }
   }
   ASSERT_FALSE(attempt_times.empty());
-  const double throughput = 40.0;  // what a warm endpoint takes from this gateway, a second
+  const double throughput = 40.0;  // requests per second from this gateway at a warm endpoint
   ExpectWithinSlowStartBudget(attempt_times, started_at, settings, throughput);
 }
 
@@ -69,7 +69,8 @@
   EXPECT_TRUE(gateway.attempts.empty());
 }
 
-// A gateway that took its arrival rate for too low would send too little to endpoints that warm up.
+// Guards against a new gateway that underestimates its arrival rate and therefore sends too little
+// to endpoints that are warming up.
 TEST(SlowStartTest, ANewGatewayKnowsItsArrivalRateWithinASecond) {
   const auto attempts_at_new = [](int seconds_before) {
     Settings settings = MakeSettings();
@@ -83,7 +84,7 @@
       for (const char* id : {"e0", "e1", "e2", "e3"}) {
         gateway.FinishProbe(id, 5, 20);
       }
-      gateway.FinishProbe("new", 0, 1);  // the best there is
+      gateway.FinishProbe("new", 0, 1);  // reports less load than all others
       const size_t before = gateway.attempts.size();
       gateway.WarmUp(1, Ms(20), Ms(25));
       for (size_t k = before; k < gateway.attempts.size(); ++k) {
@@ -95,8 +96,9 @@
   EXPECT_GE(attempts_at_new(0) * 3, attempts_at_new(20) * 2);
 }
 
-// Hundreds of gateways that each save up one request could spend it together. Their sum over any
-// window keeps to the budget: multiple x capacity fraction x what a warm endpoint gets from all.
+// Guards against hundreds of gateways that each save up tokens for one request and send it at the
+// same time. Over any window all gateways together must stay within the budget: multiple x capacity
+// fraction x throughput that a warm endpoint gets from all gateways.
 TEST(SlowStartTest, TheSumOfManyGatewaysStaysWithinTheBudget) {
   constexpr int kGateways = 200, kEndpoints = 80;
   Settings settings = MakeSettings();
@@ -110,7 +112,8 @@
   }
   std::vector<Time> attempt_times;
   Time started_at{0};
-  for (int round = 0; round < 120; ++round) {  // ten requests a second each, 25 an endpoint in all
+  // Each gateway sends ten requests per second, so an endpoint gets 25 per second from all of them.
+  for (int round = 0; round < 120; ++round) {
     for (LoadBalancerHarness& gateway : gateways) {
       if (round == 60) {
         gateway.UpdateEndpoint("new", EndpointState::kUp, gateway.now);
@@ -131,10 +134,10 @@
   std::sort(attempt_times.begin(), attempt_times.end());
   ASSERT_FALSE(attempt_times.empty());
   ExpectWithinSlowStartBudget(attempt_times, started_at, settings, 25);
-  // The first attempts must come within two seconds, not after each gateway has saved up more than
-  // a full request.
+  // The first attempts must start within two seconds, not only after each gateway has saved up
+  // tokens for more than one request.
   EXPECT_GE(std::count_if(attempt_times.begin(), attempt_times.end(),
-                          [&](Time t) { return t - started_at < Ms(2000); }),
+                          [&](Time time) { return time - started_at < Ms(2000); }),
             1);
 }
 
