--- a/src/balancer/prober.cpp
+++ b/src/balancer/prober.cpp
@@ -7,15 +7,17 @@
 namespace paddlestile {
 namespace {
 
-constexpr size_t kFirstProbes = 2;         // affinity endpoints; the first may be slow or crowded
-constexpr Duration kMaxProbeWait{20'000};  // some round trips, little of any latency objective
+// Affinity endpoints probed on arrival. More than one, as the first may be slow or overloaded.
+constexpr size_t kInitialProbes = 2;
+// A few round trips, and a small fraction of any useful latency objective.
+constexpr Duration kMaxProbeWait{20'000};
 
 }  // namespace
 
 void Prober::ProbeForRequest(const EventContext& context, Request& request) {
   if (!request.affinity_endpoints.empty()) {
     ProbeAffinityEndpoints(context, request,
-                           std::min(kFirstProbes, request.affinity_endpoints.size()));
+                           std::min(kInitialProbes, request.affinity_endpoints.size()));
     return;
   }
   probes_due_ += pool_.ProbesPerRequest(context.settings);
@@ -25,7 +27,7 @@
 }
 
 void Prober::RecordProbeFinished(Endpoint& endpoint) {
-  // A probe may outlive the record of its endpoint.
+  // The record of the endpoint may have been replaced while the probe was in flight.
   endpoint.probes_in_flight = std::max(0, endpoint.probes_in_flight - 1);
 }
 
@@ -65,7 +67,8 @@
   return true;
 }
 
-// Those of the first `count` that were not probed for it and of which nothing fresh is known.
+// Probes those of the first `count` affinity endpoints that were not yet probed for the request and
+// that have no fresh load report.
 void Prober::ProbeAffinityEndpoints(const EventContext& context, Request& request, size_t count) {
   request.probed_at = context.now;
   for (; request.probed_count < count; ++request.probed_count) {
@@ -78,7 +81,8 @@
   }
 }
 
-// One without any report comes first: by chance alone a new endpoint would wait for seconds.
+// Prefers an endpoint that has never reported its load. With random draws alone a new endpoint
+// could go unprobed for seconds.
 void Prober::ProbeRandomEndpoint(const EventContext& context) {
   std::optional<size_t> index = FirstUnreported();
   if (!index) {
--- a/src/balancer/prober.h
+++ b/src/balancer/prober.h
@@ -1,5 +1,6 @@
-// Which endpoints are probed. Probes accompany requests: random ones of the subset, or with key
-// affinity those that the request may go to, and then it waits for their responses.
+// Decides which endpoints are probed. Every request triggers probes: of random endpoints of the
+// subset, or with key affinity of the endpoints that the request may go to. With key affinity the
+// request waits for the responses.
 #ifndef PADDLESTILE_BALANCER_PROBER_H_
 #define PADDLESTILE_BALANCER_PROBER_H_
 
@@ -14,13 +15,14 @@
 
 namespace paddlestile {
 
-// How often queued requests are looked at again; a fraction of any useful latency objective.
+// Interval of dispatching the queue again. It is much shorter than any useful latency objective.
 constexpr Duration kQueueTickInterval{10'000};
 
-// A report of this age is fresh: an endpoint gets some requests in that time.
+// A load report up to this age is fresh. An endpoint gets only a few requests in that time.
 constexpr Duration kFreshReportAge{100'000};
 
-// No timer comes early: what is due within two ticks is done now.
+// Whether the deadline is within two queue ticks. Such a request is not left to the next tick,
+// because timers never fire early and may fire late.
 inline bool IsNearDeadline(Time now, const Request& request) {
   return now + 2 * kQueueTickInterval >= request.arrival.deadline;
 }
@@ -31,18 +33,18 @@
   Prober(EndpointTable& endpoints, const EndpointSubset& subset, ProbePool& pool)
       : endpoints_(endpoints), subset_(subset), pool_(pool) {}
 
-  // The probes that accompany an arriving request.
+  // Sends the probes of an arriving request.
   void ProbeForRequest(const EventContext& context, Request& request);
-  // Counts a probe that ended, however it did.
+  // Counts a probe as finished, whatever its outcome.
   static void RecordProbeFinished(Endpoint& endpoint);
-  // Before a further attempt: all affinity endpoints of the request.
+  // Probes all affinity endpoints of the request before a further attempt.
   void ProbeForRetry(const EventContext& context, Request& request);
-  // Whether the request need not wait for probes: they came back, had their time, or its deadline
-  // is near.
+  // Whether the request no longer waits for probes: all have finished, the maximum wait is over, or
+  // the deadline of the request is near.
   [[nodiscard]] bool AreProbesSettled(const EventContext& context, const Request& request) const;
-  // Adds random endpoints until the request considers `count`, and probes those that it has not
-  // probed. Returns whether it should wait for them; false without key affinity, near the deadline
-  // or if there is none to probe.
+  // Adds random endpoints until the request considers `count` endpoints, and probes those that were
+  // not yet probed for it. Returns whether the request should wait for these probes; false without
+  // key affinity, near the deadline, or if there is nothing to probe.
   bool ConsiderMoreEndpoints(const EventContext& context, Request& request, size_t count);
 
  private:
@@ -55,7 +57,7 @@
   EndpointTable& endpoints_;
   const EndpointSubset& subset_;
   ProbePool& pool_;
-  double probes_due_ = 0;  // below 1 between requests
+  double probes_due_ = 0;  // fraction carried over to the next request
 };
 
 }  // namespace paddlestile
--- a/tests/balancer/prober_test.cpp
+++ b/tests/balancer/prober_test.cpp
@@ -1,4 +1,4 @@
-// How many probes are sent and where.
+// Tests of the number of probes and of the endpoints that are probed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,23 +22,23 @@
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(5);
   gateway.Advance(Ms(5000));
-  EXPECT_TRUE(
-      LoadBalancerHarness::ActionsOf<StartProbe>(gateway.log).empty());  // no request, no probe
-  std::set<std::string> met;
+  // Without requests there are no probes.
+  EXPECT_TRUE(LoadBalancerHarness::ActionsOf<StartProbe>(gateway.log).empty());
+  std::set<std::string> probed;
   for (int i = 0; i < 100; ++i) {
     gateway.WarmUp(1);
-    for (const StartProbe& p : LoadBalancerHarness::ActionsOf<StartProbe>(gateway.log)) {
-      met.insert(p.endpoint);
+    for (const StartProbe& probe : LoadBalancerHarness::ActionsOf<StartProbe>(gateway.log)) {
+      probed.insert(probe.endpoint);
     }
-    for (const StartProbe& p : LoadBalancerHarness::ActionsOf<StartProbe>(gateway.log)) {
-      gateway.FinishProbe(p.endpoint, 0, 10);
+    for (const StartProbe& probe : LoadBalancerHarness::ActionsOf<StartProbe>(gateway.log)) {
+      gateway.FinishProbe(probe.endpoint, 0, 10);
     }
     gateway.log.clear();
   }
-  EXPECT_EQ(met.size(), 5U);
+  EXPECT_EQ(probed.size(), 5U);
 }
 
-TEST(ProberTest, NoProbesWhereTheyAreNotAllowed) {
+TEST(ProberTest, SendsNoProbesIfTheyAreNotAllowed) {
   Settings settings = MakeSettings();
   settings.allowed.probes = false;
   LoadBalancerHarness gateway(settings);
@@ -48,8 +48,8 @@
   EXPECT_EQ(gateway.attempts.size(), 50U);
 }
 
-// Each probe goes to an endpoint of the subset without one in flight, evenly, also after endpoints
-// came, went and were replaced.
+// Probes must be spread evenly over the endpoints of the subset that have no probe in flight, also
+// after endpoints were added, removed and replaced.
 TEST(ProberTest, ProbesGoEvenlyToEndpointsWithoutOneInFlight) {
   Settings settings = MakeSettings();
   settings.instance_count = 1;
@@ -60,7 +60,7 @@
     gateway.UpdateEndpoint("new" + std::to_string(i), EndpointState::kUp);
   }
   std::map<std::string, int> count;
-  std::vector<std::string> in_flight;  // the oldest first
+  std::vector<std::string> in_flight;  // oldest first
   for (int i = 0; i < 4000; ++i) {
     const std::string id = "r" + std::to_string(i);
     for (const Action& action : gateway.Arrive(id)) {
@@ -68,44 +68,45 @@
         EXPECT_EQ(std::ranges::count(in_flight, probe->endpoint), 0) << probe->endpoint;
         in_flight.push_back(probe->endpoint);
         ++count[probe->endpoint];
-      } else if (const auto* const send = std::get_if<StartAttempt>(&action)) {
-        gateway.FinishAttempt(id, 0, send->endpoint, Outcome::kOk, Ms(10), true);
+      } else if (const auto* const attempt = std::get_if<StartAttempt>(&action)) {
+        gateway.FinishAttempt(id, 0, attempt->endpoint, Outcome::kOk, Ms(10), true);
       }
     }
     while (in_flight.size() > 8) {
-      const std::string first = in_flight.front();
+      const std::string oldest = in_flight.front();
       in_flight.erase(in_flight.begin());
-      gateway.FinishProbe(first, 1, 10);
+      gateway.FinishProbe(oldest, 1, 10);
     }
     gateway.Advance(Ms(1));
   }
   EXPECT_EQ(count.size(), 40U);
-  for (const auto& [endpoint, times] : count) {
-    EXPECT_GT(times, 60) << endpoint;
+  for (const auto& [endpoint, probes] : count) {
+    EXPECT_GT(probes, 60) << endpoint;
   }
 }
 
-// A gateway that has just started must see all of its subset soon, or it crowds the few it knows.
-TEST(ProberTest, ProbesCoverTheSubsetAtTheStartWhereTheyArePriced) {
+// Guards against a gateway that has just started and overloads the few endpoints whose load it
+// knows. It must soon probe its whole subset.
+TEST(ProberTest, ProbesCoverTheSubsetAtTheStartEvenIfTheyHaveACost) {
   Settings settings = MakeSettings();
   settings.instance_count = 300;
   settings.costs.probe = 0.04;
   LoadBalancerHarness gateway(settings);
   gateway.ListEndpoints(68);
-  size_t first = 0, later = 0;
+  size_t initial_probes = 0, later_probes = 0;
   for (int i = 0; i < 104; ++i) {
     for (const StartProbe& probe :
          LoadBalancerHarness::ActionsOf<StartProbe>(gateway.Arrive("r" + std::to_string(i)))) {
       gateway.FinishProbe(probe.endpoint, 1, 20);
-      ++(i < 4 ? first : later);
+      ++(i < 4 ? initial_probes : later_probes);
     }
     gateway.Advance(Ms(10));
   }
-  EXPECT_EQ(first, 8U);
-  EXPECT_NEAR(static_cast<double>(later), 25, 3);
+  EXPECT_EQ(initial_probes, 8U);
+  EXPECT_NEAR(static_cast<double>(later_probes), 25, 3);
 }
 
-// With few probes a new endpoint would be known only seconds after it came.
+// With few probes it would take seconds until a new endpoint is probed at random.
 TEST(ProberTest, ANewEndpointIsProbedBeforeTheOthers) {
   Settings settings = MakeSettings();
   settings.costs.probe = 0.08;
