--- a/tests/balancer/load_balancer_fixture.h
+++ b/tests/balancer/load_balancer_fixture.h
@@ -1,5 +1,5 @@
-// Helpers that play one gateway'settings events by hand. There is no model of servers here: a test
-// says what every attempt and probe comes back with.
+// Helpers that drive one gateway's load balancer event by event. There is no model of servers: the
+// test supplies the outcome of every attempt and probe.
 #ifndef PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
 #define PADDLESTILE_TESTS_BALANCER_LOAD_BALANCER_FIXTURE_H_
 
@@ -28,7 +28,8 @@
   return request_class;
 }
 
-// Classes 0 safe, 1 keyed over all, 2 keyed by zone, 3 keyed by cell, 4 unsafe.
+// The request classes are: 0 safe; 1 to 3 keyed, with deduplication over all endpoints, by zone and
+// by cell; 4 unsafe.
 inline Settings MakeSettings() {
   Settings settings;
   settings.instance_count = 3;
@@ -56,13 +57,14 @@
   return settings;
 }
 
-// A load balancer with a clock. The test reports the end of each attempt and probe.
+// A load balancer with a simulated clock and timers. The test reports the end of each attempt and
+// probe.
 class LoadBalancerHarness {
  public:
   explicit LoadBalancerHarness(const Settings& settings, uint64_t seed = 7)
       : balancer(settings, seed) {}
 
-  // Passes one event on and returns the actions that it led to.
+  // Handles one event and returns the resulting actions.
   std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
     balancer.Handle(now, event, actions);
@@ -78,7 +80,7 @@
     return actions;
   }
 
-  // A list of the endpoints e0, e1, .. in two zones and three cells.
+  // Sends a list of endpoints e0, e1, ... in two zones and three cells.
   void ListEndpoints(int count, EndpointUpdateKind kind = EndpointUpdateKind::kCached) {
     EndpointUpdate update;
     update.kind = kind;
@@ -135,7 +137,8 @@
     now = until;
   }
 
-  // Serves requests in turn until the endpoints are known; none stays in flight.
+  // Serves requests one after another, so that the throughput of endpoints is learned. None stays
+  // in flight.
   void WarmUp(int requests, Duration elapsed = Ms(20), Duration interval = Ms(5)) {
     for (int i = 0; i < requests; ++i) {
       const std::string id = "warm" + std::to_string(warm_up_count++);
@@ -161,9 +164,9 @@
 
   LoadBalancer balancer;
   Time now = Ms(1'000'000);
-  std::multimap<Time, std::string> timers;  // tokens by the time when they are due
-  std::vector<StartAttempt> attempts;       // all that were started
-  std::vector<Action> log;                  // all actions
+  std::multimap<Time, std::string> timers;  // tokens by expiry
+  std::vector<StartAttempt> attempts;       // all attempts so far
+  std::vector<Action> log;                  // all actions so far
   int warm_up_count = 0;
 };
 
