--- a/tests/balancer/invariants_test.cpp
+++ b/tests/balancer/invariants_test.cpp
@@ -1,5 +1,5 @@
-// Invariants over random but legal events, by seed, checked from outside the module: only events
-// and actions count. Outcomes are drawn, no server is modelled.
+// Tests of invariants over random but legal events, by seed. They check only the actions that
+// follow the events. Outcomes of attempts are drawn at random; servers are not modelled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 struct SentAttempt {
   std::string endpoint;
-  Time at{0};
+  Time sent_at{0};
   bool in_flight = true;
   bool may_have_run = true;
   bool cancelled = false;
@@ -27,35 +27,35 @@
 struct ClientRequest {
   size_t request_class = 0;
   Time deadline{0};
-  bool answered = false;  // by this gateway or known to it
-  std::vector<SentAttempt> sent;
+  bool answered = false;  // or the client has disconnected
+  std::vector<SentAttempt> attempts;
 };
 
-class RandomWorld {
+class RandomEventDriver {
  public:
-  RandomWorld(Settings settings, uint64_t seed)
+  RandomEventDriver(Settings settings, uint64_t seed)
       : settings_(std::move(settings)), rng_(seed), balancer_(settings_, seed + 1) {}
 
   void Run(int steps) {
-    EndpointUpdate all{EndpointUpdateKind::kCached, {}};
+    EndpointUpdate initial_list{EndpointUpdateKind::kCached, {}};
     for (int i = 0; i < 8; ++i) {
       EndpointInfo info;
       info.id = "e" + std::to_string(i);
       info.zone = i % 2;
       info.cell = i % 3;
-      info_[info.id] = info;
-      all.endpoints.push_back(info);
+      endpoint_infos_[info.id] = info;
+      initial_list.endpoints.push_back(info);
     }
-    Give(all);
+    Deliver(initial_list);
     for (int i = 0; i < steps; ++i) {
       Step();
     }
-    for (int i = 0; i < 4000; ++i) {  // until all is answered
+    for (int i = 0; i < 4000; ++i) {  // until all requests are answered
       now_ += Ms(2);
       ReportDue();
     }
     for (const auto& [id, request] : requests_) {
-      EXPECT_TRUE(request.answered) << id << " was lost";
+      EXPECT_TRUE(request.answered) << id << " was never answered";
     }
   }
 
@@ -67,66 +67,66 @@
   void Step() {
     now_ += Ms(Draw() * 8);
     ReportDue();
-    const double what = Draw();
-    if (what < 0.6) {
-      const std::string id = "r" + std::to_string(next_++);
+    const double choice = Draw();
+    if (choice < 0.6) {
+      const std::string id = "r" + std::to_string(next_request_++);
       ClientRequest& request = requests_[id];
       RequestArrived arrival;
       arrival.id = id;
       request.request_class = arrival.request_class =
           static_cast<size_t>(Draw() * static_cast<double>(settings_.classes.size()));
       request.deadline = arrival.deadline = now_ + Ms(10 + Draw() * 900);
-      Give(arrival);
-    } else if (what < 0.63) {
-      EndpointInfo& info = info_["e" + std::to_string(static_cast<int>(Draw() * 8))];
+      Deliver(arrival);
+    } else if (choice < 0.63) {
+      EndpointInfo& info = endpoint_infos_["e" + std::to_string(static_cast<int>(Draw() * 8))];
       if (info.state == EndpointState::kUp) {
         info.state = Draw() < 0.5 ? EndpointState::kDraining : EndpointState::kRemoved;
-        left_at_[info.id] = now_;
+        not_up_since_[info.id] = now_;
       } else {
         info.state = EndpointState::kUp;
         info.started_at = now_;
-        left_at_.erase(info.id);
+        not_up_since_.erase(info.id);
       }
-      Give(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
-    } else if (what < 0.65 && !requests_.empty()) {
-      auto at = requests_.begin();
-      std::advance(at, static_cast<long>(Draw() * static_cast<double>(requests_.size())));
-      if (!at->second.answered) {
-        at->second.answered = true;
-        Give(ClientDisconnected{at->first});
+      Deliver(EndpointUpdate{EndpointUpdateKind::kDelta, {info}});
+    } else if (choice < 0.65 && !requests_.empty()) {
+      auto entry = requests_.begin();
+      std::advance(entry, static_cast<long>(Draw() * static_cast<double>(requests_.size())));
+      if (!entry->second.answered) {
+        entry->second.answered = true;
+        Deliver(ClientDisconnected{entry->first});
       }
     }
   }
 
-  // Reports what is due; the outcome of an attempt was drawn when it started.
+  // Delivers the events that are due. The outcome of an attempt was drawn when it started.
   void ReportDue() {
-    while (!queue_.empty() && queue_.begin()->first <= now_) {
-      const Event event = queue_.begin()->second;
-      queue_.erase(queue_.begin());
-      Event give = event;
-      if (auto* finished = std::get_if<AttemptFinished>(&give)) {
+    while (!pending_events_.empty() && pending_events_.begin()->first <= now_) {
+      const Event event = pending_events_.begin()->second;
+      pending_events_.erase(pending_events_.begin());
+      Event delivered = event;
+      if (auto* finished = std::get_if<AttemptFinished>(&delivered)) {
         ClientRequest& request = requests_[finished->id];
-        SentAttempt& sent = request.sent[finished->attempt];
-        if (!sent.in_flight) {
+        SentAttempt& attempt = request.attempts[finished->attempt];
+        if (!attempt.in_flight) {
           continue;
         }
-        sent.in_flight = false;
-        if (sent.cancelled) {
+        attempt.in_flight = false;
+        if (attempt.cancelled) {
           finished->outcome = Outcome::kCancelled;
         }
-        finished->elapsed = now_ - sent.at;
+        finished->elapsed = now_ - attempt.sent_at;
         if (now_ >= request.deadline) {
           finished->outcome = Outcome::kTimeout;
         }
-        sent.may_have_run = finished->outcome != Outcome::kRejected &&
-                            finished->outcome != Outcome::kConnectFailed &&
-                            finished->outcome != Outcome::kNotSent;
+        attempt.may_have_run = finished->outcome != Outcome::kRejected &&
+                               finished->outcome != Outcome::kConnectFailed &&
+                               finished->outcome != Outcome::kNotSent;
         if (finished->outcome == Outcome::kOk) {
           request.answered = true;
         }
         finished->request_finished = request.answered;
       }
-      Give(give);
+      Deliver(delivered);
     }
     for (const auto& [id, request] : requests_) {
       EXPECT_FALSE(!request.answered && now_ > request.deadline + settings_.rules.response_slack)
@@ -134,7 +134,7 @@
     }
   }
 
-  void Give(const Event& event) {
+  void Deliver(const Event& event) {
     std::vector<Action> actions;
     balancer_.Handle(now_, event, actions);
     for (const Action& action : actions) {
@@ -143,94 +143,101 @@
   }
 
   void Check(const Action& action) {
-    if (const auto* send = std::get_if<StartAttempt>(&action)) {
-      trace.push_back(send->id + ">" + send->endpoint);
-      CheckAttempt(*send);
+    if (const auto* start = std::get_if<StartAttempt>(&action)) {
+      trace.push_back(start->id + ">" + start->endpoint);
+      CheckAttempt(*start);
     } else if (const auto* reject = std::get_if<RejectRequest>(&action)) {
       trace.push_back(reject->id + " rejected");
       ClientRequest& request = requests_.at(reject->id);
-      EXPECT_FALSE(request.answered) << "two answers";
+      EXPECT_FALSE(request.answered) << "request answered twice";
       request.answered = true;
       const RequestClass& request_class = settings_.classes[request.request_class];
-      const bool free = request_class.idempotency == Idempotency::kSafe ||
-                        (request_class.idempotency == Idempotency::kKeyed &&
-                         request_class.deduplication_scope == DeduplicationScope::kAll);
-      for (const SentAttempt& a : request.sent) {
-        EXPECT_TRUE(free || !a.may_have_run) << "rejected what may run";
+      const bool repeat_is_harmless =
+          request_class.idempotency == Idempotency::kSafe ||
+          (request_class.idempotency == Idempotency::kKeyed &&
+           request_class.deduplication_scope == DeduplicationScope::kAll);
+      for (const SentAttempt& attempt : request.attempts) {
+        EXPECT_TRUE(repeat_is_harmless || !attempt.may_have_run)
+            << "request rejected although an attempt may have run";
       }
     } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       trace.push_back(fail->id + " failed");
-      EXPECT_FALSE(requests_.at(fail->id).answered) << "two answers";
+      EXPECT_FALSE(requests_.at(fail->id).answered) << "request answered twice";
       requests_.at(fail->id).answered = true;
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       ClientRequest& request = requests_.at(cancel->id);
-      ASSERT_LT(cancel->attempt, request.sent.size());
-      request.sent[cancel->attempt].cancelled = true;
-      queue_.emplace(
+      ASSERT_LT(cancel->attempt, request.attempts.size());
+      request.attempts[cancel->attempt].cancelled = true;
+      pending_events_.emplace(
           now_ + Ms(1),
-          AttemptFinished{cancel->id, cancel->attempt, request.sent[cancel->attempt].endpoint,
+          AttemptFinished{cancel->id, cancel->attempt, request.attempts[cancel->attempt].endpoint,
                           Outcome::kCancelled, Ms(0), false, std::nullopt});
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      queue_.emplace(now_ + timer->after + Ms(Draw() * 2), TimerFired{timer->token});
+      pending_events_.emplace(now_ + timer->after + Ms(Draw() * 2), TimerFired{timer->token});
     } else if (const auto* probe = std::get_if<StartProbe>(&action)) {
-      queue_.emplace(now_ + Ms(1 + Draw() * 5),
-                     ProbeFinished{probe->endpoint, Draw() < 0.9 ? Outcome::kOk : Outcome::kTimeout,
-                                   Ms(2), LoadReport{Draw() * 6, 5 + Draw() * 40}});
+      pending_events_.emplace(
+          now_ + Ms(1 + Draw() * 5),
+          ProbeFinished{probe->endpoint, Draw() < 0.9 ? Outcome::kOk : Outcome::kTimeout, Ms(2),
+                        LoadReport{Draw() * 6, 5 + Draw() * 40}});
     }
   }
 
-  void CheckAttempt(const StartAttempt& send) {
-    ClientRequest& request = requests_.at(send.id);
+  void CheckAttempt(const StartAttempt& start) {
+    ClientRequest& request = requests_.at(start.id);
     const RequestClass& request_class = settings_.classes[request.request_class];
-    EXPECT_FALSE(request.answered) << "sent for a request that is over";
-    EXPECT_LT(request.sent.size(), static_cast<size_t>(settings_.allowed.max_attempts));
-    const auto left_at = left_at_.find(send.endpoint);
-    EXPECT_TRUE(left_at == left_at_.end() || now_ <= left_at->second + settings_.rules.drain_grace);
-    const EndpointInfo& to = info_.at(send.endpoint);
-    for (const SentAttempt& a : request.sent) {
-      EXPECT_TRUE(settings_.allowed.parallel_attempts || !a.in_flight) << "two attempts out";
-      if (!a.may_have_run) {
+    EXPECT_FALSE(request.answered) << "attempt for a finished request";
+    EXPECT_LT(request.attempts.size(), static_cast<size_t>(settings_.allowed.max_attempts));
+    const auto not_up_since = not_up_since_.find(start.endpoint);
+    EXPECT_TRUE(not_up_since == not_up_since_.end() ||
+                now_ <= not_up_since->second + settings_.rules.drain_grace);
+    const EndpointInfo& target = endpoint_infos_.at(start.endpoint);
+    for (const SentAttempt& earlier : request.attempts) {
+      EXPECT_TRUE(settings_.allowed.parallel_attempts || !earlier.in_flight)
+          << "parallel attempts are not allowed";
+      if (!earlier.may_have_run) {
         continue;
       }
-      EXPECT_NE(request_class.idempotency, Idempotency::kUnsafe) << "an unsafe request sent twice";
+      EXPECT_NE(request_class.idempotency, Idempotency::kUnsafe) << "unsafe request sent again";
       if (request_class.idempotency != Idempotency::kKeyed) {
         continue;
       }
-      const EndpointInfo& was = info_.at(a.endpoint);
+      const EndpointInfo& earlier_target = endpoint_infos_.at(earlier.endpoint);
       EXPECT_TRUE(request_class.deduplication_scope != DeduplicationScope::kZone ||
-                  was.zone == to.zone);
+                  earlier_target.zone == target.zone);
       EXPECT_TRUE(request_class.deduplication_scope != DeduplicationScope::kCell ||
-                  was.cell == to.cell);
-      EXPECT_LT(now_, a.at + request_class.deduplication_window);
+                  earlier_target.cell == target.cell);
+      EXPECT_LT(now_, earlier.sent_at + request_class.deduplication_window);
     }
-    request.sent.push_back({send.endpoint, now_});
-    static constexpr Outcome kDrawn[] = {
+    request.attempts.push_back({start.endpoint, now_});
+    static constexpr Outcome kOutcomes[] = {
         Outcome::kOk,    Outcome::kOk,     Outcome::kOk,       Outcome::kOk,
         Outcome::kOk,    Outcome::kError,  Outcome::kRejected, Outcome::kConnectFailed,
         Outcome::kReset, Outcome::kTimeout};
-    const Outcome outcome = kDrawn[static_cast<size_t>(Draw() * 10)];
-    Time at = now_ + Ms(1 + Draw() * (Draw() < 0.1 ? 900 : 60));
-    if (outcome == Outcome::kTimeout || at > request.deadline) {
-      at = std::max(now_, request.deadline);
+    const Outcome outcome = kOutcomes[static_cast<size_t>(Draw() * 10)];
+    Time ends_at = now_ + Ms(1 + Draw() * (Draw() < 0.1 ? 900 : 60));
+    if (outcome == Outcome::kTimeout || ends_at > request.deadline) {
+      ends_at = std::max(now_, request.deadline);
     }
-    queue_.emplace(at, AttemptFinished{send.id, request.sent.size() - 1, send.endpoint, outcome,
-                                       Ms(0), false, std::nullopt});
+    pending_events_.emplace(
+        ends_at, AttemptFinished{start.id, request.attempts.size() - 1, start.endpoint, outcome,
+                                 Ms(0), false, std::nullopt});
   }
 
   Settings settings_;
   std::mt19937_64 rng_;
   LoadBalancer balancer_;
   Time now_ = Ms(5'000'000);
-  std::multimap<Time, Event> queue_;
+  std::multimap<Time, Event> pending_events_;
   std::map<std::string, ClientRequest> requests_;
-  std::map<std::string, EndpointInfo> info_;
-  std::map<std::string, Time> left_at_;
-  int next_ = 0;
+  std::map<std::string, EndpointInfo> endpoint_infos_;
+  std::map<std::string, Time> not_up_since_;
+  int next_request_ = 0;
 };
 
-// The selection against a slow reference on generated pools: the cut by sorting, then every entry
-// that no other eligible entry beats. One in three is far above any limit and so not eligible.
-TEST(HotColdOrderTest, AgreesWithASlowReferenceOnGeneratedPools) {
+// Compares the selection from generated pools with a simple reference implementation, which finds
+// the cut by sorting and accepts every eligible entry that no other eligible entry beats. One entry
+// in three has a load far above any concurrency limit and is therefore not eligible.
+TEST(HotColdOrderTest, MatchesAReferenceImplementationOnGeneratedPools) {
   std::mt19937_64 rng(11);
   const auto draw = [&](int n) {
     return static_cast<int>(rng() % static_cast<uint64_t>(n));
@@ -241,37 +248,38 @@
     gateway.ListEndpoints(30);
     struct Entry {
       std::string id;
-      double rif;
+      double in_flight;
       int latency;
     };
-    std::vector<Entry> pool, allowed;
+    std::vector<Entry> pool, eligible;
     for (int i = 0, n = 2 + draw(14); i < n; ++i) {
-      const double rif = i > 1 && i % 3 == 0 ? 30 : draw(8) * 0.2;
-      pool.push_back({"e" + std::to_string(i), rif, 5 + draw(6)});
-      gateway.FinishProbe(pool.back().id, pool.back().rif, pool.back().latency);
+      const double in_flight = i > 1 && i % 3 == 0 ? 30 : draw(8) * 0.2;
+      pool.push_back({"e" + std::to_string(i), in_flight, 5 + draw(6)});
+      gateway.FinishProbe(pool.back().id, pool.back().in_flight, pool.back().latency);
     }
-    std::vector<double> rifs;
-    for (const Entry& e : pool) {
-      rifs.push_back(e.rif);
-      if (e.rif < 2) {
-        allowed.push_back(e);
+    std::vector<double> in_flight_values;
+    for (const Entry& entry : pool) {
+      in_flight_values.push_back(entry.in_flight);
+      if (entry.in_flight < 2) {
+        eligible.push_back(entry);
       }
     }
-    if (allowed.size() < 2) {
+    if (eligible.size() < 2) {
       continue;
     }
-    std::sort(rifs.begin(), rifs.end());
-    const double cut = rifs[(rifs.size() - 1) / 4];
+    std::sort(in_flight_values.begin(), in_flight_values.end());
+    const double cut = in_flight_values[(in_flight_values.size() - 1) / 4];
     std::set<std::string> best;
-    for (const Entry& e : allowed) {
+    for (const Entry& entry : eligible) {
       bool beaten = false;
-      for (const Entry& o : allowed) {
-        const bool e_cold = e.rif <= cut, o_cold = o.rif <= cut;
-        beaten = beaten || (o_cold && !e_cold) || (o_cold && e_cold && o.latency < e.latency) ||
-                 (!o_cold && !e_cold && o.rif < e.rif);
+      for (const Entry& other : eligible) {
+        const bool entry_cold = entry.in_flight <= cut, other_cold = other.in_flight <= cut;
+        beaten = beaten || (other_cold && !entry_cold) ||
+                 (other_cold && entry_cold && other.latency < entry.latency) ||
+                 (!other_cold && !entry_cold && other.in_flight < entry.in_flight);
       }
       if (!beaten) {
-        best.insert(e.id);
+        best.insert(entry.id);
       }
     }
     gateway.Arrive("r", 4);
@@ -285,28 +293,28 @@
 class RandomEventsTest : public ::testing::TestWithParam<uint64_t> {};
 
 TEST_P(RandomEventsTest, InvariantsHoldOverRandomLegalEvents) {
-  Settings s = MakeSettings();
-  s.allowed.parallel_attempts = GetParam() % 2 == 0;
-  s.allowed.cancel = GetParam() % 3 != 0;
+  Settings settings = MakeSettings();
+  settings.allowed.parallel_attempts = GetParam() % 2 == 0;
+  settings.allowed.cancel = GetParam() % 3 != 0;
   if (GetParam() >= 6) {
-    s.allowed.max_attempts = 2;
+    settings.allowed.max_attempts = 2;
   }
-  RandomWorld world(s, GetParam());
-  world.Run(3000);
-  EXPECT_GT(world.trace.size(), 500U);
+  RandomEventDriver driver(settings, GetParam());
+  driver.Run(3000);
+  EXPECT_GT(driver.trace.size(), 500U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomEventsTest, ::testing::Range<uint64_t>(0, 12));
 
-TEST(DeterminismTest, TheSameEventsGiveTheSameActionsWhateverRunsBeside) {
-  RandomWorld alone(MakeSettings(), 3);
-  alone.Run(800);
-  RandomWorld other(MakeSettings(), 4);
-  RandomWorld again(MakeSettings(), 3);
+TEST(DeterminismTest, TheSameEventsGiveTheSameActionsBesideOtherInstances) {
+  RandomEventDriver first(MakeSettings(), 3);
+  first.Run(800);
+  RandomEventDriver other(MakeSettings(), 4);
+  RandomEventDriver repeated(MakeSettings(), 3);
   other.Run(400);
-  again.Run(800);
-  EXPECT_EQ(alone.trace, again.trace);
-  EXPECT_NE(alone.trace, other.trace);
+  repeated.Run(800);
+  EXPECT_EQ(first.trace, repeated.trace);
+  EXPECT_NE(first.trace, other.trace);
 }
 
 }  // namespace
