--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -15,8 +15,8 @@
 // The decision modules of all instances.
 class Instances {
  public:
-  // Hands a message to its instance and appends the reply. Messages for an instance that was not
-  // started are ignored.
+  // Passes a message to its instance and appends the reply. Ignores messages for an instance that
+  // does not exist.
   void Handle(const InstanceEvent& message, Time now, std::string& reply) {
     actions_.clear();
     try {
@@ -48,7 +48,7 @@
   }
 
   std::map<int64_t, LoadBalancer> load_balancers_;  // by instance
-  std::vector<Action> actions_;                     // of the message at hand
+  std::vector<Action> actions_;                     // of the current message
 };
 
 }  // namespace
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,4 +1,4 @@
-// The simulator's adapter: runs many instances of the decision module over one pair of streams.
+// Adapter for the simulator: runs many instances of the decision module over one pair of streams.
 #ifndef PADDLESTILE_SIMULATOR_ADAPTER_H_
 #define PADDLESTILE_SIMULATOR_ADAPTER_H_
 
@@ -8,8 +8,8 @@
 namespace paddlestile::simulator {
 
 // Replies to batches until the input ends. An instance whose decision module throws is reported as
-// failed and destroyed; the others go on. Returns the exit code: 0 after a clean end, 1 after
-// malformed input, which one line on `err` describes.
+// failed and destroyed; the other instances are not affected. Returns the exit code: 0 at the end
+// of the input, 1 for malformed input, which is described in one line on `err`.
 int RunAdapter(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace paddlestile::simulator
--- a/src/simulator/protocol.h
+++ b/src/simulator/protocol.h
@@ -1,6 +1,7 @@
-// The simulator's text protocol: batches of events in, lists of actions out, one line each. It maps
-// the protocol's words to the decision module's types and decides nothing. The words are outside
-// names and stay as they are; they stand in this module and in config/balancer_settings alone.
+// The simulator's text protocol: batches of events as input, lists of actions as output, one line
+// each. This module only converts between the protocol's words and the types of the decision
+// module. The words are defined by the simulator and must not change; only this module and
+// config/balancer_settings use them.
 #ifndef PADDLESTILE_SIMULATOR_PROTOCOL_H_
 #define PADDLESTILE_SIMULATOR_PROTOCOL_H_
 
@@ -17,14 +18,14 @@
 
 namespace paddlestile::simulator {
 
-// Malformed input. what() names the line, counted from 1, and the reason.
+// Malformed input. what() contains the line number, counted from 1, and the reason.
 class ProtocolError : public std::runtime_error {
  public:
   ProtocolError(uint64_t line, const std::string& reason)
       : std::runtime_error("line " + std::to_string(line) + ": " + reason) {}
 };
 
-// Creates the decision module of an instance, in place of one that it may have.
+// Creates the decision module of an instance and replaces an existing one.
 struct StartInstance {
   Settings settings;
   uint64_t seed = 0;
@@ -39,21 +40,21 @@
   std::variant<StartInstance, RetireInstance, Event> event;
 };
 
-// The messages of one moment of simulated time, in order.
+// The messages of one point in simulated time, in order.
 struct Batch {
   Time now{0};
-  std::string sequence;  // number of the batch, which the reply repeats
+  std::string sequence;  // number of the batch; the reply contains it
   std::vector<InstanceEvent> events;
 };
 
-// Reads batches from a stream, which must outlive the reader. Endpoint lists are sent once and
-// referred to by number, in later batches too; the reader keeps them.
+// Reads batches from a stream, which must outlive the reader. The reader stores endpoint lists:
+// each is sent once and is then referred to by number, also in later batches.
 class ProtocolReader {
  public:
   explicit ProtocolReader(std::istream& in) : in_(in) {}
 
-  // Reads the next batch into `batch`. False where the input ends between two batches. Throws
-  // ProtocolError where it is malformed; the reader is then of no further use.
+  // Reads the next batch into `batch`. Returns false if the input ends between two batches. Throws
+  // ProtocolError if the input is malformed; the reader must not be used after that.
   bool Next(Batch& batch);
 
  private:
@@ -70,10 +71,11 @@
   std::map<uint32_t, std::vector<EndpointInfo>> endpoint_lists_;  // by number
 };
 
-// Appends the line of an action for an instance to `out`, newline included.
+// Appends the line of an action of an instance to `out`, including the newline.
 void PrintAction(int64_t instance, const Action& action, std::string& out);
 
-// Appends the line that reports an instance's decision module as failed; it is started no more.
+// Appends the line that reports the decision module of an instance as failed; the simulator does
+// not start it again. Line breaks in `reason` are replaced by spaces.
 void PrintPanic(int64_t instance, std::string_view reason, std::string& out);
 
 // Appends the line that ends the reply to the batch `sequence`.
--- a/src/simulator/protocol_reader.cpp
+++ b/src/simulator/protocol_reader.cpp
@@ -135,7 +135,7 @@
   return bytes;
 }
 
-// ---- Messages, by position of their fields ----------------------------------------------------
+// ---- Messages. Their fields are positional. ---------------------------------------------------
 
 EndpointInfo ParseEndpoint(const Fields& fields) {
   if (fields[0] != "host") {
@@ -223,11 +223,11 @@
   return Event(PeerMessage{static_cast<int>(from), DecodeBase64(fields[3])});
 }
 
-// A message whose first field is a tag and whose second is an instance.
+// The format of a message whose first field is a tag and whose second field is an instance.
 struct MessageFormat {
   std::string_view tag;
   size_t field_count;
-  Message (*parse)(const Fields& fields);  // null: needs the reader's endpoint lists
+  Message (*parse)(const Fields& fields);  // nullptr: needs the reader's endpoint lists
 };
 
 constexpr MessageFormat kMessageFormats[] = {
@@ -245,7 +245,7 @@
   return *format;
 }
 
-// "start INSTANCE SEED SETTINGS": the settings are the rest of the line.
+// Parses "start INSTANCE SEED SETTINGS". The settings are the rest of the line.
 InstanceEvent ParseStart(std::string_view line) {
   const size_t instance_at = line.find(' ');
   const size_t seed_at =
@@ -309,7 +309,7 @@
 }
 
 void ProtocolReader::ParseLine(Batch& batch) {
-  // A copy, as reading an endpoint list overwrites the line.
+  // A copy, because reading an endpoint list overwrites line_.
   const std::string line = line_;
   const std::string_view tag = std::string_view(line).substr(0, line.find(' '));
   if (tag == "start") {
--- a/src/simulator/protocol_writer.cpp
+++ b/src/simulator/protocol_writer.cpp
@@ -11,7 +11,7 @@
   out += word;
 }
 
-// Milliseconds with three digits behind the point.
+// Appends a duration in milliseconds with three decimal places.
 void AppendMillis(Duration value, std::string& out) {
   const int64_t micros = value.count();
   const int64_t magnitude = micros < 0 ? -micros : micros;
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -20,7 +20,7 @@
   std::string out, err;
 };
 
-Result Drive(const std::string& text) {
+Result RunWithInput(const std::string& text) {
   std::istringstream in(text);
   std::ostringstream out, err;
   Result result;
@@ -31,8 +31,8 @@
 }
 
 TEST(Adapter, RepliesToEachBatchAndEndsCleanly) {
-  const Result result = Drive(std::string("clock 1 1\neob\nclock 2 2\n") + kStart + kList +
-                              "submit 3 id-1 900 0 0 0 - - 0\neob\n");
+  const Result result = RunWithInput(std::string("clock 1 1\neob\nclock 2 2\n") + kStart + kList +
+                                     "submit 3 id-1 900 0 0 0 - - 0\neob\n");
   EXPECT_EQ(result.exit_code, 0);
   EXPECT_EQ(result.out.substr(0, 6), "end 1\n");
   EXPECT_NE(result.out.find("place 3 id-1 host.a"), std::string::npos);
@@ -41,23 +41,23 @@
 }
 
 TEST(Adapter, RetiredInstanceStartsWithoutState) {
-  const Result result =
-      Drive(std::string("clock 2 1\n") + kStart + kList + "eob\nclock 3 2\nretire 3\n" + kStart +
-            "roster 0 0\nannounce 3 warm_copy 1 0\n" + "submit 3 id-1 900 0 0 0 - - 0\neob\n");
+  const Result result = RunWithInput(
+      std::string("clock 2 1\n") + kStart + kList + "eob\nclock 3 2\nretire 3\n" + kStart +
+      "roster 0 0\nannounce 3 warm_copy 1 0\n" + "submit 3 id-1 900 0 0 0 - - 0\neob\n");
   EXPECT_EQ(result.exit_code, 0);
   EXPECT_EQ(result.out.find("place"), std::string::npos);
 }
 
 TEST(Adapter, InvalidSettingsFailThatInstanceAlone) {
-  const Result result = Drive(std::string("clock 1 1\nstart 9 5 NInstances=0\n") + kStart + kList +
-                              "submit 3 id-1 900 0 0 0 - - 0\neob\n");
+  const Result result = RunWithInput(std::string("clock 1 1\nstart 9 5 NInstances=0\n") + kStart +
+                                     kList + "submit 3 id-1 900 0 0 0 - - 0\neob\n");
   EXPECT_EQ(result.exit_code, 0);
   EXPECT_NE(result.out.find("panic 9 setting out of range: NInstances"), std::string::npos);
   EXPECT_NE(result.out.find("place 3 id-1 host.a"), std::string::npos);
 }
 
 TEST(Adapter, MalformedInputIsOneLineAndANonZeroExit) {
-  const Result result = Drive("clock 1 1\nbogus 3\neob\n");
+  const Result result = RunWithInput("clock 1 1\nbogus 3\neob\n");
   EXPECT_EQ(result.exit_code, 1);
   EXPECT_NE(result.err.find("line 2"), std::string::npos);
   EXPECT_EQ(std::count(result.err.begin(), result.err.end(), '\n'), 1);
--- a/tests/simulator/protocol_test.cpp
+++ b/tests/simulator/protocol_test.cpp
@@ -8,7 +8,7 @@
 namespace paddlestile::simulator {
 namespace {
 
-Batch ReadOne(const std::string& text) {
+Batch ReadBatch(const std::string& text) {
   std::istringstream in(text);
   ProtocolReader reader(in);
   Batch batch;
@@ -16,7 +16,7 @@
   return batch;
 }
 
-std::string Failure(const std::string& text) {
+std::string ErrorFor(const std::string& text) {
   std::istringstream in(text);
   ProtocolReader reader(in);
   Batch batch;
@@ -46,26 +46,26 @@
 }
 
 TEST(ProtocolReader, RequestWithAndWithoutOptionalValues) {
-  const Batch batch = ReadOne(
+  const Batch batch = ReadBatch(
       "clock 1 2\nsubmit 3 id-1 8652.25 4 1 2 91f03b7c55d20a64 12.5 1\n"
       "submit 3 id-2 9 - - 0 - - -\neob\n");
-  const auto& a = EventOf<RequestArrived>(batch, 0);
-  EXPECT_EQ(a.id, "id-1");
-  EXPECT_EQ(a.deadline, Time(8652250));
-  EXPECT_EQ(a.tenant, 4U);
-  EXPECT_TRUE(a.is_write);
-  EXPECT_EQ(a.request_class, 2U);
-  EXPECT_EQ(a.key, "91f03b7c55d20a64");
-  EXPECT_EQ(a.expected_work, Duration(12500));
-  EXPECT_TRUE(a.is_client_retry);
-  const auto& b = EventOf<RequestArrived>(batch, 1);
-  EXPECT_FALSE(b.key.has_value());
-  EXPECT_FALSE(b.expected_work.has_value());
-  EXPECT_FALSE(b.is_client_retry);
+  const auto& full = EventOf<RequestArrived>(batch, 0);
+  EXPECT_EQ(full.id, "id-1");
+  EXPECT_EQ(full.deadline, Time(8652250));
+  EXPECT_EQ(full.tenant, 4U);
+  EXPECT_TRUE(full.is_write);
+  EXPECT_EQ(full.request_class, 2U);
+  EXPECT_EQ(full.key, "91f03b7c55d20a64");
+  EXPECT_EQ(full.expected_work, Duration(12500));
+  EXPECT_TRUE(full.is_client_retry);
+  const auto& minimal = EventOf<RequestArrived>(batch, 1);
+  EXPECT_FALSE(minimal.key.has_value());
+  EXPECT_FALSE(minimal.expected_work.has_value());
+  EXPECT_FALSE(minimal.is_client_retry);
 }
 
 TEST(ProtocolReader, EveryOtherEvent) {
-  const Batch batch = ReadOne(
+  const Batch batch = ReadBatch(
       "clock 1 2\n"
       "established 1 id 0 host.a 3.5\n"
       "settled 1 id 2 host.a UNAVAILABLE 18.5 0 2.5,40\n"
@@ -96,9 +96,10 @@
                                                  {"CANCELLED", Outcome::kCancelled},
                                                  {"TOO_LATE", Outcome::kNotSent}};
   for (const auto& [word, outcome] : all) {
-    const Batch b = ReadOne("clock 1 2\nsettled 1 id 0 h " + std::string(word) + " 1 0 -\neob\n");
-    EXPECT_EQ(EventOf<AttemptFinished>(b).outcome, outcome);
-    EXPECT_FALSE(EventOf<AttemptFinished>(b).load_report.has_value());
+    const Batch batch =
+        ReadBatch("clock 1 2\nsettled 1 id 0 h " + std::string(word) + " 1 0 -\neob\n");
+    EXPECT_EQ(EventOf<AttemptFinished>(batch).outcome, outcome);
+    EXPECT_FALSE(EventOf<AttemptFinished>(batch).load_report.has_value());
   }
 }
 
@@ -112,14 +113,14 @@
   ASSERT_TRUE(reader.Next(batch));
   EXPECT_EQ(EventOf<EndpointUpdate>(batch, 0).endpoints.at(0).id, "a");
   EXPECT_EQ(EventOf<EndpointUpdate>(batch, 0).kind, EndpointUpdateKind::kCached);
-  const EndpointInfo& b = EventOf<EndpointUpdate>(batch, 1).endpoints.at(0);
-  EXPECT_EQ(b.id, "b");
-  EXPECT_EQ(b.started_at, Time(6100500));
-  EXPECT_EQ(b.zone, 1);
-  EXPECT_EQ(b.machine_kind, 2u);
-  EXPECT_DOUBLE_EQ(b.weight, 1.5);
-  EXPECT_EQ(b.cell, 3);
-  EXPECT_EQ(b.state, EndpointState::kDraining);
+  const EndpointInfo& second = EventOf<EndpointUpdate>(batch, 1).endpoints.at(0);
+  EXPECT_EQ(second.id, "b");
+  EXPECT_EQ(second.started_at, Time(6100500));
+  EXPECT_EQ(second.zone, 1);
+  EXPECT_EQ(second.machine_kind, 2u);
+  EXPECT_DOUBLE_EQ(second.weight, 1.5);
+  EXPECT_EQ(second.cell, 3);
+  EXPECT_EQ(second.state, EndpointState::kDraining);
   ASSERT_TRUE(reader.Next(batch));
   EXPECT_EQ(EventOf<EndpointUpdate>(batch, 0).endpoints.at(0).id, "b");
   EXPECT_EQ(EventOf<EndpointUpdate>(batch, 1).kind, EndpointUpdateKind::kFailed);
@@ -134,7 +135,7 @@
 class MalformedInput : public ::testing::TestWithParam<Malformed> {};
 
 TEST_P(MalformedInput, IsReportedWithLineAndReason) {
-  const std::string error = Failure(GetParam().text);
+  const std::string error = ErrorFor(GetParam().text);
   EXPECT_EQ(error.rfind(std::string("line ") + GetParam().line + ":", 0), 0U) << error;
   EXPECT_NE(error.find(GetParam().reason), std::string::npos) << error;
 }
