--- a/src/cli/cluster_client.cpp
+++ b/src/cli/cluster_client.cpp
@@ -59,7 +59,7 @@
     reason = reply["error"].get<std::string>();
     return std::nullopt;
   }
-  const auto result = cluster::ReadChangeResult(reply.value("answer", json()));
+  const auto result = cluster::ParseChangeResult(reply.value("answer", json()));
   if (!result) {
     return std::nullopt;
   }
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -62,15 +62,15 @@
           message.result ? ToJson(*message.result) : json()};
 }
 
-std::optional<ChangeRequest> ReadChangeRequest(const json& value) {
+std::optional<ChangeRequest> ParseChangeRequest(const json& value) {
   return raft::TryDecode([&] { return DecodeChangeRequest(value); });
 }
 
-std::optional<ChangeResult> ReadChangeResult(const json& value) {
+std::optional<ChangeResult> ParseChangeResult(const json& value) {
   return raft::TryDecode([&] { return DecodeChangeResult(value); });
 }
 
-std::optional<MemberMessage> ReadMemberMessage(const json& value) {
+std::optional<MemberMessage> ParseMemberMessage(const json& value) {
   return raft::TryDecode([&] {
     MemberMessage message{value.at(0), value.at(1), std::nullopt, std::nullopt};
     if (!value.at(2).is_null()) {
--- a/src/cluster/codec.h
+++ b/src/cluster/codec.h
@@ -19,9 +19,9 @@
 // [kind, id, version, text]
 nlohmann::json ToJson(const ChangeResult& result);
 
-std::optional<MemberMessage> ReadMemberMessage(const nlohmann::json& value);
-std::optional<ChangeRequest> ReadChangeRequest(const nlohmann::json& value);
-std::optional<ChangeResult> ReadChangeResult(const nlohmann::json& value);
+std::optional<MemberMessage> ParseMemberMessage(const nlohmann::json& value);
+std::optional<ChangeRequest> ParseChangeRequest(const nlohmann::json& value);
+std::optional<ChangeResult> ParseChangeResult(const nlohmann::json& value);
 
 }  // namespace paddlestile::cluster
 
--- a/src/gateway/cluster_agent.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -225,7 +225,7 @@
 }
 
 void ClusterAgent::OnConnected(const std::string& name, uint64_t incarnation, const json& known) {
-  const raft::StorageClaim claim = raft::ReadClaim(known).value_or(raft::StorageClaim{});
+  const raft::StorageClaim claim = raft::ParseStorageClaim(known).value_or(raft::StorageClaim{});
   RunMember([&](ClusterMember& member, Time now, MemberOutput& output) {
     member.OnPeerConnected(now, name, incarnation, claim, output);
   });
@@ -243,7 +243,7 @@
   }
   // A message whose sender is not the connection's member is dropped.
   if (const auto field = value.find(kRaftMessageKey); field != value.end()) {
-    auto message = raft::ReadMessage(*field);
+    auto message = raft::ParseMessage(*field);
     if (!message || message->from != name) {
       return;
     }
@@ -253,7 +253,7 @@
     });
   }
   if (const auto field = value.find(kMemberMessageKey); field != value.end()) {
-    const auto message = cluster::ReadMemberMessage(*field);
+    const auto message = cluster::ParseMemberMessage(*field);
     if (!message || message->from != name) {
       return;
     }
--- a/src/gateway/cluster_storage.cpp
+++ b/src/gateway/cluster_storage.cpp
@@ -49,7 +49,7 @@
     }
     state.incarnation = value.value("life", uint64_t{0});
     state.restart_count = value.value("boot", uint64_t{0});
-  } else if (const auto write = raft::ReadWrite(value)) {
+  } else if (const auto write = raft::ParseStorageWrite(value)) {
     raft::ApplyStorageWrite(state, *write);
   }
 }
--- a/src/gateway/operator_calls.cpp
+++ b/src/gateway/operator_calls.cpp
@@ -67,7 +67,7 @@
   if (!value.contains("wish")) {
     return {};
   }
-  auto change = cluster::ReadChangeRequest(value["wish"]);
+  auto change = cluster::ParseChangeRequest(value["wish"]);
   if (!change) {
     return {};
   }
--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -533,7 +533,7 @@
 
 // As operators do, by the program's own command, which goes on asking by itself.
 void BankLab::AskByCommand(size_t n) {
-  const cluster::ChangeRequest wish = *cluster::ReadChangeRequest(changes_[n].wish);
+  const cluster::ChangeRequest wish = *cluster::ParseChangeRequest(changes_[n].wish);
   const std::string path = fmt::format("{}/change-{}", folder_, n);
   std::ofstream(path + ".json") << wish.change.document << std::flush;
   std::vector<std::string> words = {fs::read_symlink("/proc/self/exe").string(),
@@ -613,7 +613,7 @@
           return;
         }
         const auto answer = value && value->is_object()
-                                ? cluster::ReadChangeResult(value->value("answer", json()))
+                                ? cluster::ParseChangeResult(value->value("answer", json()))
                                 : std::nullopt;
         if (!answer) {
           return again();
--- a/src/lab/simulated_member.cpp
+++ b/src/lab/simulated_member.cpp
@@ -160,7 +160,7 @@
   }
   void OnConnected(const std::string& name, uint64_t life, const json& known) override {
     linked_.insert(name);
-    const raft::StorageClaim claim = raft::ReadClaim(known).value_or(raft::StorageClaim{});
+    const raft::StorageClaim claim = raft::ParseStorageClaim(known).value_or(raft::StorageClaim{});
     Run([&](ClusterMember& m, Time now, MemberOutput& out) {
       m.OnPeerConnected(now, name, life, claim, out);
     });
@@ -176,7 +176,7 @@
       return;
     }
     if (const auto at = value.find("m"); at != value.end()) {
-      const auto message = raft::ReadMessage(*at);
+      const auto message = raft::ParseMessage(*at);
       if (!message || message->from != name) {
         return;
       }
--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -118,11 +118,11 @@
           ToJson(message.claim_of_receiver)};
 }
 
-std::optional<StorageClaim> ReadClaim(const json& value) {
+std::optional<StorageClaim> ParseStorageClaim(const json& value) {
   return TryDecode([&] { return DecodeClaim(value); });
 }
 
-std::optional<StorageWrite> ReadWrite(const json& value) {
+std::optional<StorageWrite> ParseStorageWrite(const json& value) {
   return TryDecode([&] {
     StorageWrite write;
     write.current_term = value.at(0);
@@ -138,7 +138,7 @@
   });
 }
 
-std::optional<Message> ReadMessage(const json& value) {
+std::optional<Message> ParseMessage(const json& value) {
   return TryDecode([&] {
     Message message;
     message.type = DecodeEnum(value.at(0), Message::Type::kStorageClaim);
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -23,9 +23,9 @@
 nlohmann::json ToJson(const Message& message);
 
 // The decoders take values from other processes, and return nothing for one that is malformed.
-std::optional<StorageClaim> ReadClaim(const nlohmann::json& value);
-std::optional<StorageWrite> ReadWrite(const nlohmann::json& value);
-std::optional<Message> ReadMessage(const nlohmann::json& value);
+std::optional<StorageClaim> ParseStorageClaim(const nlohmann::json& value);
+std::optional<StorageWrite> ParseStorageWrite(const nlohmann::json& value);
+std::optional<Message> ParseMessage(const nlohmann::json& value);
 
 }  // namespace paddlestile::raft
 
--- a/tests/cluster/cluster_member_test.cpp
+++ b/tests/cluster/cluster_member_test.cpp
@@ -211,7 +211,7 @@
   request.change.document = R"({"zone_only":{"h":"z"}})";
   const json encoded = ToJson(request);
   EXPECT_FALSE(ValidateDocument(encoded[7].get<std::string>()).empty());
-  const auto decoded = ReadChangeRequest(encoded);
+  const auto decoded = ParseChangeRequest(encoded);
   ASSERT_TRUE(decoded.has_value());
   EXPECT_TRUE(decoded->change.is_delta);
   EXPECT_EQ(decoded->change.document, request.change.document);
--- a/tests/raft/codec_test.cpp
+++ b/tests/raft/codec_test.cpp
@@ -34,7 +34,7 @@
 TEST(RaftCodecTest, DecodesWhatItEncoded) {
   const Message message = ExampleMessage();
   const json value = ToJson(message);
-  const auto decoded = ReadMessage(value);
+  const auto decoded = ParseMessage(value);
   ASSERT_TRUE(decoded);
   EXPECT_EQ(ToJson(*decoded), value);
   EXPECT_EQ(decoded->entries, message.entries);
@@ -46,17 +46,17 @@
   write.first_index = 2;
   write.entries = message.entries;
   write.snapshot = message.snapshot;
-  EXPECT_EQ(ToJson(*ReadWrite(ToJson(write))), ToJson(write));
+  EXPECT_EQ(ToJson(*ParseStorageWrite(ToJson(write))), ToJson(write));
   for (size_t field = 0; field < value.size(); ++field) {
     json malformed = value;
     malformed[field] = json::object();
-    EXPECT_FALSE(ReadMessage(malformed)) << field;
+    EXPECT_FALSE(ParseMessage(malformed)) << field;
     malformed.erase(field);
-    EXPECT_FALSE(ReadMessage(malformed) && field == 0);
+    EXPECT_FALSE(ParseMessage(malformed) && field == 0);
   }
   json unknown_type = value;
   unknown_type[0] = 99;
-  EXPECT_FALSE(ReadMessage(unknown_type));
+  EXPECT_FALSE(ParseMessage(unknown_type));
 }
 
 }  // namespace
