--- a/src/raft/codec.cpp
+++ b/src/raft/codec.cpp
@@ -21,10 +21,10 @@
   return {bytes.begin(), bytes.end()};
 }
 
-// An empty list would otherwise decode from null or an object.
+// Without this check, null or an empty object would decode as an empty list.
 void RequireArray(const json& value) {
   if (!value.is_array()) {
-    throw std::invalid_argument("no list");
+    throw std::invalid_argument("expected an array");
   }
 }
 
--- a/src/raft/codec.h
+++ b/src/raft/codec.h
@@ -1,9 +1,9 @@
-// Codec of the Raft messages that go between members and of the writes that go into their logs:
-// JSON values, which are sent and stored as CBOR. No I/O.
+// Converts Raft messages and storage writes to and from JSON values, which are sent and stored as
+// CBOR. No I/O.
 //
 // The layout is positional: each struct is an array of its fields in the order of the encoder.
-// Stored logs and running peers have it, so neither the positions nor the numbers of enumerators
-// may change.
+// Stored logs and running peers use this layout, so neither the positions nor the numeric values
+// of enumerators may change.
 #ifndef PADDLESTILE_RAFT_CODEC_H_
 #define PADDLESTILE_RAFT_CODEC_H_
 
@@ -18,11 +18,11 @@
 namespace paddlestile::raft {
 
 nlohmann::json ToJson(const StorageClaim& claim);
-// Does not contain the sequence number, which numbers the writes of one process.
+// Omits the sequence number, which is meaningful only within one process.
 nlohmann::json ToJson(const StorageWrite& write);
 nlohmann::json ToJson(const Message& message);
 
-// The decoders take values from other processes, and return nothing for one that is malformed.
+// Decoders for values from other processes. They return std::nullopt if the value is malformed.
 std::optional<StorageClaim> ParseStorageClaim(const nlohmann::json& value);
 std::optional<StorageWrite> ParseStorageWrite(const nlohmann::json& value);
 std::optional<Message> ParseMessage(const nlohmann::json& value);
--- a/tests/raft/codec_test.cpp
+++ b/tests/raft/codec_test.cpp
@@ -1,4 +1,4 @@
-// The codec of Raft messages and storage writes.
+// Tests the codec for Raft messages and storage writes.
 #include "raft/codec.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// A message with a value in each field that its encoding has.
+// A message with a value in each encoded field.
 Message ExampleMessage() {
   Message message;
   message.type = Message::Type::kInstallSnapshot;
@@ -29,9 +29,8 @@
   return message;
 }
 
-// What is decoded equals what was encoded; a value that was changed decodes to nothing or to
-// another one, and never ends the process.
-TEST(RaftCodecTest, DecodesWhatItEncoded) {
+// Decoding reverses encoding, and a malformed value is rejected without crashing the process.
+TEST(RaftCodecTest, RoundTripsAndRejectsMalformedValues) {
   const Message message = ExampleMessage();
   const json value = ToJson(message);
   const auto decoded = ParseMessage(value);
