--- a/src/raft/invariants.h
+++ b/src/raft/invariants.h
@@ -1,4 +1,4 @@
-// Invariants of a Raft node that hold between any two events, for tests.
+// Checks the invariants of a Raft node that hold between any two events. Used by tests.
 #ifndef PADDLESTILE_RAFT_INVARIANTS_H_
 #define PADDLESTILE_RAFT_INVARIANTS_H_
 
@@ -9,14 +9,15 @@
 
 namespace paddlestile::raft {
 
-// The first invariant that `node` breaks, in words; nothing if it holds all:
+// Returns a description of the first invariant that `node` violates, or std::nullopt if it
+// satisfies all of them:
 //
 //   indexes  last applied <= commit index <= last log index, and commit index >= snapshot's index
 //   terms    never decrease along the log, and none is above the current term
 //   voters   at most kMaxVoters
-//   role     a candidate or pre-candidate knows no leader; a leader is known to itself
-//   storage  a node whose storage was rolled back is a follower and no voting member
-std::optional<std::string> FindBrokenInvariant(const RaftNode& node);
+//   role     a candidate or pre-candidate has no known leader; a leader has one, itself
+//   storage  a node whose storage was rolled back is a follower and not a voting member
+std::optional<std::string> FindInvariantViolation(const RaftNode& node);
 
 }  // namespace paddlestile::raft
 
--- a/tests/raft/raft_node_fixture.h
+++ b/tests/raft/raft_node_fixture.h
@@ -1,5 +1,5 @@
-// Fixtures for tests of the Raft node: member "a" of a cluster with the voters a, b and c, to which
-// the tests send the messages of the other two.
+// Fixtures for tests of the Raft node: member "a" of a cluster with the voters a, b and c. The
+// tests send it messages on behalf of the other two.
 #ifndef PADDLESTILE_TESTS_RAFT_RAFT_NODE_FIXTURE_H_
 #define PADDLESTILE_TESTS_RAFT_RAFT_NODE_FIXTURE_H_
 
@@ -19,7 +19,8 @@
 
 inline const std::vector<Voter> kThreeVoters = {{"a", 1}, {"b", 2}, {"c", 3}};
 
-// Storage in its first start, with one entry of term 1 that makes `voters` the configuration.
+// Returns the state of storage in its first start, with one entry of term 1 that contains the
+// configuration `voters`.
 inline PersistentState StateWithVoters(uint64_t incarnation, Term term, std::vector<Voter> voters) {
   PersistentState state;
   state.incarnation = incarnation;
@@ -77,8 +78,8 @@
     return out;
   }
   void TearDown() override { ExpectInvariants(); }
-  void ExpectInvariants() const { EXPECT_EQ(FindBrokenInvariant(node).value_or(""), ""); }
-  // Lets time pass until the election timeout.
+  void ExpectInvariants() const { EXPECT_EQ(FindInvariantViolation(node).value_or(""), ""); }
+  // Advances the time until the node becomes a pre-candidate, and returns that time.
   Time WaitUntilPreCandidate(RaftOutput& out) {
     Time now{0};
     while (node.role() != Role::kPreCandidate) {
@@ -90,8 +91,8 @@
   RaftNode node{"a", {}, StateWithVoters(1, 1, kThreeVoters), 7, Time(0)};
 };
 
-// Member a as the leader of term 2, elected with the vote of b. Its log holds the configuration and
-// the entry that begins its term, which is not durable yet.
+// Member a as the leader of term 2, elected with the vote of b. Its log contains the configuration
+// and the first entry of its term, which is not durable yet.
 class RaftLeaderTest : public RaftFollowerTest {
  protected:
   void SetUp() override {
@@ -105,7 +106,8 @@
     node.OnDurable(now, 1, out);
     ASSERT_EQ(node.role(), Role::kLeader);
   }
-  // A member acknowledges and has applied the log up to `index`, and asks for a lease.
+  // Delivers a reply by which member `from` acknowledges the log up to `index`, reports it as
+  // applied, and requests a lease.
   RaftOutput ReceiveAcknowledgement(const std::string& from, uint64_t incarnation, Index index,
                                     Time sent_at) {
     Message reply;
