--- a/src/raft/raft_output.h
+++ b/src/raft/raft_output.h
@@ -1,4 +1,5 @@
-// What a Raft node asks of its owner after an event: writes, messages, entries to apply.
+// The actions that a Raft node requests from its owner after an event: writes to storage, messages
+// to send, and entries to apply.
 #ifndef PADDLESTILE_RAFT_RAFT_OUTPUT_H_
 #define PADDLESTILE_RAFT_RAFT_OUTPUT_H_
 
@@ -14,24 +15,24 @@
 
 struct OutgoingMessage {
   Message message;
-  // To be sent only once the write with this number is durable; 0: at once.
+  // Must not be sent before the write with this number is durable; 0: send immediately.
   uint64_t after_sequence_number = 0;
 };
 
-// A committed entry, or a snapshot in place of all entries up to `index`.
+// A committed entry to apply, or a snapshot that replaces all entries up to `index`.
 struct AppliedEntry {
   Index index = 0;
   LogEntry entry;                    // default if `snapshot` is set
-  std::optional<Snapshot> snapshot;  // replaces all of the state machine
+  std::optional<Snapshot> snapshot;  // replaces the entire state machine
 };
 
-// Each list is in the order in which the owner must carry it out. The lists only ever grow: one
-// output may collect several events.
+// The owner must process each list in order. Events only append to the lists, so one output may
+// collect the actions of several events.
 struct RaftOutput {
   std::vector<StorageWrite> writes;
   std::vector<OutgoingMessage> messages;
   std::vector<AppliedEntry> applied;
-  // This member's storage was rolled back: the node takes no part any more, and must be replaced
+  // This member's storage was rolled back: the node has stopped participating and must be replaced
   // by one with a new incarnation. See raft/storage_claim.h.
   bool storage_rolled_back = false;
 };
