--- a/src/raft/quorum.h
+++ b/src/raft/quorum.h
@@ -1,4 +1,4 @@
-// What a majority of the voters has.
+// Computes the value that a majority of the voters has reached.
 #ifndef PADDLESTILE_RAFT_QUORUM_H_
 #define PADDLESTILE_RAFT_QUORUM_H_
 
@@ -12,8 +12,8 @@
 
 namespace paddlestile::raft {
 
-// The greatest value that a majority of `voters` reaches; `none` if there are no voters.
-// `value_of` maps a Voter to its value.
+// Returns the greatest value that a majority of `voters` has reached, or `none` if there are no
+// voters. `value_of` maps a Voter to its value.
 template <typename Value, typename ValueOf>
 [[nodiscard]] Value QuorumValue(const std::vector<Voter>& voters, Value none, ValueOf&& value_of) {
   std::array<Value, kMaxVoters> values{};
