--- a/src/raft/timing.cpp
+++ b/src/raft/timing.cpp
@@ -16,8 +16,8 @@
       timing.lease_duration < min_timeout || timing.clock_rate_error < 0 ||
       timing.clock_rate_error > kMaxClockRateError) {
     throw std::invalid_argument(
-        "timing: expected a heartbeat above 0, an election and a lease of three at least, "
-        "and a clock rate of 0 to 0.2");
+        "timing: expected a heartbeat interval above 0, an election timeout and a lease duration "
+        "of at least 3 heartbeat intervals, and a clock rate error from 0 to 0.2");
   }
 }
 
