--- a/src/raft/storage_claim.cpp
+++ b/src/raft/storage_claim.cpp
@@ -15,7 +15,7 @@
   if (claim.restart_count == own.restart_count) {
     return claim.term > current_term;
   }
-  // What was claimed before this start must have been found at this start.
+  // Everything claimed before this start must have been in storage at this start.
   return claim.term > own.term_at_start ||
          (claim.term == own.term_at_start && claim.match_index > own.last_index_at_start);
 }
@@ -25,13 +25,13 @@
     return;
   }
   StorageClaim& known = claims_[member];
-  const auto age = [](const StorageClaim& of) {
-    return std::tuple(of.restart_count, of.term, of.match_index);
+  const auto order_key = [](const StorageClaim& value) {
+    return std::tuple(value.restart_count, value.term, value.match_index);
   };
   if (known.incarnation != claim.incarnation) {
     known = claim;
-  } else if (age(known) < age(claim)) {
-    // An acknowledgement in a term stays valid when its member restarts within that term.
+  } else if (order_key(known) < order_key(claim)) {
+    // A restart within a term does not invalidate the acknowledgements given in that term.
     const Index match_index = known.term == claim.term ? known.match_index : 0;
     known = claim;
     known.match_index = std::max(known.match_index, match_index);
