--- a/src/raft/raft_log.cpp
+++ b/src/raft/raft_log.cpp
@@ -5,7 +5,7 @@
 namespace paddlestile::raft {
 namespace {
 
-constexpr size_t kEntryOverheadBytes = 32;  // beside the entry's own bytes
+constexpr size_t kEntryOverheadBytes = 32;  // in addition to LogEntry::bytes
 constexpr size_t kVoterBytes = 32;
 
 }  // namespace
@@ -29,7 +29,7 @@
   return EntryAt(index).term;
 }
 
-std::vector<LogEntry> RaftLog::EntriesBehindSnapshot() const {
+std::vector<LogEntry> RaftLog::EntriesAfterSnapshot() const {
   return {entries_.begin(), entries_.end()};
 }
 
@@ -57,8 +57,9 @@
 }
 
 void RaftLog::InstallSnapshot(const Snapshot& snapshot) {
-  const bool continues = snapshot.index <= last_index() && TermAt(snapshot.index) == snapshot.term;
-  if (continues) {
+  const bool contains_last_entry =
+      snapshot.index <= last_index() && TermAt(snapshot.index) == snapshot.term;
+  if (contains_last_entry) {
     entries_.erase(entries_.begin(),
                    entries_.begin() + static_cast<long>(snapshot.index - snapshot_.index));
   } else {
--- a/src/raft/raft_node.cpp
+++ b/src/raft/raft_node.cpp
@@ -75,7 +75,7 @@
 }
 
 void RaftNode::WriteSnapshotAndLog(RaftOutput& out) {
-  std::vector<LogEntry> entries = log_.EntriesBehindSnapshot();
+  std::vector<LogEntry> entries = log_.EntriesAfterSnapshot();
   const Index first_index = entries.empty() ? 0 : log_.first_index();
   WriteToStorage(out, first_index, std::move(entries), log_.snapshot());
 }
--- a/tests/raft/raft_log_test.cpp
+++ b/tests/raft/raft_log_test.cpp
@@ -1,4 +1,4 @@
-// The log in memory and the index up to which it is durable.
+// Tests the in-memory log and the tracking of its last durable index.
 #include "raft/raft_log.h"
 
 #include <gtest/gtest.h>
@@ -11,14 +11,15 @@
 const std::vector<Voter> kOneVoter = {{"a", 1}};
 const std::vector<Voter> kTwoVoters = {{"a", 1}, {"b", 2}};
 
-// Index 4: data, 5: configuration of two voters, 6: data; behind a snapshot with one voter.
+// A snapshot at index 3 with one voter, followed by data at index 4, a configuration of two voters
+// at index 5 and data at index 6.
 RaftLog ExampleLog() {
   return RaftLog({3, 1, kOneVoter, "state"}, {{1, LogEntry::Kind::kData, "x", {}},
                                               {2, LogEntry::Kind::kVoters, {}, kTwoVoters},
                                               {2, LogEntry::Kind::kData, "y", {}}});
 }
 
-TEST(RaftLogTest, KnowsTheTermOfItsEntriesAndOfTheSnapshot) {
+TEST(RaftLogTest, ReturnsTermsOfEntriesAndSnapshot) {
   const RaftLog log = ExampleLog();
   EXPECT_EQ(log.first_index(), 4U);
   EXPECT_EQ(log.last_index(), 6U);
@@ -28,7 +29,7 @@
   EXPECT_EQ(log.TermAt(7), 0U);
 }
 
-TEST(RaftLogTest, TruncationRestoresTheEarlierConfiguration) {
+TEST(RaftLogTest, TruncationRestoresPreviousConfiguration) {
   RaftLog log = ExampleLog();
   EXPECT_EQ(log.voters(), kTwoVoters);
   EXPECT_EQ(log.voters_index(), 5U);
@@ -40,7 +41,7 @@
   EXPECT_EQ(log.voters_index(), 5U);
 }
 
-TEST(RaftLogTest, CompactionKeepsTheEntriesBehindTheSnapshot) {
+TEST(RaftLogTest, CompactionKeepsEntriesAfterSnapshot) {
   RaftLog log = ExampleLog();
   log.CompactTo(5, "later state");
   EXPECT_EQ(log.snapshot(), (Snapshot{5, 2, kTwoVoters, "later state"}));
@@ -49,18 +50,18 @@
   EXPECT_EQ(log.voters_index(), 5U);
 }
 
-TEST(RaftLogTest, AnInstalledSnapshotKeepsOnlyEntriesThatContinueIt) {
+TEST(RaftLogTest, InstalledSnapshotKeepsOnlyMatchingEntries) {
   RaftLog log = ExampleLog();
   log.InstallSnapshot({4, 1, kOneVoter, "other state"});
-  EXPECT_EQ(log.EntriesBehindSnapshot().size(), 2U);
+  EXPECT_EQ(log.EntriesAfterSnapshot().size(), 2U);
   EXPECT_EQ(log.voters(), kTwoVoters);
   log.InstallSnapshot({5, 9, kOneVoter, "of another term"});
-  EXPECT_TRUE(log.EntriesBehindSnapshot().empty());
+  EXPECT_TRUE(log.EntriesAfterSnapshot().empty());
   EXPECT_EQ(log.last_index(), 5U);
   EXPECT_EQ(log.voters(), kOneVoter);
 }
 
-TEST(DurableIndexTest, FollowsDurableWritesInOrder) {
+TEST(DurableIndexTest, AdvancesWithDurableWrites) {
   DurableIndex durable(3);
   EXPECT_EQ(durable.AddWrite(4), 1U);
   EXPECT_EQ(durable.AddWrite(6), 2U);
@@ -71,7 +72,8 @@
   EXPECT_EQ(durable.last_index(), 6U);
 }
 
-// A write whose entries were replaced meanwhile does not make the replacing ones durable.
+// If a write's entries are replaced before it is durable, its completion must not count for the
+// entries that replaced them.
 TEST(DurableIndexTest, PendingWritesDoNotCountForReplacedEntries) {
   DurableIndex durable(3);
   durable.AddWrite(6);
