--- a/src/raft/raft_node.cpp
+++ b/src/raft/raft_node.cpp
@@ -192,7 +192,7 @@
     default:
       return;  // shows nothing of the sender's log
   }
-  restart_guard_.OnHeard(now, message.from, log_end, current_term, voters());
+  restart_guard_.OnHeardFrom(now, message.from, log_end, current_term, voters());
 }
 
 void RaftNode::OnMessage(Time now, const Message& message, RaftOutput& out) {
--- a/tests/raft/restart_guard_test.cpp
+++ b/tests/raft/restart_guard_test.cpp
@@ -1,4 +1,4 @@
-// After a restart: whom a voter votes for whose storage may have been rolled back unseen.
+// Tests how a restarted voter votes, given that its storage may have been rolled back undetected.
 #include "raft/restart_guard.h"
 
 #include <gtest/gtest.h>
@@ -8,9 +8,9 @@
 namespace paddlestile::raft {
 namespace {
 
-constexpr Time kEnd = 5 * kSecond;
-constexpr LogPosition kCommitted{2, 8};
-constexpr LogPosition kOlder{2, 5};
+constexpr Time kGuardEnd = 5 * kSecond;
+constexpr LogPosition kNewerLogEnd{2, 8};
+constexpr LogPosition kOlderLogEnd{2, 5};
 
 TEST(RestartGuardTest, NeverRestrictsStorageInItsFirstStart) {
   const RestartGuard guard;
@@ -18,59 +18,59 @@
 }
 
 TEST(RestartGuardTest, WaitsForBothOtherVotersOfThree) {
-  RestartGuard guard("a", kEnd);
-  guard.OnHeard(kSecond, "b", kOlder, 2, kThreeVoters);
-  guard.OnHeard(kSecond, "b", kOlder, 2, kThreeVoters);
-  guard.OnHeard(kSecond, "x", kCommitted, 2, kThreeVoters);  // no voter
-  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlder, kThreeVoters));
-  guard.OnHeard(kSecond, "c", kCommitted, 2, kThreeVoters);
-  // Not for one that lacks what c holds, and not in a term in which it may have voted.
-  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlder, kThreeVoters));
-  EXPECT_FALSE(guard.MayVote(kSecond, 2, kCommitted, kThreeVoters));
-  EXPECT_TRUE(guard.MayVote(kSecond, 3, kCommitted, kThreeVoters));
+  RestartGuard guard("a", kGuardEnd);
+  guard.OnHeardFrom(kSecond, "b", kOlderLogEnd, 2, kThreeVoters);
+  guard.OnHeardFrom(kSecond, "b", kOlderLogEnd, 2, kThreeVoters);
+  guard.OnHeardFrom(kSecond, "x", kNewerLogEnd, 2, kThreeVoters);  // not a voter
+  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlderLogEnd, kThreeVoters));
+  guard.OnHeardFrom(kSecond, "c", kNewerLogEnd, 2, kThreeVoters);
+  // No vote for a candidate that lacks entries of c, or in a term in which "a" may have voted.
+  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlderLogEnd, kThreeVoters));
+  EXPECT_FALSE(guard.MayVote(kSecond, 2, kNewerLogEnd, kThreeVoters));
+  EXPECT_TRUE(guard.MayVote(kSecond, 3, kNewerLogEnd, kThreeVoters));
 }
 
 TEST(RestartGuardTest, WaitsForThreeOthersOfFiveVoters) {
   const std::vector<Voter> voters = {{"a", 1}, {"b", 2}, {"c", 3}, {"d", 4}, {"e", 5}};
-  RestartGuard guard("a", kEnd);
-  guard.OnHeard(kSecond, "b", kOlder, 2, voters);
-  guard.OnHeard(kSecond, "c", kOlder, 2, voters);
-  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlder, voters));
-  guard.OnHeard(kSecond, "d", kOlder, 2, voters);
-  EXPECT_TRUE(guard.MayVote(kSecond, 3, kOlder, voters));
+  RestartGuard guard("a", kGuardEnd);
+  guard.OnHeardFrom(kSecond, "b", kOlderLogEnd, 2, voters);
+  guard.OnHeardFrom(kSecond, "c", kOlderLogEnd, 2, voters);
+  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlderLogEnd, voters));
+  guard.OnHeardFrom(kSecond, "d", kOlderLogEnd, 2, voters);
+  EXPECT_TRUE(guard.MayVote(kSecond, 3, kOlderLogEnd, voters));
 }
 
-TEST(RestartGuardTest, EndsAtItsTime) {
-  const RestartGuard guard("a", kEnd);
-  EXPECT_FALSE(guard.MayVote(kEnd - Time(1), 3, kOlder, kThreeVoters));
-  EXPECT_TRUE(guard.MayVote(kEnd, 3, kOlder, kThreeVoters));
+TEST(RestartGuardTest, EndsAtTheGivenTime) {
+  const RestartGuard guard("a", kGuardEnd);
+  EXPECT_FALSE(guard.MayVote(kGuardEnd - Time(1), 3, kOlderLogEnd, kThreeVoters));
+  EXPECT_TRUE(guard.MayVote(kGuardEnd, 3, kOlderLogEnd, kThreeVoters));
 }
 
-// Candidates raise their terms again and again: what is heard after enough was heard must not
-// keep them from ever getting this vote.
-TEST(RestartGuardTest, LearnsNothingOnceEnoughWereHeard) {
-  RestartGuard guard("a", kEnd);
-  guard.OnHeard(kSecond, "b", kOlder, 2, kThreeVoters);
-  guard.OnHeard(kSecond, "c", kOlder, 2, kThreeVoters);
-  guard.OnHeard(kSecond, "b", kCommitted, 9, kThreeVoters);
-  EXPECT_TRUE(guard.MayVote(kSecond, 3, kOlder, kThreeVoters));
+// Candidates keep raising their terms. Messages that arrive after a quorum was heard must not
+// tighten the restriction, or no candidate would ever get this vote.
+TEST(RestartGuardTest, IgnoresMessagesOnceAQuorumWasHeard) {
+  RestartGuard guard("a", kGuardEnd);
+  guard.OnHeardFrom(kSecond, "b", kOlderLogEnd, 2, kThreeVoters);
+  guard.OnHeardFrom(kSecond, "c", kOlderLogEnd, 2, kThreeVoters);
+  guard.OnHeardFrom(kSecond, "b", kNewerLogEnd, 9, kThreeVoters);
+  EXPECT_TRUE(guard.MayVote(kSecond, 3, kOlderLogEnd, kThreeVoters));
 }
 
-// What a voter held that came back with other storage is lost, and cannot be waited for.
-TEST(RestartGuardTest, CountsAVoterWhoseStorageWasReplacedAfterAWhile) {
-  RestartGuard guard("a", kEnd);
-  guard.OnHeard(kSecond, "b", kOlder, 2, kThreeVoters);
+// A voter that came back with new storage has lost its data, so there is nothing to wait for.
+TEST(RestartGuardTest, CountsAVoterWithReplacedStorageAfterADelay) {
+  RestartGuard guard("a", kGuardEnd);
+  guard.OnHeardFrom(kSecond, "b", kOlderLogEnd, 2, kThreeVoters);
   guard.OnStorageReplaced("c", 2 * kSecond);
-  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlder, kThreeVoters));
-  EXPECT_TRUE(guard.MayVote(2 * kSecond, 3, kOlder, kThreeVoters));
+  EXPECT_FALSE(guard.MayVote(kSecond, 3, kOlderLogEnd, kThreeVoters));
+  EXPECT_TRUE(guard.MayVote(2 * kSecond, 3, kOlderLogEnd, kThreeVoters));
 }
 
-TEST(RestartGuardTest, WaitsWhereItsLogKnowsNoVoters) {
-  const RestartGuard guard("a", kEnd);
-  EXPECT_FALSE(guard.MayVote(kSecond, 3, kCommitted, {}));
+TEST(RestartGuardTest, WaitsIfTheLogHasNoVoters) {
+  const RestartGuard guard("a", kGuardEnd);
+  EXPECT_FALSE(guard.MayVote(kSecond, 3, kNewerLogEnd, {}));
 }
 
-// Member a after a restart, in term 1, with the configuration alone in its log.
+// Member a after a restart, in term 1, with only the configuration in its log.
 class RestartedVoterTest : public RaftFollowerTest {
  protected:
   void SetUp() override {
@@ -91,8 +91,9 @@
   }
 };
 
-// b lags; c, which is cut off, has what a acknowledged before its storage was rolled back.
-TEST_F(RestartedVoterTest, GivesNoMajorityToACandidateThatLacksWhatTheThirdHolds) {
+// b lags behind. c, which is partitioned, has entries that a acknowledged before its storage was
+// rolled back. If a voted for b, the two would elect a leader without these committed entries.
+TEST_F(RestartedVoterTest, DoesNotVoteForACandidateThatLacksEntriesOfAnotherVoter) {
   EXPECT_FALSE(Receive(kSecond, RequestVote(2, true, 1, 1)).messages.at(0).message.granted);
   EXPECT_FALSE(Receive(kSecond, RequestVote(2, false, 1, 1)).messages.at(0).message.granted);
   Receive(2 * kSecond, ClaimOf("c", 3, {1, 4}));
@@ -100,7 +101,7 @@
   EXPECT_TRUE(Receive(2 * kSecond, RequestVote(4, false, 4, 1)).messages.at(0).message.granted);
 }
 
-TEST_F(RestartedVoterTest, StartsNoElectionBeforeItHasHeardTheOthers) {
+TEST_F(RestartedVoterTest, StartsNoElectionBeforeHearingFromTheOthers) {
   RaftOutput out;
   node.OnTimeout(2 * kSecond, out);
   EXPECT_EQ(node.role(), Role::kFollower);
@@ -110,9 +111,9 @@
   EXPECT_EQ(node.role(), Role::kPreCandidate);
 }
 
-// A voter whose log was rolled back to before it had any voters does not know that it votes, and is
-// waited for.
-TEST_F(RaftFollowerTest, AMemberThatKnowsNoVotersAnswersAClaimWithItsOwn) {
+// If a voter's log was rolled back to before its first configuration, the member does not know that
+// it is a voter, but other restarted voters wait for its claim.
+TEST_F(RaftFollowerTest, MemberWithoutVotersAnswersAClaimWithItsOwn) {
   PersistentState state;
   state.incarnation = 1;
   state.restart_count = 2;
