--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -1,4 +1,4 @@
-// Elections of the Raft node: timer, pre-vote, votes, and the changes of role.
+// Elections of the Raft node: election timer, pre-vote, voting and role changes.
 #include <algorithm>
 #include <utility>
 
@@ -7,12 +7,12 @@
 namespace paddlestile::raft {
 
 void RaftNode::ResetElectionTimer(Time now) {
-  std::uniform_int_distribution<int64_t> extra_us(0, timing_.election_timeout.count());
-  election_timer_due_at_ = now + timing_.election_timeout + Duration(extra_us(random_));
+  std::uniform_int_distribution<int64_t> jitter_us(0, timing_.election_timeout.count());
+  election_timer_due_at_ = now + timing_.election_timeout + Duration(jitter_us(random_));
 }
 
-// True also right after the start: an earlier process may have heard the leader just before it
-// ended.
+// Also true right after a start, because an earlier process of this member may have heard from the
+// leader just before it ended.
 bool RaftNode::HeardFromLeaderRecently(Time now) const {
   return now - leader_heard_at_ < timing_.election_timeout;
 }
@@ -34,7 +34,8 @@
   if (term > current_term_) {
     EnterTerm(term, "", out);
   }
-  // Its lease as leader remains valid: no other leader can be elected before it ends.
+  // The lease that it has as leader remains valid: no other leader can be elected before it
+  // expires.
   if (was_leader) {
     lease_until_ = LeaseUntil(now);
   }
@@ -122,13 +123,15 @@
   const LogPosition candidate_log_end{request.index_term, request.index};
   const bool is_up_to_date = candidate_log_end >= LogEnd() &&
                              restart_guard_.MayVote(now, request.term, candidate_log_end, voters());
-  // A member that hears its leader neither votes nor enters the candidate's term: a voter that
-  // cannot be heard does not depose a leader, and the leader's lease stays safe.
+  // A member that is in contact with its leader neither votes nor enters the candidate's term.
+  // Otherwise, a voter that cannot receive the leader's messages could depose the leader, and the
+  // leader's lease would not be safe.
   const bool has_leader =
       (role_ == Role::kLeader && IsLeaderWithLease(now)) || HeardFromLeaderRecently(now);
   if (request.is_pre_vote) {
-    // Granted even if this member does not know itself a voter: the candidate counts only voters of
-    // its configuration, and may need one that has not received that configuration yet.
+    // Granted even if this member is not a voter according to its own log: the candidate counts
+    // only the voters of its configuration, and may need one that has not received that
+    // configuration yet.
     reply.granted = !has_leader && is_up_to_date && request.term > current_term_;
     return SendWhenDurable(out, reply, request.from);
   }
--- a/tests/raft/election_test.cpp
+++ b/tests/raft/election_test.cpp
@@ -1,4 +1,4 @@
-// Elections: whom a voter votes for, and when.
+// Tests when a voter grants its vote, and to which candidates.
 #include <gtest/gtest.h>
 
 #include "raft/raft_node_fixture.h"
@@ -6,14 +6,15 @@
 namespace paddlestile::raft {
 namespace {
 
-// An earlier process may have heard a leader just before it ended.
+// An earlier process of the member may have heard from a leader just before it ended.
 TEST_F(RaftFollowerTest, GrantsNoVoteRightAfterAStart) {
   EXPECT_FALSE(Receive(Time(100'000), RequestVote(2, true, 1, 1)).messages.at(0).message.granted);
   EXPECT_TRUE(Receive(Time(100'000), RequestVote(2, false, 1, 1)).messages.empty());
   EXPECT_TRUE(Receive(kSecond, RequestVote(2, true, 1, 1)).messages.at(0).message.granted);
 }
 
-// A vote that is not durable when it is sent could be granted again after a power loss.
+// If a vote were sent before it is durable, a power loss could make the member vote twice in a
+// term.
 TEST_F(RaftFollowerTest, GrantsAVoteOnlyOnceItIsDurable) {
   const RaftOutput out = Receive(kSecond, RequestVote(2, false, 1, 1));
   ASSERT_EQ(out.messages.size(), 1U);
@@ -25,10 +26,10 @@
 
 TEST_F(RaftFollowerTest, VotesOnceInATerm) {
   Receive(kSecond, RequestVote(2, false, 1, 1));
-  Message other = RequestVote(2, false, 1, 1);
-  other.from = "c";
-  other.from_incarnation = 3;
-  EXPECT_FALSE(Receive(kSecond, other).messages.at(0).message.granted);
+  Message request_of_c = RequestVote(2, false, 1, 1);
+  request_of_c.from = "c";
+  request_of_c.from_incarnation = 3;
+  EXPECT_FALSE(Receive(kSecond, request_of_c).messages.at(0).message.granted);
 }
 
 TEST_F(RaftFollowerTest, RemembersItsVoteAcrossARestart) {
@@ -44,15 +45,15 @@
   EXPECT_TRUE(Receive(3 * kSecond, RequestVote(3, false, 2, 2)).messages.at(0).message.granted);
 }
 
-// A member that hears others and is not heard starts elections again and again. It must not depose
+// A member that receives no messages but can send them keeps starting elections. It must not depose
 // the leader, whose lease relies on its voters.
-TEST_F(RaftFollowerTest, IgnoresCandidatesWhileItHearsTheLeader) {
+TEST_F(RaftFollowerTest, IgnoresCandidatesWhileInContactWithTheLeader) {
   Receive(kSecond, AppendEntries(2, 1, 1, {}));
   EXPECT_TRUE(Receive(kSecond + Time(400'000), RequestVote(9, false, 1, 1)).messages.empty());
   EXPECT_EQ(node.current_term(), 2U);
 }
 
-// A member of the same name with other storage is another member.
+// A member with the same name but replaced storage is a different voter.
 TEST_F(RaftFollowerTest, DoesNotCountTheVoteOfAnotherIncarnation) {
   RaftOutput out;
   node.OnPeerConnected(Time(0), "b", 22, {}, out);
