--- a/src/raft/lease.cpp
+++ b/src/raft/lease.cpp
@@ -1,5 +1,6 @@
-// Leases of the Raft node: the leader's, by which it knows that no other one was elected, and those
-// that it grants to members with AppendEntries, by which they may act on what they have applied.
+// Leases of the Raft node: the leader lease, during which no other leader can be elected, and the
+// leases that the leader grants to members with AppendEntries, during which they may act on their
+// applied state.
 #include <algorithm>
 
 #include "raft/quorum.h"
@@ -26,8 +27,8 @@
   return sent_at < Time(0) ? sent_at : sent_at + LeaderLeaseDuration(timing_);
 }
 
-// Without this a new leader could act, and let others act, on what an entry of an earlier term,
-// which it does not know yet to be committed, has changed.
+// Required for leases: a new leader does not know at first which entries of earlier terms are
+// committed. It could otherwise act, and let others act, on state that such an entry has replaced.
 bool RaftNode::HasAppliedAllOfEarlierTerms() const {
   return !HasEntriesToApply() && log_.TermAt(commit_index_) == current_term_;
 }
@@ -36,13 +37,13 @@
   if (storage_rolled_back_) {
     return Time(-1);
   }
-  const Time leader_until = LeaderLeaseUntil(now);
-  if (leader_until < Time(0) || !HasAppliedAllOfEarlierTerms()) {
+  const Time leader_lease_until = LeaderLeaseUntil(now);
+  if (leader_lease_until < Time(0) || !HasAppliedAllOfEarlierTerms()) {
     return lease_until_;
   }
-  // No later than what the next leader waits for.
-  return std::max(lease_until_, std::min(leader_until, QuorumAcknowledgedSentAt(now) +
-                                                           LeaseHolderDuration(timing_)));
+  // Ends no later than the next leader waits for; see AllLeaseHoldersApplied().
+  return std::max(lease_until_, std::min(leader_lease_until, QuorumAcknowledgedSentAt(now) +
+                                                                 LeaseHolderDuration(timing_)));
 }
 
 bool RaftNode::MayGrantLease(Time now, const Peer& peer) const {
@@ -51,7 +52,7 @@
 }
 
 bool RaftNode::AllLeaseHoldersApplied(Time now, Index index) const {
-  // Leases that an earlier leader granted may still be valid.
+  // Leases granted by an earlier leader may still be valid.
   if (!IsLeaderWithLease(now) || last_applied_ < index ||
       now < leader_since_ + LeaseWaitDuration(timing_)) {
     return false;
--- a/tests/raft/lease_test.cpp
+++ b/tests/raft/lease_test.cpp
@@ -1,4 +1,4 @@
-// Leases: when a leader may rely on being the only one, and when members may act.
+// Tests the leader lease and the leases that the leader grants to members.
 #include <gtest/gtest.h>
 
 #include "raft/raft_node_fixture.h"
@@ -6,8 +6,8 @@
 namespace paddlestile::raft {
 namespace {
 
-// The reply that grants the lease may have been delayed in a buffer.
-TEST_F(RaftFollowerTest, CountsItsLeaseFromWhenItAsked) {
+// The message that grants the lease may have been delayed, so the lease starts with its request.
+TEST_F(RaftFollowerTest, LeaseStartsWhenItWasRequested) {
   Message request = AppendEntries(2, 1, 1, {});
   request.asked_at = kSecond;
   Receive(kSecond + Time(900'000), request);
@@ -16,8 +16,8 @@
   EXPECT_GT(LeaseWaitDuration(RaftTiming()), RaftTiming().lease_duration);
 }
 
-// A leader that cannot know itself the leader accepts nothing: another may have been elected.
-TEST_F(RaftLeaderTest, LeadsOnlyWhileAMajorityAnswers) {
+// A leader without a leader lease must not accept proposals: another may have been elected.
+TEST_F(RaftLeaderTest, LeadsOnlyWhileAMajorityResponds) {
   RaftOutput out;
   EXPECT_FALSE(node.IsLeaderWithLease(now));
   EXPECT_FALSE(node.Propose(now, "x", out).has_value());
@@ -28,8 +28,8 @@
   EXPECT_EQ(node.role(), Role::kFollower);
 }
 
-// Leases that an earlier leader granted may still be valid.
-TEST_F(RaftLeaderTest, WaitsForTheLeasesOfTheEarlierLeader) {
+// Leases granted by an earlier leader may still be valid.
+TEST_F(RaftLeaderTest, WaitsForLeasesOfTheEarlierLeader) {
   RaftOutput out;
   node.OnDurable(now, 2, out);
   ReceiveAcknowledgement("b", 2, 2, now);
@@ -42,9 +42,9 @@
   EXPECT_FALSE(node.AllLeaseHoldersApplied(now, 3));
 }
 
-// A new leader does not know at once what earlier leaders committed, and a member with a lease acts
-// on what it has.
-TEST_F(RaftLeaderTest, HasAndGrantsNoLeaseBeforeItKnowsWhatIsCommitted) {
+// A new leader does not know at first which entries of earlier leaders are committed, and a member
+// with a lease acts on its applied state.
+TEST_F(RaftLeaderTest, HasAndGrantsNoLeaseBeforeAnEntryOfItsTermIsCommitted) {
   RaftOutput out;
   ReceiveAcknowledgement("b", 2, 2, now);
   EXPECT_TRUE(node.IsLeaderWithLease(now));
@@ -83,7 +83,7 @@
   EXPECT_GT(node.LeaseUntil(now), now);
 }
 
-// A slow member must not delay the others: its lease is not renewed.
+// The lease of a slow member is not renewed, so that it does not delay the others.
 TEST_F(RaftLeaderTest, GrantsNoLeaseToAMemberThatHasNotAppliedTheRequiredEntry) {
   RaftOutput out;
   node.OnDurable(now, 2, out);
