--- a/src/raft/raft_node.cpp
+++ b/src/raft/raft_node.cpp
@@ -6,8 +6,9 @@
 namespace paddlestile::raft {
 namespace {
 
-// A member with other storage that is a voter again tells what it holds within so many heartbeats.
-constexpr int kHeartbeatsUntilReplacedCounts = 3;
+// A member whose replaced storage is already a voter again sends its storage claim within this
+// number of heartbeat intervals.
+constexpr int kReplacedStorageDelayHeartbeats = 3;
 
 RestartGuard MakeRestartGuard(const std::string& name, const RaftTiming& timing,
                               const PersistentState& state, Time now) {
@@ -82,11 +83,12 @@
 
 void RaftNode::SendMessage(RaftOutput& out, Message message, const std::string& to,
                            uint64_t after_sequence_number) {
-  const bool asks_for_pre_vote = message.is_pre_vote && message.type == Message::Type::kRequestVote;
+  const bool is_pre_vote_request =
+      message.is_pre_vote && message.type == Message::Type::kRequestVote;
   message.from = name_;
   message.from_incarnation = incarnation();
   message.to = to;
-  message.term = asks_for_pre_vote ? current_term_ + 1 : current_term_;
+  message.term = is_pre_vote_request ? current_term_ + 1 : current_term_;
   // A claim must be durable by the time it is sent.
   StorageClaim claim{incarnation(), own_storage_.restart_count, current_term_, acknowledged_index_};
   if (role_ == Role::kLeader) {
@@ -103,8 +105,8 @@
   SendMessage(out, std::move(message), to, durable_.last_sequence_number());
 }
 
-// The leader learns what this storage holds from replies. The other voters are sent it as well:
-// otherwise no member might know of a rollback while the leader is unreachable.
+// The leader gets this member's claims with its replies. They are also sent to the other voters:
+// otherwise, while the leader is unreachable, possibly no member could detect a rollback.
 void RaftNode::SendStorageClaims(Time now, RaftOutput& out) {
   if (now < claims_due_at_) {
     return;
@@ -135,7 +137,8 @@
     return;
   }
   Peer& peer = peers_[name];
-  // All that an earlier incarnation or connection was sent is void, except a valid lease.
+  // The state of an earlier incarnation or connection is void, except for a lease that may still
+  // be valid.
   const Time lease_ends_at = peer.lease_ends_at;
   peer = {};
   peer.incarnation = incarnation;
@@ -144,7 +147,7 @@
   peer.lease_ends_at = lease_ends_at;
   if (!IsVoter(name, incarnation)) {
     restart_guard_.OnStorageReplaced(
-        name, now + kHeartbeatsUntilReplacedCounts * timing_.heartbeat_interval);
+        name, now + kReplacedStorageDelayHeartbeats * timing_.heartbeat_interval);
   }
   if (role_ == Role::kLeader) {
     SendAppendEntries(now, name, peer, out);
@@ -175,7 +178,7 @@
   return false;
 }
 
-void RaftNode::NoteSender(Time now, const Message& message) {
+void RaftNode::UpdateRestartGuard(Time now, const Message& message) {
   LogPosition log_end{message.index_term, message.index};
   Term current_term = message.term;
   switch (message.type) {
@@ -190,7 +193,7 @@
     case Message::Type::kStorageClaim:
       break;
     default:
-      return;  // shows nothing of the sender's log
+      return;  // reveals nothing about the sender's log
   }
   restart_guard_.OnHeardFrom(now, message.from, log_end, current_term, voters());
 }
@@ -203,7 +206,7 @@
   if (!CheckOwnClaim(message.claim_of_receiver, out)) {
     return;
   }
-  NoteSender(now, message);
+  UpdateRestartGuard(now, message);
   switch (message.type) {
     case Message::Type::kRequestVote:
       return OnRequestVote(now, message, out);
@@ -220,8 +223,9 @@
   }
 }
 
-// The claims were handled before. A member that does not know itself a voter sends none by itself;
-// it may be one all the same, whose log was rolled back, and the sender may wait to hear it.
+// OnMessage() has already processed the claims. A member that is not a voter according to its own
+// log sends no claims unprompted. It may nevertheless be a voter whose log was rolled back, and the
+// sender may be waiting for its claim, so it replies with one.
 void RaftNode::OnStorageClaim(const Message& message, RaftOutput& out) {
   if (!IsVotingMember()) {
     SendStorageClaim(message.from, out);
@@ -257,7 +261,7 @@
   if (now < election_timer_due_at_) {
     return;
   }
-  // In the term after those that were heard, whichever that is.
+  // The new term must be greater than all terms heard of.
   const Term next_term = std::max(current_term_, restart_guard_.greatest_term_heard()) + 1;
   if (may_campaign_ && restart_guard_.MayVote(now, next_term, LogEnd(), voters())) {
     return StartNewElection(now, true, out);
@@ -267,8 +271,8 @@
 
 void RaftNode::OnLeaderTimeout(Time now, RaftOutput& out) {
   if (now >= election_timer_due_at_) {
-    const Duration without_quorum = now - QuorumAcknowledgedSentAt(now);
-    if (without_quorum >= timing_.election_timeout) {
+    const Duration since_quorum_contact = now - QuorumAcknowledgedSentAt(now);
+    if (since_quorum_contact >= timing_.election_timeout) {
       return BecomeFollower(now, current_term_, "", out);
     }
     election_timer_due_at_ = now + timing_.heartbeat_interval;
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -1,5 +1,5 @@
-// Log replication of the Raft node: both sides of AppendEntries and InstallSnapshot, the commit
-// index, and applying entries.
+// Log replication of the Raft node: the leader's and the follower's side of AppendEntries and
+// InstallSnapshot, the commit index, and the application of committed entries.
 #include <algorithm>
 #include <utility>
 
@@ -25,8 +25,8 @@
 }
 
 std::optional<Index> RaftNode::ProposeVoters(Time now, std::vector<Voter> voters, RaftOutput& out) {
-  // Without a committed entry of this term, or with two changes at a time, two leaders could each
-  // have a majority of their own voters.
+  // Without a committed entry of this term, or with two concurrent changes, two leaders could each
+  // have a majority of different voter configurations.
   if (!IsLeaderWithLease(now) || log_.TermAt(commit_index_) != current_term_ ||
       log_.voters_index() > commit_index_ || voters.empty()) {
     return std::nullopt;
@@ -64,7 +64,8 @@
     AddEntries(peer, request);
     peer.append_in_flight = !request.entries.empty();
   }
-  // The leader need not have written the entries: it counts itself only once it has.
+  // The leader may send entries before it has written them: it counts itself towards the majority
+  // only once they are durable.
   SendMessage(out, std::move(request), name, 0);
 }
 
@@ -103,8 +104,8 @@
     peer->next_index = std::max(peer->next_index, peer->match_index + 1);
     AdvanceCommitIndex(now, out);
   } else {
-    const Index hinted = std::min(reply.index, log_.last_index()) + 1;
-    peer->next_index = std::max(peer->match_index + 1, hinted);
+    const Index hinted_next_index = std::min(reply.index, log_.last_index()) + 1;
+    peer->next_index = std::max(peer->match_index + 1, hinted_next_index);
   }
   if (peer->next_index <= log_.last_index() || peer->notified_commit_index < commit_index_) {
     SendAppendEntries(now, reply.from, *peer, out);
@@ -119,7 +120,8 @@
     const Peer* const peer = FindPeer(voter);
     return peer != nullptr ? peer->match_index : 0;
   });
-  // An entry of an earlier term is committed only through one of this term behind it.
+  // Entries of earlier terms are committed only indirectly, by a later entry of the current term
+  // (section 5.4.2 of the Raft paper).
   if (majority_index <= commit_index_ || log_.TermAt(majority_index) != current_term_) {
     return;
   }
@@ -166,31 +168,31 @@
     return;
   }
   const Index snapshot_index = log_.snapshot().index;
-  Index previous = request.index;  // of the entry before the first that is not known yet
-  size_t known = 0;                // entries of the request that the log holds already
-  // Entries in the snapshot are committed: they cannot differ.
+  Index previous = request.index;  // of the entry before the first unknown one
+  size_t known_count = 0;          // number of entries of the request that the log already contains
+  // Entries covered by the snapshot are committed and therefore equal to the leader's.
   if (previous < snapshot_index) {
-    known = std::min<size_t>(snapshot_index - previous, request.entries.size());
-    previous += known;
+    known_count = std::min<size_t>(snapshot_index - previous, request.entries.size());
+    previous += known_count;
   }
   if (previous < snapshot_index) {
     reply.granted = true;
     reply.index = snapshot_index;
     return ReplyToLeader(std::move(reply), request.from, out);
   }
-  const bool has_previous =
-      previous <= log_.last_index() && (known > 0 || log_.TermAt(previous) == request.index_term);
+  const bool has_previous = previous <= log_.last_index() &&
+                            (known_count > 0 || log_.TermAt(previous) == request.index_term);
   if (!has_previous) {
     reply.index = LastPossibleMatch(previous);
     return ReplyToLeader(std::move(reply), request.from, out);
   }
-  while (known < request.entries.size() && previous < log_.last_index() &&
-         log_.TermAt(previous + 1) == request.entries[known].term) {
+  while (known_count < request.entries.size() && previous < log_.last_index() &&
+         log_.TermAt(previous + 1) == request.entries[known_count].term) {
     ++previous;
-    ++known;
+    ++known_count;
   }
-  if (known < request.entries.size()) {
-    StoreEntries(request, known, previous, out);
+  if (known_count < request.entries.size()) {
+    StoreEntries(request, known_count, previous, out);
   }
   Acknowledge(reply, request.index + request.entries.size());
   commit_index_ = std::max(commit_index_, std::min(request.commit_index, reply.index));
@@ -198,7 +200,6 @@
   ReplyToLeader(std::move(reply), request.from, out);
 }
 
-// Skips all entries of the term that does not match, down to the commit index.
 Index RaftNode::LastPossibleMatch(Index previous) const {
   const Term term = log_.TermAt(previous);
   Index next = std::min(previous, log_.last_index() + 1);
@@ -208,9 +209,9 @@
   return std::max<Index>(next, 1) - 1;
 }
 
-// Replaces the log behind `previous` by the entries of the request that are not `known`.
-void RaftNode::StoreEntries(const Message& request, size_t known, Index previous, RaftOutput& out) {
-  std::vector<LogEntry> entries(request.entries.begin() + static_cast<long>(known),
+void RaftNode::StoreEntries(const Message& request, size_t known_count, Index previous,
+                            RaftOutput& out) {
+  std::vector<LogEntry> entries(request.entries.begin() + static_cast<long>(known_count),
                                 request.entries.end());
   log_.TruncateFrom(previous + 1);
   for (const LogEntry& entry : entries) {
@@ -253,7 +254,7 @@
   while (HasEntriesToApply()) {
     const LogEntry& entry = log_.EntryAt(last_applied_ + 1);
     if (entry.kind == LogEntry::Kind::kData) {
-      // A large entry makes those that are applied on top of it in this event as costly.
+      // Entries applied after a large one in the same event are counted as equally expensive.
       apply_cost_bytes = std::max(apply_cost_bytes, entry.bytes.size());
       const size_t cost_bytes = apply_cost_bytes + SizeInBytes(entry);
       if (work_bytes > 0 && work_bytes + cost_bytes > timing_.max_apply_bytes) {
@@ -272,8 +273,8 @@
   out.writes.push_back(std::move(write));
 }
 
-// Where applying took more than one event, the leader would otherwise learn of its end only with
-// the reply to its next heartbeat, and may wait for it.
+// If applying takes more than one event, the leader would otherwise learn of the completion only
+// with the reply to its next heartbeat, and it may be waiting for it.
 void RaftNode::NotifyApplied(RaftOutput& out) {
   if (HasEntriesToApply() || role_ != Role::kFollower || leader_.empty()) {
     return;
--- a/tests/raft/replication_test.cpp
+++ b/tests/raft/replication_test.cpp
@@ -1,4 +1,5 @@
-// Log replication: what a follower stores, acknowledges and applies, and what a leader commits.
+// Tests log replication: which entries a follower stores, acknowledges and applies, and which ones
+// a leader commits.
 #include <gtest/gtest.h>
 
 #include "raft/raft_node_fixture.h"
@@ -6,7 +7,7 @@
 namespace paddlestile::raft {
 namespace {
 
-// An acknowledgement counts towards the majority: it must wait for the write.
+// An acknowledgement counts towards the majority, so it must wait until the entry is durable.
 TEST_F(RaftFollowerTest, AcknowledgesOnlyWhatIsDurable) {
   const RaftOutput out = Receive(kSecond, AppendEntries(2, 1, 1, {DataEntry(2, "x")}));
   ASSERT_EQ(out.messages.size(), 1U);
@@ -19,7 +20,7 @@
   const RaftOutput out = Receive(kSecond, AppendEntries(3, 1, 1, {DataEntry(3, "z")}));
   EXPECT_EQ(node.last_log_index(), 2U);
   EXPECT_EQ(out.writes.back().first_index, 2U);
-  // Entries behind a gap are rejected, with a hint at the last index.
+  // Entries after a gap are rejected, and the reply contains the follower's last index as a hint.
   const RaftOutput gap = Receive(kSecond, AppendEntries(3, 9, 3, {DataEntry(3, "w")}));
   EXPECT_FALSE(gap.messages.at(0).message.granted);
   EXPECT_EQ(gap.messages.at(0).message.index, 2U);
@@ -33,9 +34,9 @@
   EXPECT_EQ(node.last_log_index(), 1U);
 }
 
-// Applying hundreds of versions in one event would delay other work of the process. Entries must
-// not be reported as applied before they are: the leader would rely on the member acting on them.
-TEST_F(RaftFollowerTest, AppliesManyEntriesInSeveralEventsAndReportsTheEnd) {
+// Applying hundreds of entries in one event would delay other work of the process. Entries must not
+// be reported as applied too early, because the leader relies on the member acting on them.
+TEST_F(RaftFollowerTest, AppliesManyEntriesInSeveralEventsAndReportsCompletion) {
   const LogEntry entry = DataEntry(2, "x");
   Message request = AppendEntries(2, 1, 1, {entry, entry, entry});
   request.commit_index = 4;
@@ -52,7 +53,8 @@
   node.OnTimeout(kSecond, out);
   EXPECT_FALSE(node.HasEntriesToApply());
   EXPECT_GT(node.NextTimeout(), kSecond);
-  // The leader waits for that: it is notified at once, in a reply that asks for no lease.
+  // The leader may be waiting for the completion: it is notified immediately, in a reply that does
+  // not request a lease.
   ASSERT_EQ(out.messages.size(), 1U);
   EXPECT_EQ(out.messages[0].message.type, Message::Type::kAppendEntriesReply);
   EXPECT_EQ(out.messages[0].message.to, "b");
@@ -60,14 +62,14 @@
   EXPECT_EQ(out.messages[0].message.index, 4U);
   EXPECT_EQ(out.messages[0].message.commit_index, 4U);
   EXPECT_LT(out.messages[0].message.asked_at, Time(0));
-  // Entries that cost little are applied together.
+  // Cheap entries are applied together.
   node.set_apply_cost_bytes(0);
   request = AppendEntries(2, 4, 2, {entry, entry, entry});
   request.commit_index = 7;
   EXPECT_EQ(Receive(kSecond, request).applied.size(), 3U);
 }
 
-// An entry may be large itself, before the cost of applying it is known.
+// Large entries count by their own size, even if no additional cost per entry is set.
 TEST_F(RaftFollowerTest, AppliesLargeEntriesOneByOne) {
   const LogEntry large = DataEntry(2, std::string(RaftTiming().max_apply_bytes / 2, 'x'));
   const LogEntry small = DataEntry(2, "x");
@@ -76,7 +78,7 @@
   EXPECT_EQ(Receive(kSecond, request).applied.size(), 2U);
 }
 
-TEST_F(RaftLeaderTest, CountsItsOwnEntryOnlyOnceItIsDurable) {
+TEST_F(RaftLeaderTest, CountsItselfOnlyOnceItsEntryIsDurable) {
   ReceiveAcknowledgement("b", 2, 2, now);
   EXPECT_EQ(node.commit_index(), 0U);
   RaftOutput out;
@@ -84,7 +86,7 @@
   EXPECT_EQ(node.commit_index(), 2U);
 }
 
-// Two changes at a time could each have a majority of their own.
+// With two concurrent changes, two disjoint majorities could exist.
 TEST_F(RaftLeaderTest, ChangesVotersOneAtATime) {
   RaftOutput out;
   ReceiveAcknowledgement("b", 2, 2, now);
