--- a/src/raft/raft_node.h
+++ b/src/raft/raft_node.h
@@ -188,7 +188,7 @@
   // Writes the term, the vote and `entries` from `first_index` on (0: none).
   void WriteToStorage(RaftOutput& out, Index first_index, std::vector<LogEntry> entries,
                       std::optional<Snapshot> snapshot = std::nullopt);
-  // Writes the snapshot and all entries behind it.
+  // Writes the snapshot and all entries after it.
   void WriteSnapshotAndLog(RaftOutput& out);
   // Fills in the common fields of `message` and sends it once the write `after_sequence_number` is
   // durable (0: immediately).
