--- a/src/cluster/cbor.h
+++ b/src/cluster/cbor.h
@@ -1,4 +1,4 @@
-// JSON values as CBOR bytes, as log entries and snapshots hold them.
+// Converts JSON values to and from CBOR, the encoding of log entries and snapshots.
 #ifndef PADDLESTILE_CLUSTER_CBOR_H_
 #define PADDLESTILE_CLUSTER_CBOR_H_
 
@@ -9,7 +9,7 @@
 
 std::string EncodeCbor(const nlohmann::json& value);
 
-// An empty object where the bytes are no CBOR object.
+// Returns an empty object if `bytes` are not a valid CBOR object.
 nlohmann::json DecodeCborObject(const std::string& bytes);
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kDeltaPosition = 8;  // in a change request; missing where it is a whole version
+constexpr size_t kDeltaPosition = 8;  // in a change request; absent for a whole version
 
 ChangeRequest DecodeChangeRequest(const json& value) {
   ChangeRequest request;
@@ -45,7 +45,7 @@
   json value = {request.kind, request.name, change.id, change.author, change.reason,
                 change.submitted_unix_s,
                 change.expected_version ? json(*change.expected_version) : json(),
-                // Empty for a delta: a program that knows none refuses that as a version.
+                // Empty for a delta: a build without deltas refuses an empty text as a version.
                 change.is_delta ? std::string() : change.document};
   if (change.is_delta) {
     value.push_back(change.document);
--- a/src/cluster/codec.h
+++ b/src/cluster/codec.h
@@ -1,6 +1,7 @@
-// What members exchange beside Raft messages, as JSON values (CBOR on the wire). Each is an array
-// whose positions are the protocol and must stay. Values come from other processes: reading one
-// that makes no sense gives nothing.
+// Converts the messages that members exchange in addition to Raft messages to and from JSON values,
+// which are sent as CBOR. Each is an array whose positions are part of the wire protocol and must
+// not change. The values come from other processes: the parsers return std::nullopt if a value is
+// malformed.
 #ifndef PADDLESTILE_CLUSTER_CODEC_H_
 #define PADDLESTILE_CLUSTER_CODEC_H_
 
@@ -14,7 +15,7 @@
 // [from, to, request or null, result or null]
 nlohmann::json ToJson(const MemberMessage& message);
 // [kind, voter, id, author, reason, unix_s, expected version or null, whole version or "", delta]
-// The last only where the change is one.
+// The delta is present only if the change is one.
 nlohmann::json ToJson(const ChangeRequest& request);
 // [kind, id, version, text]
 nlohmann::json ToJson(const ChangeResult& result);
