--- a/src/cluster/change_request.h
+++ b/src/cluster/change_request.h
@@ -1,4 +1,5 @@
-// What an operator asks of the cluster, what comes of it, and how members pass both on. No I/O.
+// Operators' change requests, their results, and the messages by which members forward them. No
+// I/O.
 #ifndef PADDLESTILE_CLUSTER_CHANGE_REQUEST_H_
 #define PADDLESTILE_CLUSTER_CHANGE_REQUEST_H_
 
@@ -10,16 +11,16 @@
 
 // A change of the replicated configuration.
 struct Change {
-  std::string id;               // chosen by the submitter; a repeated id is the same change
-  std::string author, reason;   // for people
-  double submitted_unix_s = 0;  // for people; nothing is decided by it
-  std::optional<uint64_t> expected_version;  // refused unless it is the latest when applied
-  std::string document;                      // a whole version, or a delta
-  bool is_delta = false;  // `document` is a delta to the latest version when it is applied
+  std::string id;               // chosen by the submitter; changes with the same ID are the same
+  std::string author, reason;   // informational
+  double submitted_unix_s = 0;  // informational
+  std::optional<uint64_t> expected_version;  // refused if this is not the latest version on apply
+  std::string document;                      // a whole version or a delta
+  bool is_delta = false;  // `document` is a delta to the version that is the latest on apply
 };
 
 struct ChangeRequest {
-  // The numbers are on the wire.
+  // The numeric values are part of the wire protocol.
   enum class Kind : uint8_t {
     kChange,
     kAddVoter,
@@ -27,29 +28,29 @@
     kReplaceVoter
   };
   Kind kind = Kind::kChange;
-  Change change;     // of kChange; its id and author count for all kinds
-  std::string name;  // the voter's, of the other kinds
+  Change change;     // for kChange; the other kinds use only its ID and author
+  std::string name;  // the voter's name, for the other kinds
 };
 
 struct ChangeResult {
-  // The numbers are on the wire.
+  // The numeric values are part of the wire protocol.
   enum class Kind : uint8_t {
-    kDone,      // committed, and acted on by every gateway that may act
-    kRefused,   // not taken, and never will be under this id
-    kNoLeader,  // not taken: no leader could be reached
-    kUnknown    // may have been taken: to be submitted again under the same id
+    kDone,      // committed, and in force on every gateway that holds a lease
+    kRefused,   // not accepted; a change with this ID will never be
+    kNoLeader,  // not accepted because no leader could be reached
+    kUnknown    // possibly accepted; to be submitted again with the same ID
   };
   Kind kind = Kind::kUnknown;
   std::string id;        // of the change
-  uint64_t version = 0;  // that it made; 0: none
-  std::string text;      // for people: why it was not done
+  uint64_t version = 0;  // created by the change; 0: none
+  std::string text;      // informational: why the change was not done
 };
 
-// Between members, beside the Raft messages.
+// Exchanged between members in addition to the Raft messages.
 struct MemberMessage {
   std::string from, to;
   std::optional<ChangeRequest> request;  // forwarded to the leader
-  std::optional<ChangeResult> result;    // the leader's, of a forwarded request
+  std::optional<ChangeResult> result;    // from the leader, for a forwarded request
 };
 
 }  // namespace paddlestile::cluster
