--- a/src/cluster/cluster_entry.cpp
+++ b/src/cluster/cluster_entry.cpp
@@ -37,8 +37,8 @@
     value["expect"] = *change.expected_version;
   }
   if (change.is_delta) {
-    // Under a key of its own: a program that knows no deltas refuses it instead of taking it for a
-    // whole version.
+    // A separate key, so that a build without deltas refuses the change instead of interpreting the
+    // delta as a whole version.
     value["delta"] = change.document;
     value["base"] = result.base_version;
     value["hash"] = result.hash;
--- a/src/cluster/cluster_entry.h
+++ b/src/cluster/cluster_entry.h
@@ -1,5 +1,6 @@
-// The entries that a cluster's members put into the Raft log, and their encoding in CBOR. The
-// layout is stored and on the wire and must stay; its keys are mapped here alone. No I/O.
+// The entries that cluster members append to the Raft log, and their encoding in CBOR. The layout
+// is stored and sent and must not change; its keys, which differ from the names used in the code,
+// appear only in this codec. No I/O.
 #ifndef PADDLESTILE_CLUSTER_CLUSTER_ENTRY_H_
 #define PADDLESTILE_CLUSTER_CLUSTER_ENTRY_H_
 
@@ -11,36 +12,36 @@
 
 namespace paddlestile::cluster {
 
-// What the leader that proposed a delta made of it. A member that makes something else of it has
-// other content than the cluster.
+// The result of applying a delta on the leader that proposed it. A member with a different result
+// has content that differs from the cluster's.
 struct DeltaResult {
-  uint64_t base_version = 0;  // that the delta was applied to
-  std::string hash;           // of the version that it makes; empty: not stated
+  uint64_t base_version = 0;  // the version that the delta was applied to
+  std::string hash;           // of the resulting version; empty: not stated
 };
 
 struct ClusterEntry {
   enum class Kind : uint8_t {
-    kOther,    // of no kind that this program knows; changes nothing
-    kChange,   // a version or a delta, to be the next version unless it is refused
+    kUnknown,  // a kind that this build does not support; has no effect
+    kChange,   // a whole version or a delta; creates the next version unless it is refused
     kInForce,  // a version comes into force
     kFormed    // all initial voters have joined
   };
-  Kind kind = Kind::kOther;
+  Kind kind = Kind::kUnknown;
 
   Change change;                         // kChange
-  std::optional<uint64_t> base_version;  // kChange, of a delta: DeltaResult::base_version
+  std::optional<uint64_t> base_version;  // kChange with a delta: DeltaResult::base_version
   uint64_t version = 0;                  // kInForce
-  std::string hash;  // kChange, kInForce: of the version, as the leader has it; empty: not stated
+  std::string hash;  // kChange, kInForce: hash of the version on the leader; empty: not stated
 };
 
-// `result` is encoded for deltas alone.
+// `result` is encoded only for deltas.
 std::string EncodeChangeEntry(const Change& change, const DeltaResult& result = {});
-// `hash`: of that version; empty: not stated.
+// `hash` is the hash of that version; empty: not stated.
 std::string EncodeInForceEntry(uint64_t version, const std::string& hash = "");
 std::string EncodeFormedEntry();
 
-// Fields that are missing have their defaults. Throws nlohmann::json::exception for one of a wrong
-// type.
+// Missing fields get their default values. Throws nlohmann::json::exception if a field has the
+// wrong type.
 ClusterEntry DecodeClusterEntry(const std::string& bytes);
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/version_history.cpp
+++ b/src/cluster/version_history.cpp
@@ -12,17 +12,18 @@
 
 using nlohmann::json;
 
-// A hash of a content's parts; else it is one of a version's text.
+// Whether `hash` is a hash of a content's parts rather than of a version's text.
 bool IsPartsHash(const std::string& hash) {
   return hash.starts_with('p');
 }
 
-// The version's hash of the kind that `agreed` is.
-std::string HashAs(const std::string& agreed, const Version& version) {
-  if (agreed.empty() || !version.content || IsPartsHash(agreed) == IsPartsHash(version.hash)) {
+// Returns the version's hash of the same kind as `agreed_hash`, by parts or by text.
+std::string ComparableHash(const std::string& agreed_hash, const Version& version) {
+  if (agreed_hash.empty() || !version.content ||
+      IsPartsHash(agreed_hash) == IsPartsHash(version.hash)) {
     return version.hash;
   }
-  return IsPartsHash(agreed) ? HashOf(*version.content) : HashOf(ToText(*version.content));
+  return IsPartsHash(agreed_hash) ? HashOf(*version.content) : HashOf(ToText(*version.content));
 }
 
 }  // namespace
@@ -50,7 +51,7 @@
     case ClusterEntry::Kind::kFormed:
       formed_ = true;
       break;
-    case ClusterEntry::Kind::kOther:
+    case ClusterEntry::Kind::kUnknown:
       break;
   }
   return result;
@@ -58,10 +59,10 @@
 
 void VersionHistory::ApplyInForce(const ClusterEntry& entry) {
   const Version* const version = Find(entry.version);
-  // Nothing can be compared with a version that is no longer remembered.
+  // A version that is no longer kept cannot be compared.
   if (version != nullptr || entry.version > latest_version()) {
-    CompareHash(entry.version, version != nullptr ? HashAs(entry.hash, *version) : "missing",
-                entry.hash);
+    CompareHash(entry.version,
+                version != nullptr ? ComparableHash(entry.hash, *version) : "missing", entry.hash);
   }
   if (entry.version > version_in_force_ && entry.version <= latest_version()) {
     PutInForce(entry.version);
@@ -94,11 +95,11 @@
   try {
     if (!change.is_delta) {
       applied.content = ParseDocument(change.document);
-    } else if (const auto faults = ValidateDelta(change.document); !faults.empty()) {
-      return {{}, faults.front()};
+    } else if (const auto errors = ValidateDelta(change.document); !errors.empty()) {
+      return {{}, errors.front()};
     }
-  } catch (const std::invalid_argument& fault) {
-    return {{}, fault.what()};
+  } catch (const std::invalid_argument& error) {
+    return {{}, error.what()};
   }
   const std::string latest = std::to_string(latest_version());
   if (change.expected_version.value_or(latest_version()) != latest_version()) {
@@ -108,7 +109,7 @@
   }
   if (const uint64_t base = entry.base_version.value_or(latest_version());
       base != latest_version()) {
-    // The leader knew what comes before the delta, so a version is missing here.
+    // The leader knew all entries before the delta, so this member has missed a version.
     const std::string reason =
         "a delta to version " + std::to_string(base) + ", the latest is " + latest + " here";
     RecordMismatch(kNumberingMismatch, reason);
@@ -119,9 +120,9 @@
   }
   try {
     applied.content = ApplyDelta(latest_content_, change.document);
-  } catch (const std::invalid_argument& fault) {
-    applied.refusal_reason = fault.what();
-    // Where a hash is stated, the leader made a version of it.
+  } catch (const std::invalid_argument& error) {
+    applied.refusal_reason = error.what();
+    // The leader states a hash only if it could apply the delta, so this member's content differs.
     if (!entry.hash.empty()) {
       RecordMismatch(kNumberingMismatch, applied.refusal_reason);
     }
@@ -147,8 +148,8 @@
     last_whole_version_ = version.number;
   }
   version.hash = HashOf(version);
-  CompareHash(version.number, HashAs(entry.hash, version), entry.hash);
-  // Without a contradiction it does not matter which of the two a gateway acts on.
+  CompareHash(version.number, ComparableHash(entry.hash, version), entry.hash);
+  // Versions that do not contradict each other may be used by gateways at the same time.
   const bool in_force_at_once =
       version_in_force_ == latest_version() && Contradictions(effective_content_, content).empty();
   versions_.push_back(std::move(version));
@@ -189,14 +190,14 @@
   mismatch_version_ = std::max(mismatch_version_, version);
 }
 
-void VersionHistory::CompareHash(uint64_t version, const std::string& here,
-                                 const std::string& agreed) {
-  if (agreed.empty()) {
+void VersionHistory::CompareHash(uint64_t version, const std::string& own_hash,
+                                 const std::string& agreed_hash) {
+  if (agreed_hash.empty()) {
     return;
   }
-  if (here != agreed) {
-    return RecordMismatch(version, "version " + std::to_string(version) + " is " + here +
-                                       " here, " + agreed + " agreed");
+  if (own_hash != agreed_hash) {
+    return RecordMismatch(version, "version " + std::to_string(version) + " is " + own_hash +
+                                       " here, " + agreed_hash + " agreed");
   }
   if (version >= mismatch_version_) {
     content_mismatch_.clear();
@@ -207,7 +208,7 @@
 
 void VersionHistory::PutInForce(uint64_t version) {
   version_in_force_ = version;
-  // A whole version depends on nothing that was here before.
+  // A whole version does not depend on this member's previous content.
   if (version_in_force_ >= last_whole_version_ && last_whole_version_ > mismatch_version_) {
     content_mismatch_.clear();
   }
@@ -222,7 +223,7 @@
   });
 }
 
-// The version in force and those behind it keep their content.
+// The version in force and all later ones keep their content.
 void VersionHistory::Trim() {
   for (size_t i = 0;
        i + kFullVersions < versions_.size() && versions_[i].number < version_in_force_; ++i) {
@@ -233,7 +234,7 @@
     old.content.reset();
     old.document.clear();
     old.delta.clear();
-    // The next one has lost its base, and is saved by its content.
+    // The next version has lost its base, so its content is saved instead of its delta.
     versions_[i + 1].delta.clear();
   }
   while (versions_.size() > kMaxVersions && versions_.front().number < version_in_force_) {
@@ -244,7 +245,9 @@
   }
 }
 
-// ---- Snapshots: positional, and stored ---------------------------------------------------------
+// ---- Snapshots --------------------------------------------------------------------------------
+//
+// Snapshots are stored. Their keys and the positions in their arrays must not change.
 
 std::string VersionHistory::Save() const {
   json versions = json::array();
@@ -288,7 +291,7 @@
   }
   for (Version& version : versions_) {
     if (version.document.empty() && version.delta.empty()) {
-      continue;  // its content was not kept
+      continue;  // its content is not kept
     }
     version.content = version.document.empty() ? ApplyDelta(latest_content_, version.delta)
                                                : VersionContent(ParseVersion(version.document));
--- a/src/cluster/version_history.h
+++ b/src/cluster/version_history.h
@@ -1,5 +1,5 @@
-// The versions that the log's entries make: the same at every member that has applied the same
-// entries. No I/O.
+// The configuration versions that result from the log's entries. Identical on all members that have
+// applied the same entries. No I/O.
 #ifndef PADDLESTILE_CLUSTER_VERSION_HISTORY_H_
 #define PADDLESTILE_CLUSTER_VERSION_HISTORY_H_
 
@@ -17,85 +17,89 @@
 
 namespace paddlestile::cluster {
 
-// Invariant: a version whose `content` is kept has `document`, `delta` or both empty. Both are
-// empty where the version came as a delta and is the oldest whose content is kept: it is saved by
-// its content, and the ones behind it by what they came as.
+// Invariant: if `content` is kept, at least one of `document` and `delta` is empty. Both are empty
+// if the version was submitted as a delta and is the oldest one whose content is kept: its content
+// is saved in snapshots, while later versions are saved as they were submitted.
 struct Version {
   uint64_t number = 0;  // 1, 2, ..
   std::string id, author, reason, hash;
   double submitted_unix_s = 0;
-  std::string document;   // canonical text, if it came whole
-  raft::Index index = 0;  // of its entry
-  std::string delta{};    // to the version before, if it came as one
-  // Of the last VersionHistory::kFullVersions and those not superseded; they share what is equal.
+  std::string document;   // canonical text, if submitted as a whole version
+  raft::Index index = 0;  // of its log entry
+  std::string delta{};    // to the previous version, if submitted as a delta
+  // Kept for the last VersionHistory::kFullVersions versions, the version in force and later ones.
+  // Contents share their equal parts.
   std::optional<VersionContent> content{};
 };
 
-// Of the content's parts where the version came as a delta, else of its text. Needs the content or
-// the document.
+// Returns the hash of the content's parts if the version was submitted as a delta, and of its text
+// otherwise. Requires the content or the document.
 std::string HashOf(const Version& version);
 
 class VersionHistory {
  public:
   static constexpr size_t kFullVersions = 16;    // versions whose content is kept
-  static constexpr size_t kMaxVersions = 256;    // versions remembered
-  static constexpr size_t kMaxChangeIds = 1024;  // changes by whose ids a repeat is recognized
+  static constexpr size_t kMaxVersions = 256;    // versions kept at all
+  static constexpr size_t kMaxChangeIds = 1024;  // change IDs kept to detect repeated changes
 
-  // What an entry was, and what came of it.
+  // The kind and the outcome of an applied entry.
   struct Result {
     bool is_change = false, is_in_force = false;
     std::string id;              // of a change
-    bool is_repeat = false;      // of a change: its id was applied before, with this result
-    uint64_t version = 0;        // that the change made or that comes into force; 0: refused
+    bool is_repeat = false;      // of a change: its ID was applied before, with this result
+    uint64_t version = 0;        // that was created or came into force; 0: the change was refused
     std::string refusal_reason;  // of a refused change
   };
-  // Applies an entry's bytes. Entries must come in the order of their indexes.
+  // Applies an encoded entry. Entries must be applied in the order of their indexes.
   Result Apply(raft::Index index, const std::string& entry);
 
-  // What came of the change with this id; nothing: it was not applied, or too long ago.
+  // Returns the result of the change with this ID, or std::nullopt if it was not applied or is no
+  // longer remembered.
   [[nodiscard]] std::optional<Result> Find(const std::string& id) const;
 
-  // A snapshot of it, in CBOR, and the history of a snapshot.
+  // Returns a snapshot of the history in CBOR, or replaces the history with that of a snapshot.
   [[nodiscard]] std::string Save() const;
   void Load(const std::string& saved);
 
-  // 0: none yet, the platform's file alone.
+  // 0: none yet; only the platform's file applies.
   [[nodiscard]] uint64_t version_in_force() const { return version_in_force_; }
-  // The last version that was taken, in force or not; 0: none.
+  // The last accepted version, in force or not; 0: none.
   [[nodiscard]] uint64_t latest_version() const {
     return versions_.empty() ? 0 : versions_.back().number;
   }
-  // The entry of the latest version, which every lease holder must have applied.
+  // Index of the entry that created the latest version, which every lease holder must have applied.
   [[nodiscard]] raft::Index latest_index() const {
     return versions_.empty() ? 0 : versions_.back().index;
   }
-  // What to act on: in each part the strictest of the version in force and those behind it.
+  // The content to act on: in each part, the strictest of the version in force and all later ones.
   [[nodiscard]] const VersionContent& effective_content() const { return effective_content_; }
   [[nodiscard]] const std::deque<Version>& versions() const { return versions_; }
-  // Null where it is not remembered.
+  // Returns the version with this number, or null if it is not kept.
   [[nodiscard]] const Version* Find(uint64_t number) const;
-  // Of the latest version; empty where there is none.
+  // Content of the latest version; empty if there is none.
   [[nodiscard]] const VersionContent& latest_content() const { return latest_content_; }
-  // Of its text.
+  // Size of the latest version's text.
   [[nodiscard]] size_t latest_bytes() const {
     return versions_.empty() ? 0 : TextBytes(latest_content_);
   }
-  // The versions from `first` on whose content is kept, oldest first.
+  // Calls `each` for the versions from number `first` on whose content is kept, oldest first.
   void ForEachVersion(uint64_t first,
                       const std::function<void(const Version&, const VersionContent&)>& each) const;
 
-  // Why the content here is not what was agreed; empty: no evidence of that. A later version clears
-  // it: one whose hash is as agreed, or one that came whole once it is in force.
+  // Describes how this member's content differs from the agreed content; empty if no difference was
+  // detected. Cleared by a later version whose hash matches the agreed one, or that was submitted
+  // as a whole version and is in force.
   [[nodiscard]] const std::string& content_mismatch() const { return content_mismatch_; }
-  // A version is missing here, so that numbers differ from the others': this member must not lead.
+  // Whether this member has missed a version, so that its version numbers differ from the other
+  // members' and it must not become leader.
   [[nodiscard]] bool numbering_mismatch() const { return mismatch_version_ == kNumberingMismatch; }
-  // All initial voters have joined.
+  // Whether all initial voters have joined.
   [[nodiscard]] bool formed() const { return formed_; }
 
  private:
   static constexpr uint64_t kNumberingMismatch = UINT64_MAX;
 
-  // The content that a change makes, or why it makes none.
+  // The content that results from a change, or the reason why the change is refused.
   struct AppliedChange {
     VersionContent content;
     std::string refusal_reason;
@@ -107,10 +111,11 @@
   void PutInForce(uint64_t version);
   void Trim();
   void RecordMismatch(uint64_t version, const std::string& reason);
-  // Compares the hash of `version` here with the agreed one; an empty one was not stated.
-  void CompareHash(uint64_t version, const std::string& here, const std::string& agreed);
+  // Compares this member's hash of `version` with the agreed one and records or clears a mismatch.
+  // Has no effect if `agreed_hash` is empty, which means not stated.
+  void CompareHash(uint64_t version, const std::string& own_hash, const std::string& agreed_hash);
 
-  std::deque<Version> versions_;  // numbers without gaps
+  std::deque<Version> versions_;  // with consecutive numbers
   struct AppliedId {
     std::string id;
     Result result;
@@ -120,9 +125,9 @@
   bool formed_ = false;
   VersionContent effective_content_, latest_content_;
   std::string content_mismatch_;
-  // The latest version known to differ; 0: none ever, kNumberingMismatch: all from here on.
+  // The latest version known to differ; 0: none so far; kNumberingMismatch: all later versions.
   uint64_t mismatch_version_ = 0;
-  uint64_t last_whole_version_ = 0;  // the latest that came whole since the last Load()
+  uint64_t last_whole_version_ = 0;  // the latest one submitted as a whole since the last Load()
 };
 
 }  // namespace paddlestile::cluster
--- a/tests/cluster/version_history_test.cpp
+++ b/tests/cluster/version_history_test.cpp
@@ -1,5 +1,5 @@
-// Which entries make versions, what is kept and saved of them, and that content which is not what
-// was agreed is detected.
+// Tests which entries create versions, what is kept and saved of them, and that content which
+// differs from the agreed content is detected.
 #include "cluster/version_history.h"
 
 #include <gtest/gtest.h>
@@ -27,15 +27,15 @@
 using testing::TenantQuotas;
 using testing::WholeEntry;
 
-// A change whose answer was lost is submitted again: it must not count twice.
-TEST(VersionHistory, CountsARepeatedChangeOnce) {
+// If the reply to a change is lost, the change is submitted again. It must take effect only once.
+TEST(VersionHistory, AppliesARepeatedChangeOnce) {
   VersionHistory history;
   EXPECT_EQ(history.Apply(1, WholeEntry("x", "{}")).version, 1U);
-  const auto again = history.Apply(2, WholeEntry("x", R"({"barred":["h"]})"));
-  EXPECT_TRUE(again.is_repeat);
-  EXPECT_EQ(again.version, 1U);
+  const auto repeated = history.Apply(2, WholeEntry("x", R"({"barred":["h"]})"));
+  EXPECT_TRUE(repeated.is_repeat);
+  EXPECT_EQ(repeated.version, 1U);
   EXPECT_EQ(history.latest_version(), 1U);
-  // One that was refused stays so, also when it would be taken now.
+  // A refused change remains refused, even if it would be accepted now.
   EXPECT_EQ(history.Apply(3, WholeEntry("y", "{}", 7)).version, 0U);
   EXPECT_EQ(history.Apply(4, WholeEntry("y", "{}")).version, 0U);
 }
@@ -43,20 +43,20 @@
 TEST(VersionHistory, ContradictingVersionNeedsAnInForceEntry) {
   VersionHistory history;
   history.Apply(1, WholeEntry("x", "{}"));
-  EXPECT_EQ(history.version_in_force(), 1U);  // it changes nothing
+  EXPECT_EQ(history.version_in_force(), 1U);  // an empty document contradicts nothing
   history.Apply(2, WholeEntry("y", R"({"barred":["h"]})"));
   EXPECT_EQ(history.version_in_force(), 1U);
-  // It is known, and the stricter of the two is acted on.
+  // The new version is known, and the stricter of the two is in effect.
   EXPECT_TRUE(history.effective_content().excluded.contains("h"));
   history.Apply(3, WholeEntry("z", "{}"));
-  // The host is not used again before the version that allows it is in force.
+  // The host must not be used again before the version that allows it is in force.
   EXPECT_TRUE(history.effective_content().excluded.contains("h"));
   history.Apply(4, EncodeInForceEntry(3));
   EXPECT_EQ(history.version_in_force(), 3U);
   EXPECT_FALSE(history.effective_content().excluded.contains("h"));
 }
 
-TEST(VersionHistory, IsTheSameFromASnapshot) {
+TEST(VersionHistory, IsRestoredFromASnapshot) {
   VersionHistory history, copy;
   for (int i = 0; i < 300; ++i) {
     history.Apply(2 * i + 1, WholeEntry("c" + std::to_string(i),
@@ -75,8 +75,9 @@
 
 // ---- Deltas -----------------------------------------------------------------------------------
 
-// The same as if each had come whole: what is read, acted on, kept and saved.
-TEST(VersionHistoryDeltas, MakeTheVersionsThatWholeOnesDo) {
+// Deltas result in the same latest, effective and kept contents as whole versions, also after the
+// history was saved and loaded.
+TEST(VersionHistoryDeltas, ResultInTheSameVersionsAsWholeOnes) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     RandomDocuments documents(seed);
     VersionHistory whole, deltas;
@@ -106,16 +107,18 @@
         ASSERT_EQ(KeptTexts(deltas), KeptTexts(whole)) << seed << " " << i;
       }
       ASSERT_EQ(deltas.content_mismatch(), "");
-      // One that came whole has the hash of its text, one that came as a delta that of its parts.
-      const Version &one = deltas.versions().back(), &other = whole.versions().back();
-      ASSERT_EQ(HashOf(*one.content), HashOf(*other.content));
-      ASSERT_EQ(one.hash, i % 7 == 3 ? other.hash : HashOf(*other.content));
+      // A version submitted whole has the hash of its text; one submitted as a delta has the hash
+      // of its parts.
+      const Version &version = deltas.versions().back(), &whole_version = whole.versions().back();
+      ASSERT_EQ(HashOf(*version.content), HashOf(*whole_version.content));
+      ASSERT_EQ(version.hash, i % 7 == 3 ? whole_version.hash : HashOf(*whole_version.content));
     }
   }
 }
 
-// Sixteen versions were kept whole each: with deltas one is, and the rest by their own size.
-TEST(VersionHistoryDeltas, AreSavedByTheirOwnSize) {
+// Of the versions whose content is kept, only the oldest is saved as a whole, and the others as
+// deltas. Saving all sixteen as a whole would make snapshots many times larger.
+TEST(VersionHistoryDeltas, AreSavedAsDeltas) {
   VersionHistory history;
   json document;
   for (int i = 0; i < 1500; ++i) {
@@ -133,11 +136,11 @@
   EXPECT_LT(history.Save().size(), 2 * history.latest_bytes());
 }
 
-TEST(VersionHistoryDeltas, AreRefusedWhereInvalid) {
+TEST(VersionHistoryDeltas, AreRefusedIfInvalid) {
   VersionHistory history;
   history.Apply(1, WholeEntry("x", R"({"barred":["h"]})"));
   EXPECT_EQ(history.Apply(2, DeltaEntry(history, "late", ExcludeHostDelta(1), 0)).version,
-            0U);  // from a stale version
+            0U);  // expects an outdated version
   EXPECT_EQ(history.Apply(3, DeltaEntry(history, "y", ExcludeHostDelta(1), 1)).version, 2U);
   EXPECT_TRUE(history.Apply(4, DeltaEntry(history, "y", ExcludeHostDelta(2))).is_repeat);
   Change bad;
@@ -149,8 +152,8 @@
   EXPECT_EQ(history.latest_version(), 2U);
 }
 
-// A member that has missed a delta, or made something else of it, must detect that by itself: what
-// it acts on contradicts the others, and nothing else shows it.
+// A member that missed a delta or applied it incorrectly must detect that by itself: it acts on
+// content that contradicts the other members', and nothing else reveals it.
 TEST(VersionHistoryDeltas, MissedOrMisappliedOnesAreDetected) {
   VersionHistory history, missed, misapplied;
   std::vector<std::string> entries;
@@ -171,7 +174,7 @@
   EXPECT_NE(misapplied.content_mismatch().find("version 1 is"), std::string::npos);
   misapplied.Apply(2, entries[1]);
   EXPECT_NE(misapplied.content_mismatch(), "");
-  // So does an in-force entry, of a version that came whole as well.
+  // An in-force entry reveals a mismatch too, also of a version that was submitted whole.
   VersionHistory in_force;
   in_force.Apply(1, WholeEntry("w", R"({"barred":["h"]})"));
   in_force.Apply(2, EncodeInForceEntry(1, "0"));
@@ -179,24 +182,25 @@
   VersionHistory without;
   without.Apply(1, EncodeInForceEntry(4, "0"));
   EXPECT_NE(without.content_mismatch(), "");
-  // An entry without a hash is evidence of nothing.
+  // An entry without a hash reveals no mismatch.
   in_force = {};
   in_force.Apply(1, WholeEntry("w", "{}"));
   in_force.Apply(2, EncodeInForceEntry(1));
   EXPECT_EQ(in_force.content_mismatch(), "");
-  // A later version with the right hash ends the mismatch, an earlier one does not.
+  // A matching hash of the latest mismatching version or a later one clears the mismatch; that of
+  // an earlier version does not.
   misapplied.Apply(3, EncodeInForceEntry(2, history.versions()[1].hash));
   EXPECT_NE(misapplied.content_mismatch(), "");
   misapplied.Apply(4, EncodeInForceEntry(1, misapplied.versions()[0].hash));
-  EXPECT_NE(misapplied.content_mismatch(), "") << "version 2 is the one in question";
+  EXPECT_NE(misapplied.content_mismatch(), "") << "version 2 is the latest mismatching one";
   misapplied.Apply(5, WholeEntry("c2", ToText(history.latest_content())));
   misapplied.Apply(6, EncodeInForceEntry(3, history.versions()[2].hash));
   EXPECT_EQ(misapplied.content_mismatch(), "");
 }
 
-// A member that has misread a delta is right again once a whole version is in force, with or
-// without a hash: if all but the leader had a mismatch, they could otherwise never agree again. One
-// that has missed a version numbers wrongly from then on, and only a snapshot helps.
+// A mismatch ends once a whole version is in force, with or without a hash. Otherwise, if all
+// members but the leader had a mismatch, they could never agree again. A member that has missed a
+// version, however, numbers all later ones incorrectly, and can recover only from a snapshot.
 TEST(VersionHistoryDeltas, MismatchEndsWithAWholeVersionInForce) {
   VersionHistory history, misapplied, missed;
   const std::string first = DeltaEntry(history, "c0", ExcludeHostDelta(0));
@@ -207,11 +211,11 @@
   other.document = ExcludeHostDelta(7);
   misapplied.Apply(1, EncodeChangeEntry(other, {0, history.versions()[0].hash}));
   missed.Apply(2, DeltaEntry(history, "c1", ExcludeHostDelta(1)));
-  for (VersionHistory* const one : {&misapplied, &missed}) {
-    ASSERT_NE(one->content_mismatch(), "");
-    one->Apply(3, WholeEntry("w", R"({"barred":["h"]})"));
-    EXPECT_NE(one->content_mismatch(), "") << "it is not on";
-    one->Apply(4, EncodeInForceEntry(one->latest_version()));
+  for (VersionHistory* const member : {&misapplied, &missed}) {
+    ASSERT_NE(member->content_mismatch(), "");
+    member->Apply(3, WholeEntry("w", R"({"barred":["h"]})"));
+    EXPECT_NE(member->content_mismatch(), "") << "the version is not in force yet";
+    member->Apply(4, EncodeInForceEntry(member->latest_version()));
   }
   EXPECT_EQ(misapplied.content_mismatch(), "");
   EXPECT_FALSE(misapplied.numbering_mismatch());
@@ -222,7 +226,7 @@
   EXPECT_EQ(missed.content_mismatch(), "");
 }
 
-// A snapshot whose last version does not have its stated hash is other content.
+// If the last version of a snapshot does not match its stated hash, the content has changed.
 TEST(VersionHistoryDeltas, SnapshotIsComparedWithItsHash) {
   VersionHistory history, copy;
   history.Apply(1, DeltaEntry(history, "c", R"({"barred":{"add":["hhhh"]}})"));
@@ -234,9 +238,9 @@
 
 // ---- Costs ------------------------------------------------------------------------------------
 
-// As every member applies them, one after another. The sixteen versions whose content is kept share
-// what they have in common.
-TEST(VersionHistory, ChangeCostsWhatItChanges) {
+// Applying a delta must not cost more in a large version, although the contents of sixteen versions
+// are kept: they share their equal parts.
+TEST(VersionHistory, CostDependsOnTheChangeOnly) {
   double least_us[2] = {};
   for (const bool large : {false, true}) {
     const size_t tenants = large ? 7000 : 100;
