--- a/src/cluster/change_proposal.cpp
+++ b/src/cluster/change_proposal.cpp
@@ -9,12 +9,12 @@
 namespace paddlestile::cluster {
 namespace {
 
-std::vector<std::string> FaultsOf(const Change& change, bool has_mismatch,
-                                  const std::string& leader_name, bool encodes_deltas) {
+std::vector<std::string> ValidateChange(const Change& change, bool has_mismatch,
+                                        const std::string& leader_name, bool encodes_deltas) {
   if (!change.is_delta) {
     return ValidateDocument(change.document);
   }
-  // A whole version is the same from any leader; a delta from one with other content is not.
+  // A whole version does not depend on the leader's content, but a delta does.
   if (has_mismatch) {
     return {"a delta, and the content of " + leader_name +
             ", which leads, is not what was agreed; expected a whole version"};
@@ -26,8 +26,8 @@
   return ValidateDelta(change.document);
 }
 
-// `history` with the entries that are still to be applied: they come before what is proposed now,
-// in whatever term they are committed. Nothing where there are none.
+// Returns a copy of `history` with all unapplied log entries applied, or std::nullopt if there are
+// none. If a new entry is committed, they are too, because they precede it in the log.
 std::optional<VersionHistory> HistoryWithPendingEntries(const VersionHistory& history,
                                                         const raft::RaftNode& raft_node) {
   std::optional<VersionHistory> ahead;
@@ -45,8 +45,8 @@
   return ahead;
 }
 
-// The entry of a delta that was submitted, or of a whole version where its delta is smaller. Throws
-// std::invalid_argument with the fault of the change.
+// Encodes a submitted delta, or a whole version as a delta if that is smaller and as a whole
+// version otherwise. Throws std::invalid_argument with the error if the change is invalid.
 std::string EncodeAsDelta(const Change& change, const VersionHistory& latest) {
   const VersionContent& base = latest.latest_content();
   Change delta = change;
@@ -68,9 +68,10 @@
                                   const raft::RaftNode& raft_node, const std::string& leader_name,
                                   bool encodes_deltas) {
   const bool has_mismatch = !history.content_mismatch().empty();
-  std::vector<std::string> faults = FaultsOf(change, has_mismatch, leader_name, encodes_deltas);
-  if (!faults.empty()) {
-    return {{}, std::move(faults)};
+  std::vector<std::string> errors =
+      ValidateChange(change, has_mismatch, leader_name, encodes_deltas);
+  if (!errors.empty()) {
+    return {{}, std::move(errors)};
   }
   if (!encodes_deltas || has_mismatch) {
     return {EncodeChangeEntry(change), {}};
@@ -78,8 +79,8 @@
   const std::optional<VersionHistory> ahead = HistoryWithPendingEntries(history, raft_node);
   try {
     return {EncodeAsDelta(change, ahead ? *ahead : history), {}};
-  } catch (const std::invalid_argument& fault) {
-    return {{}, {fault.what()}};
+  } catch (const std::invalid_argument& error) {
+    return {{}, {error.what()}};
   }
 }
 
--- a/src/cluster/change_proposal.h
+++ b/src/cluster/change_proposal.h
@@ -1,4 +1,4 @@
-// How a leader turns a requested change into a log entry. No I/O.
+// Turns a requested change into the log entry that a leader proposes. No I/O.
 #ifndef PADDLESTILE_CLUSTER_CHANGE_PROPOSAL_H_
 #define PADDLESTILE_CLUSTER_CHANGE_PROPOSAL_H_
 
@@ -12,13 +12,14 @@
 namespace paddlestile::cluster {
 
 struct ChangeProposal {
-  std::string entry;                // to be proposed, where there are no faults
-  std::vector<std::string> faults;  // why the change is refused, a line each
+  std::string entry;                // to be proposed; empty if there are errors
+  std::vector<std::string> errors;  // why the change is refused, one line each
 };
 
-// The entry for `change` behind all that `raft_node` has in its log, applied or not. `leader_name`
-// appears in faults. Where `encodes_deltas`, a change goes as a delta if that is the smaller form;
-// else it goes as submitted, and submitted deltas are refused.
+// Returns the entry for `change`, to be appended to the log of `raft_node` after all its entries,
+// applied or not. `leader_name` appears in error messages. If `encodes_deltas` is true, the entry
+// contains a delta if that is the smaller form; otherwise it contains the change as submitted, and
+// submitted deltas are refused.
 ChangeProposal MakeChangeProposal(const Change& change, const VersionHistory& history,
                                   const raft::RaftNode& raft_node, const std::string& leader_name,
                                   bool encodes_deltas);
--- a/src/cluster/cluster_member.cpp
+++ b/src/cluster/cluster_member.cpp
@@ -8,7 +8,7 @@
 namespace paddlestile::cluster {
 namespace {
 
-// What an entry takes to apply beside its own bytes, whatever the version's size.
+// Cost of applying an entry in addition to its own size. It does not depend on the version's size.
 constexpr size_t kApplyCostBytes = 4 << 10;
 
 std::string JoinLines(const std::vector<std::string>& lines) {
@@ -56,7 +56,7 @@
   if (message.request) {
     PendingChange pending = MakePendingChange(now);
     pending.from_member = message.from;
-    // Not forwarded a second time: the sender looks for the leader again.
+    // Requests are forwarded only once; the sender then has to find the leader again.
     if (!raft_node_.IsLeaderWithLease(now)) {
       SendResult(
           pending,
@@ -135,7 +135,7 @@
     return SendResult(pending, {ChangeResult::Kind::kRefused, id, 0, "a change without an id"},
                       output);
   }
-  // The newer of two requests with one id gets the result.
+  // Of two requests with the same ID, only the later one gets the result.
   if (const auto earlier = pending_changes_.find(id); earlier != pending_changes_.end()) {
     SendResult(earlier->second, {ChangeResult::Kind::kUnknown, id, 0, "asked for again elsewhere"},
                output);
@@ -180,7 +180,7 @@
   const auto send_result = [&](ChangeResult::Kind kind, std::string text) {
     SendResult(pending, {kind, change.id, 0, std::move(text)}, output);
   };
-  // Each change would be computed behind all that is still to be applied.
+  // Otherwise, computing each proposal would require applying all pending entries first.
   if (raft_node_.HasEntriesToApply()) {
     return send_result(ChangeResult::Kind::kNoLeader, DescribeLeader(now) + ", and catches up");
   }
@@ -194,8 +194,8 @@
   }
   const ChangeProposal proposal =
       MakeChangeProposal(change, history_, raft_node_, options_.name, options_.deltas);
-  if (!proposal.faults.empty()) {
-    return send_result(ChangeResult::Kind::kRefused, JoinLines(proposal.faults));
+  if (!proposal.errors.empty()) {
+    return send_result(ChangeResult::Kind::kRefused, JoinLines(proposal.errors));
   }
   raft_node_.Propose(now, proposal.entry, output);
   pending.term = raft_node_.current_term();
@@ -205,18 +205,18 @@
 // ---- After each event -------------------------------------------------------------------------
 
 void ClusterMember::AfterEvent(Time now, MemberOutput& output) {
-  // Repeated where what it does commits entries at once, as in a cluster of one voter.
+  // Repeated if this step commits entries immediately, as in a cluster with one voter.
   do {
     ApplyEntries(output);
-    CheckContent(output);
+    UpdateContentMismatch(output);
     raft_node_.RequireAppliedForLease(history_.latest_index());
-    // A member with a version missing must not lead. While the cluster is being formed, one whose
-    // disk was reset could otherwise lead a cluster of its own.
+    // A member that has missed a version must not become leader. While the cluster is being formed,
+    // a member whose disk was reset could otherwise lead a cluster of its own.
     raft_node_.set_may_campaign(!history_.numbering_mismatch() &&
                                 (history_.formed() || voter_manager_.IsInitialMajorityConnected()));
     const bool is_leader = raft_node_.IsLeaderWithLease(now);
     if (is_leader) {
-      ActAsLeader(now, output);
+      RunLeaderTasks(now, output);
     } else {
       voter_manager_.Abandon();
     }
@@ -239,7 +239,7 @@
   const VersionHistory::Result result = history_.Apply(applied.index, applied.entry.bytes);
   if (result.is_change && result.version > 0 && !result.is_repeat) {
     const Version& version = history_.versions().back();
-    output.log.push_back("bank: version " + std::to_string(version.number) + " is taken, by " +
+    output.log.push_back("bank: version " + std::to_string(version.number) + " accepted, author " +
                          version.author + ": " + version.reason);
   }
   if (result.is_in_force) {
@@ -257,25 +257,25 @@
   }
 }
 
-void ClusterMember::CheckContent(MemberOutput& output) {
+void ClusterMember::UpdateContentMismatch(MemberOutput& output) {
   const bool has_mismatch = !history_.content_mismatch().empty();
   if (has_mismatch && !has_content_mismatch_) {
     ++content_mismatch_count_;
-    output.log.push_back("bank: its content is not what was agreed: " +
-                         history_.content_mismatch() + "; strict rules until it is");
+    output.log.push_back("bank: content differs from the agreed content: " +
+                         history_.content_mismatch() + "; using strict rules until it matches");
     if (!raft_node_.IsVotingMember() && !raft_node_.storage_rolled_back()) {
       output.needs_resync = history_.content_mismatch();
     }
   }
   if (!has_mismatch && has_content_mismatch_) {
-    output.log.emplace_back("bank: its content is what was agreed again");
+    output.log.emplace_back("bank: content matches the agreed content again");
   }
   has_content_mismatch_ = has_mismatch;
 }
 
-void ClusterMember::ActAsLeader(Time now, MemberOutput& output) {
+void ClusterMember::RunLeaderTasks(Time now, MemberOutput& output) {
   if (const auto index = voter_manager_.Advance(now, history_.formed(), output)) {
-    // A replacement is done once the voter has been added again.
+    // A replacement is finished once the voter has been added again.
     for (auto& [id, pending] : pending_changes_) {
       if (pending.voters_index > 0) {
         pending.voters_index = *index;
@@ -285,7 +285,7 @@
   ProposeInForce(now, output);
 }
 
-// The latest version comes into force once every gateway that may act knows it.
+// The latest version comes into force once every gateway that may hold a lease has applied it.
 void ClusterMember::ProposeInForce(Time now, MemberOutput& output) {
   const InForceProposal proposal{raft_node_.current_term(), history_.latest_version()};
   if (history_.version_in_force() >= history_.latest_version() ||
@@ -293,9 +293,9 @@
       !raft_node_.AllLeaseHoldersApplied(now, history_.latest_index())) {
     return;
   }
-  const bool sends_hash = options_.deltas && !has_content_mismatch_;
+  const bool includes_hash = options_.deltas && !has_content_mismatch_;
   const std::string entry = EncodeInForceEntry(
-      history_.latest_version(), sends_hash ? history_.versions().back().hash : std::string());
+      history_.latest_version(), includes_hash ? history_.versions().back().hash : std::string());
   if (raft_node_.Propose(now, entry, output)) {
     last_in_force_proposal_ = proposal;
   }
@@ -303,7 +303,8 @@
 
 void ClusterMember::FinishPendingChanges(Time now, bool is_leader, MemberOutput& output) {
   for (auto pending = pending_changes_.begin(); pending != pending_changes_.end();) {
-    std::optional<ChangeResult> result = ResultOf(pending->first, pending->second, now, is_leader);
+    std::optional<ChangeResult> result =
+        FindResult(pending->first, pending->second, now, is_leader);
     if (!result) {
       ++pending;
       continue;
@@ -313,9 +314,9 @@
   }
 }
 
-std::optional<ChangeResult> ClusterMember::ResultOf(const std::string& id,
-                                                    const PendingChange& pending, Time now,
-                                                    bool is_leader) const {
+std::optional<ChangeResult> ClusterMember::FindResult(const std::string& id,
+                                                      const PendingChange& pending, Time now,
+                                                      bool is_leader) const {
   if (!pending.is_forwarded) {
     if (pending.version > 0 && pending.version <= history_.version_in_force()) {
       return ChangeResult{ChangeResult::Kind::kDone, id, pending.version, ""};
@@ -335,7 +336,8 @@
   return std::nullopt;
 }
 
-// Content that differs goes into no snapshot: the log still has the right one.
+// Content that differs from the agreed content must not be saved in a snapshot, because the log
+// still allows recovering the correct content.
 void ClusterMember::CompactLog(MemberOutput& output) {
   if (!has_content_mismatch_ &&
       raft_node_.last_applied() >= raft_node_.first_log_index() + options_.compact_after) {
@@ -343,7 +345,7 @@
   }
 }
 
-// ---- What is acted on -------------------------------------------------------------------------
+// ---- Effective configuration ------------------------------------------------------------------
 
 EffectiveConfig ClusterMember::CurrentConfig(Time now) const {
   EffectiveConfig effective;
--- a/src/cluster/cluster_member_status.cpp
+++ b/src/cluster/cluster_member_status.cpp
@@ -1,4 +1,5 @@
-// The fields of `bank status` that a member knows. Keys and words are the operators' and stay.
+// The fields of `bank status` that a member provides. Operators' tools use the keys and values,
+// which must not change.
 #include <algorithm>
 #include <array>
 
@@ -18,7 +19,7 @@
 }
 
 const char* RoleNameOf(const raft::RaftNode& node) {
-  // A pre-candidate counts as a follower: nothing is bound by a pre-vote.
+  // A pre-candidate is reported as a follower, because a pre-vote has no effect on other members.
   constexpr std::array kNames = {"follower", "follower", "candidate", "leader"};
   return node.IsVotingMember() ? kNames[static_cast<size_t>(node.role())] : "follower";
 }
--- a/tests/cluster/change_proposal_test.cpp
+++ b/tests/cluster/change_proposal_test.cpp
@@ -1,4 +1,4 @@
-// What a leader proposes for a change.
+// Tests which entries a leader proposes for changes, and which changes it refuses.
 #include "cluster/change_proposal.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   return change;
 }
 
-// A history whose version 1 is not what was agreed.
+// Returns a history whose version 1 differs from the agreed one.
 VersionHistory HistoryWithMismatch() {
   VersionHistory agreed, misapplied;
   agreed.Apply(1, DeltaEntry(agreed, "c0", ExcludeHostDelta(0)));
@@ -28,23 +28,24 @@
   return misapplied;
 }
 
-// A leader whose content differs took a delta: all others would have applied it to other content
-// than it had validated it with. Only `lab world` noticed where it did.
-TEST(MakeChangeProposal, RefusesADeltaWhereTheLeadersContentDiffers) {
+// A leader whose content differs must not accept a delta: the other members would apply it to other
+// content than the leader validated it with. Otherwise only the `lab world` simulation detects
+// this.
+TEST(MakeChangeProposal, RefusesADeltaIfTheLeadersContentDiffers) {
   const VersionHistory history = HistoryWithMismatch();
   ASSERT_NE(history.content_mismatch(), "");
   const raft::RaftNode raft_node("a", {}, {}, 7, Time(0));
   const ChangeProposal delta =
       MakeChangeProposal(DeltaChange("c1", 1), history, raft_node, "a", true);
-  ASSERT_EQ(delta.faults.size(), 1U);
-  EXPECT_NE(delta.faults[0].find("a delta, and the content of a, which leads, is not what was"),
+  ASSERT_EQ(delta.errors.size(), 1U);
+  EXPECT_NE(delta.errors[0].find("a delta, and the content of a, which leads, is not what was"),
             std::string::npos);
-  // A whole version is the same from any leader, and goes without a hash of this one's content.
+  // A whole version does not depend on the leader's content and is proposed without a hash.
   Change whole;
   whole.id = "c2";
   whole.document = R"({"barred":["h"]})";
   const ChangeProposal proposal = MakeChangeProposal(whole, history, raft_node, "a", true);
-  EXPECT_TRUE(proposal.faults.empty());
+  EXPECT_TRUE(proposal.errors.empty());
   EXPECT_EQ(proposal.entry, EncodeChangeEntry(whole));
 }
 
--- a/tests/cluster/cluster_member_test.cpp
+++ b/tests/cluster/cluster_member_test.cpp
@@ -1,5 +1,5 @@
-// How a member proposes and applies changes, whole and as deltas, and what it does where its
-// content is not what was agreed.
+// Tests how a member proposes and applies changes, both whole versions and deltas, and how it
+// behaves if its content differs from the agreed content.
 #include "cluster/cluster_member.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 using testing::ExcludeHostDelta;
 using testing::WholeEntry;
 
-// The only voter of a cluster, with all that it writes and sends.
+// The only voter of a cluster. Records everything that it writes and sends.
 struct SingleVoter {
   explicit SingleVoter(bool deltas, size_t compact_after = 8)
       : member(OptionsOf(deltas, compact_after), InitialState(), 7, Time(0)) {}
@@ -100,9 +100,9 @@
   std::vector<ChangeResult> results;
 };
 
-// Whole changes are on the wire and on disk as they were before there were deltas, to the byte:
-// programs with and without deltas share a cluster.
-TEST(ClusterMemberWholeChanges, AreByteForByteAsBefore) {
+// Builds with and without deltas can be members of the same cluster, so the encoding of whole
+// changes on the wire and on disk must be identical to that of builds without deltas.
+TEST(ClusterMemberWholeChanges, EncodingIsIdenticalToBuildsWithoutDeltas) {
   SingleVoter voter(false);
   for (int i = 0; i < 40; ++i) {
     voter.Timeout();
@@ -128,15 +128,15 @@
     json::to_cbor(ToJson(request), voter.bytes);
     voter.Run([&](MemberOutput& output) { voter.member.Submit(voter.now, request, i, output); });
   }
-  // Of the text before deltas, 3defdbd.
+  // Size and hash of the output of the code before deltas were introduced, at commit 3defdbd.
   EXPECT_EQ(voter.bytes.size(), 28276U);
   EXPECT_EQ(HashOf(voter.bytes), "e433ba2e999c9310121c999c3df930db");
   EXPECT_EQ(voter.member.history().latest_version(), 21U);
-  EXPECT_GT(voter.member.raft_node().first_log_index(), 1U);  // a snapshot is among them
+  EXPECT_GT(voter.member.raft_node().first_log_index(), 1U);  // the output includes a snapshot
 }
 
-// A whole version that is submitted is replicated as a delta where that is smaller.
-TEST(ClusterMemberDeltas, AreSentByTheirOwnSize) {
+// A submitted whole version is replicated as a delta if that is smaller.
+TEST(ClusterMemberDeltas, ReplaceWholeVersionsIfSmaller) {
   SingleVoter voter(true, 512);
   voter.Lead();
   json document;
@@ -151,7 +151,7 @@
   EXPECT_EQ(result.kind, ChangeResult::Kind::kDone) << result.text;
   EXPECT_EQ(result.version, 2U);
   EXPECT_LT(voter.bytes.size() - before, 2000U);
-  // Its hash goes with it: a member that applies it differently detects that.
+  // The entry includes the hash of the result, by which a member detects that its result differs.
   const json entry = json::from_cbor(
       voter.member.raft_node().EntryAt(voter.member.history().versions().back().index).bytes);
   EXPECT_EQ(entry.value("hash", ""), HashOf(voter.member.history().latest_content()));
@@ -161,7 +161,7 @@
   EXPECT_LT(status["change_bytes"], 100);
   EXPECT_GT(status["version_bytes"], 20'000);
   EXPECT_EQ(status["content"], "agreed");
-  // Another version altogether: the whole is smaller, and goes.
+  // For an entirely different version, the whole version is smaller than the delta.
   EXPECT_EQ(voter.Submit("three", "{}").kind, ChangeResult::Kind::kDone);
   EXPECT_EQ(voter.member.Status(voter.now)["change_bytes"], CanonicalText("{}").size());
   EXPECT_EQ(voter.Submit("four", ExcludeHostDelta(1), true).kind, ChangeResult::Kind::kDone);
@@ -171,8 +171,9 @@
   EXPECT_EQ(refused.text, "the version that it makes: settings.Allowed: expected an object");
 }
 
-// Two at once: the second is a delta to what the first makes, which is not committed yet.
-TEST(ClusterMemberDeltas, ApplyBehindUncommittedOnes) {
+// Each delta is computed relative to the result of the previous changes, which are not committed
+// yet.
+TEST(ClusterMemberDeltas, ApplyAfterUncommittedOnes) {
   SingleVoter voter(true);
   voter.Lead();
   MemberOutput output;
@@ -188,15 +189,15 @@
     voter.member.Submit(voter.now, request, request_number, output);
   }
   EXPECT_EQ(voter.member.history().latest_version(), 0U);
-  voter.Run([&](MemberOutput& into) { into = std::move(output); });
+  voter.Run([&](MemberOutput& pending_output) { pending_output = std::move(output); });
   EXPECT_EQ(voter.member.history().latest_version(), 3U);
   EXPECT_EQ(ToText(voter.member.history().latest_content()),
             CanonicalText(R"({"barred":["a1","a3","a4"]})"));
   EXPECT_EQ(voter.member.history().content_mismatch(), "");
 }
 
-// A leader that proposes whole changes refuses a delta, and says so in a line. A program that knows
-// no deltas must read one as no version, never as another one.
+// A leader that proposes whole changes refuses a delta with an error message. A build without
+// deltas must not interpret a delta as a valid version.
 TEST(ClusterMemberDeltas, AreRefusedByALeaderWithWholeChanges) {
   SingleVoter voter(false);
   voter.Lead();
@@ -217,7 +218,7 @@
   EXPECT_EQ(decoded->change.document, request.change.document);
 }
 
-// A follower that is configured for whole changes, of a leader that proposes deltas.
+// A follower that is configured for whole changes, whose leader proposes deltas.
 struct Follower {
   explicit Follower(bool votes = false)
       : member(SingleVoter::OptionsOf(false, 512), InitialState(votes), 3, Time(0)) {}
@@ -272,17 +273,17 @@
             leader.latest_content());
 }
 
-std::string TenantQuotas(int tenants, int first) {
+std::string TenantQuotas(int tenants, int first_quota) {
   json document;
   for (int i = 0; i < tenants; ++i) {
     document["settings"]["Tenants"].push_back(
-        {{"Name", "t" + std::to_string(i)}, {"QuotaPerS", i == 0 ? first : i}});
+        {{"Name", "t" + std::to_string(i)}, {"QuotaPerS", i == 0 ? first_quota : i}});
   }
   return document.dump();
 }
 
-// A member that comes back to a log of large versions applies each whole one in an event of its
-// own, however many come at once: all in one event would delay requests.
+// A member that receives a long log of large whole versions applies each one in a separate event.
+// Applying all of them in one event would delay requests.
 TEST(ClusterMemberWholeChanges, LongLogOfLargeVersionsIsAppliedInParts) {
   Follower follower;
   VersionHistory leader;
@@ -313,7 +314,8 @@
   return R"({"settings":{"Tenants":{"t0":{"QuotaPerS":)" + std::to_string(quota) + "}}}}";
 }
 
-// The same log as deltas: a bounded number of them in an event, whatever the version's size.
+// A long log of deltas: one event applies a bounded number of them, independent of the version's
+// size.
 TEST(ClusterMemberDeltas, LongLogIsAppliedInParts) {
   for (const int tenants : {10, 4000}) {
     Follower follower;
@@ -344,9 +346,9 @@
   }
 }
 
-// Each change that a leader takes is computed behind all that is not applied yet: a leader with
-// much to catch up with would stall for each of them.
-TEST(ClusterMemberDeltas, AreNotTakenByALeaderThatCatchesUp) {
+// To compute the entry of a change, a leader applies all its unapplied entries. A leader with many
+// of them would stall for each change, so it accepts none until it has caught up.
+TEST(ClusterMemberDeltas, AreNotAcceptedByALeaderThatIsCatchingUp) {
   SingleVoter voter(true, 512);
   voter.Lead();
   MemberOutput output;
@@ -356,14 +358,14 @@
     request.change.document = TenantQuotas(1000, 1000 + i);
     voter.member.Submit(voter.now, request, 10 + i, output);
   }
-  const uint64_t last = output.writes.back().sequence_number;
+  const uint64_t last_sequence_number = output.writes.back().sequence_number;
   output = {};
-  voter.member.OnDurable(voter.now, last, output);
+  voter.member.OnDurable(voter.now, last_sequence_number, output);
   ASSERT_TRUE(voter.member.raft_node().HasEntriesToApply());
   ChangeRequest request;
   request.change.id = "late";
   request.change.document = "{}";
-  voter.durable_sequence_number = last;
+  voter.durable_sequence_number = last_sequence_number;
   output = {};
   voter.member.Submit(voter.now, request, 20, output);
   ASSERT_EQ(output.results.size(), 1U);
@@ -375,23 +377,25 @@
   EXPECT_EQ(voter.Submit("late", "{}").kind, ChangeResult::Kind::kDone);
 }
 
-// Whether the member asks for votes once it hears its leader no more.
-bool AsksForVotes(Follower& follower) {
-  bool asks = false;
+// Whether the member requests votes once it no longer hears from its leader.
+bool RequestsVotes(Follower& follower) {
+  bool requests_votes = false;
   for (int i = 0; i < 30; ++i) {
     follower.now += Time(100'000);
     MemberOutput output;
     follower.member.OnTimeout(follower.now, output);
-    asks = asks || std::ranges::any_of(output.messages, [](const raft::OutgoingMessage& outgoing) {
-             return outgoing.message.type == raft::Message::Type::kRequestVote;
-           });
+    requests_votes =
+        requests_votes ||
+        std::ranges::any_of(output.messages, [](const raft::OutgoingMessage& outgoing) {
+          return outgoing.message.type == raft::Message::Type::kRequestVote;
+        });
   }
-  return asks;
+  return requests_votes;
 }
 
-// A voter that has missed a version numbers all later ones wrongly: as leader it would number them
-// for all. Only `lab world` noticed where it asked for votes.
-TEST(ClusterMemberContentMismatch, AVoterThatMissedAVersionAsksForNoVotes) {
+// A voter that has missed a version numbers all later ones incorrectly. As leader, it would impose
+// its numbers on all members. Otherwise only the `lab world` simulation detects that it campaigns.
+TEST(ClusterMemberContentMismatch, VoterThatMissedAVersionRequestsNoVotes) {
   VersionHistory leader;
   const std::string first = DeltaEntry(leader, "c0", ExcludeHostDelta(0));
   leader.Apply(1, first);
@@ -399,13 +403,13 @@
   const std::string formed = EncodeFormedEntry();
   Follower complete(true), missed(true);
   complete.Append({formed, first, second});
-  EXPECT_TRUE(AsksForVotes(complete));
+  EXPECT_TRUE(RequestsVotes(complete));
   missed.Append({formed, second});
   ASSERT_TRUE(missed.member.history().numbering_mismatch());
-  EXPECT_FALSE(AsksForVotes(missed));
+  EXPECT_FALSE(RequestsVotes(missed));
 }
 
-TEST(ClusterMemberContentMismatch, IsNotActedOnAndLoggedOnce) {
+TEST(ClusterMemberContentMismatch, IsolatesTheMemberAndIsLoggedOnce) {
   for (const bool votes : {false, true}) {
     Follower follower(votes);
     VersionHistory leader;
@@ -426,11 +430,11 @@
     EXPECT_EQ(follower.member.content_mismatch_count(), 1U);
     const auto count_logged = [](const MemberOutput& logged) {
       return std::ranges::count_if(logged.log, [](const std::string& line) {
-        return line.find("not what was agreed") != std::string::npos;
+        return line.find("content differs from the agreed content") != std::string::npos;
       });
     };
     EXPECT_EQ(count_logged(output), 1);
-    // A voter keeps its storage, which others may need: an operator replaces it.
+    // A voter keeps its storage, because other members may need it; an operator has to replace it.
     EXPECT_EQ(output.needs_resync.empty(), votes);
     output = follower.Append({DeltaEntry(leader, "c2", ExcludeHostDelta(2))});
     EXPECT_EQ(count_logged(output), 0);
