--- a/src/cluster/config_document.cpp
+++ b/src/cluster/config_document.cpp
@@ -15,23 +15,23 @@
 
 // ---- Parts of a document ----------------------------------------------------------------------
 
-void ValidateKeys(const json& document, std::vector<std::string>& faults) {
+void ValidateKeys(const json& document, std::vector<std::string>& errors) {
   constexpr std::array kKeys = {kSettingsKey, kExcludedKey, kDrainingKey, kZoneOnlyKey};
   for (const auto& [key, value] : document.items()) {
     if (std::ranges::find(kKeys, std::string_view(key)) == kKeys.end()) {
-      faults.push_back(key + ": expected settings, barred, drain or zone_only");
+      errors.push_back(key + ": expected settings, barred, drain or zone_only");
     }
   }
 }
 
-void ValidateHosts(const json& document, const char* key, std::vector<std::string>& faults) {
+void ValidateHosts(const json& document, const char* key, std::vector<std::string>& errors) {
   const auto hosts = document.find(key);
   if (hosts != document.end() && !IsHostIdList(*hosts)) {
-    faults.push_back(std::string(key) + ": expected a list of hosts' ids");
+    errors.push_back(std::string(key) + ": expected a list of hosts' ids");
   }
 }
 
-void ValidateZones(const json& document, std::vector<std::string>& faults) {
+void ValidateZones(const json& document, std::vector<std::string>& errors) {
   const auto zones = document.find(kZoneOnlyKey);
   if (zones == document.end()) {
     return;
@@ -40,56 +40,56 @@
                           return zone.is_string();
                         });
   if (!is_valid) {
-    faults.emplace_back("zone_only: expected an object of host to zone");
+    errors.emplace_back("zone_only: expected an object of host to zone");
   }
 }
 
-void ValidateSettings(const json& document, std::vector<std::string>& faults) {
+void ValidateSettings(const json& document, std::vector<std::string>& errors) {
   const auto settings = document.find(kSettingsKey);
   if (settings == document.end()) {
     return;
   }
   if (!settings->is_object()) {
-    faults.emplace_back("settings: expected an object");
+    errors.emplace_back("settings: expected an object");
     return;
   }
   for (const char* const key : kNamedListKeys) {
     if (const auto list = settings->find(key); list != settings->end()) {
       std::string path = "settings.";
-      ValidateNamedList(path.append(key), *list, faults);
+      ValidateNamedList(path.append(key), *list, errors);
     }
   }
   if (const auto allowed = settings->find(kAllowedKey); allowed != settings->end()) {
-    ValidateAllowed(*allowed, faults);
+    ValidateAllowed(*allowed, errors);
   }
 }
 
 // ---- A document -------------------------------------------------------------------------------
 
-// The document of a text: an object, where no fault is added.
-json ParseText(std::string_view text, size_t max_bytes, std::vector<std::string>& faults) {
-  faults = ValidateSize(text.size(), max_bytes);
-  if (!faults.empty()) {
+// Parses and validates a version's text. Returns a JSON object if `errors` is empty afterwards.
+json ParseText(std::string_view text, size_t max_bytes, std::vector<std::string>& errors) {
+  errors = ValidateSize(text.size(), max_bytes);
+  if (!errors.empty()) {
     return {};
   }
   json value = json::parse(text, nullptr, false);
   if (value.is_discarded() || !value.is_object()) {
-    faults = {"expected one JSON object"};
+    errors = {"expected one JSON object"};
     return {};
   }
-  ValidateKeys(value, faults);
-  ValidateHosts(value, kExcludedKey, faults);
-  ValidateHosts(value, kDrainingKey, faults);
-  ValidateZones(value, faults);
-  ValidateSettings(value, faults);
+  ValidateKeys(value, errors);
+  ValidateHosts(value, kExcludedKey, errors);
+  ValidateHosts(value, kDrainingKey, errors);
+  ValidateZones(value, errors);
+  ValidateSettings(value, errors);
   return value;
 }
 
 ConfigDocument Parse(std::string_view text, size_t max_bytes) {
-  std::vector<std::string> faults;
-  const json value = ParseText(text, max_bytes, faults);
-  if (!faults.empty()) {
-    throw std::invalid_argument(faults.front());
+  std::vector<std::string> errors;
+  const json value = ParseText(text, max_bytes, errors);
+  if (!errors.empty()) {
+    throw std::invalid_argument(errors.front());
   }
   ConfigDocument document;
   document.settings = value.value(kSettingsKey, json::object());
@@ -101,7 +101,7 @@
 
 // ---- One object of a named list ---------------------------------------------------------------
 
-// The object's `Name`; null where it has none.
+// Returns the object's `Name`, or null if it has none.
 const std::string* NameOf(const json& item) {
   if (!item.is_object()) {
     return nullptr;
@@ -113,7 +113,7 @@
   return &name->get_ref<const std::string&>();
 }
 
-void ValidateEffect(const std::string& path, const json& item, std::vector<std::string>& faults) {
+void ValidateEffect(const std::string& path, const json& item, std::vector<std::string>& errors) {
   const auto effect = item.find("Effect");
   if (effect == item.end()) {
     return;
@@ -122,12 +122,12 @@
       effect->is_string() &&
       std::ranges::find(kIdempotencyLevels, effect->get<std::string>()) != kIdempotencyLevels.end();
   if (!is_valid) {
-    faults.push_back(path + ".Effect: expected safe, keyed or unsafe");
+    errors.push_back(path + ".Effect: expected safe, keyed or unsafe");
   }
 }
 
 void ValidateNumber(const std::string& path, const json& item, const char* key, bool allows_zero,
-                    const char* expected, std::vector<std::string>& faults) {
+                    const char* expected, std::vector<std::string>& errors) {
   const auto number = item.find(key);
   if (number == item.end()) {
     return;
@@ -135,17 +135,17 @@
   const bool is_valid = number->is_number() &&
                         (number->get<double>() > 0 || (allows_zero && number->get<double>() == 0));
   if (!is_valid) {
-    std::string fault = path;
-    faults.push_back(fault.append(".").append(key).append(": expected ").append(expected));
+    std::string error = path;
+    errors.push_back(error.append(".").append(key).append(": expected ").append(expected));
   }
 }
 
 }  // namespace
 
 std::vector<std::string> ValidateDocument(std::string_view text) {
-  std::vector<std::string> faults;
-  ParseText(text, kMaxDocumentBytes, faults);
-  return faults;
+  std::vector<std::string> errors;
+  ParseText(text, kMaxDocumentBytes, errors);
+  return errors;
 }
 
 std::vector<std::string> ValidateSize(size_t bytes, size_t max_bytes) {
@@ -157,46 +157,46 @@
 }
 
 void ValidateNamedObject(const std::string& path, const json& item,
-                         std::vector<std::string>& faults) {
+                         std::vector<std::string>& errors) {
   if (NameOf(item) == nullptr) {
-    faults.push_back(path + ": expected an object with a Name");
+    errors.push_back(path + ": expected an object with a Name");
     return;
   }
-  ValidateEffect(path, item, faults);
+  ValidateEffect(path, item, errors);
   for (const char* const key : {"Deadline", "Slo"}) {
-    ValidateNumber(path, item, key, false, "milliseconds above 0", faults);
+    ValidateNumber(path, item, key, false, "milliseconds above 0", errors);
   }
   for (const char* const key : {"Window", "QuotaPerS", "Share"}) {
-    ValidateNumber(path, item, key, true, "a number of 0 or more", faults);
+    ValidateNumber(path, item, key, true, "a number of 0 or more", errors);
   }
 }
 
 void ValidateNamedList(const std::string& path, const json& list,
-                       std::vector<std::string>& faults) {
+                       std::vector<std::string>& errors) {
   if (!list.is_array()) {
-    faults.push_back(path + ": expected a list");
+    errors.push_back(path + ": expected a list");
     return;
   }
-  std::set<std::string_view> seen;
+  std::set<std::string_view> seen_names;
   for (size_t i = 0; i < list.size(); ++i) {
     std::string item_path = path;
     item_path.append(".").append(std::to_string(i));
-    ValidateNamedObject(item_path, list[i], faults);
+    ValidateNamedObject(item_path, list[i], errors);
     const std::string* const name = NameOf(list[i]);
-    if (name != nullptr && !seen.insert(*name).second) {
-      faults.push_back(item_path + ".Name: '" + *name + "' a second time, expected each once");
+    if (name != nullptr && !seen_names.insert(*name).second) {
+      errors.push_back(item_path + ".Name: '" + *name + "' a second time, expected each once");
     }
   }
 }
 
-void ValidateAllowed(const json& allowed, std::vector<std::string>& faults) {
+void ValidateAllowed(const json& allowed, std::vector<std::string>& errors) {
   if (!allowed.is_object()) {
-    faults.emplace_back("settings.Allowed: expected an object");
+    errors.emplace_back("settings.Allowed: expected an object");
     return;
   }
   const auto cap = allowed.find("SendCap");
   if (cap != allowed.end() && (!cap->is_number_integer() || cap->get<int64_t>() < 1)) {
-    faults.emplace_back("settings.Allowed.SendCap: expected a whole number above 0");
+    errors.emplace_back("settings.Allowed.SendCap: expected a whole number above 0");
   }
 }
 
@@ -209,7 +209,7 @@
 }
 
 std::string ToText(const ConfigDocument& document) {
-  // The keys in their order, one by one: to put them into one object would copy the settings.
+  // Written key by key in alphabetical order: building one JSON object would copy the settings.
   return R"({"barred":)" + DumpJson(document.excluded) + R"(,"drain":)" +
          DumpJson(document.draining) + R"(,"settings":)" + DumpJson(document.settings) +
          R"(,"zone_only":)" + DumpJson(document.zone_only) + "}";
--- a/src/cluster/document_json.h
+++ b/src/cluster/document_json.h
@@ -1,5 +1,5 @@
-// The keys and JSON forms that whole versions and deltas share. The keys are the operators' and
-// stay; the code's terms for them stand beside them here alone.
+// JSON keys and helpers shared by whole versions and deltas. Operators write and read the keys,
+// which must not change. They differ from the names used in the code and appear only here.
 #ifndef PADDLESTILE_CLUSTER_DOCUMENT_JSON_H_
 #define PADDLESTILE_CLUSTER_DOCUMENT_JSON_H_
 
@@ -10,15 +10,16 @@
 
 namespace paddlestile::cluster {
 
-// Of a version, and of a delta.
+// Keys of a version and of a delta.
 inline constexpr const char* kSettingsKey = "settings";
 inline constexpr const char* kExcludedKey = "barred";
 inline constexpr const char* kDrainingKey = "drain";
 inline constexpr const char* kZoneOnlyKey = "zone_only";
-// Of a delta alone: settings that are set as they are, not merged.
+// Key of a delta only: settings that are replaced rather than merged.
 inline constexpr const char* kReplaceKey = "replace";
 
-// Of the settings: lists of objects that are kept by their `Name`, in the order of their keys.
+// Keys of the settings. kNamedListKeys are those of lists whose objects are identified by their
+// `Name`, in alphabetical order.
 inline constexpr const char* kClassesKey = "Classes";
 inline constexpr const char* kTenantsKey = "Tenants";
 inline constexpr std::array kNamedListKeys = {kClassesKey, kTenantsKey};
@@ -26,10 +27,11 @@
 
 bool IsNamedList(std::string_view settings_key);
 
-// A list of host ids, none of them empty.
+// Whether `value` is a list of non-empty host IDs.
 bool IsHostIdList(const nlohmann::json& value);
 
-// The text of a value in versions and deltas: without spaces, invalid UTF-8 replaced.
+// Returns the text of a value as used in versions and deltas: without spaces and with invalid UTF-8
+// replaced.
 std::string DumpJson(const nlohmann::json& value);
 
 }  // namespace paddlestile::cluster
--- a/tests/cluster/config_document_test.cpp
+++ b/tests/cluster/config_document_test.cpp
@@ -1,4 +1,4 @@
-// Which documents are refused, and why.
+// Tests which documents are refused, and with which errors.
 #include "cluster/config_document.h"
 
 #include <gtest/gtest.h>
@@ -8,13 +8,13 @@
 namespace paddlestile::cluster {
 namespace {
 
-// Every fault in one line each, with its key and what was expected.
-TEST(ValidateDocument, NamesEveryFault) {
-  const auto faults = ValidateDocument(
+// Each error is one line with the key and the expected value.
+TEST(ValidateDocument, ReportsEveryError) {
+  const auto errors = ValidateDocument(
       R"({"bared":[],"barred":[""],"drain":3,"zone_only":{"h":1},"settings":{"Classes":[
           {"Name":"a","Effect":"odd","Deadline":0},{"Name":"a"},{}],
           "Tenants":[{"Name":"t","QuotaPerS":-1}],"Allowed":{"SendCap":0}}})");
-  EXPECT_EQ(faults.size(), 10U);
+  EXPECT_EQ(errors.size(), 10U);
   for (const char* const text : {"", "[]", "{\"barred\":"}) {
     EXPECT_EQ(ValidateDocument(text).size(), 1U);
   }
