--- a/src/cluster/delta.cpp
+++ b/src/cluster/delta.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-constexpr const char* kResultFaultPrefix = "the version that it makes: ";
+constexpr const char* kResultErrorPrefix = "the version that it makes: ";
 
 void ApplyHosts(const json& delta, const char* key, PersistentMap& hosts) {
   const auto change = delta.find(key);
@@ -39,14 +39,14 @@
   }
 }
 
-// Adds the faults of the items that it makes to `faults`, here and below.
+// This and the following functions append the errors of the resulting items to `errors`.
 void ApplyNamedList(const std::string& key, const json& patch, std::optional<PersistentMap>& list,
-                    std::vector<std::string>& faults) {
+                    std::vector<std::string>& errors) {
   if (patch.is_null()) {
     list.reset();
     return;
   }
-  // To remove items from a list that is not there does not make an empty one.
+  // Removing items from an absent list does not create an empty one.
   const bool only_removes =
       !patch.empty() && std::ranges::all_of(patch, [](const json& item) { return item.is_null(); });
   if (!list && only_removes) {
@@ -64,37 +64,37 @@
     json item = existing != nullptr ? json::parse(existing->text) : json{{"Name", name}};
     item.merge_patch(change);
     std::string path = "settings.";
-    ValidateNamedObject(path.append(key).append(".").append(name), item, faults);
+    ValidateNamedObject(path.append(key).append(".").append(name), item, errors);
     list->Set(name, DumpJson(item));
   }
 }
 
 void SetSetting(const std::string& key, const json& value, VersionContent& content,
-                std::vector<std::string>& faults) {
+                std::vector<std::string>& errors) {
   if (key == kAllowedKey) {
-    ValidateAllowed(value, faults);
+    ValidateAllowed(value, errors);
   }
   content.settings.Set(key, DumpJson(value));
 }
 
-void MergeSettings(const json& delta, VersionContent& content, std::vector<std::string>& faults) {
+void MergeSettings(const json& delta, VersionContent& content, std::vector<std::string>& errors) {
   const json patches = delta.value(kSettingsKey, json::object());
   for (const auto& [key, patch] : patches.items()) {
     if (IsNamedList(key)) {
-      ApplyNamedList(key, patch, *content.NamedList(key), faults);
+      ApplyNamedList(key, patch, *content.NamedList(key), errors);
     } else if (patch.is_null()) {
       content.settings.Remove(key);
     } else {
       const MapEntry* const existing = content.settings.Find(key);
       json value = existing != nullptr ? json::parse(existing->text) : json();
       value.merge_patch(patch);
-      SetSetting(key, value, content, faults);
+      SetSetting(key, value, content, errors);
     }
   }
 }
 
-// Throws std::invalid_argument for a named list with faults.
-void ReplaceSettings(const json& delta, VersionContent& content, std::vector<std::string>& faults) {
+// Throws std::invalid_argument if a named list is invalid.
+void ReplaceSettings(const json& delta, VersionContent& content, std::vector<std::string>& errors) {
   const json values = delta.value(kReplaceKey, json::object());
   for (const auto& [key, value] : values.items()) {
     if (IsNamedList(key)) {
@@ -102,7 +102,7 @@
       document.settings[key] = value;
       *content.NamedList(key) = *VersionContent(document).NamedList(key);
     } else {
-      SetSetting(key, value, content, faults);
+      SetSetting(key, value, content, errors);
     }
   }
 }
@@ -110,27 +110,27 @@
 }  // namespace
 
 VersionContent ApplyDelta(VersionContent base, std::string_view text) {
-  std::vector<std::string> faults;
-  nlohmann::json delta = ParseDelta(text, faults);
-  if (!faults.empty()) {
-    throw std::invalid_argument(faults.front());
+  std::vector<std::string> errors;
+  nlohmann::json delta = ParseDelta(text, errors);
+  if (!errors.empty()) {
+    throw std::invalid_argument(errors.front());
   }
   VersionContent content = std::move(base);
   try {
-    MergeSettings(delta, content, faults);
-    ReplaceSettings(delta, content, faults);
-  } catch (const std::invalid_argument& fault) {
-    throw std::invalid_argument(kResultFaultPrefix + std::string(fault.what()));
+    MergeSettings(delta, content, errors);
+    ReplaceSettings(delta, content, errors);
+  } catch (const std::invalid_argument& error) {
+    throw std::invalid_argument(kResultErrorPrefix + std::string(error.what()));
   }
   ApplyHosts(delta, kExcludedKey, content.excluded);
   ApplyHosts(delta, kDrainingKey, content.draining);
   ApplyZones(delta, content.zone_only);
-  // Parts that the delta does not name were validated in the version that made them.
-  if (faults.empty()) {
-    faults = ValidateSize(TextBytes(content), kMaxVersionBytes);
+  // Parts that the delta does not contain were validated when they were set.
+  if (errors.empty()) {
+    errors = ValidateSize(TextBytes(content), kMaxVersionBytes);
   }
-  if (!faults.empty()) {
-    throw std::invalid_argument(kResultFaultPrefix + faults.front());
+  if (!errors.empty()) {
+    throw std::invalid_argument(kResultErrorPrefix + errors.front());
   }
   return content;
 }
--- a/src/cluster/delta_difference.cpp
+++ b/src/cluster/delta_difference.cpp
@@ -1,4 +1,4 @@
-// ComputeDelta: what differs between two versions, as a delta.
+// ComputeDelta(): computes the difference between two versions as a delta.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -11,12 +11,13 @@
 
 using nlohmann::json;
 
-// Equal as a version's text is: 5 and 5.0 are one number, and two texts.
+// Whether two values have the same text in a version. 5 and 5.0 are equal as JSON values, but have
+// different texts.
 bool HasSameText(const json& a, const json& b) {
   return a == b && DumpJson(a) == DumpJson(b);
 }
 
-// Whether a merge patch (RFC 7396) can set this value: in one, null removes.
+// Whether a merge patch (RFC 7396) can set this value. It cannot set null, which means removal.
 bool CanSetByPatch(const json& value) {
   if (value.is_null()) {
     return false;
@@ -25,7 +26,8 @@
          std::ranges::all_of(value, [](const json& inner) { return CanSetByPatch(inner); });
 }
 
-// The merge patch from one value to another; nothing where there is none.
+// Returns the merge patch from one value to another, or std::nullopt if no merge patch can make
+// that change.
 std::optional<json> MergePatch(const json& from, const json& to) {
   if (!from.is_object() || !to.is_object()) {
     return CanSetByPatch(to) ? std::optional(to) : std::nullopt;
@@ -62,8 +64,8 @@
   return names;
 }
 
-// The patch of one item of a named list; nothing where there is none. `before` is null for a new
-// item, whose name is the patch's key.
+// Returns the patch of one item of a named list, or std::nullopt if no patch can make the change.
+// `before` is null for a new item; its name is omitted, because it is the patch's key.
 std::optional<json> NamedItemPatch(const std::string* before, const std::string& after) {
   json item = json::parse(after);
   if (before != nullptr) {
@@ -73,8 +75,8 @@
   return CanSetByPatch(item) ? std::optional(std::move(item)) : std::nullopt;
 }
 
-// The patch of a named list; nothing where there is none, or where applying it would leave the
-// items in another order.
+// Returns the patch of a named list, or std::nullopt if no patch can make the change or if applying
+// it would result in another order of the items.
 std::optional<json> NamedListPatch(const PersistentMap& from, const PersistentMap& to) {
   json patch = json::object();
   bool has_patch = true;
@@ -110,7 +112,7 @@
 // The two objects of a delta that change settings.
 struct SettingsDifference {
   json patches = json::object();   // under kSettingsKey
-  json replaced = json::object();  // under kReplaceKey: what no merge patch makes
+  json replaced = json::object();  // under kReplaceKey: values that no merge patch can produce
 };
 
 void AddSettingsDifference(const VersionContent& from, const VersionContent& to,
@@ -185,16 +187,16 @@
     AddNamedListDifference(key, *from.NamedList(key), *to.NamedList(key), settings);
   }
   json delta = json::object();
-  const auto add_if_any = [&](const char* key, json value) {
+  const auto add_unless_empty = [&](const char* key, json value) {
     if (!value.empty()) {
       delta[key] = std::move(value);
     }
   };
-  add_if_any(kSettingsKey, std::move(settings.patches));
-  add_if_any(kReplaceKey, std::move(settings.replaced));
-  add_if_any(kExcludedKey, HostsDifference(from.excluded, to.excluded));
-  add_if_any(kDrainingKey, HostsDifference(from.draining, to.draining));
-  add_if_any(kZoneOnlyKey, ZonesDifference(from.zone_only, to.zone_only));
+  add_unless_empty(kSettingsKey, std::move(settings.patches));
+  add_unless_empty(kReplaceKey, std::move(settings.replaced));
+  add_unless_empty(kExcludedKey, HostsDifference(from.excluded, to.excluded));
+  add_unless_empty(kDrainingKey, HostsDifference(from.draining, to.draining));
+  add_unless_empty(kZoneOnlyKey, ZonesDifference(from.zone_only, to.zone_only));
   return DumpJson(delta);
 }
 
--- a/src/cluster/delta_validation.cpp
+++ b/src/cluster/delta_validation.cpp
@@ -13,48 +13,48 @@
 
 using nlohmann::json;
 
-constexpr int kMaxNesting = 32;
+constexpr int kMaxNestingDepth = 32;
 
-void ValidateKeys(const json& delta, std::vector<std::string>& faults) {
+void ValidateKeys(const json& delta, std::vector<std::string>& errors) {
   constexpr std::array kKeys = {kSettingsKey, kReplaceKey, kExcludedKey, kDrainingKey,
                                 kZoneOnlyKey};
   for (const auto& [key, value] : delta.items()) {
     if (std::ranges::find(kKeys, std::string_view(key)) == kKeys.end()) {
-      faults.push_back(key + ": expected settings, replace, barred, drain or zone_only");
+      errors.push_back(key + ": expected settings, replace, barred, drain or zone_only");
     }
   }
 }
 
-void ValidateHosts(const json& delta, const char* key, std::vector<std::string>& faults) {
+void ValidateHosts(const json& delta, const char* key, std::vector<std::string>& errors) {
   const auto hosts = delta.find(key);
   if (hosts == delta.end()) {
     return;
   }
   if (!hosts->is_object()) {
-    faults.push_back(std::string(key) + ": expected an object of add and remove");
+    errors.push_back(std::string(key) + ": expected an object of add and remove");
     return;
   }
-  std::set<std::string> seen;
+  std::set<std::string> seen_ids;
   for (const auto& [action, ids] : hosts->items()) {
     const std::string path = std::string(key) + "." + action;
     if (action != "add" && action != "remove") {
-      faults.push_back(path + ": expected add or remove");
+      errors.push_back(path + ": expected add or remove");
       continue;
     }
     if (!IsHostIdList(ids)) {
-      faults.push_back(path + ": expected a list of hosts' ids");
+      errors.push_back(path + ": expected a list of hosts' ids");
       continue;
     }
     for (const json& id : ids) {
-      if (!seen.insert(id).second) {
-        faults.push_back(path + ": '" + id.get<std::string>() +
+      if (!seen_ids.insert(id).second) {
+        errors.push_back(path + ": '" + id.get<std::string>() +
                          "' a second time, expected each once");
       }
     }
   }
 }
 
-void ValidateZones(const json& delta, std::vector<std::string>& faults) {
+void ValidateZones(const json& delta, std::vector<std::string>& errors) {
   const auto zones = delta.find(kZoneOnlyKey);
   if (zones == delta.end()) {
     return;
@@ -63,68 +63,68 @@
                           return zone.is_string() || zone.is_null();
                         });
   if (!is_valid) {
-    faults.emplace_back("zone_only: expected an object of host to zone, or to null");
+    errors.emplace_back("zone_only: expected an object of host to zone, or to null");
   }
 }
 
 void ValidateNamedListPatch(const std::string& key, const json& patch,
-                            std::vector<std::string>& faults) {
+                            std::vector<std::string>& errors) {
   if (patch.is_null()) {
     return;
   }
   const std::string list_path = "settings." + key;
   if (!patch.is_object()) {
-    faults.push_back(list_path + ": expected an object of name to what it changes");
+    errors.push_back(list_path + ": expected an object of name to what it changes");
     return;
   }
   for (const auto& [name, item] : patch.items()) {
     std::string path = list_path;
     path.append(".").append(name);
     if (!item.is_object() && !item.is_null()) {
-      faults.push_back(path + ": expected an object, or null to remove it");
+      errors.push_back(path + ": expected an object, or null to remove it");
     } else if (item.is_object() && item.contains("Name")) {
-      faults.push_back(path + ".Name: expected none, the key is the name");
+      errors.push_back(path + ".Name: expected none, the key is the name");
     }
   }
 }
 
-void ValidateSettings(const json& delta, std::vector<std::string>& faults) {
+void ValidateSettings(const json& delta, std::vector<std::string>& errors) {
   const auto settings = delta.find(kSettingsKey);
   if (settings == delta.end()) {
     return;
   }
   if (!settings->is_object()) {
-    faults.emplace_back("settings: expected an object");
+    errors.emplace_back("settings: expected an object");
     return;
   }
   for (const auto& [key, patch] : settings->items()) {
     if (IsNamedList(key)) {
-      ValidateNamedListPatch(key, patch, faults);
+      ValidateNamedListPatch(key, patch, errors);
     }
   }
 }
 
-void ValidateReplace(const json& delta, std::vector<std::string>& faults) {
+void ValidateReplace(const json& delta, std::vector<std::string>& errors) {
   const auto replace = delta.find(kReplaceKey);
   if (replace == delta.end()) {
     return;
   }
   if (!replace->is_object()) {
-    faults.emplace_back("replace: expected an object of keys of the settings");
+    errors.emplace_back("replace: expected an object of keys of the settings");
     return;
   }
   const auto settings = delta.find(kSettingsKey);
   for (const auto& [key, value] : replace->items()) {
     if (settings != delta.end() && settings->is_object() && settings->contains(key)) {
-      faults.push_back("replace." + key + ": in settings too, expected in one of them");
+      errors.push_back("replace." + key + ": in settings too, expected in one of them");
     }
   }
 }
 
-// How deep the text's brackets are nested, outside of strings.
-int NestingOf(std::string_view text) {
-  int nesting = 0;
-  int max_nesting = 0;
+// Returns the maximum nesting depth of the brackets outside of strings in `text`.
+int MaxNestingDepth(std::string_view text) {
+  int depth = 0;
+  int max_depth = 0;
   bool in_string = false;
   for (size_t i = 0; i < text.size(); ++i) {
     const char character = text[i];
@@ -138,45 +138,45 @@
     } else if (character == '"') {
       in_string = true;
     } else if (character == '{' || character == '[') {
-      max_nesting = std::max(max_nesting, ++nesting);
+      max_depth = std::max(max_depth, ++depth);
     } else if (character == '}' || character == ']') {
-      --nesting;
+      --depth;
     }
   }
-  return max_nesting;
+  return max_depth;
 }
 
 }  // namespace
 
-json ParseDelta(std::string_view text, std::vector<std::string>& faults) {
+json ParseDelta(std::string_view text, std::vector<std::string>& errors) {
   if (text.size() > kMaxDeltaBytes) {
-    faults = {"a delta of " + std::to_string(text.size()) + " bytes, expected " +
+    errors = {"a delta of " + std::to_string(text.size()) + " bytes, expected " +
               std::to_string(kMaxDeltaBytes) + " at most"};
     return {};
   }
-  // Before it is parsed: the parser's own callback at each depth goes through all siblings.
-  if (NestingOf(text) > kMaxNesting) {
-    faults = {"nested more than " + std::to_string(kMaxNesting) + " deep, expected less"};
+  // Checked before parsing: the parser's callback for each depth would iterate over all siblings.
+  if (MaxNestingDepth(text) > kMaxNestingDepth) {
+    errors = {"nested more than " + std::to_string(kMaxNestingDepth) + " deep, expected less"};
     return {};
   }
   json delta = json::parse(text, nullptr, false);
   if (delta.is_discarded() || !delta.is_object()) {
-    faults = {"expected one JSON object"};
+    errors = {"expected one JSON object"};
     return {};
   }
-  ValidateKeys(delta, faults);
-  ValidateHosts(delta, kExcludedKey, faults);
-  ValidateHosts(delta, kDrainingKey, faults);
-  ValidateZones(delta, faults);
-  ValidateSettings(delta, faults);
-  ValidateReplace(delta, faults);
+  ValidateKeys(delta, errors);
+  ValidateHosts(delta, kExcludedKey, errors);
+  ValidateHosts(delta, kDrainingKey, errors);
+  ValidateZones(delta, errors);
+  ValidateSettings(delta, errors);
+  ValidateReplace(delta, errors);
   return delta;
 }
 
 std::vector<std::string> ValidateDelta(std::string_view text) {
-  std::vector<std::string> faults;
-  ParseDelta(text, faults);
-  return faults;
+  std::vector<std::string> errors;
+  ParseDelta(text, errors);
+  return errors;
 }
 
 }  // namespace paddlestile::cluster
--- a/src/cluster/delta_validation.h
+++ b/src/cluster/delta_validation.h
@@ -1,4 +1,4 @@
-// Reading a delta's text. No I/O.
+// Parses and validates a delta's text. No I/O.
 #ifndef PADDLESTILE_CLUSTER_DELTA_VALIDATION_H_
 #define PADDLESTILE_CLUSTER_DELTA_VALIDATION_H_
 
@@ -9,8 +9,9 @@
 
 namespace paddlestile::cluster {
 
-// The delta of a text: an object, where no fault is added. `faults`: as of ValidateDelta.
-nlohmann::json ParseDelta(std::string_view text, std::vector<std::string>& faults);
+// Parses a delta and stores all its errors, formatted as by ValidateDelta(), in `errors`, which
+// must be empty. Returns a JSON object if there are no errors.
+nlohmann::json ParseDelta(std::string_view text, std::vector<std::string>& errors);
 
 }  // namespace paddlestile::cluster
 
