--- a/src/cluster/contradictions.cpp
+++ b/src/cluster/contradictions.cpp
@@ -1,5 +1,6 @@
-// Which versions two gateways must not act on at a time, and what may be done while that is open.
-// docs/bank.md has the table; all rules are here.
+// Determines which versions two gateways must not act on at the same time, and what a gateway may
+// do while it does not know which version the others act on. All of these rules are in this file;
+// docs/bank.md has them as a table.
 #include <algorithm>
 #include <optional>
 
@@ -17,14 +18,15 @@
 constexpr const char* kQuotaKey = "QuotaPerS";
 constexpr const char* kSendCapKey = "SendCap";
 
-// The index in kIdempotencyLevels: the higher, the stricter. An unknown one is the strictest.
+// Returns the index in kIdempotencyLevels; higher is stricter. An unknown value counts as the
+// strictest one.
 size_t IdempotencyLevelOf(const json& traffic_class) {
   const auto level = std::ranges::find(kIdempotencyLevels, traffic_class.value(kEffectKey, "safe"));
   const auto index = static_cast<size_t>(level - kIdempotencyLevels.begin());
   return std::min(index, kIdempotencyLevels.size() - 1);
 }
 
-// In milliseconds; a class without one has none.
+// Returns the deduplication window in milliseconds; 0 for a class without one.
 double DeduplicationWindowOf(const json& traffic_class) {
   return traffic_class.value(kWindowKey, 0.0);
 }
@@ -33,7 +35,8 @@
   return tenant.value(kQuotaKey, 0.0);
 }
 
-// The most attempts of a request; nothing: the platform's file decides.
+// Returns the maximum number of attempts per request, or std::nullopt if the platform's file
+// decides.
 std::optional<json> AttemptLimitOf(const VersionContent& content) {
   const MapEntry* const allowed = content.settings.Find(kAllowedKey);
   if (allowed == nullptr) {
@@ -44,8 +47,9 @@
   return limit == value.end() ? std::nullopt : std::optional<json>(*limit);
 }
 
-// each(name, item of a, item of b) for the items that are in both lists and differ. An item of one
-// list alone cannot contradict: where it is missing, its requests are rejected.
+// Calls each(name, item of a, item of b) for the items that are in both lists and differ. An item
+// that is in only one list causes no contradiction, because a gateway without it rejects its
+// requests.
 template <typename Each>
 void ForEachChangedItem(const std::optional<PersistentMap>& a,
                         const std::optional<PersistentMap>& b, Each&& each) {
@@ -70,7 +74,8 @@
   }
 }
 
-// Where one version alone has the list, the other acts on the platform's, which is not known here.
+// If only one version has the list, the other one relies on the platform's, which is not known
+// here.
 void CompareListPresence(const std::optional<PersistentMap>& a,
                          const std::optional<PersistentMap>& b, const char* key,
                          std::vector<std::string>& reasons) {
@@ -107,7 +112,7 @@
       });
 }
 
-// ---- The stricter of two ----------------------------------------------------------------------
+// ---- Stricter version -------------------------------------------------------------------------
 
 void AddHosts(const PersistentMap& added, PersistentMap& hosts) {
   const PersistentMap before = hosts;
@@ -120,12 +125,12 @@
       });
 }
 
-// `stricter` begins as a copy of `b` here and below.
+// In this and the following functions, `stricter` is initially a copy of `b`.
 void RestrictZones(const VersionContent& a, const VersionContent& b, VersionContent& stricter) {
   PersistentMap::ForEachDifference(
       a.zone_only, b.zone_only,
       [&](const std::string& host, const std::string* zone_in_a, const std::string* zone_in_b) {
-        // A host that each keeps for another zone is for none.
+        // If the versions reserve a host for different zones, no zone may use it.
         if (zone_in_a != nullptr && zone_in_b != nullptr) {
           stricter.excluded.Set(host, DumpJson(host));
         }
@@ -188,7 +193,8 @@
   const std::optional<json> limit_in_a = AttemptLimitOf(a);
   const std::optional<json> limit_in_b = AttemptLimitOf(b);
   VersionContent stricter = b;
-  // Where the platform's file decides for one of them, nothing is retried until that is settled.
+  // If the platform's file decides for only one of them, requests are not retried until one version
+  // is in force.
   stricter.strict = a.strict || b.strict || a.classes.has_value() != b.classes.has_value() ||
                     limit_in_a.has_value() != limit_in_b.has_value();
   AddHosts(a.excluded, stricter.excluded);
--- a/src/cluster/version_content.cpp
+++ b/src/cluster/version_content.cpp
@@ -13,13 +13,13 @@
 
 using nlohmann::json;
 
-// ---- From and to documents --------------------------------------------------------------------
+// ---- Conversion from and to documents ---------------------------------------------------------
 
 PersistentMap ReadNamedList(const std::string& key, const json& list) {
-  std::vector<std::string> faults;
-  ValidateNamedList("settings." + key, list, faults);
-  if (!faults.empty()) {
-    throw std::invalid_argument(faults.front());
+  std::vector<std::string> errors;
+  ValidateNamedList("settings." + key, list, errors);
+  if (!errors.empty()) {
+    throw std::invalid_argument(errors.front());
   }
   std::vector<MapEntry> entries;
   entries.reserve(list.size());
@@ -84,7 +84,7 @@
   bool is_first_ = true;
 };
 
-// The settings with the named lists among them, in the order of all keys.
+// Writes the settings, including the named lists, in the order of their keys.
 void WriteSettings(const VersionContent& content, std::string& text) {
   std::map<std::string_view, std::string> lists;
   for (const char* const key : kNamedListKeys) {
@@ -106,7 +106,7 @@
   object.End();
 }
 
-// The bytes of `count` values with commas between them, in brackets.
+// Returns the size of `count` values with commas between them and brackets around them.
 size_t BracketedBytes(size_t count, size_t value_bytes) {
   const size_t commas = count > 0 ? count - 1 : 0;
   return value_bytes + commas + 2;
@@ -116,7 +116,7 @@
   return BracketedBytes(entries.size(), entries.text_bytes());
 }
 
-// Of names, colons and values.
+// Returns the total size of the names, colons and values.
 size_t FieldBytes(const PersistentMap& entries) {
   return entries.size() + entries.name_bytes() + entries.text_bytes();
 }
@@ -210,7 +210,7 @@
 }
 
 std::string HashOf(const VersionContent& content) {
-  // The order is that of all members, and must stay.
+  // All members must hash the parts in the same order, so it must not change.
   std::vector<uint64_t> values;
   const auto add = [&](const PersistentMap& entries) {
     values.insert(values.end(), {1, entries.size(), entries.hash().high, entries.hash().low});
--- a/src/cluster/version_content.h
+++ b/src/cluster/version_content.h
@@ -1,5 +1,6 @@
-// A version's content as histories and gateways hold it: maps of keyed parts that copies share. A
-// copy costs nothing, a change what it changes, a comparison of two versions what differs. No I/O.
+// A version's content as used by histories and gateways: persistent maps of keyed parts, which
+// copies share. Copying is cheap, and the cost of a change or a comparison depends on the changed
+// or different parts only. No I/O.
 #ifndef PADDLESTILE_CLUSTER_VERSION_CONTENT_H_
 #define PADDLESTILE_CLUSTER_VERSION_CONTENT_H_
 
@@ -14,46 +15,48 @@
 
 namespace paddlestile::cluster {
 
-// Each entry's text is the JSON value that the document has for it.
+// The text of each map entry is its JSON value in the document.
 struct VersionContent {
   VersionContent() = default;
-  // Costs the document's size. Throws std::invalid_argument for a faulty list of named objects.
-  // NOLINTNEXTLINE(google-explicit-constructor): the same in another form
+  // The cost is linear in the document's size. Throws std::invalid_argument if a list of named
+  // objects is invalid.
+  // NOLINTNEXTLINE(google-explicit-constructor): equivalent representation of the document
   VersionContent(const ConfigDocument& document);
-  // Costs the content's size.
+  // The cost is linear in the content's size.
   [[nodiscard]] ConfigDocument ToDocument() const;
 
-  // `classes` or `tenants`, by its key in the settings; null for any other key.
+  // Returns `classes` or `tenants` given its key in the settings; null for any other key.
   [[nodiscard]] std::optional<PersistentMap>* NamedList(std::string_view settings_key);
   [[nodiscard]] const std::optional<PersistentMap>* NamedList(std::string_view settings_key) const;
 
-  PersistentMap settings;                // by key, without those of the named lists
-  std::optional<PersistentMap> classes;  // by name; nothing: the platform's file decides
-  std::optional<PersistentMap> tenants;  // by name; nothing: the platform's file decides
-  PersistentMap excluded, draining;      // by host id
-  PersistentMap zone_only;               // by host id: the zone
+  PersistentMap settings;                // by key, without the named lists
+  std::optional<PersistentMap> classes;  // by name; nullopt: the platform's file decides
+  std::optional<PersistentMap> tenants;  // by name; nullopt: the platform's file decides
+  PersistentMap excluded, draining;      // by host ID
+  PersistentMap zone_only;               // zone by host ID
   bool strict = false;                   // as in ConfigDocument
 
-  // Equal whatever the order of the named lists.
+  // Ignores the order of the named lists.
   bool operator==(const VersionContent&) const = default;
 };
 
-// The canonical text of its document; costs the content's size.
+// Returns the canonical text of the content's document. The cost is linear in the content's size.
 std::string ToText(const VersionContent& content);
-// The size of that text, whose making it does not need.
+// Returns the size of that text without building it.
 size_t TextBytes(const VersionContent& content);
-// Of the parts, whatever the order of the named lists: 'p' and 32 hexadecimal digits. Costs the
-// same for any size.
+// Returns the hash of the parts, which ignores the order of the named lists, as 'p' and 32
+// hexadecimal digits. The cost is independent of the content's size.
 std::string HashOf(const VersionContent& content);
 
-// Why two gateways must not act on `a` and `b` at a time, a line for each reason; empty: they may,
-// and a change from one to the other comes into force at once.
+// Returns the reasons why two gateways must not act on `a` and `b` at the same time, one line each.
+// If there are none, a change from one to the other comes into force immediately.
 std::vector<std::string> Contradictions(const VersionContent& a, const VersionContent& b);
 
-// What contradicts neither: the stricter of the two in each part.
+// Returns content that contradicts neither `a` nor `b`: the stricter of the two in each part.
 VersionContent StricterOf(const VersionContent& a, const VersionContent& b);
 
-// What contradicts no version that may follow, but for hosts that it may exclude.
+// Returns content that contradicts no possible later version, except for hosts that such a version
+// may exclude.
 VersionContent StrictestFor(const VersionContent& content);
 
 }  // namespace paddlestile::cluster
--- a/tests/cluster/version_content_test.cpp
+++ b/tests/cluster/version_content_test.cpp
@@ -1,4 +1,4 @@
-// The text, the size and the hash of a version's content, and what a change of it costs.
+// Tests the text, size and hash of a version's content, and the cost of changing it.
 #include "cluster/version_content.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +14,9 @@
 using testing::TenantName;
 using testing::TenantQuotas;
 
-// Each part of a version's content changes its hash, and the order of its lists does not: members
-// that came to one content by different ways must agree.
-TEST(VersionContent, HashDependsOnEachPartAndNoOrder) {
+// The hash depends on each part of a version's content, but not on the order of its lists. Members
+// that arrived at the same content by different changes must have the same hash.
+TEST(VersionContent, HashDependsOnAllPartsButNotOnOrder) {
   const std::string texts[] = {
       "{}",
       R"({"barred":["h"]})",
@@ -47,9 +47,9 @@
   EXPECT_NE(ToText(reordered), ToText(ParseDocument(texts[9])));
 }
 
-// Keys of the settings stand in their order, the lists among them: another order is another text,
-// and a version's text is what operators and older programs read.
-TEST(VersionContent, WritesTheTextOfItsDocument) {
+// The keys of the settings are sorted, including those of the named lists. Another order would be a
+// different text, and operators and older builds read a version's text.
+TEST(VersionContent, TextEqualsThatOfItsDocument) {
   const ConfigDocument document = ParseDocument(
       R"({"settings":{"Zone":1,"Tenants":[{"Name":"q\"\u00e9"}],"Classes":[{"Name":"z"},
           {"Name":"a"}],"Allowed":{"SendCap":2},"D":{"x":null},"A":3,"U\n":-0.0},"barred":["b","a"],
@@ -59,19 +59,20 @@
   EXPECT_EQ(VersionContent(document).ToDocument(), document);
 }
 
-// At 240,000 tenants, to copy, read, write or compare all of a version takes a second of a
-// gateway's loop. Here 64 times as many may cost 16 times as much: the list of chunks grows, and
-// none of their entries is looked at.
-TEST(VersionContent, ChangeCostsWhatItChanges) {
+// With 240,000 tenants, copying, parsing, writing or comparing an entire version would block a
+// gateway's event loop for a second. 64 times as many tenants may cost up to 16 times as much here,
+// because the list of chunks grows; the entries of unchanged chunks must not be visited.
+TEST(VersionContent, CostDependsOnTheChangeOnly) {
   double least_us[2] = {};
   for (const bool large : {false, true}) {
     const size_t tenants = large ? 64 * 1000 : 1000;
     const VersionContent base = TenantQuotas(tenants);
-    int turn = 0;
+    int iteration = 0;
     least_us[large ? 1 : 0] = LeastMicroseconds([&] {
       VersionContent next = base;
-      const size_t at = static_cast<size_t>(++turn) * 7919 % tenants;
-      next.tenants->Set(TenantName(at), R"({"Name":")" + TenantName(at) + R"(","QuotaPerS":0.5})");
+      const size_t tenant = static_cast<size_t>(++iteration) * 7919 % tenants;
+      next.tenants->Set(TenantName(tenant),
+                        R"({"Name":")" + TenantName(tenant) + R"(","QuotaPerS":0.5})");
       EXPECT_EQ(Contradictions(base, next).size(), 1U);
       const VersionContent stricter = StricterOf(base, next);
       EXPECT_NE(stricter, base);
