--- a/src/cluster/persistent_map.cpp
+++ b/src/cluster/persistent_map.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 PersistentMap::Hash128 HashOf(const MapEntry& entry) {
-  // The name's hash seeds the text's, so that it matters where the name ends.
+  // The name's hash seeds the text's hash, so that the boundary between name and text matters.
   const uint64_t seed = XXH3_64bits(entry.name.data(), entry.name.size());
   const XXH128_hash_t hash = XXH3_128bits_withSeed(entry.text.data(), entry.text.size(), seed);
   return {hash.high64, hash.low64};
@@ -22,12 +22,12 @@
   return DumpJson(name).size();
 }
 
-// The entry of this name in a chunk, or where it would be.
+// Returns the position of the entry with this name in a chunk, or where it would be inserted.
 template <typename Entries>
 auto LowerBound(Entries& chunk, std::string_view name) {
   return std::lower_bound(chunk.begin(), chunk.end(), name,
-                          [](const MapEntry& entry, std::string_view wanted) {
-                            return entry.name.compare(wanted) < 0;
+                          [](const MapEntry& entry, std::string_view searched_name) {
+                            return entry.name.compare(searched_name) < 0;
                           });
 }
 
@@ -126,7 +126,7 @@
   if (chunk.size() <= kMaxChunkEntries) {
     return;
   }
-  // Entries that come in the order of their names, as from a list that is read, leave full chunks.
+  // If entries are added in the order of their names, as when reading a list, chunks stay full.
   const bool is_last = index + 1 == all.size() && entry + 1 == chunk.end();
   SplitChunk(all, index, is_last ? chunk.end() - 1 : chunk.begin() + kMaxChunkEntries / 2);
 }
@@ -134,10 +134,10 @@
 void PersistentMap::SplitChunk(Chunks& chunks, size_t index,
                                std::vector<MapEntry>::iterator first) {
   std::vector<MapEntry>& chunk = *chunks[index];
-  auto rest = std::make_shared<std::vector<MapEntry>>(std::make_move_iterator(first),
-                                                      std::make_move_iterator(chunk.end()));
+  auto new_chunk = std::make_shared<std::vector<MapEntry>>(std::make_move_iterator(first),
+                                                           std::make_move_iterator(chunk.end()));
   chunk.erase(first, chunk.end());
-  chunks.insert(chunks.begin() + static_cast<long>(index) + 1, std::move(rest));
+  chunks.insert(chunks.begin() + static_cast<long>(index) + 1, std::move(new_chunk));
 }
 
 void PersistentMap::Remove(std::string_view name) {
--- a/src/cluster/persistent_map.h
+++ b/src/cluster/persistent_map.h
@@ -1,11 +1,12 @@
-// A map from name to text whose copies share what they have in common: a copy costs a pointer, a
-// change one chunk and the list of chunks, and two maps of one origin are compared by the chunks
-// that differ. No I/O.
+// A persistent map from name to text, whose copies share their common parts. Copying a map costs a
+// pointer, a change costs one chunk and the list of chunks, and comparing two maps with a common
+// origin costs only the chunks that differ. No I/O.
 //
-// Sorted chunks of entries, copied on write: the leaves of a persistent B-tree (Driscoll, Sarnak,
-// Sleator and Tarjan 1989) under one root. 2,000 chunks of 128 hold the 240,000 entries to plan
-// for. The hash is the sum of the entries' hashes (AdHash, Bellare and Micciancio 1997), so that a
-// change costs its own entry; it protects against accidents, not against forgery.
+// The entries are in sorted chunks that are copied on write, like the leaves of a persistent B-tree
+// (Driscoll, Sarnak, Sleator and Tarjan 1989) under a single root. About 2,000 chunks of up to 128
+// entries hold the 240,000 entries that the map is designed for. The hash is the sum of the
+// entries' hashes (AdHash, Bellare and Micciancio 1997), so that a change costs only its own entry.
+// It protects against accidental differences, not against forgery.
 #ifndef PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
 #define PADDLESTILE_CLUSTER_PERSISTENT_MAP_H_
 
@@ -21,7 +22,7 @@
 struct MapEntry {
   std::string name;
   std::string text;    // a JSON value
-  uint64_t order = 0;  // position in the list that the entries came from; not compared, not hashed
+  uint64_t order = 0;  // position in the original list; neither compared nor hashed
 };
 
 class PersistentMap {
@@ -29,33 +30,34 @@
   static constexpr size_t kMaxChunkEntries = 128;
 
   PersistentMap() = default;
-  // Numbers the entries in the order in which they are given. No two may have one name.
+  // Numbers the entries in the given order. Their names must be unique.
   explicit PersistentMap(std::vector<MapEntry> entries);
 
   struct Hash128 {
     uint64_t high = 0, low = 0;
     bool operator==(const Hash128&) const = default;
-    Hash128& operator+=(const Hash128& other);  // each half modulo 2^64
+    Hash128& operator+=(const Hash128& other);  // adds each half modulo 2^64
     Hash128& operator-=(const Hash128& other);
   };
 
   [[nodiscard]] size_t size() const { return size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
-  // Of all texts, and of all names as JSON strings.
+  // Total size of all texts, and of all names as JSON strings.
   [[nodiscard]] size_t text_bytes() const { return text_bytes_; }
   [[nodiscard]] size_t name_bytes() const { return name_bytes_; }
-  // The sum over the entries, whatever their order.
+  // Sum of the entries' hashes; independent of their order.
   [[nodiscard]] const Hash128& hash() const { return hash_; }
 
-  // Null where there is none of that name. Valid until the next change of this map.
+  // Returns the entry with this name, or null. The pointer is valid until the next change of this
+  // map.
   [[nodiscard]] const MapEntry* Find(std::string_view name) const;
   [[nodiscard]] bool contains(std::string_view name) const { return Find(name) != nullptr; }
-  // An existing entry keeps its order, a new one comes last.
+  // Adds or replaces an entry. An existing entry keeps its order; a new one becomes the last.
   void Set(std::string_view name, std::string text);
-  // Does nothing where there is none of that name.
+  // Has no effect if there is no entry with this name.
   void Remove(std::string_view name);
 
-  // each(entry), by name.
+  // Calls each(entry) for all entries, sorted by name.
   template <typename Each>
   void ForEach(Each&& each) const {
     for (const Chunk& chunk : chunks()) {
@@ -64,14 +66,15 @@
       }
     }
   }
-  // By MapEntry::order.
+  // Returns all entries, sorted by MapEntry::order.
   [[nodiscard]] std::vector<const MapEntry*> EntriesInOrder() const;
 
-  // each(name, text in a, text in b), by name, for the names whose texts differ; null: not there.
+  // Calls each(name, text in a, text in b), sorted by name, for all names whose texts differ. The
+  // text is null if the map has no such entry.
   template <typename Each>
   static void ForEachDifference(const PersistentMap& a, const PersistentMap& b, Each&& each);
 
-  // The same names with the same texts.
+  // Whether the maps have the same names with the same texts.
   friend bool operator==(const PersistentMap& a, const PersistentMap& b) {
     if (a.size_ != b.size_ || a.hash_ != b.hash_) {
       return false;
@@ -82,12 +85,12 @@
   }
 
  private:
-  // Entries by name. A chunk or list of chunks that another map holds too is copied before it is
-  // changed.
+  // Entries sorted by name. A chunk or list of chunks that is shared with another map is copied
+  // before it is changed.
   using Chunk = std::shared_ptr<std::vector<MapEntry>>;
   using Chunks = std::vector<Chunk>;
 
-  // Walks through the entries of a list of chunks.
+  // Iterates over the entries of a list of chunks.
   class Cursor {
    public:
     explicit Cursor(const Chunks& chunks) : chunks_(chunks) {}
@@ -102,7 +105,7 @@
       ++chunk_;
       entry_ = 0;
     }
-    // Both are at the beginning of a chunk that the two lists share.
+    // Whether both cursors are at the beginning of a chunk that the two lists share.
     [[nodiscard]] bool IsAtSharedChunk(const Cursor& other) const {
       return !at_end() && !other.at_end() && entry_ == 0 && other.entry_ == 0 &&
              chunks_[chunk_] == other.chunks_[other.chunk_];
@@ -117,16 +120,16 @@
     static const Chunks kNone;
     return chunks_ ? *chunks_ : kNone;
   }
-  // The chunk that has this name, or would have it.
+  // Returns the index of the chunk that contains this name, or that it would be inserted into.
   [[nodiscard]] size_t ChunkIndexOf(std::string_view name) const;
   void AddToTotals(const MapEntry& entry);
   void SubtractFromTotals(const MapEntry& entry);
   Chunks& MutableChunks();
   static std::vector<MapEntry>& MutableChunk(Chunk& chunk);
-  // Moves the entries from `first` on into a new chunk behind the one at `index`.
+  // Moves the entries from `first` on into a new chunk after the one at `index`.
   static void SplitChunk(Chunks& chunks, size_t index, std::vector<MapEntry>::iterator first);
 
-  std::shared_ptr<Chunks> chunks_;  // null or without empty chunks
+  std::shared_ptr<Chunks> chunks_;  // may be null; contains no empty chunks
   size_t size_ = 0, text_bytes_ = 0, name_bytes_ = 0;
   uint64_t next_order_ = 0;
   Hash128 hash_;
@@ -146,7 +149,7 @@
       in_b.NextChunk();
       continue;
     }
-    // Below 0: the name is in a alone; above 0: in b alone.
+    // Negative: the name is only in a; positive: only in b.
     const int comparison = in_a.at_end()   ? 1
                            : in_b.at_end() ? -1
                                            : in_a.entry().name.compare(in_b.entry().name);
--- a/tests/cluster/persistent_map_test.cpp
+++ b/tests/cluster/persistent_map_test.cpp
@@ -1,4 +1,5 @@
-// What a map holds after any changes, what its copies share, and what differs between two.
+// Tests the contents of a persistent map after random changes, the independence of copies, and the
+// differences between two maps.
 #include "cluster/persistent_map.h"
 
 #include <gtest/gtest.h>
@@ -20,18 +21,18 @@
 using Texts = std::map<std::string, std::string>;
 
 Texts TextsOf(const PersistentMap& map) {
-  Texts all;
-  std::string last;
+  Texts texts;
+  std::string previous_name;
   map.ForEach([&](const MapEntry& entry) {
-    EXPECT_TRUE(all.empty() || last < entry.name);  // by name
-    last = entry.name;
-    all[entry.name] = entry.text;
+    EXPECT_TRUE(texts.empty() || previous_name < entry.name);  // sorted by name
+    previous_name = entry.name;
+    texts[entry.name] = entry.text;
   });
-  return all;
+  return texts;
 }
-// Against a plain map, over chunks that split and empty: an entry that is lost, doubled or left in
-// a wrong chunk is content that no other member has.
-TEST(PersistentMap, HoldsWhatAMapHolds) {
+// Compares the map with a std::map while chunks are split and become empty. An entry that is lost,
+// duplicated or left in the wrong chunk would make a member's content differ from the others'.
+TEST(PersistentMap, MatchesAStdMap) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     const size_t names = seed % 2 == 0 ? 40 : 2000;
@@ -41,7 +42,7 @@
     std::vector<std::pair<PersistentMap, Texts>> copies;
     for (int step = 0; step < 4000; ++step) {
       const std::string name = TenantName(random() % names);
-      // Filled, emptied, filled again.
+      // The map is alternately filled and emptied.
       const bool set = step / 1000 % 2 == 0 ? random() % 4 != 0 : random() % 4 == 0;
       if (set) {
         const std::string text = std::to_string(random() % 3);
@@ -69,37 +70,38 @@
         ordered.push_back(entry->name);
       }
       ASSERT_EQ(ordered, order);
-      // The same from nothing, whatever way it came.
+      // A map built from the same entries in another order is equal.
       std::vector<MapEntry> list;
-      size_t texts = 0, written = 0;
-      for (const auto& [n, text] : model) {
-        list.push_back({n, text});
-        texts += text.size();
-        written += n.size() + 2;
+      size_t text_bytes = 0, name_bytes = 0;
+      for (const auto& [key, text] : model) {
+        list.push_back({key, text});
+        text_bytes += text.size();
+        name_bytes += key.size() + 2;
       }
       std::shuffle(list.begin(), list.end(), random);
       const PersistentMap fresh(std::move(list));
       ASSERT_EQ(fresh, map);
       ASSERT_EQ(fresh.hash(), map.hash());
-      ASSERT_EQ(map.text_bytes(), texts);
-      ASSERT_EQ(map.name_bytes(), written);
+      ASSERT_EQ(map.text_bytes(), text_bytes);
+      ASSERT_EQ(map.name_bytes(), name_bytes);
     }
-    // What was copied has not changed with it, and exactly what differs is reported.
-    for (const auto& [copy, was] : copies) {
-      ASSERT_EQ(TextsOf(copy), was);
+    // Later changes have not affected the copies, and exactly the differences are reported.
+    for (const auto& [copy, copied_model] : copies) {
+      ASSERT_EQ(TextsOf(copy), copied_model);
       Texts reported, expected;
       PersistentMap::ForEachDifference(
-          copy, map, [&](const std::string& n, const std::string* a, const std::string* b) {
-            reported[n] = (a != nullptr ? *a : "-") + "/" + (b != nullptr ? *b : "-");
+          copy, map, [&](const std::string& name, const std::string* a, const std::string* b) {
+            reported[name] = (a != nullptr ? *a : "-") + "/" + (b != nullptr ? *b : "-");
           });
-      const auto of = [](const Texts& texts, const std::string& n) {
-        const auto at = texts.find(n);
-        return at == texts.end() ? "-" : at->second;
+      const auto text_or_dash = [](const Texts& texts, const std::string& name) {
+        const auto found = texts.find(name);
+        return found == texts.end() ? "-" : found->second;
       };
       for (size_t i = 0; i < names; ++i) {
-        const std::string both[] = {of(was, TenantName(i)), of(model, TenantName(i))};
-        if (both[0] != both[1]) {
-          expected[TenantName(i)] = both[0] + "/" + both[1];
+        const std::string texts[] = {text_or_dash(copied_model, TenantName(i)),
+                                     text_or_dash(model, TenantName(i))};
+        if (texts[0] != texts[1]) {
+          expected[TenantName(i)] = texts[0] + "/" + texts[1];
         }
       }
       ASSERT_EQ(reported, expected);
@@ -108,7 +110,7 @@
   }
 }
 
-// A text under another name, or two texts exchanged, is other content.
+// The hash must depend on the assignment of texts to names, and on where a name ends.
 TEST(PersistentMap, HashesDifferByNameAndText) {
   PersistentMap a, b, c, d;
   a.Set("x", "1");
