--- a/src/cluster/voter_manager.cpp
+++ b/src/cluster/voter_manager.cpp
@@ -8,7 +8,7 @@
 namespace paddlestile::cluster {
 namespace {
 
-constexpr raft::Index kMaxEntriesBehind = 64;  // of a member that is to become a voter
+constexpr raft::Index kMaxEntriesBehind = 64;  // for a member to become a voter
 
 auto FindVoter(std::vector<raft::Voter>& voters, const std::string& name) {
   return std::ranges::find(voters, name, &raft::Voter::name);
@@ -28,7 +28,7 @@
   const auto refuse = [&](const std::string& reason) {
     return Proposal{0, request.name + ": " + reason};
   };
-  NextVoters next = VotersAfter(request);
+  NextVoters next = VotersAfterRequest(request);
   if (!next.refusal_reason.empty()) {
     return refuse(next.refusal_reason);
   }
@@ -45,7 +45,7 @@
   return {*index, {}};
 }
 
-VoterManager::NextVoters VoterManager::VotersAfter(const ChangeRequest& request) const {
+VoterManager::NextVoters VoterManager::VotersAfterRequest(const ChangeRequest& request) const {
   switch (request.kind) {
     case ChangeRequest::Kind::kRemoveVoter:
       return VotersWithout(request.name);
@@ -70,7 +70,7 @@
 }
 
 VoterManager::NextVoters VoterManager::VotersWith(const std::string& name) const {
-  if (std::string reason = WhyNotAddable(name); !reason.empty()) {
+  if (std::string reason = ReasonNotAddable(name); !reason.empty()) {
     return {{}, std::move(reason)};
   }
   std::vector<raft::Voter> voters = raft_node_.voters();
@@ -87,10 +87,11 @@
   return {std::move(voters), {}};
 }
 
-// Removes it first: to swap both at once could leave a majority of the old voters and one of the
-// new without a member in common.
+// Returns the voters without the replaced one, which is added again later by Advance(). Replacing
+// it in one step could result in a majority of the old voters and one of the new voters that have
+// no member in common.
 VoterManager::NextVoters VoterManager::VotersForReplacement(const std::string& name) const {
-  if (std::string reason = WhyNotAddable(name); !reason.empty()) {
+  if (std::string reason = ReasonNotAddable(name); !reason.empty()) {
     return {{}, std::move(reason)};
   }
   std::vector<raft::Voter> voters = raft_node_.voters();
@@ -102,7 +103,7 @@
   return {std::move(voters), {}};
 }
 
-std::string VoterManager::WhyNotAddable(const std::string& name) const {
+std::string VoterManager::ReasonNotAddable(const std::string& name) const {
   const uint64_t incarnation = IncarnationOf(name);
   if (incarnation == 0) {
     return "is not linked to the leader, or has no disk";
@@ -178,15 +179,16 @@
   return index;
 }
 
-// One at a time; once all of them vote, the cluster is formed.
+// Adds one voter per call. Once all of them are voters, proposes the entry that declares the
+// cluster formed.
 void VoterManager::AddNextInitialVoter(Time now, raft::RaftOutput& output) {
   std::vector<raft::Voter> voters = raft_node_.voters();
-  bool all_vote = true;
+  bool all_are_voters = true;
   for (const std::string& name : initial_voters_) {
     if (FindVoter(voters, name) != voters.end()) {
       continue;
     }
-    all_vote = false;
+    all_are_voters = false;
     const auto connected = connected_.find(name);
     if (connected == connected_.end() || IsFarBehind(name)) {
       continue;
@@ -195,7 +197,7 @@
     raft_node_.ProposeVoters(now, std::move(voters), output);
     return;
   }
-  if (all_vote) {
+  if (all_are_voters) {
     formed_entry_proposed_ = raft_node_.Propose(now, EncodeFormedEntry(), output).has_value();
   }
 }
--- a/src/cluster/voter_manager.h
+++ b/src/cluster/voter_manager.h
@@ -1,5 +1,5 @@
-// Changes of the Raft voters: those that operators ask for, and the initial ones, which join one by
-// one until the cluster is formed. No I/O.
+// Manages changes of the Raft voters: those requested by operators, and the initial voters, which
+// are added one by one until the cluster is formed. No I/O.
 #ifndef PADDLESTILE_CLUSTER_VOTER_MANAGER_H_
 #define PADDLESTILE_CLUSTER_VOTER_MANAGER_H_
 
@@ -14,46 +14,52 @@
 
 namespace paddlestile::cluster {
 
-// Name to incarnation of the members to which there is a connection; 0: one without storage.
+// Incarnation by name of the connected members; 0 for a member without storage.
 using ConnectedMembers = std::map<std::string, uint64_t>;
 
 class VoterManager {
  public:
-  // `raft_node` and `connected` must outlive it. `initial_voters`: those that the file names.
+  // `raft_node` and `connected` must outlive this object. `initial_voters` are those named in the
+  // configuration file.
   VoterManager(std::string own_name, std::set<std::string> initial_voters,
                raft::RaftNode& raft_node, const ConnectedMembers& connected);
 
-  // Leader: proposes the change of voters that `request` asks for.
+  // The outcome of Propose().
   struct Proposal {
-    raft::Index index = 0;       // of the entry; 0: refused
-    std::string refusal_reason;  // where it is
+    raft::Index index = 0;       // of the proposed entry; 0: refused
+    std::string refusal_reason;  // if refused
   };
+  // Leader only: proposes the change of voters that `request` describes.
   Proposal Propose(Time now, const ChangeRequest& request, raft::RaftOutput& output);
 
-  // Leader, after each event: adds a replaced voter again, or the next initial voter while the
-  // cluster `is_formed` not. The index of the entry that completes a replacement, once proposed.
+  // Leader only, to be called after each event: adds a replaced voter again or, if the cluster is
+  // not formed yet, the next initial voter. Returns the index of the entry that completes a
+  // replacement when it is proposed, and std::nullopt otherwise.
   std::optional<raft::Index> Advance(Time now, bool is_formed, raft::RaftOutput& output);
-  // After each event while this member does not lead: what it has begun is another's to finish.
+  // To be called after each event while this member is not the leader: abandons changes in
+  // progress. They have to be completed under another leader.
   void Abandon();
 
-  // A replaced voter was removed and is not added again yet.
+  // Whether a replaced voter was removed but not added again yet.
   [[nodiscard]] bool is_replacing() const { return voter_to_add_again_.has_value(); }
-  // More than half of the initial voters are connected, this member counted in if it is one.
+  // Whether more than half of the initial voters are connected, including this member if it is one.
   [[nodiscard]] bool IsInitialMajorityConnected() const;
 
  private:
-  // What is to be proposed; `refusal_reason` is set instead where nothing is.
+  // The voters to propose, or the reason why the change is refused.
   struct NextVoters {
     std::vector<raft::Voter> voters;
     std::string refusal_reason;
   };
-  [[nodiscard]] NextVoters VotersAfter(const ChangeRequest& request) const;
+  [[nodiscard]] NextVoters VotersAfterRequest(const ChangeRequest& request) const;
   [[nodiscard]] NextVoters VotersWithout(const std::string& name) const;
   [[nodiscard]] NextVoters VotersWith(const std::string& name) const;
   [[nodiscard]] NextVoters VotersForReplacement(const std::string& name) const;
-  // Empty: this member, which need not be connected to itself, or a connected one, may be a voter.
-  [[nodiscard]] std::string WhyNotAddable(const std::string& name) const;
-  [[nodiscard]] uint64_t IncarnationOf(const std::string& name) const;  // 0: none known
+  // Returns the reason why the member cannot be added as a voter. Empty if it can: it is this
+  // member or a connected one, has storage, and is not a voter yet.
+  [[nodiscard]] std::string ReasonNotAddable(const std::string& name) const;
+  // Returns 0 if the member is not connected or has no storage.
+  [[nodiscard]] uint64_t IncarnationOf(const std::string& name) const;
   [[nodiscard]] bool IsMajorityConnected(const std::vector<raft::Voter>& voters) const;
   [[nodiscard]] bool IsFarBehind(const std::string& name) const;
   std::optional<raft::Index> AddReplacedVoterAgain(Time now, raft::RaftOutput& output);
