--- a/tests/cluster/test_costs.h
+++ b/tests/cluster/test_costs.h
@@ -1,4 +1,4 @@
-// What the tests of costs share.
+// Helpers for tests that measure the cost of operations.
 #ifndef PADDLESTILE_TESTS_CLUSTER_TEST_COSTS_H_
 #define PADDLESTILE_TESTS_CLUSTER_TEST_COSTS_H_
 
@@ -15,7 +15,7 @@
   return "t" + std::to_string(i);
 }
 
-// A document with this many tenants' quotas.
+// Returns a document with quotas for this many tenants.
 inline ConfigDocument TenantQuotas(size_t tenants) {
   ConfigDocument document;
   document.settings["Tenants"] = nlohmann::json::array();
@@ -25,7 +25,8 @@
   return document;
 }
 
-// The least mean time of several runs: the machine may be busy.
+// Returns the minimum over several runs of the mean duration of `work`. The minimum is robust
+// against other load on the machine.
 template <typename Work>
 double LeastMicroseconds(Work&& work) {
   double least_us = 1e18;
--- a/tests/cluster/test_documents.h
+++ b/tests/cluster/test_documents.h
@@ -1,4 +1,4 @@
-// Documents for the tests of this folder.
+// Documents for the tests of the cluster library.
 #ifndef PADDLESTILE_TESTS_CLUSTER_TEST_DOCUMENTS_H_
 #define PADDLESTILE_TESTS_CLUSTER_TEST_DOCUMENTS_H_
 
@@ -20,11 +20,12 @@
   return ToText(ParseDocument(document));
 }
 
-// Valid documents with all that JSON allows: nulls, 3 and 3.0, empty objects and names.
+// Generates random valid documents with JSON corner cases: nulls, 3 and 3.0, empty objects and
+// empty names.
 class RandomDocuments {
  public:
   explicit RandomDocuments(uint64_t seed) : random_(seed) {}
-  // Below `count`.
+  // Returns a random number below `count`.
   size_t Pick(size_t count) { return std::uniform_int_distribution<size_t>(0, count - 1)(random_); }
   json RandomValue(int depth = 0) {
     switch (Pick(depth < 3 ? 9 : 6)) {
@@ -33,7 +34,7 @@
       case 1:
         return Pick(4);
       case 2:
-        return static_cast<double>(Pick(4));  // 3 and 3.0: one number, two texts
+        return static_cast<double>(Pick(4));  // 3 and 3.0 are equal, but have different texts
       case 3:
         return std::vector<std::string>{"", "x", "\xc3\xa9", "a/b~c"}[Pick(4)];
       case 4:
--- a/tests/cluster/test_entries.h
+++ b/tests/cluster/test_entries.h
@@ -1,4 +1,4 @@
-// Log entries for the tests of this folder.
+// Log entries for the tests of the cluster library.
 #ifndef PADDLESTILE_TESTS_CLUSTER_TEST_ENTRIES_H_
 #define PADDLESTILE_TESTS_CLUSTER_TEST_ENTRIES_H_
 
@@ -13,7 +13,7 @@
 
 namespace paddlestile::cluster::testing {
 
-// The entry of a whole version.
+// Returns the entry of a change that is a whole version.
 inline std::string WholeEntry(const std::string& id, const std::string& document,
                               std::optional<uint64_t> expected_version = {}) {
   Change change;
@@ -23,7 +23,7 @@
   return EncodeChangeEntry(change);
 }
 
-// The entry of a delta, as a correct leader with this history proposes it.
+// Returns the entry of a delta as a correct leader with this history proposes it.
 inline std::string DeltaEntry(const VersionHistory& history, const std::string& id,
                               const std::string& delta,
                               std::optional<uint64_t> expected_version = {}) {
@@ -36,7 +36,7 @@
       change, {history.latest_version(), HashOf(ApplyDelta(history.latest_content(), delta))});
 }
 
-// The texts of the versions whose content is kept.
+// Returns the texts of the versions whose content is kept.
 inline std::vector<std::string> KeptTexts(const VersionHistory& history) {
   std::vector<std::string> texts;
   history.ForEachVersion(
@@ -44,7 +44,7 @@
   return texts;
 }
 
-// The delta that excludes host `h<i>`.
+// Returns the delta that excludes host `h<i>`.
 inline std::string ExcludeHostDelta(int i) {
   return R"({"barred":{"add":["h)" + std::to_string(i) + "\"]}}";
 }
