--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -21,7 +21,7 @@
 
 constexpr size_t kReadBytes = 1 << 16;
 
-// Owns a file descriptor; negative: none.
+// Owns a file descriptor, or none if it is negative.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -40,7 +40,7 @@
 
 class PosixFile final : public File {
  public:
-  // Takes over `fd`, a file of `size_bytes`.
+  // Takes ownership of `fd`, the descriptor of a file of `size_bytes`.
   PosixFile(std::string path, int fd, uint64_t size_bytes)
       : path_(std::move(path)), fd_(fd), size_bytes_(size_bytes) {}
 
@@ -68,7 +68,7 @@
   }
 
  private:
-  // Removes what was written of an append that failed with `code`.
+  // Removes the partially written data of an append that failed with errno `code`, and throws.
   [[noreturn]] void UndoAppend(int code) {
     if (ftruncate(fd_.get(), static_cast<off_t>(size_bytes_)) != 0) {
       ThrowFileError(path_, errno);
--- a/src/storage/log_format.cpp
+++ b/src/storage/log_format.cpp
@@ -52,12 +52,12 @@
     return std::nullopt;
   }
   std::memcpy(&header, rest.data(), sizeof(header));
-  const std::string_view behind_header = rest.substr(sizeof(header));
-  if (header.checksum != ChecksumOf(header) || header.size_bytes > behind_header.size()) {
+  const std::string_view after_header = rest.substr(sizeof(header));
+  if (header.checksum != ChecksumOf(header) || header.size_bytes > after_header.size()) {
     return std::nullopt;
   }
   const uint64_t bytes_checksum =
-      XXH3_64bits_withSeed(behind_header.data(), header.size_bytes, header.number);
+      XXH3_64bits_withSeed(after_header.data(), header.size_bytes, header.number);
   if (bytes_checksum != header.bytes_checksum) {
     return std::nullopt;
   }
