--- a/src/storage/controlled_files.cpp
+++ b/src/storage/controlled_files.cpp
@@ -10,7 +10,7 @@
 namespace paddlestile::storage {
 namespace {
 
-// The contents of the control file.
+// The contents of the control file; see the header.
 struct Command {
   std::string word;
   double delay_ms = 0;
--- a/src/storage/controlled_files.h
+++ b/src/storage/controlled_files.h
@@ -1,11 +1,11 @@
-// For experiments: the operating system's files, which fail on command. A control file says how, by
-// one word that is read before each append and sync:
+// For experiments: the operating system's files with fault injection. A control file, which is read
+// before each append and sync, contains one of these commands:
 //
 //   full         an append fails for lack of space
-//   slow MS      a sync takes that many milliseconds longer
+//   slow MS      a sync is delayed by MS milliseconds
 //   sync-fails   a sync fails
 //
-// An empty or missing control file lets everything succeed.
+// If the control file is empty or missing, all operations succeed.
 #ifndef PADDLESTILE_STORAGE_CONTROLLED_FILES_H_
 #define PADDLESTILE_STORAGE_CONTROLLED_FILES_H_
 
--- a/src/storage/faulty_files.cpp
+++ b/src/storage/faulty_files.cpp
@@ -7,7 +7,7 @@
 namespace paddlestile::storage {
 namespace {
 
-constexpr size_t kPageBytes = 64;  // reach the disk together or not at all
+constexpr size_t kPageBytes = 64;  // unit that survives a power loss completely or not at all
 
 }  // namespace
 
@@ -43,11 +43,10 @@
 
 void FaultyFileSystem::CountModifyingCall() {
   if (modifying_calls++ >= power_loss_after_calls) {
-    throw FileError("no power", EIO);
+    throw FileError("simulated power loss", EIO);
   }
 }
 
-// A name whose folder was not synced may be the old one or the new one.
 FaultyFileSystem::Files FaultyFileSystem::DrawSurvivingNames() {
   std::set<std::string> names;
   for (const Files* const files : {&files_, &durable_files_}) {
@@ -69,7 +68,6 @@
   return surviving;
 }
 
-// Of what was not synced, some pages are there and others are zeros; the size is any between.
 std::string FaultyFileSystem::DrawSurvivingBytes(const FileData& data) {
   std::string surviving = data.durable;
   if (!data.current.starts_with(data.durable)) {
@@ -92,9 +90,9 @@
 void FaultyFileSystem::RestorePower() {
   power_loss_after_calls = SIZE_MAX;
   const Files surviving = DrawSurvivingNames();
-  std::set<FileData*> done;  // a file may have two names
+  std::set<FileData*> processed;  // a file may have two names
   for (const auto& [name, data] : surviving) {
-    if (done.insert(data.get()).second) {
+    if (processed.insert(data.get()).second) {
       data->durable = DrawSurvivingBytes(*data);
       data->current = data->durable;
     }
--- a/src/storage/faulty_files.h
+++ b/src/storage/faulty_files.h
@@ -1,5 +1,5 @@
-// For tests: files in memory that fail as disks do. A power loss drops a part of what was not
-// synced, calls fail on demand, bits flip.
+// For tests: in-memory files that simulate the failures of disks. A power loss discards a part of
+// the unsynced data, calls fail on demand, and bits can be flipped.
 #ifndef PADDLESTILE_STORAGE_FAULTY_FILES_H_
 #define PADDLESTILE_STORAGE_FAULTY_FILES_H_
 
@@ -18,25 +18,27 @@
 
 class FaultyFileSystem final : public FileSystem {
  public:
-  // `seed` decides what a power loss leaves of data that was not synced.
+  // `seed` determines which unsynced data survives a power loss.
   explicit FaultyFileSystem(uint64_t seed) : random_(seed) {}
 
   // ---- Faults ---------------------------------------------------------------------------------
-  // Power is lost after this many modifying calls: every later one throws FileError with EIO until
-  // RestorePower(). SIZE_MAX: never.
+  // Simulates a power loss after this many modifying calls: every later one throws FileError with
+  // EIO until RestorePower() is called. SIZE_MAX: never.
   size_t power_loss_after_calls = SIZE_MAX;
-  // Bytes that may still be appended; an append beyond that throws FileError with ENOSPC.
+  // Remaining space. An append that exceeds it throws FileError with ENOSPC.
   size_t free_bytes = SIZE_MAX;
-  // The next sync fails; what was appended may be durable or not.
+  // Whether the next sync fails. The appended data may or may not be durable then.
   bool next_sync_fails = false;
-  // Modifying calls so far.
+  // Number of modifying calls so far.
   size_t modifying_calls = 0;
 
-  // Leaves what was synced, and a random part of the rest in any order. Releases all locks.
+  // Ends a power loss. Keeps the synced data and a random part of the unsynced data, and releases
+  // all locks.
   void RestorePower();
-  // Flips bit `bit` (0 to 7) of a byte, in memory and on disk. No effect behind the file's end.
+  // Flips bit `bit` (0 to 7) of a byte, both in the current and in the durable data. No effect
+  // beyond the end of the file.
   void FlipBit(const std::string& path, size_t byte, int bit);
-  // Cuts the file off behind `size_bytes`, in memory and on disk.
+  // Truncates the file to `size_bytes`, both in the current and in the durable data.
   void Truncate(const std::string& path, size_t size_bytes);
 
   // ---- FileSystem -----------------------------------------------------------------------------
@@ -56,9 +58,13 @@
   };
   using Files = std::map<std::string, std::shared_ptr<FileData>>;
   class OpenFile;
-  // Throws FileError while power is lost.
+  // Counts a modifying call. Throws FileError during a power loss.
   void CountModifyingCall();
+  // Returns the folder entries that survive a power loss. Changes of names since the last folder
+  // sync are kept or lost at random.
   Files DrawSurvivingNames();
+  // Returns the contents of a file that survive a power loss. The size is random between the synced
+  // and the current one; of the unsynced pages, some survive and the others are zeros.
   std::string DrawSurvivingBytes(const FileData& data);
 
   std::mt19937_64 random_;
