--- a/src/storage/write_ahead_log.cpp
+++ b/src/storage/write_ahead_log.cpp
@@ -8,32 +8,32 @@
 namespace paddlestile::storage {
 namespace {
 
-// A new file is written under this name and then renamed, so that it is there complete or not at
-// all.
+// A new file is written under this name and then renamed, so that it replaces the old file
+// atomically.
 std::string TemporaryPath(const std::string& path) {
   return path + ".new";
 }
 
-std::string At(const std::string& path, uint64_t offset) {
+std::string LocationPrefix(const std::string& path, uint64_t offset) {
   return path + " at " + std::to_string(offset) + ": ";
 }
 
 void CheckFileHeader(const std::string& path, const FileHeader& header) {
   if (!IsValid(header)) {
-    throw CorruptionError(At(path, 0) + "no header of a log");
+    throw CorruptionError(LocationPrefix(path, 0) + "invalid log file header");
   }
   if (header.format != kLogFormatVersion) {
-    throw CorruptionError(At(path, offsetof(FileHeader, format)) + "format " +
+    throw CorruptionError(LocationPrefix(path, offsetof(FileHeader, format)) + "format " +
                           std::to_string(header.format) + ", expected " +
                           std::to_string(kLogFormatVersion));
   }
 }
 
-// Whether a record behind `offset` shows that what should be at `offset` was durable: it is damaged
-// then, not just incomplete.
+// Whether a record after `offset` shows that the data at `offset` was durable. If so, the record at
+// `offset` is damaged rather than incomplete.
 bool WasDurable(std::string_view contents, uint64_t offset, uint64_t record_number) {
-  for (size_t at = offset; at + sizeof(RecordHeader) <= contents.size(); ++at) {
-    const std::optional<RecordHeader> header = DecodeRecordHeader(contents, at);
+  for (size_t position = offset; position + sizeof(RecordHeader) <= contents.size(); ++position) {
+    const std::optional<RecordHeader> header = DecodeRecordHeader(contents, position);
     if (header && header->number >= record_number && header->synced_bytes > offset) {
       return true;
     }
@@ -63,8 +63,8 @@
     ++result.next_record_number;
   }
   if (WasDurable(contents, result.valid_bytes, result.next_record_number)) {
-    throw CorruptionError(At(path, result.valid_bytes) +
-                          "a record that does not check out, with complete ones behind it");
+    throw CorruptionError(LocationPrefix(path, result.valid_bytes) +
+                          "a record that does not check out, but a later one shows it was durable");
   }
   result.cut_off_bytes = contents.size() - result.valid_bytes;
   return result;
@@ -78,7 +78,7 @@
   cut_off_bytes_ = result.cut_off_bytes;
   next_record_number_ = result.next_record_number;
   size_bytes_ = result.valid_bytes;
-  files_.Remove(TemporaryPath(path));  // of a replacement that did not finish
+  files_.Remove(TemporaryPath(path));  // left over from an unfinished replacement
   if (size_bytes_ == 0) {
     CreateFile(path);
   } else {
@@ -108,14 +108,14 @@
 
 void WriteAheadLog::ThrowIfBroken() const {
   if (broken_) {
-    throw FileError(PathIn(folder_) + ": not usable after an earlier failure", 0);
+    throw FileError(PathIn(folder_) + ": unusable after an earlier failure", 0);
   }
 }
 
 void WriteAheadLog::Append(std::string_view record) {
   ThrowIfBroken();
   if (record.size() > kMaxRecordBytes) {
-    throw FileError("a record over 64 MiB", 0);
+    throw FileError("record is larger than 64 MiB", 0);
   }
   const std::string bytes = EncodeRecord(record, next_record_number_, synced_bytes_);
   file_->Append(bytes);
@@ -150,7 +150,7 @@
     files_.Rename(TemporaryPath(path), path);
     files_.SyncFolder(folder_);
   } catch (const FileError&) {
-    broken_ = true;  // the path may have the old file or the new one
+    broken_ = true;  // the path may refer to the old or the new file
     throw;
   }
   file_ = std::move(file);
--- a/tests/storage/write_ahead_log_test.cpp
+++ b/tests/storage/write_ahead_log_test.cpp
@@ -1,5 +1,5 @@
-// The write-ahead log on a disk that fails: synced records survive any power loss, and the records
-// found are always a prefix of those appended.
+// Tests the write-ahead log on failing disks: synced records survive any power loss, and the
+// records found are always a prefix of the appended ones.
 #include "storage/write_ahead_log.h"
 
 #include <gtest/gtest.h>
@@ -19,14 +19,14 @@
 
 constexpr size_t kFileHeaderBytes = 24;
 
-// The records that opening the log in folder "f" reports.
+// Opens the log in folder "f" and returns the records that it reports.
 RecordList OpenAndReadRecords(FileSystem& files) {
   RecordList found;
   const WriteAheadLog log(files, "f", [&](std::string_view record) { found.emplace_back(record); });
   return found;
 }
 
-// A log in folder "f" whose present records are of no interest.
+// Opens the log in folder "f" and ignores its records.
 WriteAheadLog OpenLog(FileSystem& files) {
   return WriteAheadLog(files, "f", [](std::string_view) {});
 }
@@ -36,7 +36,8 @@
          std::string(random() % 200, static_cast<char>(random()));
 }
 
-// Whether `found` is a prefix of `appended` that has the first `durable_count` at least.
+// Whether `found` is a prefix of `appended` that contains at least the first `durable_count`
+// records.
 ::testing::AssertionResult IsPrefix(const RecordList& found, const RecordList& appended,
                                     size_t durable_count) {
   if (found.size() < durable_count) {
@@ -49,14 +50,15 @@
   return ::testing::AssertionSuccess();
 }
 
-// What was appended to a log, and what of it must survive.
+// The records appended to a log, and how many of them must survive a power loss.
 struct History {
   RecordList appended;
   size_t durable_count = 0;
-  std::optional<RecordList> replaced;  // set while a Replace() is on its way: the old records
+  std::optional<RecordList> replaced;  // during a Replace(), the old records
 };
 
-// Appends 20 records, syncs at random, and replaces all but the last three after the thirteenth.
+// Appends 20 records and syncs at random. After the thirteenth, replaces the log with its last
+// three records.
 void WriteHistory(FileSystem& files, uint64_t seed, History& history) {
   std::mt19937_64 random(seed);
   WriteAheadLog log = OpenLog(files);
@@ -78,8 +80,8 @@
   }
 }
 
-// Power is lost after each modifying call of the history.
-TEST(WriteAheadLogTest, HoldsDurableRecordsWheneverPowerIsLost) {
+// Simulates a power loss after each modifying call of the history.
+TEST(WriteAheadLogTest, DurableRecordsSurviveAPowerLossAtAnyTime) {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
     for (size_t calls = 0; calls < 60; ++calls) {
       FaultyFileSystem files(seed * 1000 + calls);
@@ -96,13 +98,13 @@
           replaced && found == RecordList(replaced->end() - 3, replaced->end());
       EXPECT_TRUE(is_replaced || IsPrefix(found, history.appended, history.durable_count))
           << "seed " << seed << ", " << calls;
-      // Opening the log once more changes nothing.
+      // Opening the log again reports the same records.
       EXPECT_EQ(OpenAndReadRecords(files), found);
     }
   }
 }
 
-TEST(WriteAheadLogTest, FileCutAtAnyByteHoldsAPrefix) {
+TEST(WriteAheadLogTest, FileTruncatedAtAnyByteContainsAPrefix) {
   std::mt19937_64 random(5);
   RecordList appended;
   FaultyFileSystem complete(1);
@@ -127,8 +129,9 @@
   EXPECT_EQ(most_records, appended.size());
 }
 
-// A flipped bit before the last record is refused with its offset, neither skipped nor cut off: a
-// voter that has forgotten records would vote as if it had not.
+// If a bit before the last record is flipped, opening the log fails with the record's offset. The
+// record must be neither skipped nor truncated: a voter that lost records could vote twice in a
+// term, or for a candidate without committed entries.
 TEST(WriteAheadLogTest, RefusesAFlippedBitBeforeTheLastRecord) {
   FaultyFileSystem complete(1);
   std::vector<uint64_t> record_ends;
@@ -146,7 +149,7 @@
     files.Open("f/log", 0)->Append(contents);
     files.FlipBit("f/log", byte, static_cast<int>(byte % 8));
     if (byte >= record_ends[record_ends.size() - 2]) {
-      // The last record: as if it was cut while it was written.
+      // A damaged last record is treated like one that was not written completely.
       EXPECT_EQ(OpenAndReadRecords(files).size(), record_ends.size() - 1) << byte;
       continue;
     }
@@ -164,11 +167,11 @@
           is_format_or_checksum ? "f/log at " : "f/log at " + std::to_string(offset) + ":";
       EXPECT_TRUE(std::string(error.what()).starts_with(where)) << byte << ": " << error.what();
     }
-    EXPECT_EQ(files.Read("f/log").size(), contents.size());  // and left as it is
+    EXPECT_EQ(files.Read("f/log").size(), contents.size());  // the file is unchanged
   }
 }
 
-TEST(WriteAheadLogTest, AppendsAgainOnceThereIsSpace) {
+TEST(WriteAheadLogTest, AppendsAgainOnceSpaceIsAvailable) {
   FaultyFileSystem files(1);
   WriteAheadLog log = OpenLog(files);
   log.Append("one");
@@ -180,7 +183,7 @@
   EXPECT_EQ(OpenAndReadRecords(files), (RecordList{"one", "two"}));
 }
 
-// After a failed sync it is not known what is durable: nothing more may be promised.
+// After a failed sync it is not known which records are durable, so the log must accept no more.
 TEST(WriteAheadLogTest, IsBrokenAfterAFailedSync) {
   FaultyFileSystem files(1);
   WriteAheadLog log = OpenLog(files);
@@ -192,8 +195,7 @@
   EXPECT_THROW(log.Sync(), FileError);
 }
 
-// Blocks of the file before a replacement that reappear behind the new records are not taken for
-// records.
+// Blocks of the old file that reappear after the new records must not be mistaken for records.
 TEST(WriteAheadLogTest, IgnoresRecordsFromBeforeAReplacement) {
   FaultyFileSystem files(1);
   std::string old_records;
@@ -211,7 +213,7 @@
   EXPECT_EQ(OpenAndReadRecords(files), (RecordList{"now"}));
 }
 
-TEST(WriteAheadLogTest, LocksOutASecondProcessOnARealDisk) {
+TEST(WriteAheadLogTest, LocksAndReplacesFilesOnARealDisk) {
   const std::string folder = ::testing::TempDir() + "log-" + std::to_string(getpid());
   FileSystem& files = SystemFiles();
   files.MakeFolder(folder);
