--- a/src/peer/blocking_call.h
+++ b/src/peer/blocking_call.h
@@ -1,4 +1,4 @@
-// Calls of an operator's command to a member of the cluster, with blocking sockets.
+// Calls from an operator's command to a cluster member, with blocking sockets.
 #ifndef PADDLESTILE_PEER_BLOCKING_CALL_H_
 #define PADDLESTILE_PEER_BLOCKING_CALL_H_
 
@@ -10,12 +10,13 @@
 
 namespace paddlestile {
 
-// Sends `call` to the member at `address` and waits for its reply. `timeout` bounds each send and
-// receive. Nothing if the member cannot be reached, ends the connection or does not reply in time.
+// Sends `call` to the member at `address` and waits for its reply. `timeout` limits each send and
+// receive. Returns std::nullopt if the member cannot be reached, closes the connection or does not
+// reply in time.
 std::optional<nlohmann::json> CallMember(const Address& address, const nlohmann::json& call,
                                          Duration timeout);
 
-// The call that asks a member for its status. The key is that of the wire.
+// Returns the call that requests a member's status. The key is part of the wire protocol.
 nlohmann::json StatusCall();
 
 }  // namespace paddlestile
--- a/src/peer/call.h
+++ b/src/peer/call.h
@@ -1,4 +1,4 @@
-// The frames of an operator's call to a member: the call, and the one reply to it.
+// The frames of an operator's call to a member: the call and its single reply.
 #ifndef PADDLESTILE_PEER_CALL_H_
 #define PADDLESTILE_PEER_CALL_H_
 
@@ -10,10 +10,11 @@
 
 namespace paddlestile::peer {
 
-// The frame by which a caller introduces itself.
+// Returns the plain frame of a call, which is the caller's introduction (peer/introduction.h).
 std::string EncodeCall(const nlohmann::json& call);
 
-// Takes the reply off `input`, a checked frame, or a plain one from a build without checksums.
+// Takes the reply off `input`. It is a checked frame, or a plain one from a build without
+// checksums.
 FrameStatus TakeReply(Buffer& input, nlohmann::json& value);
 
 }  // namespace paddlestile::peer
