--- a/src/peer/framing.cpp
+++ b/src/peer/framing.cpp
@@ -25,7 +25,8 @@
   return number;
 }
 
-// XXH32 has a seed of 32 bits: its lower half is enough to tell neighbors apart.
+// XXH32 has a 32-bit seed. The lower half of the sequence number suffices to distinguish adjacent
+// frames.
 uint32_t LengthChecksum(uint32_t length, uint64_t sequence_number) {
   return XXH32(&length, sizeof(length), static_cast<uint32_t>(sequence_number));
 }
@@ -34,8 +35,8 @@
   return XXH64(bytes.data(), bytes.size(), sequence_number);
 }
 
-// Checks the depth of a value without building it: building is recursive and could overflow the
-// stack.
+// Checks the nesting depth of a value without building it, because building a value is recursive
+// and could overflow the stack.
 class DepthChecker final : public json::json_sax_t {
  public:
   bool null() override { return true; }
--- a/src/peer/introduction.cpp
+++ b/src/peer/introduction.cpp
@@ -16,7 +16,8 @@
 
 constexpr const char* kChecksumKey = "sum";
 
-// Of hellos and calls, by builds without checksums. Fixed: a key that is new goes with a checksum.
+// The keys of hellos and calls that builds without checksums send. Never to be extended: builds
+// that send new keys also send a checksum.
 constexpr std::array<std::string_view, 8> kKeysWithoutChecksum = {"hello", "bank", "from",  "to",
                                                                   "life",  "boot", "known", "call"};
 
--- a/tests/peer/checksum_test.cpp
+++ b/tests/peer/checksum_test.cpp
@@ -1,5 +1,5 @@
-// Checksums of frames and introductions: what was changed, cut, repeated or left out on the way is
-// not believed.
+// Tests the checksums of frames and introductions, which detect data that was modified, truncated,
+// repeated or lost in transit.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -45,7 +45,7 @@
   return message;
 }
 
-// One value of each kind that members send each other once they are connected.
+// Returns one value of each kind that connected members send each other.
 std::vector<json> ValuesOfEachKind() {
   std::vector<json> values = {{{"beat", 1}}};
   using Type = raft::Message::Type;
@@ -74,60 +74,62 @@
   return buffer;
 }
 
-// Of plain frames with one bit flipped, those that are taken for another value.
-size_t BelievedFlipsOfPlainFrame(const json& value) {
+// Returns the number of single-bit errors in a plain frame that decode as a different value.
+size_t UndetectedBitFlipsInPlainFrame(const json& value) {
   const std::string frame = EncodeFrame(value);
-  size_t believed = 0;
+  size_t undetected = 0;
   for (size_t bit = 0; bit < frame.size() * 8; ++bit) {
     Buffer input = BufferOf(WithFlippedBit(frame, bit));
-    json taken;
-    if (TakeFrame(input, taken) == FrameStatus::kComplete && taken != value) {
-      ++believed;
+    json decoded;
+    if (TakeFrame(input, decoded) == FrameStatus::kComplete && decoded != value) {
+      ++undetected;
     }
   }
-  return believed;
+  return undetected;
 }
 
-// Guards against a bit that flips between two members: a term, a host or a lease was another then.
-TEST(FrameChecksumTest, NoFlippedBitOfAnyMessageIsBelieved) {
+// Guards against bit flips in transit, which could change a term, a host or a lease.
+TEST(FrameChecksumTest, DetectsEveryBitFlipInAnyMessage) {
   for (const json& value : ValuesOfEachKind()) {
     const std::string frame = EncodeCheckedFrame(value, kSequenceNumber);
     for (size_t bit = 0; bit < frame.size() * 8; ++bit) {
       Buffer input = BufferOf(WithFlippedBit(frame, bit));
-      json taken;
-      EXPECT_EQ(TakeCheckedFrame(input, kSequenceNumber, taken), FrameStatus::kChecksumMismatch)
+      json decoded;
+      EXPECT_EQ(TakeCheckedFrame(input, kSequenceNumber, decoded), FrameStatus::kChecksumMismatch)
           << value << " bit " << bit;
     }
-    // What the checksum is for: without it this is believed.
-    EXPECT_GT(BelievedFlipsOfPlainFrame(value), 0U) << value;
+    // Without a checksum, some bit flips are not detected.
+    EXPECT_GT(UndetectedBitFlipsInPlainFrame(value), 0U) << value;
   }
 }
 
-TEST(FrameChecksumTest, TakesACompleteFrameAndNoOther) {
+TEST(FrameChecksumTest, AcceptsOnlyTheExpectedCompleteFrame) {
   const json value = {{"x", 1}};
   const std::string frame = EncodeCheckedFrame(value, kSequenceNumber);
   Buffer input;
-  json taken;
+  json decoded;
   for (const char c : frame) {
-    EXPECT_EQ(TakeCheckedFrame(input, kSequenceNumber, taken), FrameStatus::kIncomplete);
+    EXPECT_EQ(TakeCheckedFrame(input, kSequenceNumber, decoded), FrameStatus::kIncomplete);
     input.Append({&c, 1});
   }
-  EXPECT_EQ(TakeCheckedFrame(input, kSequenceNumber, taken), FrameStatus::kComplete);
-  EXPECT_EQ(taken, value);
+  EXPECT_EQ(TakeCheckedFrame(input, kSequenceNumber, decoded), FrameStatus::kComplete);
+  EXPECT_EQ(decoded, value);
   EXPECT_EQ(input.size(), 0U);
-  // A repeated one, one in place of one that was left out, a plain one; a checked one as plain.
-  for (const uint64_t other : {kSequenceNumber + 1, kSequenceNumber - 1}) {
+  // A repeated frame, and a frame after a lost one.
+  for (const uint64_t other_number : {kSequenceNumber + 1, kSequenceNumber - 1}) {
     input = BufferOf(frame);
-    EXPECT_EQ(TakeCheckedFrame(input, other, taken), FrameStatus::kChecksumMismatch);
+    EXPECT_EQ(TakeCheckedFrame(input, other_number, decoded), FrameStatus::kChecksumMismatch);
   }
+  // A plain frame where a checked one is expected, and vice versa.
   input = BufferOf(EncodeFrame(value));
-  EXPECT_EQ(TakeCheckedFrame(input, 0, taken), FrameStatus::kChecksumMismatch);
+  EXPECT_EQ(TakeCheckedFrame(input, 0, decoded), FrameStatus::kChecksumMismatch);
   input = BufferOf(frame);
-  EXPECT_EQ(TakeFrame(input, taken), FrameStatus::kMalformed);
+  EXPECT_EQ(TakeFrame(input, decoded), FrameStatus::kMalformed);
 }
 
-// The introductions are plain frames, for members that do not know checksums.
-TEST(IntroductionChecksumTest, NoFlippedBitIsBelieved) {
+// Introductions are plain frames with their own checksum, because the other end may not support
+// checked frames.
+TEST(IntroductionChecksumTest, DetectsEveryBitFlip) {
   const json hello =
       EncodeHello({"north", "g1", "g2", 0x1234'5678'9abc'def0, 3}, {0x1234'5678, 2, 7, 299});
   const json call = {{"hello", kProtocolVersion}, {"call", {{"what", "status"}}}};
@@ -137,16 +139,17 @@
     const std::string frame = EncodeFrame(sent);
     for (size_t bit = 0; bit < frame.size() * 8; ++bit) {
       Buffer input = BufferOf(WithFlippedBit(frame, bit));
-      json taken;
-      // One that is no object is no introduction.
-      if (TakeFrame(input, taken) == FrameStatus::kComplete && taken.is_object() && taken != sent) {
-        EXPECT_EQ(VerifyChecksum(taken), IntroductionChecksum::kMismatch) << taken;
+      json decoded;
+      // A value that is not an object is not accepted as an introduction anyway.
+      if (TakeFrame(input, decoded) == FrameStatus::kComplete && decoded.is_object() &&
+          decoded != sent) {
+        EXPECT_EQ(VerifyChecksum(decoded), IntroductionChecksum::kMismatch) << decoded;
       }
     }
   }
 }
 
-TEST(IntroductionChecksumTest, AcceptsThoseOfBuildsWithoutChecksums) {
+TEST(IntroductionChecksumTest, AcceptsIntroductionsOfBuildsWithoutChecksums) {
   EXPECT_EQ(VerifyChecksum(EncodeHello({"north", "g1", "g2", 1, 1}, nullptr)),
             IntroductionChecksum::kAbsent);
   EXPECT_EQ(VerifyChecksum({{"hello", kProtocolVersion}, {"call", "now"}}),
@@ -155,13 +158,13 @@
             IntroductionChecksum::kMismatch);
 }
 
-TEST(CallTest, TakesRepliesWithAndWithoutAChecksum) {
+TEST(CallTest, AcceptsRepliesWithAndWithoutAChecksum) {
   const json reply = {{"to", "now"}};
   for (const std::string& frame : {EncodeFrame(reply), EncodeCheckedFrame(reply, 0)}) {
     Buffer input = BufferOf(frame);
-    json taken;
-    EXPECT_EQ(TakeReply(input, taken), FrameStatus::kComplete);
-    EXPECT_EQ(taken, reply);
+    json decoded;
+    EXPECT_EQ(TakeReply(input, decoded), FrameStatus::kComplete);
+    EXPECT_EQ(decoded, reply);
   }
 }
 
