--- a/src/peer/connection.cpp
+++ b/src/peer/connection.cpp
@@ -7,9 +7,9 @@
 
 using nlohmann::json;
 
-// A frame of the greatest size must fit into the input buffer.
+// The input buffer must hold a frame of the maximum size.
 constexpr size_t kMaxUnreadBytes = kMaxFrameBytes + 64;
-// Frames handled before other connections have their turn.
+// Frames read from one connection per round of the event loop, so that others are not delayed.
 constexpr int kMaxFramesPerRound = 32;
 
 }  // namespace
@@ -110,15 +110,15 @@
   switch (status) {
     case FrameStatus::kMalformed:
       ++statistics_.malformed_frames;
-      owner_.OnEnd(*this, "a malformed frame");
+      owner_.OnEnd(*this, "malformed frame");
       return false;
     case FrameStatus::kChecksumMismatch:
       ++statistics_.checksum_mismatches;
-      owner_.OnEnd(*this, "a frame whose checksum does not match");
+      owner_.OnEnd(*this, "frame checksum mismatch");
       return false;
     case FrameStatus::kIncomplete:
       if (stream_.ended()) {
-        owner_.OnEnd(*this, "ended");
+        owner_.OnEnd(*this, "closed by the peer");
       } else {
         stream_.ResumeReading();
       }
--- a/src/peer/connection.h
+++ b/src/peer/connection.h
@@ -1,4 +1,4 @@
-// One connection that carries frames: to a member, from a member, or from an operator's command.
+// A connection that transports frames: to a member, from a member, or from an operator's command.
 #ifndef PADDLESTILE_PEER_CONNECTION_H_
 #define PADDLESTILE_PEER_CONNECTION_H_
 
@@ -16,49 +16,52 @@
 
 namespace paddlestile::peer {
 
-// Life cycle, driven by the owner:
+// States, controlled by the owner:
 //
 //   unidentified  until the other end's hello or an operator's call is accepted
-//   identified    a member: carries frames both ways; or a call: gets one reply
-//   closed        the stream is closed; the owner destroys the connection later in the loop's round
+//   identified    as a member: transports frames in both directions; as a call: gets one reply
+//   closed        the stream is closed; the owner destroys the connection later, in the same round
+//                 of the event loop
 class Connection final : public Stream::Listener {
  public:
-  // Reports to the owner, which may close the connection during a call, but not destroy it.
+  // Receives the connection's events. The owner may close the connection in a callback, but must
+  // not destroy it there.
   class Owner {
    public:
     virtual void OnFrame(Connection& connection, const nlohmann::json& value) = 0;
-    // The connection cannot go on, for `reason`; the owner closes it.
+    // The connection failed or ended for `reason`. The owner must close it.
     virtual void OnEnd(Connection& connection, std::string_view reason) = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // `dialed_name` is the member that this end connects to; empty for an accepted connection. While
-  // more than `max_queued_bytes` are not sent, further frames are dropped. `statistics` and `owner`
-  // must outlive the connection.
+  // `dialed_name` is the member that this end connects to; empty for an accepted connection. Frames
+  // are dropped if more than `max_queued_bytes` would be waiting to be sent. `statistics` and
+  // `owner` must outlive the connection.
   Connection(EventLoop& loop, Socket socket, std::string dialed_name, size_t max_queued_bytes,
              PeerStatistics& statistics, Owner& owner);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   virtual ~Connection() = default;
 
-  // From now on all frames are checked, in both directions.
+  // From now on, all frames in both directions have checksums.
   void EnableChecksums() { is_checked_ = true; }
 
-  // Begins to read. False if the event loop cannot watch the socket.
+  // Starts reading. Returns false if the event loop cannot watch the socket.
   bool Start() { return stream_.Start(); }
 
-  // Sends a frame, or drops it if too much is queued.
+  // Sends a frame, or drops it if too many bytes are queued.
   void Send(const nlohmann::json& value);
-  // Sends a last frame; the connection ends once it is sent.
+  // Sends a last frame, after which the connection ends.
   void SendLast(const nlohmann::json& value);
 
-  // Closes the stream. False if it was closed already.
+  // Closes the stream. Returns false if it was already closed.
   bool Close();
   [[nodiscard]] bool closed() const { return closed_; }
 
-  // The connection belongs to the member `name`, in the given incarnation and start.
+  // Identifies the connection as one to the member `name`, with the given incarnation and restart
+  // count.
   void SetMember(std::string name, uint64_t incarnation, uint64_t restart_count);
   // Whether SetMember() was called.
   [[nodiscard]] bool is_member() const { return is_member_; }
@@ -66,27 +69,27 @@
   [[nodiscard]] uint64_t incarnation() const { return incarnation_; }
   [[nodiscard]] uint64_t restart_count() const { return restart_count_; }
 
-  // The connection belongs to an operator's call.
+  // Identifies the connection as that of an operator's call.
   void set_call(uint64_t call) { call_ = call; }
   [[nodiscard]] uint64_t call() const { return call_; }  // 0: none
 
-  // Whether it is one of the accepted connections that have not identified themselves.
+  // Whether this is an accepted connection that has not been identified yet.
   [[nodiscard]] bool is_unidentified() const { return is_unidentified_; }
   void set_unidentified(bool unidentified) { is_unidentified_ = unidentified; }
 
   [[nodiscard]] bool is_dialed() const { return !dialed_name_.empty(); }
   [[nodiscard]] const std::string& dialed_name() const { return dialed_name_; }
-  // When the last frame arrived, or the connection was made.
+  // When the last frame arrived; initially when the connection was created.
   [[nodiscard]] Time last_received_at() const { return last_received_at_; }
 
  private:
   void OnData() override { ReadFrames(); }
   void OnWriteComplete() override;
-  void OnError() override { owner_.OnEnd(*this, "broken"); }
+  void OnError() override { owner_.OnEnd(*this, "socket error"); }
   [[nodiscard]] std::string Encode(const nlohmann::json& value) const;
   [[nodiscard]] FrameStatus TakeNextFrame(nlohmann::json& value);
   void ReadFrames();
-  // Reads one frame and reports it. False if none is complete or the connection ended.
+  // Reads one frame and reports it. Returns false if no frame is complete or the connection ended.
   bool ReadFrame();
 
   EventLoop& loop_;
@@ -99,15 +102,15 @@
   uint64_t incarnation_ = 0;
   uint64_t restart_count_ = 0;
   uint64_t call_ = 0;
-  bool is_checked_ = false;               // frames have checksums
-  uint64_t checked_frames_sent_ = 0;      // the sequence number of the next one
-  uint64_t checked_frames_received_ = 0;  // the same
+  bool is_checked_ = false;               // whether frames have checksums
+  uint64_t checked_frames_sent_ = 0;      // sequence number of the next checked frame to send
+  uint64_t checked_frames_received_ = 0;  // sequence number of the next checked frame to receive
   bool is_member_ = false;
   bool is_unidentified_ = false;
   bool closed_ = false;
   bool ends_after_write_ = false;
   Time last_received_at_;
-  size_t queued_bytes_ = 0;  // at least what is not sent yet; 0 once all is sent
+  size_t queued_bytes_ = 0;  // upper bound of the unsent bytes; reset once all are sent
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with the connection
 };
 
