--- a/src/peer/peer_connections.cpp
+++ b/src/peer/peer_connections.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kListenBacklog = 512;
 constexpr int kMaxAcceptsPerRound = 32;
-constexpr size_t kMaxStaleIncarnations = 8;  // remembered for each member
+constexpr size_t kMaxStaleIncarnations = 8;  // per member
 
 }  // namespace
 
@@ -49,17 +49,18 @@
       listener_(listener),
       random_(options_.seed) {
   acceptor_ = std::make_unique<Acceptor>(*this, options_.listen);
-  heartbeat_timer_ = loop_.RunAfter(options_.heartbeat_interval, [this] { SendHeartbeats(); });
+  maintenance_timer_ =
+      loop_.RunAfter(options_.heartbeat_interval, [this] { MaintainConnections(); });
 }
 
 PeerConnections::~PeerConnections() {
-  loop_.CancelTimer(heartbeat_timer_);
+  loop_.CancelTimer(maintenance_timer_);
   for (auto& [name, dial] : dials_) {
     loop_.CancelTimer(dial.timer);
   }
 }
 
-// ---- Making connections -----------------------------------------------------------------------
+// ---- Establishing connections -----------------------------------------------------------------
 
 Connection& PeerConnections::AddConnection(Socket socket, const std::string& dialed_name) {
   Connection::Owner& owner = *this;  // a private base, which make_unique cannot convert to
@@ -79,7 +80,7 @@
       }
       return;
     }
-    // A member that is closed here connects again.
+    // The descriptor is closed here. A member will connect again.
     if (unidentified_count_ >= options_.max_unidentified || !budget_.TryAcquire()) {
       continue;
     }
@@ -87,7 +88,7 @@
     connection.set_unidentified(true);
     ++unidentified_count_;
     if (!connection.Start()) {
-      OnEnd(connection, "not watched");
+      OnEnd(connection, "cannot watch the socket");
     }
   }
   loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
@@ -120,12 +121,13 @@
 void PeerConnections::ScheduleRedial(const std::string& name) {
   DialState& dial = dials_[name];
   dial.connection = nullptr;
-  dial.wait = std::clamp(dial.wait * 2, options_.min_reconnect_delay, options_.max_reconnect_delay);
+  dial.delay =
+      std::clamp(dial.delay * 2, options_.min_reconnect_delay, options_.max_reconnect_delay);
   std::uniform_real_distribution<double> jitter(0.5, 1.0);
-  const Duration wait(
-      static_cast<int64_t>(static_cast<double>(dial.wait.count()) * jitter(random_)));
+  const Duration delay(
+      static_cast<int64_t>(static_cast<double>(dial.delay.count()) * jitter(random_)));
   loop_.CancelTimer(dial.timer);
-  dial.timer = loop_.RunAfter(wait, [this, name] {
+  dial.timer = loop_.RunAfter(delay, [this, name] {
     dials_[name].timer = {};
     DialAll();
   });
@@ -139,13 +141,13 @@
   }
   Connection& connection = AddConnection(std::move(*socket), name);
   dials_[name].connection = &connection;
-  connection.Send(HelloTo(name));
+  connection.Send(MakeHelloTo(name));
   if (!connection.Start()) {
-    OnEnd(connection, "not watched");
+    OnEnd(connection, "cannot watch the socket");
   }
 }
 
-// ---- Events of connections --------------------------------------------------------------------
+// ---- Connection events ------------------------------------------------------------------------
 
 void PeerConnections::OnFrame(Connection& connection, const json& value) {
   if (connection.is_member()) {
@@ -163,11 +165,11 @@
     calls_.erase(connection.call());
   }
   RemoveFromUnidentified(connection);
-  ForgetMember(connection, reason);
+  RemoveMember(connection, reason);
   if (connection.is_dialed()) {
     ScheduleRedial(connection.dialed_name());
   }
-  // Deferred: this may be called from the connection's own handler.
+  // Destroyed later, because this may be called from the connection's own handler.
   loop_.RunDeferred([this, closed = &connection, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
       connections_.erase(closed);
@@ -175,42 +177,43 @@
   });
 }
 
-void PeerConnections::ForgetMember(const Connection& connection, std::string_view reason) {
+void PeerConnections::RemoveMember(const Connection& connection, std::string_view reason) {
   const auto found = connected_.find(connection.name());
   if (!connection.is_member() || found == connected_.end() || found->second != &connection) {
     return;
   }
   connected_.erase(found);
   ++statistics_.disconnected;
-  Log(LogLevel::kInfo, "bank: connection to {} is closed: {}", connection.name(), reason);
+  Log(LogLevel::kInfo, "bank: connection to {} closed: {}", connection.name(), reason);
   listener_->OnDisconnected(connection.name());
 }
 
-// ---- Heartbeats -------------------------------------------------------------------------------
+// ---- Timeouts and heartbeats ------------------------------------------------------------------
 
-void PeerConnections::SendHeartbeats() {
+void PeerConnections::MaintainConnections() {
   const Time now = loop_.Now();
-  // A copy: closing one connection may change the map.
+  // Copied, because closing a connection may change the map.
   std::vector<Connection*> connections;
   for (const auto& [key, connection] : connections_) {
     connections.push_back(key);
   }
   for (Connection* const connection : connections) {
     if (!connection->closed()) {
-      SendHeartbeat(now, *connection);
+      MaintainConnection(now, *connection);
     }
   }
-  heartbeat_timer_ = loop_.RunAfter(options_.heartbeat_interval, [this] { SendHeartbeats(); });
+  maintenance_timer_ =
+      loop_.RunAfter(options_.heartbeat_interval, [this] { MaintainConnections(); });
 }
 
-void PeerConnections::SendHeartbeat(Time now, Connection& connection) {
+void PeerConnections::MaintainConnection(Time now, Connection& connection) {
   const bool is_identified = connection.is_member() || connection.call() != 0;
   const Duration timeout = is_identified ? options_.silence_timeout : options_.hello_timeout;
   if (now - connection.last_received_at() > timeout) {
     if (connection.is_member()) {
       ++statistics_.timed_out;
     }
-    OnEnd(connection, "silent");
+    OnEnd(connection, "no frame received in time");
   } else if (connection.is_member()) {
     connection.Send({{"beat", 1}});
   }
@@ -218,7 +221,7 @@
 
 // ---- Identification ---------------------------------------------------------------------------
 
-json PeerConnections::HelloTo(const std::string& name) {
+json PeerConnections::MakeHelloTo(const std::string& name) {
   Hello hello;
   hello.cluster_name = options_.cluster_name;
   hello.from = options_.name;
@@ -237,7 +240,7 @@
 
 void PeerConnections::Reject(Connection& connection, const std::string& reason) {
   ++statistics_.unidentified;
-  Log(LogLevel::kWarning, "bank: turned away: {}", reason);
+  Log(LogLevel::kWarning, "bank: rejected a connection: {}", reason);
   OnEnd(connection, reason);
 }
 
@@ -245,7 +248,7 @@
   const IntroductionChecksum checksum = VerifyChecksum(value);
   if (checksum == IntroductionChecksum::kMismatch) {
     ++statistics_.checksum_mismatches;
-    return Reject(connection, "an introduction whose checksum does not match");
+    return Reject(connection, "introduction checksum mismatch");
   }
   const bool is_checked = checksum == IntroductionChecksum::kMatches;
   try {
@@ -255,19 +258,19 @@
       OnHello(connection, value, is_checked);
     }
   } catch (const json::exception&) {
-    // Also one that the listener throws for the contents of the call or the claim.
+    // The listener may also throw this exception, for malformed contents of the call or the claim.
     ++statistics_.malformed_frames;
-    Reject(connection, "a malformed hello");
+    Reject(connection, "malformed introduction");
   }
 }
 
 void PeerConnections::OnCall(Connection& connection, const json& frame, const json& call,
                              bool is_checked) {
   if (frame.value("hello", 0) != kProtocolVersion) {
-    return Reject(connection, "a call of another format");
+    return Reject(connection, "call with an unsupported protocol version");
   }
   if (connection.is_dialed()) {
-    return Reject(connection, "a call instead of a hello");
+    return Reject(connection, "call received instead of a hello");
   }
   RemoveFromUnidentified(connection);
   if (connection.call() == 0) {
@@ -283,23 +286,23 @@
 std::string PeerConnections::ReasonToReject(const Connection& connection, const Hello& hello,
                                             const json& version) const {
   if (connection.call() != 0) {
-    return "a hello after a call";
+    return "hello received after a call";
   }
   if (version != kProtocolVersion) {
-    return hello.from + " speaks format " + version.dump() + ", expected " +
+    return hello.from + " uses protocol version " + version.dump() + ", expected " +
            std::to_string(kProtocolVersion);
   }
   if (hello.cluster_name != options_.cluster_name) {
-    return hello.from + " is of bank '" + hello.cluster_name + "'";
+    return hello.from + " belongs to bank '" + hello.cluster_name + "'";
   }
   if (hello.to != options_.name) {
-    return hello.from + " looks for " + hello.to;
+    return hello.from + " expected to reach " + hello.to;
   }
   if (!options_.members.contains(hello.from) || hello.from == options_.name) {
-    return hello.from + " is no member";
+    return hello.from + " is not a member";
   }
   if (connection.is_dialed() && hello.from != connection.dialed_name()) {
-    return hello.from + " answers for " + connection.dialed_name();
+    return hello.from + " replied at the address of " + connection.dialed_name();
   }
   return "";
 }
@@ -328,7 +331,7 @@
       stale.erase(stale.begin());
     }
   }
-  OnEnd(earlier, "another connection of it");
+  OnEnd(earlier, "replaced by a newer connection");
 }
 
 void PeerConnections::OnHello(Connection& connection, const json& frame, bool is_checked) {
@@ -340,15 +343,15 @@
   }
   if (IsStale(hello)) {
     ++statistics_.stale_incarnations;
-    return Reject(connection, hello.from + " comes with a stale incarnation");
+    return Reject(connection, hello.from + " has a stale incarnation");
   }
   ReplaceConnection(hello);
   if (connection.is_dialed()) {
-    dials_[hello.from].wait = Duration(0);
+    dials_[hello.from].delay = Duration(0);
   } else {
-    connection.Send(HelloTo(hello.from));
+    connection.Send(MakeHelloTo(hello.from));
   }
-  // It may have ended while the earlier one was closed or the hello was sent.
+  // The connection may have ended while the earlier one was closed or the hello was sent.
   if (connection.closed()) {
     return;
   }
@@ -359,7 +362,7 @@
   connection.SetMember(hello.from, hello.incarnation, hello.restart_count);
   connected_[hello.from] = &connection;
   ++statistics_.connected;
-  Log(LogLevel::kInfo, "bank: connection to {} is established", hello.from);
+  Log(LogLevel::kInfo, "bank: connection to {} established", hello.from);
   listener_->OnConnected(hello.from, hello.incarnation, claim);
 }
 
--- a/tests/peer/peer_connections_test.cpp
+++ b/tests/peer/peer_connections_test.cpp
@@ -1,5 +1,5 @@
-// Frames and connections among members: who is accepted, what malformed frames and slow readers
-// cost.
+// Tests frames and connections between members: which peers are accepted, and the effects of
+// malformed frames and slow readers.
 #include "peer/peer_connections.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   std::string bytes;
   json::to_cbor(deep, bytes);
   EXPECT_TRUE(DecodeValue(bytes));
-  // One level too deep; and a megabyte of opened arrays, which would overflow the stack of a
+  // One level too deep, and a megabyte of nested arrays, which would overflow the stack of a
   // recursive parser.
   EXPECT_FALSE(DecodeValue("\x81" + bytes));
   EXPECT_FALSE(DecodeValue(std::string(1 << 20, '\x81')));
@@ -37,21 +37,21 @@
   EXPECT_FALSE(DecodeValue(bytes + bytes));
 }
 
-TEST(FramingTest, TakesCompleteFramesOfBoundedSize) {
-  Buffer in;
+TEST(FramingTest, AcceptsCompleteFramesOfLimitedSize) {
+  Buffer input;
   json value;
   const std::string frame = EncodeFrame({{"a", 1}});
   for (const char c : frame) {
-    EXPECT_EQ(TakeFrame(in, value), FrameStatus::kIncomplete);
-    in.Append({&c, 1});
+    EXPECT_EQ(TakeFrame(input, value), FrameStatus::kIncomplete);
+    input.Append({&c, 1});
   }
-  EXPECT_EQ(TakeFrame(in, value), FrameStatus::kComplete);
+  EXPECT_EQ(TakeFrame(input, value), FrameStatus::kComplete);
   EXPECT_EQ(value["a"], 1);
-  in.Append("\xff\xff\xff\x7f");
-  EXPECT_EQ(TakeFrame(in, value), FrameStatus::kMalformed);
+  input.Append("\xff\xff\xff\x7f");
+  EXPECT_EQ(TakeFrame(input, value), FrameStatus::kMalformed);
 }
 
-// The frame by which a member introduces itself, with the words of the wire.
+// Returns a plain frame with a member's hello, using the keys of the wire protocol.
 std::string Hello(const std::string& cluster_name, const std::string& from, const std::string& to,
                   int version, int incarnation, int restart_count) {
   return EncodeFrame({{"hello", version},
@@ -63,12 +63,12 @@
                       {"known", "x"}});
 }
 
-// The same by a build that knows checksums.
+// Returns the hello of a build that supports checksums.
 std::string CheckedHello() {
   return EncodeFrame(WithChecksum(EncodeHello({"north", "a", "b", 7, 1}, "x")));
 }
 
-// A member with its connections, which records what it received.
+// A member with its connections. Records everything that it receives.
 struct TestMember final : PeerConnections::Listener {
   TestMember(EventLoop& loop, const std::string& name, PeerConnectionOptions options)
       : connections(loop, budget, std::move(options), this), name(name) {}
@@ -92,7 +92,7 @@
   PeerConnections connections;
   std::string name;
   std::string received;
-  bool replies = true;                        // to calls
+  bool replies = true;                        // whether it replies to calls
   std::map<std::string, uint64_t> connected;  // incarnation by name
 };
 
@@ -117,7 +117,7 @@
     return {0x7f6c0000U | (static_cast<uint32_t>(getpid()) & 0xffffU),
             static_cast<uint16_t>(7000 + member)};
   }
-  // Runs the event loop until `condition` holds, and returns whether it does.
+  // Runs the event loop until `condition` holds or the timeout expires. Returns whether it holds.
   bool RunUntil(const std::function<bool()>& condition, int timeout_ms = 3000) {
     const Time end = loop.Now() + Duration(timeout_ms * 1000);
     while (!condition() && loop.Now() < end) {
@@ -128,7 +128,7 @@
   EventLoop loop;
 };
 
-TEST_F(PeerConnectionsTest, OneConnectionAPairCarriesBothDirections) {
+TEST_F(PeerConnectionsTest, UsesOneConnectionPerPairForBothDirections) {
   TestMember a(loop, "a", Options("a", 1, 1));
   TestMember b(loop, "b", Options("b", 2, 1));
   a.connections.SetWantedMembers({"a"});
@@ -141,7 +141,7 @@
     return a.received == "b knows;b says 2;" && b.received == "a knows;a says 1;";
   })) << a.received
       << b.received;
-  // Heartbeats keep it up when nothing else is sent.
+  // Heartbeats keep the connection open while nothing else is sent.
   EXPECT_FALSE(RunUntil([&] { return a.connections.statistics().disconnected > 0; }, 800));
   EXPECT_EQ(a.connections.statistics().connected, 1U);
 }
@@ -166,8 +166,8 @@
   Peer first = Peer::To(At('b'));
   first.Say(valid);
   ASSERT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
-  // The same incarnation before its last restart; then another incarnation, after which the first
-  // one is stale.
+  // A process of the same incarnation from before its last restart is stale. Once another
+  // incarnation has connected, the first one is stale too.
   Peer before_restart = Peer::To(At('b'));
   before_restart.Say(Hello("north", "a", "b", kProtocolVersion, 7, 2));
   EXPECT_TRUE(RunUntil([&] { return before_restart.Ended(); }));
@@ -181,8 +181,8 @@
   EXPECT_EQ(b.connections.statistics().stale_incarnations, 2U);
 }
 
-// A peer that stops reading, or sends nothing.
-TEST_F(PeerConnectionsTest, ASlowOrSilentPeerCostsItsOwnConnectionAlone) {
+// Covers a peer that stops reading and one that sends nothing.
+TEST_F(PeerConnectionsTest, ClosesOnlyTheConnectionOfASlowOrSilentPeer) {
   PeerConnectionOptions options = Options("b", 2, 1);
   options.max_queued_bytes = 64 << 10;
   TestMember b(loop, "b", options);
@@ -199,8 +199,8 @@
   EXPECT_TRUE(RunUntil([&] { return silent.Ended(); }));
 }
 
-// The connection ends while the answer to its hello is written. It was then taken for connected
-// with its memory freed, and the process crashed.
+// Guards against a use-after-free: the connection ends while the reply to its hello is written. If
+// it were then registered as connected, the process would access freed memory.
 TEST_F(PeerConnectionsTest, APeerThatResetsAfterItsHelloIsNotConnected) {
   TestMember b(loop, "b", Options("b", 2, 1));
   for (int i = 0; i < 20; ++i) {
@@ -214,15 +214,15 @@
   }
 }
 
-// What is believed of a frame that was changed or repeated on the way: nothing.
-TEST_F(PeerConnectionsTest, AFrameThatWasChangedOrRepeatedEndsItsConnection) {
+// A frame that was modified or repeated in transit must be discarded and its connection closed.
+TEST_F(PeerConnectionsTest, ClosesAConnectionWithAModifiedOrRepeatedFrame) {
   TestMember b(loop, "b", Options("b", 2, 1));
   const std::string first = EncodeCheckedFrame({{"x", 1}}, 0);
-  std::string changed = EncodeCheckedFrame({{"x", 2}}, 1);
-  changed.back() = static_cast<char>(changed.back() ^ 1);  // the number: still CBOR
+  std::string modified = EncodeCheckedFrame({{"x", 2}}, 1);
+  modified.back() = static_cast<char>(modified.back() ^ 1);  // the number; still valid CBOR
   const std::string plain = EncodeFrame({{"x", 3}});
   uint64_t mismatches = 0;
-  for (const std::string& second : {changed, first, plain}) {
+  for (const std::string& second : {modified, first, plain}) {
     b.received.clear();
     Peer peer = Peer::To(At('b'));
     peer.Say(CheckedHello());
@@ -232,7 +232,7 @@
     EXPECT_EQ(b.received, "x;a says 1;");
     EXPECT_EQ(b.connections.statistics().checksum_mismatches, ++mismatches);
   }
-  // A hello that was changed: the incarnation is another.
+  // A hello that was modified and has another incarnation.
   std::string hello = CheckedHello();
   const size_t incarnation = hello.find("life") + 4;
   hello[incarnation] = static_cast<char>(hello[incarnation] ^ 1);
@@ -243,8 +243,8 @@
   EXPECT_EQ(b.connections.statistics().checksum_mismatches, ++mismatches);
 }
 
-// A fleet is upgraded a member at a time.
-TEST_F(PeerConnectionsTest, TalksPlainFramesWithABuildWithoutChecksums) {
+// Members are upgraded one at a time, so builds with and without checksums must interoperate.
+TEST_F(PeerConnectionsTest, UsesPlainFramesWithABuildWithoutChecksums) {
   TestMember b(loop, "b", Options("b", 2, 1));
   Peer peer = Peer::To(At('b'));
   peer.Say(Hello("north", "a", "b", kProtocolVersion, 7, 1));
@@ -257,7 +257,7 @@
   EXPECT_TRUE(RunUntil([&] { return peer.Has(expected); }));
 }
 
-TEST_F(PeerConnectionsTest, RepliesWithAChecksumToACallerThatKnowsThem) {
+TEST_F(PeerConnectionsTest, RepliesWithAChecksumToACallerThatSupportsChecksums) {
   TestMember b(loop, "b", Options("b", 2, 1));
   Peer caller = Peer::To(At('b'));
   caller.Say(EncodeCall("now"));
@@ -265,9 +265,9 @@
   EXPECT_EQ(caller.Heard(), EncodeCheckedFrame({{"to", "now"}}, 0));
 }
 
-// The connection was counted out twice of those that have not identified themselves, below zero:
-// every connection that came after it was turned away.
-TEST_F(PeerConnectionsTest, AHelloAfterACallIsRejectedAndLocksNobodyOut) {
+// Guards against removing a connection twice from the count of unidentified connections. The count
+// would wrap below zero, and every later connection would be rejected.
+TEST_F(PeerConnectionsTest, RejectsAHelloAfterACallAndStillAcceptsOthers) {
   TestMember b(loop, "b", Options("b", 2, 1));
   b.replies = false;
   Peer caller = Peer::To(At('b'));
@@ -280,7 +280,7 @@
   EXPECT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
 }
 
-TEST_F(PeerConnectionsTest, AnswersAnOperatorsCallOnce) {
+TEST_F(PeerConnectionsTest, RepliesToAnOperatorsCallAndClosesTheConnection) {
   TestMember b(loop, "b", Options("b", 2, 1));
   Peer caller = Peer::To(At('b'));
   caller.Say(EncodeFrame({{"hello", kProtocolVersion}, {"call", "now"}}));
