--- a/src/cluster/effective_config.h
+++ b/src/cluster/effective_config.h
@@ -9,6 +9,8 @@
 
 namespace paddlestile::cluster {
 
+// The configuration that a gateway acts on:
+//
 //   kind           lease  knows a later version  acts on
 //   kAgreed        held   no                     the version in force
 //   kInTransition  held   yes                    the strictest of these versions in each part
--- a/src/cluster/version_history.h
+++ b/src/cluster/version_history.h
@@ -57,8 +57,9 @@
   // longer remembered.
   [[nodiscard]] std::optional<Result> Find(const std::string& id) const;
 
-  // Returns a snapshot of the history in CBOR, or replaces the history with that of a snapshot.
+  // Returns a snapshot of the history, in CBOR.
   [[nodiscard]] std::string Save() const;
+  // Replaces the history with that of a snapshot.
   void Load(const std::string& saved);
 
   // 0: none yet; only the platform's file applies.
@@ -88,7 +89,7 @@
 
   // Describes how this member's content differs from the agreed content; empty if no difference was
   // detected. Cleared by a later version whose hash matches the agreed one, or that was submitted
-  // as a whole version and is in force.
+  // as a whole version and is in force. A numbering mismatch is cleared only by Load().
   [[nodiscard]] const std::string& content_mismatch() const { return content_mismatch_; }
   // Whether this member has missed a version, so that its version numbers differ from the other
   // members' and it must not become leader.
--- a/src/raft/restart_guard.cpp
+++ b/src/raft/restart_guard.cpp
@@ -35,8 +35,8 @@
     return voter.name != self_ && found != counts_from_.end() && found->second <= now;
   };
   const auto heard = static_cast<size_t>(std::ranges::count_if(voters, is_heard));
-  // A majority consists of this member and size / 2 others. Any size / 2 others include one that
-  // was heard if fewer than size / 2 were not heard. At most all others can be heard.
+  // A minimal majority consists of this member and size / 2 others. Any size / 2 others include one
+  // that was heard if fewer than size / 2 were not heard. At most all others can be heard.
   const size_t size = voters.size();
   return size > 0 && heard >= std::min(size - 1, size - size / 2);
 }
