--- a/tests/raft/election_test.cpp
+++ b/tests/raft/election_test.cpp
@@ -45,8 +45,8 @@
   EXPECT_TRUE(Receive(3 * kSecond, RequestVote(3, false, 2, 2)).messages.at(0).message.granted);
 }
 
-// A member that receives no messages but can send them keeps starting elections. It must not depose
-// the leader, whose lease relies on its voters.
+// A member that does not receive the leader's messages but can send its own keeps starting
+// elections. It must not depose the leader, whose lease relies on its voters.
 TEST_F(RaftFollowerTest, IgnoresCandidatesWhileInContactWithTheLeader) {
   Receive(kSecond, AppendEntries(2, 1, 1, {}));
   EXPECT_TRUE(Receive(kSecond + Time(400'000), RequestVote(9, false, 1, 1)).messages.empty());
