--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -116,7 +116,7 @@
   Start();
   ASSERT_TRUE(Says("listens on"));
   Peer client = Peer::To(address);
-  client.Say("GET /_health HTTP/1.1\r\n\r\n");
+  client.Send("GET /_health HTTP/1.1\r\n\r\n");
   for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) {
     usleep(5000);
   }
@@ -158,7 +158,7 @@
 bool Watched(Port& port, Peer& peer) {
   for (int i = 0; i < 1000; ++i) {
     if (!peer) {
-      peer = port.TryTake();
+      peer = port.TryAccept();
     }
     if (peer && peer.Has("follow=1")) {
       return true;
@@ -179,9 +179,9 @@
   ASSERT_TRUE(Says("listens on"));
   Peer first, second, third;
   ASSERT_TRUE(Watched(discovery, first));
-  first.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+  first.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
   Peer client = Peer::To(address);
-  client.Say("GET /_health HTTP/1.1\r\n\r\n");
+  client.Send("GET /_health HTTP/1.1\r\n\r\n");
   for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) {
     usleep(5000);
   }
@@ -193,7 +193,7 @@
   Port elsewhere;
   write(elsewhere.text());
   ASSERT_TRUE(Watched(elsewhere, second));  // without a second signal
-  second.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+  second.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
   for (int i = 0; i < 1000 && !first.Ended(); ++i) {
     usleep(5000);
   }
@@ -314,17 +314,17 @@
     std::vector<Peer> clients, hosts;
     for (size_t i = 0; i < kBodies; ++i) {
       clients.push_back(Peer::To(address));
-      clients.back().Say((answers ? "GET /read HTTP/1.1\r\n"
-                                  : "POST /read HTTP/1.1\r\nContent-Length: 33554432\r\n") +
-                         ("X-Call-Id: " + std::to_string(i)) + (answers ? "a" : "r") +
-                         "\r\nX-Budget-Ms: 60000\r\n\r\n");
+      clients.back().Send((answers ? "GET /read HTTP/1.1\r\n"
+                                   : "POST /read HTTP/1.1\r\nContent-Length: 33554432\r\n") +
+                          ("X-Call-Id: " + std::to_string(i)) + (answers ? "a" : "r") +
+                          "\r\nX-Budget-Ms: 60000\r\n\r\n");
     }
     size_t sent = 0;
     for (int round = 0; round < 600; ++round) {
-      while (Peer peer = host.TryTake()) {
+      while (Peer peer = host.TryAccept()) {
         hosts.push_back(std::move(peer));
         if (answers) {
-          hosts.back().Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
+          hosts.back().Send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
         }
       }
       for (Peer& peer : answers ? hosts : clients) {
@@ -386,7 +386,7 @@
   }
   EXPECT_EQ(sent.back(), text.size());
   Peer late = Peer::To(address);  // served once the event loop has read all of it
-  late.Say("GET /_health HTTP/1.1\r\n\r\n");
+  late.Send("GET /_health HTTP/1.1\r\n\r\n");
   for (int i = 0; i < 1000 && !late.Has("200 OK"); ++i) {
     usleep(5000);
   }
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -125,7 +125,7 @@
   EXPECT_NE(Whole("/proc/" + std::to_string(child.pid()) + "/maps").find("/libc.so.6"),
             std::string::npos);
   Peer client = Peer::To(address);
-  client.Say("GET /read/x HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 900\r\n\r\n");
+  client.Send("GET /read/x HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 900\r\n\r\n");
   for (int i = 0; i < 400 && !client.Has("HTTP/1.1 503"); ++i) {
     usleep(5000);
   }
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -51,7 +51,7 @@
   }
   // The next connection to the agent, with its request read.
   Peer Call() {
-    Peer peer = port.Take(loop);
+    Peer peer = port.Accept(loop);
     EXPECT_TRUE(RunUntil(loop, [&] { return peer.Has("\r\n\r\n"); }));
     return peer;
   }
@@ -68,7 +68,7 @@
   StartClient(true);
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("GET /catalog/members?follow=1&since=40 HTTP/1.1\r\n"));
-  agent.Say(kHead + Chunk(Line(41, false, Entry("h1"))));
+  agent.Send(kHead + Chunk(Line(41, false, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(lists[0].revision, 41);
   EXPECT_FALSE(lists[0].complete);
@@ -86,7 +86,7 @@
       "\n" + Line(41, true, Entry("h1")) + "\r\n" + Line(42, false, Entry("h2"));
   all += Chunk(text.substr(0, 30)) + Chunk(text.substr(30, 120)) + Chunk(text.substr(150));
   for (const char c : all) {
-    agent.Say(std::string(1, c));
+    agent.Send(std::string(1, c));
     loop.RunOnce(Duration(0));
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
@@ -111,13 +111,13 @@
     Peer agent = Call();
     EXPECT_TRUE(agent.Has("since=40"));
     failed = 0;
-    agent.Say(text);
+    agent.Send(text);
     ASSERT_TRUE(RunUntil(loop, [&] { return agent.Ended(); })) << text;
     EXPECT_EQ(failed, 1) << text;
   }
   EXPECT_TRUE(lists.empty());
   Peer agent = Call();
-  agent.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  agent.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
@@ -125,8 +125,8 @@
 TEST_F(DiscoveryClientTest, StaleListIsIgnoredUntilTheAgentCatchesUp) {
   StartClient(true);
   Peer agent = Call();
-  agent.Say(kHead + Chunk(Line(38, true, Entry("gone"))) + Chunk(Line(39, false, Entry("gone"))));
-  agent.Say(Chunk(Line(41, false, Entry("h1"))));
+  agent.Send(kHead + Chunk(Line(38, true, Entry("gone"))) + Chunk(Line(39, false, Entry("gone"))));
+  agent.Send(Chunk(Line(41, false, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(lists[0].endpoints[0].info.id, "h1");
   EXPECT_EQ(failed, 0);
@@ -137,15 +137,15 @@
   StartClient(true);
   client->set_max_staleness(Ms(300));
   Peer agent = Call();
-  agent.Say(kHead + Chunk(Line(3, true, Entry("h1"))));
+  agent.Send(kHead + Chunk(Line(3, true, Entry("h1"))));
   testing::RunFor(loop, Ms(100));
-  agent.Say(Chunk("\n"));
+  agent.Send(Chunk("\n"));
   testing::RunFor(loop, Ms(300));
   EXPECT_TRUE(lists.empty());
-  agent.Say(Chunk("\n"));
+  agent.Send(Chunk("\n"));
   Peer next = Call();
   EXPECT_TRUE(next.Has("since=0"));
-  next.Say(kHead + Chunk(Line(4, true, Entry("h1"))));
+  next.Send(kHead + Chunk(Line(4, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(client->revision(), 4);
 }
@@ -154,40 +154,40 @@
 TEST_F(DiscoveryClientTest, NewAddressIsWatchedAtOnceBesideTheOldOne) {
   StartClient(true);
   Peer old = Call();
-  old.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  old.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port elsewhere;
   client->Redirect(elsewhere.address());
-  Peer agent = elsewhere.Take(loop);
+  Peer agent = elsewhere.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return agent.Has("since=41"); }));
-  old.Say(Chunk(Line(42, false, Entry("h2"))));
+  old.Send(Chunk(Line(42, false, Entry("h2"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_FALSE(old.Ended());
-  agent.Say(kHead + Chunk(Line(43, false, Entry("h3"))));
+  agent.Send(kHead + Chunk(Line(43, false, Entry("h3"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 3; }));
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended(); }));
   EXPECT_EQ(failed, 0);
   agent.Close();
-  Peer again = elsewhere.Take(loop);
+  Peer again = elsewhere.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return again.Has("since=43"); }));
-  EXPECT_FALSE(port.TryTake());  // the old one is left alone
+  EXPECT_FALSE(port.TryAccept());  // the old one is left alone
 }
 
 // The first new address is silent, as one configured by mistake may be.
 TEST_F(DiscoveryClientTest, TwoNewAddressesInARowKeepTheOneThatDelivers) {
   StartClient(true);
   Peer old = Call();
-  old.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  old.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port silent, good;
   client->Redirect(silent.address());
-  Peer first = silent.Take(loop);
+  Peer first = silent.Accept(loop);
   client->Redirect(good.address());
-  Peer second = good.Take(loop);
+  Peer second = good.Accept(loop);
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
   EXPECT_FALSE(old.Ended());
   client->Redirect(good.address());  // the same again changes nothing
-  second.Say(kHead + Chunk("\n"));
+  second.Send(kHead + Chunk("\n"));
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended(); }));
   EXPECT_FALSE(second.Ended());
 }
@@ -195,15 +195,15 @@
 TEST_F(DiscoveryClientTest, PreviousWatchIsNotRenewedWhileTheNewAddressIsSilent) {
   StartClient(true);
   Peer old = Call();
-  old.Say(kHead + Chunk("\n"));
+  old.Send(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(20));
   testing::Port elsewhere;
   client->Redirect(elsewhere.address());
-  Peer agent = elsewhere.Take(loop);
+  Peer agent = elsewhere.Accept(loop);
   old.Reset();
   testing::RunFor(loop, Ms(600));
   EXPECT_EQ(failed, 0);
-  EXPECT_FALSE(port.TryTake());
+  EXPECT_FALSE(port.TryAccept());
   EXPECT_FALSE(agent.Ended());
 }
 
@@ -212,10 +212,10 @@
   testing::Port elsewhere;
   client->Redirect(elsewhere.address());
   testing::RunFor(loop, Ms(20));
-  EXPECT_FALSE(elsewhere.TryTake());  // nobody has asked for one
+  EXPECT_FALSE(elsewhere.TryAccept());  // nobody has asked for one
   client->SetWatching(true);
-  Peer old = elsewhere.Take(loop);
-  old.Say(kHead + Chunk("\n"));
+  Peer old = elsewhere.Accept(loop);
+  old.Send(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(20));
   client->Redirect(port.address());
   Peer agent = Call();
@@ -227,7 +227,7 @@
 TEST_F(DiscoveryClientTest, BrokenWatchIsRenewed) {
   StartClient(true);
   Peer agent = Call();
-  agent.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  agent.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   agent.Reset();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
@@ -239,9 +239,9 @@
 TEST_F(DiscoveryClientTest, SilentWatchTimesOutButEmptyLinesKeepIt) {
   StartClient(true);
   Peer agent = Call();
-  agent.Say(kHead + Chunk("\n"));
+  agent.Send(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(2500));
-  agent.Say(Chunk("\n"));
+  agent.Send(Chunk("\n"));
   testing::RunFor(loop, Ms(3000));
   EXPECT_EQ(failed, 0);  // 5.5 s, but an empty line in between
   ASSERT_TRUE(RunUntil(
@@ -252,14 +252,14 @@
 TEST_F(DiscoveryClientTest, WatchOnRequestBeginsOnRequest) {
   StartClient(false);
   testing::RunFor(loop, Ms(30));
-  EXPECT_FALSE(port.TryTake());
+  EXPECT_FALSE(port.TryAccept());
   client->SetWatching(true);
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("follow=1"));
   agent.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
   testing::RunFor(loop, Ms(300));
-  EXPECT_FALSE(port.TryTake());  // it asks again itself, when it wants to
+  EXPECT_FALSE(port.TryAccept());  // it asks again itself, when it wants to
   client->SetWatching(true);
   Peer next = Call();
   client->SetWatching(false);
@@ -273,7 +273,7 @@
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("GET /catalog/members HTTP/1.1\r\n"));
   const std::string body = Line(50, true, Entry("h1") + "," + Entry("h2", "leaving"));
-  agent.Say(testing::Http200(body));
+  agent.Send(testing::Http200(body));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_TRUE(lists[0].complete);
   EXPECT_EQ(lists[0].endpoints.size(), 2u);
@@ -285,7 +285,7 @@
   client->Poll();
   Peer agent = Call();
   const std::string whole = testing::Http200(Line(50, true, Entry("h1")));
-  agent.Say(whole.substr(0, whole.size() - 5));
+  agent.Send(whole.substr(0, whole.size() - 5));
   agent.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
   EXPECT_TRUE(lists.empty());
@@ -295,7 +295,7 @@
 TEST_F(DiscoveryClientTest, EmptyListIsAccepted) {
   StartClient(true);
   Peer agent = Call();
-  agent.Say(kHead + Chunk(Line(41, true, "")));
+  agent.Send(kHead + Chunk(Line(41, true, "")));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_TRUE(lists[0].endpoints.empty());
   EXPECT_EQ(failed, 0);
@@ -344,9 +344,9 @@
     agent.watch =
         std::make_unique<DiscoveryClient>(loop, agent.port.address(), names, 40, true, &agent);
     agent.watch->Start();
-    agent.peer = agent.port.Take(loop);
+    agent.peer = agent.port.Accept(loop);
     ASSERT_TRUE(RunUntil(loop, [&] { return agent.peer.Has("\r\n\r\n"); }));
-    agent.peer.Say(c.said);
+    agent.peer.Send(c.said);
     agent.silent = loop.Now();
   }
   Time next = loop.Now();
@@ -359,9 +359,9 @@
           // A space is white space in a line and in a header.
           const bool in_chunk = cases[i].what.find("line") != std::string::npos;
           if (cases[i].trickles && loop.Now() > next) {
-            agent.peer.Say(in_chunk ? Chunk(" ") : " ");
+            agent.peer.Send(in_chunk ? Chunk(" ") : " ");
           }
-          if (!agent.again && (agent.again = agent.port.TryTake())) {
+          if (!agent.again && (agent.again = agent.port.TryAccept())) {
             agent.anew = loop.Now();
           }
           all = all && agent.again;
@@ -388,7 +388,7 @@
   Peer again = Call();
   EXPECT_LT(loop.Now() - began, Ms(2600));
   EXPECT_TRUE(silent.Ended());
-  again.Say(kHead + Chunk(Line(41, false, Entry("h1"))));
+  again.Send(kHead + Chunk(Line(41, false, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
@@ -400,7 +400,7 @@
       "{\n  \"revision\": 41,\n  \"complete\": true,\r\n  \"members\": [\n    " + Entry("h1") +
       "\n  ]\n}\n\n{\n\t\"revision\": 42, \"complete\": false,\n\t\"members\": []\n}\n";
   for (const char c : kHead + Chunk(text.substr(0, 50)) + Chunk(text.substr(50))) {
-    agent.Say(std::string(1, c));
+    agent.Send(std::string(1, c));
     loop.RunOnce(Duration(0));
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
@@ -418,7 +418,7 @@
     for (const std::string& next : {std::string("\n"), line}) {
       failed = 0;
       Peer agent = Call();
-      agent.Say(kHead + Chunk(line.substr(0, at) + "\n" + next));
+      agent.Send(kHead + Chunk(line.substr(0, at) + "\n" + next));
       ASSERT_TRUE(RunUntil(
           loop, [&] { return failed == 1; }, Ms(200)))
           << at << next;
@@ -436,7 +436,7 @@
   client->Poll();
   testing::RunFor(loop, Ms(20));
   EXPECT_FALSE(agent.Ended());
-  agent.Say(testing::Http200(Line(41, true, Entry("h1"))));
+  agent.Send(testing::Http200(Line(41, true, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(failed, 0);
   client->Poll();
@@ -448,13 +448,13 @@
 TEST_F(DiscoveryClientTest, ResetJustBeforeADrainLosesLittleTime) {
   StartClient(true);
   Peer agent = Call();
-  agent.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  agent.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   const Time began = loop.Now();
   agent.Reset();
   Peer again = Call();
   EXPECT_TRUE(again.Has("since=41"));
-  again.Say(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
+  again.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[1].endpoints[0].info.state, EndpointState::kDraining);
   EXPECT_LT(loop.Now() - began, Ms(300));
@@ -465,19 +465,19 @@
 TEST_F(DiscoveryClientTest, RedirectAndBackKeepsOneWatch) {
   StartClient(true);
   Peer first = Call();
-  first.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  first.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port other;
   client->Redirect(other.address());
-  Peer there = other.Take(loop);
+  Peer there = other.Accept(loop);
   client->Redirect(port.address());
   Peer back = Call();
   EXPECT_TRUE(RunUntil(loop, [&] { return there.Ended(); }));
   EXPECT_FALSE(first.Ended());  // tells until the new one has spoken
-  back.Say(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
+  back.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
-  back.Say(Chunk(Line(43, false, Entry("h1", "left"))));
+  back.Send(Chunk(Line(43, false, Entry("h1", "left"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 3; }));
   EXPECT_EQ(failed, 0);
 }
@@ -598,7 +598,7 @@
   client->SetWatching(true);
   client->SetWatching(false);
   testing::RunFor(loop, Ms(700));
-  EXPECT_FALSE(port.TryTake());
+  EXPECT_FALSE(port.TryAccept());
 }
 
 TEST_F(OversizedListTest, PollBacksOff) {
@@ -624,7 +624,7 @@
   BeginShort(true);
   Gaps(3, kHead + Chunk(Long(kMost)));
   Peer shrunk = Call();
-  shrunk.Say(kHead + Chunk(Line(61, true, Entry("h1"))));
+  shrunk.Send(kHead + Chunk(Line(61, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(client->revision(), 61);
   SayUntilCut(shrunk, Chunk(Long(kMost, 62)));
@@ -690,12 +690,12 @@
     testing::Port elsewhere;
     client->Redirect(elsewhere.address());
     const Time asked = loop.Now();
-    Peer agent = elsewhere.Take(loop);
+    Peer agent = elsewhere.Accept(loop);
     EXPECT_LT(loop.Now() - asked, Ms(250)) << self_renewing_watch;
     // The backoff begins anew there, too.
     SayUntilCut(agent, kHead + Chunk(Long(kMost)));
     const Time cut = loop.Now();
-    Peer again = elsewhere.Take(loop);
+    Peer again = elsewhere.Accept(loop);
     EXPECT_GE(loop.Now() - cut, Ms(290)) << self_renewing_watch;
     EXPECT_LT(loop.Now() - cut, Ms(600)) << self_renewing_watch;
     client.reset();
@@ -706,20 +706,20 @@
 TEST_F(OversizedListTest, ListFromTheOldAddressKeepsTheBackoff) {
   BeginShort(true);
   Peer old = Call();
-  old.Say(kHead + Chunk(Line(41, true, Entry("h1"))));
+  old.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port elsewhere;
   client->Redirect(elsewhere.address());
   Time last{0};
   std::vector<double> gaps;
   for (int i = 0; i < 4; ++i) {
-    Peer agent = elsewhere.Take(loop);
+    Peer agent = elsewhere.Accept(loop);
     if (i > 0) {
       gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
     }
     last = loop.Now();
     SayUntilCut(agent, kHead + Chunk(Long(kMost)));
-    old.Say(Chunk(Line(42 + i, false, Entry("h2"))));
+    old.Send(Chunk(Line(42 + i, false, Entry("h2"))));
   }
   EXPECT_EQ(lists.size(), 4u);  // all that was told but the last
   ExpectPace(gaps, {60, 120, 240});
--- a/tests/event/event_loop_test.cpp
+++ b/tests/event/event_loop_test.cpp
@@ -59,7 +59,7 @@
   for (size_t i = 0; i < kSockets; ++i) {
     pairs.push_back(Pair());
     ASSERT_TRUE(loop.Watch(pairs[i].first.get(), &recorders[i], tokens[i]));
-    pairs[i].second.Say("x");
+    pairs[i].second.Send("x");
   }
   size_t heard = 0;
   loop.RunAfter(Duration(0), [&] {
@@ -85,7 +85,7 @@
     loop.RunAfter(Duration(0), again);
   };
   again();
-  peer.Say("x");
+  peer.Send("x");
   EXPECT_TRUE(testing::RunUntil(loop, [&] { return (recorder.seen & EPOLLIN) != 0; }));
   loop.Unwatch(fd.get(), token);
 }
@@ -104,7 +104,7 @@
     order.push_back(1);
   };
   loop.RunAfter(Duration(0), [&] { order.push_back(2); });
-  peer.Say("x");
+  peer.Send("x");
   ASSERT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 2; }));
   EXPECT_EQ(order, (std::vector<int>{1, 2}));
   loop.Unwatch(fd.get(), token);
@@ -125,8 +125,8 @@
     loop.RunDeferred([&] { order.push_back(2); });
   };
   one.then = two.then = handle;
-  peer1.Say("x");
-  peer2.Say("x");
+  peer1.Send("x");
+  peer2.Send("x");
   ASSERT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 4; }));
   EXPECT_EQ(order, (std::vector<int>{1, 2, 1, 2}));
   loop.Unwatch(fd1.get(), token1);
@@ -160,8 +160,8 @@
   two.then = [&] {
     close_other(fd1, token1);
   };
-  peer1.Say("x");
-  peer2.Say("x");
+  peer1.Send("x");
+  peer2.Send("x");
   loop.RunOnce(Ms(100));
   EXPECT_EQ(one.calls + two.calls, before + 1);
   EXPECT_EQ(heir.calls, 0);
--- a/tests/event/stream_test.cpp
+++ b/tests/event/stream_test.cpp
@@ -45,9 +45,9 @@
 };
 
 TEST_F(StreamTest, ReadsAllThatIsThereOnOneEdge) {
-  peer.Say(std::string(50000, 'x'));
+  peer.Send(std::string(50000, 'x'));
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->input().size() == 50000; }));
-  peer.Say("y");
+  peer.Send("y");
   EXPECT_TRUE(RunUntil(loop, [&] { return stream->input().size() == 50001; }));
 }
 
@@ -55,9 +55,9 @@
   const auto body = std::make_shared<std::string>(4'000'000, 'b');
   stream->Write("head", body, *body);
   EXPECT_EQ(owner.flushed, 0);  // more than the socket holds
-  ASSERT_TRUE(RunUntil(loop, [&] { return peer.Heard().size() == 4'000'004; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return peer.Received().size() == 4'000'004; }));
   EXPECT_EQ(owner.flushed, 1);
-  EXPECT_EQ(peer.Heard().substr(0, 6), "headbb");
+  EXPECT_EQ(peer.Received().substr(0, 6), "headbb");
 }
 
 TEST_F(StreamTest, KeepsTheMemoryOfWhatIsUnwritten) {
@@ -66,12 +66,12 @@
   const std::string_view view = *body;
   stream->Write("", std::move(body), view);
   EXPECT_FALSE(held.expired());
-  ASSERT_TRUE(RunUntil(loop, [&] { return peer.Heard().size() == 4'000'000; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return peer.Received().size() == 4'000'000; }));
   EXPECT_TRUE(held.expired());
 }
 
 TEST_F(StreamTest, SeesTheEndAndTheBreak) {
-  peer.Say("last");
+  peer.Send("last");
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->ended(); }));
   EXPECT_EQ(stream->input().view(), "last");
@@ -86,7 +86,7 @@
 
 TEST_F(StreamTest, StopsReadingAtItsLimitAndGoesOn) {
   stream->set_max_unread_bytes(10000);
-  peer.Say(std::string(60000, 'x'));
+  peer.Send(std::string(60000, 'x'));
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->input().size() >= 10000; }));
   testing::RunFor(loop, Ms(20));
   EXPECT_LT(stream->input().size(), 30000u);
@@ -104,7 +104,7 @@
   owner.then = [&] {
     stream->Close();
   };
-  peer.Say("x");
+  peer.Send("x");
   ASSERT_TRUE(RunUntil(loop, [&] { return owner.reads == 1; }));
   testing::RunFor(loop, Ms(5));
   EXPECT_EQ(owner.reads, 1);
@@ -113,7 +113,7 @@
 
 TEST_F(StreamTest, IsQuietOnlyWithNothingWaiting) {
   EXPECT_TRUE(stream->IsIdle());
-  peer.Say("x");
+  peer.Send("x");
   EXPECT_FALSE(stream->IsIdle());  // seen before the loop brings the event
 }
 
--- a/tests/gateway/accept_queue_test.cpp
+++ b/tests/gateway/accept_queue_test.cpp
@@ -37,7 +37,7 @@
   void FillWithRequests() {
     for (size_t i = 0; i < kClients; ++i) {
       full.push_back(Dial());
-      full.back().Say(Get("full" + std::to_string(i)));
+      full.back().Send(Get("full" + std::to_string(i)));
     }
     ASSERT_TRUE(HasRequests(kClients));
   }
@@ -46,11 +46,11 @@
     const Time begun = loop.Now();
     EXPECT_TRUE(RunUntil(loop, [&] { return peer.Has("\r\n\r\n") || peer.Ended(); }));
     EXPECT_LE(loop.Now() - begun, kMaxWait + kMargin);
-    return peer.Heard();
+    return peer.Received();
   }
   void ExpectRefusedInTime() {
     Peer peer = Dial();
-    peer.Say(Get("refused"));
+    peer.Send(Get("refused"));
     const std::string response = ResponseInTime(peer);
     EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
     EXPECT_NE(response.find("Retry-After: 0.075\r\n"), std::string::npos) << response;
@@ -74,7 +74,7 @@
 TEST_F(AcceptQueueTest, WhatWaitsIsServedWhereADescriptorBecomesFreeInTime) {
   FillWithRequests();
   Peer peer = Dial();
-  peer.Say(Get("waits"));
+  peer.Send(Get("waits"));
   RunFor(loop, kMaxWait / 3);
   requests[0]->Respond({.status = 502});
   EXPECT_TRUE(HasRequests(kClients + 1));
@@ -86,7 +86,7 @@
   }
   RunFor(loop, Ms(250));
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   EXPECT_TRUE(HasRequests(1));
 }
 
@@ -116,7 +116,7 @@
 #ifndef __SANITIZE_ADDRESS__  // UBSan opens a pipe to look at an object, and finds no descriptor
 TEST_F(AcceptQueueTest, AtTheDescriptorLimitOfTheProcessARequestIsRefusedInTime) {
   Peer peer = Dial();
-  peer.Say(Get("refused"));
+  peer.Send(Get("refused"));
   rlimit before{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
   const FileDescriptor probe(dup(0));
@@ -138,7 +138,7 @@
   std::vector<Peer> halves;
   for (size_t i = 0; i < ConnectionRefuser::kMaxConnections; ++i) {
     halves.push_back(Dial());
-    halves.back().Say("GET /read/1 HT");
+    halves.back().Send("GET /read/1 HT");
   }
   const uint64_t accepted = GlobalCounters().downstream_connections_accepted;
   ASSERT_TRUE(RunUntil(loop, [&] {
@@ -149,12 +149,12 @@
     requests[i]->Respond({.status = 502});
   }
   Peer peer = Dial();
-  peer.Say(Get("next"));
+  peer.Send(Get("next"));
   EXPECT_TRUE(RunUntil(
       loop, [&] { return requests.size() > kClients; }, kMaxWait + kMargin));
   EXPECT_EQ(GlobalCounters().refused_client_share, refused);
   // What is refused still is refused, and delays nobody.
-  halves[0].Say("TP/1.1\r\n\r\n");
+  halves[0].Send("TP/1.1\r\n\r\n");
   EXPECT_TRUE(ResponseInTime(halves[0]).starts_with("HTTP/1.1 503 "));
 }
 
@@ -164,7 +164,7 @@
   ExpectRefusedInTime();
   requests[0]->Respond({.status = 502});
   full.push_back(Dial());
-  full.back().Say(Get("between"));
+  full.back().Send(Get("between"));
   ASSERT_TRUE(HasRequests(kClients + 1));
   ExpectRefusedInTime();
   EXPECT_EQ(requests.size(), kClients + 1);
@@ -174,7 +174,7 @@
 // Accepting would stay put off, or refusals go on, once the process has descriptors again.
 TEST_F(AcceptQueueTest, ARequestAfterTheDescriptorLimitOfTheProcessIsServed) {
   Peer peer = Dial();
-  peer.Say(Get("refused"));
+  peer.Send(Get("refused"));
   rlimit before{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
   const FileDescriptor probe(dup(0));
@@ -185,7 +185,7 @@
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &before), 0);
   EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
   Peer after = Dial();
-  after.Say(Get("after"));
+  after.Send(Get("after"));
   EXPECT_TRUE(RunUntil(
       loop, [&] { return !requests.empty(); }, kMaxWait + kMargin));
 }
@@ -202,14 +202,14 @@
   std::vector<Peer> halves, waiting;
   for (size_t i = 0; i < ConnectionRefuser::kMaxConnections; ++i) {
     halves.push_back(Dial());
-    halves.back().Say("GET /read/1 HT");
+    halves.back().Send("GET /read/1 HT");
   }
   downstream->RefuseForNewProcess();
   const uint64_t refused = GlobalCounters().refused_new_process_hangs;
   constexpr size_t kWaiting = 100;  // more than are accepted in a turn
   for (size_t i = 0; i < kWaiting; ++i) {
     waiting.push_back(Dial());
-    waiting.back().Say(Get("waits" + std::to_string(i)));
+    waiting.back().Send(Get("waits" + std::to_string(i)));
   }
   RunFor(loop, Ms(10));
   lifecycle.set_replaced(false);
@@ -227,7 +227,7 @@
   std::vector<Peer> burst;
   for (int i = 0; i < 200; ++i) {
     burst.push_back(Dial());
-    burst.back().Say(Get("burst" + std::to_string(i)));
+    burst.back().Send(Get("burst" + std::to_string(i)));
   }
   for (Peer& peer : burst) {
     ASSERT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 503 "));
@@ -241,14 +241,14 @@
   std::vector<Peer> burst;
   for (int i = 0; i < 40; ++i) {
     burst.push_back(Dial());
-    burst.back().Say(Get("burst" + std::to_string(i)));
+    burst.back().Send(Get("burst" + std::to_string(i)));
   }
   for (Peer& peer : burst) {
     ASSERT_TRUE(RunUntil(loop, [&] {
       usleep(25'000);
       return peer.Has("\r\n\r\n") || peer.Ended();
     }));
-    EXPECT_TRUE(peer.Heard().starts_with("HTTP/1.1 503 "));
+    EXPECT_TRUE(peer.Received().starts_with("HTTP/1.1 503 "));
   }
 }
 
@@ -256,10 +256,10 @@
 TEST_F(AcceptQueueTest, OnlyWhatHasWaitedIsRefused) {
   FillWithRequests();
   Peer first = Dial();
-  first.Say(Get("first"));
+  first.Send(Get("first"));
   RunFor(loop, kMaxWait * 3 / 4);
   Peer second = Dial();
-  second.Say(Get("second"));
+  second.Send(Get("second"));
   ASSERT_TRUE(RunUntil(loop, [&] { return first.Has("HTTP/1.1 503 "); }));
   EXPECT_FALSE(second.Ended());
   requests[0]->Respond({.status = 502});
@@ -274,7 +274,7 @@
   for (int i = 0; i < 60; ++i) {
     silent.push_back(Dial());
     if (i % 2 == 0) {
-      silent.back().Say("GET /read/1 HT");
+      silent.back().Send("GET /read/1 HT");
     }
   }
   const uint64_t unread = GlobalCounters().refused_unread;
@@ -289,9 +289,9 @@
 TEST_F(AcceptQueueTest, ARefusalArrivesWhileTheClientStillSendsItsBody) {
   FillWithRequests();
   Peer peer = Dial();
-  peer.Say("POST /read/1 HTTP/1.1\r\nX-Call-Id: b\r\nContent-Length: 60000\r\n\r\nbody");
+  peer.Send("POST /read/1 HTTP/1.1\r\nX-Call-Id: b\r\nContent-Length: 60000\r\n\r\nbody");
   for (int i = 0; i < 20; ++i) {
-    peer.Say(std::string(1000, 'x'));
+    peer.Send(std::string(1000, 'x'));
     RunFor(loop, Ms(10));
   }
   EXPECT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 503 "));
@@ -300,14 +300,14 @@
 TEST_F(AcceptQueueTest, AHealthCheckAtAFullGatewayIsAnswered) {
   FillWithRequests();
   Peer peer = Dial();
-  peer.Say("GET /_health HTTP/1.1\r\n\r\n");
+  peer.Send("GET /_health HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 200 "));
 }
 
 TEST_F(AcceptQueueTest, MalformedRequestsAreAnsweredAsSuch) {
   FillWithRequests();
   Peer peer = Dial();
-  peer.Say("GET /read HTTP/1.1\nX: y\n\n");
+  peer.Send("GET /read HTTP/1.1\nX: y\n\n");
   EXPECT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 400 "));
 }
 
--- a/tests/gateway/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -20,11 +20,11 @@
   // The response to one call, which ends with its connection.
   std::string Call(const std::string& text) {
     Peer peer = Peer::To(admin.address());
-    peer.Say(text);
+    peer.Send(text);
     EXPECT_TRUE(RunUntil(
         loop, [&] { return peer.Ended(); }, Ms(900)))
         << text;
-    return peer.Heard().substr(9, 3);
+    return peer.Received().substr(9, 3);
   }
   std::string Call(const std::string& method, const std::string& path) {
     return Call(method + " " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
@@ -70,7 +70,7 @@
   std::vector<Peer> silent;
   for (size_t i = 0; i < 3 * Admin::kMaxCallers; ++i) {
     silent.push_back(Peer::To(admin.address()));
-    silent.back().Say("GET /adm");
+    silent.back().Send("GET /adm");
   }
   EXPECT_EQ(Call("GET", "/admin/health"), "503");
   EXPECT_LE(admin.callers(), Admin::kMaxCallers);
@@ -102,7 +102,7 @@
     ends.emplace_back(pair[0]);
     ends.emplace_back(pair[1]);
   }
-  caller.Say("GET /admin/health HTTP/1.1\r\n\r\n");
+  caller.Send("GET /admin/health HTTP/1.1\r\n\r\n");
   loop.RunOnce(Ms(5));
   EXPECT_EQ(slow.rounds, 40);
   EXPECT_GT(slow.after, 30);
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -245,7 +245,7 @@
   EXPECT_NE(result.text.find("nobody has led for"), std::string::npos) << result.text;
   EXPECT_NE(result.text.find("--id later"), std::string::npos) << result.text;
   Peer client = Peer::To(ParseAddress(AddressOf(2, 5000)));
-  client.Say("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+  client.Send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
   EXPECT_TRUE(WaitUntil([&] { return client.Has("200"); }));
   StartMember(0);
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(2)["stance"] == "agreed"; }));
@@ -298,15 +298,15 @@
   }
   std::vector<Peer> connections;
   const auto requests_at_host = [&] {
-    while (Peer sent = host.TryTake()) {
+    while (Peer sent = host.TryAccept()) {
       connections.push_back(std::move(sent));
     }
     return std::ranges::count_if(connections, [](Peer& sent) { return sent.Has("GET /read"); });
   };
   const auto send_request = [&](const std::string& id) {
     Peer client = Peer::To(ParseAddress(AddressOf(1, 5000)));
-    client.Say("GET /read HTTP/1.1\r\nX-Caller: t1\r\nX-Call-Id: " + id +
-               "\r\nX-Budget-Ms: 300\r\n\r\n");
+    client.Send("GET /read HTTP/1.1\r\nX-Caller: t1\r\nX-Call-Id: " + id +
+                "\r\nX-Budget-Ms: 300\r\n\r\n");
     return client;
   };
   for (int i = 0; i < 10; ++i) {
@@ -360,7 +360,7 @@
   ASSERT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 1; }));
   std::vector<Peer> connections, clients;
   const auto requests_at_host = [&] {
-    while (Peer sent = host.TryTake()) {
+    while (Peer sent = host.TryAccept()) {
       connections.push_back(std::move(sent));
     }
     return std::ranges::count_if(connections, [](Peer& sent) { return sent.Has("GET /read"); });
@@ -369,8 +369,8 @@
   std::thread change([&] { SubmitChange(R"({"barred":["h"],"drain":["x"]})"); });
   for (int i = 0; i < 500; ++i) {
     clients.push_back(Peer::To(ParseAddress(AddressOf(1, 5000))));
-    clients.back().Say("GET /read HTTP/1.1\r\nX-Call-Id: c" + std::to_string(i) +
-                       "\r\nX-Budget-Ms: 300\r\n\r\n");
+    clients.back().Send("GET /read HTTP/1.1\r\nX-Call-Id: c" + std::to_string(i) +
+                        "\r\nX-Budget-Ms: 300\r\n\r\n");
     if (clients.size() > 50) {
       clients.erase(clients.begin());
     }
--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -116,10 +116,10 @@
         peer.Close();
       }
       if (how_ == Ending::kNoRoom) {
-        peer.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+        peer.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
       }
       if (how_ == Ending::kSilentInHead) {
-        peer.Say(kChunkedHead.substr(0, 20));
+        peer.Send(kChunkedHead.substr(0, 20));
       }
       kept_.push_back(std::move(peer));
     }
@@ -128,8 +128,8 @@
       if (!peer.Has("\r\n\r\n")) {
         continue;
       }
-      peer.Forget();
-      peer.Say(kChunkedHead + fmt::format("{:x}\r\n{}\n\r\n", kNews.size() + 1, kNews));
+      peer.ClearReceived();
+      peer.Send(kChunkedHead + fmt::format("{:x}\r\n{}\n\r\n", kNews.size() + 1, kNews));
     }
   }
 
@@ -361,7 +361,7 @@
         if (!peer || peer.Ended()) {
           continue;
         }
-        text == "reset" ? peer.Reset() : peer.Say(text);
+        text == "reset" ? peer.Reset() : peer.Send(text);
       }
     }
   }
@@ -388,7 +388,7 @@
           client.Reset();
         }
         if (how == "half-close") {
-          client.ShutWrite();
+          client.ShutdownWrite();
         }
         at_once ? void(usleep(150'000)) : void(Until([] { return false; }, Ms(120)));
         SayAll(says);
@@ -454,7 +454,7 @@
       Peer client;
       Peer* const peer = Begin(client);
       ASSERT_NE(peer, nullptr) << how << says;
-      says == "reset" ? peer->Reset() : peer->Say(says);
+      says == "reset" ? peer->Reset() : peer->Send(says);
       usleep(5'000);
       if (how == "end") {
         client.Close();
@@ -463,7 +463,7 @@
         client.Reset();
       }
       if (how == "half-close") {
-        client.ShutWrite();
+        client.ShutdownWrite();
       }
       usleep(150'000);
       ExpectNoFurther(how + says);
@@ -485,7 +485,7 @@
     client.Close();
     usleep(150'000);
   });
-  peer->Say(Full(""));
+  peer->Send(Full(""));
   usleep(2'000);
   ASSERT_TRUE(Until([&] { return held; }));
   ExpectNoFurther("");
@@ -502,7 +502,7 @@
   const auto heard = [&](std::string_view text) {
     bool any = false;
     for (const auto& host : hosts) {
-      while (Peer peer = host->port.TryTake()) {
+      while (Peer peer = host->port.TryAccept()) {
         host->peers.push_back(std::move(peer));
       }
       for (Peer& peer : host->peers) {
@@ -572,7 +572,7 @@
     };
     std::vector<Call> calls;
     while (!stop_) {
-      while (Peer peer = port.TryTake()) {
+      while (Peer peer = port.TryAccept()) {
         calls.push_back({std::move(peer), false, 0, {}});
       }
       for (Call& call : calls) {
@@ -654,7 +654,7 @@
     while (SecondsSince(start) < most) {
       Peer peer = TryDial();
       if (peer) {
-        peer.Say("GET /_health HTTP/1.1\r\n\r\n");
+        peer.Send("GET /_health HTTP/1.1\r\n\r\n");
       }
       const auto asked = Clock::now();
       while (peer && !peer.Ended() && SecondsSince(asked) < 0.5) {
@@ -718,7 +718,7 @@
     Peer first;
     const auto watched = [&](Peer& peer) {
       if (!peer) {
-        peer = discovery.TryTake();
+        peer = discovery.TryAccept();
       }
       return peer && peer.Has("follow=1");
     };
@@ -726,7 +726,7 @@
       usleep(2000);
     }
     ASSERT_TRUE(watched(first)) << mode;
-    first.Say(kChunkedHead + "1\r\n\n\r\n");
+    first.Send(kChunkedHead + "1\r\n\n\r\n");
     // Hosts that never respond, and silent clients that connect again wherever they are closed.
     std::vector<Peer> busy(70), idle;
     for (int i = 0; i < 200; ++i) {
@@ -742,9 +742,9 @@
           if (!peer || peer.Ended()) {
             peer = Peer::To(address);
           }
-          peer.Forget();
-          peer.Say(fmt::format("GET /read HTTP/1.1\r\nX-Call-Id: {}{}\r\nX-Budget-Ms: 9000\r\n\r\n",
-                               mode, asked++));
+          peer.ClearReceived();
+          peer.Send(fmt::format(
+              "GET /read HTTP/1.1\r\nX-Call-Id: {}{}\r\nX-Budget-Ms: 9000\r\n\r\n", mode, asked++));
         }
         for (Peer& peer : idle) {
           if (peer.Ended()) {
@@ -773,7 +773,7 @@
     if (!watch) {
       continue;
     }
-    watch.Say(kChunkedHead + fmt::format("{:x}\r\n{}\n\r\n", kNews.size() + 1, kNews));
+    watch.Send(kChunkedHead + fmt::format("{:x}\r\n{}\n\r\n", kNews.size() + 1, kNews));
     EXPECT_TRUE(stay(3, [&] {
       child.Signal(SIGUSR1);
       usleep(20'000);
@@ -894,11 +894,11 @@
     old.Start(environment, {});
     ASSERT_LT(ReadyAfter(Clock::now()), 10);
     Peer client = Peer::To(address);
-    client.Say("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 3000\r\n\r\n");
+    client.Send("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 3000\r\n\r\n");
     Peer asked;
     for (int i = 0; i < 1000 && !(asked && asked.Has("\r\n\r\n")); ++i) {
       if (!asked) {
-        asked = host.TryTake();
+        asked = host.TryAccept();
       }
       usleep(2000);
     }
@@ -915,7 +915,7 @@
       ASSERT_TRUE(fresh->Says("listens on")) << fresh->Text();
       ready = ReadyAfter(told);
       EXPECT_FALSE(client.Ended());  // the old one is still at it
-      asked.Say(Http200("served"));
+      asked.Send(Http200("served"));
       for (int i = 0; i < 1000 && !client.Has("served"); ++i) {
         usleep(2000);
       }
--- a/tests/gateway/downstream_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -25,14 +25,14 @@
 
 TEST_F(DownstreamTest, HealthCheckNeedsNoLoadBalancer) {
   Peer peer = Dial();
-  peer.Say("GET /_health HTTP/1.1\r\n\r\n");
+  peer.Send("GET /_health HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(Receives(peer, "HTTP/1.1 200 OK\r\n"));
   EXPECT_TRUE(requests.empty());
 }
 
 TEST_F(DownstreamTest, PassesOnTheUpstreamResponse) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 200,
                         .upstream_message = UpstreamResponse(
@@ -40,16 +40,16 @@
                             "X-Load-Report: inflight=1\r\nTransfer-Encoding: chunked\r\n\r\n"
                             "4\r\nbody\r\n0\r\n\r\n")});
   ASSERT_TRUE(Receives(peer, "body"));
-  EXPECT_EQ(peer.Heard(), "HTTP/1.1 200 OK\r\nContent-Type: t\r\nContent-Length: 4\r\n\r\nbody");
+  EXPECT_EQ(peer.Received(), "HTTP/1.1 200 OK\r\nContent-Type: t\r\nContent-Length: 4\r\n\r\nbody");
 }
 
 TEST_F(DownstreamTest, RejectionsCarryRetryAfter) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 503, .retry_after = Ms(75)});
   ASSERT_TRUE(Receives(peer, "\r\n\r\n"));
-  EXPECT_EQ(peer.Heard(),
+  EXPECT_EQ(peer.Received(),
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.075\r\nContent-Length: 0\r\n\r\n");
 }
 
@@ -58,7 +58,7 @@
   const std::string text = Get("a");
   for (const char c : text) {
     EXPECT_TRUE(requests.empty());
-    peer.Say(std::string(1, c));
+    peer.Send(std::string(1, c));
     loop.RunOnce(Duration(0));
   }
   EXPECT_TRUE(HasRequests(1));
@@ -66,7 +66,7 @@
 
 TEST_F(DownstreamTest, PipelinedRequestWaitsForItsTurn) {
   Peer peer = Dial();
-  peer.Say(Get("a") + Get("b") + Get("c"));
+  peer.Send(Get("a") + Get("b") + Get("c"));
   ASSERT_TRUE(HasRequests(1));
   RunFor(loop, Ms(20));
   EXPECT_EQ(requests.size(), 1u);
@@ -88,9 +88,9 @@
       {"POST /read HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "HTTP/1.1 501 "}};
   for (const auto& [text, start] : cases) {
     Peer peer = Dial();
-    peer.Say(text);
+    peer.Send(text);
     ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); })) << text.substr(0, 60);
-    EXPECT_EQ(peer.Heard().substr(0, start.size()), start);
+    EXPECT_EQ(peer.Received().substr(0, start.size()), start);
     EXPECT_TRUE(peer.Has("Connection: close\r\n"));
   }
   EXPECT_TRUE(requests.empty());
@@ -99,9 +99,9 @@
 // A close with bytes unread would reset the connection, and the response with it.
 TEST_F(DownstreamTest, RejectionOfAnOversizedBodyArrivesWhileTheClientSends) {
   Peer peer = Dial();
-  peer.Say("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
+  peer.Send("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
-    peer.Say(std::string(2000, 'x'));
+    peer.Send(std::string(2000, 'x'));
     loop.RunOnce(Duration(0));
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
@@ -115,11 +115,11 @@
   for (int i = 0; i < 300; ++i) {
     all += Get("bad");
   }
-  peer.Say(all + Get("a"));
+  peer.Send(all + Get("a"));
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
-  EXPECT_EQ(peer.Heard().substr(0, 13), "HTTP/1.1 400 ");
-  EXPECT_TRUE(peer.Heard().ends_with("Connection: close\r\n\r\nbad\n"));  // and says why
-  EXPECT_EQ(peer.Heard().rfind("HTTP/1.1"), 0u);
+  EXPECT_EQ(peer.Received().substr(0, 13), "HTTP/1.1 400 ");
+  EXPECT_TRUE(peer.Received().ends_with("Connection: close\r\n\r\nbad\n"));  // and says why
+  EXPECT_EQ(peer.Received().rfind("HTTP/1.1"), 0u);
   EXPECT_TRUE(requests.empty());
 }
 
@@ -130,9 +130,9 @@
   for (int i = 0; i < 400; ++i) {
     all += "GET /_health HTTP/1.1\r\n\r\n";
   }
-  greedy.Say(all);
+  greedy.Send(all);
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   const uint64_t before = GlobalCounters().health_checks;
   ASSERT_TRUE(HasRequests(1));
   EXPECT_LT(GlobalCounters().health_checks - before, 20u);
@@ -145,7 +145,7 @@
   for (int i = 0; i < 200; ++i) {
     peers.push_back(Dial());
   }
-  peers[0].Say(Get("a"));
+  peers[0].Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   EXPECT_LT(downstream->connection_count(), 100u);
   EXPECT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 200; }));
@@ -162,7 +162,7 @@
       loop,
       [&] {
         if (loop.Now() > next) {
-          slow.Say(text.substr(said++, 1));
+          slow.Send(text.substr(said++, 1));
           next = loop.Now() + Ms(200);
         }
         if (silent_ended == Time(0) && silent.Ended()) {
@@ -172,7 +172,7 @@
       },
       Ms(2900));
   EXPECT_TRUE(in_time);
-  EXPECT_EQ(silent.Heard(), "");
+  EXPECT_EQ(silent.Received(), "");
   EXPECT_LT(silent_ended, Ms(1800));
   EXPECT_TRUE(slow.Has("HTTP/1.1 408 "));
   EXPECT_TRUE(requests.empty());
@@ -181,7 +181,7 @@
 // Some clients send one request and keep their connection for good.
 TEST_F(DownstreamTest, IdleConnectionTimesOut) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   RunFor(loop, Ms(1500));
@@ -194,7 +194,7 @@
 // Sixty megabytes behind a rejected head are not read to their end.
 TEST_F(DownstreamTest, LongBodyBehindARejectionIsNotReadToItsEnd) {
   Peer peer = Dial();
-  peer.Say("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
+  peer.Send("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   const std::string part(1 << 16, 'x');
   size_t sent = 0;
   ASSERT_TRUE(RunUntil(loop, [&] {
@@ -211,7 +211,7 @@
 
 TEST_F(DownstreamTest, ConnectionCloseIsHonoured) {
   Peer peer = Dial();
-  peer.Say("GET /read/1 HTTP/1.1\r\nConnection: close\r\nX-Call-Id: a\r\n\r\n");
+  peer.Send("GET /read/1 HTTP/1.1\r\nConnection: close\r\nX-Call-Id: a\r\n\r\n");
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
@@ -220,7 +220,7 @@
 
 TEST_F(DownstreamTest, CloseIsReportedAsDisconnect) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
@@ -230,7 +230,7 @@
 
 TEST_F(DownstreamTest, ResetIsReportedAsDisconnect) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   peer.Reset();
   EXPECT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
@@ -238,7 +238,7 @@
 
 TEST_F(DownstreamTest, IncompleteRequestIsNotReported) {
   Peer peer = Dial();
-  peer.Say(Get("a").substr(0, 30));
+  peer.Send(Get("a").substr(0, 30));
   RunFor(loop, Ms(10));
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 0; }));
@@ -249,7 +249,7 @@
 // The complete request and the close may come in one read: it is admitted all the same.
 TEST_F(DownstreamTest, RequestTogetherWithCloseIsAdmitted) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   peer.Close();
   ASSERT_TRUE(HasRequests(1));
   EXPECT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
@@ -257,7 +257,7 @@
 
 TEST_F(DownstreamTest, EndlessRequestHoldsLittleMemory) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   // It goes on sending while its request is in progress.
   testing::MakeNonBlocking(peer.fd());
@@ -290,21 +290,21 @@
       requests[responded]->Respond({.status = 200, .upstream_message = response});
     }
   };
-  peer.Say(all);
+  peer.Send(all);
   RunUntil(
       loop, [&] { return serve(), false; }, Ms(300));
   EXPECT_GT(requests.size(), 5u);
   EXPECT_LT(requests.size(), kRequests);  // 18 MB are more than the kernel holds
-  ASSERT_TRUE(RunUntil(loop, [&] { return serve(), peer.Heard().size() > kRequests * 60000; }));
+  ASSERT_TRUE(RunUntil(loop, [&] { return serve(), peer.Received().size() > kRequests * 60000; }));
   EXPECT_EQ(requests.size(), kRequests);
 }
 
 TEST_F(DownstreamTest, SendsContinueWhereExpected) {
   Peer peer = Dial();
-  peer.Say(
+  peer.Send(
       "POST /read HTTP/1.1\r\nExpect: 100-continue\r\nX-Call-Id: a\r\nContent-Length: 2\r\n\r\n");
   ASSERT_TRUE(Receives(peer, "HTTP/1.1 100 Continue\r\n\r\n"));
-  peer.Say("ok");
+  peer.Send("ok");
   ASSERT_TRUE(HasRequests(1));
   EXPECT_EQ(requests[0]->message().body(), "ok");
   requests[0]->Respond({.status = 502});
@@ -315,8 +315,8 @@
 // go on with the connections that they have, and some never send again.
 TEST_F(DownstreamTest, DrainClosesConnectionsAndResumeAcceptsAgain) {
   Peer idle = Dial(), busy = Dial();
-  idle.Say("GET /_health HTTP/1.1\r\n\r\n");
-  busy.Say(Get("a"));
+  idle.Send("GET /_health HTTP/1.1\r\n\r\n");
+  busy.Send(Get("a"));
   ASSERT_TRUE(Receives(idle, "200 OK"));
   ASSERT_TRUE(HasRequests(1));
   for (int twice = 0; twice < 2; ++twice) {
@@ -324,7 +324,7 @@
     downstream->OnLifecycleChanged();
   }
   Peer front = Dial();
-  front.Say("GET /_health HTTP/1.1\r\n\r\n");
+  front.Send("GET /_health HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(Receives(front, "503 "));
   EXPECT_TRUE(RunUntil(
       loop, [&] { return idle.Ended(); }, Ms(1000)));
@@ -335,7 +335,7 @@
   lifecycle.set_drained(false);
   downstream->OnLifecycleChanged();
   Peer again = Dial();
-  again.Say(Get("b"));
+  again.Send(Get("b"));
   ASSERT_TRUE(HasRequests(2));
   requests[1]->Respond({.status = 200});
   EXPECT_TRUE(Receives(again, "200 OK"));
@@ -344,15 +344,15 @@
 
 TEST_F(DownstreamTest, DrainingServesRequestsAndClosesAfterEachResponse) {
   Peer old = Dial(), idle = Dial();
-  old.Say("GET /_health HTTP/1.1\r\n\r\n");
+  old.Send("GET /_health HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(Receives(old, "\r\n\r\n"));
   bool done = false;
   downstream->Shutdown(Ms(3600), [&] { done = true; });
   lifecycle.set_ending();
   downstream->OnLifecycleChanged();
-  old.Say(Get("a"));
+  old.Send(Get("a"));
   Peer fresh = Dial();  // still let in
-  fresh.Say(Get("b"));
+  fresh.Send(Get("b"));
   ASSERT_TRUE(HasRequests(2));
   RunFor(loop, Ms(700));
   EXPECT_TRUE(idle.Ended());  // closed between requests
@@ -375,7 +375,7 @@
   RunFor(loop, Ms(400));
   EXPECT_FALSE(done);
   Peer late = Dial();
-  late.Say(Get("a"));
+  late.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   EXPECT_TRUE(RunUntil(loop, [&] { return late.Ended(); }));
@@ -385,7 +385,7 @@
 
 TEST_F(DownstreamTest, DrainingEndsInTimeDespiteAnEndlessRequest) {
   Peer stuck = Dial();
-  stuck.Say(Get("a").substr(0, 20));
+  stuck.Send(Get("a").substr(0, 20));
   bool done = false;
   const Time begun = loop.Now();
   downstream->Shutdown(Ms(800), [&] { done = true; });
@@ -398,7 +398,7 @@
 // Whatever the time limit: to end with a request in progress would lose it.
 TEST_F(DownstreamTest, DrainingWaitsForRequestsInProgress) {
   Peer client = Dial();
-  client.Say(Get("a"));
+  client.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   bool done = false;
   downstream->Shutdown(Ms(500), [&] { done = true; });
@@ -421,7 +421,7 @@
   std::vector<Peer> peers;
   for (int i = 0; i < 5; ++i) {
     peers.push_back(Dial());
-    peers.back().Say(Get("id" + std::to_string(i)));
+    peers.back().Send(Get("id" + std::to_string(i)));
   }
   rlimit message{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &message), 0);
@@ -450,7 +450,7 @@
   std::vector<Peer> peers;
   for (int i = 0; i < 40; ++i) {
     peers.push_back(Dial());
-    peers.back().Say(Get("id" + std::to_string(i)));
+    peers.back().Send(Get("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasRequests(33));
   const uint64_t waits = GlobalCounters().accept_waits;
@@ -470,7 +470,7 @@
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 33; }));
   Peer fresh = Dial();
-  fresh.Say(Get("a"));
+  fresh.Send(Get("a"));
   EXPECT_TRUE(HasRequests(1));
   EXPECT_TRUE(idle[0].Ended());  // the longest idle
   EXPECT_FALSE(idle[32].Ended());
@@ -490,7 +490,7 @@
   }
   RunFor(loop, Ms(20));
   for (int i = 0; i < 12; ++i) {
-    burst[static_cast<size_t>(i)].Say(Get("id" + std::to_string(i)));
+    burst[static_cast<size_t>(i)].Send(Get("id" + std::to_string(i)));
   }
   EXPECT_TRUE(HasRequests(12));
   EXPECT_TRUE(kept[0].Ended());
@@ -506,7 +506,7 @@
   RunFor(loop, Ms(20));
   for (size_t i = 0; i < kBurst; ++i) {
     EXPECT_FALSE(burst[i].Ended()) << i;
-    burst[i].Say(Get("id" + std::to_string(i)));
+    burst[i].Send(Get("id" + std::to_string(i)));
   }
   size_t responded = 0;
   EXPECT_TRUE(RunUntil(loop, [&] {
@@ -523,7 +523,7 @@
   std::vector<Peer> kept;
   for (size_t i = 0; i < 30; ++i) {
     kept.push_back(Dial());
-    kept.back().Say(Get("id" + std::to_string(i)));
+    kept.back().Send(Get("id" + std::to_string(i)));
     ASSERT_TRUE(HasRequests(i + 1));
     requests[i]->Respond({.status = 502});
     ASSERT_TRUE(Receives(kept.back(), "HTTP/1.1 502"));
@@ -538,7 +538,7 @@
 // Silent connections come by hundreds: they close first, and upstream keeps its descriptors.
 TEST_F(DownstreamFewDescriptorsTest, UnusedConnectionsCloseBeforeIdleOnes) {
   Peer usual = Dial();
-  usual.Say(Get("a"));
+  usual.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   std::vector<Peer> silent;
@@ -551,12 +551,12 @@
   }
   RunFor(loop, Ms(10));
   Peer fresh = Dial();
-  fresh.Say(Get("b"));
+  fresh.Send(Get("b"));
   EXPECT_TRUE(HasRequests(2));
   EXPECT_FALSE(usual.Ended());
   EXPECT_TRUE(silent[0].Ended());
   EXPECT_LE(budget.used(), 33u);
-  usual.Say(Get("c"));
+  usual.Send(Get("c"));
   EXPECT_TRUE(HasRequests(3));
 }
 
@@ -569,12 +569,12 @@
     requests.clear();
     disconnected.clear();
     Peer peer = Dial();
-    peer.Say("GET /_health HTTP/1.1\r\n\r\n" + Get("a"));
+    peer.Send("GET /_health HTTP/1.1\r\n\r\n" + Get("a"));
     if (how == std::string("end")) {
       peer.Close();
     }
     if (peer) {
-      peer.ShutWrite();
+      peer.ShutdownWrite();
     }
     ASSERT_TRUE(HasRequests(1)) << how;
     EXPECT_TRUE(RunUntil(
@@ -591,13 +591,13 @@
     requests.clear();
     disconnected.clear();
     Peer peer = Dial();
-    peer.Say(Get("a"));
+    peer.Send(Get("a"));
     ASSERT_TRUE(HasRequests(1));
     std::string rest;
     for (int i = 0; rest.size() < 110'000; ++i) {
       rest += Get("more" + std::to_string(i));
     }
-    peer.Say(rest);
+    peer.Send(rest);
     RunFor(loop, Ms(20));
     EXPECT_TRUE(disconnected.empty());
     if (how == std::string("end")) {
@@ -607,7 +607,7 @@
       peer.Reset();
     }
     if (peer) {
-      peer.ShutWrite();
+      peer.ShutdownWrite();
     }
     EXPECT_TRUE(RunUntil(
         loop, [&] { return disconnected.size() == 1; }, Ms(300)))
@@ -622,16 +622,16 @@
   std::vector<Peer> busy;
   for (int i = 0; i < 33; ++i) {
     busy.push_back(Dial());
-    busy.back().Say(Get("id" + std::to_string(i)));
+    busy.back().Send(Get("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasRequests(33));
   Peer ended = Dial(), reset = Dial(), half = Dial();
-  ended.Say(Get("ended"));
-  reset.Say(Get("reset"));
-  half.Say(Get("half"));
+  ended.Send(Get("ended"));
+  reset.Send(Get("reset"));
+  half.Send(Get("half"));
   ended.Close();
   reset.Reset();
-  half.ShutWrite();
+  half.ShutdownWrite();
   RunFor(loop, Ms(30));
   EXPECT_EQ(requests.size(), 33u);
   for (size_t i = 0; i < 33; ++i) {
@@ -648,16 +648,16 @@
 // response.
 TEST_F(DownstreamTest, RequestThatComesAsTheDrainEndsIsAdmitted) {
   Peer late = Dial();
-  late.Say(Get("a").substr(0, 20));
+  late.Send(Get("a").substr(0, 20));
   bool done = false;
   downstream->Shutdown(Ms(600), [&] { done = true; });
   lifecycle.set_ending();
   downstream->OnLifecycleChanged();
   RunFor(loop, Ms(560));
   // Its rest and the end of the drain come while the event loop is busy.
-  late.Say(Get("a").substr(20));
+  late.Send(Get("a").substr(20));
   Peer later = Dial();  // accepted by the kernel alone
-  later.Say(Get("b"));
+  later.Send(Get("b"));
   usleep(60'000);
   ASSERT_TRUE(HasRequests(2));
   EXPECT_FALSE(done);
@@ -674,13 +674,13 @@
 // Close of an idle connection against the client's next request: what has come is read.
 TEST_F(DownstreamTest, RequestThatComesAsItsConnectionClosesIsAdmitted) {
   Peer peer = Dial();
-  peer.Say(Get("a"));
+  peer.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   ASSERT_TRUE(Receives(peer, "HTTP/1.1 502 "));
-  peer.Forget();
+  peer.ClearReceived();
   RunFor(loop, Ms(1960));
-  peer.Say(Get("b"));
+  peer.Send(Get("b"));
   usleep(80'000);
   ASSERT_TRUE(HasRequests(2));
   requests[1]->Respond({.status = 502});
@@ -690,7 +690,7 @@
 // A response half-written when the drain ends: cut there, its request would be lost.
 TEST_F(DownstreamTest, ResponseHalfReadAsTheDrainEndsIsComplete) {
   Peer slow = Dial();
-  slow.Say(Get("a"));
+  slow.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   const std::string body(6 << 20, 'b');
   auto message = std::make_shared<BufferedMessage>();
@@ -705,7 +705,7 @@
   requests[0]->Respond({.status = 200, .upstream_message = message});
   RunFor(loop, Ms(700));
   EXPECT_FALSE(done);
-  EXPECT_TRUE(RunUntil(loop, [&] { return slow.Heard().size() > body.size(); }));
+  EXPECT_TRUE(RunUntil(loop, [&] { return slow.Received().size() > body.size(); }));
   slow.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
@@ -723,7 +723,7 @@
   RunFor(loop, Ms(300));
   EXPECT_FALSE(done);
   Peer late = Dial();
-  late.Say(Get("a"));
+  late.Send(Get("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   EXPECT_TRUE(Receives(late, "HTTP/1.1 502 "));
@@ -744,7 +744,7 @@
   std::vector<Peer> peers;
   for (int i = 0; i < 40; ++i) {
     peers.push_back(Dial());
-    peers.back().Say(Get("id" + std::to_string(i)));
+    peers.back().Send(Get("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasRequests(33));
   bool done = false;
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -71,25 +71,25 @@
   // Runs each host once: accepts, reads, responds.
   void PlayHosts() {
     for (const auto& host : hosts) {
-      while (Peer peer = host->port.TryTake()) {
+      while (Peer peer = host->port.TryAccept()) {
         host->peers.push_back(std::move(peer));
       }
       for (Peer& peer : host->peers) {
         if (!peer || !peer.Has("\r\n\r\n")) {
           continue;
         }
-        const std::string text = peer.Heard();
+        const std::string text = peer.Received();
         const bool probe = text.starts_with("GET /_load") || text.starts_with("GET /ping");
         if (!probe && !text.ends_with("body")) {
           continue;
         }
-        peer.Forget();
+        peer.ClearReceived();
         ++(probe ? host->probes : host->requests);
         const std::string answer = probe ? Http200(report) : host->script(text);
         if (answer == "reset") {
           peer.Reset();
         } else {
-          peer.Say(answer);
+          peer.Send(answer);
         }
       }
     }
@@ -105,7 +105,7 @@
   }
   Peer Ask(const std::string& text) {
     Peer peer = Peer::To(address);
-    peer.Say(text);
+    peer.Send(text);
     return peer;
   }
   int Requests() const {
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -58,7 +58,7 @@
   Start();
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
-  EXPECT_EQ(client.Heard().substr(0, 15), "HTTP/1.1 200 OK");
+  EXPECT_EQ(client.Received().substr(0, 15), "HTTP/1.1 200 OK");
   EXPECT_EQ(hosts[0]->requests, 1);
   EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
@@ -77,7 +77,7 @@
   Start();
   for (int i = 0; i < 6; ++i) {
     Peer client = Ask(Request("a" + std::to_string(i)));
-    ASSERT_TRUE(Until([&] { return client.Has("served"); })) << client.Heard();
+    ASSERT_TRUE(Until([&] { return client.Has("served"); })) << client.Received();
   }
   EXPECT_EQ(hosts[1]->requests, 6);
 }
@@ -88,7 +88,7 @@
   Start();
   Peer client = Ask(Request("a", "unsafe"));
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
-  EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client.Received().substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(Requests(), 1);
 }
 
@@ -101,7 +101,7 @@
   AddHost("h2", once);
   Start();
   Peer client = Ask(Request("a"));
-  ASSERT_TRUE(Until([&] { return client.Has("served"); })) << client.Heard();
+  ASSERT_TRUE(Until([&] { return client.Has("served"); })) << client.Received();
   EXPECT_EQ(Requests(), 2);
 }
 
@@ -113,7 +113,7 @@
   Peer client = Ask(Request("a", "safe", 300));
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
   EXPECT_LT(loop.Now() - begun, Ms(350));
-  EXPECT_EQ(client.Heard().substr(0, 10), "HTTP/1.1 5");
+  EXPECT_EQ(client.Received().substr(0, 10), "HTTP/1.1 5");
   EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
 
@@ -154,7 +154,7 @@
   Start();
   Peer client = Ask(Request("a"));
   ASSERT_TRUE(Until([&] { return client.Has("why?"); }));
-  EXPECT_EQ(client.Heard().substr(0, 13), "HTTP/1.1 400 ");
+  EXPECT_EQ(client.Received().substr(0, 13), "HTTP/1.1 400 ");
   RunFor(loop, Ms(30));
   EXPECT_EQ(Requests(), 1);
   ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
@@ -209,7 +209,7 @@
   RunFor(loop, Ms(20));
   EXPECT_EQ(gateway->request_count(), 1u);  // its attempt is out
   for (Peer& peer : host.peers) {
-    peer.Say(Http200("late"));
+    peer.Send(Http200("late"));
   }
   ASSERT_TRUE(Until([&] { return gateway->request_count() == 0; }));
   EXPECT_EQ(GlobalCounters().attempts_ok, ok + 1);
@@ -218,7 +218,7 @@
 
 TEST_F(GatewayTest, HostsOfTheEndpointListAreUsed) {
   Start();
-  Peer watch = agent.Take(loop);
+  Peer watch = agent.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return watch.Has("follow=1&since=40"); }));
   hosts.push_back(std::make_unique<Host>());
   hosts.back()->script = Ok;
@@ -227,7 +227,7 @@
       hosts.back()->port.text() +
       R"(","locality":"a","phase":"active"}]})"
       "\n";
-  watch.Say(kChunkedHead + fmt::format("{:x}\r\n{}\r\n", line.size(), line));
+  watch.Send(kChunkedHead + fmt::format("{:x}\r\n{}\r\n", line.size(), line));
   RunFor(loop, Ms(20));
   Peer client = Ask(Request("a"));
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
@@ -237,13 +237,13 @@
   AddHost("h1", Ok);
   AddHost("h2", Ok);
   Start();
-  Peer watch = agent.Take(loop);
+  Peer watch = agent.Accept(loop);
   const std::string line =
       R"({"revision":41,"complete":false,"members":[{"id":"h1","host_port":")" +
       hosts[0]->port.text() +
       R"(","phase":"leaving"}]})"
       "\n";
-  watch.Say(kChunkedHead + fmt::format("{:x}\r\n{}\r\n", line.size(), line));
+  watch.Send(kChunkedHead + fmt::format("{:x}\r\n{}\r\n", line.size(), line));
   RunFor(loop, Ms(20));
   for (int i = 0; i < 8; ++i) {
     Peer client = Ask(Request("a" + std::to_string(i)));
@@ -256,8 +256,8 @@
 TEST_F(GatewayTest, EndpointListStaysWhileDiscoveryIsDown) {
   AddHost("h1", Ok);
   Start();
-  Peer watch = agent.Take(loop);
-  watch.Say("garbage\r\n\r\n");
+  Peer watch = agent.Accept(loop);
+  watch.Send("garbage\r\n\r\n");
   ASSERT_TRUE(RunUntil(loop, [&] { return watch.Ended(); }));
   agent.Close();
   RunFor(loop, Ms(300));
@@ -270,10 +270,10 @@
   config.settings.rules.discovery_interval = Ms(400);
   AddHost("h1", Ok);
   Start();
-  Peer watch = agent.Take(loop);
+  Peer watch = agent.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return watch.Has("follow=1&since=40"); }));
   watch.Close();
-  Peer next = agent.Take(loop);  // by the module's own timer
+  Peer next = agent.Accept(loop);  // by the module's own timer
   ASSERT_TRUE(RunUntil(loop, [&] { return next.Has("follow=1&since=40"); }));
 }
 
@@ -301,14 +301,14 @@
   Peer client = Ask(Request("a", "safe", 400));
   ASSERT_TRUE(Until([&] { return Requests() == 1; }));
   RunFor(loop, Ms(500));
-  EXPECT_EQ(client.Heard(), "");  // past its deadline it still belongs to the client
+  EXPECT_EQ(client.Received(), "");  // past its deadline it still belongs to the client
   for (const auto& host : hosts) {
     for (Peer& peer : host->peers) {
       peer.Close();
     }
   }
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
-  EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client.Received().substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(Requests(), 1);
   EXPECT_TRUE(Until([&] { return gateway->request_count() == 0; }));
 }
@@ -323,7 +323,7 @@
   RunFor(loop, Ms(800));
   EXPECT_FALSE(done);
   for (Peer& peer : hosts[0]->peers) {
-    peer.Say(Http200("served"));
+    peer.Send(Http200("served"));
   }
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
   EXPECT_TRUE(client.Has("Connection: close"));
@@ -341,7 +341,7 @@
   const uint64_t overdue = GlobalCounters().responses_overdue;
   Peer client = Ask(Request("a", "safe", 400));
   ASSERT_TRUE(Until([&] { return client.Has("\r\n\r\n"); }));
-  EXPECT_EQ(client.Heard().substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(client.Received().substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(GlobalCounters().responses_overdue, overdue + 1);
 }
 
@@ -373,7 +373,7 @@
   Peer later = Ask(Request("b", "later")), gone = Ask(Request("c", "safe"));
   ASSERT_TRUE(Until([&] { return later.Has("served") && gone.Has("404 "); }));
   for (Peer& peer : hosts[0]->peers) {
-    peer.Say(Http200("late but whole"));
+    peer.Send(Http200("late but whole"));
   }
   EXPECT_TRUE(Until([&] { return slow.Has("late but whole"); }));
   // Settings that the load balancer rejects change nothing.
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -51,15 +51,15 @@
   void Play() {
     std::vector<Peer> peers;
     while (!stop_) {
-      while (Peer peer = port.TryTake()) {
+      while (Peer peer = port.TryAccept()) {
         peers.push_back(std::move(peer));
       }
       for (Peer& peer : peers) {
         if (!peer || peer.Ended() || !peer.Has("\r\n\r\n")) {
           continue;
         }
-        const std::string text = peer.Heard();
-        peer.Forget();
+        const std::string text = peer.Received();
+        peer.ClearReceived();
         const size_t at = text.find("X-Call-Id: ");
         if (text.find("X-Call-Id: held") != std::string::npos) {
           ++held;
@@ -68,7 +68,7 @@
         if (at != std::string::npos) {
           ++seen[text.substr(at + 11, text.find('\r', at) - at - 11)];
         }
-        peer.Say(testing::Http200("served"));
+        peer.Send(testing::Http200("served"));
       }
       usleep(500);
     }
@@ -109,10 +109,10 @@
       if (fresh) {
         peer = Peer::To(to);
       }
-      peer.Forget();
+      peer.ClearReceived();
       const std::string id = std::to_string(client) + "-" + std::to_string(n);
       ++asked;
-      peer.Say("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
+      peer.Send("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
       for (int i = 0; i < 3000 && !peer.Has("served") && !peer.Ended(); ++i) {
         usleep(300);
       }
@@ -123,7 +123,7 @@
         }
       } else {
         ++turned_back;
-        ADD_FAILURE() << id << " was told: " << peer.Heard();
+        ADD_FAILURE() << id << " was told: " << peer.Received();
         peer = Peer();
       }
     }
@@ -170,16 +170,16 @@
   // The response to GET /admin/health.
   bool Yes(uint16_t admin) {
     Peer peer = Peer::To({address.host, admin});
-    peer.Say("GET /admin/health HTTP/1.1\r\n\r\n");
+    peer.Send("GET /admin/health HTTP/1.1\r\n\r\n");
     for (int i = 0; i < 500 && !peer.Ended(); ++i) {
       usleep(2000);
     }
-    return peer.Heard().starts_with("HTTP/1.1 200");
+    return peer.Received().starts_with("HTTP/1.1 200");
   }
   // A request that the host does not respond to.
   [[nodiscard]] Peer Hold(const std::string& id) const {
     Peer peer = Peer::To(address);
-    peer.Say("GET /slow HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 20000\r\n\r\n");
+    peer.Send("GET /slow HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 20000\r\n\r\n");
     return peer;
   }
   // Whether it has come to the host, as the latest of `count`; false where it gets a response.
@@ -326,11 +326,11 @@
 // The response that comes to a request within the bound; what has come by then where none does.
 std::string ResponseInTime(const Address& to, const std::string& id) {
   Peer peer = Peer::To(to);
-  peer.Say("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
+  peer.Send("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
   for (int ms = 0; ms < kAnsweredWithinMs && !peer.Has("\r\n\r\n") && !peer.Ended(); ms += 2) {
     usleep(2000);
   }
-  return peer.Heard();
+  return peer.Received();
 }
 
 // What came waited unread for two seconds, until the new process was revoked.
@@ -365,7 +365,7 @@
   Start(first, 6001);
   ASSERT_TRUE(first.Says("listens on"));
   Peer half = Peer::To(address);
-  half.Say("GET /read HT");  // keeps the old process for its time limit
+  half.Send("GET /read HT");  // keeps the old process for its time limit
   usleep(100'000);
   Start(second, 6002);
   ASSERT_TRUE(first.Says("the new process serves"));
@@ -437,7 +437,7 @@
   ASSERT_TRUE(second.Says("ready, reported to the old process"));
   usleep(100'000);  // the old process has reported by then
   Peer held = Hold("held");
-  ASSERT_TRUE(IsHeld(held, 1)) << held.Heard();
+  ASSERT_TRUE(IsHeld(held, 1)) << held.Received();
   second.Signal(SIGTERM);
   ExpectAnswersInTime(address, 600, "back", "served");
   EXPECT_TRUE(second.Says("handed back to the old process")) << second.Text();
@@ -455,7 +455,7 @@
   NewProcess new_process(loop, std::move(state), budget);
   bool revoked = false;
   new_process.set_on_revoked([&] { revoked = true; });
-  old_process.Say("monitors\nending\nrevoked\n");
+  old_process.Send("monitors\nending\nrevoked\n");
   testing::RunFor(loop, testing::Ms(50));
   EXPECT_FALSE(revoked);
 }
@@ -541,12 +541,12 @@
   for (int i = 0; i < 150; ++i) {
     Peer client = Peer::To(address);
     usleep(4000);
-    client.Say("GET /read HTTP/1.1\r\nX-Call-Id: late-" + std::to_string(i) +
-               "\r\nX-Budget-Ms: 1000\r\n\r\n");
+    client.Send("GET /read HTTP/1.1\r\nX-Call-Id: late-" + std::to_string(i) +
+                "\r\nX-Budget-Ms: 1000\r\n\r\n");
     for (int k = 0; k < 1000 && !client.Has("served") && !client.Ended(); ++k) {
       usleep(500);
     }
-    EXPECT_TRUE(client.Has("served")) << i << " was told: " << client.Heard();
+    EXPECT_TRUE(client.Has("served")) << i << " was told: " << client.Received();
   }
   ASSERT_TRUE(first.Says("this one serves on"));
   EXPECT_TRUE(Yes(6001));
@@ -566,19 +566,19 @@
   ASSERT_TRUE(first.Says("the new process serves"));
   usleep(100'000);
   Peer open = Peer::To(address);  // keeps the second draining
-  open.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");
+  open.Send("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");
   usleep(50'000);
   first.Signal(SIGTERM);
   usleep(100'000);
   second.Signal(SIGTERM);
   ASSERT_TRUE(second.Says("draining"));
   Peer late = Peer::To(address);
-  late.Say("GET /read HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 1000\r\n\r\n");
+  late.Send("GET /read HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 1000\r\n\r\n");
   for (int i = 0; i < 500 && !late.Has("served"); ++i) {
     usleep(2000);
   }
-  EXPECT_TRUE(late.Has("served")) << late.Heard();
-  open.Say("\r\n");
+  EXPECT_TRUE(late.Has("served")) << late.Received();
+  open.Send("\r\n");
   EXPECT_EQ(first.Wait(), 0);
   EXPECT_EQ(second.Wait(), 0);
 }
@@ -613,18 +613,18 @@
   first.Start(Environment(), {});
   ASSERT_TRUE(first.Says("listens on"));
   Peer client = Peer::To(address);
-  client.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");  // the rest below
+  client.Send("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");  // the rest below
   usleep(100'000);
   first.Signal(SIGTERM);
   ASSERT_TRUE(first.Says("draining"));
   second.Start(Environment(), {});
   EXPECT_EQ(second.Wait(), 1);
   EXPECT_NE(second.Text().find("Address already in use"), std::string::npos) << second.Text();
-  client.Say("\r\n");
+  client.Send("\r\n");
   for (int i = 0; i < 500 && !client.Has("served"); ++i) {
     usleep(2000);
   }
-  EXPECT_TRUE(client.Has("served")) << client.Heard();
+  EXPECT_TRUE(client.Has("served")) << client.Received();
   EXPECT_EQ(first.Wait(), 0);
   third.Start(Environment(), {});
   EXPECT_TRUE(third.Says("listens on")) << third.Text();
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -19,7 +19,6 @@
 namespace {
 
 using testing::Child;
-using testing::CutOff;
 using testing::GatewayTest;
 using testing::Http200;
 using testing::Ms;
@@ -27,6 +26,7 @@
 using testing::Port;
 using testing::Request;
 using testing::RunFor;
+using testing::UnreachableHost;
 
 enum class Leaving {
   kEnd,
@@ -43,7 +43,7 @@
     client.Reset();
   }
   if (how == Leaving::kHalfClose) {
-    client.ShutWrite();
+    client.ShutdownWrite();
   }
 }
 
@@ -77,7 +77,7 @@
   bool Whole(const std::string& id) { return got[id] == 1; }
   // Discovery sends a line, and the gateway has accepted it.
   void Tell(Peer& call, const std::string& line, int revision) {
-    call.Say(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
+    call.Send(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
     EXPECT_TRUE(Until([&] {
       return gateway->DescribeState().find(fmt::format(" revision={} ", revision)) !=
              std::string::npos;
@@ -116,7 +116,7 @@
   }
   Until([] { return false; }, Ms(310));
   for (Peer& peer : hosts[0]->peers) {
-    peer.Say(Http200("served"));
+    peer.Send(Http200("served"));
   }
   Until([] { return false; }, Ms(400));
   for (const auto& [id, times] : got) {
@@ -126,7 +126,7 @@
 
 // Assigned to a connection that is not up yet.
 TEST_F(RaceTest, RequestOfADisconnectedClientIsNotSentAfterTheConnect) {
-  CutOff host(loop);
+  UnreachableHost host(loop);
   AddCutOff("h1", host.address());
   Start();
   std::vector<Peer> clients;
@@ -138,11 +138,11 @@
     Leave(clients[i], kLeavings[i]);
   }
   RunFor(loop, Ms(310));
-  host.LetIn();
+  host.StartAccepting();
   std::vector<Peer> late;
   const Time end = loop.Now() + Ms(1800);
   while (loop.Now() < end) {
-    if (Peer peer = host.TryTake()) {
+    if (Peer peer = host.TryAccept()) {
       late.push_back(std::move(peer));
     }
     loop.RunOnce(Ms(2));
@@ -155,14 +155,14 @@
 
 // Between two attempts: the first is reset while the second's connect does not succeed.
 TEST_F(RaceTest, RequestOfADisconnectedClientIsNotRetried) {
-  CutOff second(loop);
+  UnreachableHost second(loop);
   AddCounting("h1");
   Start();
   Peer client = Ask(Request("a", "safe", 8000));
   ASSERT_TRUE(Until([&] { return Whole("a"); }));
   // The list has the second host from here on.
-  Peer call = agent.Take(loop);
-  call.Say(testing::kChunkedHead);
+  Peer call = agent.Accept(loop);
+  call.Send(testing::kChunkedHead);
   Tell(call,
        R"({"revision":41,"complete":false,"members":[{"id":"h2","host_port":")" +
            ToText(second.address()) + R"(","phase":"active"}]})",
@@ -174,9 +174,9 @@
   EXPECT_FALSE(client.Has("HTTP/1.1"));  // it waits for the second
   client.Close();
   RunFor(loop, Ms(310));
-  second.LetIn();
+  second.StartAccepting();
   Peer late;
-  Until([&] { return static_cast<bool>(late = second.TryTake()); }, Ms(1800));
+  Until([&] { return static_cast<bool>(late = second.TryAccept()); }, Ms(1800));
   Until([] { return false; }, Ms(50));
   EXPECT_FALSE(late && late.Has("POST"));
   EXPECT_EQ(got["a"], 1);
@@ -190,7 +190,7 @@
   for (const Leaving how : kLeavings) {
     const std::string id = std::to_string(static_cast<int>(how));
     Peer client = Ask(Request("turn" + id)), behind = Ask(Request("first" + id));
-    behind.Say(Request("behind" + id));
+    behind.Send(Request("behind" + id));
     Leave(client, how);
     Leave(behind, how);
     Until([] { return false; }, Ms(350));
@@ -217,7 +217,7 @@
     Until([] { return false; }, Ms(310));
     for (Peer& peer : hosts[0]->peers) {
       if (peer) {
-        peer.Say(Http200("served"));
+        peer.Send(Http200("served"));
       }
     }
     Until([] { return false; }, Ms(100));
@@ -234,7 +234,7 @@
     c.latency_objective = Ms(1000), c.deadline = Ms(2000);
   }
   config.settings.allowed.connect_timeout = Ms(1500);
-  CutOff slow_to_come(loop);
+  UnreachableHost slow_to_come(loop);
   AddHost("h1", [this](const std::string& text) {
     const std::string id = IdOf(text);
     ++got[id];
@@ -265,8 +265,8 @@
   gateway->Drain([&] { done = true; });  // twice
   Until([] { return false; }, Ms(150));
   ask("late", Request("late"));
-  clients["half"].Say(Request("half").substr(40));
-  clients["upload"].Say(std::string(1998, 'x') + "dy");
+  clients["half"].Send(Request("half").substr(40));
+  clients["upload"].Send(std::string(1998, 'x') + "dy");
   gateway->ApplyConfig(config);
   Until([] { return false; }, Ms(200));
   ask("last", Request("last"));
@@ -279,8 +279,8 @@
   }));
   for (auto& [id, client] : clients) {
     const bool hung = id == "hangs" || client.Has("HTTP/1.1 50");
-    EXPECT_TRUE(client.Has("HTTP/1.1 200") || hung) << id << ": " << client.Heard();
-    EXPECT_EQ(client.Heard().find("HTTP/1.1", 5), std::string::npos) << id;  // one answer
+    EXPECT_TRUE(client.Has("HTTP/1.1 200") || hung) << id << ": " << client.Received();
+    EXPECT_EQ(client.Received().find("HTTP/1.1", 5), std::string::npos) << id;  // one answer
     EXPECT_TRUE(Until([&] { return client.Ended(); })) << id;
   }
   EXPECT_TRUE(clients["hangs"].Has("HTTP/1.1 502"));
@@ -309,7 +309,7 @@
   Until([] { return false; }, Ms(1300));
   EXPECT_FALSE(done);
   for (Peer& peer : hosts[0]->peers) {
-    peer.Say(Http200("served"));
+    peer.Send(Http200("served"));
   }
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
   client.Close();
@@ -325,9 +325,9 @@
     });
   }
   Start();
-  Peer call = agent.Take(loop);
+  Peer call = agent.Accept(loop);
   gateway->Drain([] {});
-  call.Say(testing::kChunkedHead);
+  call.Send(testing::kChunkedHead);
   Tell(call,
        R"({"revision":41,"complete":false,"members":[{"id":"h1","host_port":")" +
            hosts[0]->port.text() + R"(","phase":"leaving"}]})",
@@ -401,8 +401,8 @@
                            entries.empty() ? "" : ",", id, host.port.text());
   }
   Start();
-  Peer call = agent.Take(loop);
-  call.Say(testing::kChunkedHead);
+  Peer call = agent.Accept(loop);
+  call.Send(testing::kChunkedHead);
   int revision = 40, asked = 0;
   const auto tell = [&](bool whole, const std::string& members) {
     Tell(call,
@@ -489,7 +489,7 @@
   Start();
   for (int i = 0; i < 30; ++i) {
     Peer client = Ask(Request("x" + std::to_string(i), "safe", 120));
-    ASSERT_TRUE(Until([&] { return client.Has("served"); })) << i << client.Heard();
+    ASSERT_TRUE(Until([&] { return client.Has("served"); })) << i << client.Received();
     EXPECT_EQ(got["x" + std::to_string(i)], 1);
     if (i % 10 == 9) {
       Until([] { return false; }, Ms(180));
@@ -532,15 +532,15 @@
   }
   Peer Ask(const std::string& id, int budget) const {
     Peer peer = Peer::To(address);
-    peer.Say("GET /read HTTP/1.1\r\nX-Call-Id: " + id +
-             "\r\nX-Budget-Ms: " + std::to_string(budget) + "\r\n\r\n");
+    peer.Send("GET /read HTTP/1.1\r\nX-Call-Id: " + id +
+              "\r\nX-Budget-Ms: " + std::to_string(budget) + "\r\n\r\n");
     return peer;
   }
   // The next request at the host.
   Peer Request() {
     Peer peer;
     for (int i = 0; i < 1000 && !peer; ++i) {
-      peer = host.TryTake();
+      peer = host.TryAccept();
       usleep(2000);
     }
     for (int i = 0; i < 1000 && !peer.Has("\r\n\r\n"); ++i) {
@@ -578,7 +578,7 @@
   child.Signal(SIGHUP);
   EXPECT_TRUE(child.Says("configuration read again"));
   usleep(800'000);
-  at_host.Say(Http200("served"));
+  at_host.Send(Http200("served"));
   EXPECT_TRUE(Hears(client, "served"));
   EXPECT_EQ(child.Wait(), 0);
 }
@@ -593,12 +593,12 @@
   EXPECT_TRUE(
       child.Says("configuration kept as it was: LB_CONFIG: " + folder_ +
                  "/config.json: setting out of range: Classes.0.Deadline, expected over 0"));
-  at_host.Say(Http200("served"));
+  at_host.Send(Http200("served"));
   EXPECT_TRUE(Hears(client, "served"));
-  at_host.Forget();
+  at_host.ClearReceived();
   Peer next = Ask("b", 3000);
   EXPECT_TRUE(Hears(at_host, "X-Call-Id: b\r\n"));  // on the connection that is kept
-  at_host.Say(Http200("served"));
+  at_host.Send(Http200("served"));
   EXPECT_TRUE(Hears(next, "served"));
 }
 
@@ -612,7 +612,7 @@
   child.Signal(SIGHUP);
   child.Signal(SIGHUP);
   usleep(50'000);
-  at_host.Say(Http200("served"));
+  at_host.Send(Http200("served"));
   EXPECT_TRUE(Hears(client, "served"));
 }
 
--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -45,15 +45,15 @@
     client = Peer::To(gateway->address());
   }
   void Ask(const std::string& more = "", const std::string& version = "HTTP/1.1") {
-    client.Say("POST /safe " + version + "\r\nX-Call-Id: " + std::to_string(++asked) +
-               "\r\nX-Budget-Ms: 1500\r\n" + more + "\r\n");
+    client.Send("POST /safe " + version + "\r\nX-Call-Id: " + std::to_string(++asked) +
+                "\r\nX-Budget-Ms: 1500\r\n" + more + "\r\n");
   }
   // The next connection to a host, once so much has come on it.
   bool Host(const std::string& until = "\r\n\r\n") {
     host = Peer();
     return Until([&] {
       if (!host) {
-        host = port.TryTake();
+        host = port.TryAccept();
       }
       return host && host.Has(until);
     });
@@ -78,7 +78,7 @@
         text.remove_prefix(static_cast<size_t>(n));
       }
       RunFor(loop, Ms(1));
-      client.Heard();
+      client.Received();
     }
   }
   static std::string Noise(size_t size) {
@@ -101,22 +101,22 @@
   const std::string body = Noise(300'000);
   Ask("Content-Length: 0\r\n");
   ASSERT_TRUE(Host());
-  host.Say("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + body.substr(0, 20'000));
+  host.Send("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + body.substr(0, 20'000));
   ASSERT_TRUE(Until([&] { return client.Has(body.substr(0, 20'000)); }));
   SayAll(host, body.substr(20'000));
-  ASSERT_TRUE(Until([&] { return client.Heard().ends_with(body.substr(20'000)); }));
-  EXPECT_EQ(BodyOf(client.Heard()), body);
+  ASSERT_TRUE(Until([&] { return client.Received().ends_with(body.substr(20'000)); }));
+  EXPECT_EQ(BodyOf(client.Received()), body);
   // Both connections stay in use.
-  client.Forget();
-  host.Forget();
+  client.ClearReceived();
+  host.ClearReceived();
   Ask("Content-Length: 0\r\n");
   Peer second;  // the other host may be asked
   ASSERT_TRUE(Until([&] {
     if (!second)
-      second = port.TryTake();
+      second = port.TryAccept();
     return host.Has("\r\n\r\n") || (second && second.Has("\r\n\r\n"));
   }));
-  (host.Has("\r\n\r\n") ? host : second).Say(testing::Http200("short"));
+  (host.Has("\r\n\r\n") ? host : second).Send(testing::Http200("short"));
   EXPECT_TRUE(Until([&] { return client.Has("short"); }));
 }
 
@@ -134,13 +134,13 @@
     client = Peer::To(gateway->address());
     Ask("Content-Length: 0\r\n", version);
     ASSERT_TRUE(Host());
-    host.Say("HTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
+    host.Send("HTTP/1.1 103 Early\r\nLink: x\r\n\r\n");
     SayAll(host, head + rest);
     if (close) {
       host.Close();
     }
-    Until([&] { return client.Ended() || BodyOf(client.Heard()).size() == body.size(); });
-    EXPECT_EQ(BodyOf(client.Heard()), body) << head << version;
+    Until([&] { return client.Ended() || BodyOf(client.Received()).size() == body.size(); });
+    EXPECT_EQ(BodyOf(client.Received()), body) << head << version;
     const bool chunked = client.Has("Transfer-Encoding: chunked");
     EXPECT_EQ(chunked, head.find("Content-Length") == std::string::npos && version != "HTTP/1.0");
     host.Close();
@@ -161,12 +161,12 @@
     client = Peer::To(gateway->address());
     Ask("Content-Length: 0\r\n");
     ASSERT_TRUE(Host());
-    host.Say("HTTP/1.1 200 OK\r\n" + std::string(form) + "\r\n\r\n11170\r\n" + Noise(60'000));
+    host.Send("HTTP/1.1 200 OK\r\n" + std::string(form) + "\r\n\r\n11170\r\n" + Noise(60'000));
     ASSERT_TRUE(Until([&] { return client.Has(Noise(60'000).substr(50'000)); }));
     host.Close();
     ASSERT_TRUE(Until([&] { return client.Ended(); }));
-    EXPECT_FALSE(client.Heard().ends_with("0\r\n\r\n"));
-    EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryTake()); }, Ms(100)));
+    EXPECT_FALSE(client.Received().ends_with("0\r\n\r\n"));
+    EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryAccept()); }, Ms(100)));
   }
   EXPECT_EQ(GlobalCounters().bodies_truncated, 2u);
 }
@@ -175,7 +175,7 @@
 TEST_F(StreamingBodyTest, SlowReaderStopsTheHostAndHoldsNoMemory) {
   Ask("Content-Length: 0\r\n");
   ASSERT_TRUE(Host());
-  host.Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
+  host.Send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
   const std::string part = Noise(1 << 20);
   size_t taken = 0;
   for (int i = 0; i < 200; ++i) {
@@ -187,14 +187,14 @@
   }
   EXPECT_LT(taken, 20U << 20);  // the kernel's buffers on both ways
   Peer other = Peer::To(gateway->address());
-  other.Say("POST /safe HTTP/1.1\r\nX-Call-Id: o\r\nX-Budget-Ms: 900\r\n\r\n");
+  other.Send("POST /safe HTTP/1.1\r\nX-Call-Id: o\r\nX-Budget-Ms: 900\r\n\r\n");
   Peer second;
   ASSERT_TRUE(Until([&] {
     if (!second)
-      second = port.TryTake();
+      second = port.TryAccept();
     return second && second.Has("\r\n\r\n");
   }));
-  second.Say(testing::Http200("quick"));
+  second.Send(testing::Http200("quick"));
   EXPECT_TRUE(Until([&] { return other.Has("quick"); }));
   // The client leaves: the upstream connection is not kept.
   client.Close();
@@ -205,13 +205,13 @@
   const std::string body = Noise(3'000'000);
   Ask("Content-Length: 3000000\r\nExpect: 100-continue\r\n");
   ASSERT_TRUE(Until([&] { return client.Has("100 Continue"); }));
-  client.Forget();
-  client.Say(body.substr(0, 40'000));
+  client.ClearReceived();
+  client.Send(body.substr(0, 40'000));
   ASSERT_TRUE(Host(body.substr(0, 40'000)));
   EXPECT_TRUE(host.Has("Content-Length: 3000000\r\n"));
   SayAll(client, body.substr(40'000));
-  ASSERT_TRUE(Until([&] { return host.Heard().ends_with("\r\n\r\n" + body); }));
-  host.Say(testing::Http200("served"));
+  ASSERT_TRUE(Until([&] { return host.Received().ends_with("\r\n\r\n" + body); }));
+  host.Send(testing::Http200("served"));
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
   EXPECT_FALSE(client.Has("Connection: close"));
 }
@@ -224,13 +224,13 @@
   }
   ASSERT_TRUE(Host("Transfer-Encoding: chunked\r\n"));
   SayAll(client, "0\r\nT: t\r\n\r\n");
-  ASSERT_TRUE(Until([&] { return host.Heard().ends_with("\r\n0\r\n\r\n"); }));
+  ASSERT_TRUE(Until([&] { return host.Received().ends_with("\r\n0\r\n\r\n"); }));
   Buffer in;
-  in.Append(host.Heard());
+  in.Append(host.Received());
   HttpParser parser(HttpParser::Kind::kRequest, kMaxBodyBytes);
   ASSERT_EQ(parser.Feed(in), ParseProgress::kDone);
   EXPECT_EQ(parser.message().body.In(in.view()), part + part + part + part);
-  host.Say(testing::Http200("served"));
+  host.Send(testing::Http200("served"));
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
 }
 
@@ -242,24 +242,24 @@
   ASSERT_TRUE(Host(body.substr(90'000)));
   host.Reset();
   ASSERT_TRUE(Host(body.substr(90'000)));
-  host.Say(testing::Http200("served"));
+  host.Send(testing::Http200("served"));
   ASSERT_TRUE(Until([&] { return client.Has("served"); }));
 
   client = Peer::To(gateway->address());
   Ask("Content-Length: 3000000\r\n");
-  client.Say(body);
+  client.Send(body);
   ASSERT_TRUE(Host(body.substr(0, 90'000)));
   host.Reset();
   ASSERT_TRUE(Until([&] { return client.Has("HTTP/1.1 50"); }));
   EXPECT_TRUE(client.Has("Connection: close"));
-  EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryTake()); }, Ms(100)));
+  EXPECT_FALSE(Until([&] { return static_cast<bool>(port.TryAccept()); }, Ms(100)));
 }
 
 TEST_F(StreamingBodyTest, EarlyResponseIsPassedOn) {
   Ask("Content-Length: 3000000\r\n");
-  client.Say(Noise(50'000));
+  client.Send(Noise(50'000));
   ASSERT_TRUE(Host(Noise(50'000).substr(40'000)));
-  host.Say("HTTP/1.1 413 Too Large\r\nContent-Length: 4\r\n\r\nmuch");
+  host.Send("HTTP/1.1 413 Too Large\r\nContent-Length: 4\r\n\r\nmuch");
   ASSERT_TRUE(Until([&] { return client.Has("much"); }));
   EXPECT_TRUE(client.Has("Connection: close"));
 }
@@ -267,7 +267,7 @@
 // A client that leaves midway: nothing ran, and the upstream connection closes.
 TEST_F(StreamingBodyTest, DisconnectMidwayEndsTheAttempt) {
   Ask("Content-Length: 3000000\r\n");
-  client.Say(Noise(50'000));
+  client.Send(Noise(50'000));
   ASSERT_TRUE(Host(Noise(50'000).substr(40'000)));
   client.Close();
   EXPECT_TRUE(Until([&] { return host.Ended(); }));
@@ -278,7 +278,7 @@
   Ask("Transfer-Encoding: chunked\r\n");
   SayAll(client, "249f0\r\n" + Noise(150'000) + "\r\n");
   ASSERT_TRUE(Host(Noise(150'000).substr(100'000)));
-  client.Say("no number\r\n");
+  client.Send("no number\r\n");
   ASSERT_TRUE(Until([&] { return client.Has("HTTP/1.1 400"); }));
   EXPECT_TRUE(Until([&] { return host.Ended(); }));
   EXPECT_FALSE(host.Has("\r\n0\r\n\r\n"));
@@ -288,8 +288,8 @@
 TEST_F(StreamingBodyTest, SlowUploadsAreServedAndStalledOnesAreNot) {
   Peer drips = Peer::To(gateway->address()), stalls = Peer::To(gateway->address());
   for (Peer* const peer : {&drips, &stalls}) {
-    peer->Say("POST /safe HTTP/1.1\r\nX-Call-Id: x" + std::to_string(peer->fd()) +
-              "\r\nX-Budget-Ms: 900\r\nContent-Length: 200000\r\n\r\n");
+    peer->Send("POST /safe HTTP/1.1\r\nX-Call-Id: x" + std::to_string(peer->fd()) +
+               "\r\nX-Budget-Ms: 900\r\nContent-Length: 200000\r\n\r\n");
   }
   Ask("Content-Length: 200000\r\n");
   const std::string body = Noise(200'000);
@@ -300,14 +300,14 @@
     const auto due = std::min<size_t>(
         body.size(), static_cast<size_t>((loop.Now() - began).count() * 64 / 1000));
     if (due - said >= 3200 || due == body.size()) {
-      client.Say(body.substr(said, due - said));
+      client.Send(body.substr(said, due - said));
       said = due;
-      drips.Say("x");
+      drips.Send("x");
     }
     RunFor(loop, Ms(5));
   }
   ASSERT_TRUE(Host(body.substr(190'000)));
-  host.Say(testing::Http200("served"));
+  host.Send(testing::Http200("served"));
   EXPECT_TRUE(Until([&] { return client.Has("served"); }));
   EXPECT_TRUE(drips.Has("408 "));
   EXPECT_TRUE(stalls.Has("408 "));
--- a/tests/gateway/test_peers.h
+++ b/tests/gateway/test_peers.h
@@ -66,7 +66,7 @@
     return Peer(std::move(fd));
   }
 
-  void Say(std::string_view text) {
+  void Send(std::string_view text) {
     while (!text.empty()) {
       const ssize_t n = send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL);
       if (n <= 0) {
@@ -76,12 +76,12 @@
     }
   }
   // All that has come so far.
-  const std::string& Heard() {
+  const std::string& Received() {
     char bytes[4096];
     while (fd_ && !ended_) {
       const ssize_t n = recv(fd_.get(), bytes, sizeof(bytes), 0);
       if (n > 0) {
-        heard_.append(bytes, static_cast<size_t>(n));
+        received_.append(bytes, static_cast<size_t>(n));
       } else {
         if (n == 0 || (errno != EAGAIN && errno != EINTR)) {
           ended_ = true;
@@ -89,19 +89,19 @@
         if (n < 0 && errno == EINTR) {
           continue;
         }
-        return heard_;
+        return received_;
       }
     }
-    return heard_;
+    return received_;
   }
-  bool Has(std::string_view text) { return Heard().find(text) != std::string::npos; }
+  bool Has(std::string_view text) { return Received().find(text) != std::string::npos; }
   bool Ended() {
-    Heard();
+    Received();
     return ended_;
   }
-  void Forget() {
-    Heard();
-    heard_.clear();
+  void ClearReceived() {
+    Received();
+    received_.clear();
   }
   void Close() { fd_.Reset(); }
   // A close that the other side sees as a reset.
@@ -110,12 +110,12 @@
     setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
     fd_.Reset();
   }
-  void ShutWrite() { shutdown(fd_.get(), SHUT_WR); }
+  void ShutdownWrite() { shutdown(fd_.get(), SHUT_WR); }
   [[nodiscard]] int fd() const { return fd_.get(); }
 
  private:
   FileDescriptor fd_;
-  std::string heard_;
+  std::string received_;
   bool ended_ = false;
 };
 
@@ -137,13 +137,13 @@
   [[nodiscard]] std::string text() const { return ToText(address_); }
 
   // The next connection, or none yet.
-  Peer TryTake() {
+  Peer TryAccept() {
     FileDescriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     return fd ? Peer(std::move(fd)) : Peer();
   }
-  Peer Take(EventLoop& loop) {
+  Peer Accept(EventLoop& loop) {
     Peer peer;
-    EXPECT_TRUE(RunUntil(loop, [&] { return static_cast<bool>(peer = TryTake()); }));
+    EXPECT_TRUE(RunUntil(loop, [&] { return static_cast<bool>(peer = TryAccept()); }));
     return peer;
   }
   void Close() { fd_.Reset(); }
@@ -154,9 +154,9 @@
 };
 
 // A host whose connections never come up: its backlog is full, and the kernel drops what comes.
-class CutOff {
+class UnreachableHost {
  public:
-  explicit CutOff(EventLoop& loop) {
+  explicit UnreachableHost(EventLoop& loop) {
     for (int i = 0; i < 4; ++i) {
       FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
       sockaddr_in address{};
@@ -170,12 +170,12 @@
   }
   [[nodiscard]] const Address& address() const { return port_.address(); }
   // From now on what comes is let in: what was dropped comes again a second after its first try.
-  void LetIn() { filling_.clear(); }
+  void StartAccepting() { filling_.clear(); }
   // The next that was let in, but for those that filled the backlog.
-  Peer TryTake() {
-    Peer peer = port_.TryTake();
+  Peer TryAccept() {
+    Peer peer = port_.TryAccept();
     while (peer && peer.Ended()) {
-      peer = port_.TryTake();
+      peer = port_.TryAccept();
     }
     return peer;
   }
--- a/tests/gateway/upstream_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -13,11 +13,11 @@
 namespace paddlestile {
 namespace {
 
-using testing::CutOff;
 using testing::Http200;
 using testing::Ms;
 using testing::Peer;
 using testing::RunUntil;
+using testing::UnreachableHost;
 
 BufferedMessage MakeRequest(const std::string& text) {
   BufferedMessage message;
@@ -87,7 +87,7 @@
   }
   // The host's side of the next connection, with the request read.
   Peer Host() {
-    Peer host = port.Take(loop);
+    Peer host = port.Accept(loop);
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
     return host;
   }
@@ -100,9 +100,9 @@
   Peer ReusableConnection() {
     Send("first");
     Peer host = Host();
-    host.Say(Http200("1"));
+    host.Send(Http200("1"));
     EXPECT_TRUE(HasFinished(1));
-    host.Forget();
+    host.ClearReceived();
     finished.clear();
     WaitUntilSettled();
     return host;
@@ -120,7 +120,7 @@
   // The bytes that a host receives until the gateway closes: a measure of the bodies sent in full.
   static size_t AllOf(EventLoop& loop, Peer& host) {
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
-    return host.Heard().size();
+    return host.Received().size();
   }
 
   EventLoop loop;
@@ -139,7 +139,7 @@
   MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
-  const std::string& text = host.Heard();
+  const std::string& text = host.Received();
   EXPECT_EQ(text.substr(0, 27), "POST /book/1?a=b HTTP/1.1\r\n");
   EXPECT_NE(text.find("X-Call-Id: id1\r\n"), std::string::npos);
   EXPECT_NE(text.find("Idempotency-Key: k\r\n"), std::string::npos);
@@ -182,7 +182,7 @@
     finished.clear();
     Send();
     Peer host = Host();
-    host.Say(answer);
+    host.Send(answer);
     ASSERT_TRUE(HasFinished(1)) << answer;
     EXPECT_EQ(finished[0].outcome, outcome) << answer;
     EXPECT_EQ(finished[0].body, outcome == Outcome::kOk ? "yes" : "") << answer;
@@ -202,7 +202,7 @@
     testing::RunFor(loop, Ms(800));  // until the first byte it has all its time
     EXPECT_TRUE(finished.empty());
     const Time began = loop.Now();
-    host.Say(part);
+    host.Send(part);
     ASSERT_TRUE(HasFinished(1));
     EXPECT_EQ(finished[0].outcome, Outcome::kInvalidResponse);
     EXPECT_LT(loop.Now() - began, Ms(1500));
@@ -218,7 +218,7 @@
     finished.clear();
     Send();
     Peer host = Host();
-    host.Say(answer.substr(0, size));
+    host.Send(answer.substr(0, size));
     if (size % 2 == 0) {
       host.Close();
     } else {
@@ -236,7 +236,7 @@
   Peer host = Host();
   for (const char c : Http200("hello")) {
     EXPECT_TRUE(finished.empty());
-    host.Say(std::string(1, c));
+    host.Send(std::string(1, c));
     loop.RunOnce(Duration(0));
   }
   ASSERT_TRUE(HasFinished(1));
@@ -248,7 +248,7 @@
   MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
-  host.Say(Http200("hello"));
+  host.Send(Http200("hello"));
   host.Close();
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
@@ -265,7 +265,7 @@
 
 TEST_F(UpstreamTest, ConnectTimesOutByTheSettings) {
   MakeUpstream(DefaultOptions());
-  const CutOff host(loop);
+  const UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
   const Time begun = loop.Now();
   Send();
@@ -278,7 +278,7 @@
 // The deadline came before the connect timeout: no evidence against the host.
 TEST_F(UpstreamTest, DeadlineWhileConnectingIsNotSent) {
   MakeUpstream(DefaultOptions());
-  const CutOff host(loop);
+  const UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
   Send("id1", Ms(40));
   ASSERT_TRUE(HasFinished(1));
@@ -314,14 +314,14 @@
   Peer first = Host();
   Send("id2");
   Peer second = Host();
-  first.Say(testing::Http200("ok"));
+  first.Send(testing::Http200("ok"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(upstream->idle_count(), 1u);
   upstream->CloseIdleConnections("h1");
   upstream->CloseIdleConnections("nobody");
   EXPECT_EQ(upstream->idle_count(), 0u);
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
-  second.Say(testing::Http200("ok"));
+  second.Send(testing::Http200("ok"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
 }
@@ -334,7 +334,7 @@
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
-  host.Say(Http200("late"));
+  host.Send(Http200("late"));
   upstream->CancelAttempt(*request, 0);
   testing::RunFor(loop, Ms(20));
   EXPECT_EQ(finished.size(), 1u);
@@ -349,13 +349,13 @@
   const auto request = Send();
   upstream->StartAttempt(request, request->BeginAttempt(), "h2", request->deadline());
   Peer one = Host();
-  Peer two = other.Take(loop);
+  Peer two = other.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return two.Has("body"); }));
-  two.Say(Http200("second"));
+  two.Send(Http200("second"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].attempt, 1u);
   EXPECT_TRUE(request->Respond({.status = 200}));
-  one.Say(Http200("first"));
+  one.Send(Http200("first"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].attempt, 0u);
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
@@ -366,12 +366,12 @@
   MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
-  host.Forget();
+  host.ClearReceived();
   Send("id2");
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
-  host.Say(Http200("2"));
+  host.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].body, "2");
   EXPECT_EQ(upstream->connection_count(), 1u);
@@ -390,13 +390,13 @@
   MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   ASSERT_EQ(upstream->idle_count(), 1u);
   host.Close();
   Send("id2");  // before the loop has run
   Peer next = Host();
-  next.Say(Http200("2"));
+  next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
 }
@@ -405,9 +405,9 @@
   MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
-  host.Say(Http200("nobody asked"));
+  host.Send(Http200("nobody asked"));
   EXPECT_TRUE(RunUntil(loop, [&] { return upstream->connection_count() == 0; }));
 }
 
@@ -415,7 +415,7 @@
   MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1") + "more");
+  host.Send(Http200("1") + "more");
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
   EXPECT_EQ(upstream->connection_count(), 0u);
@@ -427,7 +427,7 @@
   MakeUpstream(options);
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   const Time since = loop.Now();
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
@@ -439,17 +439,17 @@
   Send("id1");
   Send("id2");
   Peer one = Host(), two = Host();
-  one.Say(Http200("1"));
+  one.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   testing::Port moved;
   upstream->SetEndpointAddress("h1", moved.address());
   EXPECT_TRUE(RunUntil(loop, [&] { return one.Ended(); }));  // it was idle
-  two.Say(Http200("2"));  // what was out goes on, but is not kept
+  two.Send(Http200("2"));  // what was out goes on, but is not kept
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
   EXPECT_EQ(upstream->idle_count(), 0u);
   Send("id3");
-  EXPECT_TRUE(moved.Take(loop));
+  EXPECT_TRUE(moved.Accept(loop));
 }
 
 TEST_F(UpstreamTest, RemovedHostIsErasedAfterItsTransactions) {
@@ -457,7 +457,7 @@
   Send("id1");
   Peer host = Host();
   upstream->RemoveEndpoint("h1");
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
   EXPECT_EQ(upstream->connection_count(), 0u);
@@ -476,7 +476,7 @@
   auto request = std::make_shared<ProxiedRequest>("big", std::move(message), loop.Now() + Ms(300),
                                                   request_class, [](const Response&) {});
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
-  Peer host = port.Take(loop);
+  Peer host = port.Accept(loop);
   testing::RunFor(loop, Ms(50));
   host.Reset();
   ASSERT_TRUE(HasFinished(1));
@@ -488,7 +488,7 @@
   MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   upstream->RemoveEndpoint("h1");
   upstream->SetEndpointAddress("h2", port.address());
@@ -522,11 +522,11 @@
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
   host.Reset();
-  Peer next = port.Take(loop);
+  Peer next = port.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return next.Has("X-Call-Id: big"); }));
   EXPECT_TRUE(finished.empty());
-  ASSERT_TRUE(RunUntil(loop, [&] { return next.Heard().size() > 16 << 20; }));
-  next.Say(Http200("2"));
+  ASSERT_TRUE(RunUntil(loop, [&] { return next.Received().size() > 16 << 20; }));
+  next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
@@ -537,9 +537,9 @@
   const auto idle_then_send = [&](Peer& host) {
     Send();
     host = Host();
-    host.Say(Http200("1"));
+    host.Send(Http200("1"));
     ASSERT_TRUE(HasFinished(1));
-    host.Forget();
+    host.ClearReceived();
     testing::RunFor(loop, Ms(80));
     finished.clear();
     Send();
@@ -557,7 +557,7 @@
       EXPECT_EQ(finished[0].outcome, Outcome::kReset);
     } else {
       next = Host();
-      next.Say(Http200("2"));
+      next.Send(Http200("2"));
       ASSERT_TRUE(HasFinished(1));
       EXPECT_EQ(finished[0].outcome, Outcome::kOk);
     }
@@ -566,7 +566,7 @@
   EXPECT_GE(broken, 5);
   EXPECT_LT(broken, 10);
   // One that has hardly idled is still reused.
-  next.Forget();
+  next.ClearReceived();
   Send();
   EXPECT_TRUE(RunUntil(loop, [&] { return next.Has("body"); }));
 }
@@ -574,9 +574,9 @@
 TEST_F(UpstreamTest, ProbesRequestTheLoadReport) {
   MakeUpstream(DefaultOptions());
   upstream->StartProbe("h1");
-  Peer host = port.Take(loop);
+  Peer host = port.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("GET /_load HTTP/1.1\r\n"); }));
-  host.Say(Http200("latency_ms=2.5,new=1,inflight=7"));
+  host.Send(Http200("latency_ms=2.5,new=1,inflight=7"));
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_EQ(probes[0].first, Outcome::kOk);
   EXPECT_EQ(probes[0].second, (LoadReport{7, 2.5}));
@@ -588,9 +588,9 @@
   options.reports_in_probes = false;
   MakeUpstream(options);
   upstream->StartProbe("h1");
-  Peer host = port.Take(loop);
+  Peer host = port.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("GET /ping HTTP/1.1\r\n"); }));
-  host.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+  host.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_NE(probes[0].first, Outcome::kOk);
   EXPECT_FALSE(probes[0].second);
@@ -599,7 +599,7 @@
 TEST_F(UpstreamTest, SilentProbeTimesOut) {
   MakeUpstream(DefaultOptions());
   upstream->StartProbe("h1");
-  Peer host = port.Take(loop);
+  Peer host = port.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return probes.size() == 1; }));
   EXPECT_EQ(probes[0].first, Outcome::kTimeout);
 }
@@ -620,11 +620,11 @@
   Peer host = Host();
   for (const auto& [header, report] : cases) {
     finished.clear();
-    host.Say(Http200("ok", header));
+    host.Send(Http200("ok", header));
     ASSERT_TRUE(HasFinished(1));
     EXPECT_EQ(finished[0].outcome, Outcome::kOk) << header;
     EXPECT_EQ(finished[0].report, report) << header;
-    host.Forget();
+    host.ClearReceived();
     Send();
     ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   }
@@ -634,7 +634,7 @@
   MakeUpstream(DefaultOptions());
   Send();
   Peer host = Host();
-  host.Say(Http200("ok", "X-Load-Report: inflight=3,latency_ms=9\r\n"));
+  host.Send(Http200("ok", "X-Load-Report: inflight=3,latency_ms=9\r\n"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_FALSE(finished[0].report);
 }
@@ -645,13 +645,13 @@
   MakeUpstream(DefaultOptions());
   const auto request = Send("id1", Ms(60));
   Peer host = Host();
-  host.Say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
+  host.Send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
   ASSERT_TRUE(RunUntil(loop, [&] { return responses_started == 1; }));
   testing::RunFor(loop, Ms(100));
   EXPECT_TRUE(finished.empty());
   upstream->CancelAttempt(*request, 0);  // is not called off
   EXPECT_TRUE(finished.empty());
-  host.Say("en");
+  host.Send("en");
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].body, "been");
 }
@@ -665,8 +665,8 @@
   for (const size_t missing_bytes : {0, 1}) {
     Send("id" + std::to_string(missing_bytes));
     Peer host = Host();
-    host.Say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBodyBytes) + "\r\n\r\n");
-    host.Say(std::string(kBodyBytes - kRestBytes, 'a'));
+    host.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBodyBytes) + "\r\n\r\n");
+    host.Send(std::string(kBodyBytes - kRestBytes, 'a'));
     ASSERT_TRUE(RunUntil(loop, [&] { return streaming_body != nullptr; }));
     size_t read_bytes = 0;
     ASSERT_TRUE(RunUntil(loop, [&] {
@@ -675,7 +675,7 @@
       read_bytes += piece.size();
       return read_bytes == kBodyBytes - kRestBytes;
     }));
-    host.Say(std::string(kRestBytes - missing_bytes, 'b'));
+    host.Send(std::string(kRestBytes - missing_bytes, 'b'));
     testing::RunFor(loop, Ms(20));
     host.Reset();
     testing::RunFor(loop, Ms(20));
@@ -699,7 +699,7 @@
   MakeUpstream(DefaultOptions());
   const auto request = Send();
   Peer host = Host();
-  host.Say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
+  host.Send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
   ASSERT_TRUE(RunUntil(loop, [&] { return responses_started == 1; }));
   upstream->OnClientDisconnected(*request);
   ASSERT_TRUE(HasFinished(1));
@@ -714,8 +714,8 @@
   testing::Port other;
   upstream->SetEndpointAddress("h2", other.address());
   upstream->StartProbe("h2");
-  Peer probed = other.Take(loop);
-  probed.Say(Http200("inflight=1,latency_ms=1"));
+  Peer probed = other.Accept(loop);
+  probed.Send(Http200("inflight=1,latency_ms=1"));
   ASSERT_TRUE(RunUntil(loop, [&] { return upstream->idle_count() == 1; }));
   std::vector<std::shared_ptr<ProxiedRequest>> message;
   for (int i = 0; i < 20; ++i) {
@@ -736,17 +736,17 @@
   Upstream::Options options = DefaultOptions();
   options.connect_timeout = Ms(3000);
   MakeUpstream(options);
-  CutOff host(loop);
+  UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
   const auto request = Send("id1", Ms(4000));
   testing::RunFor(loop, Ms(50));
   request->Abandon();
   upstream->OnClientDisconnected(*request);
   EXPECT_TRUE(finished.size() == 1 && finished[0].outcome == Outcome::kNotSent);
-  host.LetIn();
+  host.StartAccepting();
   Peer late;
   RunUntil(
-      loop, [&] { return static_cast<bool>(late = host.TryTake()); }, Ms(1800));
+      loop, [&] { return static_cast<bool>(late = host.TryAccept()); }, Ms(1800));
   EXPECT_FALSE(late && late.Has("POST"));
   EXPECT_EQ(finished.size(), 1u);
   EXPECT_EQ(upstream->connection_count(), 0u);
@@ -757,7 +757,7 @@
   MakeUpstream(DefaultOptions());
   const auto request = LargeRequest("big");
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
-  Peer host = port.Take(loop);
+  Peer host = port.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("X-Call-Id: big"); }));
   request->Abandon();
   upstream->OnClientDisconnected(*request);
@@ -774,7 +774,7 @@
   request->Abandon();
   upstream->OnClientDisconnected(*request);
   EXPECT_TRUE(finished.empty());
-  host.Say(Http200("done"));
+  host.Send(Http200("done"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
@@ -791,7 +791,7 @@
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   testing::RunFor(loop, Ms(50));
-  EXPECT_FALSE(static_cast<bool>(port.TryTake()));
+  EXPECT_FALSE(static_cast<bool>(port.TryAccept()));
 }
 
 // The connection is up and the deadline past when the event loop runs: nothing may be written.
@@ -800,7 +800,7 @@
   const auto request = Send("id1", Ms(40));
   Peer host;
   while (!host) {
-    host = port.TryTake();  // up for the kernel, not yet for the loop
+    host = port.TryAccept();  // up for the kernel, not yet for the loop
   }
   usleep(60'000);
   loop.RunOnce(Duration(0));
@@ -814,7 +814,7 @@
   MakeUpstream(DefaultOptions());
   Send("id1", Ms(60));
   Peer host = Host();
-  host.Say(Http200("yes"));
+  host.Send(Http200("yes"));
   usleep(80'000);
   testing::RunFor(loop, Ms(50));
   ASSERT_EQ(finished.size(), 1u);
@@ -826,12 +826,12 @@
   MakeUpstream(DefaultOptions());
   const auto request = Send();
   Peer host = Host();
-  host.Say(Http200("late"));
+  host.Send(Http200("late"));
   usleep(5000);
   upstream->CancelAttempt(*request, 0);
   Send("id2");
   Peer next = Host();
-  next.Say(Http200("own"));
+  next.Send(Http200("own"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
   EXPECT_EQ(finished[1].body, "own");
@@ -847,9 +847,9 @@
     const Time began = loop.Now();
     Send("id1", Ms(600));
     Peer host = Host();
-    host.Say(head);
+    host.Send(head);
     for (int i = 0; i < 30 && finished.empty(); ++i) {
-      host.Say("x");
+      host.Send("x");
       testing::RunFor(loop, Ms(50));
     }
     ASSERT_EQ(finished.size(), 1u) << head;
@@ -868,7 +868,7 @@
     const auto request = LargeRequest("big", Ms(700));
     const Time began = loop.Now();
     upstream->StartAttempt(request, attempt, "h1", request->deadline());
-    Peer host = port.Take(loop);
+    Peer host = port.Accept(loop);
     ASSERT_TRUE(HasFinished(1));
     EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
     const Duration took = loop.Now() - began;
@@ -882,7 +882,7 @@
   Peer host = Host();
   testing::RunFor(loop, Ms(300));
   EXPECT_TRUE(finished.empty());
-  host.Say(Http200("yes"));
+  host.Send(Http200("yes"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
@@ -890,7 +890,7 @@
 // A failed connect of a keyed retry counts against its host as any other does.
 TEST_F(UpstreamTest, KeyedRetryWhoseConnectTimesOutBlamesItsHost) {
   MakeUpstream(DefaultOptions());
-  const CutOff host(loop);
+  const UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
   const auto request = Request();
   upstream->StartAttempt(request, 1, "h1", request->deadline());
@@ -904,13 +904,13 @@
   MakeUpstream(DefaultOptions());
   Send("id1");
   Peer host = Host();
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   Send("id2");
   testing::RunFor(loop, Ms(5));
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   Peer next = Host();
-  next.Say(Http200("2"));
+  next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].body, "2");
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));  // out of step
@@ -925,9 +925,9 @@
   Peer host = Host();
   for (const bool leaves : {true, false}) {
     finished.clear();
-    host.Say(Http200("1"));
+    host.Send(Http200("1"));
     ASSERT_TRUE(HasFinished(1));
-    host.Forget();
+    host.ClearReceived();
     finished.clear();
     const Time began = loop.Now();
     const auto request = Send("id2");
@@ -938,7 +938,7 @@
       ASSERT_EQ(finished.size(), 1u);
       EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
       testing::RunFor(loop, Ms(30));
-      EXPECT_EQ(host.Heard(), "");
+      EXPECT_EQ(host.Received(), "");
       Send("id1");  // on another, the first of which nobody knows what it got
       host = Host();
       continue;
@@ -956,7 +956,7 @@
   const auto request = LargeRequest("big");
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
-  host.Say(Http200("1"));
+  host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   EXPECT_EQ(finished[0].body, "");
@@ -965,8 +965,8 @@
   finished.clear();
   const auto other = LargeRequest("big");
   upstream->StartAttempt(other, other->BeginAttempt(), "h1", other->deadline());
-  Peer full = port.Take(loop);
-  full.Say("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+  Peer full = port.Accept(loop);
+  full.Send("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kRejected);
 }
@@ -983,7 +983,7 @@
   Send("id2");
   Peer next = Host();
   EXPECT_FALSE(host.Has("body"));
-  next.Say(Http200("2"));
+  next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
@@ -998,15 +998,15 @@
   upstream->RemoveEndpoint("h1");
   testing::Port elsewhere;
   upstream->SetEndpointAddress("h1", elsewhere.address());
-  kept.Say(Http200("old"));
+  kept.Send(Http200("old"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].body, "old");
   WaitUntilSettled();
   Send("new");
-  Peer host = elsewhere.Take(loop);
+  Peer host = elsewhere.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   EXPECT_TRUE(kept.Ended());
-  host.Say(Http200("new"));
+  host.Send(Http200("new"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].body, "new");
 }
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -46,7 +46,7 @@
 TEST_F(FleetTest, HostsCloseWhatHasIdled) {
   Peer peer = Peer::To(address_);
   RunFor(loop_, Ms(200));
-  peer.Say("GET /ping HTTP/1.1\r\n\r\n");
+  peer.Send("GET /ping HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(RunUntil(loop_, [&] { return peer.Has("200 OK"); }));
   RunFor(loop_, Ms(300));
   EXPECT_FALSE(peer.Ended());  // counted from its last answer
@@ -62,20 +62,20 @@
   const auto hosts = fleet_.Choose(fault);
   ASSERT_EQ(hosts.size(), 1u);
   fleet_.Begin(fault, hosts);
-  peer.Say("GET /ping HTTP/1.1\r\n\r\n");
+  peer.Send("GET /ping HTTP/1.1\r\n\r\n");
   bool refused = false;
   auto late = Connect(address_, nullptr, refused);
   ASSERT_TRUE(late);
   EXPECT_FALSE(refused);
   RunFor(loop_, Ms(150));
-  EXPECT_EQ(peer.Heard(), "");
+  EXPECT_EQ(peer.Received(), "");
   sockaddr_in name{};
   socklen_t size = sizeof(name);
   EXPECT_NE(getpeername(late->get(), reinterpret_cast<sockaddr*>(&name), &size), 0);
   fleet_.End(fault, hosts);
   EXPECT_TRUE(RunUntil(loop_, [&] { return peer.Ended(); }));
   Peer again = Peer::To(address_);
-  again.Say("GET /ping HTTP/1.1\r\n\r\n");
+  again.Send("GET /ping HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(RunUntil(loop_, [&] { return again.Has("200 OK"); }));
 }
 
--- a/tests/peer/peer_connections_test.cpp
+++ b/tests/peer/peer_connections_test.cpp
@@ -159,23 +159,23 @@
                                   std::string("\xff\xff\xff\xff")};
   for (const std::string& bytes : rejected) {
     Peer peer = Peer::To(At('b'));
-    peer.Say(bytes);
+    peer.Send(bytes);
     EXPECT_TRUE(RunUntil([&] { return peer.Ended(); })) << bytes;
     EXPECT_TRUE(b.connected.empty());
   }
   Peer first = Peer::To(At('b'));
-  first.Say(valid);
+  first.Send(valid);
   ASSERT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
   // The same incarnation before its last restart; then another incarnation, after which the first
   // one is stale.
   Peer before_restart = Peer::To(At('b'));
-  before_restart.Say(Hello("north", "a", "b", kProtocolVersion, 7, 2));
+  before_restart.Send(Hello("north", "a", "b", kProtocolVersion, 7, 2));
   EXPECT_TRUE(RunUntil([&] { return before_restart.Ended(); }));
   Peer other_incarnation = Peer::To(At('b'));
-  other_incarnation.Say(Hello("north", "a", "b", kProtocolVersion, 8, 1));
+  other_incarnation.Send(Hello("north", "a", "b", kProtocolVersion, 8, 1));
   EXPECT_TRUE(RunUntil([&] { return b.connected["a"] == 8; }));
   Peer stale = Peer::To(At('b'));
-  stale.Say(valid);
+  stale.Send(valid);
   EXPECT_TRUE(RunUntil([&] { return stale.Ended(); }));
   EXPECT_EQ(b.connected["a"], 8U);
   EXPECT_EQ(b.connections.statistics().stale_incarnations, 2U);
@@ -187,7 +187,7 @@
   options.max_queued_bytes = 64 << 10;
   TestMember b(loop, "b", options);
   Peer slow = Peer::To(At('b'));
-  slow.Say(Hello("north", "a", "b", kProtocolVersion, 7, 1));
+  slow.Send(Hello("north", "a", "b", kProtocolVersion, 7, 1));
   ASSERT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
   for (int i = 0; i < 2000; ++i) {
     b.connections.Send("a", {{"x", std::string(10'000, 'y')}});
@@ -205,7 +205,7 @@
   TestMember b(loop, "b", Options("b", 2, 1));
   for (int i = 0; i < 20; ++i) {
     Peer peer = Peer::To(At('b'));
-    peer.Say(Hello("north", "a", "b", kProtocolVersion, 7, 1));
+    peer.Send(Hello("north", "a", "b", kProtocolVersion, 7, 1));
     peer.Reset();
     RunUntil([] { return false; }, 20);
     b.connections.Send("a", {{"x", 1}});
@@ -225,9 +225,9 @@
   for (const std::string& second : {changed, first, plain}) {
     b.received.clear();
     Peer peer = Peer::To(At('b'));
-    peer.Say(CheckedHello());
+    peer.Send(CheckedHello());
     ASSERT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
-    peer.Say(first + second);
+    peer.Send(first + second);
     EXPECT_TRUE(RunUntil([&] { return peer.Ended(); }));
     EXPECT_EQ(b.received, "x;a says 1;");
     EXPECT_EQ(b.connections.statistics().checksum_mismatches, ++mismatches);
@@ -237,7 +237,7 @@
   const size_t incarnation = hello.find("life") + 4;
   hello[incarnation] = static_cast<char>(hello[incarnation] ^ 1);
   Peer peer = Peer::To(At('b'));
-  peer.Say(hello);
+  peer.Send(hello);
   EXPECT_TRUE(RunUntil([&] { return peer.Ended(); }));
   EXPECT_TRUE(b.connected.empty());
   EXPECT_EQ(b.connections.statistics().checksum_mismatches, ++mismatches);
@@ -247,11 +247,11 @@
 TEST_F(PeerConnectionsTest, TalksPlainFramesWithABuildWithoutChecksums) {
   TestMember b(loop, "b", Options("b", 2, 1));
   Peer peer = Peer::To(At('b'));
-  peer.Say(Hello("north", "a", "b", kProtocolVersion, 7, 1));
+  peer.Send(Hello("north", "a", "b", kProtocolVersion, 7, 1));
   ASSERT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
-  peer.Say(EncodeFrame({{"x", 1}}));
+  peer.Send(EncodeFrame({{"x", 1}}));
   EXPECT_TRUE(RunUntil([&] { return b.received == "x;a says 1;"; }));
-  peer.Forget();
+  peer.ClearReceived();
   b.connections.Send("a", {{"x", 2}});
   const std::string expected = EncodeFrame({{"x", 2}});
   EXPECT_TRUE(RunUntil([&] { return peer.Has(expected); }));
@@ -260,9 +260,9 @@
 TEST_F(PeerConnectionsTest, RepliesWithAChecksumToACallerThatKnowsThem) {
   TestMember b(loop, "b", Options("b", 2, 1));
   Peer caller = Peer::To(At('b'));
-  caller.Say(EncodeCall("now"));
+  caller.Send(EncodeCall("now"));
   EXPECT_TRUE(RunUntil([&] { return caller.Ended(); }));
-  EXPECT_EQ(caller.Heard(), EncodeCheckedFrame({{"to", "now"}}, 0));
+  EXPECT_EQ(caller.Received(), EncodeCheckedFrame({{"to", "now"}}, 0));
 }
 
 // The connection was counted out twice of those that have not identified themselves, below zero:
@@ -271,21 +271,21 @@
   TestMember b(loop, "b", Options("b", 2, 1));
   b.replies = false;
   Peer caller = Peer::To(At('b'));
-  caller.Say(EncodeFrame({{"hello", kProtocolVersion}, {"call", "now"}}) +
-             Hello("north", "a", "b", kProtocolVersion, 7, 1));
+  caller.Send(EncodeFrame({{"hello", kProtocolVersion}, {"call", "now"}}) +
+              Hello("north", "a", "b", kProtocolVersion, 7, 1));
   EXPECT_TRUE(RunUntil([&] { return caller.Ended(); }));
   EXPECT_TRUE(b.connected.empty());
   Peer member = Peer::To(At('b'));
-  member.Say(Hello("north", "a", "b", kProtocolVersion, 7, 1));
+  member.Send(Hello("north", "a", "b", kProtocolVersion, 7, 1));
   EXPECT_TRUE(RunUntil([&] { return b.connected.contains("a"); }));
 }
 
 TEST_F(PeerConnectionsTest, AnswersAnOperatorsCallOnce) {
   TestMember b(loop, "b", Options("b", 2, 1));
   Peer caller = Peer::To(At('b'));
-  caller.Say(EncodeFrame({{"hello", kProtocolVersion}, {"call", "now"}}));
+  caller.Send(EncodeFrame({{"hello", kProtocolVersion}, {"call", "now"}}));
   EXPECT_TRUE(RunUntil([&] { return caller.Ended(); }));
-  const std::string reply = caller.Heard();
+  const std::string reply = caller.Received();
   ASSERT_GT(reply.size(), 4U);
   EXPECT_EQ(DecodeValue(std::string_view(reply).substr(4))->at("to"), "now");
 }
