--- a/src/gateway/admin.cpp
+++ b/src/gateway/admin.cpp
@@ -22,9 +22,9 @@
 
 using std::chrono::seconds;
 
-constexpr Duration kCallTimeout = seconds(5);    // for a complete call
-constexpr Duration kLingerTimeout = seconds(1);  // for the caller to read the response
-constexpr size_t kMaxBodyBytesOfCall = 4096;     // the content is ignored
+constexpr Duration kCallTimeout = seconds(5);    // from accept until the response has been written
+constexpr Duration kLingerTimeout = seconds(1);  // after the response has been written
+constexpr size_t kMaxBodyBytesOfCall = 4096;     // the body is read and ignored
 constexpr int kBacklog = 64;                     // connections
 
 }  // namespace
@@ -50,7 +50,7 @@
   uint64_t token_ = 0;
 };
 
-// One connection, for one call.
+// One connection, which carries one call.
 class Admin::Caller final : public Stream::Listener {
  public:
   Caller(Admin& admin, FileDescriptor fd)
@@ -63,13 +63,13 @@
   Caller& operator=(const Caller&) = delete;
   virtual ~Caller() { loop_.CancelTimer(timer_); }
 
-  // False where the kernel does not watch the connection.
+  // Starts the call timeout and reading. Returns false if the socket cannot be added to epoll.
   bool Start() {
     timer_ = loop_.RunAfter(kCallTimeout, [this] { admin_.Close(*this); });
     return stream_.Start(true);
   }
   Stream& stream() { return stream_; }
-  std::list<std::shared_ptr<Caller>>::iterator position;  // in the list of the owner
+  std::list<std::shared_ptr<Caller>>::iterator position;  // in Admin::callers_
 
  private:
   void OnData() override {
@@ -89,9 +89,9 @@
     }
     AdminResponse response{parser_.error_status(), "malformed call"};
     if (progress == ParseProgress::kDone) {
-      const std::string_view base = stream_.input().view();
+      const std::string_view buffer = stream_.input().view();
       const HttpMessage& message = parser_.message();
-      response = admin_.HandleCall(message.method.In(base), message.target.In(base));
+      response = admin_.HandleCall(message.method.In(buffer), message.target.In(buffer));
     }
     Respond(response);
   }
@@ -114,7 +114,7 @@
   void OnError() override { admin_.Close(*this); }
 
   Admin& admin_;
-  EventLoop& loop_;  // may outlive the owner, as tasks that were put off may
+  EventLoop& loop_;  // outlives `admin_`; deferred tasks may run after its destruction
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest, kMaxBodyBytesOfCall};
   bool responded_ = false;
@@ -139,7 +139,7 @@
       if (errno == EINTR || errno == ECONNABORTED) {
         continue;
       }
-      // No descriptor is left: the longest open connection closes for this one.
+      // Out of descriptors: closes the oldest connection to free one for the new connection.
       if ((errno == EMFILE || errno == ENFILE) && !callers_.empty()) {
         Close(*callers_.front());
         continue;
@@ -163,7 +163,7 @@
     return;
   }
   caller.stream().Close();
-  // Its handler may be running: its memory is freed after that has returned.
+  // A handler of this caller may be on the stack, so it is freed after the handler has returned.
   loop_.RunDeferred([kept = *caller.position] {});
   callers_.erase(caller.position);
 }
--- a/src/gateway/admin.h
+++ b/src/gateway/admin.h
@@ -1,10 +1,12 @@
-// The admin interface for operators: a listener of its own, one short HTTP/1.1 call a connection.
+// The admin interface for operators. It has its own listener and serves one short HTTP/1.1 call per
+// connection.
 //
-//   GET /admin/health    200 where this process can serve, else 503
-//   POST /admin/quiesce  drains the gateway; the process stays
-//   POST /admin/resume   serves again; 409 where a new process has taken over, or this one ends
+//   GET /admin/health    200 if this process can serve requests, else 503
+//   POST /admin/quiesce  drains the gateway; the process keeps running
+//   POST /admin/resume   accepts clients again; 409 if a new process has taken over or this one is
+//                        shutting down
 //
-// Other paths are 404, other methods 405, malformed calls another 4xx.
+// Unknown paths get 404, wrong methods 405, and malformed calls another 4xx status.
 #ifndef PADDLESTILE_GATEWAY_ADMIN_H_
 #define PADDLESTILE_GATEWAY_ADMIN_H_
 
@@ -22,17 +24,19 @@
 
 class Admin {
  public:
-  // Connections at once; the longest open one closes for the next. Their descriptors come from the
-  // reserve, so that operators get in when clients hold all others.
+  // Maximum number of open connections. A further connection closes the oldest one. Their
+  // descriptors come from the reserve of DescriptorBudget, so that operators can connect while
+  // clients use all other descriptors.
   static constexpr size_t kMaxCallers = 12;
 
-  // Listens at once; throws std::system_error. `loop` and `lifecycle` must outlive it.
+  // Starts listening on `listen`; throws std::system_error on failure. `loop` and `lifecycle` must
+  // outlive this object.
   Admin(EventLoop& loop, const Address& listen, Lifecycle& lifecycle);
   ~Admin();
   Admin(const Admin&) = delete;
   Admin& operator=(const Admin&) = delete;
 
-  // Where it listens, with the port that the kernel chose where any was asked for.
+  // The listening address. If port 0 was requested, it has the port that the kernel assigned.
   [[nodiscard]] const Address& address() const { return address_; }
   [[nodiscard]] size_t callers() const { return callers_.size(); }
 
@@ -53,7 +57,7 @@
   Lifecycle& lifecycle_;
   Address address_;
   std::unique_ptr<Acceptor> acceptor_;
-  std::list<std::shared_ptr<Caller>> callers_;  // longest open first
+  std::list<std::shared_ptr<Caller>> callers_;  // oldest first
 };
 
 }  // namespace paddlestile
--- a/tests/gateway/admin_test.cpp
+++ b/tests/gateway/admin_test.cpp
@@ -1,4 +1,5 @@
-// Operators call while clients keep the gateway busy, and some callers send nothing.
+// Tests of the admin interface, including while clients keep the gateway busy and while callers
+// send nothing.
 #include "gateway/admin.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,8 @@
 
 class AdminTest : public ::testing::Test {
  protected:
-  // The response to one call, which ends with its connection.
+  // Makes one call and returns the status of its response. Expects the connection to close
+  // afterwards.
   std::string Call(const std::string& text) {
     Peer peer = Peer::To(admin.address());
     peer.Send(text);
@@ -45,7 +47,7 @@
   EXPECT_EQ(Call("GET", "/admin/health"), "200");
   EXPECT_EQ(Call("POST", "/admin/resume"), "200");
   EXPECT_TRUE(lifecycle.healthy());
-  // The new process serves the address by then.
+  // From here on the new process of a hot restart serves the address.
   lifecycle.set_replaced(true);
   EXPECT_EQ(Call("POST", "/admin/resume"), "409");
   EXPECT_EQ(Call("GET", "/admin/health"), "503");
@@ -60,13 +62,13 @@
   EXPECT_EQ(Call("GET /" + std::string(20'000, 'x') + " HTTP/1.1\r\n\r\n"), "431");
   EXPECT_EQ(Call("POST /admin/quiesce HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"), "413");
   EXPECT_EQ(lifecycle.stage(), LifecycleStage::kStarting);
-  // One call a connection: a second one is ignored.
+  // Only one call per connection: the second one is ignored.
   Call("GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n");
   lifecycle.set_ready();
   EXPECT_EQ(lifecycle.stage(), LifecycleStage::kServing);
 }
 
-TEST_F(AdminTest, SilentCallersAreLimitedAndDelayNoOther) {
+TEST_F(AdminTest, SilentCallersAreLimitedAndDelayNoOthers) {
   std::vector<Peer> silent;
   for (size_t i = 0; i < 3 * Admin::kMaxCallers; ++i) {
     silent.push_back(Peer::To(admin.address()));
@@ -76,36 +78,36 @@
   EXPECT_LE(admin.callers(), Admin::kMaxCallers);
 }
 
-// A round of the event loop may have hundreds of clients to serve; the operator's call, which came
-// last, is served before them.
+// A round of the event loop may have events of hundreds of clients. An admin call is handled before
+// them, even if it arrived last.
 TEST_F(AdminTest, IsServedBeforeClients) {
-  struct Slow final : EventLoop::Handler {
+  struct SlowHandler final : EventLoop::Handler {
     void OnEvents(uint32_t) override {
       if (caller.Has("503")) {
-        ++after;
+        ++events_after_response;
       }
       usleep(20'000);
-      ++rounds;
+      ++events;
     }
     Peer& caller;
-    int rounds = 0, after = 0;
-    explicit Slow(Peer& c) : caller(c) {}
+    int events = 0, events_after_response = 0;
+    explicit SlowHandler(Peer& admin_caller) : caller(admin_caller) {}
   };
   Peer caller = Peer::To(admin.address());
-  Slow slow(caller);
-  std::vector<FileDescriptor> ends;
+  SlowHandler clients(caller);
+  std::vector<FileDescriptor> sockets;
   for (int i = 0; i < 40; ++i) {
     int pair[2];
     ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair), 0);
     uint64_t token = 0;
-    ASSERT_TRUE(loop.Watch(pair[0], &slow, token));
-    ends.emplace_back(pair[0]);
-    ends.emplace_back(pair[1]);
+    ASSERT_TRUE(loop.Watch(pair[0], &clients, token));
+    sockets.emplace_back(pair[0]);
+    sockets.emplace_back(pair[1]);
   }
   caller.Send("GET /admin/health HTTP/1.1\r\n\r\n");
   loop.RunOnce(Ms(5));
-  EXPECT_EQ(slow.rounds, 40);
-  EXPECT_GT(slow.after, 30);
+  EXPECT_EQ(clients.events, 40);
+  EXPECT_GT(clients.events_after_response, 30);
 }
 
 }  // namespace
