--- a/src/gateway/connection_reuse_statistics.cpp
+++ b/src/gateway/connection_reuse_statistics.cpp
@@ -8,8 +8,8 @@
 namespace paddlestile {
 namespace {
 
-constexpr double kMaxFailedShare = 0.2;  // of the attempted
-constexpr double kMinAttempted = 5;      // decayed connections, before the share counts
+constexpr double kMaxFailedShare = 0.2;  // of the attempted reuses
+constexpr double kMinReuses = 5;         // decayed count of reuses; below it the share is ignored
 constexpr double kDecayTimeUs = 5e6;
 
 }  // namespace
@@ -20,7 +20,7 @@
   Bucket& bucket = buckets_[std::min<size_t>(std::bit_width(idle_ms), buckets_.size() - 1)];
   const auto elapsed_us = static_cast<double>((now - bucket.updated_at).count());
   const double remaining = std::exp(-elapsed_us / kDecayTimeUs);
-  bucket.attempted *= remaining;
+  bucket.reuses *= remaining;
   bucket.failed *= remaining;
   bucket.updated_at = now;
   return bucket;
@@ -28,13 +28,13 @@
 
 void ConnectionReuseStatistics::RecordReuse(Duration idle_time, bool failed, Time now) {
   Bucket& bucket = DecayedBucket(idle_time, now);
-  bucket.attempted += 1;
+  bucket.reuses += 1;
   bucket.failed += failed ? 1 : 0;
 }
 
 bool ConnectionReuseStatistics::IsTooOldToReuse(Duration idle_time, Time now) {
   const Bucket& bucket = DecayedBucket(idle_time, now);
-  return bucket.attempted >= kMinAttempted && bucket.failed > kMaxFailedShare * bucket.attempted;
+  return bucket.reuses >= kMinReuses && bucket.failed > kMaxFailedShare * bucket.reuses;
 }
 
 }  // namespace paddlestile
--- a/src/gateway/connection_reuse_statistics.h
+++ b/src/gateway/connection_reuse_statistics.h
@@ -1,4 +1,4 @@
-// How upstream connections fare that are used again after an idle time. No I/O, no clock.
+// Failure statistics of reused upstream connections by idle time. No I/O, no clock.
 #ifndef PADDLESTILE_GATEWAY_CONNECTION_REUSE_STATISTICS_H_
 #define PADDLESTILE_GATEWAY_CONNECTION_REUSE_STATISTICS_H_
 
@@ -9,25 +9,26 @@
 
 namespace paddlestile {
 
-// A network element on the way may forget an idle connection and break it at its next request.
-// Where too many of those that idled for about as long broke of late, others that old are not to be
-// used.
+// A network element on the path may drop the state of an idle connection, so that the next request
+// on it fails. If too many connections that were idle for about the same time have failed recently,
+// connections with such an idle time should not be reused.
 class ConnectionReuseStatistics {
  public:
-  // A connection that had idled for `idle_time` was used: `failed` where it broke before the first
+  // Records that a connection was reused after `idle_time`. `failed`: it broke before the first
   // byte of the response.
   void RecordReuse(Duration idle_time, bool failed, Time now);
+  // Whether connections with this idle time fail too often to be reused.
   [[nodiscard]] bool IsTooOldToReuse(Duration idle_time, Time now);
 
  private:
   struct Bucket {
-    double attempted = 0, failed = 0;  // connections, decayed
+    double reuses = 0, failed = 0;  // reuses, exponentially decayed
     Time updated_at{0};
   };
-  // The bucket of an idle time, decayed to `now`.
+  // Returns the bucket for `idle_time`, decayed to `now`.
   Bucket& DecayedBucket(Duration idle_time, Time now);
 
-  std::array<Bucket, 16> buckets_;  // by the binary logarithm of the idle time in milliseconds
+  std::array<Bucket, 16> buckets_;  // by log2 of the idle time in milliseconds
 };
 
 }  // namespace paddlestile
--- a/tests/gateway/connection_reuse_statistics_test.cpp
+++ b/tests/gateway/connection_reuse_statistics_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kNow = seconds(1000);
 
-TEST(ConnectionReuseStatisticsTest, FewFailuresDoNotCount) {
+TEST(ConnectionReuseStatisticsTest, IgnoresAFewFailures) {
   ConnectionReuseStatistics statistics;
   for (int i = 0; i < 4; ++i) {
     statistics.RecordReuse(milliseconds(500), true, kNow);
@@ -20,7 +20,7 @@
   EXPECT_FALSE(statistics.IsTooOldToReuse(milliseconds(500), kNow));
 }
 
-TEST(ConnectionReuseStatisticsTest, CountsConnectionsOfAboutTheSameIdleTime) {
+TEST(ConnectionReuseStatisticsTest, GroupsConnectionsBySimilarIdleTime) {
   ConnectionReuseStatistics statistics;
   for (int i = 0; i < 10; ++i) {
     statistics.RecordReuse(milliseconds(500), true, kNow);
@@ -30,7 +30,7 @@
   EXPECT_FALSE(statistics.IsTooOldToReuse(milliseconds(20), kNow));
 }
 
-TEST(ConnectionReuseStatisticsTest, ForgetsInTime) {
+TEST(ConnectionReuseStatisticsTest, FailuresDecayOverTime) {
   ConnectionReuseStatistics statistics;
   for (int i = 0; i < 10; ++i) {
     statistics.RecordReuse(milliseconds(500), true, kNow);
