--- a/src/gateway/connection_acceptor.cpp
+++ b/src/gateway/connection_acceptor.cpp
@@ -18,12 +18,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr int kMaxAcceptsPerTurn = 32;  // connections, before other events have their turn
-// Of all descriptors. Clients that send nothing come by hundreds and must leave some to upstream.
+constexpr int kMaxAcceptsPerTurn = 32;  // connections per turn; other events are handled in between
+// Maximum share of the descriptor budget for client connections. Clients that send nothing open
+// hundreds of connections; the rest of the budget is left to upstream connections.
 constexpr double kMaxDescriptorShare = 0.6;
-constexpr Duration kRetryDelay = milliseconds(5);  // while descriptors are short
+constexpr Duration kRetryDelay = milliseconds(5);  // while no descriptor is available
 constexpr size_t kMaxQueueSamples = 1024;
-constexpr Duration kDefaultMaxWait = std::chrono::seconds(1);  // until SetMaxWait
+constexpr Duration kDefaultMaxWait = std::chrono::seconds(1);  // until SetMaxWait is called
 
 uint64_t Counters::*RefusalCounter(AcceptBlock block) {
   switch (block) {
@@ -44,13 +45,13 @@
 std::string_view ToText(AcceptBlock block) {
   switch (block) {
     case AcceptBlock::kClientShare:
-      return "clients hold their share of the descriptors";
+      return "client connections use their full share of the descriptors";
     case AcceptBlock::kNoDescriptor:
-      return "no descriptor is left of the budget";
+      return "the descriptor budget is exhausted";
     case AcceptBlock::kProcessLimit:
-      return "the process has no descriptor left";
+      return "the process is at its descriptor limit";
     case AcceptBlock::kNewProcessHangs:
-      return "the new process leaves reports unanswered";
+      return "the new process does not answer reports";
   }
   return "";
 }
@@ -65,7 +66,7 @@
       listening_socket_(std::make_unique<ListeningSocket>(loop, listen, std::move(inherited),
                                                           shared, [this] { AcceptPending(); })),
       address_(listening_socket_->address()),
-      refuser_(loop, lifecycle, [this] { OnRoomForRefusals(); }),
+      refuser_(loop, lifecycle, [this] { OnRefuserCapacity(); }),
       max_wait_(kDefaultMaxWait) {}
 
 ConnectionAcceptor::~ConnectionAcceptor() {
@@ -81,8 +82,8 @@
   return listening_socket_ ? listening_socket_->fd() : -1;
 }
 
-bool ConnectionAcceptor::accepted_all() const {
-  return !yielded_ && retry_timer_.number == 0 && refuser_.idle();
+bool ConnectionAcceptor::idle() const {
+  return !accept_scheduled_ && retry_timer_.number == 0 && refuser_.idle();
 }
 
 void ConnectionAcceptor::OnLifecycleChanged() {
@@ -100,7 +101,7 @@
 void ConnectionAcceptor::AcceptPending() {
   for (int accepted = 0; listening_socket_ && lifecycle_.accepts(); ++accepted) {
     if (accepted == kMaxAcceptsPerTurn) {
-      return ContinueAfterRound();
+      return ResumeAfterRound();
     }
     switch (AcceptOne()) {
       case AcceptResult::kContinue:
@@ -128,8 +129,9 @@
     if (error == EAGAIN || error == EWOULDBLOCK) {
       return AcceptResult::kQueueEmpty;
     }
-    // The process has no descriptor left although the budget has. The edge is consumed: unless one
-    // is freed, only the timer looks again.
+    // The process is out of descriptors although the budget is not. The socket is watched
+    // edge-triggered and this edge is consumed, so unless a descriptor is freed here, only the
+    // retry timer triggers the next accept.
     if (!IsConnectionPending()) {
       return AcceptResult::kQueueEmpty;
     }
@@ -138,11 +140,11 @@
     }
     return BlockedBy(AcceptBlock::kProcessLimit);
   }
-  const int on = 1;
-  setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+  const int enable = 1;
+  setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &enable, sizeof(enable));
   ++GlobalCounters().downstream_connections_accepted;
   last_accept_at_ = loop_.Now();
-  OnTaken();
+  OnDequeued();
   owner_.OnAccepted(std::move(socket));
   return AcceptResult::kContinue;
 }
@@ -153,8 +155,8 @@
   if (within_share && budget_.TryAcquire()) {
     return AcceptResult::kContinue;
   }
-  // Only where somebody waits: else the last free descriptor would cost an idle connection each
-  // time.
+  // Frees a descriptor only if a connection is pending. Otherwise every use of the last free
+  // descriptor would close an idle connection.
   if (!IsConnectionPending()) {
     return AcceptResult::kQueueEmpty;
   }
@@ -175,30 +177,31 @@
   return AcceptResult::kNoDescriptor;
 }
 
-// ---- While descriptors are short ------------------------------------------------------------
+// ---- While no descriptor is available
+// ------------------------------------------------------------
 
 void ConnectionAcceptor::OnBlocked() {
-  SampleQueue();
-  if (RefusePendingSince(max_wait_) == AcceptResult::kQueueEmpty) {
+  SampleQueueLength();
+  if (RefusePendingOlderThan(max_wait_) == AcceptResult::kQueueEmpty) {
     return EndBlock();
   }
   RetryLater();
 }
 
-ConnectionAcceptor::AcceptResult ConnectionAcceptor::RefusePendingSince(Duration least_wait) {
+ConnectionAcceptor::AcceptResult ConnectionAcceptor::RefusePendingOlderThan(Duration min_wait) {
   for (int refused = 0; refused < kMaxAcceptsPerTurn; ++refused) {
-    if (FirstWait() < least_wait) {
+    if (OldestPendingWait() < min_wait) {
       return AcceptResult::kNoDescriptor;
     }
     switch (refuser_.RefuseNext(listening_socket_->fd(), RefusalCounter(block_))) {
       case ConnectionRefuser::Result::kAccepted:
-        OnTaken();
+        OnDequeued();
         ++refused_in_block_;
         last_accept_at_ = loop_.Now();
         break;
       case ConnectionRefuser::Result::kQueueEmpty:
         return AcceptResult::kQueueEmpty;
-      case ConnectionRefuser::Result::kNoRoom:
+      case ConnectionRefuser::Result::kNoCapacity:
         return AcceptResult::kNoDescriptor;
     }
   }
@@ -210,15 +213,15 @@
     return;
   }
   block_ = block;
-  refuses_for_other_ = true;
-  SampleQueue();
-  if (RefusePendingSince(Duration(0)) == AcceptResult::kQueueEmpty) {
+  refusing_for_new_process_ = true;
+  SampleQueueLength();
+  if (RefusePendingOlderThan(Duration(0)) == AcceptResult::kQueueEmpty) {
     EndBlock();
   }
 }
 
-void ConnectionAcceptor::OnRoomForRefusals() {
-  if (refuses_for_other_) {
+void ConnectionAcceptor::OnRefuserCapacity() {
+  if (refusing_for_new_process_) {
     RefusePending(block_);
   } else {
     AcceptPending();
@@ -227,57 +230,60 @@
 
 void ConnectionAcceptor::EndBlock() {
   blocked_since_.reset();
-  taken_in_block_ = 0;
+  dequeued_in_block_ = 0;
   queue_samples_.clear();
-  refuses_for_other_ = false;
+  refusing_for_new_process_ = false;
   if (const size_t refused = std::exchange(refused_in_block_, 0); refused > 0) {
-    Log(LogLevel::kInfo, "accept queue: {} connections not served, as {}", refused, ToText(block_));
+    Log(LogLevel::kInfo, "accept queue: refused {} connections because {}", refused,
+        ToText(block_));
   }
 }
 
-void ConnectionAcceptor::SampleQueue() {
+void ConnectionAcceptor::SampleQueueLength() {
   const Time now = loop_.Now();
   blocked_since_ = blocked_since_.value_or(now);
   const size_t queue_length = AcceptQueueLength(listening_socket_->fd()).value_or(0);
   queue_length_known_ = queue_length > 0;
-  const uint64_t arrived = taken_in_block_ + queue_length;
+  const uint64_t arrived = dequeued_in_block_ + queue_length;
   const uint64_t arrived_before = queue_samples_.empty() ? 0 : queue_samples_.back().arrived;
-  if (arrived > std::max(arrived_before, taken_in_block_) &&
+  if (arrived > std::max(arrived_before, dequeued_in_block_) &&
       queue_samples_.size() < kMaxQueueSamples) {
     queue_samples_.push_back({now, arrived});
   }
 }
 
-Duration ConnectionAcceptor::FirstWait() {
-  while (!queue_samples_.empty() && queue_samples_.front().arrived <= taken_in_block_) {
+Duration ConnectionAcceptor::OldestPendingWait() {
+  while (!queue_samples_.empty() && queue_samples_.front().arrived <= dequeued_in_block_) {
     queue_samples_.pop_front();
   }
   const Time now = loop_.Now();
   if (!queue_samples_.empty()) {
     return now - queue_samples_.front().at;
   }
-  // It came after the last sample; where there are none, it is as old as the block at most.
+  // The connection arrived after the last sample. If the queue length is unknown, the wait is at
+  // most the duration of the block.
   return queue_length_known_ ? Duration(0) : now - blocked_since_.value_or(now);
 }
 
-void ConnectionAcceptor::OnTaken() {
+void ConnectionAcceptor::OnDequeued() {
   if (!blocked_since_) {
     return;
   }
-  uint64_t& longest = GlobalCounters().accept_wait_longest_ms;
-  longest = std::max(longest, static_cast<uint64_t>(ToMilliseconds(FirstWait())));
-  ++taken_in_block_;
+  uint64_t& longest_wait_ms = GlobalCounters().accept_wait_longest_ms;
+  longest_wait_ms =
+      std::max(longest_wait_ms, static_cast<uint64_t>(ToMilliseconds(OldestPendingWait())));
+  ++dequeued_in_block_;
 }
 
-void ConnectionAcceptor::ContinueAfterRound() {
-  if (std::exchange(yielded_, true)) {
+void ConnectionAcceptor::ResumeAfterRound() {
+  if (std::exchange(accept_scheduled_, true)) {
     return;
   }
   loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
     if (alive.expired()) {
       return;
     }
-    yielded_ = false;
+    accept_scheduled_ = false;
     AcceptPending();
   });
 }
--- a/src/gateway/connection_acceptor.h
+++ b/src/gateway/connection_acceptor.h
@@ -1,5 +1,5 @@
-// Accepts clients' connections within the descriptor budget, and bounds how long one waits in the
-// kernel's accept queue.
+// Accepts client connections within the descriptor budget and bounds the time that a connection
+// waits in the kernel's accept queue.
 #ifndef PADDLESTILE_GATEWAY_CONNECTION_ACCEPTOR_H_
 #define PADDLESTILE_GATEWAY_CONNECTION_ACCEPTOR_H_
 
@@ -24,36 +24,37 @@
 
 namespace paddlestile {
 
-// Why connections wait in the accept queue.
+// Why connections cannot be accepted and wait in the accept queue.
 enum class AcceptBlock {
-  kClientShare,     // clients hold their share of the budget, all with requests
-  kNoDescriptor,    // the budget has none left
-  kProcessLimit,    // the budget has, the process has not
-  kNewProcessHangs  // the new process of a hot restart, which accepts, does not answer
+  kClientShare,     // clients use their share of the budget, with no idle connection left
+  kNoDescriptor,    // the budget is exhausted
+  kProcessLimit,    // the process is at its limit, although the budget is not
+  kNewProcessHangs  // after a hot restart the new process should accept, but does not answer
 };
-// For the log.
+// Text for log lines.
 std::string_view ToText(AcceptBlock block);
 
-// While it has no descriptor it waits for one; what has waited in the queue for the longest wait is
-// refused.
+// While connections cannot be accepted (a "block", see AcceptBlock), it retries at intervals and
+// refuses connections that have waited in the accept queue for the maximum wait.
 class ConnectionAcceptor {
  public:
   class Owner {
    public:
-    // Takes a connection, whose socket is counted in the budget.
+    // Takes an accepted connection. The budget already counts its socket.
     virtual void OnAccepted(Socket socket) = 0;
     [[nodiscard]] virtual size_t connection_count() const = 0;
-    // Closes an idle connection of a client; false where there is none.
+    // Closes an idle client connection; returns false if there is none.
     virtual bool CloseOneIdle() = 0;
-    // No file descriptor is left; true where one was freed.
+    // Called when no file descriptor is left; returns true if one was freed.
     virtual bool OnDescriptorsExhausted() = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // Listens at once, on `inherited` where it is a listening socket; throws std::system_error.
-  // `shared`: another process may listen on the address too. The references must outlive this.
+  // Starts listening, on `inherited` if it is a listening socket; throws std::system_error.
+  // `shared`: another process may listen on the same address. The references must outlive this
+  // object.
   ConnectionAcceptor(EventLoop& loop, DescriptorBudget& budget, const Address& listen,
                      const Lifecycle& lifecycle, Owner& owner, FileDescriptor inherited,
                      bool shared);
@@ -61,80 +62,87 @@
   ConnectionAcceptor& operator=(const ConnectionAcceptor&) = delete;
   ~ConnectionAcceptor();
 
-  // What a connection waits in the queue at most while descriptors are short, and what one that is
-  // refused is told to wait (0: nothing).
+  // `max_wait`: how long a connection may wait in the accept queue while no descriptor is
+  // available. `retry_after`: the Retry-After value of refusals; 0 omits the header.
   void SetMaxWait(Duration max_wait, Duration retry_after);
   [[nodiscard]] Duration max_wait() const { return max_wait_; }
 
-  // Accepts what pends, where the lifecycle has this process accept.
+  // Accepts pending connections if the lifecycle lets this process accept.
   void AcceptPending();
-  // Refuses what pends though another process is to accept it, as it does not.
+  // Refuses pending connections that another process should accept but does not. `block` is the
+  // reason to log and count.
   void RefusePending(AcceptBlock block);
-  // The other process accepts again.
-  void StopRefusingPending() { refuses_for_other_ = false; }
-  // To be called after each change of the lifecycle; throws std::system_error.
+  // To be called when the other process accepts again.
+  void StopRefusingPending() { refusing_for_new_process_ = false; }
+  // To be called after each lifecycle change; throws std::system_error.
   void OnLifecycleChanged();
-  // Closes the listening socket: what pends is reset.
+  // Closes the listening socket. The kernel resets pending connections.
   void StopListening() { listening_socket_.reset(); }
 
   // -1 after StopListening.
   [[nodiscard]] int listening_socket() const;
-  // Where it listens, with the port that the kernel chose where any was asked for.
+  // The listening address. If port 0 was requested, it has the port that the kernel assigned.
   [[nodiscard]] const Address& address() const { return address_; }
-  // Whether accepting was not put off, and nothing is being refused.
-  [[nodiscard]] bool accepted_all() const;
+  // Whether no accept is scheduled for later and no connection is being refused.
+  [[nodiscard]] bool idle() const;
   [[nodiscard]] bool refusing() const { return !refuser_.idle(); }
   [[nodiscard]] Time last_accept_at() const { return last_accept_at_; }
 
  private:
   enum class AcceptResult {
-    kContinue,      // one was accepted, or the next may be tried
+    kContinue,      // a connection was accepted, or the next accept may be tried at once
     kQueueEmpty,    // no connection is pending
-    kNoDescriptor,  // to be tried again later; block_ says why
+    kNoDescriptor,  // must be retried later; block_ has the reason
   };
   AcceptResult AcceptOne();
-  // Reserves a descriptor; closes an idle connection for it where somebody waits. kContinue: done.
+  // Reserves a descriptor and returns kContinue. If none is free and a connection is pending,
+  // closes an idle connection for it.
   AcceptResult AcquireDescriptor();
+  // Sets block_ and returns kNoDescriptor.
   AcceptResult BlockedBy(AcceptBlock block);
-  // Refuses what has waited for `least_wait`. kQueueEmpty where nothing is left in the queue.
-  AcceptResult RefusePendingSince(Duration least_wait);
+  // Refuses connections that have waited for at least `min_wait`. Returns kQueueEmpty if no
+  // connection is left in the queue.
+  AcceptResult RefusePendingOlderThan(Duration min_wait);
   void OnBlocked();
   void EndBlock();
-  void OnRoomForRefusals();
+  void OnRefuserCapacity();
   [[nodiscard]] bool IsConnectionPending() const;
 
-  // How long the first connection of the queue waits. Connections are numbered from the beginning
-  // of the block, in the queue's order; samples of its length tell by when each had come.
-  void SampleQueue();
-  [[nodiscard]] Duration FirstWait();
-  // The first connection was taken from the queue.
-  void OnTaken();
-  void ContinueAfterRound();
+  // The kernel does not report when a queued connection arrived, so arrival times are estimated:
+  // connections are numbered in queue order from the start of the block, and samples of the queue
+  // length show by when each one had arrived.
+  void SampleQueueLength();
+  // Estimated wait of the first connection in the queue.
+  [[nodiscard]] Duration OldestPendingWait();
+  // Records that the first connection was removed from the queue.
+  void OnDequeued();
+  void ResumeAfterRound();
   void RetryLater();
 
   EventLoop& loop_;
   DescriptorBudget& budget_;
   const Lifecycle& lifecycle_;
   Owner& owner_;
-  std::unique_ptr<ListeningSocket> listening_socket_;  // null once closed
+  std::unique_ptr<ListeningSocket> listening_socket_;  // null after StopListening
   Address address_;
   ConnectionRefuser refuser_;
   Duration max_wait_;
   EventLoop::TimerId retry_timer_;
-  bool yielded_ = false;  // accepting goes on after the round
+  bool accept_scheduled_ = false;  // AcceptPending is scheduled for after this round
   Time last_accept_at_{0};
   struct QueueSample {
     Time at{0};
-    uint64_t arrived = 0;  // since the beginning of the block, those taken included
+    uint64_t arrived = 0;  // since the start of the block, including dequeued ones
   };
-  std::optional<Time> blocked_since_;  // no descriptor was free, and the queue not empty since
-  uint64_t taken_in_block_ = 0;
+  // Start of the current block; nullopt if there is none.
+  std::optional<Time> blocked_since_;
+  uint64_t dequeued_in_block_ = 0;
   bool queue_length_known_ = false;
-  std::deque<QueueSample> queue_samples_;  // of those that came later than blocked_since_
+  std::deque<QueueSample> queue_samples_;  // of connections that arrived after blocked_since_
   AcceptBlock block_ = AcceptBlock::kNoDescriptor;
   size_t refused_in_block_ = 0;
-  bool refuses_for_other_ = false;  // RefusePending has not come to the end of the queue
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for tasks
+  bool refusing_for_new_process_ = false;  // RefusePending has not emptied the queue yet
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this object
 };
 
 }  // namespace paddlestile
--- a/src/gateway/connection_refuser.cpp
+++ b/src/gateway/connection_refuser.cpp
@@ -23,47 +23,50 @@
 
 using std::chrono::milliseconds;
 
-// For the head of the request, and for the client to read the response.
+// Time limit for receiving the request head, and for the client to read the response.
 constexpr Duration kHeadTimeout = milliseconds(200);
 constexpr Duration kLingerTimeout = milliseconds(200);
-constexpr Duration kUnreadRecheck = milliseconds(5);  // a head has come and is about to be read
-// Before a connection closes for the next: its head, or the rest of its body, may be on the way.
-constexpr Duration kLeastHeadTime = milliseconds(20);
-constexpr Duration kLeastLingerTime = milliseconds(100);
+// Delay before the head timeout is checked again, if a head has arrived but is unread.
+constexpr Duration kUnreadRecheckInterval = milliseconds(5);
+// Minimum times before a connection may be closed for the next one, as its head or the rest of its
+// body may still be in transit.
+constexpr Duration kMinHeadTime = milliseconds(20);
+constexpr Duration kMinLingerTime = milliseconds(100);
 
 }  // namespace
 
-// One connection that is refused.
+// A connection that is being refused.
 class ConnectionRefuser::Connection final : public Stream::Listener {
  public:
-  // `is_quiet`: the client has sent nothing for the time of a head while it waited in the queue.
+  // `timed_out_in_queue`: the client sent nothing for kHeadTimeout while it waited in the accept
+  // queue.
   Connection(ConnectionRefuser& owner, FileDescriptor fd, uint64_t Counters::*counter,
-             bool is_quiet)
+             bool timed_out_in_queue)
       : owner_(owner),
         loop_(owner.loop_),
         stream_(owner.loop_, Socket(std::move(fd), nullptr), this, false),
         step_started_at_(owner.loop_.Now()),
         counter_(counter),
-        is_quiet_(is_quiet) {
+        timed_out_in_queue_(timed_out_in_queue) {
     stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBufferedBodyBytes);
   }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   virtual ~Connection() { loop_.CancelTimer(timer_); }
 
-  // False where the kernel does not watch the connection.
+  // Starts the head timeout and reading. Returns false if the socket cannot be added to epoll.
   bool Start() {
     StartTimer(kHeadTimeout, [this] { OnHeadTimeout(); });
     return stream_.Start();
   }
   Stream& stream() { return stream_; }
-  // Whether it may close for another one.
-  [[nodiscard]] bool MayClose() const {
-    const Duration least_time = responded_ ? kLeastLingerTime : kLeastHeadTime;
-    return loop_.Now() - step_started_at_ >= least_time && !stream_.HasUnreadBytes();
+  // Whether it may be closed to make room for another connection.
+  [[nodiscard]] bool CanBeEvicted() const {
+    const Duration min_time = responded_ ? kMinLingerTime : kMinHeadTime;
+    return loop_.Now() - step_started_at_ >= min_time && !stream_.HasUnreadBytes();
   }
   [[nodiscard]] bool responded() const { return responded_; }
-  std::list<std::shared_ptr<Connection>>::iterator position;  // in the list of the owner
+  std::list<std::shared_ptr<Connection>>::iterator position;  // in ConnectionRefuser::connections_
 
  private:
   void OnData() override {
@@ -78,21 +81,21 @@
   void ReadHead() {
     const ParseProgress progress = parser_.Feed(stream_.input());
     if (progress == ParseProgress::kNeedMore && !parser_.head_done()) {
-      if (is_quiet_) {
+      if (timed_out_in_queue_) {
         owner_.Close(*this);
       }
       return;
     }
-    is_whole_ =
+    request_fully_read_ =
         progress == ParseProgress::kDone && parser_.message().total_bytes == stream_.input().size();
     Respond(progress == ParseProgress::kMalformed ? Response{.status = parser_.error_status()}
                                                   : ResponseToHead());
   }
 
-  // A health check asks for the state of the gateway, which has nothing to do with descriptors.
+  // A health check asks for the state of the gateway, which does not depend on free descriptors.
   Response ResponseToHead() {
-    const std::string_view base = stream_.input().view();
-    if (parser_.message().target.In(base) == "/_health") {
+    const std::string_view buffer = stream_.input().view();
+    if (parser_.message().target.In(buffer) == "/_health") {
       ++GlobalCounters().health_checks;
       return {.status = owner_.lifecycle_.healthy() ? 200 : 503};
     }
@@ -108,15 +111,16 @@
   }
 
   void OnWriteComplete() override {
-    if (is_whole_ && !stream_.HasUnreadBytes()) {
+    if (request_fully_read_ && !stream_.HasUnreadBytes()) {
       return owner_.Close(*this);
     }
-    // Closed with bytes unread, the kernel would reset the connection, and the response with it.
+    // If the socket were closed with unread bytes, the kernel would reset the connection and the
+    // client could lose the response.
     stream_.ShutdownWrite();
     StartTimer(kLingerTimeout, [this] { owner_.Close(*this); });
-    loop_.RunAfterRound([kept = *position] {
-      if (!kept->stream_.closed()) {
-        kept->stream_.DiscardInput();
+    loop_.RunAfterRound([retained = *position] {
+      if (!retained->stream_.closed()) {
+        retained->stream_.DiscardInput();
       }
     });
   }
@@ -124,7 +128,7 @@
 
   void OnHeadTimeout() {
     if (stream_.HasUnreadBytes()) {
-      return StartTimer(kUnreadRecheck, [this] { OnHeadTimeout(); });
+      return StartTimer(kUnreadRecheckInterval, [this] { OnHeadTimeout(); });
     }
     owner_.Close(*this);
   }
@@ -138,21 +142,21 @@
   }
 
   ConnectionRefuser& owner_;
-  EventLoop& loop_;  // may outlive the owner, as tasks that were put off may
+  EventLoop& loop_;  // outlives `owner_`; deferred tasks may run after its destruction
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest, kMaxBodyBytes};
-  Time step_started_at_;  // to read the head, or to linger
+  Time step_started_at_;  // start of reading the head or of lingering
   uint64_t Counters::*counter_;
-  bool is_quiet_;
+  bool timed_out_in_queue_;
   bool responded_ = false;
-  bool is_whole_ = false;  // the request has come in full, and nothing behind it
+  bool request_fully_read_ = false;  // the complete request and nothing after it has been read
   EventLoop::TimerId timer_;
 };
 
 ConnectionRefuser::ConnectionRefuser(EventLoop& loop, const Lifecycle& lifecycle,
-                                     std::function<void()> on_room)
-    : loop_(loop), lifecycle_(lifecycle), on_room_(std::move(on_room)) {
-  Refill();
+                                     std::function<void()> on_capacity)
+    : loop_(loop), lifecycle_(lifecycle), on_capacity_(std::move(on_capacity)) {
+  OpenPlaceholders();
 }
 
 ConnectionRefuser::~ConnectionRefuser() {
@@ -161,7 +165,7 @@
   }
 }
 
-void ConnectionRefuser::Refill() {
+void ConnectionRefuser::OpenPlaceholders() {
   while (placeholders_.size() + connections_.size() < kMaxConnections) {
     FileDescriptor placeholder(open("/dev/null", O_RDONLY | O_CLOEXEC));
     if (!placeholder) {
@@ -173,8 +177,8 @@
 
 ConnectionRefuser::Result ConnectionRefuser::RefuseNext(int listening_socket,
                                                         uint64_t Counters::*counter) {
-  if (!MakeRoom()) {
-    return Result::kNoRoom;
+  if (!EnsurePlaceholder()) {
+    return Result::kNoCapacity;
   }
   placeholders_.pop_back();
   FileDescriptor fd(accept4(listening_socket, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
@@ -184,40 +188,41 @@
     return Result::kAccepted;
   }
   const int error = errno;
-  Refill();
+  OpenPlaceholders();
   const bool queue_empty = error == EAGAIN || error == EWOULDBLOCK;
-  const bool client_left = error == ECONNABORTED || error == EINTR;
-  if (client_left) {
+  const bool connection_aborted = error == ECONNABORTED || error == EINTR;
+  if (connection_aborted) {
     return Result::kAccepted;
   }
-  return queue_empty ? Result::kQueueEmpty : Result::kNoRoom;
+  return queue_empty ? Result::kQueueEmpty : Result::kNoCapacity;
 }
 
 void ConnectionRefuser::Add(FileDescriptor fd, uint64_t Counters::*counter) {
-  const int on = 1;
-  setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-  const bool is_quiet = TimeSinceLastData(fd.get()).value_or(Duration(0)) >= kHeadTimeout;
-  connections_.push_back(std::make_shared<Connection>(*this, std::move(fd), counter, is_quiet));
+  const int enable = 1;
+  setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &enable, sizeof(enable));
+  const bool timed_out_in_queue = TimeSinceLastData(fd.get()).value_or(Duration(0)) >= kHeadTimeout;
+  connections_.push_back(
+      std::make_shared<Connection>(*this, std::move(fd), counter, timed_out_in_queue));
   Connection& connection = *connections_.back();
   connection.position = std::prev(connections_.end());
-  // A client that has said nothing in the queue for so long is not waited for.
-  const bool is_silent = is_quiet && connection.stream().IsIdle();
+  // A client that sent nothing for so long in the accept queue gets no further time.
+  const bool is_silent = timed_out_in_queue && connection.stream().IsIdle();
   if (is_silent || !connection.Start()) {
     Close(connection);
   }
 }
 
-bool ConnectionRefuser::MakeRoom() {
-  Refill();
+bool ConnectionRefuser::EnsurePlaceholder() {
+  OpenPlaceholders();
   if (!placeholders_.empty()) {
     return true;
   }
-  const auto closable = std::ranges::find_if(
-      connections_, [](const auto& connection) { return connection->MayClose(); });
-  if (closable == connections_.end()) {
+  const auto evictable = std::ranges::find_if(
+      connections_, [](const auto& connection) { return connection->CanBeEvicted(); });
+  if (evictable == connections_.end()) {
     return false;
   }
-  Close(**closable);
+  Close(**evictable);
   return !placeholders_.empty();
 }
 
@@ -230,23 +235,24 @@
   if (!connection.responded()) {
     ++GlobalCounters().refused_unread;
   }
-  // A handler of this connection may be running: its memory is freed after that has returned.
-  loop_.RunDeferred([kept = *connection.position] {});
+  // A handler of this connection may be on the stack, so it is freed after the handler has
+  // returned.
+  loop_.RunDeferred([retained = *connection.position] {});
   connections_.erase(connection.position);
-  Refill();
-  ReportRoomAfterRound();
+  OpenPlaceholders();
+  ReportCapacityAfterRound();
 }
 
-void ConnectionRefuser::ReportRoomAfterRound() {
-  if (std::exchange(room_report_scheduled_, true)) {
+void ConnectionRefuser::ReportCapacityAfterRound() {
+  if (std::exchange(capacity_report_scheduled_, true)) {
     return;
   }
   loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
     if (alive.expired()) {
       return;
     }
-    room_report_scheduled_ = false;
-    on_room_();
+    capacity_report_scheduled_ = false;
+    on_capacity_();
   });
 }
 
--- a/src/gateway/connection_refuser.h
+++ b/src/gateway/connection_refuser.h
@@ -1,5 +1,5 @@
-// Refuses connections that the gateway has no descriptor for: accepts them on descriptors that are
-// kept for this, reads the head of the request, responds 503 with when to come back, and closes.
+// Refuses connections for which the gateway has no descriptor: accepts them on reserved
+// descriptors, reads the request head, responds 503 with Retry-After, and closes them.
 #ifndef PADDLESTILE_GATEWAY_CONNECTION_REFUSER_H_
 #define PADDLESTILE_GATEWAY_CONNECTION_REFUSER_H_
 
@@ -18,56 +18,58 @@
 
 namespace paddlestile {
 
-// Holds kMaxConnections descriptors at any time: those of the connections that it refuses, and
-// placeholders for the rest. So it can accept where the process has no descriptor left.
+// Always holds kMaxConnections descriptors: one for each connection that is being refused, and
+// placeholders for the rest. This lets it accept while the process is at its descriptor limit.
 class ConnectionRefuser {
  public:
-  // At once. A part of DescriptorBudget::kReserve.
+  // Maximum number of simultaneous connections. Their descriptors are part of
+  // DescriptorBudget::kReserve.
   static constexpr size_t kMaxConnections = 6;
 
   enum class Result {
-    kAccepted,    // one was taken from the queue
+    kAccepted,    // a connection was removed from the queue
     kQueueEmpty,  // no connection is pending
-    kNoRoom,      // to be tried again when the room callback runs
+    kNoCapacity,  // must be retried when `on_capacity` runs
   };
 
-  // `on_room` runs, after the round, when connections have ended. The references must outlive this
-  // object.
-  ConnectionRefuser(EventLoop& loop, const Lifecycle& lifecycle, std::function<void()> on_room);
+  // `on_capacity` runs at the end of an event loop round in which connections have closed. The
+  // references must outlive this object.
+  ConnectionRefuser(EventLoop& loop, const Lifecycle& lifecycle, std::function<void()> on_capacity);
   ConnectionRefuser(const ConnectionRefuser&) = delete;
   ConnectionRefuser& operator=(const ConnectionRefuser&) = delete;
   // Closes all connections.
   ~ConnectionRefuser();
 
-  // What the responses tell clients to wait; 0: nothing.
+  // The Retry-After value of the responses; 0 omits the header.
   void set_retry_after(Duration retry_after) { retry_after_ = retry_after; }
 
-  // Accepts the next connection of a listening socket, and refuses it, counted by `counter`. Where
-  // all descriptors are in use, a connection that has had its least time closes for it.
+  // Accepts the next connection from `listening_socket` and refuses it; `counter` counts it once
+  // its request head has been read. If all descriptors are in use, closes a connection that has had
+  // its minimum time.
   Result RefuseNext(int listening_socket, uint64_t Counters::*counter);
 
-  // No connection is being refused.
+  // Whether no connection is being refused.
   [[nodiscard]] bool idle() const { return connections_.empty(); }
 
  private:
   class Connection;
-  // Opens placeholders for descriptors that are free.
-  void Refill();
-  // Closes the longest open connection that has had its least time and has nothing unread, where no
-  // descriptor is free; false where there is none.
-  bool MakeRoom();
+  // Opens placeholders for all descriptors that are not in use.
+  void OpenPlaceholders();
+  // Ensures that a placeholder is available, if necessary by closing the oldest connection that has
+  // had its minimum time and has no unread bytes. Returns false if none can be made available.
+  bool EnsurePlaceholder();
   void Add(FileDescriptor fd, uint64_t Counters::*counter);
   void Close(Connection& connection);
-  void ReportRoomAfterRound();
+  void ReportCapacityAfterRound();
 
   EventLoop& loop_;
   const Lifecycle& lifecycle_;
-  std::function<void()> on_room_;
+  std::function<void()> on_capacity_;
   Duration retry_after_{0};
   std::vector<FileDescriptor> placeholders_;
-  std::list<std::shared_ptr<Connection>> connections_;  // longest open first
-  bool room_report_scheduled_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for tasks
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
+  bool capacity_report_scheduled_ = false;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this object
 };
 
 }  // namespace paddlestile
--- a/src/gateway/downstream.cpp
+++ b/src/gateway/downstream.cpp
@@ -9,11 +9,13 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kDrainStepInterval = milliseconds(20);
-// New connections still come for up to 0.4 s after SIGTERM. A request that comes on an old one from
-// 0.7 s on may not be served in time: idle connections close in between.
+// New connections arrive for up to 0.4 s after SIGTERM. A request that arrives on an old connection
+// later than 0.7 s after it may not be served in time, so idle connections close in between.
 constexpr Duration kDrainIdleDelay = milliseconds(450);
-constexpr Duration kDrainQuietTime = milliseconds(150);  // without a new connection
-// Where another process listens too, connections may come for ever: the end of the wait for that.
+// Time without a new connection after which the accept queue counts as quiet.
+constexpr Duration kDrainQuietTime = milliseconds(150);
+// If another process listens on the address too, connections may keep arriving indefinitely. This
+// bounds how long the drain waits for them to stop.
 constexpr Duration kDrainSharedTimeout = milliseconds(600);
 
 }  // namespace
@@ -51,7 +53,7 @@
 }
 
 void Downstream::Shutdown(Duration timeout, std::function<void()> done) {
-  // Anew where it drained already: connections still come for a while from now.
+  // Restarts the period if it was already draining: connections still arrive for a while from now.
   drain_started_at_ = loop_.Now();
   shutdown_deadline_ = drain_started_at_ + timeout;
   on_drained_ = std::move(done);
@@ -64,21 +66,23 @@
   if (now - drain_started_at_ >= kDrainIdleDelay) {
     connections_.CloseAllIdle(shutting_down);
   }
-  // A new process needs the descriptors at once. An operator's drain may be undone.
+  // A new process needs the descriptors at once. An operator's drain may be undone, so it keeps its
+  // upstream connections.
   const bool idle_clients_closed = now - drain_started_at_ >= kDrainIdleDelay;
   if (lifecycle_.replaced() || (shutting_down && idle_clients_closed)) {
     listener_->TrimIdleUpstream();
   }
   if (shutting_down && now >= shutdown_deadline_) {
-    connections_.CloseAllWithoutWork();
+    connections_.CloseAllWithoutUnfinishedWork();
   }
-  // Connections in the queue would be reset with the socket: not while accepting was put off.
-  // A replaced process keeps it: it refuses what waits where the new one hangs.
-  if (shutting_down && shared_ && !lifecycle_.replaced() && acceptor_.accepted_all() &&
+  // Closing the socket would reset the connections in the accept queue, so it stays open while the
+  // acceptor is not idle. A replaced process keeps it open to refuse pending connections if the new
+  // process hangs.
+  if (shutting_down && shared_ && !lifecycle_.replaced() && acceptor_.idle() &&
       now - drain_started_at_ >= kDrainSharedTimeout) {
     acceptor_.StopListening();
   }
-  if (shutting_down && AcceptQueueIsQuiet(now) && connections_.empty()) {
+  if (shutting_down && IsAcceptQueueQuiet(now) && connections_.empty()) {
     acceptor_.StopListening();
     on_drained_();
     return;
@@ -86,14 +90,14 @@
   drain_timer_ = loop_.RunAfter(kDrainStepInterval, [this] { DrainStep(); });
 }
 
-bool Downstream::AcceptQueueIsQuiet(Time now) const {
+bool Downstream::IsAcceptQueueQuiet(Time now) const {
   if (acceptor_.refusing()) {
     return false;
   }
   if (acceptor_.listening_socket() < 0 || !lifecycle_.accepts()) {
     return true;
   }
-  return acceptor_.accepted_all() && now - drain_started_at_ >= kDrainIdleDelay &&
+  return acceptor_.idle() && now - drain_started_at_ >= kDrainIdleDelay &&
          now - acceptor_.last_accept_at() >= kDrainQuietTime;
 }
 
--- a/src/gateway/downstream.h
+++ b/src/gateway/downstream.h
@@ -1,5 +1,5 @@
-// The downstream side of the gateway: listens, accepts clients' connections, drains them at the
-// end.
+// The downstream side of the gateway: listens, accepts client connections, and drains them on
+// shutdown.
 #ifndef PADDLESTILE_GATEWAY_DOWNSTREAM_H_
 #define PADDLESTILE_GATEWAY_DOWNSTREAM_H_
 
@@ -24,54 +24,56 @@
  public:
   class Listener : public RequestListener {
    public:
-    // No file descriptor is left; true where one was freed.
+    // Called when no file descriptor is left; returns true if one was freed.
     virtual bool OnDescriptorsExhausted() = 0;
-    // Again and again while this process ends, or a new one serves: closes idle connections to
-    // hosts that no client of this process needs.
+    // Called repeatedly while this process shuts down or a new process serves the address: closes
+    // idle upstream connections that no client of this process needs.
     virtual void TrimIdleUpstream() {}
 
    protected:
     ~Listener() = default;
   };
 
-  // Listens at once, on `inherited` where it is a listening socket; throws std::system_error.
-  // `lifecycle` says when connections are accepted and when they end. `shared`: another process may
-  // listen on the address too. The references and `listener` must outlive this object.
+  // Starts listening, on `inherited` if it is a listening socket; throws std::system_error.
+  // `lifecycle` determines when connections are accepted and drained. `shared`: another process may
+  // listen on the same address. The references and `listener` must outlive this object.
   Downstream(EventLoop& loop, DescriptorBudget& budget, const Address& listen,
              const Lifecycle& lifecycle, Listener* listener,
              FileDescriptor inherited = FileDescriptor(), bool shared = false);
-  // Closes all connections without further calls to the listener.
+  // Closes all connections without calling the listener.
   ~Downstream();
   Downstream(const Downstream&) = delete;
   Downstream& operator=(const Downstream&) = delete;
 
-  // To be called after each change of the lifecycle. While it drains, each connection closes after
-  // its response; some time after the beginning those between requests close too.
+  // To be called after each lifecycle change. While draining, each connection closes after its
+  // current response, and idle connections close after a delay.
   void OnLifecycleChanged();
-  // At the end of the process, while draining. After `timeout` only connections with a request or
-  // response in progress are waited for. `done` runs when none is left and no new one has come for
-  // a while.
+  // Lets the drain end with a shutdown of this side; to be called before or during the drain. After
+  // `timeout` it waits only for connections with a request or response in progress. `done` runs
+  // once no connection is left and none has arrived for a while.
   void Shutdown(Duration timeout, std::function<void()> done);
 
-  // The listening socket, for another process to inherit; -1 after the shutdown.
+  // The listening socket, which another process may inherit; -1 after the shutdown.
   [[nodiscard]] int listening_socket() const { return acceptor_.listening_socket(); }
 
-  // What a connection waits at most to be accepted, or refused with `retry_after` (0: none told).
+  // Sets how long a connection may wait in the accept queue before it is refused, and the
+  // Retry-After value of refusals (0 omits the header).
   void SetMaxAcceptWait(Duration max_wait, Duration retry_after) {
     acceptor_.SetMaxWait(max_wait, retry_after);
   }
   [[nodiscard]] Duration max_accept_wait() const { return acceptor_.max_wait(); }
-  // Refuses what waits to be accepted by the new process of a hot restart, which does not answer.
+  // Refuses connections that the new process of a hot restart should accept, because it does not
+  // answer.
   void RefuseForNewProcess() { acceptor_.RefusePending(AcceptBlock::kNewProcessHangs); }
-  // It answers again.
+  // To be called when the new process answers again.
   void StopRefusingForNewProcess() { acceptor_.StopRefusingPending(); }
 
-  // Closes an idle connection: one that was never used first, else the longest idle; false where
-  // there is none.
+  // Closes an idle connection, preferably one whose exchange is complete, then one that was never
+  // used, then the longest idle one. Returns false if there is none.
   bool CloseOneIdle() override { return connections_.CloseOneIdle(); }
 
   [[nodiscard]] size_t connection_count() const override { return connections_.size(); }
-  // Where it listens, with the port that the kernel chose where any was asked for.
+  // The listening address. If port 0 was requested, it has the port that the kernel assigned.
   [[nodiscard]] const Address& address() const { return acceptor_.address(); }
 
  private:
@@ -79,9 +81,10 @@
   void OnAccepted(Socket socket) override { connections_.Add(std::move(socket)); }
   bool OnDescriptorsExhausted() override { return listener_->OnDescriptorsExhausted(); }
 
+  // One step of the drain; schedules the next one.
   void DrainStep();
-  // Whether no connection waits in the accept queue, as far as can be known.
-  [[nodiscard]] bool AcceptQueueIsQuiet(Time now) const;
+  // Whether, as far as this process can tell, no connection is waiting in the accept queue.
+  [[nodiscard]] bool IsAcceptQueueQuiet(Time now) const;
 
   EventLoop& loop_;
   const Lifecycle& lifecycle_;
@@ -89,9 +92,9 @@
   DownstreamConnections connections_;
   ConnectionAcceptor acceptor_;
   EventLoop::TimerId drain_timer_;
-  bool shared_;  // another process may listen on the address too
+  bool shared_;  // another process may listen on the same address
   Time drain_started_at_{0};
-  Time shutdown_deadline_{0};         // where on_drained_ is set
+  Time shutdown_deadline_{0};         // valid if on_drained_ is set
   std::function<void()> on_drained_;  // set by Shutdown
 };
 
--- a/src/gateway/downstream_connections.cpp
+++ b/src/gateway/downstream_connections.cpp
@@ -11,15 +11,16 @@
 
 using std::chrono::milliseconds;
 
-// An unused connection's first request may be this far behind its connect. A new connection waits
-// in the kernel's queue meanwhile, and an attempt upstream is not made: both can wait or be
-// refused, while a request that is on its way to a connection would be lost with it.
-constexpr Duration kUnusedGrace = milliseconds(200);
-// Of all descriptors, for connections in use or idle. Clients limit how many they keep open to us:
-// at that limit they send nothing more, while the gateway idles.
-constexpr double kKeptOpenShare = 0.25;
-constexpr size_t kMaxReservedBodyBytes = 6U << 20;  // all large bodies together
-constexpr size_t kMaxReservedBytesEach = 1U << 20;
+// The first request may arrive up to this long after its connect. Closing an unused connection
+// earlier could lose a request in transit, whereas a new connection can wait in the accept queue
+// and an upstream attempt can be skipped.
+constexpr Duration kUnusedGracePeriod = milliseconds(200);
+// Maximum share of the descriptor budget for connections that have carried a request. Clients limit
+// how many connections they keep open to a gateway; at that limit they stop sending although the
+// gateway is idle.
+constexpr double kMaxOpenShare = 0.25;
+constexpr size_t kMaxReservedBodyBytes = 6U << 20;  // for all large bodies together
+constexpr size_t kMaxReservedBytesPerBody = 1U << 20;
 
 }  // namespace
 
@@ -52,8 +53,9 @@
   connection.Shutdown();
   ++GlobalCounters().downstream_connections_closed;
   const auto position = connection.registration().position;
-  // A handler of this connection may be running: its memory is freed after that has returned.
-  loop_.RunDeferred([kept = *position] {});
+  // A handler of this connection may be on the stack, so it is freed after the handler has
+  // returned.
+  loop_.RunDeferred([retained = *position] {});
   connections_.erase(position);
 }
 
@@ -89,25 +91,26 @@
 
 bool DownstreamConnections::CloseOneIdle() {
   const Time now = loop_.Now();
-  return CloseOneOf(lingering_, now) || CloseOneOf(unused_, now - kUnusedGrace) ||
-         CloseOneOf(idle_, now);
+  return CloseFirstIdle(lingering_, now) || CloseFirstIdle(unused_, now - kUnusedGracePeriod) ||
+         CloseFirstIdle(idle_, now);
 }
 
 void DownstreamConnections::CloseIdleBeyondShare() {
-  const double share = kKeptOpenShare * static_cast<double>(budget_.limit());
-  while (static_cast<double>(connections_.size() - unused_.size()) > share) {
-    if (!CloseOneOf(idle_, loop_.Now())) {
+  const double max_open = kMaxOpenShare * static_cast<double>(budget_.limit());
+  while (static_cast<double>(connections_.size() - unused_.size()) > max_open) {
+    if (!CloseFirstIdle(idle_, loop_.Now())) {
       return;
     }
   }
 }
 
-bool DownstreamConnections::CloseOneOf(std::list<DownstreamConnection*>& list, Time opened_by) {
+bool DownstreamConnections::CloseFirstIdle(std::list<DownstreamConnection*>& list,
+                                           Time opened_before) {
   for (DownstreamConnection* const connection : list) {
-    if (connection->opened_at() > opened_by) {
+    if (connection->opened_at() > opened_before) {
       return false;
     }
-    // A request may have come that was not read yet: it is served.
+    // A request may have arrived without having been read yet; it must be served.
     if (!connection->stream().IsIdle()) {
       continue;
     }
@@ -118,13 +121,13 @@
   return false;
 }
 
-void DownstreamConnections::CloseAllIdle(bool including_new) {
+void DownstreamConnections::CloseAllIdle(bool include_new) {
   const Time now = loop_.Now();
   for (auto* const list : {&unused_, &idle_}) {
     for (auto next = list->begin(); next != list->end();) {
       DownstreamConnection* const connection = *next++;
-      const bool is_new = list == &unused_ && now - connection->opened_at() < kUnusedGrace;
-      if (is_new && !including_new) {
+      const bool is_new = list == &unused_ && now - connection->opened_at() < kUnusedGracePeriod;
+      if (is_new && !include_new) {
         break;
       }
       if (connection->stream().IsIdle()) {
@@ -134,7 +137,7 @@
   }
 }
 
-void DownstreamConnections::CloseAllWithoutWork() {
+void DownstreamConnections::CloseAllWithoutUnfinishedWork() {
   for (auto next = connections_.begin(); next != connections_.end();) {
     DownstreamConnection& connection = **next++;
     if (!connection.HasUnfinishedWork()) {
@@ -144,7 +147,7 @@
 }
 
 bool DownstreamConnections::ReserveBodyBuffer(size_t bytes) {
-  if (bytes > kMaxReservedBytesEach || reserved_body_bytes_ + bytes > kMaxReservedBodyBytes) {
+  if (bytes > kMaxReservedBytesPerBody || reserved_body_bytes_ + bytes > kMaxReservedBodyBytes) {
     return false;
   }
   reserved_body_bytes_ += bytes;
--- a/src/gateway/downstream_connections.h
+++ b/src/gateway/downstream_connections.h
@@ -1,4 +1,5 @@
-// All connections of clients to one gateway: which are idle, and which of them close to make room.
+// All client connections of one gateway: tracks which are idle and selects those to close when
+// descriptors run out.
 #ifndef PADDLESTILE_GATEWAY_DOWNSTREAM_CONNECTIONS_H_
 #define PADDLESTILE_GATEWAY_DOWNSTREAM_CONNECTIONS_H_
 
@@ -16,9 +17,9 @@
 
 namespace paddlestile {
 
-// Owns the connections. A connection is in at most one idle list: in that of the unused ones until
-// its first byte, in that of the idle ones between two requests, in that of the lingering ones
-// after its last response, in none during a request.
+// Owns the connections. A connection is in at most one of the idle lists: unused (no byte received
+// yet), idle (between two requests) or lingering (after its last response). During a request it is
+// in none.
 class DownstreamConnections {
  public:
   // All arguments must outlive the connections' events.
@@ -26,39 +27,41 @@
                         RequestListener* listener);
   DownstreamConnections(const DownstreamConnections&) = delete;
   DownstreamConnections& operator=(const DownstreamConnections&) = delete;
-  // Closes all connections, without a report to the listener.
+  // Closes all connections without calling the listener.
   ~DownstreamConnections();
 
-  // Takes an accepted connection. It closes at once where the kernel does not watch it.
+  // Adds an accepted connection; closes it if it cannot be added to epoll.
   void Add(Socket socket);
-  // Closes the connection; no effect where its stream is closed already.
+  // Closes the connection; no effect if its stream is already closed.
   void Close(DownstreamConnection& connection);
-  // Forgets a connection; its stream may be closed already.
+  // Shuts down and removes the connection, whose stream may already be closed.
   void Remove(DownstreamConnection& connection);
 
   // ---- Idle connections.
-  void MarkUnused(DownstreamConnection& connection);  // no byte has come yet
+  void MarkUnused(DownstreamConnection& connection);  // no byte has been received yet
   void MarkIdle(DownstreamConnection& connection);    // between two requests
-  // The last response is with the kernel, and the client has sent all that it will.
+  // The last response is in the kernel's send buffer, and the client will send nothing more.
   void MarkLingering(DownstreamConnection& connection);
-  void MarkActive(DownstreamConnection& connection);  // a request has begun
-  // Closes a lingering connection, else the oldest one that is unused for some time, else the
-  // longest idle one; false where there is none.
+  void MarkActive(DownstreamConnection& connection);  // a request has started
+  // Closes a lingering connection, else the oldest unused one past its grace period, else the
+  // longest idle one. Returns false if there is none.
   bool CloseOneIdle();
-  // Closes idle connections while more than their share of the descriptors is kept open.
+  // Closes idle connections while more than their share of the descriptors is open.
   void CloseIdleBeyondShare();
-  // Closes all that idle. Without `including_new`, unused ones whose first request may be under way
-  // stay.
-  void CloseAllIdle(bool including_new);
-  // Closes all that have no request or response in progress.
-  void CloseAllWithoutWork();
+  // Closes all unused and idle connections. Without `include_new`, keeps unused ones whose first
+  // request may be in transit.
+  void CloseAllIdle(bool include_new);
+  // Closes all connections without a request or response in progress.
+  void CloseAllWithoutUnfinishedWork();
 
-  // ---- Request bodies past kMaxBufferedBodyBytes. Buffered, such a request can be retried.
-  // Reserves memory for one; false where it is too large or too much is reserved already.
+  // ---- Request bodies larger than kMaxBufferedBodyBytes. A request with a buffered body can be
+  // retried.
+  // Reserves memory to buffer one body; returns false if it is too large or too much is already
+  // reserved.
   bool ReserveBodyBuffer(size_t bytes);
   void ReleaseBodyBuffer(size_t bytes) { reserved_body_bytes_ -= bytes; }
 
-  // Whether each connection is to close after its present response.
+  // Whether each connection closes after its current response.
   [[nodiscard]] bool draining() const { return draining_; }
   void set_draining(bool draining) { draining_ = draining; }
 
@@ -69,8 +72,9 @@
 
  private:
   void AddToIdleList(DownstreamConnection& connection, std::list<DownstreamConnection*>& list);
-  // Closes the first of the list that was opened by then and has nothing unread.
-  bool CloseOneOf(std::list<DownstreamConnection*>& list, Time opened_by);
+  // Closes the first connection of `list` that was opened at or before `opened_before` and has
+  // nothing unread; returns false if there is none.
+  bool CloseFirstIdle(std::list<DownstreamConnection*>& list, Time opened_before);
 
   EventLoop& loop_;
   const DescriptorBudget& budget_;
@@ -79,7 +83,7 @@
   std::list<std::shared_ptr<DownstreamConnection>> connections_;
   std::list<DownstreamConnection*> unused_;     // oldest first
   std::list<DownstreamConnection*> idle_;       // longest idle first
-  std::list<DownstreamConnection*> lingering_;  // longest first
+  std::list<DownstreamConnection*> lingering_;  // longest lingering first
   bool draining_ = false;
   size_t reserved_body_bytes_ = 0;
 };
