--- a/src/gateway/downstream_connection.cpp
+++ b/src/gateway/downstream_connection.cpp
@@ -16,19 +16,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// For a complete request: from the connect on for the first, else from its first byte. Bytes that
-// come do not renew it, or a byte at a time would hold a descriptor for ever.
+// Time limit for receiving a complete request. It starts at the connect for the first request, and
+// at the first byte for later ones. Further bytes do not extend it; otherwise a client could hold a
+// descriptor indefinitely by sending one byte at a time.
 constexpr Duration kRequestTimeout = milliseconds(2'500);
-// For the client to take a response, or the next piece of one.
+// Time limit for the client to read a response, or the next piece of a streamed one.
 constexpr Duration kWriteTimeout = seconds(10);
 constexpr Duration kUploadCheckInterval = milliseconds(250);
-// Clients keep connections that they do not use again, and open some that they never use.
-constexpr Duration kIdleTimeout = seconds(2);         // between two requests
-constexpr Duration kFirstByteTimeout = seconds(1);    // after the connect
-constexpr Duration kLingerTimeout = seconds(1);       // for the client to read its last response
-constexpr Duration kUnreadRecheck = milliseconds(5);  // a request has come and is about to be read
-constexpr size_t kMinReadBytes = 2048;                // most requests are short
-// Of a body, before its request is dispatched and takes an upstream connection.
+// Clients keep connections open that they do not reuse, and open some that they never use.
+constexpr Duration kIdleTimeout = seconds(2);       // between two requests
+constexpr Duration kFirstByteTimeout = seconds(1);  // after the connect
+constexpr Duration kLingerTimeout = seconds(1);     // for the client to read the last response
+constexpr Duration kUnreadRecheckInterval = milliseconds(5);  // a request has arrived but is unread
+constexpr size_t kMinReadBytes = 2048;                        // most requests are short
+// Number of body bytes to receive before a streamed request is dispatched and uses an upstream
+// connection.
 constexpr size_t kMinStreamedBytes = 16'384;
 
 }  // namespace
@@ -76,24 +78,25 @@
     request_body_->OnDataAvailable();
     return;
   }
-  CloseIfClientLeft();
+  CloseIfClientDisconnected();
 }
 
 void DownstreamConnection::OnError() {
-  LogCutResponse(ResponseCut::kClientReset);
+  LogResponseCut(ResponseCut::kClientReset);
   owner_.Close(*this);
 }
 
 // ---- Reading a request ----------------------------------------------------------------------
 
-// A client that sends no more is taken to have left: clients close when they leave. While a request
-// waits, the end of its stream counts even behind pipelined requests that were not read yet.
-void DownstreamConnection::CloseIfClientLeft() {
+// Treats a client that has closed its sending side as disconnected, because clients do this only
+// when they disconnect. While a request is waiting for its response, the end of the stream counts
+// even if pipelined requests are still unread.
+void DownstreamConnection::CloseIfClientDisconnected() {
   if (stream_.closed() || state_ == State::kReading) {
     return;
   }
   if (stream_.ended() || (state_ == State::kWaiting && stream_.hung_up())) {
-    LogCutResponse(ResponseCut::kClientLeft);
+    LogResponseCut(ResponseCut::kClientClosed);
     owner_.Close(*this);
   }
 }
@@ -109,7 +112,7 @@
   if (!parser_.begun()) {
     StartRequestTimer();
   }
-  received_any_ = true;
+  received_any_bytes_ = true;
   const ParseProgress progress = parser_.Feed(stream_.input());
   if (progress == ParseProgress::kMalformed) {
     return RejectMalformed(parser_.error_status(), "malformed request");
@@ -118,7 +121,7 @@
     return FinishBufferedRequest();
   }
   if (stream_.ended()) {
-    return owner_.Close(*this);  // within a request
+    return owner_.Close(*this);  // in the middle of a request
   }
   SendContinueIfExpected();
   if (parser_.head_done()) {
@@ -127,24 +130,24 @@
 }
 
 void DownstreamConnection::StartRequestTimer() {
-  request_started_at_ = received_any_ ? loop_.Now() : opened_at_;
-  const Duration elapsed = received_any_ ? Duration(0) : loop_.Now() - opened_at_;
+  request_started_at_ = received_any_bytes_ ? loop_.Now() : opened_at_;
+  const Duration elapsed = received_any_bytes_ ? Duration(0) : loop_.Now() - opened_at_;
   SetTimer(kRequestTimeout - elapsed, [this] { OnReadTimeout(); });
 }
 
 void DownstreamConnection::SendContinueIfExpected() {
   const HttpMessage& message = parser_.message();
-  if (continue_considered_ || message.body.at == 0) {
+  if (continue_handled_ || message.body.at == 0) {
     return;
   }
-  continue_considered_ = true;
+  continue_handled_ = true;
   if (HeaderNamesEqual(message.FindHeader(stream_.input().view(), "Expect").value_or(""),
                        "100-continue")) {
     stream_.Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 }
 
-// Decides whether the body is buffered or streams once it is known to be large.
+// Once the body is known to be large, decides whether it is buffered or streamed.
 void DownstreamConnection::OnBodyBytes() {
   if (!upload_.started()) {
     const Time now = loop_.Now();
@@ -165,7 +168,7 @@
   }
 }
 
-// Whether the large body that comes is to be buffered; reserves its memory once.
+// Whether the large body is buffered. Reserves the memory for it on the first call.
 bool DownstreamConnection::ReserveBodyBuffer() {
   if (reserved_bytes_ > 0) {
     return true;
@@ -177,7 +180,8 @@
   reserved_bytes_ = static_cast<size_t>(*length);
   stream_.set_max_unread_bytes(kMaxHeadBytes + reserved_bytes_);
   stream_.set_min_read_bytes(kMaxPieceBytes);
-  // What the former limit left unread was reported already and is not reported again.
+  // Bytes left unread because of the previous limit have already been reported and would not be
+  // reported again.
   loop_.RunAfterRound([self = shared_from_this()] {
     if (!self->stream_.closed()) {
       self->stream_.ResumeReading();
@@ -199,7 +203,7 @@
   is_http10_ = request.message.is_http10;
   keep_alive_ = request.message.keep_alive;
   state_ = State::kWaiting;
-  request_whole_ = true;
+  request_fully_read_ = true;
   Dispatch(std::move(request));
 }
 
@@ -208,13 +212,13 @@
   ReleaseBodyBuffer();
   stream_.set_max_unread_bytes(kMaxHeadBytes + kMaxBufferedBodyBytes);
   stream_.set_min_read_bytes(kMinReadBytes);
-  continue_considered_ = false;
+  continue_handled_ = false;
   upload_.Reset();
 }
 
 void DownstreamConnection::Dispatch(BufferedMessage request) {
-  const std::string_view base = request.bytes.view();
-  if (request.message.target.In(base) == "/_health") {
+  const std::string_view buffer = request.bytes.view();
+  if (request.message.target.In(buffer) == "/_health") {
     ++GlobalCounters().health_checks;
     return SendResponse({.status = owner_.lifecycle().healthy() ? 200 : 503});
   }
@@ -225,13 +229,14 @@
     return;
   }
   ++GlobalCounters().requests_malformed;
-  Log(LogLevel::kInfo, "request answered {}: {}", admission.error_status, admission.reason);
-  // Hundreds of further invalid requests may follow on this connection.
+  Log(LogLevel::kInfo, "request rejected with status {}: {}", admission.error_status,
+      admission.reason);
+  // Closes the connection, because hundreds of further invalid requests may follow on it.
   keep_alive_ = keep_alive_ && admission.error_status >= 500;
   SendResponse({.status = admission.error_status, .reason = admission.reason + '\n'});
 }
 
-// ---- A request whose body streams -----------------------------------------------------------
+// ---- Requests with a streamed body ----------------------------------------------------------
 
 void DownstreamConnection::StartStreamedRequest() {
   const auto length = parser_.body_length();
@@ -245,7 +250,7 @@
   is_http10_ = request.message.is_http10;
   keep_alive_ = request.message.keep_alive;
   state_ = State::kUploading;
-  request_whole_ = false;
+  request_fully_read_ = false;
   Dispatch(std::move(request));
 }
 
@@ -270,7 +275,7 @@
   return progress;
 }
 
-// Not within the present call: new bytes are reported to the writer, which may be running.
+// Deferred, because new bytes are reported to the body writer, which may be the caller.
 void DownstreamConnection::ResumeReadingAfterRound() {
   if (!stream_.readable()) {
     return;
@@ -286,7 +291,7 @@
   loop_.CancelTimer(timer_);
   ResetForNextRequest();
   state_ = State::kWaiting;
-  request_whole_ = true;
+  request_fully_read_ = true;
   if (request_) {
     owner_.listener().OnRequestComplete(request_);
   }
@@ -312,7 +317,7 @@
   }
 }
 
-// ---- Time limits ----------------------------------------------------------------------------
+// ---- Timeouts -------------------------------------------------------------------------------
 
 void DownstreamConnection::OnReadTimeout() {
   if (parser_.begun()) {
@@ -321,14 +326,14 @@
   if (stream_.IsIdle()) {
     return owner_.Close(*this);
   }
-  SetTimer(kUnreadRecheck, [this] { OnReadTimeout(); });
+  SetTimer(kUnreadRecheckInterval, [this] { OnReadTimeout(); });
 }
 
 void DownstreamConnection::CheckUploadRate() {
   const Time now = loop_.Now();
-  const bool waits_for_gateway = state_ == State::kUploading && !stream_.input().empty();
-  if (waits_for_gateway) {
-    upload_.ExcuseUntil(now);
+  const bool waiting_for_gateway = state_ == State::kUploading && !stream_.input().empty();
+  if (waiting_for_gateway) {
+    upload_.ExcludeGatewayDelay(now);
   } else if (upload_.IsTooSlow(now)) {
     return OnUploadTooSlow();
   }
@@ -340,7 +345,8 @@
   if (state_ == State::kReading) {
     return RejectMalformed(408, "request too slow");
   }
-  Log(LogLevel::kInfo, "body cut: request {} came too slowly", request_ ? request_->id() : "");
+  Log(LogLevel::kInfo, "request body truncated: request {} arrived too slowly",
+      request_ ? request_->id() : "");
   AbortStreamedRequest(408, "request too slow");
 }
 
@@ -354,33 +360,33 @@
 
 void DownstreamConnection::StartWriteTimer() {
   SetTimer(kWriteTimeout, [this] {
-    LogCutResponse(ResponseCut::kClientTooSlow);
+    LogResponseCut(ResponseCut::kClientTooSlow);
     owner_.Close(*this);
   });
 }
 
 // ---- Responses ------------------------------------------------------------------------------
 
-// Where the framing is lost, nothing more can be parsed on this connection.
+// After a framing error nothing more can be parsed on this connection.
 void DownstreamConnection::RejectMalformed(int status, std::string_view reason) {
   ++GlobalCounters().requests_malformed;
-  Log(LogLevel::kInfo, "request answered {}: {}", status, reason);
+  Log(LogLevel::kInfo, "request rejected with status {}: {}", status, reason);
   state_ = State::kWaiting;
   keep_alive_ = false;
-  request_whole_ = false;
+  request_fully_read_ = false;
   ReleaseBodyBuffer();
   stream_.input().Consume(stream_.input().size());
   SendResponse({.status = status, .reason = std::string(reason) + '\n'});
 }
 
 void DownstreamConnection::SendResponse(const Response& response) {
-  answered_request_id_ = request_ ? request_->id() : std::string();
+  response_request_id_ = request_ ? request_->id() : std::string();
   response_started_at_ = loop_.Now();
   request_ = nullptr;
   if (!PADDLESTILE_CHECK(state_ == State::kWaiting || state_ == State::kUploading)) {
     return;
   }
-  // An early response: the rest of the request is of no use.
+  // For an early response, the rest of the request body is no longer needed.
   if (request_body_) {
     TruncateBody();
     keep_alive_ = false;
@@ -403,19 +409,19 @@
   }
 }
 
-void DownstreamConnection::LogCutResponse(ResponseCut cut) const {
+void DownstreamConnection::LogResponseCut(ResponseCut cut) const {
   if (state_ != State::kWriting || (!response_writer_ && stream_.flushed())) {
     return;
   }
-  Log(LogLevel::kInfo, "response cut: {}, request {}, begun {:.0f} ms ago", ToText(cut),
-      answered_request_id_, ToMilliseconds(loop_.Now() - response_started_at_));
+  Log(LogLevel::kInfo, "response truncated: {}; request {}, response started {:.0f} ms ago",
+      ToText(cut), response_request_id_, ToMilliseconds(loop_.Now() - response_started_at_));
 }
 
-// A response that streams is written, or the upstream side broke off: then the reset shows the
-// client that it is incomplete.
+// Called when a streamed response has been written or the upstream side broke it off. In the latter
+// case the connection is reset, so that the client can tell that the response is incomplete.
 void DownstreamConnection::OnResponseBodyFinished(bool complete) {
-  // The writer may be the caller.
-  loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(response_writer_))] {});
+  // The writer may be the caller, so it is destroyed later.
+  loop_.RunDeferred([retained = std::shared_ptr<BodyWriter>(std::move(response_writer_))] {});
   if (complete) {
     return OnWriteComplete();
   }
@@ -425,7 +431,7 @@
 
 void DownstreamConnection::OnWriteComplete() {
   if (state_ != State::kWriting) {
-    return;  // of "100 Continue"
+    return;  // only "100 Continue" has been written
   }
   if (response_writer_) {
     StartWriteTimer();
@@ -436,7 +442,7 @@
   }
   loop_.CancelTimer(timer_);
   state_ = State::kReading;
-  // Where a pipelined request waits in the buffer, other connections have their turn first.
+  // If a pipelined request is already buffered, other connections are served first.
   if (stream_.input().empty() && !stream_.ended()) {
     loop_.RunDeferred([self = shared_from_this()] { self->StartNextRequest(); });
   } else {
@@ -444,11 +450,12 @@
   }
 }
 
-// Closed with bytes unread, the kernel would reset the connection, and the response with it.
+// If the socket were closed with unread bytes, the kernel would reset the connection and the client
+// could lose the response.
 void DownstreamConnection::Linger() {
   state_ = State::kLingering;
   stream_.ShutdownWrite();
-  if (request_whole_) {
+  if (request_fully_read_) {
     owner_.MarkLingering(*this);
   }
   SetTimer(kLingerTimeout, [this] { owner_.Close(*this); });
@@ -469,7 +476,7 @@
     owner_.CloseIdleBeyondShare();
   } else {
     ReadRequest();
-    CloseIfClientLeft();
+    CloseIfClientDisconnected();
   }
   stream_.ResumeReading();
 }
--- a/src/gateway/downstream_connection.h
+++ b/src/gateway/downstream_connection.h
@@ -1,4 +1,4 @@
-// One connection of a client: reads requests, hands each to the listener, writes the response.
+// One client connection: reads requests, passes each to the listener, and writes the responses.
 #ifndef PADDLESTILE_GATEWAY_DOWNSTREAM_CONNECTION_H_
 #define PADDLESTILE_GATEWAY_DOWNSTREAM_CONNECTION_H_
 
@@ -24,29 +24,29 @@
 
 class DownstreamConnections;
 
-// Owned by a DownstreamConnections, which closes it; tasks that were put off may keep the object
-// alive for longer, with its stream closed. One request at a time: pipelined ones wait unread.
+// Owned by a DownstreamConnections, which closes it. Deferred tasks may keep the object alive for
+// longer, with its stream closed. Handles one request at a time; pipelined requests wait unread.
 //
-//   state        | what happens                               | left for
+//   state        | activity                                   | next state
 //   -------------+--------------------------------------------+---------------------------------
-//   kReading     | between requests, or a request comes in    | kWaiting: it is complete or bad
-//                |                                            | kUploading: its body streams
-//   kUploading   | the body is passed on piece by piece       | kWaiting: it is complete
+//   kReading     | between requests, or receiving a request   | kWaiting: complete or malformed
+//                |                                            | kUploading: its body is streamed
+//   kUploading   | the body is forwarded piece by piece       | kWaiting: it is complete
 //                |                                            | kWriting: early response
-//   kWaiting     | the request is with the listener           | kWriting: response
-//   kWriting     | the response is written                    | kReading: keep-alive
-//                |                                            | kLingering: else
-//   kLingering   | write side shut; the client may still read | closed
+//   kWaiting     | the listener processes the request         | kWriting: response
+//   kWriting     | the response is being written              | kReading: keep-alive
+//                |                                            | kLingering: otherwise
+//   kLingering   | write side shut down; client may read      | closed
 //
-// Any state ends with the connection when the stream fails, a time limit expires or the client
-// leaves.
+// In any state the connection closes when the stream fails, a timeout expires or the client
+// disconnects.
 class DownstreamConnection final : public Stream::Listener,
                                    public std::enable_shared_from_this<DownstreamConnection> {
  public:
-  // Where the owner keeps the connection; only the owner uses it.
+  // The position of the connection in the owner's lists; used by the owner only.
   struct Registration {
     std::list<std::shared_ptr<DownstreamConnection>>::iterator position;
-    std::list<DownstreamConnection*>* idle_list = nullptr;  // null: a request is in progress
+    std::list<DownstreamConnection*>* idle_list = nullptr;  // null while a request is in progress
     std::list<DownstreamConnection*>::iterator idle_position;
   };
 
@@ -56,17 +56,17 @@
   DownstreamConnection& operator=(const DownstreamConnection&) = delete;
   virtual ~DownstreamConnection();
 
-  // Begins to read and to be watched; false where the kernel refuses.
+  // Starts reading; returns false if the socket cannot be added to epoll.
   bool Start();
-  // Ends the connection: abandons its request, gives back what it reserved, closes its stream. For
-  // the owner, which forgets it then.
+  // Abandons the current request, releases reserved memory and closes the stream. Called by the
+  // owner, which then removes the connection.
   void Shutdown();
 
   [[nodiscard]] Stream& stream() { return stream_; }
   [[nodiscard]] Time opened_at() const { return opened_at_; }
   [[nodiscard]] Registration& registration() { return registration_; }
-  // Whether a close would cut something off: a request in progress, a response that its client has
-  // not read yet, or a request that waits, unread or in the buffer.
+  // Whether closing would lose data: a request in progress, a response that the client has not read
+  // yet, or a received request, buffered or still unread.
   [[nodiscard]] bool HasUnfinishedWork();
 
  private:
@@ -83,7 +83,7 @@
   void OnError() override;
 
   // Reading a request.
-  void CloseIfClientLeft();
+  void CloseIfClientDisconnected();
   void ReadRequest();
   void StartRequestTimer();
   void SendContinueIfExpected();
@@ -94,7 +94,7 @@
   void ResetForNextRequest();
   void Dispatch(BufferedMessage request);
 
-  // A request whose body streams.
+  // Requests with a streamed body.
   void StartStreamedRequest();
   ParseProgress ReadBodyPiece(Buffer& piece);
   void FinishStreamedRequest();
@@ -103,7 +103,7 @@
   void TruncateBody();
   void ResumeReadingAfterRound();
 
-  // Time limits.
+  // Timeouts.
   void OnReadTimeout();
   void CheckUploadRate();
   void OnUploadTooSlow();
@@ -114,31 +114,31 @@
   void RejectMalformed(int status, std::string_view reason);
   void SendResponse(const Response& response);
   void OnResponseBodyFinished(bool complete);
-  // Logs who cut off a response that is being written; else without effect.
-  void LogCutResponse(ResponseCut cut) const;
+  // Logs why a response that is being written ends early; otherwise no effect.
+  void LogResponseCut(ResponseCut cut) const;
   void StartNextRequest();
   void Linger();
 
   DownstreamConnections& owner_;
-  EventLoop& loop_;  // may outlive the owner, as tasks that were put off may
+  EventLoop& loop_;  // outlives `owner_`; deferred tasks may run after its destruction
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest, kMaxBodyBytes};
   State state_ = State::kReading;
-  bool keep_alive_ = true;            // of the present request: whether another may follow
-  bool is_http10_ = false;            // the client of the present request knows no chunks
-  bool continue_considered_ = false;  // "100 Continue" was sent, or is not expected
-  bool request_whole_ = false;        // all of the present request has been read
-  bool received_any_ = false;         // the client has sent its first byte
-  std::shared_ptr<StreamingBody> request_body_;  // of a request that streams; else null
-  std::unique_ptr<BodyWriter> response_writer_;  // of a response that streams; else null
-  size_t reserved_bytes_ = 0;                    // of the owner's budget for large bodies
-  Time request_started_at_{0};                   // first byte; of the first request, the connect
-  UploadProgress upload_;                        // of the present request's body
+  bool keep_alive_ = true;  // whether the connection stays open after the current request
+  bool is_http10_ = false;  // the client of the current request does not support chunked bodies
+  bool continue_handled_ = false;                // "100 Continue" was sent or is not needed
+  bool request_fully_read_ = false;              // the current request has been read in full
+  bool received_any_bytes_ = false;              // the client has sent at least one byte
+  std::shared_ptr<StreamingBody> request_body_;  // body of a streamed request; else null
+  std::unique_ptr<BodyWriter> response_writer_;  // writer of a streamed response; else null
+  size_t reserved_bytes_ = 0;   // reserved from the owner's budget for large bodies
+  Time request_started_at_{0};  // time of its first byte; for the first request, of the connect
+  UploadProgress upload_;       // of the current request's body
   Time opened_at_{0};
-  std::shared_ptr<ProxiedRequest> request_;  // with the listener, not responded to; else null
-  std::string answered_request_id_;          // of the present response; empty: not known
+  std::shared_ptr<ProxiedRequest> request_;  // the request without a response; else null
+  std::string response_request_id_;          // id of the request being responded to; may be empty
   Time response_started_at_{0};
-  EventLoop::TimerId timer_;  // the time limit of the present state
+  EventLoop::TimerId timer_;  // the timeout of the current state
   Registration registration_;
 };
 
--- a/src/gateway/upload_progress.h
+++ b/src/gateway/upload_progress.h
@@ -1,4 +1,5 @@
-// How fast the body of a request arrives, and whether that is too slow. No I/O, no clock.
+// Measures the arrival rate of a request body and detects uploads that are too slow. No I/O, no
+// clock.
 #ifndef PADDLESTILE_GATEWAY_UPLOAD_PROGRESS_H_
 #define PADDLESTILE_GATEWAY_UPLOAD_PROGRESS_H_
 
@@ -12,23 +13,24 @@
 
 class UploadProgress {
  public:
-  // Before the body of the next request. The time of the last byte stays.
+  // Prepares for the body of the next request. Keeps the time of the last byte.
   void Reset() {
     started_at_ = Time(0);
     received_bytes_ = 0;
   }
 
   [[nodiscard]] bool started() const { return started_at_ != Time(0); }
-  // The head is complete.
+  // Starts measuring, when the request head is complete.
   void Start(Time now) { started_at_ = now; }
 
-  // So many bytes of the body have come in all.
+  // Sets the total number of body bytes received so far.
   void SetReceived(size_t total_bytes, Time now) {
     if (total_bytes > received_bytes_) {
       last_byte_at_ = now;
     }
     received_bytes_ = std::max(received_bytes_, total_bytes);
   }
+  // Adds to the number of body bytes received.
   void AddReceived(size_t bytes, Time now) {
     received_bytes_ += bytes;
     if (bytes > 0) {
@@ -36,28 +38,32 @@
     }
   }
 
-  // The client waits for the gateway, which has not passed on yet what came: no fault of its own.
-  void ExcuseUntil(Time now) {
+  // Excludes the time up to `now` from the measurement, because the client is waiting for the
+  // gateway to forward what it has already received.
+  void ExcludeGatewayDelay(Time now) {
     last_byte_at_ = now;
-    started_at_ = std::max(started_at_, now - kGrace);
+    started_at_ = std::max(started_at_, now - kGracePeriod);
   }
 
-  // Below the minimum rate since the start, or paused for longer than the grace time.
+  // Whether the average rate is below the minimum, or the client has paused for longer than the
+  // grace period.
   [[nodiscard]] bool IsTooSlow(Time now) const {
-    const Duration measured = now - started_at_ - kGrace;
-    const double due_bytes = kMinBytesPerSecond * static_cast<double>(measured.count()) / 1e6;
-    return static_cast<double>(received_bytes_) < due_bytes || now - last_byte_at_ > kGrace;
+    const Duration measured_time = now - started_at_ - kGracePeriod;
+    const double expected_bytes =
+        kMinBytesPerSecond * static_cast<double>(measured_time.count()) / 1e6;
+    return static_cast<double>(received_bytes_) < expected_bytes ||
+           now - last_byte_at_ > kGracePeriod;
   }
 
  private:
-  // The slowest clients that are to be served send four times as much.
+  // A quarter of the rate of the slowest clients that must be served.
   static constexpr double kMinBytesPerSecond = 16'000;
-  // Before the rate counts; also the longest pause.
-  static constexpr Duration kGrace = std::chrono::seconds(1);
+  // Time before the rate is checked; also the longest permitted pause.
+  static constexpr Duration kGracePeriod = std::chrono::seconds(1);
 
-  Time started_at_{0};  // 0: no body has begun
+  Time started_at_{0};  // 0: no body has started
   Time last_byte_at_{0};
-  size_t received_bytes_ = 0;  // of the body
+  size_t received_bytes_ = 0;  // of the current body
 };
 
 }  // namespace paddlestile
--- a/src/gateway/upstream.cpp
+++ b/src/gateway/upstream.cpp
@@ -8,7 +8,7 @@
 namespace paddlestile {
 namespace {
 
-// A probe times out after so many connect timeouts: one to connect, one for the response.
+// Probe timeout in multiples of the connect timeout: one for the connect, one for the response.
 constexpr int kProbeConnectTimeouts = 2;
 
 }  // namespace
@@ -67,9 +67,9 @@
       continue;
     }
     if (transaction->response_started) {
-      return;  // it belongs to the client
+      return;  // the response is already being passed to the client
     }
-    connection->LogCutResponse(ResponseCut::kLoadBalancer);
+    connection->LogResponseCut(ResponseCut::kLoadBalancer);
     return OnTransactionFinished(*connection, Outcome::kCancelled, std::nullopt, nullptr);
   }
 }
@@ -81,7 +81,7 @@
     if (transaction == nullptr || transaction->request.get() != &request) {
       continue;
     }
-    // Not written in full, it never runs at the endpoint.
+    // The endpoint does not execute a request that was not written in full.
     if (!connection->request_written()) {
       unwritten.push_back(connection);
     }
@@ -93,7 +93,7 @@
     OnTransactionFinished(*connection, Outcome::kNotSent, std::nullopt, nullptr);
   }
   for (UpstreamConnection* const connection : started) {
-    connection->LogCutResponse(ResponseCut::kClientLeft);
+    connection->LogResponseCut(ResponseCut::kClientClosed);
     OnTransactionFinished(*connection, Outcome::kCancelled, std::nullopt, nullptr);
   }
 }
@@ -104,13 +104,13 @@
   }
 }
 
-// ---- Reports of the connections -------------------------------------------------------------
+// ---- UpstreamConnection::Owner --------------------------------------------------------------
 
 void Upstream::OnTransactionFinished(UpstreamConnection& connection, Outcome outcome,
                                      std::optional<LoadReport> report,
                                      std::shared_ptr<const BufferedMessage> response) {
   if (connection.pool_state().idle) {
-    return;  // ended before
+    return;  // the transaction has already ended
   }
   const auto transaction = connection.TakeTransaction();
   const bool response_complete =
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -25,18 +25,19 @@
  public:
   class Listener {
    public:
-    // Each attempt ends once. `elapsed`: since its start, or since the last byte of a request that
-    // streams. `response` is to be passed on: a 200, or one that blames the request; else null.
+    // Called exactly once per attempt. `elapsed` is the time since the start of the attempt or, for
+    // a streamed request, since its last byte was written. `response` is set if it should be
+    // forwarded to the client: a 200, or one that rejects the request as invalid.
     virtual void OnAttemptFinished(const std::shared_ptr<ProxiedRequest>& request, size_t attempt,
                                    const std::string& endpoint, Outcome outcome, Duration elapsed,
                                    std::optional<LoadReport> report,
                                    std::shared_ptr<const BufferedMessage> response) = 0;
-    // The response of a streamed class has begun; its attempt ends with OnAttemptFinished.
+    // The response to a request of a streamed class has started. OnAttemptFinished still follows.
     virtual void OnResponseStarted(const std::shared_ptr<ProxiedRequest>& request, size_t attempt,
                                    const std::string& endpoint, Duration elapsed) = 0;
     virtual void OnProbeFinished(const std::string& endpoint, Outcome outcome, Duration elapsed,
                                  std::optional<LoadReport> report) = 0;
-    // No file descriptor is left; true where one was freed.
+    // Called when no file descriptor is left; returns true if one was freed.
     virtual bool OnDescriptorsExhausted() = 0;
 
    protected:
@@ -50,32 +51,34 @@
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  // For what is sent from now on.
+  // The options apply to attempts and probes that start from now on.
   void set_options(Options options) { options_ = std::move(options); }
 
-  // Where an endpoint is, by the endpoint list. A changed address means new connections.
+  // Sets the address of an endpoint of the endpoint list. If it changed, new requests use new
+  // connections.
   void SetEndpointAddress(const std::string& endpoint, const Address& address) {
     pool_.SetAddress(endpoint, address);
   }
-  // The endpoint has left the list: transactions go on, no connection is kept.
+  // Removes an endpoint that is no longer listed. Running transactions continue, but no connection
+  // is kept.
   void RemoveEndpoint(const std::string& endpoint) { pool_.Remove(endpoint); }
 
-  // Starts an attempt, which ends by OnAttemptFinished: within this call where it cannot start.
+  // Starts an attempt. It ends with OnAttemptFinished, during this call if it cannot start.
   void StartAttempt(std::shared_ptr<ProxiedRequest> request, size_t attempt,
                     const std::string& endpoint, Time deadline);
-  // Ends the attempt with kCancelled; not one whose response has started.
+  // Ends the attempt with kCancelled, unless its response has started.
   void CancelAttempt(const ProxiedRequest& request, size_t attempt);
-  // Ends the attempts whose response has started with kCancelled, and those that are not written in
-  // full with kNotSent: nothing else would end them.
+  // Ends attempts whose response has started with kCancelled, and attempts whose request is not
+  // written in full with kNotSent; nothing else would end them. Other attempts continue.
   void OnClientDisconnected(const ProxiedRequest& request);
-  // Starts a probe, which ends by OnProbeFinished.
+  // Starts a probe, which ends with OnProbeFinished.
   void StartProbe(const std::string& endpoint);
 
-  // Closes the idle connections of an endpoint; no effect for an unknown one.
+  // Closes the idle connections of an endpoint; no effect if it is not known.
   void CloseIdleConnections(const std::string& endpoint);
-  // Closes the connection that has idled longest; false where none idles.
+  // Closes the longest idle connection; returns false if there is none.
   bool CloseOneIdle() { return pool_.CloseOneIdle(); }
-  // Closes the longest idle connections until `count` are left.
+  // Closes the longest idle connections until at most `count` are left.
   void CloseIdleBeyond(size_t count) { pool_.CloseIdleBeyond(count); }
 
   [[nodiscard]] size_t connection_count() const { return pool_.connections().size(); }
@@ -100,7 +103,7 @@
   void ReportNotSent(const UpstreamTransaction& transaction);
 
   EventLoop& loop_;
-  Options options_;  // the pool refers to it
+  Options options_;  // the pool holds a reference
   Listener* listener_;
   UpstreamConnectionPool pool_;
 };
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -19,20 +19,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Between two reads of a response that is buffered. A healthy endpoint sends it in one piece; to
-// wait for the end of one that stops would cost the time of the next attempt.
+// Maximum time between two reads of a buffered response. A healthy endpoint sends it in one piece;
+// waiting for the rest of a stalled one would use up the time for the next attempt.
 constexpr Duration kResponsePauseLimit = milliseconds(600);
-// Between two reads of a response that streams, and two writes of a request that does. There is no
-// next attempt: slow endpoints are tolerated, dead ones are not.
+// Maximum time between two reads of a streamed response, or two writes of a streamed request. No
+// other attempt is possible here, so slow endpoints are tolerated and only dead ones are given up.
 constexpr Duration kStreamPauseLimit = seconds(5);
-// Bytes of a large body that come before the client sees the first: malformed responses are short
-// as a rule, and until then another attempt may serve. More where the length is not known.
+// Number of bytes of a large body to receive before the response is streamed to the client.
+// Malformed responses are usually short, and until then another attempt can still serve the
+// request. More bytes are required if the length is not known.
 constexpr size_t kMinStreamedBytes = 8'192;
 constexpr size_t kMinStreamedBytesUnknownLength = 16'384;
 constexpr size_t kMinReadBytes = 2048;  // most responses are short
 constexpr size_t kMaxUnreadBytes = 2 * kMaxBufferedBodyBytes;
-// An endpoint may send a second response some milliseconds after the first. On a connection in use
-// again it would be taken for the next request's: nothing in it says which one it is for.
+// An endpoint may send a second response a few milliseconds after the first. On a reused connection
+// it would be taken for the response to the next request, because HTTP/1.1 responses do not
+// identify their request.
 constexpr Duration kSettleTime = UpstreamConnectionPool::kSettleTime;
 
 }  // namespace
@@ -68,7 +70,7 @@
   parser_.Reset();
   request_written_ = false;
   first_byte_received_ = false;
-  // The deadline of a request that streams runs from its last byte on.
+  // The deadline of a streamed request is measured from its last byte.
   if (transaction_->is_probe() || !transaction_->request->message().streaming_body) {
     StartDeadlineTimer(WriteDeadline());
   }
@@ -100,24 +102,25 @@
   owner_.OnTransactionFinished(*this, outcome, std::nullopt, nullptr);
 }
 
-// Any endpoint may send malformed responses, which say little of this one.
+// Any endpoint may send malformed responses; they say little about the state of this one.
 void UpstreamConnection::FinishMalformed(ResponseCut cut) {
-  LogCutResponse(cut);
+  LogResponseCut(cut);
   ++GlobalCounters().upstream_malformed;
   Finish(request_written_ ? Outcome::kInvalidResponse : Outcome::kConnectFailed);
 }
 
-void UpstreamConnection::LogCutResponse(ResponseCut cut) {
+void UpstreamConnection::LogResponseCut(ResponseCut cut) {
   const bool is_probe = transaction_ && transaction_->is_probe();
   if (!first_byte_received_ || is_probe) {
     return;
   }
   const Time now = loop_.Now();
   Log(LogLevel::kInfo,
-      "response cut: {}, request {} at {}, {} bytes passed on and {} buffered, the first {:.0f} ms "
-      "ago, the last {:.0f} ms ago",
+      "response truncated: {}; request {}, host {}, {} bytes forwarded, {} bytes buffered, first "
+      "byte "
+      "{:.0f} ms ago, last byte {:.0f} ms ago",
       ToText(cut), transaction_ ? transaction_->request->id() : streamed_request_id_,
-      host_.endpoint, passed_on_bytes_, stream_.input().size(),
+      host_.endpoint, forwarded_bytes_, stream_.input().size(),
       ToMilliseconds(now - first_byte_at_), ToMilliseconds(now - last_byte_at_));
 }
 
@@ -144,7 +147,7 @@
   settle_timer_ = loop_.RunAfter(kSettleTime - *idle_time, [this] {
     settle_timer_ = {};
     if (transaction_->is_probe()) {
-      transaction_->started_at = loop_.Now();  // it measures the round-trip time
+      transaction_->started_at = loop_.Now();  // exclude the wait from the measured round-trip time
     }
     if (stream_.IsIdle()) {
       WriteRequest();
@@ -158,7 +161,7 @@
   if (transaction_->is_probe()) {
     return WriteProbe();
   }
-  // The request may have ended, or its time run out, during the connect.
+  // The request may have ended or its deadline passed during the connect.
   if (transaction_->request->done() || loop_.Now() >= WriteDeadline()) {
     return Finish(Outcome::kNotSent);
   }
@@ -179,8 +182,9 @@
   const bool chunked = !request.streaming_body->length();
   request_writer_ = std::make_unique<BodyWriter>(stream_, request.streaming_body, chunked, false,
                                                  [this](bool complete) {
-                                                   // Where it is not, the downstream side reports
-                                                   // its client's leaving, which ends the attempt.
+                                                   // If the body is incomplete, the downstream side
+                                                   // reports that the client disconnected, which
+                                                   // ends the attempt.
                                                    if (complete) {
                                                      OnRequestBodyWritten();
                                                    }
@@ -191,11 +195,11 @@
   }
 }
 
-// From here on the request has a deadline like others.
+// From here on the request has a deadline, like a buffered one.
 void UpstreamConnection::OnRequestBodyWritten() {
   loop_.CancelTimer(pause_timer_);
-  // The writer may be the caller.
-  loop_.RunDeferred([kept = std::shared_ptr<BodyWriter>(std::move(request_writer_))] {});
+  // The writer may be the caller, so it is destroyed later.
+  loop_.RunDeferred([retained = std::shared_ptr<BodyWriter>(std::move(request_writer_))] {});
   request_written_ = true;
   transaction_->started_at = loop_.Now();
   transaction_->deadline = transaction_->request->deadline();
@@ -216,8 +220,9 @@
   }
 }
 
-// For the last byte of the request. A retry with an idempotency key has the time of a connect and
-// no longer: later, the endpoints may have forgotten the key.
+// The time by which the last byte of the request must be written. A retry with an idempotency key
+// must be written within the connect timeout: later, endpoints may have forgotten the key and would
+// execute the request again.
 Time UpstreamConnection::WriteDeadline() const {
   const UpstreamTransaction& transaction = *transaction_;
   const bool is_keyed_retry =
@@ -237,7 +242,7 @@
     StartDownloadPauseTimer();
     return response_body_->OnDataAvailable();
   }
-  if (!transaction_) {  // idle: the endpoint closes, or sends what was not requested
+  if (!transaction_) {  // idle: the endpoint closes the connection or sends unsolicited data
     ++GlobalCounters().upstream_idle_lost;
     return pool_.Close(*this);
   }
@@ -255,7 +260,7 @@
   }
   first_byte_received_ = true;
   first_byte_at_ = last_byte_at_;
-  passed_on_bytes_ = 0;
+  forwarded_bytes_ = 0;
   if (pool_state_.idle_before_use) {
     pool_.RecordReuse(*pool_state_.idle_before_use, false);
   }
@@ -282,7 +287,8 @@
   StartResponsePauseTimer();
 }
 
-// A response of a streamed class has begun: it belongs to its client, and no deadline runs on.
+// Once a response of a streamed class has started, it is passed to the client and the deadline no
+// longer applies.
 void UpstreamConnection::CommitStreamedResponse() {
   UpstreamTransaction& transaction = *transaction_;
   if (transaction.is_probe() || transaction.response_started ||
@@ -293,7 +299,7 @@
     return;
   }
   if (!transaction.request->CommitTo(transaction.attempt)) {
-    return;  // another attempt's response has begun before
+    return;  // the response of another attempt has started earlier
   }
   transaction.response_started = true;
   loop_.CancelTimer(deadline_timer_);
@@ -304,16 +310,17 @@
   auto response = std::make_shared<BufferedMessage>();
   response->message = parser_.message();
   response->bytes = stream_.input().TakeFront(response->message.total_bytes);
-  // Bytes behind the response belong to no request: the connection is out of step.
+  // Bytes after the response belong to no request, so responses can no longer be matched to
+  // requests on this connection.
   response_complete_ = response->message.keep_alive && request_written_ && stream_.input().empty();
   const Outcome outcome = OutcomeOf(*response);
   std::optional<LoadReport> report = LoadReportOf(*response, outcome);
-  const bool pass_on = outcome == Outcome::kOk || outcome == Outcome::kInvalidResponse;
+  const bool forward_response = outcome == Outcome::kOk || outcome == Outcome::kInvalidResponse;
   owner_.OnTransactionFinished(*this, outcome, std::move(report),
-                               pass_on ? std::move(response) : nullptr);
+                               forward_response ? std::move(response) : nullptr);
 }
 
-// Too large to be buffered, and enough of it has come.
+// Whether the body is too large to be buffered and enough of it has been received.
 bool UpstreamConnection::ShouldStreamResponse() {
   if (!parser_.head_done()) {
     return false;
@@ -332,7 +339,7 @@
   response->message = parser_.TakeHead(stream_.input(), response->bytes);
   const Outcome outcome = OutcomeOf(*response);
   auto report = LoadReportOf(*response, outcome);
-  // Of a response that is not passed on only the head counts; the connection closes.
+  // Only the head of a response that is not forwarded is needed; the connection closes.
   if (outcome != Outcome::kOk || transaction_->is_probe()) {
     return owner_.OnTransactionFinished(*this, outcome, std::move(report), nullptr);
   }
@@ -346,7 +353,7 @@
       });
   CancelTimers();
   StartDownloadPauseTimer();
-  request_writer_.reset();  // the endpoint may respond before it has read all
+  request_writer_.reset();  // the endpoint may respond before it has read the whole request
   const auto body = response_body_;
   auto transaction = std::move(transaction_);
   streamed_request_id_ = transaction->request->id();
@@ -354,19 +361,19 @@
   owner_.OnStreamedResponse(std::move(transaction), outcome, std::move(report),
                             std::move(response));
   if (!body->has_writer()) {
-    LogCutResponse(ResponseCut::kRequestOver);
+    LogResponseCut(ResponseCut::kRequestFinished);
     body->Cancel();
   }
 }
 
 ParseProgress UpstreamConnection::ReadBodyPiece(Buffer& piece) {
   ParseProgress progress = parser_.TakeBody(stream_.input(), piece, stream_.ended());
-  passed_on_bytes_ += piece.size();
-  if (host_broke_off_ && progress == ParseProgress::kNeedMore && piece.empty()) {
-    progress = ParseProgress::kMalformed;  // all that had come was passed on
+  forwarded_bytes_ += piece.size();
+  if (host_connection_lost_ && progress == ParseProgress::kNeedMore && piece.empty()) {
+    progress = ParseProgress::kMalformed;  // all received bytes have been forwarded
   }
   if (progress == ParseProgress::kNeedMore) {
-    ReadOnAfterRound();
+    ResumeReadingAfterRound();
   } else {
     OnResponseBodyRead(progress);
   }
@@ -378,11 +385,12 @@
   response_body_ = nullptr;
   if (progress == ParseProgress::kMalformed) {
     ++GlobalCounters().bodies_truncated;
-    Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.endpoint);
-    const bool has_closed = stream_.ended() || host_broke_off_;
-    LogCutResponse(has_closed ? ResponseCut::kHostClosed : ResponseCut::kHostMalformed);
+    Log(LogLevel::kInfo, "response body truncated: host {} sent an incomplete or malformed body",
+        host_.endpoint);
+    const bool has_closed = stream_.ended() || host_connection_lost_;
+    LogResponseCut(has_closed ? ResponseCut::kHostClosed : ResponseCut::kHostMalformed);
   }
-  response_complete_ = progress == ParseProgress::kDone && !host_broke_off_ &&
+  response_complete_ = progress == ParseProgress::kDone && !host_connection_lost_ &&
                        parser_.message().keep_alive && request_written_ && stream_.input().empty();
   if (IsReusable()) {
     ReturnToPool();
@@ -391,25 +399,25 @@
   }
 }
 
-// Not within the present call: new bytes are reported to the writer, which may be running.
-void UpstreamConnection::ReadOnAfterRound() {
-  if (!stream_.readable() && !host_broke_off_) {
+// Deferred, because new bytes are reported to the body writer, which may be the caller.
+void UpstreamConnection::ResumeReadingAfterRound() {
+  if (!stream_.readable() && !host_connection_lost_) {
     return;
   }
   loop_.RunAfterRound([this, alive = std::weak_ptr(alive_)] {
     if (alive.expired() || stream_.closed()) {
       return;
     }
-    if (host_broke_off_ && response_body_) {
+    if (host_connection_lost_ && response_body_) {
       return response_body_->OnDataAvailable();
     }
     stream_.ResumeReading();
   });
 }
 
-// An endpoint begins its work with the last byte of a request: a success before that is the
-// response to another request, and this one never runs. It may reject before, or respond early to a
-// request that streams.
+// An endpoint executes a request only after its last byte. A success before that is the response to
+// another request, and this request is never executed. Rejections may arrive earlier, and so may
+// responses to streamed requests.
 Outcome UpstreamConnection::OutcomeOf(const BufferedMessage& response) const {
   const Outcome outcome = OutcomeOfResponse(response.message, response.bytes.view());
   const bool is_buffered =
@@ -443,15 +451,16 @@
 
 void UpstreamConnection::OnError() {
   if (response_body_ && !stream_.input().empty()) {
-    // The client had no room yet for what came before the break, which may be the rest of the body.
-    host_broke_off_ = true;
+    // Bytes received before the connection was lost have not been forwarded yet, because the client
+    // reads slowly. They may be the rest of the body.
+    host_connection_lost_ = true;
     loop_.CancelTimer(pause_timer_);
     return response_body_->OnDataAvailable();
   }
   if (response_body_) {
     ++GlobalCounters().bodies_truncated;
-    Log(LogLevel::kInfo, "body cut: {} broke off within an answer", host_.endpoint);
-    LogCutResponse(ResponseCut::kHostClosed);
+    Log(LogLevel::kInfo, "response body truncated: host {} closed the connection", host_.endpoint);
+    LogResponseCut(ResponseCut::kHostClosed);
     return pool_.Close(*this);
   }
   if (!transaction_) {
@@ -466,15 +475,16 @@
       return owner_.OnConnectionUnusable(*this);
     }
   }
-  LogCutResponse(ResponseCut::kHostClosed);
+  LogResponseCut(ResponseCut::kHostClosed);
   if (request_written_) {
     return Finish(Outcome::kReset);
   }
-  // Broken before all was written, it shows no fault of the endpoint.
+  // If the connection breaks before the request is written in full, that is no evidence against the
+  // endpoint.
   Finish(connected ? Outcome::kNotSent : Outcome::kConnectFailed);
 }
 
-// ---- Time limits ----------------------------------------------------------------------------
+// ---- Timeouts -------------------------------------------------------------------------------
 
 void UpstreamConnection::StartDeadlineTimer(Time deadline) {
   loop_.CancelTimer(deadline_timer_);
@@ -486,14 +496,14 @@
 
 void UpstreamConnection::OnDeadline() {
   if (request_written_) {
-    LogCutResponse(ResponseCut::kDeadline);
+    LogResponseCut(ResponseCut::kDeadline);
     return Finish(Outcome::kTimeout);
   }
-  // Nothing was sent: a fault of the endpoint is shown only by a connect that had its full time, or
-  // by a connection that takes no bytes.
-  const bool at_fault = stream_.connected() ||
-                        loop_.Now() - transaction_->started_at >= pool_.options().connect_timeout;
-  Finish(at_fault ? Outcome::kConnectFailed : Outcome::kNotSent);
+  // The request was not sent. This counts against the endpoint only if the connect used its full
+  // timeout, or if an established connection accepted no bytes.
+  const bool endpoint_at_fault = stream_.connected() || loop_.Now() - transaction_->started_at >=
+                                                            pool_.options().connect_timeout;
+  Finish(endpoint_at_fault ? Outcome::kConnectFailed : Outcome::kNotSent);
 }
 
 void UpstreamConnection::StartPauseTimer(Duration limit, std::function<void()> callback) {
@@ -504,33 +514,33 @@
   });
 }
 
-// While a request streams: an endpoint that reads nothing for so long is dead.
+// While a request is streamed: an endpoint that reads nothing for this long is treated as dead.
 void UpstreamConnection::StartUploadPauseTimer() {
   StartPauseTimer(kStreamPauseLimit, [this] {
     if (stream_.flushed()) {
-      return StartUploadPauseTimer();  // it is the client that is slow
+      return StartUploadPauseTimer();  // the client is slow, not the endpoint
     }
     Finish(Outcome::kConnectFailed);
   });
 }
 
-// While a response streams.
+// While a response is streamed.
 void UpstreamConnection::StartDownloadPauseTimer() {
   StartPauseTimer(kStreamPauseLimit, [this] {
     if (!response_body_) {
       return;
     }
     if (!stream_.input().empty()) {
-      return StartDownloadPauseTimer();  // it is the client that is slow
+      return StartDownloadPauseTimer();  // the client is slow, not the endpoint
     }
     ++GlobalCounters().bodies_truncated;
-    Log(LogLevel::kInfo, "body cut: {} says nothing more within an answer", host_.endpoint);
-    LogCutResponse(ResponseCut::kHostPaused);
+    Log(LogLevel::kInfo, "response body truncated: host {} stopped sending data", host_.endpoint);
+    LogResponseCut(ResponseCut::kHostPaused);
     pool_.Close(*this);
   });
 }
 
-// Within a buffered response. Those of a streamed class may pause.
+// While a response is buffered. Responses of a streamed class may pause.
 void UpstreamConnection::StartResponsePauseTimer() {
   loop_.CancelTimer(pause_timer_);
   if (!transaction_->is_probe() && transaction_->request->request_class().is_streamed) {
--- a/src/gateway/upstream_connection.h
+++ b/src/gateway/upstream_connection.h
@@ -1,4 +1,4 @@
-// One connection to an upstream endpoint: writes a request, reads its response.
+// One connection to an upstream endpoint: writes requests and reads their responses.
 #ifndef PADDLESTILE_GATEWAY_UPSTREAM_CONNECTION_H_
 #define PADDLESTILE_GATEWAY_UPSTREAM_CONNECTION_H_
 
@@ -29,19 +29,20 @@
 
 struct UpstreamOptions {
   Duration connect_timeout{0};
-  // After which endpoints close idle connections; the gateway closes them earlier. 0: not known.
+  // Time after which endpoints close idle connections; the gateway closes them earlier. 0: not
+  // known.
   Duration endpoint_idle_timeout{0};
-  std::vector<std::string> report_fields;  // names in a load report
-  bool reports_in_responses = false;       // in the header X-Load-Report
-  bool reports_in_probes = false;          // as the body of a probe's response
+  std::vector<std::string> report_fields;  // names of the fields of a load report
+  bool reports_in_responses = false;       // responses have the header X-Load-Report
+  bool reports_in_probes = false;          // responses to probes have a load report as their body
 };
 
 // An endpoint and its connections. Owned by the pool.
 struct UpstreamHost {
   std::string endpoint;
   Address address;
-  uint64_t address_version = 0;  // raised with each change of the address
-  bool listed = true;            // in the present endpoint list
+  uint64_t address_version = 0;  // incremented with each change of the address
+  bool listed = true;            // whether it is in the current endpoint list
   size_t connection_count = 0;
   std::vector<UpstreamConnection*> idle;  // most recently used last
 };
@@ -49,60 +50,63 @@
 // One attempt of a request, or one probe.
 struct UpstreamTransaction {
   std::shared_ptr<ProxiedRequest> request;  // null: a probe
-  size_t attempt = 0;                       // of the request, from 0
+  size_t attempt = 0;                       // index of the attempt, starting at 0
   std::string endpoint;
   Time started_at{0};
   Time deadline{0};
-  bool response_started = false;  // of a streamed class: the response belongs to the client
+  // For a streamed class: the response is already being passed to the client.
+  bool response_started = false;
   [[nodiscard]] bool is_probe() const { return request == nullptr; }
 };
 
-// Owned by the pool, which frees it after the running handler has returned. One transaction at a
-// time:
+// Owned by the pool, which frees it after the running handler has returned. Handles one transaction
+// at a time:
 //
-//   phase      | what happens                               | left for
+//   phase      | activity                                   | next phase
 //   -----------+--------------------------------------------+------------------------------------
 //   connecting | TCP connect; a transaction waits           | writing
-//   settling   | reused soon after a response; waits        | writing; another connection where
-//              | whether a second response comes            | one came
-//   writing    | head and body are written                  | reading, also before all is written
-//   reading    | the response is parsed                     | idle, or closed: response complete
+//   settling   | reused soon after a response; waits for an | writing; if one arrives, the request
+//              | unexpected second response                 | moves to another connection
+//   writing    | head and body are written                  | reading, possibly before all is sent
+//   reading    | the response is parsed                     | idle or closed: response complete
 //              |                                            | streaming: its body is large
-//   streaming  | the transaction is reported; the body is   | idle, or closed
-//              | passed on piece by piece                   |
+//   streaming  | the transaction has been reported; the     | idle or closed
+//              | body is forwarded piece by piece           |
 //   idle       | in the pool                                | settling, writing, or closed
 //
-// Each transaction ends once, by the owner's OnTransactionFinished or OnStreamedResponse, or moves
-// by OnConnectionUnusable.
+// Each transaction ends exactly once, with the owner's OnTransactionFinished or OnStreamedResponse,
+// unless OnConnectionUnusable moves it to another connection.
 class UpstreamConnection final : public Stream::Listener {
  public:
   class Owner {
    public:
-    // The connection's transaction is over. `response` is to be passed on to the client, or null.
+    // The transaction has ended. `response` is to be forwarded to the client, or null.
     virtual void OnTransactionFinished(UpstreamConnection& connection, Outcome outcome,
                                        std::optional<LoadReport> report,
                                        std::shared_ptr<const BufferedMessage> response) = 0;
-    // The head of a large response has come; its body follows as `response->streaming_body`.
+    // The head of a large response has been received; its body follows as
+    // `response->streaming_body`.
     virtual void OnStreamedResponse(std::unique_ptr<UpstreamTransaction> transaction,
                                     Outcome outcome, std::optional<LoadReport> report,
                                     std::shared_ptr<const BufferedMessage> response) = 0;
-    // The first body byte of a streamed class' response has come.
+    // The first body byte of the response to a request of a streamed class has been received.
     virtual void OnResponseStarted(const UpstreamTransaction& transaction) = 0;
-    // Nothing was sent in full on this connection: its transaction is to go on another one.
+    // The request could not be sent in full on this connection. The owner moves the transaction to
+    // another one.
     virtual void OnConnectionUnusable(UpstreamConnection& connection) = 0;
-    // No file descriptor is left; true where one was freed.
+    // Called when no file descriptor is left; returns true if one was freed.
     virtual bool OnDescriptorsExhausted() = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // What the pool keeps of the connection; only the pool changes it.
+  // The pool's state of the connection; changed by the pool only.
   struct PoolState {
     bool idle = false;
-    Time idle_since{0};                                 // where idle
-    std::list<UpstreamConnection*>::iterator position;  // where idle
-    std::optional<Duration> idle_before_use{};          // nothing: this is the first use
+    Time idle_since{0};                                 // valid if idle
+    std::list<UpstreamConnection*>::iterator position;  // valid if idle
+    std::optional<Duration> idle_before_use{};          // nullopt during the first use
   };
 
   UpstreamConnection(EventLoop& loop, UpstreamConnectionPool& pool, Owner& owner,
@@ -111,23 +115,23 @@
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
   virtual ~UpstreamConnection();
 
-  // Watches the socket while it connects; false where the kernel refuses.
+  // Starts watching the socket, which is connecting. Returns false if it cannot be added to epoll.
   bool Open();
-  // Begins a transaction, on a connection that has none.
+  // Starts a transaction. The connection must not have one.
   void Start(std::unique_ptr<UpstreamTransaction> transaction);
-  // Ends the transaction and its time limits, without a report.
+  // Removes the transaction and cancels its timers, without reporting it.
   std::unique_ptr<UpstreamTransaction> TakeTransaction();
-  // Closes the stream; a body in transit is truncated. For the pool.
+  // Closes the stream and truncates a body in transit. Called by the pool.
   void Shutdown();
 
-  // Whether another request may follow: nothing is half-written or unread, and the endpoint is
-  // still listed with the same address.
+  // Whether the connection may carry another request: no data is partly written or unread, and the
+  // endpoint is still listed with the same address.
   [[nodiscard]] bool IsReusable() const;
-  // Logs who cut the response off; without effect where none has begun, and for probes.
-  void LogCutResponse(ResponseCut cut);
-  // Null where there is none.
+  // Logs why the response ended early. No effect for probes or if no response has started.
+  void LogResponseCut(ResponseCut cut);
+  // The current transaction; null if there is none.
   [[nodiscard]] const UpstreamTransaction* transaction() const { return transaction_.get(); }
-  // Whether the last byte of the request is with the kernel.
+  // Whether the last byte of the request has been passed to the kernel.
   [[nodiscard]] bool request_written() const { return request_written_; }
   [[nodiscard]] Stream& stream() { return stream_; }
   [[nodiscard]] UpstreamHost& host() { return host_; }
@@ -156,12 +160,12 @@
   void StartStreamedResponse();
   ParseProgress ReadBodyPiece(Buffer& piece);
   void OnResponseBodyRead(ParseProgress progress);
-  void ReadOnAfterRound();
+  void ResumeReadingAfterRound();
   [[nodiscard]] Outcome OutcomeOf(const BufferedMessage& response) const;
   [[nodiscard]] std::optional<LoadReport> LoadReportOf(const BufferedMessage& response,
                                                        Outcome outcome) const;
 
-  // Time limits.
+  // Timeouts.
   void StartDeadlineTimer(Time deadline);
   void OnDeadline();
   void StartPauseTimer(Duration limit, std::function<void()> callback);
@@ -174,25 +178,28 @@
   void FinishMalformed(ResponseCut cut);
   void ReturnToPool();
 
-  EventLoop& loop_;  // may outlive pool and owner, as tasks that were put off may
+  // Outlives `pool_` and `owner_`; deferred tasks may run after their destruction.
+  EventLoop& loop_;
   UpstreamConnectionPool& pool_;
   Owner& owner_;
   UpstreamHost& host_;
-  uint64_t address_version_;  // of the host when this connected
+  uint64_t address_version_;  // version of the address to which this connection was opened
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kResponse, kMaxBodyBytes};
   std::unique_ptr<UpstreamTransaction> transaction_;
   EventLoop::TimerId deadline_timer_, connect_timer_, pause_timer_, settle_timer_;
   bool request_written_ = false;
-  bool response_complete_ = false;  // in step with its request: another may follow
-  bool host_broke_off_ = false;     // what came before that is passed on yet
+  // Complete and matched to its request, so that another request may follow.
+  bool response_complete_ = false;
+  // The connection is lost; bytes received earlier are still to be forwarded.
+  bool host_connection_lost_ = false;
   bool first_byte_received_ = false;
-  Time first_byte_at_{0}, last_byte_at_{0};       // of the present response
-  size_t passed_on_bytes_ = 0;                    // of a body that streams
-  std::string streamed_request_id_;               // of a response that streams
-  std::unique_ptr<BodyWriter> request_writer_;    // of a request that streams; else null
-  std::shared_ptr<StreamingBody> response_body_;  // of a response that streams; else null
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for tasks
+  Time first_byte_at_{0}, last_byte_at_{0};       // of the current response
+  size_t forwarded_bytes_ = 0;                    // of a streamed body
+  std::string streamed_request_id_;               // request id of a streamed response
+  std::unique_ptr<BodyWriter> request_writer_;    // writer of a streamed request; else null
+  std::shared_ptr<StreamingBody> response_body_;  // body of a streamed response; else null
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this object
   PoolState pool_state_;
 };
 
--- a/tests/gateway/upload_progress_test.cpp
+++ b/tests/gateway/upload_progress_test.cpp
@@ -12,19 +12,19 @@
 
 constexpr Time kStart = seconds(1000);
 
-TEST(UploadProgressTest, MeasuresTheRateAfterAGraceTime) {
+TEST(UploadProgressTest, ChecksTheRateAfterTheGracePeriod) {
   UploadProgress progress;
   progress.Start(kStart);
   progress.SetReceived(1, kStart + milliseconds(900));
   EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(1)));
-  // 16,000 bytes a second are due.
+  // The minimum rate is 16,000 bytes per second.
   progress.SetReceived(15'999, kStart + seconds(2));
   EXPECT_TRUE(progress.IsTooSlow(kStart + seconds(2)));
   progress.SetReceived(16'000, kStart + seconds(2));
   EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(2)));
 }
 
-TEST(UploadProgressTest, APauseIsTooSlowWhateverCameBefore) {
+TEST(UploadProgressTest, ALongPauseIsTooSlowRegardlessOfTheRate) {
   UploadProgress progress;
   progress.Start(kStart);
   progress.AddReceived(1'000'000, kStart);
@@ -32,11 +32,11 @@
   EXPECT_TRUE(progress.IsTooSlow(kStart + milliseconds(1'001)));
 }
 
-TEST(UploadProgressTest, TimeThatTheGatewayTakesIsExcused) {
+TEST(UploadProgressTest, ExcludesGatewayDelay) {
   UploadProgress progress;
   progress.Start(kStart);
   progress.AddReceived(100, kStart);
-  progress.ExcuseUntil(kStart + seconds(60));
+  progress.ExcludeGatewayDelay(kStart + seconds(60));
   EXPECT_FALSE(progress.IsTooSlow(kStart + seconds(60)));
   EXPECT_TRUE(progress.IsTooSlow(kStart + seconds(62)));
 }
