--- a/src/gateway/upstream_connection_pool.cpp
+++ b/src/gateway/upstream_connection_pool.cpp
@@ -16,13 +16,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Between two checks of the idle connections: a part of their idle time, within limits.
+// Interval between two checks for expired idle connections: a fraction of the maximum idle time,
+// within these limits.
 constexpr int kChecksPerIdleTime = 10;
 constexpr Duration kMinCheckInterval = milliseconds(10);
 constexpr Duration kMaxCheckInterval = seconds(1);
-// Of the endpoints' idle timeout; a request that crosses their close would end as a reset.
-constexpr double kIdleTimeShare = 0.8;
-constexpr Duration kDefaultMaxIdleTime = seconds(10);  // where their timeout is not known
+// Maximum idle time as a share of the endpoints' idle timeout. A request sent while the endpoint
+// closes the connection would end with a reset.
+constexpr double kMaxIdleTimeShare = 0.8;
+constexpr Duration kDefaultMaxIdleTime = seconds(10);  // if the endpoints' timeout is not known
 
 }  // namespace
 
@@ -70,7 +72,7 @@
   MaybeEraseHost(*host);
 }
 
-// Replaced endpoints come with new ids: without this, hosts would pile up.
+// Replaced endpoints get new ids, so hosts that are no longer listed would otherwise accumulate.
 void UpstreamConnectionPool::MaybeEraseHost(const UpstreamHost& host) {
   if (host.listed || host.connection_count > 0) {
     return;
@@ -79,8 +81,8 @@
     if (alive.expired()) {
       return;
     }
-    const UpstreamHost* const present = FindHost(endpoint);
-    if (present != nullptr && !present->listed && present->connection_count == 0) {
+    const UpstreamHost* const current_host = FindHost(endpoint);
+    if (current_host != nullptr && !current_host->listed && current_host->connection_count == 0) {
       hosts_.erase(endpoint);
     }
   });
@@ -90,7 +92,8 @@
 
 UpstreamConnection* UpstreamConnectionPool::TakeIdle(UpstreamHost& host) {
   const Time now = loop_.Now();
-  // The most recently used of those that have settled; else the one that settles first.
+  // Prefers the most recently used settled connection; if none has settled, the one that settles
+  // first.
   auto candidate = std::ranges::find_if(host.idle, [&](UpstreamConnection* connection) {
     return now - connection->pool_state().idle_since < kSettleTime;
   });
@@ -105,21 +108,22 @@
     state.idle = false;
     const Duration idle_time = loop_.Now() - state.idle_since;
     state.idle_before_use = idle_time;
-    // The endpoint may have closed it; the event of that may be waiting behind the present one.
-    const bool is_quiet = connection.stream().IsIdle();
+    // The endpoint may have closed the connection, with that event still queued.
+    const bool is_stream_idle = connection.stream().IsIdle();
     const bool is_too_old =
         reuse_statistics_.IsTooOldToReuse(idle_time, loop_.Now()) || idle_time > MaxIdleTime();
-    if (is_quiet && !is_too_old) {
+    if (is_stream_idle && !is_too_old) {
       return &connection;
     }
-    ++(is_quiet ? GlobalCounters().upstream_idle_closed : GlobalCounters().upstream_idle_lost);
+    ++(is_stream_idle ? GlobalCounters().upstream_idle_closed
+                      : GlobalCounters().upstream_idle_lost);
     Close(connection);
   }
   return nullptr;
 }
 
 UpstreamConnectionPool::OpenResult UpstreamConnectionPool::Open(UpstreamHost& host) {
-  // Half of the descriptors are left to clients, without whom no upstream connection is of use.
+  // Leaves half of the descriptors to clients, without which upstream connections are of no use.
   const bool has_room = connections_.size() < budget_.limit() / 2 || CloseOneIdle();
   bool refused = false;
   std::optional<Socket> socket;
@@ -130,7 +134,7 @@
     socket = Connect(host.address, &budget_, refused);
   }
   if (!socket) {
-    // A lack of descriptors says nothing of the endpoint: nothing was sent.
+    // A lack of descriptors is no evidence against the endpoint; nothing was sent.
     if (!refused) {
       ++GlobalCounters().upstream_no_descriptor;
     }
@@ -175,8 +179,9 @@
   connection.Shutdown();
   --connection.host().connection_count;
   MaybeEraseHost(connection.host());
-  // A handler of this connection may be running: its memory is freed after that has returned.
-  loop_.RunDeferred([kept = std::move(owned->second)] {});
+  // A handler of this connection may be on the stack, so it is freed after the handler has
+  // returned.
+  loop_.RunDeferred([retained = std::move(owned->second)] {});
   connections_.erase(owned);
 }
 
@@ -218,8 +223,8 @@
   if (options_.endpoint_idle_timeout <= Duration(0)) {
     return kDefaultMaxIdleTime;
   }
-  return Duration(
-      std::llround(kIdleTimeShare * static_cast<double>(options_.endpoint_idle_timeout.count())));
+  return Duration(std::llround(kMaxIdleTimeShare *
+                               static_cast<double>(options_.endpoint_idle_timeout.count())));
 }
 
 void UpstreamConnectionPool::CloseExpiredIdle() {
--- a/src/gateway/upstream_connection_pool.h
+++ b/src/gateway/upstream_connection_pool.h
@@ -1,4 +1,5 @@
-// The upstream connections of a gateway, by endpoint: reuse, age, and which close to make room.
+// The upstream connections of a gateway, grouped by endpoint: reuse, expiry, and selection of those
+// to close when descriptors run out.
 #ifndef PADDLESTILE_GATEWAY_UPSTREAM_CONNECTION_POOL_H_
 #define PADDLESTILE_GATEWAY_UPSTREAM_CONNECTION_POOL_H_
 
@@ -19,51 +20,56 @@
 
 namespace paddlestile {
 
-// Owns hosts and connections. A host outlives its listing until its last connection has closed.
+// Owns the hosts and their connections. A host that is no longer listed is kept until its last
+// connection has closed.
 class UpstreamConnectionPool {
  public:
-  // A connection whose last response is younger is preferred last and waits before it is reused.
+  // For this long after its last response, a connection is used only if no other idle connection is
+  // available, and a request on it is delayed until the time has passed.
   static constexpr Duration kSettleTime = std::chrono::milliseconds(10);
 
   struct OpenResult {
-    UpstreamConnection* connection = nullptr;  // owned by the pool; null where it failed
-    Outcome failure = Outcome::kNotSent;       // where it failed
+    UpstreamConnection* connection = nullptr;  // owned by the pool; null on failure
+    Outcome failure = Outcome::kNotSent;       // outcome to report on failure
   };
 
-  // All arguments must outlive the pool; `options` may change.
+  // The references must outlive the pool; `options` may change.
   UpstreamConnectionPool(EventLoop& loop, DescriptorBudget& budget, const UpstreamOptions& options,
                          UpstreamConnection::Owner& owner);
   UpstreamConnectionPool(const UpstreamConnectionPool&) = delete;
   UpstreamConnectionPool& operator=(const UpstreamConnectionPool&) = delete;
-  // Closes all connections without a report.
+  // Closes all connections without reporting their transactions.
   ~UpstreamConnectionPool();
 
   // ---- Hosts.
-  // Null where the endpoint is not known.
+  // Returns the host of an endpoint; null if it is not known.
   UpstreamHost* FindHost(const std::string& endpoint);
-  // The endpoint is listed. A changed address closes its idle connections.
+  // Adds or updates a listed endpoint. If its address changed, its idle connections close.
   void SetAddress(const std::string& endpoint, const Address& address);
-  // The endpoint is no longer listed: its idle connections close, others after their transaction.
+  // Marks an endpoint as no longer listed. Its idle connections close now, the others after their
+  // transaction.
   void Remove(const std::string& endpoint);
-  // Erases a host that is not listed and has no connection, after the running handler.
+  // Erases a host that is not listed and has no connection, after the running handler has returned.
   void MaybeEraseHost(const UpstreamHost& host);
 
   // ---- Connections.
-  // An idle connection of the host that is fit for use, no longer idle; null where there is none.
+  // Returns a usable idle connection of the host, which is no longer idle then; null if there is
+  // none.
   UpstreamConnection* TakeIdle(UpstreamHost& host);
-  // Connects to the host. An idle connection closes for it where descriptors are short.
+  // Opens a connection to the host. Closes an idle connection if no descriptor is available.
   OpenResult Open(UpstreamHost& host);
-  // The connection is free for another transaction.
+  // Marks the connection as idle, ready for another transaction.
   void Release(UpstreamConnection& connection);
   void Close(UpstreamConnection& connection);
-  // Closes the connection without erasing its host, for a transaction that is yet to be moved.
+  // Closes the connection without erasing its host, for a transaction that moves to another
+  // connection.
   UpstreamHost& CloseButKeepHost(UpstreamConnection& connection);
   void CloseIdleOf(UpstreamHost& host);
-  // Closes the connection that has idled longest; false where none idles.
+  // Closes the longest idle connection; returns false if there is none.
   bool CloseOneIdle();
-  // Closes the longest idle ones until `count` are left.
+  // Closes the longest idle connections until at most `count` are left.
   void CloseIdleBeyond(size_t count);
-  // A connection that had idled was used; `failed`: it broke before its response.
+  // Records the reuse of a connection after `idle_time`. `failed`: it broke before its response.
   void RecordReuse(Duration idle_time, bool failed);
 
   [[nodiscard]] const UpstreamOptions& options() const { return options_; }
@@ -73,13 +79,14 @@
 
  private:
   void RemoveFromIdle(UpstreamConnection& connection);
-  // How long a connection may idle before it is closed; shorter than the endpoints' own limit.
+  // Maximum idle time of a connection; shorter than the endpoints' own limit.
   [[nodiscard]] Duration MaxIdleTime() const;
-  // Closes those that reach the limit before the next call; calls itself at intervals.
+  // Closes idle connections that would reach the limit before the next call, and schedules that
+  // call.
   void CloseExpiredIdle();
 
   EventLoop& loop_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for tasks
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this object
   DescriptorBudget& budget_;
   const UpstreamOptions& options_;
   UpstreamConnection::Owner& owner_;
