--- a/src/gateway/upstream_response.cpp
+++ b/src/gateway/upstream_response.cpp
@@ -7,7 +7,7 @@
 namespace paddlestile {
 namespace {
 
-// Nothing where the text is not a finite number in full.
+// Returns nullopt unless the whole text is a finite number.
 std::optional<double> ParseFiniteNumber(std::string_view digits) {
   double number = 0;
   const char* const end = digits.data() + digits.size();
@@ -51,19 +51,19 @@
   return report;
 }
 
-Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view base) {
+Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view buffer) {
   const int status = message.status;
   if (status == 200) {
     return Outcome::kOk;
   }
-  const auto rejected = message.FindHeader(base, "X-Rejected");
+  const auto rejected = message.FindHeader(buffer, "X-Rejected");
   if ((status == 503 || status == 504) && rejected && *rejected == "1") {
     return Outcome::kRejected;
   }
-  // A 4xx blames the request, except those by which an endpoint reports its own state: request
-  // timeout, too early, too many requests.
-  const bool blames_endpoint = status == 408 || status == 425 || status == 429;
-  if (status >= 400 && status < 500 && !blames_endpoint) {
+  // A 4xx status means that the request is invalid, except for those that report the state of the
+  // endpoint: request timeout, too early, too many requests.
+  const bool reports_endpoint_state = status == 408 || status == 425 || status == 429;
+  if (status >= 400 && status < 500 && !reports_endpoint_state) {
     return Outcome::kInvalidResponse;
   }
   return Outcome::kError;
--- a/src/gateway/upstream_response.h
+++ b/src/gateway/upstream_response.h
@@ -1,4 +1,4 @@
-// What the response of an upstream endpoint says of the endpoint. No I/O.
+// Interprets the responses of upstream endpoints: outcome and load report. No I/O.
 #ifndef PADDLESTILE_GATEWAY_UPSTREAM_RESPONSE_H_
 #define PADDLESTILE_GATEWAY_UPSTREAM_RESPONSE_H_
 
@@ -12,14 +12,15 @@
 
 namespace paddlestile {
 
-// Reads a load report: `name=value` pairs separated by commas. The values are in the order of
-// `fields`, other names are ignored. Nothing where a field is missing or not a finite number.
+// Parses a load report of the form `name=value`, with pairs separated by commas. Returns the values
+// in the order of `fields` and ignores other names. Returns nullopt if a field is missing or its
+// value is not a finite number.
 std::optional<LoadReport> ParseLoadReport(std::string_view text,
                                           const std::vector<std::string>& fields);
 
-// The outcome of an attempt by status and headers of its response; `base` is the buffer that
-// `message` refers to.
-Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view base);
+// Returns the outcome of an attempt according to the status and headers of its response. `buffer`
+// is the memory that `message` refers to.
+Outcome OutcomeOfResponse(const HttpMessage& message, std::string_view buffer);
 
 }  // namespace paddlestile
 
