--- a/src/gateway/request_head.cpp
+++ b/src/gateway/request_head.cpp
@@ -13,15 +13,15 @@
 
 std::string RequestHead(const BufferedMessage& request, Duration remaining) {
   const HttpMessage& message = request.message;
-  const std::string_view base = request.bytes.view();
-  const std::string_view method = message.method.In(base);
-  std::string head = fmt::format("{} {} HTTP/1.1\r\n", method, message.target.In(base));
+  const std::string_view buffer = request.bytes.view();
+  const std::string_view method = message.method.In(buffer);
+  std::string head = fmt::format("{} {} HTTP/1.1\r\n", method, message.target.In(buffer));
   for (const auto& [key, value] : message.headers) {
-    const std::string_view name = key.In(base);
+    const std::string_view name = key.In(buffer);
     const bool replaced =
         HeaderNamesEqual(name, "X-Budget-Ms") || HeaderNamesEqual(name, "Content-Length");
-    if (!replaced && !IsHopByHop(message, base, name)) {
-      head += fmt::format("{}: {}\r\n", name, value.In(base));
+    if (!replaced && !IsHopByHop(message, buffer, name)) {
+      head += fmt::format("{}: {}\r\n", name, value.In(buffer));
     }
   }
   head += fmt::format("X-Budget-Ms: {}\r\n", std::max<int64_t>(1, remaining.count() / 1000));
--- a/src/gateway/request_head.h
+++ b/src/gateway/request_head.h
@@ -1,4 +1,4 @@
-// The head of a request as it is written to an upstream endpoint. No I/O.
+// Builds the head of a request to an upstream endpoint. No I/O.
 #ifndef PADDLESTILE_GATEWAY_REQUEST_HEAD_H_
 #define PADDLESTILE_GATEWAY_REQUEST_HEAD_H_
 
@@ -9,9 +9,9 @@
 
 namespace paddlestile {
 
-// Request line and headers, with the empty line that ends them: the client's, without hop-by-hop
-// ones. X-Budget-Ms carries `remaining`, the time to the deadline, in place of the client's value;
-// at least 1 ms.
+// Returns the request line, headers and the empty line that ends them. Headers are copied from the
+// client's request, except hop-by-hop headers. X-Budget-Ms is set to `remaining`, the time to the
+// deadline, but to 1 ms at least. Content-Length or Transfer-Encoding match the body that is sent.
 std::string RequestHead(const BufferedMessage& request, Duration remaining);
 
 }  // namespace paddlestile
--- a/src/gateway/request_listener.h
+++ b/src/gateway/request_listener.h
@@ -1,4 +1,4 @@
-// What the downstream side reports of the requests that it reads, and how it is answered.
+// The interface through which the downstream side reports requests and receives their responses.
 #ifndef PADDLESTILE_GATEWAY_REQUEST_LISTENER_H_
 #define PADDLESTILE_GATEWAY_REQUEST_LISTENER_H_
 
@@ -9,23 +9,25 @@
 
 namespace paddlestile {
 
-// Whether a request was admitted. Either `request` is set, or the client gets `error_status`.
+// The result of admitting a request. Either `request` is set, or the client is sent `error_status`.
 struct AdmissionResult {
   std::shared_ptr<ProxiedRequest> request;
-  int error_status = 0;  // HTTP status; 0 where the request was admitted
-  std::string reason;    // for the log and the response body of an error
+  int error_status = 0;  // HTTP status; 0 if the request was admitted
+  std::string reason;    // error text for the log and the response body
 };
 
 class RequestListener {
  public:
-  // A request has been read: all of it, or its head where the body streams. Where it is admitted,
-  // `reply` is called at most once, later or within this call, unless the request is abandoned.
+  // Called when a request has been read, in full or, if its body is streamed, up to the end of its
+  // head. If the request is admitted, `reply` is called at most once, during this call or later,
+  // unless the request is abandoned.
   virtual AdmissionResult OnRequest(BufferedMessage request,
                                     ProxiedRequest::ResponseCallback reply) = 0;
-  // The client closed its connection, or broke the request off, before its response. The request
-  // is abandoned already.
+  // Called when the client closed its connection or aborted the request before its response. The
+  // request has already been abandoned.
   virtual void OnClientDisconnected(const std::shared_ptr<ProxiedRequest>& request) = 0;
-  // The last byte of a streamed request has been read: its deadline runs from here.
+  // Called when the last byte of a streamed request has been read. Its deadline is measured from
+  // here.
   virtual void OnRequestComplete(const std::shared_ptr<ProxiedRequest>& request) = 0;
 
  protected:
--- a/src/gateway/request_parsing.cpp
+++ b/src/gateway/request_parsing.cpp
@@ -19,7 +19,7 @@
 constexpr uint64_t kMaxBudgetMs = 600'000;
 constexpr double kMaxExpectedWorkMs = 1e9;
 
-ParsedRequest Invalid(int status, std::string reason) {
+ParsedRequest InvalidRequest(int status, std::string reason) {
   return ParsedRequest{{}, status, std::move(reason)};
 }
 
@@ -28,13 +28,13 @@
   return std::ranges::find(kMethods, method) != std::end(kMethods);
 }
 
-// The first header that occurs twice although a decision depends on it: a peer further on could
-// read the other one. Nothing where there is none.
+// Returns the first repeated header on which a decision depends, if any. Such requests are
+// rejected, because another server on the path could use the other value.
 std::optional<std::string_view> FindRepeatedHeader(const HttpMessage& message,
-                                                   std::string_view base) {
+                                                   std::string_view buffer) {
   for (const std::string_view name :
        {"X-Call-Id", "X-Budget-Ms", "X-Caller", "X-Again", "Idempotency-Key"}) {
-    if (message.CountHeader(base, name) > 1) {
+    if (message.CountHeader(buffer, name) > 1) {
       return name;
     }
   }
@@ -86,49 +86,49 @@
 ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names,
                            const Settings& settings, Time now) {
   const HttpMessage& message = request.message;
-  const std::string_view base = request.bytes.view();
-  if (!IsSupportedMethod(message.method.In(base))) {
-    return Invalid(405, "method");
+  const std::string_view buffer = request.bytes.view();
+  if (!IsSupportedMethod(message.method.In(buffer))) {
+    return InvalidRequest(405, "method");
   }
-  if (const auto repeated = FindRepeatedHeader(message, base)) {
-    return Invalid(400, fmt::format("{} twice", *repeated));
+  if (const auto repeated = FindRepeatedHeader(message, buffer)) {
+    return InvalidRequest(400, fmt::format("{} twice", *repeated));
   }
   ParsedRequest result;
   RequestArrived& arrival = result.arrival;
-  const auto id = message.FindHeader(base, "X-Call-Id");
+  const auto id = message.FindHeader(buffer, "X-Call-Id");
   if (!id || !IsValidRequestId(*id)) {
-    return Invalid(400, "X-Call-Id");
+    return InvalidRequest(400, "X-Call-Id");
   }
   arrival.id = *id;
-  const auto budget_ms = ParseWholeNumber(message.FindHeader(base, "X-Budget-Ms").value_or(""));
+  const auto budget_ms = ParseWholeNumber(message.FindHeader(buffer, "X-Budget-Ms").value_or(""));
   if (!budget_ms || *budget_ms == 0 || *budget_ms > kMaxBudgetMs) {
-    return Invalid(400, "X-Budget-Ms");
+    return InvalidRequest(400, "X-Budget-Ms");
   }
   arrival.deadline = now + Duration(static_cast<int64_t>(*budget_ms) * 1000);
-  arrival.request_class = names.classes.Find(FirstPathSegment(message.target.In(base)));
+  arrival.request_class = names.classes.Find(FirstPathSegment(message.target.In(buffer)));
   if (arrival.request_class >= settings.classes.size() ||
       HasExpired(names.classes_expire_at, arrival.request_class, now)) {
-    return Invalid(404, "unknown class");
+    return InvalidRequest(404, "unknown class");
   }
-  // Without its key a repeated request would be executed as new work.
+  // Without a key, endpoints would execute a retried request a second time.
   if (settings.classes[arrival.request_class].idempotency == Idempotency::kKeyed &&
-      message.FindHeader(base, "Idempotency-Key").value_or("").empty()) {
-    return Invalid(400, "Idempotency-Key");
+      message.FindHeader(buffer, "Idempotency-Key").value_or("").empty()) {
+    return InvalidRequest(400, "Idempotency-Key");
   }
   if (names.tenants.size() > 0) {
-    const auto caller = message.FindHeader(base, "X-Caller");
+    const auto caller = message.FindHeader(buffer, "X-Caller");
     if (!caller) {
-      return Invalid(400, "X-Caller");
+      return InvalidRequest(400, "X-Caller");
     }
     arrival.tenant = names.tenants.Find(*caller);
     if (arrival.tenant >= names.tenants.size() ||
         HasExpired(names.tenants_expire_at, arrival.tenant, now)) {
-      return Invalid(403, "unknown X-Caller");
+      return InvalidRequest(403, "unknown X-Caller");
     }
   }
   arrival.is_client_retry =
-      settings.clients_mark_retries && message.FindHeader(base, "X-Again").value_or("") == "1";
-  if (const auto info = message.FindHeader(base, "X-Call-Info")) {
+      settings.clients_mark_retries && message.FindHeader(buffer, "X-Again").value_or("") == "1";
+  if (const auto info = message.FindHeader(buffer, "X-Call-Info")) {
     ParseInfo(*info, arrival);
   }
   return result;
--- a/src/gateway/request_parsing.h
+++ b/src/gateway/request_parsing.h
@@ -1,4 +1,4 @@
-// Reads from a client's HTTP request what the load balancer decides by. No I/O.
+// Extracts from a client's HTTP request the data that the load balancer needs. No I/O.
 #ifndef PADDLESTILE_GATEWAY_REQUEST_PARSING_H_
 #define PADDLESTILE_GATEWAY_REQUEST_PARSING_H_
 
@@ -12,13 +12,14 @@
 namespace paddlestile {
 
 struct ParsedRequest {
-  RequestArrived arrival;  // valid where error_status is 0
-  int error_status = 0;    // HTTP status to reject the request with; 0: valid
-  std::string reason;      // what is wrong, for the log and the response body
+  RequestArrived arrival;  // valid if error_status is 0
+  int error_status = 0;    // HTTP status for rejecting the request; 0 if it is valid
+  std::string reason;      // error text for the log and the response body
 };
 
-// Validates method and headers, and looks class (first path segment) and tenant (X-Caller) up in
-// `names`. The deadline counts from `now`. Keeps no reference to its arguments.
+// Validates the method and headers, and looks up the request class (first path segment) and the
+// tenant (X-Caller) in `names`. The deadline is `now` plus the budget. Keeps no reference to its
+// arguments.
 ParsedRequest ParseRequest(const BufferedMessage& request, const NameTables& names,
                            const Settings& settings, Time now);
 
--- a/src/gateway/response_head.cpp
+++ b/src/gateway/response_head.cpp
@@ -44,28 +44,28 @@
   }
 }
 
-// Headers of an upstream message that end here: the body's framing is written anew, and load
-// reports are for the gateway alone.
-bool IsDroppedFromResponse(const HttpMessage& message, std::string_view base,
+// Headers of an upstream response that are not forwarded: the body framing is generated anew, and
+// load reports are meant for the gateway only.
+bool IsDroppedFromResponse(const HttpMessage& message, std::string_view buffer,
                            std::string_view name) {
-  return IsHopByHop(message, base, name) || HeaderNamesEqual(name, "Content-Length") ||
+  return IsHopByHop(message, buffer, name) || HeaderNamesEqual(name, "Content-Length") ||
          HeaderNamesEqual(name, "X-Load-Report");
 }
 
-std::string PassedOnHeaders(const BufferedMessage& upstream_message) {
+std::string ForwardedHeaders(const BufferedMessage& upstream_message) {
   const HttpMessage& message = upstream_message.message;
-  const std::string_view base = upstream_message.bytes.view();
+  const std::string_view buffer = upstream_message.bytes.view();
   std::string headers;
   for (const auto& [key, value] : message.headers) {
-    const std::string_view name = key.In(base);
-    if (!IsDroppedFromResponse(message, base, name)) {
-      headers += fmt::format("{}: {}\r\n", name, value.In(base));
+    const std::string_view name = key.In(buffer);
+    if (!IsDroppedFromResponse(message, buffer, name)) {
+      headers += fmt::format("{}: {}\r\n", name, value.In(buffer));
     }
   }
   return headers;
 }
 
-// Nothing where the length is known at the end of the body only.
+// Returns nullopt if the length is not known before the end of the body.
 std::optional<uint64_t> BodyLength(const Response& response) {
   if (!response.upstream_message) {
     return response.reason.size();
@@ -81,7 +81,7 @@
   std::string head =
       fmt::format("HTTP/1.1 {} {}\r\n", response.status, ReasonPhrase(response.status));
   if (response.upstream_message) {
-    head += PassedOnHeaders(*response.upstream_message);
+    head += ForwardedHeaders(*response.upstream_message);
   }
   if (response.retry_after > Duration(0)) {
     const double seconds = static_cast<double>(response.retry_after.count()) / 1e6;
--- a/src/gateway/response_head.h
+++ b/src/gateway/response_head.h
@@ -1,4 +1,4 @@
-// The head of a response as it is written to a client. No I/O.
+// Builds the head of a response to a client. No I/O.
 #ifndef PADDLESTILE_GATEWAY_RESPONSE_HEAD_H_
 #define PADDLESTILE_GATEWAY_RESPONSE_HEAD_H_
 
@@ -8,9 +8,10 @@
 
 namespace paddlestile {
 
-// Status line and headers, with the empty line that ends them. An upstream message's headers are
-// passed on, without hop-by-hop ones and without its load report. `keep_alive`: the connection
-// stays open after the response. `to_http10`: the client does not know chunked bodies.
+// Returns the status line, headers and the empty line that ends them. The headers of an upstream
+// message are forwarded, except hop-by-hop headers and its load report. `keep_alive`: the
+// connection stays open after the response. `to_http10`: the client does not support chunked
+// bodies.
 std::string ResponseHead(const Response& response, bool keep_alive, bool to_http10 = false);
 
 }  // namespace paddlestile
