--- a/src/gateway/listed_endpoints.cpp
+++ b/src/gateway/listed_endpoints.cpp
@@ -52,24 +52,24 @@
 }
 
 EndpointUpdate ListedEndpoints::SetExcluded(std::set<std::string> endpoints, bool all) {
-  const std::set<std::string> before = std::exchange(excluded_, std::move(endpoints));
-  const bool all_before = std::exchange(all_excluded_, all);
+  const std::set<std::string> excluded_before = std::exchange(excluded_, std::move(endpoints));
+  const bool all_excluded_before = std::exchange(all_excluded_, all);
   EndpointUpdate update{EndpointUpdateKind::kDelta, {}};
   const auto update_entry = [&](const std::string& id, Entry& entry) {
     const bool excluded = all || excluded_.contains(id);
-    if (excluded != (all_before || before.contains(id))) {
+    if (excluded != (all_excluded_before || excluded_before.contains(id))) {
       update.endpoints.push_back(Exclude(entry, excluded));
     }
   };
-  if (all || all_before) {
+  if (all || all_excluded_before) {
     for (auto& [id, entry] : listed_) {
       update_entry(id, entry);
     }
     return update;
   }
-  // Only those that differ: an endpoint list may be long.
+  // Visits only endpoints whose exclusion differs, because the endpoint list may be long.
   std::vector<std::string> changed;
-  std::ranges::set_symmetric_difference(before, excluded_, std::back_inserter(changed));
+  std::ranges::set_symmetric_difference(excluded_before, excluded_, std::back_inserter(changed));
   for (const std::string& id : changed) {
     if (const auto found = listed_.find(id); found != listed_.end()) {
       update_entry(id, found->second);
--- a/src/gateway/listed_endpoints.h
+++ b/src/gateway/listed_endpoints.h
@@ -1,4 +1,4 @@
-// The endpoints of the present list, and which of them are excluded from new work. No I/O.
+// The endpoints of the current list, and which of them are excluded from new requests. No I/O.
 #ifndef PADDLESTILE_GATEWAY_LISTED_ENDPOINTS_H_
 #define PADDLESTILE_GATEWAY_LISTED_ENDPOINTS_H_
 
@@ -13,36 +13,38 @@
 
 namespace paddlestile {
 
-// An excluded endpoint is passed to the load balancer as draining, whatever the list says of it.
+// An excluded endpoint is reported to the load balancer as draining, regardless of its listed
+// state.
 class ListedEndpoints {
  public:
-  // Whether the endpoint takes no new work: draining, excluded, or not listed.
+  // Whether the endpoint gets no new requests: it is draining, excluded or not listed.
   [[nodiscard]] bool IsUnavailable(const std::string& endpoint) const;
-  // Whether the endpoint started less than `slow_start_duration` before `now`.
+  // Whether the endpoint started less than `slow_start_duration` before `now`. False if its start
+  // time is not known.
   [[nodiscard]] bool IsWarmingUp(const std::string& endpoint, Time now,
                                  Duration slow_start_duration) const;
 
-  // Replaces the excluded endpoints; `all`: every one is. Returns an update of those for which that
-  // is a change.
+  // Replaces the set of excluded endpoints; `all` excludes every endpoint. Returns an update with
+  // the listed endpoints whose exclusion changed.
   EndpointUpdate SetExcluded(std::set<std::string> endpoints, bool all);
 
-  // ---- Applying a list, entry by entry.
-  // The ids that a complete list lacks.
+  // ---- Applying an endpoint list, entry by entry.
+  // Returns the ids of listed endpoints that the complete list `list` lacks.
   [[nodiscard]] std::vector<std::string> MissingFrom(const EndpointList& list) const;
   void Clear() { listed_.clear(); }
   void Remove(const std::string& endpoint) { listed_.erase(endpoint); }
-  // Adds or replaces an entry. Returns it as the load balancer is to know it.
+  // Adds or replaces an entry. Returns it as it should be reported to the load balancer.
   EndpointInfo Set(const EndpointInfo& listed_info);
 
  private:
   struct Entry {
-    bool draining = false;     // by the list, or excluded
-    EndpointInfo listed_info;  // as listed
+    bool draining = false;     // draining according to the list, or excluded
+    EndpointInfo listed_info;  // as in the list, without exclusion
   };
-  // Updates the entry; returns it as the load balancer is to know it.
+  // Updates the entry. Returns it as it should be reported to the load balancer.
   static EndpointInfo Exclude(Entry& entry, bool excluded);
 
-  std::unordered_map<std::string, Entry> listed_;  // by id; without removed ones
+  std::unordered_map<std::string, Entry> listed_;  // by id, without removed endpoints
   std::set<std::string> excluded_;
   bool all_excluded_ = false;
 };
--- a/src/gateway/recent_request_ids.h
+++ b/src/gateway/recent_request_ids.h
@@ -1,4 +1,4 @@
-// The ids of requests that came a short time ago. No I/O, no clock.
+// The ids of recently received requests. No I/O, no clock.
 #ifndef PADDLESTILE_GATEWAY_RECENT_REQUEST_IDS_H_
 #define PADDLESTILE_GATEWAY_RECENT_REQUEST_IDS_H_
 
@@ -12,17 +12,18 @@
 
 namespace paddlestile {
 
-// A request whose id came shortly before is a duplicate of one that may still be at an endpoint,
-// which would reject it.
+// Used to detect duplicates: a request with a recently used id duplicates one that may still be at
+// an endpoint, which would reject the duplicate.
 class RecentRequestIds {
  public:
-  // Whether the id was added within `window` before `now`; forgets older ones.
+  // Whether the id was added within `window` before `now`. Removes older ids.
   bool Contains(const std::string& id, Time now, Duration window) {
     while (!by_time_.empty() && now - by_time_.front().first > window) {
       RemoveOldest();
     }
     return ids_.contains(id);
   }
+  // Adds an id; removes the oldest one if there are more than kMaxIds.
   void Add(const std::string& id, Time now) {
     ids_.insert(id);
     by_time_.emplace_back(now, id);
@@ -40,7 +41,7 @@
   }
 
   std::deque<std::pair<Time, std::string>> by_time_;  // oldest first
-  std::unordered_set<std::string> ids_;               // the same ids
+  std::unordered_set<std::string> ids_;               // the ids in by_time_
 };
 
 }  // namespace paddlestile
--- a/tests/gateway/listed_endpoints_test.cpp
+++ b/tests/gateway/listed_endpoints_test.cpp
@@ -8,16 +8,16 @@
 namespace paddlestile {
 namespace {
 
-EndpointInfo Info(const std::string& id) {
+EndpointInfo MakeInfo(const std::string& id) {
   EndpointInfo info;
   info.id = id;
   return info;
 }
 
-TEST(ListedEndpointsTest, UnlistedDrainingAndExcludedAreUnavailable) {
+TEST(ListedEndpointsTest, UnlistedDrainingAndExcludedEndpointsAreUnavailable) {
   ListedEndpoints endpoints;
-  EXPECT_NE(endpoints.Set(Info("active")).state, EndpointState::kDraining);
-  EndpointInfo draining = Info("draining");
+  EXPECT_NE(endpoints.Set(MakeInfo("active")).state, EndpointState::kDraining);
+  EndpointInfo draining = MakeInfo("draining");
   draining.state = EndpointState::kDraining;
   endpoints.Set(draining);
   EXPECT_FALSE(endpoints.IsUnavailable("active"));
@@ -27,16 +27,17 @@
   EXPECT_TRUE(endpoints.IsUnavailable("active"));
 }
 
-TEST(ListedEndpointsTest, ExclusionUpdatesOnlyWhatChanges) {
+TEST(ListedEndpointsTest, ExclusionUpdatesOnlyChangedEndpoints) {
   ListedEndpoints endpoints;
-  endpoints.Set(Info("a"));
-  endpoints.Set(Info("b"));
+  endpoints.Set(MakeInfo("a"));
+  endpoints.Set(MakeInfo("b"));
   EndpointUpdate update = endpoints.SetExcluded({"a", "unknown"}, false);
   ASSERT_EQ(update.endpoints.size(), 1u);
   EXPECT_EQ(update.endpoints[0].id, "a");
   EXPECT_EQ(update.endpoints[0].state, EndpointState::kDraining);
   EXPECT_TRUE(endpoints.SetExcluded({"a"}, false).endpoints.empty());
-  // All: the other one changes. Back to none: both do, to what the list says.
+  // Excluding all changes the other endpoint. Excluding none changes both back to their listed
+  // state.
   EXPECT_EQ(endpoints.SetExcluded({"a"}, true).endpoints.size(), 1u);
   update = endpoints.SetExcluded({}, false);
   ASSERT_EQ(update.endpoints.size(), 2u);
@@ -47,16 +48,16 @@
 TEST(ListedEndpointsTest, ExclusionAppliesToLaterLists) {
   ListedEndpoints endpoints;
   endpoints.SetExcluded({"a"}, false);
-  EXPECT_EQ(endpoints.Set(Info("a")).state, EndpointState::kDraining);
-  EXPECT_NE(endpoints.Set(Info("b")).state, EndpointState::kDraining);
+  EXPECT_EQ(endpoints.Set(MakeInfo("a")).state, EndpointState::kDraining);
+  EXPECT_NE(endpoints.Set(MakeInfo("b")).state, EndpointState::kDraining);
 }
 
-TEST(ListedEndpointsTest, WarmsUpAfterAKnownStart) {
+TEST(ListedEndpointsTest, WarmsUpOnlyAfterAKnownStartTime) {
   ListedEndpoints endpoints;
-  EndpointInfo info = Info("a");
+  EndpointInfo info = MakeInfo("a");
   info.started_at = std::chrono::seconds(100);
   endpoints.Set(info);
-  endpoints.Set(Info("unknown start"));
+  endpoints.Set(MakeInfo("unknown start"));
   const Duration slow_start = std::chrono::seconds(10);
   EXPECT_TRUE(endpoints.IsWarmingUp("a", std::chrono::seconds(109), slow_start));
   EXPECT_FALSE(endpoints.IsWarmingUp("a", std::chrono::seconds(110), slow_start));
--- a/tests/gateway/recent_request_ids_test.cpp
+++ b/tests/gateway/recent_request_ids_test.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::seconds;
 
-TEST(RecentRequestIdsTest, ForgetsAfterTheWindow) {
+TEST(RecentRequestIdsTest, RemovesIdsAfterTheWindow) {
   RecentRequestIds ids;
   ids.Add("a", seconds(100));
   EXPECT_TRUE(ids.Contains("a", seconds(102), seconds(2)));
@@ -18,7 +18,7 @@
   EXPECT_FALSE(ids.Contains("a", seconds(103), seconds(2)));
 }
 
-TEST(RecentRequestIdsTest, ForgetsTheOldestWhereThereAreTooMany) {
+TEST(RecentRequestIdsTest, RemovesTheOldestIdBeyondTheLimit) {
   RecentRequestIds ids;
   for (int i = 0; i < 8193; ++i) {
     ids.Add(std::to_string(i), seconds(100));
