--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,17 +21,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kDefaultConnectTimeout = seconds(1);  // where the settings name none
-constexpr Duration kDrainAllowance = milliseconds(600);  // beyond the longest deadline
-constexpr Duration kMaxWaitForFirstList = seconds(1);    // before serving without one
-// What a connection waits to be accepted at most: this part of the shortest deadline, so that a
-// client that is refused has time to ask elsewhere.
+constexpr Duration kDefaultConnectTimeout = seconds(1);  // if the settings have none
+constexpr Duration kDrainAllowance = milliseconds(600);  // added to the longest deadline
+constexpr Duration kMaxWaitForFirstList = seconds(1);    // then serves without a list
+// The maximum wait in the accept queue is the shortest deadline divided by this, so that a refused
+// client has time to try another gateway.
 constexpr int kAcceptWaitDivisor = 4;
 constexpr Duration kMaxAcceptWait = seconds(1);
-constexpr size_t kMaxIdleUpstreamAtEnd = 16;  // of a process that ends or was replaced
-constexpr size_t kMaxNameBytes = 64;          // of the gateway's name in counters
+constexpr size_t kMaxIdleUpstreamWhileEnding = 16;  // while draining or replaced
+constexpr size_t kMaxNameBytes = 64;                // of the gateway's name in the counters line
 
-// Resident memory; 0 where the system does not report it.
+// Returns the resident memory; 0 if the system does not report it.
 long ResidentKilobytes() {
   std::ifstream file("/proc/self/statm");
   long total_pages = 0, resident_pages = 0;
@@ -43,7 +43,7 @@
   return std::chrono::duration<double>(time.time_since_epoch()).count();
 }
 
-// The name without spaces and '=', which separate counters.
+// Replaces spaces and '=' in the name, as they are separators in the counters line.
 std::string NameForCounters(const std::string& name) {
   std::string text = name.substr(0, kMaxNameBytes);
   std::ranges::replace_if(
@@ -91,7 +91,7 @@
                                                  self_renewing_watch, this);
   ApplyEndpointList(config_->initial_endpoints, EndpointUpdateKind::kCached);
   discovery_->Start();
-  // Last: clients are accepted once all the rest works.
+  // Created last, so that clients are accepted only when everything else works.
   downstream_ = std::make_unique<Downstream>(loop_, budget_, config_->listen, lifecycle_, this,
                                              std::move(inherited), shared);
   UpdateDeadlines();
@@ -173,28 +173,29 @@
     return;
   }
   paddlestile::ApplyTenantChanges(changes, loop_.Now(), *config_);
-  const bool settings_wait = std::ranges::any_of(
+  const bool settings_queued = std::ranges::any_of(
       events_, [](const Event& event) { return std::holds_alternative<Settings>(event); });
-  if (settings_wait) {
-    return EnqueueSettings();  // as they are now, the changes included
+  if (settings_queued) {
+    return EnqueueSettings();  // the current settings, which include the changes
   }
   TenantQuotaUpdate update;
   for (const auto& [name, quota] : changes) {
-    if (quota) {  // a removed tenant keeps what it had
+    if (quota) {  // a removed tenant keeps its quota until it expires
       update.entries.emplace_back(config_->names.tenants.Find(name), *quota);
     }
   }
   if (update.entries.empty()) {
     return;
   }
-  // Ahead of the other events, behind earlier updates.
+  // Inserted ahead of all other events, but behind earlier updates.
   const auto position = std::ranges::find_if_not(
       events_, [](const Event& event) { return std::holds_alternative<TenantQuotaUpdate>(event); });
   events_.insert(position, std::move(update));
   ScheduleProcessing();
 }
 
-// Earlier settings and updates that wait would otherwise come behind these, and stay in force.
+// Removes queued settings and quota updates: they would be handled after the new settings and
+// override them.
 void Gateway::EnqueueSettings() {
   std::erase_if(events_, [](const Event& event) {
     return std::holds_alternative<Settings>(event) ||
@@ -209,8 +210,8 @@
   if (update.endpoints.empty()) {
     return;
   }
-  // Ahead of all events, so that none is handled without it; and behind them, as an endpoint list
-  // that waits was read before.
+  // Queued twice: first, so that no queued event is handled without the exclusion; and last,
+  // because a queued endpoint list was built before the exclusion.
   if (!events_.empty()) {
     events_.emplace_back(update);
   }
@@ -230,7 +231,7 @@
 }
 
 bool Gateway::ImportLearnedState(const std::string& text) {
-  ProcessEvents();  // the endpoint list, which learned state refers to
+  ProcessEvents();  // applies queued endpoint lists, which the learned state refers to
   const auto learned_state = DecodeLearnedState(text, config_->names, loop_.Now());
   if (learned_state) {
     load_balancer_.ImportLearnedState(loop_.Now(), *learned_state);
@@ -275,8 +276,9 @@
 // ---- Requests -------------------------------------------------------------------------------
 
 std::optional<AdmissionResult> Gateway::CheckAdmission(const std::string& id) {
-  // A second request with the id of one in progress would get the first one's response. Shortly
-  // after, it is a copy that was sent while the first was in progress: endpoints reject it.
+  // A request with the id of one in progress would receive the response of the first one. If the
+  // first has just finished, the second is a duplicate that was sent meanwhile, which endpoints
+  // reject.
   if (requests_.contains(id) || recent_request_ids_.Contains(id, loop_.Now(), longest_deadline_)) {
     return AdmissionResult{nullptr, 409, "X-Call-Id in hand"};
   }
@@ -302,7 +304,7 @@
   ++GlobalCounters().requests_admitted;
   ++unanswered_count_;
   recent_request_ids_.Add(arrival.id, now);
-  // Shares the configuration that it came under.
+  // Keeps the configuration under which the request arrived alive.
   std::shared_ptr<const RequestClass> request_class(
       config_, &config_->settings.classes[arrival.request_class]);
   auto request = std::make_shared<ProxiedRequest>(arrival.id, std::move(message), arrival.deadline,
@@ -348,27 +350,29 @@
                                                         [this, request] { OnOverdue(request); }));
 }
 
-// The load balancer has each request end by its deadline. Should it ever fail to, the client is not
-// left waiting.
+// The load balancer ends each request by its deadline. This is a safeguard: if it ever fails to do
+// so, the client still gets a response.
 void Gateway::OnOverdue(const RequestPtr& request) {
   overdue_timers_.erase(request.get());
   if (request->committed_attempt() ||
       !Respond(*request, {.status = 502}, &Counters::responses_overdue)) {
     return;
   }
-  Log(LogLevel::kError, "no response in time to request {}", request->id());
+  Log(LogLevel::kError, "request {} had no response by its deadline; responded with 502",
+      request->id());
   Enqueue(ClientDisconnected{request->id()});
   MaybeEraseRequest(request);
 }
 
-// One connection for each client, whose next request may need it.
+// Keeps one connection per client, because its next request may need it.
 void Gateway::TrimIdleUpstream() {
-  upstream_->CloseIdleBeyond(std::min(downstream_->connection_count(), kMaxIdleUpstreamAtEnd));
+  upstream_->CloseIdleBeyond(
+      std::min(downstream_->connection_count(), kMaxIdleUpstreamWhileEnding));
 }
 
 bool Gateway::OnDescriptorsExhausted() {
-  // Downstream first: an idle client may never come back, while a new upstream connection costs the
-  // endpoint work.
+  // Closes a downstream connection first: an idle client may never send again, whereas a new
+  // upstream connection costs the endpoint work.
   return (downstream_ && downstream_->CloseOneIdle()) || upstream_->CloseOneIdle();
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
-// One gateway: turns what happens on its connections into events of the load balancer, one after
-// another, and carries the resulting actions out. It takes no decision itself.
+// One gateway: converts network activity into events of the load balancer, which are handled one at
+// a time, and executes the resulting actions. It makes no load-balancing decision itself.
 #ifndef PADDLESTILE_GATEWAY_GATEWAY_H_
 #define PADDLESTILE_GATEWAY_GATEWAY_H_
 
@@ -30,54 +30,58 @@
 
 namespace paddlestile {
 
-// Owns downstream, upstream, discovery client and load balancer. All runs on the event loop's
-// thread. The way of a request: OnRequest, Execute(StartAttempt), OnAttemptFinished, which responds
-// where the attempt succeeded; or Execute(RejectRequest) or Execute(FailRequest).
+// Owns the downstream side, the upstream side, the discovery client and the load balancer.
+// Everything runs on the event loop's thread. A request passes through OnRequest,
+// Execute(StartAttempt) and OnAttemptFinished, which responds if the attempt succeeded. Otherwise
+// it ends in Execute(RejectRequest) or Execute(FailRequest).
 class Gateway final : public Downstream::Listener,
                       public Upstream::Listener,
                       public DiscoveryClient::Listener {
  public:
-  // Listens at once, on `inherited` where it is a listening socket; throws std::system_error, or
-  // std::invalid_argument for invalid settings. A lifecycle that is not ready becomes so with the
-  // first list from discovery, or after a second without one. `shared`: another process may listen
-  // on the address too. `loop` and `lifecycle` must outlive the gateway.
+  // Starts listening, on `inherited` if it is a listening socket. Throws std::system_error, or
+  // std::invalid_argument for invalid settings. If the lifecycle is not ready, it becomes ready
+  // with the first endpoint list from discovery, or after one second without one. `shared`: another
+  // process may listen on the same address. `loop` and `lifecycle` must outlive the gateway.
   Gateway(EventLoop& loop, GatewayConfig config, Lifecycle& lifecycle,
           FileDescriptor inherited = FileDescriptor(), bool shared = false);
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
   virtual ~Gateway();
 
-  // Ends the lifecycle: serves what still comes for a while, then calls `done`.
+  // Moves the lifecycle to kEnding. Still serves requests that arrive for a while, then calls
+  // `done`.
   void Drain(std::function<void()> done);
 
   // The configuration in force. Only ApplyConfig and ApplyTenantChanges change it.
   [[nodiscard]] const GatewayConfig& config() const { return *config_; }
-  // Puts a configuration in force for all that comes from now on: settings, and the address of
-  // discovery. It must come from ReloadGatewayConfig for the present one. Throws
-  // std::invalid_argument, and changes nothing, where the settings are invalid.
+  // Applies a configuration, including settings and the address of discovery, to everything that
+  // follows. It must come from ReloadGatewayConfig for the current configuration. Throws
+  // std::invalid_argument, without any change, if the settings are invalid.
   void ApplyConfig(GatewayConfig config);
-  // The same for tenants alone; nothing else is read or copied.
+  // Applies changes of tenants only, without copying or re-reading the rest of the configuration.
   void ApplyTenantChanges(const std::vector<TenantChange>& changes);
 
-  // Replaces the set of hosts that take no new work, whatever the endpoint lists say; `all`: every
-  // one. Their learned state stays. In force before the next event.
+  // Replaces the set of hosts that get no new requests, regardless of the endpoint lists. `all`:
+  // excludes every host. Excluded hosts keep their learned state. Takes effect before the next
+  // event.
   void ExcludeHosts(std::set<std::string> hosts, bool all = false);
-  // Runs `callback` once, before the first event that is handled at `time` or later. Replaces an
-  // earlier one; null: none.
+  // Runs `callback` once, before the first event that is handled at or after `time`. Replaces a
+  // previous callback; null removes it.
   void RunBeforeEventsFrom(Time time, std::function<void()> callback);
 
-  // The learned state as text, for another process; empty where it is too long.
+  // Returns the learned state as text for another process; empty if it is too long.
   [[nodiscard]] std::string ExportLearnedState() const;
-  // Imports what another process exported. False, without effect, where it is malformed.
+  // Imports the learned state that another process exported. Returns false, without any change, if
+  // it is malformed.
   bool ImportLearnedState(const std::string& text);
 
-  // Counters and present state, on one line.
+  // Describes counters and current state on one line.
   [[nodiscard]] std::string DescribeState() const;
 
   [[nodiscard]] const Address& address() const { return downstream_->address(); }
   [[nodiscard]] Downstream& downstream() { return *downstream_; }
   [[nodiscard]] DescriptorBudget& budget() { return budget_; }
-  // Requests that have no response yet, or attempts in flight.
+  // Number of requests without a response or with attempts in flight.
   [[nodiscard]] size_t request_count() const { return requests_.size(); }
   [[nodiscard]] const Statistics& stats() const { return load_balancer_.statistics(); }
 
@@ -90,7 +94,7 @@
   void OnClientDisconnected(const RequestPtr& request) override;
   void OnRequestComplete(const RequestPtr& request) override;
   void TrimIdleUpstream() override;
-  // Of Upstream::Listener too.
+  // Also of Upstream::Listener.
   bool OnDescriptorsExhausted() override;
   // Upstream::Listener.
   void OnAttemptFinished(const RequestPtr& request, size_t attempt, const std::string& endpoint,
@@ -105,29 +109,30 @@
   void OnDiscoveryFailed() override;
 
   void OnLifecycleChanged();
-  // What follows from the classes' deadlines.
+  // Updates what is derived from the deadlines of the request classes.
   void UpdateDeadlines();
   void ApplyEndpointList(EndpointList list, EndpointUpdateKind kind);
 
   // ---- Requests.
-  // Status and reason of an error where the request is not admitted.
+  // Returns an error status and reason if the request is not admitted, else nullopt.
   [[nodiscard]] std::optional<AdmissionResult> CheckAdmission(const std::string& id);
   RequestPtr FindRequest(const std::string& id);
-  // Sends the response and counts it; false where the request is done.
+  // Sends the response and increments `counter`; returns false if the request is already done.
   bool Respond(ProxiedRequest& request, const Response& response, uint64_t Counters::*counter);
-  // Responds by the attempt's outcome where that ends the request.
+  // Responds if the outcome of the attempt ends the request.
   void RespondToOutcome(ProxiedRequest& request, size_t attempt, Outcome outcome,
                         const std::shared_ptr<const BufferedMessage>& response);
   void EnqueueAttemptFinished(const RequestPtr& request, AttemptFinished event);
   void StartOverdueTimer(const RequestPtr& request);
   void OnOverdue(const RequestPtr& request);
-  // Erases the request after the present events where it is done and has no attempt in flight.
+  // Schedules the request for erasure after the current events if it is done and has no attempt in
+  // flight.
   void MaybeEraseRequest(const RequestPtr& request);
   void EraseRequest(const RequestPtr& request);
 
   // ---- Events and actions of the load balancer.
   void Enqueue(Event event);
-  // Replaces settings that wait; ahead of all events that do.
+  // Queues the current settings ahead of all other events and drops queued ones.
   void EnqueueSettings();
   void ScheduleProcessing();
   void ProcessEvents();
@@ -146,23 +151,23 @@
 
   EventLoop& loop_;
   const std::chrono::system_clock::time_point started_at_ = std::chrono::system_clock::now();
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for tasks
-  std::shared_ptr<GatewayConfig> config_;  // requests share the one that they came under
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this object
+  std::shared_ptr<GatewayConfig> config_;  // shared by the requests that arrived under it
   Lifecycle& lifecycle_;
   EventLoop::TimerId ready_timer_;
   DescriptorBudget budget_;
   LoadBalancer load_balancer_;
   std::unordered_map<std::string, RequestPtr> requests_;  // by id
-  std::vector<RequestPtr> finished_requests_;             // to be erased after the events
+  std::vector<RequestPtr> finished_requests_;             // to be erased after the current events
   std::unordered_map<const ProxiedRequest*, EventLoop::TimerId> overdue_timers_;
   size_t unanswered_count_ = 0;   // requests without a response
-  Duration longest_deadline_{0};  // of any class
+  Duration longest_deadline_{0};  // of all request classes
   RecentRequestIds recent_request_ids_;
   std::deque<Event> events_;        // not yet handled
-  bool processing_events_ = false;  // or scheduled
-  std::vector<Action> actions_;     // of the present event
+  bool processing_events_ = false;  // events are being processed or scheduled for it
+  std::vector<Action> actions_;     // of the current event
   Time callback_time_ = Time::max();
-  std::function<void()> callback_before_events_;  // from callback_time_ on
+  std::function<void()> callback_before_events_;  // due at callback_time_
   ListedEndpoints listed_endpoints_;
   std::unique_ptr<Upstream> upstream_;
   std::unique_ptr<DiscoveryClient> discovery_;
--- a/src/gateway/gateway_actions.cpp
+++ b/src/gateway/gateway_actions.cpp
@@ -1,4 +1,5 @@
-// The gateway's side of the load balancer: queue of events, actions, attempts and probes.
+// The part of Gateway that interacts with the load balancer: event queue, actions, attempts and
+// probes.
 #include <algorithm>
 #include <exception>
 #include <utility>
@@ -57,7 +58,8 @@
   if (std::exchange(processing_events_, true)) {
     return;
   }
-  // After the running handler: actions must not be carried out within it.
+  // Deferred until the running handler has returned, because actions must not be executed inside
+  // it.
   loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
       ProcessEvents();
@@ -77,7 +79,7 @@
     try {
       load_balancer_.Handle(loop_.Now(), event, actions_);
     } catch (const std::exception& error) {
-      // The actions decided until then are still carried out.
+      // Actions that were emitted before the exception are still executed.
       ++GlobalCounters().load_balancer_exceptions;
       Log(LogLevel::kError, "load balancer: {}", error.what());
     }
@@ -86,14 +88,14 @@
     }
   }
   processing_events_ = false;
-  // Only now: an event that waited may still have had an action for one of them.
+  // Erased only now, because a queued event may still have produced an action for one of them.
   for (const RequestPtr& request : finished_requests_) {
     EraseRequest(request);
   }
   finished_requests_.clear();
 }
 
-// ---- Reports of the upstream side -----------------------------------------------------------
+// ---- Upstream::Listener ---------------------------------------------------------------------
 
 void Gateway::OnAttemptFinished(const RequestPtr& request, size_t attempt,
                                 const std::string& endpoint, Outcome outcome, Duration elapsed,
@@ -107,8 +109,9 @@
   if (request->done()) {
     return EnqueueAttemptFinished(request, std::move(event));
   }
-  // A retry may follow. The client may have left while the loop was busy, and the event of that be
-  // behind this one, or not in this round: what has come by now is read first.
+  // A retry may follow. The client may have disconnected while the loop was busy, and that event
+  // may be queued behind this one or not have been polled yet. Therefore all pending input is read
+  // before the event is queued.
   loop_.RunAfterRound(
       [this, request, event = std::move(event), alive = std::weak_ptr(alive_)]() mutable {
         if (alive.expired()) {
@@ -128,12 +131,13 @@
     Respond(request, {.status = 200, .upstream_message = response}, &Counters::responses_served);
     return;
   }
-  // An endpoint that blames the request is believed: others would respond alike.
+  // If an endpoint rejects the request as invalid, its response is forwarded, because other
+  // endpoints would respond the same way.
   if (outcome == Outcome::kInvalidResponse && response) {
     Respond(request, {.status = response->message.status, .upstream_message = response},
             &Counters::responses_failed);
   }
-  // A streamed response that breaks off after it began ends its request.
+  // If a response of a streamed class breaks off after it has started, the request ends.
   if (request.committed_attempt() == attempt) {
     Respond(request, {.status = 502}, &Counters::responses_failed);
   }
@@ -166,7 +170,7 @@
   ++GlobalCounters().attempts_started;
   const RequestPtr request = FindRequest(action.id);
   if (!request) {
-    // It ended before the action: nothing is sent.
+    // The request ended before the action was executed, so nothing is sent.
     CountOutcome(Outcome::kNotSent);
     return Enqueue(
         AttemptFinished{action.id, 0, action.endpoint, Outcome::kNotSent, Duration(0), true, {}});
