--- a/tests/gateway/test_peers.h
+++ b/tests/gateway/test_peers.h
@@ -1,5 +1,6 @@
-// Peers for the tests of src/gateway: plain sockets on loopback that a test reads and writes by
-// hand, and a loop that runs until something holds. Nothing here answers by itself.
+// Network peers for the tests of src/gateway: plain loopback sockets that a test reads and writes
+// explicitly, and helpers that run the event loop until a condition holds. Nothing here responds on
+// its own.
 #ifndef PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
 #define PADDLESTILE_TESTS_GATEWAY_TEST_PEERS_H_
 
@@ -27,11 +28,11 @@
 
 using paddlestile::testing::Ms;
 
-// Runs the loop until `holds`, for five seconds at most.
-inline bool RunUntil(EventLoop& loop, const std::function<bool()>& holds,
-                     Duration at_most = Ms(5000)) {
-  const Time end = loop.Now() + at_most;
-  while (!holds()) {
+// Runs the loop until `condition` holds; returns false if `timeout` passes first.
+inline bool RunUntil(EventLoop& loop, const std::function<bool()>& condition,
+                     Duration timeout = Ms(5000)) {
+  const Time end = loop.Now() + timeout;
+  while (!condition()) {
     if (loop.Now() > end) {
       return false;
     }
@@ -39,16 +40,17 @@
   }
   return true;
 }
-inline void RunFor(EventLoop& loop, Duration time) {
+// Runs the loop for `duration`.
+inline void RunFor(EventLoop& loop, Duration duration) {
   RunUntil(
-      loop, [] { return false; }, time);
+      loop, [] { return false; }, duration);
 }
 
 inline void MakeNonBlocking(int fd) {
   fcntl(fd, F_SETFL, fcntl(fd, F_GETFL) | O_NONBLOCK);
 }
 
-// The far end of a connection.
+// The remote end of a connection to the code under test. Non-blocking.
 class Peer {
  public:
   Peer() = default;
@@ -66,6 +68,7 @@
     return Peer(std::move(fd));
   }
 
+  // Sends `text`, or as much of it as the socket buffer takes.
   void Send(std::string_view text) {
     while (!text.empty()) {
       const ssize_t n = send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL);
@@ -75,7 +78,7 @@
       text.remove_prefix(static_cast<size_t>(n));
     }
   }
-  // All that has come so far.
+  // Reads what has arrived. Returns everything received since the last ClearReceived.
   const std::string& Received() {
     char bytes[4096];
     while (fd_ && !ended_) {
@@ -94,20 +97,23 @@
     }
     return received_;
   }
+  // Whether `text` has been received.
   bool Has(std::string_view text) { return Received().find(text) != std::string::npos; }
+  // Whether the other side has closed or reset the connection.
   bool Ended() {
     Received();
     return ended_;
   }
+  // Reads and discards what has arrived.
   void ClearReceived() {
     Received();
     received_.clear();
   }
   void Close() { fd_.Reset(); }
-  // A close that the other side sees as a reset.
+  // Closes the connection so that the other side sees a reset.
   void Reset() {
-    const linger now{1, 0};
-    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    const linger reset_on_close{1, 0};
+    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
     fd_.Reset();
   }
   void ShutdownWrite() { shutdown(fd_.get(), SHUT_WR); }
@@ -119,7 +125,7 @@
   bool ended_ = false;
 };
 
-// A listening socket on loopback whose connections the test takes one by one.
+// A listening socket on loopback whose connections the test accepts explicitly.
 class Port {
  public:
   explicit Port(int backlog = 64) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -136,11 +142,12 @@
   [[nodiscard]] const Address& address() const { return address_; }
   [[nodiscard]] std::string text() const { return ToText(address_); }
 
-  // The next connection, or none yet.
+  // Accepts the next pending connection; returns an empty Peer if there is none.
   Peer TryAccept() {
     FileDescriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
     return fd ? Peer(std::move(fd)) : Peer();
   }
+  // Runs the loop until a connection is pending, and accepts it.
   Peer Accept(EventLoop& loop) {
     Peer peer;
     EXPECT_TRUE(RunUntil(loop, [&] { return static_cast<bool>(peer = TryAccept()); }));
@@ -153,7 +160,7 @@
   Address address_;
 };
 
-// A host whose connections never come up: its backlog is full, and the kernel drops what comes.
+// A host to which no connection is established: its backlog is full, so the kernel drops SYNs.
 class UnreachableHost {
  public:
   explicit UnreachableHost(EventLoop& loop) {
@@ -164,14 +171,15 @@
       address.sin_port = htons(port_.address().port);
       address.sin_addr.s_addr = htonl(port_.address().host);
       (void)connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof(address));
-      filling_.emplace_back(std::move(fd));
+      backlog_connections_.emplace_back(std::move(fd));
     }
     RunFor(loop, Ms(10));
   }
   [[nodiscard]] const Address& address() const { return port_.address(); }
-  // From now on what comes is let in: what was dropped comes again a second after its first try.
-  void StartAccepting() { filling_.clear(); }
-  // The next that was let in, but for those that filled the backlog.
+  // Accepts connections from now on. A client retransmits a dropped SYN one second after its first
+  // attempt.
+  void StartAccepting() { backlog_connections_.clear(); }
+  // Accepts the next pending connection, except for those that filled the backlog.
   Peer TryAccept() {
     Peer peer = port_.TryAccept();
     while (peer && peer.Ended()) {
@@ -182,10 +190,10 @@
 
  private:
   Port port_{0};
-  std::vector<Peer> filling_;
+  std::vector<Peer> backlog_connections_;
 };
 
-// Two ends of one connection, the first on a loop.
+// A connected socket pair. The first end is non-blocking, for use on an event loop.
 inline std::pair<FileDescriptor, Peer> Pair() {
   int fds[2] = {-1, -1};
   EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, fds), 0);
@@ -193,6 +201,7 @@
   return {FileDescriptor(fds[0]), Peer(FileDescriptor(fds[1]))};
 }
 
+// A 200 response with the given body and additional header lines.
 inline std::string Http200(std::string_view body, std::string_view headers = "") {
   return "HTTP/1.1 200 OK\r\n" + std::string(headers) +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + std::string(body);
