--- a/tests/gateway/upstream_test.cpp
+++ b/tests/gateway/upstream_test.cpp
@@ -19,7 +19,7 @@
 using testing::RunUntil;
 using testing::UnreachableHost;
 
-BufferedMessage MakeRequest(const std::string& text) {
+BufferedMessage ParseRequestText(const std::string& text) {
   BufferedMessage message;
   HttpParser parser(HttpParser::Kind::kRequest);
   message.bytes.Append(text);
@@ -51,7 +51,7 @@
                         response ? std::string(response->body()) : std::string()});
     if (response && response->streaming_body) {
       streaming_body = response->streaming_body;
-      streaming_body->SetDataCallback([] {});  // the test reads by hand
+      streaming_body->SetDataCallback([] {});  // the test reads the body itself
     }
   }
   void OnResponseStarted(const std::shared_ptr<ProxiedRequest>&, size_t, const std::string&,
@@ -76,30 +76,35 @@
     options.reports_in_probes = true;
     return options;
   }
-  std::shared_ptr<ProxiedRequest> Request(const std::string& id = "id1", Duration time = Ms(2000)) {
-    return std::make_shared<ProxiedRequest>(id, MakeRequest(kPost), loop.Now() + time,
+  std::shared_ptr<ProxiedRequest> MakeProxiedRequest(const std::string& id = "id1",
+                                                     Duration time = Ms(2000)) {
+    return std::make_shared<ProxiedRequest>(id, ParseRequestText(kPost), loop.Now() + time,
                                             request_class, [](const Response&) {});
   }
-  std::shared_ptr<ProxiedRequest> Send(const std::string& id = "id1", Duration time = Ms(2000)) {
-    auto request = Request(id, time);
+  // Starts an attempt of a new request on host h1.
+  std::shared_ptr<ProxiedRequest> StartNewAttempt(const std::string& id = "id1",
+                                                  Duration time = Ms(2000)) {
+    auto request = MakeProxiedRequest(id, time);
     upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
     return request;
   }
-  // The host's side of the next connection, with the request read.
-  Peer Host() {
+  // Accepts the next connection to the host and waits until it has received the request.
+  Peer AcceptHost() {
     Peer host = port.Accept(loop);
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
     return host;
   }
+  // Runs the loop until `count` attempts have finished.
   bool HasFinished(size_t count) {
     return RunUntil(loop, [&] { return finished.size() >= count; });
   }
-  // Until a connection that has just had a response may be reused.
+  // Waits until a connection that has just received a response may be reused.
   void WaitUntilSettled() { testing::RunFor(loop, Ms(25)); }
-  // A connection that has had a response to a first request and may be reused.
+  // Sends a first request and responds to it. Returns the host's side of its connection, which may
+  // be reused.
   Peer ReusableConnection() {
-    Send("first");
-    Peer host = Host();
+    StartNewAttempt("first");
+    Peer host = AcceptHost();
     host.Send(Http200("1"));
     EXPECT_TRUE(HasFinished(1));
     host.ClearReceived();
@@ -107,18 +112,20 @@
     WaitUntilSettled();
     return host;
   }
-  // A request that no socket buffer takes at once.
-  std::shared_ptr<ProxiedRequest> LargeRequest(const std::string& id, Duration time = Ms(2000)) {
+  // Returns a request that does not fit into the socket buffers.
+  std::shared_ptr<ProxiedRequest> MakeLargeRequest(const std::string& id,
+                                                   Duration time = Ms(2000)) {
     const std::string head = "POST /book HTTP/1.1\r\nX-Call-Id: big\r\n\r\n";
     BufferedMessage request;
     request.bytes.Append(head + std::string(16 << 20, 'x'));
-    request.message = MakeRequest(head).message;
+    request.message = ParseRequestText(head).message;
     request.message.body = {head.size(), 16 << 20};
     return std::make_shared<ProxiedRequest>(id, std::move(request), loop.Now() + time,
                                             request_class, [](const Response&) {});
   }
-  // The bytes that a host receives until the gateway closes: a measure of the bodies sent in full.
-  static size_t AllOf(EventLoop& loop, Peer& host) {
+  // Waits until the gateway closes the connection. Returns the number of bytes that the host
+  // received, which shows whether the body was sent in full.
+  static size_t BytesUntilClose(EventLoop& loop, Peer& host) {
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
     return host.Received().size();
   }
@@ -129,28 +136,28 @@
       std::make_shared<RequestClass>(paddlestile::testing::MakeClass(Idempotency::kKeyed));
   testing::Port port;
   std::vector<FinishedAttempt> finished;
-  std::shared_ptr<StreamingBody> streaming_body;  // of the last response that streams
+  std::shared_ptr<StreamingBody> streaming_body;  // of the last streamed response
   std::vector<std::pair<Outcome, std::optional<LoadReport>>> probes;
   int responses_started = 0;
   std::unique_ptr<Upstream> upstream;
 };
 
-TEST_F(UpstreamTest, SendsTheRequestUnchangedButForItsBudget) {
+TEST_F(UpstreamTest, SendsTheRequestUnchangedExceptForItsBudget) {
   MakeUpstream(DefaultOptions());
-  Send();
-  Peer host = Host();
+  StartNewAttempt();
+  Peer host = AcceptHost();
   const std::string& text = host.Received();
   EXPECT_EQ(text.substr(0, 27), "POST /book/1?a=b HTTP/1.1\r\n");
   EXPECT_NE(text.find("X-Call-Id: id1\r\n"), std::string::npos);
   EXPECT_NE(text.find("Idempotency-Key: k\r\n"), std::string::npos);
   EXPECT_NE(text.find("Content-Length: 4\r\n"), std::string::npos);
   EXPECT_EQ(text.find("X-Budget-Ms: 900"), std::string::npos);
-  EXPECT_NE(text.find("X-Budget-Ms: 1"), std::string::npos);  // what is left of 2000
+  EXPECT_NE(text.find("X-Budget-Ms: 1"), std::string::npos);  // what remains of 2000
   EXPECT_EQ(text.find("X-Hop"), std::string::npos);
   EXPECT_EQ(text.substr(text.size() - 8), "\r\n\r\nbody");
 }
 
-TEST_F(UpstreamTest, EachResponseHasItsOutcome) {
+TEST_F(UpstreamTest, MapsResponsesToOutcomes) {
   MakeUpstream(DefaultOptions());
   const std::pair<std::string, Outcome> cases[] = {
       {Http200("yes"), Outcome::kOk},
@@ -178,47 +185,47 @@
       {"ICY 200 OK\r\nContent-Length: 3\r\n\r\nyes", Outcome::kInvalidResponse},
       {"garbage\r\n\r\n", Outcome::kInvalidResponse},
   };
-  for (const auto& [answer, outcome] : cases) {
+  for (const auto& [response_text, outcome] : cases) {
     finished.clear();
-    Send();
-    Peer host = Host();
-    host.Send(answer);
-    ASSERT_TRUE(HasFinished(1)) << answer;
-    EXPECT_EQ(finished[0].outcome, outcome) << answer;
-    EXPECT_EQ(finished[0].body, outcome == Outcome::kOk ? "yes" : "") << answer;
+    StartNewAttempt();
+    Peer host = AcceptHost();
+    host.Send(response_text);
+    ASSERT_TRUE(HasFinished(1)) << response_text;
+    EXPECT_EQ(finished[0].outcome, outcome) << response_text;
+    EXPECT_EQ(finished[0].body, outcome == Outcome::kOk ? "yes" : "") << response_text;
     while (upstream->CloseOneIdle()) {
     }
   }
 }
 
-// To wait for the end of a response that pauses would cost the time of the next attempt.
+// Waiting for the end of a response that pauses would use up the time for the next attempt.
 TEST_F(UpstreamTest, ResponseThatPausesForTooLongIsInvalid) {
   MakeUpstream(DefaultOptions());
   for (const char* const part :
        {"HTTP/1.1 200 OK\r\nContent-Le", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes"}) {
     finished.clear();
-    Send("id1", Ms(4000));
-    Peer host = Host();
-    testing::RunFor(loop, Ms(800));  // until the first byte it has all its time
+    StartNewAttempt("id1", Ms(4000));
+    Peer host = AcceptHost();
+    testing::RunFor(loop, Ms(800));  // the pause limit does not apply before the first byte
     EXPECT_TRUE(finished.empty());
-    const Time began = loop.Now();
+    const Time started_at = loop.Now();
     host.Send(part);
     ASSERT_TRUE(HasFinished(1));
     EXPECT_EQ(finished[0].outcome, Outcome::kInvalidResponse);
-    EXPECT_LT(loop.Now() - began, Ms(1500));
+    EXPECT_LT(loop.Now() - started_at, Ms(1500));
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   }
 }
 
-// A response truncated anywhere is a reset, and nothing of it is passed on.
+// A response that is truncated at any point counts as a reset, and nothing of it is forwarded.
 TEST_F(UpstreamTest, TruncatedResponseIsAReset) {
   MakeUpstream(DefaultOptions());
-  const std::string answer = Http200("hello", "X-A: b\r\n");
-  for (size_t size = 0; size < answer.size(); ++size) {
+  const std::string response_text = Http200("hello", "X-A: b\r\n");
+  for (size_t size = 0; size < response_text.size(); ++size) {
     finished.clear();
-    Send();
-    Peer host = Host();
-    host.Send(answer.substr(0, size));
+    StartNewAttempt();
+    Peer host = AcceptHost();
+    host.Send(response_text.substr(0, size));
     if (size % 2 == 0) {
       host.Close();
     } else {
@@ -230,10 +237,10 @@
   }
 }
 
-TEST_F(UpstreamTest, ResponseAByteAtATimeIsComplete) {
+TEST_F(UpstreamTest, ResponseSentByteByByteIsComplete) {
   MakeUpstream(DefaultOptions());
-  Send();
-  Peer host = Host();
+  StartNewAttempt();
+  Peer host = AcceptHost();
   for (const char c : Http200("hello")) {
     EXPECT_TRUE(finished.empty());
     host.Send(std::string(1, c));
@@ -243,11 +250,11 @@
   EXPECT_EQ(finished[0].body, "hello");
 }
 
-// The last bytes and the close may come together.
-TEST_F(UpstreamTest, CompleteResponseCountsWhereTheHostClosesAtOnce) {
+// The last bytes and the close may arrive together.
+TEST_F(UpstreamTest, CompleteResponseCountsIfTheHostClosesAtOnce) {
   MakeUpstream(DefaultOptions());
-  Send();
-  Peer host = Host();
+  StartNewAttempt();
+  Peer host = AcceptHost();
   host.Send(Http200("hello"));
   host.Close();
   ASSERT_TRUE(HasFinished(1));
@@ -258,7 +265,7 @@
 TEST_F(UpstreamTest, RefusedConnectionIsConnectFailed) {
   MakeUpstream(DefaultOptions());
   port.Close();
-  Send();
+  StartNewAttempt();
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
 }
@@ -267,39 +274,39 @@
   MakeUpstream(DefaultOptions());
   const UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
-  const Time begun = loop.Now();
-  Send();
+  const Time started_at = loop.Now();
+  StartNewAttempt();
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
-  EXPECT_GE(loop.Now() - begun, Ms(100));
-  EXPECT_LT(loop.Now() - begun, Ms(1000));
+  EXPECT_GE(loop.Now() - started_at, Ms(100));
+  EXPECT_LT(loop.Now() - started_at, Ms(1000));
 }
 
-// The deadline came before the connect timeout: no evidence against the host.
+// The deadline passes before the connect timeout, so this is no evidence against the host.
 TEST_F(UpstreamTest, DeadlineWhileConnectingIsNotSent) {
   MakeUpstream(DefaultOptions());
   const UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
-  Send("id1", Ms(40));
+  StartNewAttempt("id1", Ms(40));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
 }
 
-TEST_F(UpstreamTest, SilenceEndsAtTheDeadlineAndClosesTheConnection) {
+TEST_F(UpstreamTest, SilentHostTimesOutAndTheConnectionCloses) {
   MakeUpstream(DefaultOptions());
-  const Time begun = loop.Now();
-  Send("id1", Ms(60));
-  Peer host = Host();
+  const Time started_at = loop.Now();
+  StartNewAttempt("id1", Ms(60));
+  Peer host = AcceptHost();
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kTimeout);
-  EXPECT_GE(loop.Now() - begun, Ms(60));
+  EXPECT_GE(loop.Now() - started_at, Ms(60));
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
 }
 
 TEST_F(UpstreamTest, AttemptWithoutTimeOrHostIsNotSent) {
   MakeUpstream(DefaultOptions());
-  Send("id1", Ms(0));
-  auto request = Request("id2");
+  StartNewAttempt("id1", Ms(0));
+  auto request = MakeProxiedRequest("id2");
   upstream->StartAttempt(request, request->BeginAttempt(), "nobody", request->deadline());
   ASSERT_EQ(finished.size(), 2u);
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
@@ -307,13 +314,13 @@
   EXPECT_EQ(upstream->connection_count(), 0u);
 }
 
-// Hosts accept few connections, and a thousand gateways open some to each of them.
+// Hosts accept few connections, while a thousand gateways open some to each of them.
 TEST_F(UpstreamTest, ClosesIdleConnectionsOfAHostAndKeepsBusyOnes) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer first = Host();
-  Send("id2");
-  Peer second = Host();
+  StartNewAttempt("id1");
+  Peer first = AcceptHost();
+  StartNewAttempt("id2");
+  Peer second = AcceptHost();
   first.Send(testing::Http200("ok"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(upstream->idle_count(), 1u);
@@ -326,10 +333,10 @@
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
 }
 
-TEST_F(UpstreamTest, CancelClosesAndIsTheOnlyOutcome) {
+TEST_F(UpstreamTest, CancelClosesTheConnectionAndIsTheOnlyOutcome) {
   MakeUpstream(DefaultOptions());
-  const auto request = Send();
-  Peer host = Host();
+  const auto request = StartNewAttempt();
+  Peer host = AcceptHost();
   upstream->CancelAttempt(*request, 0);
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
@@ -340,15 +347,15 @@
   EXPECT_EQ(finished.size(), 1u);
 }
 
-// Where the settings allow hedged attempts: each attempt has its outcome, and the first 200 is the
-// only response.
+// If the settings allow hedged attempts, each attempt has its own outcome, and only the first 200
+// becomes the response.
 TEST_F(UpstreamTest, TwoAttemptsOfOneRequestEndIndependently) {
   MakeUpstream(DefaultOptions());
   testing::Port other;
   upstream->SetEndpointAddress("h2", other.address());
-  const auto request = Send();
+  const auto request = StartNewAttempt();
   upstream->StartAttempt(request, request->BeginAttempt(), "h2", request->deadline());
-  Peer one = Host();
+  Peer one = AcceptHost();
   Peer two = other.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return two.Has("body"); }));
   two.Send(Http200("second"));
@@ -364,12 +371,12 @@
 
 TEST_F(UpstreamTest, KeepsAConnectionForTheNextRequest) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   host.ClearReceived();
-  Send("id2");
+  StartNewAttempt("id2");
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   host.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(2));
@@ -379,42 +386,42 @@
 
 TEST_F(UpstreamTest, OneRequestAtATimeOnAConnection) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Send("id2");
-  Peer one = Host(), two = Host();
+  StartNewAttempt("id1");
+  StartNewAttempt("id2");
+  Peer one = AcceptHost(), two = AcceptHost();
   EXPECT_EQ(upstream->connection_count(), 2u);
 }
 
-// The close has reached the kernel but not yet the event loop: a write would end as a reset.
+// The close has reached the kernel but not yet the event loop. A write would end in a reset.
 TEST_F(UpstreamTest, ClosedConnectionIsNotReused) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   ASSERT_EQ(upstream->idle_count(), 1u);
   host.Close();
-  Send("id2");  // before the loop has run
-  Peer next = Host();
+  StartNewAttempt("id2");  // before the loop has run
+  Peer next = AcceptHost();
   next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
 }
 
-TEST_F(UpstreamTest, BytesOnAnIdleConnectionCloseIt) {
+TEST_F(UpstreamTest, UnsolicitedBytesCloseAnIdleConnection) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   host.Send(Http200("nobody asked"));
   EXPECT_TRUE(RunUntil(loop, [&] { return upstream->connection_count() == 0; }));
 }
 
-TEST_F(UpstreamTest, BytesBehindAResponseCloseTheConnection) {
+TEST_F(UpstreamTest, BytesAfterAResponseCloseTheConnection) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1") + "more");
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
@@ -425,8 +432,8 @@
   Upstream::Options options = DefaultOptions();
   options.endpoint_idle_timeout = Ms(2500);
   MakeUpstream(options);
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   const Time since = loop.Now();
@@ -434,28 +441,28 @@
   EXPECT_LT(loop.Now() - since, Ms(2500));
 }
 
-TEST_F(UpstreamTest, ChangedAddressMeansNewConnections) {
+TEST_F(UpstreamTest, ChangedAddressUsesNewConnections) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Send("id2");
-  Peer one = Host(), two = Host();
+  StartNewAttempt("id1");
+  StartNewAttempt("id2");
+  Peer one = AcceptHost(), two = AcceptHost();
   one.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
-  testing::Port moved;
-  upstream->SetEndpointAddress("h1", moved.address());
+  testing::Port new_port;
+  upstream->SetEndpointAddress("h1", new_port.address());
   EXPECT_TRUE(RunUntil(loop, [&] { return one.Ended(); }));  // it was idle
-  two.Send(Http200("2"));  // what was out goes on, but is not kept
+  two.Send(Http200("2"));  // its transaction continues, but the connection is not kept
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].outcome, Outcome::kOk);
   EXPECT_EQ(upstream->idle_count(), 0u);
-  Send("id3");
-  EXPECT_TRUE(moved.Accept(loop));
+  StartNewAttempt("id3");
+  EXPECT_TRUE(new_port.Accept(loop));
 }
 
 TEST_F(UpstreamTest, RemovedHostIsErasedAfterItsTransactions) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   upstream->RemoveEndpoint("h1");
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
@@ -467,11 +474,11 @@
 
 TEST_F(UpstreamTest, RequestNotWrittenInFullIsNotSent) {
   MakeUpstream(DefaultOptions());
-  // A body that no socket buffer takes at once, to a host that reads nothing.
+  // A body that does not fit into the socket buffers, to a host that reads nothing.
   std::string head = "POST /book HTTP/1.1\r\nX-Call-Id: big\r\n\r\n";
   BufferedMessage message;
   message.bytes.Append(head + std::string(16 << 20, 'x'));
-  message.message = MakeRequest(head).message;
+  message.message = ParseRequestText(head).message;
   message.message.body = {head.size(), 16 << 20};
   auto request = std::make_shared<ProxiedRequest>("big", std::move(message), loop.Now() + Ms(300),
                                                   request_class, [](const Response&) {});
@@ -480,27 +487,27 @@
   testing::RunFor(loop, Ms(50));
   host.Reset();
   ASSERT_TRUE(HasFinished(1));
-  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);  // which shows no host at fault
+  EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);  // no evidence against the host
 }
 
-// Another host has the address of a removed one: no connection of the old one serves it.
+// Another host gets the address of a removed one. No connection of the old host serves it.
 TEST_F(UpstreamTest, NewEndpointAtAnOldAddressHasItsOwnConnections) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   upstream->RemoveEndpoint("h1");
   upstream->SetEndpointAddress("h2", port.address());
-  const auto request = Request("id2");
+  const auto request = MakeProxiedRequest("id2");
   upstream->StartAttempt(request, request->BeginAttempt(), "h2", request->deadline());
-  Peer next = Host();
+  Peer next = AcceptHost();
   EXPECT_TRUE(next.Has("body"));
   EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
 }
 
-// Hosts are replaced all day: nothing may remain of removed ones.
-TEST_F(UpstreamTest, RemovedHostsLeaveNothing) {
+// Hosts are replaced continuously, so removed ones must not accumulate.
+TEST_F(UpstreamTest, RemovedHostsDoNotAccumulate) {
   MakeUpstream(DefaultOptions());
   for (int i = 0; i < 5000; ++i) {
     upstream->SetEndpointAddress("n" + std::to_string(i), port.address());
@@ -513,12 +520,12 @@
   EXPECT_EQ(upstream->host_count(), 1u);
 }
 
-// A reused connection that breaks before the response says nothing of the host: the request moves
-// to another connection.
-TEST_F(UpstreamTest, RequestThatAReusedConnectionDidNotTakeMoves) {
+// A reused connection that breaks before the response is no evidence against the host, so the
+// request moves to another connection.
+TEST_F(UpstreamTest, RequestNotTakenByAReusedConnectionMoves) {
   MakeUpstream(DefaultOptions());
   Peer host = ReusableConnection();
-  const auto request = LargeRequest("big");
+  const auto request = MakeLargeRequest("big");
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
   host.Reset();
@@ -531,18 +538,19 @@
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// A network element forgets idle connections: those of an idle time that breaks are not reused.
-TEST_F(UpstreamTest, ConnectionsOfAnIdleTimeThatBreaksAreNotReused) {
+// A network element drops the state of idle connections. Connections with an idle time at which
+// others broke are not reused.
+TEST_F(UpstreamTest, IdleTimesAtWhichConnectionsBreakAreNotReused) {
   MakeUpstream(DefaultOptions());
   const auto idle_then_send = [&](Peer& host) {
-    Send();
-    host = Host();
+    StartNewAttempt();
+    host = AcceptHost();
     host.Send(Http200("1"));
     ASSERT_TRUE(HasFinished(1));
     host.ClearReceived();
     testing::RunFor(loop, Ms(80));
     finished.clear();
-    Send();
+    StartNewAttempt();
   };
   Peer next;
   int broken = 0;
@@ -556,7 +564,7 @@
       ASSERT_TRUE(HasFinished(1));
       EXPECT_EQ(finished[0].outcome, Outcome::kReset);
     } else {
-      next = Host();
+      next = AcceptHost();
       next.Send(Http200("2"));
       ASSERT_TRUE(HasFinished(1));
       EXPECT_EQ(finished[0].outcome, Outcome::kOk);
@@ -565,9 +573,9 @@
   }
   EXPECT_GE(broken, 5);
   EXPECT_LT(broken, 10);
-  // One that has hardly idled is still reused.
+  // A connection that was idle for a short time only is still reused.
   next.ClearReceived();
-  Send();
+  StartNewAttempt();
   EXPECT_TRUE(RunUntil(loop, [&] { return next.Has("body"); }));
 }
 
@@ -604,7 +612,7 @@
   EXPECT_EQ(probes[0].first, Outcome::kTimeout);
 }
 
-TEST_F(UpstreamTest, ReadsReportsInResponsesWhereTheSettingsSaySo) {
+TEST_F(UpstreamTest, ReadsReportsInResponsesIfEnabled) {
   Upstream::Options options = DefaultOptions();
   options.reports_in_responses = true;
   MakeUpstream(options);
@@ -616,8 +624,8 @@
       {"X-Load-Report: inflight\r\n", std::nullopt},
       {"X-Load-Report:\r\n", std::nullopt},
       {"", std::nullopt}};
-  Send();
-  Peer host = Host();
+  StartNewAttempt();
+  Peer host = AcceptHost();
   for (const auto& [header, report] : cases) {
     finished.clear();
     host.Send(Http200("ok", header));
@@ -625,46 +633,46 @@
     EXPECT_EQ(finished[0].outcome, Outcome::kOk) << header;
     EXPECT_EQ(finished[0].report, report) << header;
     host.ClearReceived();
-    Send();
+    StartNewAttempt();
     ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   }
 }
 
-TEST_F(UpstreamTest, IgnoresReportsInResponsesElsewhere) {
+TEST_F(UpstreamTest, IgnoresReportsInResponsesByDefault) {
   MakeUpstream(DefaultOptions());
-  Send();
-  Peer host = Host();
+  StartNewAttempt();
+  Peer host = AcceptHost();
   host.Send(Http200("ok", "X-Load-Report: inflight=3,latency_ms=9\r\n"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_FALSE(finished[0].report);
 }
 
-// A streamed response belongs to its client once begun: no deadline ends it.
+// Once a streamed response has started, no deadline ends it.
 TEST_F(UpstreamTest, StreamedResponseOutlivesTheDeadline) {
   request_class->is_streamed = true;
   MakeUpstream(DefaultOptions());
-  const auto request = Send("id1", Ms(60));
-  Peer host = Host();
+  const auto request = StartNewAttempt("id1", Ms(60));
+  Peer host = AcceptHost();
   host.Send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
   ASSERT_TRUE(RunUntil(loop, [&] { return responses_started == 1; }));
   testing::RunFor(loop, Ms(100));
   EXPECT_TRUE(finished.empty());
-  upstream->CancelAttempt(*request, 0);  // is not called off
+  upstream->CancelAttempt(*request, 0);  // has no effect
   EXPECT_TRUE(finished.empty());
   host.Send("en");
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].body, "been");
 }
 
-// What had come before a reset was thrown away where the client had no room for it yet, also where
-// it was the rest of the body.
-TEST_F(UpstreamTest, ABodyThatHadComeInFullIsPassedOnAfterAReset) {
+// Bytes received before a reset were discarded if the client was not ready to read them, even if
+// they were the rest of the body.
+TEST_F(UpstreamTest, FullyReceivedBodyIsForwardedAfterAReset) {
   MakeUpstream(DefaultOptions());
   constexpr size_t kBodyBytes = 90'000;
   constexpr size_t kRestBytes = 20'000;
   for (const size_t missing_bytes : {0, 1}) {
-    Send("id" + std::to_string(missing_bytes));
-    Peer host = Host();
+    StartNewAttempt("id" + std::to_string(missing_bytes));
+    Peer host = AcceptHost();
     host.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBodyBytes) + "\r\n\r\n");
     host.Send(std::string(kBodyBytes - kRestBytes, 'a'));
     ASSERT_TRUE(RunUntil(loop, [&] { return streaming_body != nullptr; }));
@@ -694,11 +702,11 @@
   }
 }
 
-TEST_F(UpstreamTest, StreamedResponseEndsWithItsClient) {
+TEST_F(UpstreamTest, StreamedResponseEndsWhenItsClientDisconnects) {
   request_class->is_streamed = true;
   MakeUpstream(DefaultOptions());
-  const auto request = Send();
-  Peer host = Host();
+  const auto request = StartNewAttempt();
+  Peer host = AcceptHost();
   host.Send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbe");
   ASSERT_TRUE(RunUntil(loop, [&] { return responses_started == 1; }));
   upstream->OnClientDisconnected(*request);
@@ -706,9 +714,10 @@
   EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
 }
 
-// A lack of descriptors says nothing of the host, and idle connections make room first.
-TEST_F(UpstreamTest, WithoutDescriptorsNothingIsSent) {
-  DescriptorBudget small(DescriptorBudget::kReserve + 40);  // 40 in all, 20 for hosts
+// A lack of descriptors is no evidence against the host, and idle connections are closed first.
+TEST_F(UpstreamTest, NothingIsSentWithoutDescriptors) {
+  DescriptorBudget small(DescriptorBudget::kReserve +
+                         40);  // 40 in total, 20 for upstream connections
   upstream = std::make_unique<Upstream>(loop, small, DefaultOptions(), this);
   upstream->SetEndpointAddress("h1", port.address());
   testing::Port other;
@@ -717,13 +726,13 @@
   Peer probed = other.Accept(loop);
   probed.Send(Http200("inflight=1,latency_ms=1"));
   ASSERT_TRUE(RunUntil(loop, [&] { return upstream->idle_count() == 1; }));
-  std::vector<std::shared_ptr<ProxiedRequest>> message;
+  std::vector<std::shared_ptr<ProxiedRequest>> requests;
   for (int i = 0; i < 20; ++i) {
-    message.push_back(Send("id" + std::to_string(i)));
+    requests.push_back(StartNewAttempt("id" + std::to_string(i)));
   }
   EXPECT_TRUE(finished.empty());
   EXPECT_EQ(upstream->idle_count(), 0u);
-  message.push_back(Send("one more"));
+  requests.push_back(StartNewAttempt("one more"));
   ASSERT_EQ(finished.size(), 1u);
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   upstream.reset();
@@ -731,14 +740,15 @@
 
 // ---- Races (docs/crossings.md) ---------------------------------------------------------------
 
-// A connection that came up late carried the request of a client that had left long before.
-TEST_F(UpstreamTest, ConnectingAttemptEndsWithItsClient) {
+// A connection that was established late carried the request of a client that had disconnected long
+// before.
+TEST_F(UpstreamTest, ConnectingAttemptEndsWhenItsClientDisconnects) {
   Upstream::Options options = DefaultOptions();
   options.connect_timeout = Ms(3000);
   MakeUpstream(options);
   UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
-  const auto request = Send("id1", Ms(4000));
+  const auto request = StartNewAttempt("id1", Ms(4000));
   testing::RunFor(loop, Ms(50));
   request->Abandon();
   upstream->OnClientDisconnected(*request);
@@ -752,10 +762,11 @@
   EXPECT_EQ(upstream->connection_count(), 0u);
 }
 
-// During the write: the host is left with a part, which never runs.
-TEST_F(UpstreamTest, HalfWrittenRequestEndsWithItsClient) {
+// The client disconnects during the write. The host is left with a part of the request, which it
+// never executes.
+TEST_F(UpstreamTest, PartlyWrittenRequestEndsWhenItsClientDisconnects) {
   MakeUpstream(DefaultOptions());
-  const auto request = LargeRequest("big");
+  const auto request = MakeLargeRequest("big");
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   Peer host = port.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("X-Call-Id: big"); }));
@@ -763,14 +774,15 @@
   upstream->OnClientDisconnected(*request);
   ASSERT_EQ(finished.size(), 1u);
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
-  EXPECT_LT(AllOf(loop, host), 16U << 20);
+  EXPECT_LT(BytesUntilClose(loop, host), 16U << 20);
 }
 
-// A request written in full may run: its outcome is waited for although the client has left.
-TEST_F(UpstreamTest, ResponseToAWrittenRequestIsWaitedFor) {
+// A request that was written in full may be executed, so its outcome is awaited although the client
+// has disconnected.
+TEST_F(UpstreamTest, ResponseToAWrittenRequestIsAwaited) {
   MakeUpstream(DefaultOptions());
-  const auto request = Send();
-  Peer host = Host();
+  const auto request = StartNewAttempt();
+  Peer host = AcceptHost();
   request->Abandon();
   upstream->OnClientDisconnected(*request);
   EXPECT_TRUE(finished.empty());
@@ -779,11 +791,11 @@
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// Between two reused connections: the first breaks when the request is already done.
-TEST_F(UpstreamTest, FinishedRequestMovesToNoOtherConnection) {
+// The reused connection breaks when the request is already done.
+TEST_F(UpstreamTest, FinishedRequestDoesNotMoveToAnotherConnection) {
   MakeUpstream(DefaultOptions());
   Peer host = ReusableConnection();
-  const auto request = LargeRequest("big");
+  const auto request = MakeLargeRequest("big");
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
   request->Respond({.status = 502});
@@ -794,26 +806,28 @@
   EXPECT_FALSE(static_cast<bool>(port.TryAccept()));
 }
 
-// The connection is up and the deadline past when the event loop runs: nothing may be written.
-TEST_F(UpstreamTest, ConnectionEstablishedAtTheDeadlineCarriesNothing) {
+// The connection is established and the deadline has passed when the event loop runs. Nothing may
+// be written.
+TEST_F(UpstreamTest, NothingIsWrittenOnAConnectionEstablishedAtTheDeadline) {
   MakeUpstream(DefaultOptions());
-  const auto request = Send("id1", Ms(40));
+  const auto request = StartNewAttempt("id1", Ms(40));
   Peer host;
   while (!host) {
-    host = port.TryAccept();  // up for the kernel, not yet for the loop
+    host = port.TryAccept();  // established in the kernel, not yet reported to the loop
   }
   usleep(60'000);
   loop.RunOnce(Duration(0));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
-  EXPECT_EQ(AllOf(loop, host), 0u);
+  EXPECT_EQ(BytesUntilClose(loop, host), 0u);
 }
 
-// Deadline against the last byte of the response: what had come by then is the one outcome.
-TEST_F(UpstreamTest, ResponseInTimeIsServedThoughTheLoopReadsItLater) {
+// Race between the deadline and the last byte of the response: what had arrived by the deadline
+// determines the outcome.
+TEST_F(UpstreamTest, ResponseReceivedInTimeButReadLateIsServed) {
   MakeUpstream(DefaultOptions());
-  Send("id1", Ms(60));
-  Peer host = Host();
+  StartNewAttempt("id1", Ms(60));
+  Peer host = AcceptHost();
   host.Send(Http200("yes"));
   usleep(80'000);
   testing::RunFor(loop, Ms(50));
@@ -821,32 +835,33 @@
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// Cancel against response: one outcome, and no other request gets the response.
+// Race between cancellation and response: there is one outcome, and no other request gets the
+// response.
 TEST_F(UpstreamTest, CancelBeforeTheResponseIsReadIsTheOnlyOutcome) {
   MakeUpstream(DefaultOptions());
-  const auto request = Send();
-  Peer host = Host();
+  const auto request = StartNewAttempt();
+  Peer host = AcceptHost();
   host.Send(Http200("late"));
   usleep(5000);
   upstream->CancelAttempt(*request, 0);
-  Send("id2");
-  Peer next = Host();
+  StartNewAttempt("id2");
+  Peer next = AcceptHost();
   next.Send(Http200("own"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[0].outcome, Outcome::kCancelled);
   EXPECT_EQ(finished[1].body, "own");
 }
 
-// A response that drips without end is held to the deadline of the request.
+// A response that keeps trickling is subject to the deadline of the request.
 TEST_F(UpstreamTest, EndlessResponseTimesOut) {
   MakeUpstream(DefaultOptions());
   for (const char* const head :
        {"HTTP/1.1 200 OK\r\nX-Pad: ", "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n"}) {
     finished.clear();
-    const Time began = loop.Now();
-    Send("id1", Ms(600));
-    Peer host = Host();
+    const Time started_at = loop.Now();
+    StartNewAttempt("id1", Ms(600));
+    Peer host = AcceptHost();
     host.Send(head);
     for (int i = 0; i < 30 && finished.empty(); ++i) {
       host.Send("x");
@@ -854,32 +869,32 @@
     }
     ASSERT_EQ(finished.size(), 1u) << head;
     EXPECT_EQ(finished[0].outcome, Outcome::kTimeout) << head;
-    EXPECT_LT(loop.Now() - began, Ms(900)) << head;
+    EXPECT_LT(loop.Now() - started_at, Ms(900)) << head;
     EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));
   }
 }
 
-// A keyed retry was started within the deduplication window, less a connect timeout; written later,
-// it could arrive when the hosts have forgotten its key.
+// A keyed retry starts within the deduplication window less a connect timeout. If it were written
+// later, it could arrive after the hosts have forgotten its key.
 TEST_F(UpstreamTest, KeyedRetryIsWrittenWithinTheConnectTimeout) {
   MakeUpstream(DefaultOptions());
   for (const size_t attempt : {0, 1}) {
     finished.clear();
-    const auto request = LargeRequest("big", Ms(700));
-    const Time began = loop.Now();
+    const auto request = MakeLargeRequest("big", Ms(700));
+    const Time started_at = loop.Now();
     upstream->StartAttempt(request, attempt, "h1", request->deadline());
     Peer host = port.Accept(loop);
     ASSERT_TRUE(HasFinished(1));
     EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
-    const Duration took = loop.Now() - began;
-    EXPECT_TRUE(attempt == 0 ? took >= Ms(690) : took < Ms(400)) << took.count();
-    EXPECT_LT(AllOf(loop, host), 16U << 20);
+    const Duration elapsed = loop.Now() - started_at;
+    EXPECT_TRUE(attempt == 0 ? elapsed >= Ms(690) : elapsed < Ms(400)) << elapsed.count();
+    EXPECT_LT(BytesUntilClose(loop, host), 16U << 20);
   }
-  // One that is written in time has its whole deadline.
+  // A retry that is written in time has its full deadline.
   finished.clear();
-  const auto request = Request();
+  const auto request = MakeProxiedRequest();
   upstream->StartAttempt(request, 1, "h1", request->deadline());
-  Peer host = Host();
+  Peer host = AcceptHost();
   testing::RunFor(loop, Ms(300));
   EXPECT_TRUE(finished.empty());
   host.Send(Http200("yes"));
@@ -887,50 +902,51 @@
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// A failed connect of a keyed retry counts against its host as any other does.
-TEST_F(UpstreamTest, KeyedRetryWhoseConnectTimesOutBlamesItsHost) {
+// A failed connect of a keyed retry counts against its host like any other.
+TEST_F(UpstreamTest, ConnectTimeoutOfAKeyedRetryCountsAgainstItsHost) {
   MakeUpstream(DefaultOptions());
   const UnreachableHost host(loop);
   upstream->SetEndpointAddress("h1", host.address());
-  const auto request = Request();
+  const auto request = MakeProxiedRequest();
   upstream->StartAttempt(request, 1, "h1", request->deadline());
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kConnectFailed);
 }
 
-// A host that responds twice, the second time some milliseconds late: on a connection reused by
-// then the second response would be passed on for the next request.
-TEST_F(UpstreamTest, SecondResponseIsNotTakenForAnotherRequests) {
+// A host responds twice, the second time some milliseconds late. On a connection that is already in
+// use again, the second response would be forwarded for the next request.
+TEST_F(UpstreamTest, SecondResponseIsNotUsedForTheNextRequest) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
-  Send("id2");
+  StartNewAttempt("id2");
   testing::RunFor(loop, Ms(5));
   host.Send(Http200("1"));
-  Peer next = Host();
+  Peer next = AcceptHost();
   next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(2));
   EXPECT_EQ(finished[1].body, "2");
-  EXPECT_TRUE(RunUntil(loop, [&] { return host.Ended(); }));  // out of step
+  EXPECT_TRUE(RunUntil(
+      loop, [&] { return host.Ended(); }));  // responses can no longer be matched to requests
   EXPECT_FALSE(host.Has("POST /book/1?a=b HTTP/1.1\r\nHost: service\r\nX-Call-Id: id2"));
 }
 
-// The request waits until the connection has settled, rather than open another; its client leaves
-// meanwhile, or stays.
-TEST_F(UpstreamTest, AttemptOnASettlingConnectionEndsWithItsClient) {
+// The request waits until the connection has settled instead of opening another one. Meanwhile its
+// client disconnects, or does not.
+TEST_F(UpstreamTest, AttemptOnASettlingConnectionEndsWhenItsClientDisconnects) {
   MakeUpstream(DefaultOptions());
-  Send("id1");
-  Peer host = Host();
+  StartNewAttempt("id1");
+  Peer host = AcceptHost();
   for (const bool leaves : {true, false}) {
     finished.clear();
     host.Send(Http200("1"));
     ASSERT_TRUE(HasFinished(1));
     host.ClearReceived();
     finished.clear();
-    const Time began = loop.Now();
-    const auto request = Send("id2");
+    const Time started_at = loop.Now();
+    const auto request = StartNewAttempt("id2");
     testing::RunFor(loop, Ms(3));
     if (leaves) {
       request->Abandon();
@@ -939,31 +955,32 @@
       EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
       testing::RunFor(loop, Ms(30));
       EXPECT_EQ(host.Received(), "");
-      Send("id1");  // on another, the first of which nobody knows what it got
-      host = Host();
+      StartNewAttempt("id1");  // on a new connection, as the state of the first one is unknown
+      host = AcceptHost();
       continue;
     }
     ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
-    EXPECT_GE(loop.Now() - began, Ms(9));
+    EXPECT_GE(loop.Now() - started_at, Ms(9));
     EXPECT_EQ(upstream->connection_count(), 1u);
   }
 }
 
-// A response before the last byte of the request is written is not the response to it.
+// A success that arrives before the last byte of the request is written is not the response to this
+// request.
 TEST_F(UpstreamTest, SuccessBeforeTheLastByteIsWrittenIsNotSent) {
   MakeUpstream(DefaultOptions());
   Peer host = ReusableConnection();
-  const auto request = LargeRequest("big");
+  const auto request = MakeLargeRequest("big");
   upstream->StartAttempt(request, request->BeginAttempt(), "h1", request->deadline());
   testing::RunFor(loop, Ms(30));
   host.Send(Http200("1"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kNotSent);
   EXPECT_EQ(finished[0].body, "");
-  EXPECT_LT(AllOf(loop, host), 16U << 20);
-  // A rejection may come as early.
+  EXPECT_LT(BytesUntilClose(loop, host), 16U << 20);
+  // A rejection may arrive this early.
   finished.clear();
-  const auto other = LargeRequest("big");
+  const auto other = MakeLargeRequest("big");
   upstream->StartAttempt(other, other->BeginAttempt(), "h1", other->deadline());
   Peer full = port.Accept(loop);
   full.Send("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
@@ -971,8 +988,8 @@
   EXPECT_EQ(finished[0].outcome, Outcome::kRejected);
 }
 
-// New settings with a shorter idle limit: a connection that has idled longer is not reused before
-// it closes.
+// New settings shorten the idle limit. A connection that has been idle for longer is not reused,
+// even before it is closed.
 TEST_F(UpstreamTest, ConnectionIdlePastAChangedLimitIsNotReused) {
   MakeUpstream(DefaultOptions());
   Peer host = ReusableConnection();
@@ -980,20 +997,20 @@
   Upstream::Options options = DefaultOptions();
   options.endpoint_idle_timeout = Ms(100);
   upstream->set_options(options);
-  Send("id2");
-  Peer next = Host();
+  StartNewAttempt("id2");
+  Peer next = AcceptHost();
   EXPECT_FALSE(host.Has("body"));
   next.Send(Http200("2"));
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].outcome, Outcome::kOk);
 }
 
-// A host leaves the list and returns under its id at another address: nothing goes to the old one,
-// and transactions there end as usual.
-TEST_F(UpstreamTest, HostThatReturnsAtAnotherAddressIsUsedThere) {
+// A host leaves the list and returns with the same id at another address. Nothing new is sent to
+// the old address, and transactions there end as usual.
+TEST_F(UpstreamTest, HostThatReturnsAtAnotherAddressIsUsedAtThatAddress) {
   MakeUpstream(DefaultOptions());
   Peer kept = ReusableConnection();
-  Send("out");
+  StartNewAttempt("out");
   ASSERT_TRUE(RunUntil(loop, [&] { return kept.Has("body"); }));
   upstream->RemoveEndpoint("h1");
   testing::Port elsewhere;
@@ -1002,7 +1019,7 @@
   ASSERT_TRUE(HasFinished(1));
   EXPECT_EQ(finished[0].body, "old");
   WaitUntilSettled();
-  Send("new");
+  StartNewAttempt("new");
   Peer host = elsewhere.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return host.Has("body"); }));
   EXPECT_TRUE(kept.Ended());
