--- a/tests/gateway/streaming_body_test.cpp
+++ b/tests/gateway/streaming_body_test.cpp
@@ -182,15 +182,15 @@
   ASSERT_TRUE(AcceptHost());
   host.Send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
   const std::string part = PatternBody(1 << 20);
-  size_t head_taken = 0;
+  size_t sent_bytes = 0;
   for (int i = 0; i < 200; ++i) {
     const ssize_t n = send(host.fd(), part.data(), part.size(), MSG_NOSIGNAL);
     if (n > 0) {
-      head_taken += static_cast<size_t>(n);
+      sent_bytes += static_cast<size_t>(n);
     }
     RunFor(loop, Ms(1));
   }
-  EXPECT_LT(head_taken, 20U << 20);  // the kernel's buffers in both directions
+  EXPECT_LT(sent_bytes, 20U << 20);  // the kernel's buffers in both directions
   Peer other = Peer::To(gateway->address());
   other.Send("POST /safe HTTP/1.1\r\nX-Call-Id: o\r\nX-Budget-Ms: 900\r\n\r\n");
   Peer second;
