--- a/tests/gateway/accept_queue_test.cpp
+++ b/tests/gateway/accept_queue_test.cpp
@@ -1,4 +1,5 @@
-// A gateway without a free descriptor: what waits in the accept queue is served or refused in time.
+// Tests of a gateway that runs out of descriptors: connections in the accept queue are served or
+// refused in time.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -17,40 +18,41 @@
 namespace {
 
 using testing::DownstreamTest;
-using testing::Get;
+using testing::GetRequest;
 using testing::Ms;
 using testing::Peer;
 using testing::RunFor;
 using testing::RunUntil;
 
 constexpr Duration kMaxWait = Ms(120);
-// Beyond the bound: the time limit of clients that say nothing, and a slow machine.
+// Tolerance beyond kMaxWait: the time limit for clients that send nothing, and delays of the test
+// machine.
 constexpr Duration kMargin = Ms(300);
-constexpr size_t kClients = 12;  // the clients' share of the descriptors
+constexpr size_t kClients = 12;  // the share of the descriptors that clients may use
 
 class AcceptQueueTest : public DownstreamTest {
  protected:
   AcceptQueueTest() : DownstreamTest(DescriptorBudget::kReserve + 8) {  // a budget of 20
     downstream->SetMaxAcceptWait(kMaxWait, Ms(75));
   }
-  // Clients whose requests are not responded to hold the share.
+  // Opens kClients connections with requests that get no response, which uses the whole share.
   void FillWithRequests() {
     for (size_t i = 0; i < kClients; ++i) {
-      full.push_back(Dial());
-      full.back().Send(Get("full" + std::to_string(i)));
+      held_clients.push_back(Connect());
+      held_clients.back().Send(GetRequest("full" + std::to_string(i)));
     }
     ASSERT_TRUE(HasRequests(kClients));
   }
-  // The response to a request, and that it came within the bound.
+  // Returns the response and expects that it arrives within the bound.
   std::string ResponseInTime(Peer& peer) {
-    const Time begun = loop.Now();
+    const Time started_at = loop.Now();
     EXPECT_TRUE(RunUntil(loop, [&] { return peer.Has("\r\n\r\n") || peer.Ended(); }));
-    EXPECT_LE(loop.Now() - begun, kMaxWait + kMargin);
+    EXPECT_LE(loop.Now() - started_at, kMaxWait + kMargin);
     return peer.Received();
   }
   void ExpectRefusedInTime() {
-    Peer peer = Dial();
-    peer.Send(Get("refused"));
+    Peer peer = Connect();
+    peer.Send(GetRequest("refused"));
     const std::string response = ResponseInTime(peer);
     EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
     EXPECT_NE(response.find("Retry-After: 0.075\r\n"), std::string::npos) << response;
@@ -58,46 +60,47 @@
     EXPECT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
   }
 
-  std::vector<Peer> full;
+  std::vector<Peer> held_clients;
 };
 
-// Nothing could be closed for it, so nobody accepted it until its deadline was over.
-TEST_F(AcceptQueueTest, FullOfRequestsARequestIsRefusedInTime) {
+// Without an idle connection to close, nobody accepted the connection until its deadline had
+// passed.
+TEST_F(AcceptQueueTest, RefusesInTimeWhenAllConnectionsHaveRequests) {
   FillWithRequests();
-  const uint64_t refused = GlobalCounters().refused_client_share;
+  const uint64_t refused_before = GlobalCounters().refused_client_share;
   ExpectRefusedInTime();
-  EXPECT_EQ(GlobalCounters().refused_client_share - refused, 1u);
+  EXPECT_EQ(GlobalCounters().refused_client_share - refused_before, 1u);
   EXPECT_GE(GlobalCounters().accept_wait_longest_ms, 100u);
   EXPECT_EQ(requests.size(), kClients);
 }
 
-TEST_F(AcceptQueueTest, WhatWaitsIsServedWhereADescriptorBecomesFreeInTime) {
+TEST_F(AcceptQueueTest, ServesPendingConnectionIfADescriptorIsFreedInTime) {
   FillWithRequests();
-  Peer peer = Dial();
-  peer.Send(Get("waits"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("waits"));
   RunFor(loop, kMaxWait / 3);
   requests[0]->Respond({.status = 502});
   EXPECT_TRUE(HasRequests(kClients + 1));
 }
 
-TEST_F(AcceptQueueTest, FullOfIdleClientsARequestIsServed) {
+TEST_F(AcceptQueueTest, ServesARequestByClosingIdleClients) {
   for (size_t i = 0; i < kClients; ++i) {
-    full.push_back(Dial());
+    held_clients.push_back(Connect());
   }
   RunFor(loop, Ms(250));
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   EXPECT_TRUE(HasRequests(1));
 }
 
-TEST_F(AcceptQueueTest, DrainedByAnOperatorARequestIsRefusedInTime) {
+TEST_F(AcceptQueueTest, RefusesInTimeWhileDrained) {
   FillWithRequests();
   lifecycle.set_drained(true);
   downstream->OnLifecycleChanged();
   ExpectRefusedInTime();
 }
 
-TEST_F(AcceptQueueTest, WhileTheProcessEndsARequestIsRefusedInTime) {
+TEST_F(AcceptQueueTest, RefusesInTimeDuringShutdown) {
   FillWithRequests();
   downstream->Shutdown(Ms(2000), [] {});
   lifecycle.set_ending();
@@ -105,143 +108,145 @@
   ExpectRefusedInTime();
 }
 
-// A new process of a hot restart while the old one holds the whole budget.
-TEST_F(AcceptQueueTest, WithoutADescriptorOfTheBudgetARequestIsRefusedInTime) {
+// As for the new process of a hot restart while the old one holds the whole budget.
+TEST_F(AcceptQueueTest, RefusesInTimeWhenTheBudgetIsExhausted) {
   budget.set_held_by_other_process(budget.limit());
-  const uint64_t refused = GlobalCounters().refused_no_descriptor;
+  const uint64_t refused_before = GlobalCounters().refused_no_descriptor;
   ExpectRefusedInTime();
-  EXPECT_EQ(GlobalCounters().refused_no_descriptor - refused, 1u);
+  EXPECT_EQ(GlobalCounters().refused_no_descriptor - refused_before, 1u);
 }
 
-#ifndef __SANITIZE_ADDRESS__  // UBSan opens a pipe to look at an object, and finds no descriptor
-TEST_F(AcceptQueueTest, AtTheDescriptorLimitOfTheProcessARequestIsRefusedInTime) {
-  Peer peer = Dial();
-  peer.Send(Get("refused"));
-  rlimit before{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
-  const FileDescriptor probe(dup(0));
-  rlimit none = before;
-  none.rlim_cur = static_cast<rlim_t>(probe.get()) + 1;  // not one more than there are
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
-  const uint64_t refused = GlobalCounters().refused_process_limit;
+#ifndef __SANITIZE_ADDRESS__  // UBSan opens a pipe to inspect an object, which needs a descriptor
+TEST_F(AcceptQueueTest, RefusesInTimeAtTheProcessDescriptorLimit) {
+  Peer peer = Connect();
+  peer.Send(GetRequest("refused"));
+  rlimit saved_limit{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &saved_limit), 0);
+  const FileDescriptor highest_descriptor(dup(0));
+  rlimit reduced_limit = saved_limit;
+  // No further descriptor can be opened.
+  reduced_limit.rlim_cur = static_cast<rlim_t>(highest_descriptor.get()) + 1;
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &reduced_limit), 0);
+  const uint64_t refused_before = GlobalCounters().refused_process_limit;
   const std::string response = ResponseInTime(peer);
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &before), 0);
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &saved_limit), 0);
   EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
-  EXPECT_EQ(GlobalCounters().refused_process_limit - refused, 1u);
+  EXPECT_EQ(GlobalCounters().refused_process_limit - refused_before, 1u);
 }
 #endif
 
-// Clients that are being refused hold what is kept for refusals when descriptors come free: those
-// that wait behind them are served, not refused as well.
-TEST_F(AcceptQueueTest, ARequestBehindRefusalsIsServedWhereDescriptorsComeFree) {
+// Clients that are being refused use all descriptors reserved for refusals when other descriptors
+// become free. Connections queued behind them must be served, not refused as well.
+TEST_F(AcceptQueueTest, ServesConnectionsBehindRefusalsIfDescriptorsAreFreed) {
   FillWithRequests();
-  std::vector<Peer> halves;
+  std::vector<Peer> incomplete_clients;
   for (size_t i = 0; i < ConnectionRefuser::kMaxConnections; ++i) {
-    halves.push_back(Dial());
-    halves.back().Send("GET /read/1 HT");
+    incomplete_clients.push_back(Connect());
+    incomplete_clients.back().Send("GET /read/1 HT");
   }
   const uint64_t accepted = GlobalCounters().downstream_connections_accepted;
   ASSERT_TRUE(RunUntil(loop, [&] {
-    return GlobalCounters().downstream_connections_accepted - accepted >= halves.size();
+    return GlobalCounters().downstream_connections_accepted - accepted >= incomplete_clients.size();
   }));
-  const uint64_t refused = GlobalCounters().refused_client_share;
+  const uint64_t refused_before = GlobalCounters().refused_client_share;
   for (size_t i = 0; i < 3; ++i) {
     requests[i]->Respond({.status = 502});
   }
-  Peer peer = Dial();
-  peer.Send(Get("next"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("next"));
   EXPECT_TRUE(RunUntil(
       loop, [&] { return requests.size() > kClients; }, kMaxWait + kMargin));
-  EXPECT_EQ(GlobalCounters().refused_client_share, refused);
-  // What is refused still is refused, and delays nobody.
-  halves[0].Send("TP/1.1\r\n\r\n");
-  EXPECT_TRUE(ResponseInTime(halves[0]).starts_with("HTTP/1.1 503 "));
+  EXPECT_EQ(GlobalCounters().refused_client_share, refused_before);
+  // Connections that are already being refused are still refused, and delay nobody.
+  incomplete_clients[0].Send("TP/1.1\r\n\r\n");
+  EXPECT_TRUE(ResponseInTime(incomplete_clients[0]).starts_with("HTTP/1.1 503 "));
 }
 
-// Each time that the gateway is full anew its refusals begin anew, and end with it.
-TEST_F(AcceptQueueTest, FullTwiceARequestIsRefusedInTimeAndServedBetween) {
+// Refusals start each time that the gateway runs out of descriptors, and end afterwards.
+TEST_F(AcceptQueueTest, RefusesInTimeAgainAfterServingInBetween) {
   FillWithRequests();
   ExpectRefusedInTime();
   requests[0]->Respond({.status = 502});
-  full.push_back(Dial());
-  full.back().Send(Get("between"));
+  held_clients.push_back(Connect());
+  held_clients.back().Send(GetRequest("between"));
   ASSERT_TRUE(HasRequests(kClients + 1));
   ExpectRefusedInTime();
   EXPECT_EQ(requests.size(), kClients + 1);
 }
 
 #ifndef __SANITIZE_ADDRESS__  // as above
-// Accepting would stay put off, or refusals go on, once the process has descriptors again.
-TEST_F(AcceptQueueTest, ARequestAfterTheDescriptorLimitOfTheProcessIsServed) {
-  Peer peer = Dial();
-  peer.Send(Get("refused"));
-  rlimit before{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
-  const FileDescriptor probe(dup(0));
-  rlimit none = before;
-  none.rlim_cur = static_cast<rlim_t>(probe.get()) + 1;
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
+// Guards against accepting staying paused, or refusals continuing, after the process has
+// descriptors again.
+TEST_F(AcceptQueueTest, ServesAfterTheProcessDescriptorLimitIsRaised) {
+  Peer peer = Connect();
+  peer.Send(GetRequest("refused"));
+  rlimit saved_limit{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &saved_limit), 0);
+  const FileDescriptor highest_descriptor(dup(0));
+  rlimit reduced_limit = saved_limit;
+  reduced_limit.rlim_cur = static_cast<rlim_t>(highest_descriptor.get()) + 1;
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &reduced_limit), 0);
   const std::string response = ResponseInTime(peer);
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &before), 0);
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &saved_limit), 0);
   EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response;
-  Peer after = Dial();
-  after.Send(Get("after"));
+  Peer after = Connect();
+  after.Send(GetRequest("after"));
   EXPECT_TRUE(RunUntil(
       loop, [&] { return !requests.empty(); }, kMaxWait + kMargin));
 }
 #endif
 
-// A process with descriptors enough for all that waits.
-class AcceptQueueTakenBackTest : public DownstreamTest {};
+// A process with enough descriptors for all pending connections.
+class AcceptQueueTakeoverRevokedTest : public DownstreamTest {};
 
-// The old process takes the queue back while it refuses for a new one that hung: it can serve what
-// waits, and refuses none of it.
-TEST_F(AcceptQueueTakenBackTest, WhatWaitsIsServedWhereTheNewProcessIsRevoked) {
+// The old process takes the accept queue back while it refuses connections for a new process that
+// hung. It can serve the pending connections, and refuses none of them.
+TEST_F(AcceptQueueTakeoverRevokedTest, ServesPendingConnectionsAfterTheNewProcessIsRevoked) {
   lifecycle.set_replaced(true);
   downstream->OnLifecycleChanged();
-  std::vector<Peer> halves, waiting;
+  std::vector<Peer> incomplete_clients, waiting;
   for (size_t i = 0; i < ConnectionRefuser::kMaxConnections; ++i) {
-    halves.push_back(Dial());
-    halves.back().Send("GET /read/1 HT");
+    incomplete_clients.push_back(Connect());
+    incomplete_clients.back().Send("GET /read/1 HT");
   }
   downstream->RefuseForNewProcess();
-  const uint64_t refused = GlobalCounters().refused_new_process_hangs;
-  constexpr size_t kWaiting = 100;  // more than are accepted in a turn
+  const uint64_t refused_before = GlobalCounters().refused_new_process_hangs;
+  constexpr size_t kWaiting = 100;  // more than are accepted in one turn
   for (size_t i = 0; i < kWaiting; ++i) {
-    waiting.push_back(Dial());
-    waiting.back().Send(Get("waits" + std::to_string(i)));
+    waiting.push_back(Connect());
+    waiting.back().Send(GetRequest("waits" + std::to_string(i)));
   }
   RunFor(loop, Ms(10));
   lifecycle.set_replaced(false);
   downstream->OnLifecycleChanged();
-  for (Peer& half : halves) {
-    half.Close();  // makes room for refusals in the same turn
+  for (Peer& incomplete_client : incomplete_clients) {
+    incomplete_client.Close();  // frees descriptors for refusals in the same turn
   }
   EXPECT_TRUE(HasRequests(kWaiting));
-  EXPECT_EQ(GlobalCounters().refused_new_process_hangs, refused);
+  EXPECT_EQ(GlobalCounters().refused_new_process_hangs, refused_before);
 }
 
-// Many at once, far more than descriptors kept for refusals.
-TEST_F(AcceptQueueTest, ABurstIsRefusedInTime) {
+// A burst of far more connections than there are descriptors reserved for refusals.
+TEST_F(AcceptQueueTest, RefusesABurstInTime) {
   FillWithRequests();
   std::vector<Peer> burst;
   for (int i = 0; i < 200; ++i) {
-    burst.push_back(Dial());
-    burst.back().Send(Get("burst" + std::to_string(i)));
+    burst.push_back(Connect());
+    burst.back().Send(GetRequest("burst" + std::to_string(i)));
   }
   for (Peer& peer : burst) {
     ASSERT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 503 "));
   }
 }
 
-// A round of the loop that comes late: connections whose requests lie unread closed for the next
-// ones.
-TEST_F(AcceptQueueTest, ABurstIsRefusedInTimeByALoopThatIsHeldUp) {
+// With late rounds of the event loop, connections with unread requests were closed to make room for
+// the next ones.
+TEST_F(AcceptQueueTest, RefusesABurstWithASlowEventLoop) {
   FillWithRequests();
   std::vector<Peer> burst;
   for (int i = 0; i < 40; ++i) {
-    burst.push_back(Dial());
-    burst.back().Send(Get("burst" + std::to_string(i)));
+    burst.push_back(Connect());
+    burst.back().Send(GetRequest("burst" + std::to_string(i)));
   }
   for (Peer& peer : burst) {
     ASSERT_TRUE(RunUntil(loop, [&] {
@@ -252,43 +257,44 @@
   }
 }
 
-// What has come just now is not refused for what has waited before it.
-TEST_F(AcceptQueueTest, OnlyWhatHasWaitedIsRefused) {
+// A connection that has just arrived is not refused because an earlier one has waited too long.
+TEST_F(AcceptQueueTest, RefusesOnlyConnectionsPastTheMaximumWait) {
   FillWithRequests();
-  Peer first = Dial();
-  first.Send(Get("first"));
+  Peer first = Connect();
+  first.Send(GetRequest("first"));
   RunFor(loop, kMaxWait * 3 / 4);
-  Peer second = Dial();
-  second.Send(Get("second"));
+  Peer second = Connect();
+  second.Send(GetRequest("second"));
   ASSERT_TRUE(RunUntil(loop, [&] { return first.Has("HTTP/1.1 503 "); }));
   EXPECT_FALSE(second.Ended());
   requests[0]->Respond({.status = 502});
-  full[0].Close();
+  held_clients[0].Close();
   EXPECT_TRUE(HasRequests(kClients + 1));
 }
 
-// Clients that say nothing, or half a head, have their time limit and no more.
-TEST_F(AcceptQueueTest, ClientsThatSendNoHeadDelayNoOthers) {
+// Clients that send nothing or an incomplete head get their time limit and no more.
+TEST_F(AcceptQueueTest, ClientsWithoutACompleteHeadDelayNoOthers) {
   FillWithRequests();
   std::vector<Peer> silent;
   for (int i = 0; i < 60; ++i) {
-    silent.push_back(Dial());
+    silent.push_back(Connect());
     if (i % 2 == 0) {
       silent.back().Send("GET /read/1 HT");
     }
   }
-  const uint64_t unread = GlobalCounters().refused_unread;
+  const uint64_t unread_before = GlobalCounters().refused_unread;
   ExpectRefusedInTime();
-  EXPECT_TRUE(RunUntil(loop, [&] { return GlobalCounters().refused_unread - unread == 60; }));
+  EXPECT_TRUE(
+      RunUntil(loop, [&] { return GlobalCounters().refused_unread - unread_before == 60; }));
   for (Peer& peer : silent) {
     EXPECT_TRUE(peer.Ended());
   }
 }
 
-// A close over unread bytes would reset the connection, and the response with it.
-TEST_F(AcceptQueueTest, ARefusalArrivesWhileTheClientStillSendsItsBody) {
+// Closing with unread bytes would reset the connection, and the client could lose the response.
+TEST_F(AcceptQueueTest, RefusalArrivesWhileTheClientSendsItsBody) {
   FillWithRequests();
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send("POST /read/1 HTTP/1.1\r\nX-Call-Id: b\r\nContent-Length: 60000\r\n\r\nbody");
   for (int i = 0; i < 20; ++i) {
     peer.Send(std::string(1000, 'x'));
@@ -297,23 +303,23 @@
   EXPECT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 503 "));
 }
 
-TEST_F(AcceptQueueTest, AHealthCheckAtAFullGatewayIsAnswered) {
+TEST_F(AcceptQueueTest, RespondsToHealthChecksWhenFull) {
   FillWithRequests();
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send("GET /_health HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 200 "));
 }
 
-TEST_F(AcceptQueueTest, MalformedRequestsAreAnsweredAsSuch) {
+TEST_F(AcceptQueueTest, RespondsToMalformedRequestsWith400) {
   FillWithRequests();
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send("GET /read HTTP/1.1\nX: y\n\n");
   EXPECT_TRUE(ResponseInTime(peer).starts_with("HTTP/1.1 400 "));
 }
 
 class AcceptQueueGatewayTest : public testing::GatewayTest {};
 
-TEST_F(AcceptQueueGatewayTest, TheBoundIsAPartOfTheShortestDeadline) {
+TEST_F(AcceptQueueGatewayTest, MaximumWaitIsAQuarterOfTheShortestDeadline) {
   config.settings.classes[1].deadline = Ms(40);
   Start();
   EXPECT_EQ(gateway->downstream().max_accept_wait(), Ms(10));
@@ -323,24 +329,25 @@
   EXPECT_EQ(gateway->downstream().max_accept_wait(), Ms(500));
 }
 
-// It kept 43 to 59 of them until its end, while the new process had hardly any descriptor.
-TEST_F(AcceptQueueGatewayTest, AReplacedProcessKeepsNoIdleConnectionsToHosts) {
+// A replaced process kept 43 to 59 idle upstream connections until it exited, while the new process
+// had hardly any descriptors.
+TEST_F(AcceptQueueGatewayTest, ReplacedProcessClosesIdleUpstreamConnections) {
   for (int i = 0; i < 6; ++i) {
     AddHost("h" + std::to_string(i), Ok);
   }
   Start();
   std::vector<Peer> clients;
   for (int i = 0; i < 12; ++i) {
-    clients.push_back(Ask(testing::Request("r" + std::to_string(i))));
+    clients.push_back(SendRequest(testing::RequestText("r" + std::to_string(i))));
   }
-  ASSERT_TRUE(Until(
+  ASSERT_TRUE(RunHostsUntil(
       [&] { return std::ranges::all_of(clients, [](Peer& peer) { return peer.Has("served"); }); }));
-  const auto is_idle_free = [&] {
+  const auto has_no_idle_upstream = [&] {
     return gateway->DescribeState().find("hosts_idle=0 ") != std::string::npos;
   };
-  EXPECT_FALSE(is_idle_free());
+  EXPECT_FALSE(has_no_idle_upstream());
   lifecycle.set_replaced(true);
-  EXPECT_TRUE(Until(is_idle_free, Ms(800)));  // idle clients close after 450 ms
+  EXPECT_TRUE(RunHostsUntil(has_no_idle_upstream, Ms(800)));  // idle clients close after 450 ms
 }
 
 }  // namespace
--- a/tests/gateway/downstream_fixture.h
+++ b/tests/gateway/downstream_fixture.h
@@ -1,4 +1,5 @@
-// The downstream side alone: the test holds the requests and responds to them by hand.
+// Fixture for the downstream side alone: the test is the listener, keeps the requests and responds
+// to them explicitly.
 #ifndef PADDLESTILE_TESTS_GATEWAY_DOWNSTREAM_FIXTURE_H_
 #define PADDLESTILE_TESTS_GATEWAY_DOWNSTREAM_FIXTURE_H_
 
@@ -13,7 +14,8 @@
 
 namespace paddlestile::testing {
 
-inline std::string Get(const std::string& id) {
+// The text of a GET request.
+inline std::string GetRequest(const std::string& id) {
   return "GET /read/1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 900\r\n\r\n";
 }
 
@@ -25,8 +27,8 @@
   }
   AdmissionResult OnRequest(BufferedMessage request,
                             ProxiedRequest::ResponseCallback reply) override {
-    const std::string_view base = request.bytes.view();
-    std::string id(request.message.FindHeader(base, "X-Call-Id").value_or("none"));
+    const std::string_view buffer = request.bytes.view();
+    std::string id(request.message.FindHeader(buffer, "X-Call-Id").value_or("none"));
     if (id == "bad") {
       return {nullptr, 400, "bad"};
     }
@@ -42,13 +44,17 @@
   }
   bool OnDescriptorsExhausted() override { return downstream && downstream->CloseOneIdle(); }
 
-  Peer Dial() { return Peer::To(downstream->address()); }
+  // Opens a client connection.
+  Peer Connect() { return Peer::To(downstream->address()); }
+  // Runs the loop until `count` requests have been received in all.
   bool HasRequests(size_t count) {
     return RunUntil(loop, [&] { return requests.size() >= count; });
   }
+  // Runs the loop until `peer` has received `text`.
   bool Receives(Peer& peer, std::string_view text) {
     return RunUntil(loop, [&] { return peer.Has(text); });
   }
+  // Parses the text of an upstream response.
   static std::shared_ptr<const BufferedMessage> UpstreamResponse(const std::string& text) {
     auto message = std::make_shared<BufferedMessage>();
     HttpParser parser(HttpParser::Kind::kResponse);
@@ -63,8 +69,8 @@
   DescriptorBudget budget;
   std::shared_ptr<RequestClass> request_class =
       std::make_shared<RequestClass>(MakeClass(Idempotency::kSafe));
-  std::vector<std::shared_ptr<ProxiedRequest>> requests;
-  std::vector<std::string> disconnected, completed;
+  std::vector<std::shared_ptr<ProxiedRequest>> requests;  // in order of arrival
+  std::vector<std::string> disconnected, completed;       // request ids
   std::unique_ptr<Downstream> downstream;
 };
 
--- a/tests/gateway/downstream_test.cpp
+++ b/tests/gateway/downstream_test.cpp
@@ -21,18 +21,18 @@
 using testing::RunUntil;
 
 using testing::DownstreamTest;
-using testing::Get;
+using testing::GetRequest;
 
 TEST_F(DownstreamTest, HealthCheckNeedsNoLoadBalancer) {
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send("GET /_health HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(Receives(peer, "HTTP/1.1 200 OK\r\n"));
   EXPECT_TRUE(requests.empty());
 }
 
 TEST_F(DownstreamTest, PassesOnTheUpstreamResponse) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 200,
                         .upstream_message = UpstreamResponse(
@@ -44,8 +44,8 @@
 }
 
 TEST_F(DownstreamTest, RejectionsCarryRetryAfter) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 503, .retry_after = Ms(75)});
   ASSERT_TRUE(Receives(peer, "\r\n\r\n"));
@@ -53,9 +53,9 @@
             "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.075\r\nContent-Length: 0\r\n\r\n");
 }
 
-TEST_F(DownstreamTest, RequestAByteAtATimeIsAdmittedWithItsLastByte) {
-  Peer peer = Dial();
-  const std::string text = Get("a");
+TEST_F(DownstreamTest, RequestSentByteByByteIsAdmittedWithItsLastByte) {
+  Peer peer = Connect();
+  const std::string text = GetRequest("a");
   for (const char c : text) {
     EXPECT_TRUE(requests.empty());
     peer.Send(std::string(1, c));
@@ -65,8 +65,8 @@
 }
 
 TEST_F(DownstreamTest, PipelinedRequestWaitsForItsTurn) {
-  Peer peer = Dial();
-  peer.Send(Get("a") + Get("b") + Get("c"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a") + GetRequest("b") + GetRequest("c"));
   ASSERT_TRUE(HasRequests(1));
   RunFor(loop, Ms(20));
   EXPECT_EQ(requests.size(), 1u);
@@ -80,14 +80,14 @@
   EXPECT_EQ(downstream->connection_count(), 1u);
 }
 
-TEST_F(DownstreamTest, LostFramingIsRejectedAndTheConnectionCloses) {
+TEST_F(DownstreamTest, FramingErrorIsRejectedAndTheConnectionCloses) {
   const std::pair<std::string, std::string> cases[] = {
       {"GET /read HTTP/1.1\nX: y\n\n", "HTTP/1.1 400 "},
       {"POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n", "HTTP/1.1 413 "},
       {"GET /" + std::string(20000, 'a'), "HTTP/1.1 431 "},
       {"POST /read HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "HTTP/1.1 501 "}};
   for (const auto& [text, start] : cases) {
-    Peer peer = Dial();
+    Peer peer = Connect();
     peer.Send(text);
     ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); })) << text.substr(0, 60);
     EXPECT_EQ(peer.Received().substr(0, start.size()), start);
@@ -96,9 +96,9 @@
   EXPECT_TRUE(requests.empty());
 }
 
-// A close with bytes unread would reset the connection, and the response with it.
+// Closing with unread bytes would reset the connection, and the client could lose the response.
 TEST_F(DownstreamTest, RejectionOfAnOversizedBodyArrivesWhileTheClientSends) {
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
     peer.Send(std::string(2000, 'x'));
@@ -108,65 +108,68 @@
   EXPECT_TRUE(peer.Has("HTTP/1.1 413 "));
 }
 
-// Hundreds of invalid requests at once: one response, and nothing behind it is parsed.
+// Of hundreds of pipelined invalid requests only the first gets a response, and nothing after it is
+// parsed.
 TEST_F(DownstreamTest, InvalidRequestIsRejectedOnceAndTheConnectionCloses) {
-  Peer peer = Dial();
+  Peer peer = Connect();
   std::string all;
   for (int i = 0; i < 300; ++i) {
-    all += Get("bad");
+    all += GetRequest("bad");
   }
-  peer.Send(all + Get("a"));
+  peer.Send(all + GetRequest("a"));
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Ended(); }));
   EXPECT_EQ(peer.Received().substr(0, 13), "HTTP/1.1 400 ");
-  EXPECT_TRUE(peer.Received().ends_with("Connection: close\r\n\r\nbad\n"));  // and says why
+  EXPECT_TRUE(peer.Received().ends_with("Connection: close\r\n\r\nbad\n"));  // with the reason
   EXPECT_EQ(peer.Received().rfind("HTTP/1.1"), 0u);
   EXPECT_TRUE(requests.empty());
 }
 
-// Each request is a turn of the event loop of its own: a long pipeline delays no other connection.
-TEST_F(DownstreamTest, PipelinedRequestsLeaveOthersTheirTurn) {
-  Peer greedy = Dial();
+// Each pipelined request takes a separate turn of the event loop, so a long pipeline does not delay
+// other connections.
+TEST_F(DownstreamTest, PipelinedRequestsDoNotDelayOtherConnections) {
+  Peer greedy = Connect();
   std::string all;
   for (int i = 0; i < 400; ++i) {
     all += "GET /_health HTTP/1.1\r\n\r\n";
   }
   greedy.Send(all);
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   const uint64_t before = GlobalCounters().health_checks;
   ASSERT_TRUE(HasRequests(1));
   EXPECT_LT(GlobalCounters().health_checks - before, 20u);
   EXPECT_TRUE(RunUntil(loop, [&] { return GlobalCounters().health_checks - before == 400; }));
 }
 
-// Hundreds of connections: requests of accepted ones come between.
-TEST_F(DownstreamTest, AcceptingLeavesOthersTheirTurn) {
+// While hundreds of connections are accepted, requests on accepted ones are served in between.
+TEST_F(DownstreamTest, AcceptingDoesNotDelayOtherConnections) {
   std::vector<Peer> peers;
   for (int i = 0; i < 200; ++i) {
-    peers.push_back(Dial());
+    peers.push_back(Connect());
   }
-  peers[0].Send(Get("a"));
+  peers[0].Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   EXPECT_LT(downstream->connection_count(), 100u);
   EXPECT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 200; }));
 }
 
-// Required within 3 s of the connect: an error or a close, whatever little comes meanwhile.
+// A connection must get an error or be closed within 3 s of its connect, even if bytes keep
+// arriving slowly.
 TEST_F(DownstreamTest, SilentAndSlowClientsTimeOut) {
-  Peer silent = Dial(), slow = Dial();
-  const std::string text = Get("a");
-  size_t said = 0;
-  const Time began = loop.Now();
+  Peer silent = Connect(), slow = Connect();
+  const std::string text = GetRequest("a");
+  size_t sent_bytes = 0;
+  const Time started_at = loop.Now();
   Time next{0}, silent_ended{0};
   const bool in_time = RunUntil(
       loop,
       [&] {
         if (loop.Now() > next) {
-          slow.Send(text.substr(said++, 1));
+          slow.Send(text.substr(sent_bytes++, 1));
           next = loop.Now() + Ms(200);
         }
         if (silent_ended == Time(0) && silent.Ended()) {
-          silent_ended = loop.Now() - began;
+          silent_ended = loop.Now() - started_at;
         }
         return silent.Ended() && slow.Ended();
       },
@@ -178,10 +181,10 @@
   EXPECT_TRUE(requests.empty());
 }
 
-// Some clients send one request and keep their connection for good.
+// Some clients send one request and keep their connection open forever.
 TEST_F(DownstreamTest, IdleConnectionTimesOut) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   RunFor(loop, Ms(1500));
@@ -191,9 +194,9 @@
   EXPECT_EQ(downstream->connection_count(), 0u);
 }
 
-// Sixty megabytes behind a rejected head are not read to their end.
-TEST_F(DownstreamTest, LongBodyBehindARejectionIsNotReadToItsEnd) {
-  Peer peer = Dial();
+// A body of 60 MB after a rejected head is not read to its end.
+TEST_F(DownstreamTest, LongBodyAfterARejectionIsNotReadToItsEnd) {
+  Peer peer = Connect();
   peer.Send("POST /read HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   const std::string part(1 << 16, 'x');
   size_t sent = 0;
@@ -210,7 +213,7 @@
 }
 
 TEST_F(DownstreamTest, ConnectionCloseIsHonoured) {
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send("GET /read/1 HTTP/1.1\r\nConnection: close\r\nX-Call-Id: a\r\n\r\n");
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
@@ -219,8 +222,8 @@
 }
 
 TEST_F(DownstreamTest, CloseIsReportedAsDisconnect) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
@@ -229,16 +232,16 @@
 }
 
 TEST_F(DownstreamTest, ResetIsReportedAsDisconnect) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   peer.Reset();
   EXPECT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
 }
 
 TEST_F(DownstreamTest, IncompleteRequestIsNotReported) {
-  Peer peer = Dial();
-  peer.Send(Get("a").substr(0, 30));
+  Peer peer = Connect();
+  peer.Send(GetRequest("a").substr(0, 30));
   RunFor(loop, Ms(10));
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 0; }));
@@ -246,20 +249,20 @@
   EXPECT_TRUE(disconnected.empty());
 }
 
-// The complete request and the close may come in one read: it is admitted all the same.
-TEST_F(DownstreamTest, RequestTogetherWithCloseIsAdmitted) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+// The complete request and the close may arrive in one read. The request is admitted nevertheless.
+TEST_F(DownstreamTest, RequestThatArrivesWithTheCloseIsAdmitted) {
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   peer.Close();
   ASSERT_TRUE(HasRequests(1));
   EXPECT_TRUE(RunUntil(loop, [&] { return disconnected.size() == 1; }));
 }
 
-TEST_F(DownstreamTest, EndlessRequestHoldsLittleMemory) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+TEST_F(DownstreamTest, EndlessRequestUsesLittleMemory) {
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
-  // It goes on sending while its request is in progress.
+  // The client keeps sending while its request is in progress.
   testing::MakeNonBlocking(peer.fd());
   size_t sent = 0;
   const std::string more(10000, 'x');
@@ -270,19 +273,20 @@
     }
     loop.RunOnce(Duration(0));
   }
-  EXPECT_LT(sent, 12'000'000u);  // the kernel's part and 80 KiB; 20 MB were offered
+  EXPECT_LT(sent, 12'000'000u);  // socket buffers and 80 KiB; 20 MB were offered
   EXPECT_EQ(downstream->connection_count(), 1u);
 }
 
-// Pipelined requests and nothing read: no next one is admitted before the last response is with the
-// kernel, so that responses do not pile up here; once the client reads, it gets them all.
-TEST_F(DownstreamTest, ClientThatNeverReadsHoldsOneResponse) {
+// A client pipelines requests and reads nothing. The next request is admitted only when the last
+// response is in the kernel's send buffer, so that responses do not accumulate in the gateway. Once
+// the client reads, it gets all of them.
+TEST_F(DownstreamTest, ClientThatNeverReadsBuffersOneResponse) {
   constexpr size_t kRequests = 300;
   const auto response = UpstreamResponse(testing::Http200(std::string(60000, 'a')));
-  Peer peer = Dial();
+  Peer peer = Connect();
   std::string all;
   for (size_t i = 0; i < kRequests; ++i) {
-    all += Get("id" + std::to_string(i));
+    all += GetRequest("id" + std::to_string(i));
   }
   size_t responded = 0;
   const auto serve = [&] {
@@ -294,13 +298,13 @@
   RunUntil(
       loop, [&] { return serve(), false; }, Ms(300));
   EXPECT_GT(requests.size(), 5u);
-  EXPECT_LT(requests.size(), kRequests);  // 18 MB are more than the kernel holds
+  EXPECT_LT(requests.size(), kRequests);  // 18 MB exceed the socket buffers
   ASSERT_TRUE(RunUntil(loop, [&] { return serve(), peer.Received().size() > kRequests * 60000; }));
   EXPECT_EQ(requests.size(), kRequests);
 }
 
 TEST_F(DownstreamTest, SendsContinueWhereExpected) {
-  Peer peer = Dial();
+  Peer peer = Connect();
   peer.Send(
       "POST /read HTTP/1.1\r\nExpect: 100-continue\r\nX-Call-Id: a\r\nContent-Length: 2\r\n\r\n");
   ASSERT_TRUE(Receives(peer, "HTTP/1.1 100 Continue\r\n\r\n"));
@@ -311,19 +315,19 @@
   EXPECT_TRUE(Receives(peer, "HTTP/1.1 502 "));
 }
 
-// An operator's drain: the front end reacts to health checks within tenths of a second, but clients
-// go on with the connections that they have, and some never send again.
+// During an operator's drain the front end reacts to health checks within tenths of a second, but
+// clients continue to use their open connections, and some never send again.
 TEST_F(DownstreamTest, DrainClosesConnectionsAndResumeAcceptsAgain) {
-  Peer idle = Dial(), busy = Dial();
+  Peer idle = Connect(), busy = Connect();
   idle.Send("GET /_health HTTP/1.1\r\n\r\n");
-  busy.Send(Get("a"));
+  busy.Send(GetRequest("a"));
   ASSERT_TRUE(Receives(idle, "200 OK"));
   ASSERT_TRUE(HasRequests(1));
   for (int twice = 0; twice < 2; ++twice) {
     lifecycle.set_drained(true);
     downstream->OnLifecycleChanged();
   }
-  Peer front = Dial();
+  Peer front = Connect();
   front.Send("GET /_health HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(Receives(front, "503 "));
   EXPECT_TRUE(RunUntil(
@@ -334,8 +338,8 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return busy.Ended(); }));
   lifecycle.set_drained(false);
   downstream->OnLifecycleChanged();
-  Peer again = Dial();
-  again.Send(Get("b"));
+  Peer again = Connect();
+  again.Send(GetRequest("b"));
   ASSERT_TRUE(HasRequests(2));
   requests[1]->Respond({.status = 200});
   EXPECT_TRUE(Receives(again, "200 OK"));
@@ -343,27 +347,27 @@
 }
 
 TEST_F(DownstreamTest, DrainingServesRequestsAndClosesAfterEachResponse) {
-  Peer old = Dial(), idle = Dial();
+  Peer old = Connect(), idle = Connect();
   old.Send("GET /_health HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(Receives(old, "\r\n\r\n"));
   bool done = false;
   downstream->Shutdown(Ms(3600), [&] { done = true; });
   lifecycle.set_ending();
   downstream->OnLifecycleChanged();
-  old.Send(Get("a"));
-  Peer fresh = Dial();  // still let in
-  fresh.Send(Get("b"));
+  old.Send(GetRequest("a"));
+  Peer new_client = Connect();  // still accepted
+  new_client.Send(GetRequest("b"));
   ASSERT_TRUE(HasRequests(2));
   RunFor(loop, Ms(700));
   EXPECT_TRUE(idle.Ended());  // closed between requests
-  EXPECT_FALSE(done);         // two are in hand
+  EXPECT_FALSE(done);         // two requests are in progress
   for (const auto& request : requests) {
     request->Respond({.status = 502});
   }
   ASSERT_TRUE(Receives(old, "Connection: close\r\n"));
-  ASSERT_TRUE(Receives(fresh, "Connection: close\r\n"));
+  ASSERT_TRUE(Receives(new_client, "Connection: close\r\n"));
   old.Close();
-  fresh.Close();
+  new_client.Close();
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
@@ -374,8 +378,8 @@
   downstream->OnLifecycleChanged();
   RunFor(loop, Ms(400));
   EXPECT_FALSE(done);
-  Peer late = Dial();
-  late.Send(Get("a"));
+  Peer late = Connect();
+  late.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   EXPECT_TRUE(RunUntil(loop, [&] { return late.Ended(); }));
@@ -384,21 +388,21 @@
 }
 
 TEST_F(DownstreamTest, DrainingEndsInTimeDespiteAnEndlessRequest) {
-  Peer stuck = Dial();
-  stuck.Send(Get("a").substr(0, 20));
+  Peer stuck = Connect();
+  stuck.Send(GetRequest("a").substr(0, 20));
   bool done = false;
-  const Time begun = loop.Now();
+  const Time started_at = loop.Now();
   downstream->Shutdown(Ms(800), [&] { done = true; });
   lifecycle.set_ending();
   downstream->OnLifecycleChanged();
   ASSERT_TRUE(RunUntil(loop, [&] { return done; }));
-  EXPECT_LT(loop.Now() - begun, Ms(1000));
+  EXPECT_LT(loop.Now() - started_at, Ms(1000));
 }
 
-// Whatever the time limit: to end with a request in progress would lose it.
+// Regardless of the time limit, exiting with a request in progress would lose it.
 TEST_F(DownstreamTest, DrainingWaitsForRequestsInProgress) {
-  Peer client = Dial();
-  client.Send(Get("a"));
+  Peer client = Connect();
+  client.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   bool done = false;
   downstream->Shutdown(Ms(500), [&] { done = true; });
@@ -411,102 +415,104 @@
   EXPECT_TRUE(client.Has("HTTP/1.1 502 "));
 }
 
-// The descriptor limit of the process may be reached before that of the budget: accepting fails,
-// waits, and goes on; the edge of the listener is consumed by then, and the backlog is not
-// forgotten.
-TEST_F(DownstreamTest, DescriptorLimitOfTheSystemDelaysButLosesNothing) {
+// The descriptor limit of the process may be reached before that of the budget. Accepting then
+// fails, waits and continues. The edge-triggered event of the listener is consumed by then, and the
+// backlog must not be forgotten.
+TEST_F(DownstreamTest, ProcessDescriptorLimitDelaysButLosesNoRequest) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "UBSan opens a pipe to look at an object, and finds no descriptor for it";
+  GTEST_SKIP() << "UBSan opens a pipe to inspect an object, which needs a descriptor";
 #endif
   std::vector<Peer> peers;
   for (int i = 0; i < 5; ++i) {
-    peers.push_back(Dial());
-    peers.back().Send(Get("id" + std::to_string(i)));
-  }
-  rlimit message{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &message), 0);
-  const FileDescriptor probe(dup(0));
-  rlimit none = message;
-  none.rlim_cur = static_cast<rlim_t>(probe.get()) + 1;  // not one more than there are
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
-  const uint64_t waits = GlobalCounters().accept_waits;
+    peers.push_back(Connect());
+    peers.back().Send(GetRequest("id" + std::to_string(i)));
+  }
+  rlimit saved_limit{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &saved_limit), 0);
+  const FileDescriptor highest_descriptor(dup(0));
+  rlimit reduced_limit = saved_limit;
+  // No further descriptor can be opened.
+  reduced_limit.rlim_cur = static_cast<rlim_t>(highest_descriptor.get()) + 1;
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &reduced_limit), 0);
+  const uint64_t waits_before = GlobalCounters().accept_waits;
   RunFor(loop, Ms(60));
   EXPECT_EQ(requests.size(), 0u);
-  EXPECT_GT(GlobalCounters().accept_waits, waits);
-  EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);  // and did not spin
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &message), 0);
+  EXPECT_GT(GlobalCounters().accept_waits, waits_before);
+  EXPECT_LT(GlobalCounters().accept_waits - waits_before, 40u);  // the loop did not spin
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &saved_limit), 0);
   EXPECT_TRUE(HasRequests(5));
 }
 
 class DownstreamFewDescriptorsTest : public DownstreamTest {
  protected:
   DownstreamFewDescriptorsTest()
-      : DownstreamTest(DescriptorBudget::kReserve + 55) {}  // 33 connections of clients
+      : DownstreamTest(DescriptorBudget::kReserve + 55) {}  // a share of 33 client connections
 };
 
-// With every descriptor in use by a request, the next connection waits in the backlog and is served
-// once one is free; the event loop does not spin meanwhile.
-TEST_F(DownstreamFewDescriptorsTest, AcceptingWaitsAndLosesNothing) {
+// If requests use all descriptors, the next connection waits in the backlog and is served once one
+// is free. The event loop does not spin meanwhile.
+TEST_F(DownstreamFewDescriptorsTest, AcceptingWaitsAndLosesNoRequest) {
   std::vector<Peer> peers;
   for (int i = 0; i < 40; ++i) {
-    peers.push_back(Dial());
-    peers.back().Send(Get("id" + std::to_string(i)));
+    peers.push_back(Connect());
+    peers.back().Send(GetRequest("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasRequests(33));
-  const uint64_t waits = GlobalCounters().accept_waits;
+  const uint64_t waits_before = GlobalCounters().accept_waits;
   RunFor(loop, Ms(60));
   EXPECT_EQ(requests.size(), 33u);
-  EXPECT_LT(GlobalCounters().accept_waits - waits, 40u);
+  EXPECT_LT(GlobalCounters().accept_waits - waits_before, 40u);
   for (size_t i = 0; i < 33; ++i) {
     requests[i]->Respond({.status = 502});
   }
   EXPECT_TRUE(HasRequests(40));
 }
 
-TEST_F(DownstreamFewDescriptorsTest, IdleConnectionsMakeRoom) {
+TEST_F(DownstreamFewDescriptorsTest, IdleConnectionsCloseForNewOnes) {
   std::vector<Peer> idle;
   for (int i = 0; i < 33; ++i) {
-    idle.push_back(Dial());
+    idle.push_back(Connect());
   }
   ASSERT_TRUE(RunUntil(loop, [&] { return downstream->connection_count() == 33; }));
-  Peer fresh = Dial();
-  fresh.Send(Get("a"));
+  Peer new_client = Connect();
+  new_client.Send(GetRequest("a"));
   EXPECT_TRUE(HasRequests(1));
   EXPECT_TRUE(idle[0].Ended());  // the longest idle
   EXPECT_FALSE(idle[32].Ended());
 }
 
-// A burst without free descriptors: no connection closes for the next one before its request could
-// come.
+// During a burst without free descriptors, no new connection is closed for the next one before its
+// request can arrive.
 TEST_F(DownstreamFewDescriptorsTest, NewConnectionIsNotClosedForTheNext) {
-  std::vector<Peer> kept;
+  std::vector<Peer> kept_open;
   for (int i = 0; i < 33; ++i) {
-    kept.push_back(Dial());
+    kept_open.push_back(Connect());
     RunFor(loop, Ms(i == 32 ? 250 : 1));
   }
   std::vector<Peer> burst;
   for (int i = 0; i < 12; ++i) {
-    burst.push_back(Dial());
+    burst.push_back(Connect());
   }
   RunFor(loop, Ms(20));
   for (int i = 0; i < 12; ++i) {
-    burst[static_cast<size_t>(i)].Send(Get("id" + std::to_string(i)));
+    burst[static_cast<size_t>(i)].Send(GetRequest("id" + std::to_string(i)));
   }
   EXPECT_TRUE(HasRequests(12));
-  EXPECT_TRUE(kept[0].Ended());
+  EXPECT_TRUE(kept_open[0].Ended());
 }
 
-// Nor where all are new: each was closed for the next, with its first request on the way.
+// The same if all connections are new. Each was closed for the next one while its first request was
+// in transit.
 TEST_F(DownstreamFewDescriptorsTest, BurstOfNewConnectionsWaitsForDescriptors) {
-  constexpr size_t kBurst = 45;  // more than the 33 that clients may have at a time
+  constexpr size_t kBurst = 45;  // more than the 33 that clients may have at once
   std::vector<Peer> burst;
   for (size_t i = 0; i < kBurst; ++i) {
-    burst.push_back(Dial());
+    burst.push_back(Connect());
   }
   RunFor(loop, Ms(20));
   for (size_t i = 0; i < kBurst; ++i) {
     EXPECT_FALSE(burst[i].Ended()) << i;
-    burst[i].Send(Get("id" + std::to_string(i)));
+    burst[i].Send(GetRequest("id" + std::to_string(i)));
   }
   size_t responded = 0;
   EXPECT_TRUE(RunUntil(loop, [&] {
@@ -517,93 +523,94 @@
   })) << responded;
 }
 
-// Each request on a new connection that is kept for good: clients open a third of the descriptors
-// at most and would have none left for requests.
+// Each request comes on a new connection that is kept open. Clients open at most a third of the
+// descriptors and would have none left for further requests.
 TEST_F(DownstreamFewDescriptorsTest, LongestIdleConnectionsCloseFirst) {
-  std::vector<Peer> kept;
+  std::vector<Peer> kept_open;
   for (size_t i = 0; i < 30; ++i) {
-    kept.push_back(Dial());
-    kept.back().Send(Get("id" + std::to_string(i)));
+    kept_open.push_back(Connect());
+    kept_open.back().Send(GetRequest("id" + std::to_string(i)));
     ASSERT_TRUE(HasRequests(i + 1));
     requests[i]->Respond({.status = 502});
-    ASSERT_TRUE(Receives(kept.back(), "HTTP/1.1 502"));
+    ASSERT_TRUE(Receives(kept_open.back(), "HTTP/1.1 502"));
   }
   RunFor(loop, Ms(10));
   EXPECT_LE(downstream->connection_count(), 14u);  // a quarter of 55
   EXPECT_GE(downstream->connection_count(), 10u);
-  EXPECT_TRUE(kept[0].Ended());
-  EXPECT_FALSE(kept[29].Ended());
+  EXPECT_TRUE(kept_open[0].Ended());
+  EXPECT_FALSE(kept_open[29].Ended());
 }
 
-// Silent connections come by hundreds: they close first, and upstream keeps its descriptors.
+// Connections without a request arrive by the hundreds. They close first, and the upstream side
+// keeps its descriptors.
 TEST_F(DownstreamFewDescriptorsTest, UnusedConnectionsCloseBeforeIdleOnes) {
-  Peer usual = Dial();
-  usual.Send(Get("a"));
+  Peer idle_client = Connect();
+  idle_client.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   std::vector<Peer> silent;
   for (int i = 0; i < 32; ++i) {
-    silent.push_back(Dial());
+    silent.push_back(Connect());
   }
   RunFor(loop, Ms(250));
   for (int i = 0; i < 20; ++i) {
-    silent.push_back(Dial());
+    silent.push_back(Connect());
   }
   RunFor(loop, Ms(10));
-  Peer fresh = Dial();
-  fresh.Send(Get("b"));
+  Peer new_client = Connect();
+  new_client.Send(GetRequest("b"));
   EXPECT_TRUE(HasRequests(2));
-  EXPECT_FALSE(usual.Ended());
+  EXPECT_FALSE(idle_client.Ended());
   EXPECT_TRUE(silent[0].Ended());
   EXPECT_LE(budget.used(), 33u);
-  usual.Send(Get("c"));
+  idle_client.Send(GetRequest("c"));
   EXPECT_TRUE(HasRequests(3));
 }
 
 // ---- Races (docs/crossings.md) ---------------------------------------------------------------
 
-// Behind a request that got its response within the same read: the end had been reported by then,
-// and the disconnect of that client was never noticed.
-TEST_F(DownstreamTest, PipelinedRequestEndsWithItsClient) {
-  for (const char* const how : {"end", "half-close"}) {
+// The request follows one that got its response within the same read. The end of the stream had
+// already been reported by then, so the disconnect of its client was never noticed.
+TEST_F(DownstreamTest, PipelinedRequestEndsWhenItsClientDisconnects) {
+  for (const char* const disconnect_kind : {"end", "half-close"}) {
     requests.clear();
     disconnected.clear();
-    Peer peer = Dial();
-    peer.Send("GET /_health HTTP/1.1\r\n\r\n" + Get("a"));
-    if (how == std::string("end")) {
+    Peer peer = Connect();
+    peer.Send("GET /_health HTTP/1.1\r\n\r\n" + GetRequest("a"));
+    if (disconnect_kind == std::string("end")) {
       peer.Close();
     }
     if (peer) {
       peer.ShutdownWrite();
     }
-    ASSERT_TRUE(HasRequests(1)) << how;
+    ASSERT_TRUE(HasRequests(1)) << disconnect_kind;
     EXPECT_TRUE(RunUntil(
         loop, [&] { return disconnected.size() == 1; }, Ms(300)))
-        << how;
+        << disconnect_kind;
     EXPECT_FALSE(requests[0]->Respond({.status = 502}));
   }
 }
 
-// A client that sends much at once and leaves: the end is behind bytes that there is no room to
-// read while its first request waits.
-TEST_F(DownstreamTest, DisconnectBehindUnreadBytesIsNoticed) {
-  for (const char* const how : {"end", "half-close", "reset"}) {
+// A client sends a lot of data and disconnects. The end of its stream follows bytes that cannot be
+// read while its first request is in progress.
+TEST_F(DownstreamTest, DisconnectAfterUnreadBytesIsNoticed) {
+  for (const char* const disconnect_kind : {"end", "half-close", "reset"}) {
     requests.clear();
     disconnected.clear();
-    Peer peer = Dial();
-    peer.Send(Get("a"));
+    Peer peer = Connect();
+    peer.Send(GetRequest("a"));
     ASSERT_TRUE(HasRequests(1));
     std::string rest;
     for (int i = 0; rest.size() < 110'000; ++i) {
-      rest += Get("more" + std::to_string(i));
+      rest += GetRequest("more" + std::to_string(i));
     }
     peer.Send(rest);
     RunFor(loop, Ms(20));
     EXPECT_TRUE(disconnected.empty());
-    if (how == std::string("end")) {
+    if (disconnect_kind == std::string("end")) {
       peer.Close();
     }
-    if (how == std::string("reset")) {
+    if (disconnect_kind == std::string("reset")) {
       peer.Reset();
     }
     if (peer) {
@@ -611,24 +618,25 @@
     }
     EXPECT_TRUE(RunUntil(
         loop, [&] { return disconnected.size() == 1; }, Ms(300)))
-        << how;
+        << disconnect_kind;
     RunFor(loop, Ms(20));
-    EXPECT_EQ(requests.size(), 1u) << how;
+    EXPECT_EQ(requests.size(), 1u) << disconnect_kind;
   }
 }
 
-// It waited in the accept queue for a descriptor and left there: accepted and closed in one turn.
+// The client disconnected while it waited in the accept queue for a descriptor, so its connection
+// is accepted and closed in one turn.
 TEST_F(DownstreamFewDescriptorsTest, ClientThatLeftInTheAcceptQueueIsReported) {
   std::vector<Peer> busy;
   for (int i = 0; i < 33; ++i) {
-    busy.push_back(Dial());
-    busy.back().Send(Get("id" + std::to_string(i)));
+    busy.push_back(Connect());
+    busy.back().Send(GetRequest("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasRequests(33));
-  Peer ended = Dial(), reset = Dial(), half = Dial();
-  ended.Send(Get("ended"));
-  reset.Send(Get("reset"));
-  half.Send(Get("half"));
+  Peer ended = Connect(), reset = Connect(), half = Connect();
+  ended.Send(GetRequest("ended"));
+  reset.Send(GetRequest("reset"));
+  half.Send(GetRequest("half"));
   ended.Close();
   reset.Reset();
   half.ShutdownWrite();
@@ -644,20 +652,19 @@
   EXPECT_EQ(disconnected.size(), requests.size() - 33);
 }
 
-// At the end of a drain: a request that is with the kernel by then is admitted and gets its
-// response.
-TEST_F(DownstreamTest, RequestThatComesAsTheDrainEndsIsAdmitted) {
-  Peer late = Dial();
-  late.Send(Get("a").substr(0, 20));
+// A request that the kernel has received by the end of the drain is admitted and gets its response.
+TEST_F(DownstreamTest, RequestArrivingAsTheDrainEndsIsAdmitted) {
+  Peer late = Connect();
+  late.Send(GetRequest("a").substr(0, 20));
   bool done = false;
   downstream->Shutdown(Ms(600), [&] { done = true; });
   lifecycle.set_ending();
   downstream->OnLifecycleChanged();
   RunFor(loop, Ms(560));
-  // Its rest and the end of the drain come while the event loop is busy.
-  late.Send(Get("a").substr(20));
-  Peer later = Dial();  // accepted by the kernel alone
-  later.Send(Get("b"));
+  // The rest of the request arrives and the drain ends while the event loop is busy.
+  late.Send(GetRequest("a").substr(20));
+  Peer later = Connect();  // still in the accept queue
+  later.Send(GetRequest("b"));
   usleep(60'000);
   ASSERT_TRUE(HasRequests(2));
   EXPECT_FALSE(done);
@@ -671,26 +678,27 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// Close of an idle connection against the client's next request: what has come is read.
-TEST_F(DownstreamTest, RequestThatComesAsItsConnectionClosesIsAdmitted) {
-  Peer peer = Dial();
-  peer.Send(Get("a"));
+// Race between the close of an idle connection and the client's next request: if the request has
+// arrived, it is read.
+TEST_F(DownstreamTest, RequestArrivingAsItsConnectionClosesIsAdmitted) {
+  Peer peer = Connect();
+  peer.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   ASSERT_TRUE(Receives(peer, "HTTP/1.1 502 "));
   peer.ClearReceived();
   RunFor(loop, Ms(1960));
-  peer.Send(Get("b"));
+  peer.Send(GetRequest("b"));
   usleep(80'000);
   ASSERT_TRUE(HasRequests(2));
   requests[1]->Respond({.status = 502});
   EXPECT_TRUE(Receives(peer, "HTTP/1.1 502 "));
 }
 
-// A response half-written when the drain ends: cut there, its request would be lost.
-TEST_F(DownstreamTest, ResponseHalfReadAsTheDrainEndsIsComplete) {
-  Peer slow = Dial();
-  slow.Send(Get("a"));
+// The drain ends while a response is partly written. Cutting it off would lose the request.
+TEST_F(DownstreamTest, PartlyReadResponseAtTheEndOfTheDrainIsCompleted) {
+  Peer slow = Connect();
+  slow.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   const std::string body(6 << 20, 'b');
   auto message = std::make_shared<BufferedMessage>();
@@ -710,8 +718,8 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// Drained by an operator some time before the shutdown: connections still come for a while from
-// then, as at any end.
+// After an operator's drain, the shutdown still accepts new connections for a while, like any other
+// shutdown.
 TEST_F(DownstreamTest, ShutdownAfterADrainKeepsAcceptingForAWhile) {
   lifecycle.set_drained(true);
   downstream->OnLifecycleChanged();
@@ -722,8 +730,8 @@
   downstream->OnLifecycleChanged();
   RunFor(loop, Ms(300));
   EXPECT_FALSE(done);
-  Peer late = Dial();
-  late.Send(Get("a"));
+  Peer late = Connect();
+  late.Send(GetRequest("a"));
   ASSERT_TRUE(HasRequests(1));
   requests[0]->Respond({.status = 502});
   EXPECT_TRUE(Receives(late, "HTTP/1.1 502 "));
@@ -731,8 +739,8 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return done; }));
 }
 
-// Short of descriptors while it drains: whoever waits in the accept queue is accepted before it
-// closes, also where another process listens at the address.
+// Without free descriptors during a drain, connections in the accept queue are accepted before the
+// socket closes, even if another process listens at the same address.
 class DownstreamSharedFewDescriptorsTest : public DownstreamFewDescriptorsTest {
  protected:
   DownstreamSharedFewDescriptorsTest() {
@@ -740,11 +748,11 @@
                                               this, FileDescriptor(), true);
   }
 };
-TEST_F(DownstreamSharedFewDescriptorsTest, DrainingAcceptsWhoWaitsForADescriptor) {
+TEST_F(DownstreamSharedFewDescriptorsTest, DrainingAcceptsConnectionsThatWaitForADescriptor) {
   std::vector<Peer> peers;
   for (int i = 0; i < 40; ++i) {
-    peers.push_back(Dial());
-    peers.back().Send(Get("id" + std::to_string(i)));
+    peers.push_back(Connect());
+    peers.back().Send(GetRequest("id" + std::to_string(i)));
   }
   ASSERT_TRUE(HasRequests(33));
   bool done = false;
@@ -779,7 +787,7 @@
     names.tenants.Add("acme");
     names.tenants.Add("other");
   }
-  ParsedRequest Of(const std::string& text) {
+  ParsedRequest Parse(const std::string& text) {
     BufferedMessage message;
     HttpParser parser(HttpParser::Kind::kRequest);
     message.bytes.Append(text);
@@ -791,32 +799,33 @@
   NameTables names;
 };
 
-const std::string kGood = "X-Call-Id: 9b1f\r\nX-Caller: other\r\nX-Budget-Ms: 480\r\n";
+const std::string kValidHeaders = "X-Call-Id: 9b1f\r\nX-Caller: other\r\nX-Budget-Ms: 480\r\n";
 
-TEST_F(RequestParsingTest, ReadsWhatTheLoadBalancerNeeds) {
-  const ParsedRequest u =
-      Of("POST /book/x?y HTTP/1.1\r\n" + kGood +
-         "Idempotency-Key: k\r\nX-Again: 1\r\nX-Call-Info: Expected=12.5,Subject=s1,IsWrite=1,z=2"
-         "\r\n\r\n");
-  ASSERT_EQ(u.error_status, 0) << u.reason;
-  EXPECT_EQ(u.arrival.id, "9b1f");
-  EXPECT_EQ(u.arrival.request_class, 1u);
-  EXPECT_EQ(u.arrival.tenant, 1u);
-  EXPECT_EQ(u.arrival.deadline, Time(1'480'000));
-  EXPECT_TRUE(u.arrival.is_client_retry);
-  EXPECT_TRUE(u.arrival.is_write);
-  EXPECT_EQ(u.arrival.key, "s1");
-  EXPECT_EQ(u.arrival.expected_work, Duration(12'500));
+TEST_F(RequestParsingTest, ExtractsTheDataOfTheLoadBalancer) {
+  const ParsedRequest parsed = Parse(
+      "POST /book/x?y HTTP/1.1\r\n" + kValidHeaders +
+      "Idempotency-Key: k\r\nX-Again: 1\r\nX-Call-Info: Expected=12.5,Subject=s1,IsWrite=1,z=2"
+      "\r\n\r\n");
+  ASSERT_EQ(parsed.error_status, 0) << parsed.reason;
+  EXPECT_EQ(parsed.arrival.id, "9b1f");
+  EXPECT_EQ(parsed.arrival.request_class, 1u);
+  EXPECT_EQ(parsed.arrival.tenant, 1u);
+  EXPECT_EQ(parsed.arrival.deadline, Time(1'480'000));
+  EXPECT_TRUE(parsed.arrival.is_client_retry);
+  EXPECT_TRUE(parsed.arrival.is_write);
+  EXPECT_EQ(parsed.arrival.key, "s1");
+  EXPECT_EQ(parsed.arrival.expected_work, Duration(12'500));
 }
 
 TEST_F(RequestParsingTest, ClientRetriesCountOnlyWhereClientsMarkThem) {
   settings.clients_mark_retries = false;
-  EXPECT_FALSE(Of("GET /read HTTP/1.1\r\n" + kGood + "X-Again: 1\r\n\r\n").arrival.is_client_retry);
+  EXPECT_FALSE(Parse("GET /read HTTP/1.1\r\n" + kValidHeaders + "X-Again: 1\r\n\r\n")
+                   .arrival.is_client_retry);
 }
 
 TEST_F(RequestParsingTest, CallerIsNotRequiredWithoutTenants) {
   names.tenants = NameTable();
-  EXPECT_EQ(Of("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 5\r\n\r\n").error_status, 0);
+  EXPECT_EQ(Parse("GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 5\r\n\r\n").error_status, 0);
 }
 
 TEST_F(RequestParsingTest, RejectsInvalidRequests) {
@@ -833,17 +842,18 @@
       {"GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Caller: acme\r\nX-Budget-Ms: -4\r\n\r\n", 400},
       {"GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Caller: acme\r\nX-Budget-Ms: 99999999999\r\n\r\n",
        400},
-      {"GET /read HTTP/1.1\r\nX-Call-Id: b\r\n" + kGood + "\r\n", 400},  // the id twice
-      {"GET /nothing HTTP/1.1\r\n" + kGood + "\r\n", 404},
-      {"GET / HTTP/1.1\r\n" + kGood + "\r\n", 404},
+      {"GET /read HTTP/1.1\r\nX-Call-Id: b\r\n" + kValidHeaders + "\r\n",
+       400},  // the id is repeated
+      {"GET /nothing HTTP/1.1\r\n" + kValidHeaders + "\r\n", 404},
+      {"GET / HTTP/1.1\r\n" + kValidHeaders + "\r\n", 404},
       {"GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Budget-Ms: 480\r\n\r\n", 400},
       {"GET /read HTTP/1.1\r\nX-Call-Id: a\r\nX-Caller: who\r\nX-Budget-Ms: 480\r\n\r\n", 403},
-      {"POST /book HTTP/1.1\r\n" + kGood + "\r\n", 400},  // no key to know a repeat by
-      {"CONNECT /read HTTP/1.1\r\n" + kGood + "\r\n", 405},
-      {"HEAD /read HTTP/1.1\r\n" + kGood + "\r\n", 405},
+      {"POST /book HTTP/1.1\r\n" + kValidHeaders + "\r\n", 400},  // no idempotency key
+      {"CONNECT /read HTTP/1.1\r\n" + kValidHeaders + "\r\n", 405},
+      {"HEAD /read HTTP/1.1\r\n" + kValidHeaders + "\r\n", 405},
   };
   for (const auto& [text, status] : cases) {
-    EXPECT_EQ(Of(text).error_status, status) << text;
+    EXPECT_EQ(Parse(text).error_status, status) << text;
   }
 }
 
