--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -49,7 +49,7 @@
     child_.Start(env_, arguments_);
   }
   const std::string& Text() { return child_.Text(); }
-  bool Says(const std::string& what) { return child_.Says(what); }
+  bool WaitForOutput(const std::string& what) { return child_.WaitForOutput(what); }
   int Wait() { return child_.Wait(); }
 
   Port discovery;
@@ -114,7 +114,7 @@
 
 TEST_F(Program, LogsCountersOnRequestAndAtTheEnd) {
   Start();
-  ASSERT_TRUE(Says("listens on"));
+  ASSERT_TRUE(WaitForOutput("listens on"));
   Peer client = Peer::To(address);
   client.Say("GET /_health HTTP/1.1\r\n\r\n");
   for (int i = 0; i < 2000 && !client.Has("200 OK"); ++i) {
@@ -122,10 +122,10 @@
   }
   ASSERT_TRUE(client.Has("200 OK"));
   kill(pid(), SIGUSR1);
-  ASSERT_TRUE(Says("counters: clients="));
-  EXPECT_TRUE(Says("health_checks=1"));
+  ASSERT_TRUE(WaitForOutput("counters: clients="));
+  EXPECT_TRUE(WaitForOutput("health_checks=1"));
   kill(pid(), SIGTERM);
-  ASSERT_TRUE(Says("draining"));
+  ASSERT_TRUE(WaitForOutput("draining"));
   EXPECT_EQ(Wait(), 0);
   EXPECT_NE(Text().find("counters: clients=0"), std::string::npos) << Text();
   EXPECT_TRUE(client.Ended());
@@ -135,7 +135,7 @@
 TEST_F(Program, LogsCountersPeriodicallyWithTheTime) {
   arguments_ = {"serve", "--counters-every", "0.1"};
   Start();
-  ASSERT_TRUE(Says("listens on"));
+  ASSERT_TRUE(WaitForOutput("listens on"));
   std::string text;
   for (int i = 0; i < 1000 && std::ranges::count(text, '@') < 3; ++i) {
     usleep(5000);
@@ -176,7 +176,7 @@
     std::ofstream(path_) << text;
   };
   Start();
-  ASSERT_TRUE(Says("listens on"));
+  ASSERT_TRUE(WaitForOutput("listens on"));
   Peer first, second, third;
   ASSERT_TRUE(Watched(discovery, first));
   first.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
@@ -188,7 +188,7 @@
 
   std::ofstream(path_) << kConfig.substr(0, 100);  // half of it, at first
   kill(pid(), SIGHUP);
-  ASSERT_TRUE(Says("configuration kept as it was"));
+  ASSERT_TRUE(WaitForOutput("configuration kept as it was"));
   EXPECT_FALSE(first.Ended());
   Port elsewhere;
   write(elsewhere.text());
@@ -201,11 +201,11 @@
 
   std::remove(path_.c_str());
   kill(pid(), SIGHUP);
-  ASSERT_TRUE(Says("cannot read " + path_ + ", expected a file"));
+  ASSERT_TRUE(WaitForOutput("cannot read " + path_ + ", expected a file"));
   EXPECT_FALSE(second.Ended());
 
   kill(pid(), SIGTERM);
-  ASSERT_TRUE(Says("draining"));
+  ASSERT_TRUE(WaitForOutput("draining"));
   Port last;
   write(last.text());
   kill(pid(), SIGHUP);
@@ -259,7 +259,7 @@
   env_["LB_CONFIG"] = to_;
   arguments_.clear();
   Start();
-  EXPECT_TRUE(Says("listens on"));
+  EXPECT_TRUE(WaitForOutput("listens on"));
 }
 
 TEST_F(Migration, DryRunWritesNothing) {
@@ -307,7 +307,7 @@
                  R"([{"id":"h","host_port":")" + host.text() + R"(","phase":"active"}])");
   std::ofstream(path_) << config;
   Start();
-  ASSERT_TRUE(Says("listens on"));
+  ASSERT_TRUE(WaitForOutput("listens on"));
   constexpr size_t kBodies = 60;
   const std::string part(1 << 18, 'x');
   for (const bool answers : {true, false}) {
@@ -360,7 +360,7 @@
   config.replace(config.find("256"), 3, "1024");
   std::ofstream(path_) << config;
   Start();
-  ASSERT_TRUE(Says("listens on"));
+  ASSERT_TRUE(WaitForOutput("listens on"));
   const std::string head = "POST /read HTTP/1.1\r\nContent-Length: 65536\r\n\r\n";
   const std::string text = head + std::string(65535, 'x');
   std::vector<Peer> clients;
--- a/tests/cli/startup_signals_test.cpp
+++ b/tests/cli/startup_signals_test.cpp
@@ -68,7 +68,7 @@
   for (int i = 0; i < kStarts; ++i) {
     testing::Child child;
     child.Start(environment_, {}, RaiseHup);
-    ASSERT_TRUE(child.Says("configuration read again")) << child.Text();
+    ASSERT_TRUE(child.WaitForOutput("configuration read again")) << child.Text();
     child.Signal(SIGTERM);
     ASSERT_EQ(child.Wait(), 0) << child.Text();
   }
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -121,7 +121,7 @@
                {"LB_CONFIG", path},
                {"TMPDIR", ::testing::TempDir()}},
               {}, ForbidWhatThePageForbids);
-  ASSERT_TRUE(child.Says("listens on")) << child.Text();
+  ASSERT_TRUE(child.WaitForOutput("listens on")) << child.Text();
   EXPECT_NE(Whole("/proc/" + std::to_string(child.pid()) + "/maps").find("/libc.so.6"),
             std::string::npos);
   Peer client = Peer::To(address);
@@ -131,7 +131,7 @@
   }
   EXPECT_TRUE(client.Has("HTTP/1.1 503"));  // no host: refused, by a program at work
   child.Signal(SIGHUP);
-  EXPECT_TRUE(child.Says("configuration read again"));
+  EXPECT_TRUE(child.WaitForOutput("configuration read again"));
   child.Signal(SIGTERM);
   EXPECT_EQ(child.Wait(), 0) << child.Text();
   std::filesystem::remove(path);
--- a/tests/gateway/child_process.h
+++ b/tests/gateway/child_process.h
@@ -66,7 +66,7 @@
     }
     return text_;
   }
-  bool Says(const std::string& what) {
+  bool WaitForOutput(const std::string& what) {
     for (int i = 0; i < 1000; ++i) {
       if (Text().find(what) != std::string::npos) {
         return true;
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -131,7 +131,7 @@
 TEST_F(ClusterAgentTest, WithoutAnOperatorFileNothingIsOpened) {
   Child plain;
   plain.Start(EnvironmentOf(0), {"serve"});
-  ASSERT_TRUE(plain.Says("listens on"));
+  ASSERT_TRUE(plain.WaitForOutput("listens on"));
   const std::string proc = "/proc/" + std::to_string(plain.pid());
   EXPECT_EQ(CountEntries(proc + "/task"), 1U);
   for (const auto& fd : fs::directory_iterator(proc + "/fd")) {
@@ -142,7 +142,7 @@
   const size_t descriptors = CountEntries(proc + "/fd");
   plain.Kill();
   StartMember(0);
-  ASSERT_TRUE(members_[0].Says("takes part"));
+  ASSERT_TRUE(members_[0].WaitForOutput("takes part"));
   const std::string with = "/proc/" + std::to_string(members_[0].pid());
   // The disk's thread; the log, its lock, the thread's eventfd, the listener for the others.
   EXPECT_EQ(CountEntries(with + "/task"), 2U);
@@ -260,8 +260,9 @@
   text.replace(text.find("\"SendCap\":3"), 11, "\"SendCap\":5");
   std::ofstream(folder_ + "/c.json") << text;
   members_[1].Signal(SIGHUP);
-  EXPECT_TRUE(members_[1].Says("what it has agreed on goes before the file"));
-  EXPECT_TRUE(members_[1].Says("attempts 3 to 5"));  // the file's change is logged all the same
+  EXPECT_TRUE(members_[1].WaitForOutput("what it has agreed on goes before the file"));
+  EXPECT_TRUE(
+      members_[1].WaitForOutput("attempts 3 to 5"));  // the file's change is logged all the same
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 1; }));
 }
 
@@ -272,8 +273,8 @@
   auto environment = EnvironmentOf(1);
   environment["LB_ADMIN"] = AddressOf(9, 6000);
   new_process.Start(environment, {"serve", "--operator", folder_ + "/bank.toml"});
-  EXPECT_TRUE(members_[1].Says("leaves it to the newer process"));
-  EXPECT_TRUE(new_process.Says("takes part"));
+  EXPECT_TRUE(members_[1].WaitForOutput("leaves it to the newer process"));
+  EXPECT_TRUE(new_process.WaitForOutput("takes part"));
   members_[1].Signal(SIGTERM);
   EXPECT_EQ(members_[1].Wait(), 0);
   EXPECT_TRUE(
@@ -333,7 +334,7 @@
     usleep(2'000);
     requests_at_host();
   }
-  ASSERT_TRUE(new_process.Says("takes part"));
+  ASSERT_TRUE(new_process.WaitForOutput("takes part"));
   EXPECT_EQ(requests_at_host(), 1);
   members_[1].Signal(SIGTERM);
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 10; }));
@@ -378,7 +379,7 @@
     requests_at_host();
   }
   change.join();
-  EXPECT_TRUE(members_[1].Says("restarts as a non-voting member"));
+  EXPECT_TRUE(members_[1].WaitForOutput("restarts as a non-voting member"));
   EXPECT_EQ(requests_at_host(), 0);
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 2; }));
 }
@@ -395,7 +396,7 @@
     log.put('\x55');
   }
   StartMember(1);
-  EXPECT_TRUE(members_[1].Says("log at 24: a record that does not check out"));
+  EXPECT_TRUE(members_[1].WaitForOutput("log at 24: a record that does not check out"));
   // It is logged before the file is renamed.
   EXPECT_TRUE(WaitUntil([&] { return fs::exists(folder_ + "/g1/log.damaged"); }));
   ASSERT_TRUE(WaitUntil([&] { return StatusOf(1)["stance"] == "agreed"; }));
@@ -482,7 +483,7 @@
   environment["LB_NAME"] = "g9";
   members_[1].Start(environment, {"serve", "--operator", file});
   EXPECT_EQ(members_[1].Wait(), 1);
-  EXPECT_TRUE(members_[1].Says("no 'g9', expected this gateway's LB_NAME"));
+  EXPECT_TRUE(members_[1].WaitForOutput("no 'g9', expected this gateway's LB_NAME"));
   EXPECT_EQ(RunCommand("bank status --operator " + folder_ + "/none.toml").code, 2);
   EXPECT_EQ(RunCommand("bank status").code, 2);
   EXPECT_EQ(RunCommand("bank change").code, 2);
--- a/tests/gateway/deadlines_test.cpp
+++ b/tests/gateway/deadlines_test.cpp
@@ -714,7 +714,7 @@
     Write(members, 128, fmt::format(R"("RegistryMode":"{}",)", mode));
     Child child;
     child.Start(Environment(), {}, Limit128);
-    ASSERT_TRUE(child.Says("listens on"));
+    ASSERT_TRUE(child.WaitForOutput("listens on"));
     Peer first;
     const auto watched = [&](Peer& peer) {
       if (!peer) {
@@ -905,14 +905,14 @@
     ASSERT_TRUE(asked && asked.Has("X-Call-Id: a"));
     const auto told = Clock::now();
     old.Signal(SIGTERM);
-    ASSERT_TRUE(old.Says("draining"));
+    ASSERT_TRUE(old.WaitForOutput("draining"));
     if (beside) {
       environment["LB_ADMIN"] = ToText({address.host, 6002});
     }
     double ready = 99;
     if (beside) {
       fresh->Start(environment, {});
-      ASSERT_TRUE(fresh->Says("listens on")) << fresh->Text();
+      ASSERT_TRUE(fresh->WaitForOutput("listens on")) << fresh->Text();
       ready = ReadyAfter(told);
       EXPECT_FALSE(client.Ended());  // the old one is still at it
       asked.Say(Http200("served"));
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -212,22 +212,22 @@
 TEST_F(HotRestartTest, NoRequestFailsWhileTheNewProcessTakesOver) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Load load(address, 0, 8);
   usleep(200'000);
   Start(second, 6002);
-  ASSERT_TRUE(second.Says("learned state of the old process imported")) << second.Text();
-  ASSERT_TRUE(second.Says("ready, reported to the old process")) << second.Text();
+  ASSERT_TRUE(second.WaitForOutput("learned state of the old process imported")) << second.Text();
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process")) << second.Text();
   EXPECT_TRUE(Yes(6002));
-  ASSERT_TRUE(first.Says("the new process serves"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   EXPECT_FALSE(Yes(6001));
   first.Signal(SIGTERM);
   EXPECT_EQ(first.Wait(), 0);
-  ASSERT_TRUE(second.Says("the old process has ended"));
+  ASSERT_TRUE(second.WaitForOutput("the old process has ended"));
   usleep(200'000);
   // And once more, killed at once: nothing is open at the old one by then.
   Start(third, 6003);
-  ASSERT_TRUE(second.Says("this one ends what is open"));
+  ASSERT_TRUE(second.WaitForOutput("this one ends what is open"));
   usleep(700'000);
   second.Kill();
   usleep(200'000);
@@ -240,11 +240,11 @@
   temporary_ = folder_ + "/none";
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("hot restart: no Unix socket"));
+  ASSERT_TRUE(first.WaitForOutput("hot restart: no Unix socket"));
   Load load(address, 0, 8);
   usleep(300'000);
   Start(second, 6002);
-  ASSERT_TRUE(second.Says("listens on")) << second.Text();
+  ASSERT_TRUE(second.WaitForOutput("listens on")) << second.Text();
   usleep(100'000);
   EXPECT_TRUE(Yes(6002));
   first.Signal(SIGTERM);
@@ -256,10 +256,10 @@
 TEST_F(HotRestartTest, OldProcessServesOnWhereTheNewOneDies) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Load load(address, 0, 8);
   Start(second, 6002);  // waits up to a second for a list
-  ASSERT_TRUE(first.Says("a new process has the listening socket"));
+  ASSERT_TRUE(first.WaitForOutput("a new process has the listening socket"));
   second.Signal(SIGSTOP);
   Start(third, 6003);
   EXPECT_EQ(third.Wait(), 1) << first.Text() << second.Text() << third.Text();
@@ -271,9 +271,9 @@
   // Also once it had reported that it was ready.
   Child fourth;
   Start(fourth, 6004);
-  ASSERT_TRUE(first.Says("the new process serves"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   fourth.Kill();
-  ASSERT_TRUE(first.Says("this one serves on"));
+  ASSERT_TRUE(first.WaitForOutput("this one serves on"));
   Load more(address, 10, 4);
   usleep(300'000);
   ExpectWhole(more);
@@ -296,11 +296,11 @@
 TEST_F(HotRestartTest, OldProcessServesAgainWhereTheNewOneHangs) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   second.Signal(SIGSTOP);
-  ASSERT_TRUE(first.Says("the new process does not answer")) << first.Text();
+  ASSERT_TRUE(first.WaitForOutput("the new process does not answer")) << first.Text();
   EXPECT_TRUE(Yes(6001));
   Load load(address, 0, 4);
   usleep(200'000);
@@ -310,7 +310,7 @@
   EXPECT_NE(second.Text().find("the old process serves again"), std::string::npos);
   // And another one can take over.
   Start(third, 6003);
-  ASSERT_TRUE(third.Says("ready, reported to the old process")) << third.Text();
+  ASSERT_TRUE(third.WaitForOutput("ready, reported to the old process")) << third.Text();
   usleep(200'000);
   first.Signal(SIGTERM);
   EXPECT_EQ(first.Wait(), 0);
@@ -337,10 +337,10 @@
 TEST_F(HotRestartTest, OldProcessRefusesInTimeWhileTheNewOneHangs) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
-  ASSERT_TRUE(second.Says("ready, reported to the old process"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // it has answered reports by then
   second.Signal(SIGSTOP);
   const std::string response = ResponseInTime(address, "hangs");
@@ -351,9 +351,9 @@
 TEST_F(HotRestartTest, NewProcessAcceptsAtOnceWhereTheOldOneDiesBeforeItIsReady) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(second.Says("learned state of the old process imported"));
+  ASSERT_TRUE(second.WaitForOutput("learned state of the old process imported"));
   first.Kill();
   const std::string response = ResponseInTime(address, "dies");
   EXPECT_TRUE(response.ends_with("served")) << response << second.Text();
@@ -363,14 +363,14 @@
 TEST_F(HotRestartTest, OldProcessThatEndsAcceptsAgainWhereTheNewOneDies) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Peer half = Peer::To(address);
   half.Say("GET /read HT");  // keeps the old process for its time limit
   usleep(100'000);
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   first.Signal(SIGTERM);
-  ASSERT_TRUE(first.Says("draining"));
+  ASSERT_TRUE(first.WaitForOutput("draining"));
   second.Kill();
   const std::string response = ResponseInTime(address, "ends");
   EXPECT_TRUE(response.ends_with("served")) << response << first.Text();
@@ -390,10 +390,10 @@
 TEST_F(HotRestartTest, NewProcessThatWakesBeforeItIsRevokedServesInTime) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
-  ASSERT_TRUE(second.Says("ready, reported to the old process"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // it has answered reports by then
   second.Signal(SIGSTOP);
   const std::string refused = ResponseInTime(address, "hangs");
@@ -409,13 +409,13 @@
 TEST_F(HotRestartTest, RequestsAreServedInTimeWhileARevokedProcessWakes) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
-  ASSERT_TRUE(second.Says("ready, reported to the old process"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // it has answered reports by then
   second.Signal(SIGSTOP);
-  ASSERT_TRUE(first.Says("the new process does not answer")) << first.Text();
+  ASSERT_TRUE(first.WaitForOutput("the new process does not answer")) << first.Text();
   std::thread wakes([&] {
     usleep(100'000);
     second.Signal(SIGCONT);
@@ -431,17 +431,17 @@
   WriteConfig(256, kSlowClass);
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
-  ASSERT_TRUE(second.Says("ready, reported to the old process"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // the old process has reported by then
   Peer held = Hold("held");
   ASSERT_TRUE(IsHeld(held, 1)) << held.Heard();
   second.Signal(SIGTERM);
   ExpectAnswersInTime(address, 600, "back", "served");
-  EXPECT_TRUE(second.Says("handed back to the old process")) << second.Text();
-  EXPECT_TRUE(first.Says("this one serves on")) << first.Text();
+  EXPECT_TRUE(second.WaitForOutput("handed back to the old process")) << second.Text();
+  EXPECT_TRUE(first.WaitForOutput("this one serves on")) << first.Text();
   EXPECT_FALSE(held.Ended());  // the new process is there yet
 }
 
@@ -464,11 +464,11 @@
 TEST_F(HotRestartTest, NewProcessIsReadyAtOnceWhereTheOldOneIsToldToEnd) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(second.Says("learned state of the old process imported"));
+  ASSERT_TRUE(second.WaitForOutput("learned state of the old process imported"));
   first.Signal(SIGTERM);
-  ASSERT_TRUE(first.Says("draining"));
+  ASSERT_TRUE(first.WaitForOutput("draining"));
   const std::string response = ResponseInTime(address, "told");
   EXPECT_TRUE(response.ends_with("served")) << response << second.Text();
 }
@@ -477,15 +477,15 @@
 TEST_F(HotRestartTest, ThirdProcessTakesOverFromTheFirstWhereTheSecondHangs) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
-  ASSERT_TRUE(second.Says("ready, reported to the old process"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(50'000);  // it listens for others by then
   second.Signal(SIGSTOP);
   Start(third, 6003);
-  ASSERT_TRUE(third.Says("received the listening socket")) << third.Text();
-  ASSERT_TRUE(third.Says("ready, reported to the old process")) << third.Text();
+  ASSERT_TRUE(third.WaitForOutput("received the listening socket")) << third.Text();
+  ASSERT_TRUE(third.WaitForOutput("ready, reported to the old process")) << third.Text();
   Load load(address, 0, 4);
   usleep(200'000);
   ExpectWhole(load);
@@ -497,25 +497,25 @@
 TEST_F(HotRestartTest, AnotherProcessTakesOverAfterOneDiedThatWasReady) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
-  ASSERT_TRUE(second.Says("ready, reported to the old process"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
+  ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(50'000);  // it listens for others by then
   second.Kill();
-  ASSERT_TRUE(first.Says("this one serves on"));
+  ASSERT_TRUE(first.WaitForOutput("this one serves on"));
   Start(third, 6003);
-  ASSERT_TRUE(third.Says("received the listening socket")) << third.Text();
+  ASSERT_TRUE(third.WaitForOutput("received the listening socket")) << third.Text();
 }
 
 // A process that ends before it could serve must not stop the old one.
 TEST_F(HotRestartTest, NewProcessEndedBeforeItServesChangesNothing) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Load load(address, 0, 4);
   Start(second, 6002);
-  ASSERT_TRUE(second.Says("listens on"));
+  ASSERT_TRUE(second.WaitForOutput("listens on"));
   second.Signal(SIGTERM);
   EXPECT_EQ(second.Wait(), 0);
   EXPECT_EQ(second.Text().find("reported to the old process"), std::string::npos);
@@ -524,17 +524,17 @@
   ExpectWhole(load);
   // And another process can still take over.
   Start(third, 6003);
-  EXPECT_TRUE(first.Says("the new process serves"));
+  EXPECT_TRUE(first.WaitForOutput("the new process serves"));
 }
 
 // It went on accepting while it drained, and closed connections whose first request was on the way.
 TEST_F(HotRestartTest, NewProcessToldToEndHandsBackToTheOldOne) {
   Child first, second, third;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Load load(address, 0, 8);
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   usleep(200'000);
   second.Signal(SIGTERM);
   // Requests that come a while behind their connections.
@@ -548,11 +548,11 @@
     }
     EXPECT_TRUE(client.Has("served")) << i << " was told: " << client.Heard();
   }
-  ASSERT_TRUE(first.Says("this one serves on"));
+  ASSERT_TRUE(first.WaitForOutput("this one serves on"));
   EXPECT_TRUE(Yes(6001));
   EXPECT_EQ(second.Wait(), 0) << second.Text();
   Start(third, 6003);
-  ASSERT_TRUE(third.Says("ready, reported to the old process")) << third.Text();
+  ASSERT_TRUE(third.WaitForOutput("ready, reported to the old process")) << third.Text();
   usleep(200'000);
   ExpectWhole(load);
 }
@@ -561,9 +561,9 @@
 TEST_F(HotRestartTest, NewProcessToldToEndAfterTheOldOneDrainsByItself) {
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
-  ASSERT_TRUE(first.Says("the new process serves"));
+  ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   usleep(100'000);
   Peer open = Peer::To(address);  // keeps the second draining
   open.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");
@@ -571,7 +571,7 @@
   first.Signal(SIGTERM);
   usleep(100'000);
   second.Signal(SIGTERM);
-  ASSERT_TRUE(second.Says("draining"));
+  ASSERT_TRUE(second.WaitForOutput("draining"));
   Peer late = Peer::To(address);
   late.Say("GET /read HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 1000\r\n\r\n");
   for (int i = 0; i < 500 && !late.Has("served"); ++i) {
@@ -587,7 +587,7 @@
 TEST_F(HotRestartTest, NewProcessThatDiesDuringAWriteLeavesTheOldOne) {
   Child first;
   Start(first, 6001);
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
   ASSERT_LT(Socket().size(), sizeof(at.sun_path));
@@ -596,7 +596,7 @@
   ASSERT_EQ(connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
   const std::string take = "paddlestile 1 take " + ToText(address) + "\n";
   send(fd.get(), take.data(), take.size(), MSG_NOSIGNAL);
-  ASSERT_TRUE(first.Says("a new process has the listening socket"));
+  ASSERT_TRUE(first.WaitForOutput("a new process has the listening socket"));
   // No event reports it: only the next write finds it closed.
   shutdown(fd.get(), SHUT_RD);
   usleep(300'000);
@@ -611,12 +611,12 @@
 TEST_F(HotRestartTest, WithoutAnAdminAddressNoneStartsBesideOneThatDrains) {
   Child first, second, third;
   first.Start(Environment(), {});
-  ASSERT_TRUE(first.Says("listens on"));
+  ASSERT_TRUE(first.WaitForOutput("listens on"));
   Peer client = Peer::To(address);
   client.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");  // the rest below
   usleep(100'000);
   first.Signal(SIGTERM);
-  ASSERT_TRUE(first.Says("draining"));
+  ASSERT_TRUE(first.WaitForOutput("draining"));
   second.Start(Environment(), {});
   EXPECT_EQ(second.Wait(), 1);
   EXPECT_NE(second.Text().find("Address already in use"), std::string::npos) << second.Text();
@@ -627,14 +627,14 @@
   EXPECT_TRUE(client.Has("served")) << client.Heard();
   EXPECT_EQ(first.Wait(), 0);
   third.Start(Environment(), {});
-  EXPECT_TRUE(third.Says("listens on")) << third.Text();
+  EXPECT_TRUE(third.WaitForOutput("listens on")) << third.Text();
 }
 
 TEST_F(HotRestartTest, OtherFilesAtTheSocketPathAreHarmless) {
   const auto starts = [&](const std::string& what) {
     Child child;
     Start(child, 6001);
-    EXPECT_TRUE(child.Says("listens on")) << what << child.Text();
+    EXPECT_TRUE(child.WaitForOutput("listens on")) << what << child.Text();
     EXPECT_TRUE(Yes(6001)) << what;
     child.Kill();  // leaves its own socket there
   };
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -528,7 +528,7 @@
                  {"LB_DISCOVERY", discovery.text()},
                  {"LB_CONFIG", folder_ + "/config.json"}},
                 {});
-    ASSERT_TRUE(child.Says("listens on"));
+    ASSERT_TRUE(child.WaitForOutput("listens on"));
   }
   Peer Ask(const std::string& id, int budget) const {
     Peer peer = Peer::To(address);
@@ -571,12 +571,12 @@
   child.Signal(SIGTERM);
   std::ofstream(folder_ + "/config.json") << Text(500).substr(0, 150);
   child.Signal(SIGHUP);
-  EXPECT_TRUE(child.Says("configuration kept as it was"));
+  EXPECT_TRUE(child.WaitForOutput("configuration kept as it was"));
   child.Signal(SIGTERM);
   child.Signal(SIGINT);
   Write(300);
   child.Signal(SIGHUP);
-  EXPECT_TRUE(child.Says("configuration read again"));
+  EXPECT_TRUE(child.WaitForOutput("configuration read again"));
   usleep(800'000);
   at_host.Say(Http200("served"));
   EXPECT_TRUE(Hears(client, "served"));
@@ -590,9 +590,9 @@
   Peer at_host = Request();
   Write(0);
   child.Signal(SIGHUP);
-  EXPECT_TRUE(
-      child.Says("configuration kept as it was: LB_CONFIG: " + folder_ +
-                 "/config.json: setting out of range: Classes.0.Deadline, expected over 0"));
+  EXPECT_TRUE(child.WaitForOutput(
+      "configuration kept as it was: LB_CONFIG: " + folder_ +
+      "/config.json: setting out of range: Classes.0.Deadline, expected over 0"));
   at_host.Say(Http200("served"));
   EXPECT_TRUE(Hears(client, "served"));
   at_host.Forget();
@@ -608,7 +608,7 @@
   Peer client = Ask("a", 3000);
   Peer at_host = Request();
   child.Signal(SIGHUP);
-  ASSERT_TRUE(child.Says("nothing of note is new"));
+  ASSERT_TRUE(child.WaitForOutput("nothing of note is new"));
   child.Signal(SIGHUP);
   child.Signal(SIGHUP);
   usleep(50'000);
