--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -230,8 +230,9 @@
 std::unique_ptr<ClusterAgent> MakeClusterAgent(const ServeOptions& options, EventLoop& loop,
                                                ClusterConfig cluster, Gateway& gateway,
                                                Lifecycle& lifecycle, GatewayConfig file) {
-  if (options.membership) {
-    return options.membership(loop, std::move(cluster), gateway, lifecycle, std::move(file));
+  if (options.make_cluster_agent) {
+    return options.make_cluster_agent(loop, std::move(cluster), gateway, lifecycle,
+                                      std::move(file));
   }
   return std::make_unique<ClusterAgent>(loop, std::move(cluster), gateway, lifecycle,
                                         std::move(file));
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -26,7 +26,7 @@
   // For tests: makes a cluster agent that misbehaves, in place of the usual one.
   std::function<std::unique_ptr<ClusterAgent>(EventLoop&, ClusterConfig, Gateway&, Lifecycle&,
                                               GatewayConfig)>
-      membership;
+      make_cluster_agent;
 };
 
 // Runs until SIGTERM or SIGINT, and the drain after that. Takes over the signals of the process and
--- a/tests/lab/faulty_cluster_member.cpp
+++ b/tests/lab/faulty_cluster_member.cpp
@@ -129,9 +129,9 @@
     ForgetLastRecords();
   }
   ServeOptions options;
-  options.membership = [fault](EventLoop& loop, ClusterConfig config, Gateway& gateway,
-                               Lifecycle& lifecycle,
-                               GatewayConfig file) -> std::unique_ptr<ClusterAgent> {
+  options.make_cluster_agent = [fault](EventLoop& loop, ClusterConfig config, Gateway& gateway,
+                                       Lifecycle& lifecycle,
+                                       GatewayConfig file) -> std::unique_ptr<ClusterAgent> {
     return std::make_unique<FaultyClusterAgent>(fault, loop, std::move(config), gateway, lifecycle,
                                                 std::move(file));
   };
