--- a/src/gateway/hot_restart_protocol.cpp
+++ b/src/gateway/hot_restart_protocol.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kVersion = "paddlestile 1 ";
 
-// The number behind a prefix; nothing where the text is another.
+// Returns the number after `prefix`, or nullopt if `text` is not the prefix and a whole number.
 std::optional<uint64_t> NumberAfter(std::string_view text, std::string_view prefix) {
   if (!text.starts_with(prefix)) {
     return std::nullopt;
--- a/src/gateway/hot_restart_protocol.h
+++ b/src/gateway/hot_restart_protocol.h
@@ -1,24 +1,26 @@
-// The lines that the two processes of a hot restart exchange. They are an outside format: processes
-// of different versions read them. No I/O.
+// Formats and parses the lines that the two processes of a hot restart exchange. The format must
+// stay compatible, since the processes may run different versions. Does no I/O.
 //
 //   new process                          old process
 //   paddlestile 1 take 10.0.0.4:5000     paddlestile 1 listen 180 7012   with the listening socket
 //                                        7012 bytes of learned state, JSON
-//                                        monitors                        the old one wants answers
-//   ready                                holds 164                       repeated
-//   alive                                                                answers `holds`
-//                                        revoked                         in place of `holds`
-//                                        ending                          it was told to end
-//                                        paddlestile 1 busy              in place of `listen`
+//                                        monitors                        it expects answers
+//   ready                                holds 164                       sent periodically
+//   alive                                                                the answer to `holds`
+//                                        revoked                         instead of `holds`
+//                                        ending                          it was told to exit
+//                                        paddlestile 1 busy              instead of `listen`
 //
-// `holds`, and the first number of `listen`, say how many descriptors the old process keeps of the
-// budget that both share; the second one of `listen` is the size of the learned state in bytes.
-// `revoked`: the new process did not answer, the old one serves again, the new one ends. A new
-// process that is told to end closes the channel, and the old one serves again, unless it is
-// ending too.
+// The number in `holds`, and the first number in `listen`, is how many descriptors of the shared
+// budget the old process holds. The second number in `listen` is the size of the learned state in
+// bytes.
 //
-// New processes of builds without `monitors` ignore it, and old ones of such builds do not send it:
-// nothing is answered then, and nothing revoked.
+// `revoked` means that the new process did not answer and the old one serves again; the new process
+// then exits. A new process that is told to exit closes the channel, and the old one serves again
+// unless it is exiting too.
+//
+// Builds without `monitors` ignore it as the new process and do not send it as the old process. In
+// both cases no report is answered and no process is revoked.
 #ifndef PADDLESTILE_GATEWAY_HOT_RESTART_PROTOCOL_H_
 #define PADDLESTILE_GATEWAY_HOT_RESTART_PROTOCOL_H_
 
@@ -40,7 +42,7 @@
 constexpr std::string_view kRevokedLine = "revoked";
 constexpr std::string_view kEndingLine = "ending";
 
-// The line without its end.
+// These return a line without its line feed.
 std::string RequestLine(const Address& listen);
 std::string ListenLine(size_t descriptors_held, size_t learned_state_bytes);
 std::string BusyLine();
@@ -50,20 +52,20 @@
   size_t descriptors_held = 0;
   size_t learned_state_bytes = 0;
 };
-// Nothing where the line is another.
+// These return nullopt if `line` is malformed or of another kind.
 std::optional<ListenReply> ParseListenLine(std::string_view line);
 std::optional<size_t> ParseHoldsLine(std::string_view line);
 
-// Calls `on_line` with each complete line in `in`, without its end, and consumes it. False where a
-// line is too long.
+// Consumes each complete line in `input` and calls `on_line` with it, without its line feed.
+// Returns false if the incomplete rest has kMaxLineBytes or more.
 template <typename LineCallback>
-bool ConsumeLines(Buffer& in, const LineCallback& on_line) {
-  for (size_t end = 0; (end = in.view().find('\n')) != std::string_view::npos;) {
-    const std::string line(in.view().substr(0, end));
-    in.Consume(end + 1);
+bool ConsumeLines(Buffer& input, const LineCallback& on_line) {
+  for (size_t end = 0; (end = input.view().find('\n')) != std::string_view::npos;) {
+    const std::string line(input.view().substr(0, end));
+    input.Consume(end + 1);
     on_line(line);
   }
-  return in.size() < kMaxLineBytes;
+  return input.size() < kMaxLineBytes;
 }
 
 }  // namespace paddlestile::hot_restart
--- a/tests/gateway/hot_restart_protocol_test.cpp
+++ b/tests/gateway/hot_restart_protocol_test.cpp
@@ -8,8 +8,8 @@
 namespace paddlestile::hot_restart {
 namespace {
 
-// Processes of other versions read these lines.
-TEST(HotRestartProtocolTest, LinesStayAsTheyAre) {
+// Processes of other versions read these lines, so their text must not change.
+TEST(HotRestartProtocolTest, LinesKeepTheirFormat) {
   EXPECT_EQ(RequestLine({0x0A000004, 5000}), "paddlestile 1 take 10.0.0.4:5000");
   EXPECT_EQ(ListenLine(180, 7012), "paddlestile 1 listen 180 7012");
   EXPECT_EQ(BusyLine(), "paddlestile 1 busy");
@@ -17,7 +17,7 @@
   EXPECT_EQ(kReadyLine, "ready");
 }
 
-TEST(HotRestartProtocolTest, ParsesWhatItFormats) {
+TEST(HotRestartProtocolTest, ParsesFormattedLines) {
   const auto reply = ParseListenLine(ListenLine(180, 7012));
   ASSERT_TRUE(reply);
   EXPECT_EQ(reply->descriptors_held, 180u);
@@ -25,7 +25,7 @@
   EXPECT_EQ(ParseHoldsLine(HoldsLine(164)), 164u);
 }
 
-TEST(HotRestartProtocolTest, RejectsOtherLines) {
+TEST(HotRestartProtocolTest, RejectsMalformedAndOtherLines) {
   for (const char* const line :
        {"", "ready", "paddlestile 1 busy", "paddlestile 1 listen 180", "paddlestile 2 listen 1 2",
         "paddlestile 1 listen x 2", "paddlestile 1 listen 1 x", "paddlestile 1 listen 1 2 "}) {
@@ -35,15 +35,15 @@
   EXPECT_FALSE(ParseHoldsLine("holds -1"));
 }
 
-TEST(HotRestartProtocolTest, ConsumesCompleteLinesOnly) {
-  Buffer in;
-  in.Append("a\nbc\nd");
+TEST(HotRestartProtocolTest, ConsumesOnlyCompleteLines) {
+  Buffer input;
+  input.Append("a\nbc\nd");
   std::vector<std::string> lines;
-  EXPECT_TRUE(ConsumeLines(in, [&](const std::string& line) { lines.push_back(line); }));
+  EXPECT_TRUE(ConsumeLines(input, [&](const std::string& line) { lines.push_back(line); }));
   EXPECT_EQ(lines, (std::vector<std::string>{"a", "bc"}));
-  EXPECT_EQ(in.view(), "d");
-  in.Append(std::string(kMaxLineBytes, 'x'));
-  EXPECT_FALSE(ConsumeLines(in, [](const std::string&) {}));
+  EXPECT_EQ(input.view(), "d");
+  input.Append(std::string(kMaxLineBytes, 'x'));
+  EXPECT_FALSE(ConsumeLines(input, [](const std::string&) {}));
 }
 
 }  // namespace
