--- a/src/gateway/hot_restart_new_process.cpp
+++ b/src/gateway/hot_restart_new_process.cpp
@@ -22,9 +22,9 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kReadTimeout = milliseconds(500);
-// Of an old process that goes on: one that hangs is not handed back to.
+// If the old process's last report is older than this, it may hang and cannot take over again.
 constexpr Duration kMaxReportAge = milliseconds(500);
-// From a request until its reply begins; above the time in which a new process that hangs is found.
+// Must exceed the time after which an old process revokes a new process that hangs.
 constexpr Duration kMaxWaitForReply = milliseconds(3000);
 constexpr Duration kReplyCheckInterval = milliseconds(20);
 
@@ -35,7 +35,8 @@
          LocalAddress(fd) == address;
 }
 
-// Reads the reply to the request. Nothing where it is malformed or does not come.
+// Reads the reply to the request. Returns nullopt if it is malformed or does not arrive in time.
+// Throws std::runtime_error if another new process is already taking over.
 std::optional<HotRestartState> ReadReply(int channel, const Address& listen) {
   HotRestartState state;
   std::string line;
@@ -63,11 +64,13 @@
 }
 
 void SendRequest(int channel, const Address& listen) {
-  // A process that is busy replies without reading: where this fails, the reply may be there.
+  // Errors are ignored: a busy process replies and closes the connection without reading the
+  // request, so the reply may be readable even if sending fails.
   SendLine(channel, hot_restart::RequestLine(listen) + '\n', -1);
 }
 
-std::optional<HotRestartState> TakeReply(FileDescriptor channel, const Address& listen) {
+// Like ReadReply; the returned state owns `channel`, which is non-blocking from then on.
+std::optional<HotRestartState> ReceiveState(FileDescriptor channel, const Address& listen) {
   std::optional<HotRestartState> state = ReadReply(channel.get(), listen);
   if (state) {
     fcntl(channel.get(), F_SETFL, O_NONBLOCK);
@@ -76,8 +79,9 @@
   return state;
 }
 
-// Whether a reply has begun, before the socket at `path` is another one than `inode`, the peer ends
-// the connection, or `deadline`.
+// Waits until the first byte of a reply can be read. Returns false if the peer closes the
+// connection, if the Unix socket at `path` is replaced and no longer has the given inode, or at
+// `deadline`.
 bool WaitForReply(int channel, const std::string& path, uint64_t inode,
                   std::chrono::steady_clock::time_point deadline) {
   while (std::chrono::steady_clock::now() < deadline && InodeOf(path) == inode) {
@@ -93,12 +97,13 @@
   return false;
 }
 
-// A channel to the process at `path` on which a reply has begun; none where no process replies.
+// Returns a channel to the process whose socket is at `path` on which a reply can be read. Returns
+// an empty descriptor if no process listens there or replies in time.
 FileDescriptor ConnectAndRequest(const std::string& path, const Address& listen) {
   const auto deadline = std::chrono::steady_clock::now() + kMaxWaitForReply;
   FileDescriptor channel = ConnectUnix(path);
   if (!channel) {
-    return {};  // no process, or a file that one left
+    return {};  // no process runs, or one left its socket file behind
   }
   while (std::chrono::steady_clock::now() < deadline) {
     const uint64_t inode = InodeOf(path);
@@ -111,7 +116,7 @@
     std::this_thread::sleep_for(kReplyCheckInterval);
     channel = ConnectUnix(path);
   }
-  Log(LogLevel::kWarning, "hot restart: the running process does not reply");
+  Log(LogLevel::kWarning, "hot restart: the running process did not reply in time");
   return {};
 }
 
@@ -123,7 +128,7 @@
     return std::nullopt;
   }
   SendRequest(channel.get(), listen);
-  return TakeReply(std::move(channel), listen);
+  return ReceiveState(std::move(channel), listen);
 }
 
 HotRestartState RequestHotRestart(const std::string& path, const Address& listen) {
@@ -134,9 +139,9 @@
   if (!channel) {
     return {};
   }
-  std::optional<HotRestartState> state = TakeReply(std::move(channel), listen);
+  std::optional<HotRestartState> state = ReceiveState(std::move(channel), listen);
   if (!state) {
-    Log(LogLevel::kWarning, "hot restart: the reply of the running process is not valid");
+    Log(LogLevel::kWarning, "hot restart: the running process sent an invalid reply");
     return {};
   }
   ++GlobalCounters().hot_restarts;
@@ -161,7 +166,8 @@
 }
 
 bool NewProcess::HandBack() {
-  // Old processes of builds that do not monitor do not say that they are ending.
+  // Builds that do not send `monitors` do not send `ending` either, so whether such an old process
+  // is exiting is unknown.
   if (stream_.closed() || !is_monitored_ || old_is_ending_ ||
       loop_.Now() - reported_at_ > kMaxReportAge) {
     return false;
@@ -176,12 +182,14 @@
   if (const auto descriptors_held = hot_restart::ParseHoldsLine(line)) {
     budget_.set_held_by_other_process(*descriptors_held);
     reported_at_ = loop_.Now();
-    is_asked_ = true;
+    needs_answer_ = true;
   } else if (line == hot_restart::kMonitorsLine) {
     is_monitored_ = true;
-    is_asked_ = true;
+    needs_answer_ = true;
   } else if (line == hot_restart::kRevokedLine) {
-    is_revoked_ = !old_is_ending_;  // else nobody would serve once that one has ended
+    // An old process that is exiting cannot take over: if this process drained too, no process
+    // would serve once the old one has exited.
+    is_revoked_ = !old_is_ending_;
   } else if (line == hot_restart::kEndingLine) {
     old_is_ending_ = true;
     if (on_old_ended_) {
@@ -194,7 +202,7 @@
   const bool valid =
       hot_restart::ConsumeLines(stream_.input(), [this](const std::string& line) { OnLine(line); });
   if (std::exchange(is_revoked_, false)) {
-    Log(LogLevel::kWarning, "hot restart: the old process serves again, this one ends");
+    Log(LogLevel::kWarning, "hot restart: the old process serves again, this process exits");
     OnError();
     if (on_revoked_) {
       on_revoked_();
@@ -204,7 +212,7 @@
   if (!valid || stream_.ended()) {
     return OnError();
   }
-  if (std::exchange(is_asked_, false) && is_monitored_) {
+  if (std::exchange(needs_answer_, false) && is_monitored_) {
     stream_.Write(std::string(hot_restart::kAliveLine) + '\n');
   }
   if (!stream_.closed()) {
--- a/src/gateway/hot_restart_new_process.h
+++ b/src/gateway/hot_restart_new_process.h
@@ -1,5 +1,5 @@
-// The new process of a hot restart: asks the running one for its place, until that one has ended.
-// hot_restart.h has the steps of both.
+// The new process of a hot restart: takes over from the running process, and communicates with it
+// until that one has exited. hot_restart.h describes the steps of both processes.
 #ifndef PADDLESTILE_GATEWAY_HOT_RESTART_NEW_PROCESS_H_
 #define PADDLESTILE_GATEWAY_HOT_RESTART_NEW_PROCESS_H_
 
@@ -15,40 +15,42 @@
 
 namespace paddlestile {
 
-// What a new process was given. All empty where there is no old process.
+// What the new process received from the old one. All fields are empty if there is no old process.
 struct HotRestartState {
   FileDescriptor listening_socket;
-  FileDescriptor channel;       // to the old process
-  size_t descriptors_held = 0;  // of the shared budget, by the old process
-  std::string learned_state;    // as text; empty: none
+  FileDescriptor channel;       // connected to the old process
+  size_t descriptors_held = 0;  // descriptors of the shared budget that the old process holds
+  std::string learned_state;    // encoded by EncodeLearnedState; empty if there is none
 };
 
-// Asks the process at `path` to hand over. Blocks, three seconds at most until a reply begins:
-// where the process does not answer, the one that it took over from may replace it meanwhile.
-// Returns an empty state where `path` is empty, or no process listens there or gives a valid reply.
-// Throws std::runtime_error where another new process has asked before.
+// Requests the listening socket and the learned state from the process whose Unix socket is at
+// `path`. Blocks for up to three seconds until a reply begins: if the process does not reply, the
+// process that it took over from may replace its Unix socket meanwhile. Returns an empty state if
+// `path` is empty, if no process listens there, or if no valid reply arrives. Throws
+// std::runtime_error if another new process is already taking over.
 HotRestartState RequestHotRestart(const std::string& path, const Address& listen);
 
-// The same over a channel that is connected to the running process. Nothing where there is no valid
-// reply.
+// Like RequestHotRestart, over a channel that is already connected to the running process. Returns
+// nullopt if no valid reply arrives.
 std::optional<HotRestartState> RequestHotRestartOver(FileDescriptor channel, const Address& listen);
 
-// The new process' side, until the old process ends.
+// The new process's end of the channel, used until the old process exits.
 class NewProcess final : public Stream::Listener {
  public:
-  // `loop` and `budget` must outlive it.
+  // `loop` and `budget` must outlive this object.
   NewProcess(EventLoop& loop, HotRestartState state, DescriptorBudget& budget);
-  // `on_revoked` runs where the old process serves again because this one did not answer.
+  // `on_revoked` runs if the old process serves again because this process did not answer.
   void set_on_revoked(std::function<void()> on_revoked) { on_revoked_ = std::move(on_revoked); }
-  // `on_old_ended` runs where the old process is told to end, and where it has ended: nobody else
-  // accepts connections for long.
+  // `on_old_ended` runs when the old process reports that it was told to exit, and again when it
+  // has exited: from then on only this process can accept connections.
   void set_on_old_ended(std::function<void()> on_old_ended) {
     on_old_ended_ = std::move(on_old_ended);
   }
-  // To be called once this process can serve.
+  // Must be called once this process can serve.
   void ReportReady();
-  // To be called when this process, which serves, is told to end: the old one serves again, if it
-  // has reported of late and is not ending too. False where it does not.
+  // Must be called when this process is told to exit while it serves. Returns true if the old
+  // process serves again. Returns false if it cannot: its last report is too old, it is exiting
+  // too, or its version does not support this.
   bool HandBack();
 
  private:
@@ -60,9 +62,9 @@
   DescriptorBudget& budget_;
   Stream stream_;
   std::function<void()> on_revoked_, on_old_ended_;
-  Time reported_at_;           // when the old process last told what it holds
-  bool is_monitored_ = false;  // the old process wants answers
-  bool is_asked_ = false;      // since the last answer
+  Time reported_at_;           // time of the old process's last `holds` line
+  bool is_monitored_ = false;  // the old process expects answers to its reports
+  bool needs_answer_ = false;  // a report has arrived since the last answer
   bool is_revoked_ = false;
   bool old_is_ending_ = false;
 };
