--- a/src/gateway/hot_restart_old_process.cpp
+++ b/src/gateway/hot_restart_old_process.cpp
@@ -18,21 +18,23 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kReportInterval = milliseconds(50);    // of the descriptors held
-constexpr Duration kAcceptRetryDelay = milliseconds(50);  // while no descriptor is left
-// Reports without an answer before a new process that was ready is taken to hang. Counted in
-// reports, not in time: a machine that stands still is no fault of the new process.
+constexpr Duration kReportInterval = milliseconds(50);    // between reports of held descriptors
+constexpr Duration kAcceptRetryDelay = milliseconds(50);  // after accept failed
+// A new process that was ready counts as hung after more unanswered reports than this. The limit is
+// a number of reports rather than a time, so that a pause of the whole machine does not count
+// against the new process.
 constexpr int kMaxUnansweredReports = 40;
-// Before connections are refused that it is to accept: one long round of its loop is none.
+// Connections that wait for the new process are refused only after more unanswered reports than
+// this: a single long iteration of its event loop is no reason to refuse them.
 constexpr int kMinUnansweredReports = 2;
-// What the old process may still open: an upstream connection for each of its clients, so many at
-// most.
+// The old process may still open one upstream connection for each of its clients, up to this limit.
 constexpr size_t kMaxSpareDescriptors = 16;
-// Of a process that ends, outside of its budget: 24, and those kept to refuse connections.
+// Descriptors of a draining process outside its budget: 24, and those of the connection refuser.
 constexpr size_t kUnbudgetedDescriptors = 24 + ConnectionRefuser::kMaxConnections;
 
 }  // namespace
 
+// Watches the listening Unix socket.
 class OldProcess::Acceptor final : public EventLoop::Handler {
  public:
   Acceptor(OldProcess& owner, FileDescriptor fd) : owner_(owner), fd_(std::move(fd)) {
@@ -55,7 +57,7 @@
   bool watched_ = false;
 };
 
-// The connection of a new process.
+// The connection from a new process.
 class OldProcess::Channel final : public Stream::Listener {
  public:
   Channel(OldProcess& owner, FileDescriptor fd)
@@ -66,13 +68,13 @@
   }
   bool Start() { return stream_.Start(); }
   [[nodiscard]] Stream& stream() { return stream_; }
-  // One more report goes to the new process. False where it is taken to hang: it answered before,
-  // was ready, and has left too many without an answer.
+  // Counts a report sent to the new process. Returns false if that process counts as hung: it has
+  // answered reports before, took over, and has now left too many reports unanswered.
   bool CountReport() {
     ++unanswered_reports_;
     return !IsMonitored() || unanswered_reports_ <= kMaxUnansweredReports;
   }
-  // Whether the new process, which accepts, has not answered for so long.
+  // Returns whether the new process has taken over and has not answered reports for `delay`.
   [[nodiscard]] bool IsLateBy(Duration delay) const {
     return IsMonitored() && unanswered_reports_ > kMinUnansweredReports &&
            (unanswered_reports_ - 1) * kReportInterval >= delay;
@@ -96,23 +98,23 @@
       return OnReady();
     }
     if (line == hot_restart::kAliveLine && handed_over_) {
-      answers_ = true;
+      has_answered_ = true;
       unanswered_reports_ = 0;
       owner_.downstream_.StopRefusingForNewProcess();
       return;
     }
     const bool is_request = line == hot_restart::RequestLine(owner_.downstream_.address());
     if (!is_request || handed_over_ || owner_.downstream_.listening_socket() < 0) {
-      Log(LogLevel::kWarning, "hot restart: a malformed request, not followed");
+      Log(LogLevel::kWarning, "hot restart: rejected a malformed or unexpected request");
       return owner_.OnNewProcessGone();
     }
     HandOver();
   }
 
-  [[nodiscard]] bool IsMonitored() const { return answers_ && owner_.lifecycle_.replaced(); }
+  [[nodiscard]] bool IsMonitored() const { return has_answered_ && owner_.lifecycle_.replaced(); }
 
   void OnReady() {
-    Log(LogLevel::kInfo, "hot restart: the new process serves, this one ends what is open");
+    Log(LogLevel::kInfo, "hot restart: the new process serves, this process drains");
     unanswered_reports_ = 0;
     owner_.lifecycle_.set_replaced(true);
     owner_.ReportDescriptorsHeld();
@@ -131,15 +133,15 @@
       return;
     }
     ++GlobalCounters().hot_restarts;
-    Log(LogLevel::kInfo, "hot restart: a new process has the listening socket");
+    Log(LogLevel::kInfo, "hot restart: sent the listening socket to a new process");
     owner_.ReportDescriptorsHeld();
   }
 
   OldProcess& owner_;
   int fd_;
   Stream stream_;
-  bool handed_over_ = false;  // the listening socket was sent
-  bool answers_ = false;      // the new process answers reports
+  bool handed_over_ = false;   // the listening socket was sent
+  bool has_answered_ = false;  // the new process has answered a report
   int unanswered_reports_ = 0;
 };
 
@@ -160,7 +162,8 @@
 void OldProcess::Listen() {
   FileDescriptor fd = ListenUnix(path_);
   if (!fd) {
-    Log(LogLevel::kWarning, "hot restart: no Unix socket at {}: {}", path_, std::strerror(errno));
+    Log(LogLevel::kWarning, "hot restart: cannot listen on Unix socket {}: {}", path_,
+        std::strerror(errno));
     return;
   }
   acceptor_ = std::make_unique<Acceptor>(*this, std::move(fd));
@@ -173,7 +176,7 @@
   if (channel_) {
     channel_->stream().Close();
   }
-  // The file may be a newer process' by now.
+  // A newer process may have replaced the file.
   if (acceptor_ && InodeOf(path_) == inode_) {
     unlink(path_.c_str());
   }
@@ -190,7 +193,8 @@
   while (true) {
     FileDescriptor fd(accept4(acceptor_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd && errno != EAGAIN && errno != EWOULDBLOCK) {
-      // Without a descriptor: the edge is consumed, and a new process waits for a reply.
+      // accept4 may have failed because no descriptor was free. The readiness event is
+      // edge-triggered and consumed, so accepting is retried: a new process waits for a reply.
       accept_timer_ = loop_.RunAfter(kAcceptRetryDelay, [this] { Accept(); });
     }
     if (!fd) {
@@ -217,15 +221,15 @@
   loop_.CancelTimer(report_timer_);
   budget_.set_held_by_other_process(0);
   channel_->stream().Close();
-  // A handler of the channel may be running: its memory is freed after that has returned.
-  loop_.RunDeferred([kept = std::exchange(channel_, nullptr)] {});
-  // Also where this one is ending: until then nobody else accepts what pends.
+  // An event handler of the channel may be running, so the channel is destroyed after it returns.
+  loop_.RunDeferred([released_channel = std::exchange(channel_, nullptr)] {});
+  // This process accepts again even if it is exiting: no other process accepts pending connections.
   if (lifecycle_.replaced()) {
-    Log(LogLevel::kWarning, "hot restart: the new process has ended, this one serves on");
+    Log(LogLevel::kWarning, "hot restart: the new process is gone, this process serves again");
     lifecycle_.set_replaced(false);
   }
-  // The file of a new process that had been ready: its successors would ask there. Deferred, as the
-  // acceptor's own handler may be running.
+  // A new process that was ready has replaced the socket file, at which the next new process would
+  // find nobody. Replacing it is deferred because the acceptor's own handler may be running.
   loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
       ReplaceOtherSocket();
@@ -251,7 +255,7 @@
   return std::min(budget_.used() + spare, budget_.limit()) + kUnbudgetedDescriptors;
 }
 
-// Both processes share one budget: once replaced, this one opens no more than it reports.
+// Both processes share one budget: once replaced, this process opens no more than it has reported.
 void OldProcess::ReportDescriptorsHeld() {
   loop_.CancelTimer(report_timer_);
   const size_t held = DescriptorsHeld();
@@ -263,7 +267,7 @@
     return;  // the write failed
   }
   const bool is_answered = channel_->CountReport();
-  // One that ends has no place to take back.
+  // A process that is exiting cannot serve again, so it does not revoke the new one.
   if (!is_answered && lifecycle_.stage() != LifecycleStage::kEnding) {
     return RevokeNewProcess();
   }
--- a/src/gateway/hot_restart_old_process.h
+++ b/src/gateway/hot_restart_old_process.h
@@ -1,5 +1,5 @@
-// The old process of a hot restart: waits for a new one, gives it its place, and takes that back
-// where the new one fails. hot_restart.h has the steps of both.
+// The old process of a hot restart: waits for a new process, hands over to it, and serves again if
+// the new process fails. hot_restart.h describes the steps of both processes.
 #ifndef PADDLESTILE_GATEWAY_HOT_RESTART_OLD_PROCESS_H_
 #define PADDLESTILE_GATEWAY_HOT_RESTART_OLD_PROCESS_H_
 
@@ -15,15 +15,16 @@
 
 namespace paddlestile {
 
-// The old process' side: waits at `path` for a new process. Without effect where the socket cannot
-// be made.
+// Listens on the Unix socket at `path` for a new process. Does nothing if `path` is empty or the
+// socket cannot be created.
 class OldProcess {
  public:
-  // All references must outlive it. An empty `path`: without effect.
+  // All references must outlive this object.
   OldProcess(EventLoop& loop, std::string path, Lifecycle& lifecycle, Downstream& downstream,
              DescriptorBudget& budget, std::function<std::string()> export_learned_state);
   ~OldProcess();
-  // To be called when this process is told to end: a new one does not hand back to it then.
+  // Must be called when this process is told to exit, so that the new process does not hand back
+  // to it.
   void ReportEnding();
   OldProcess(const OldProcess&) = delete;
   OldProcess& operator=(const OldProcess&) = delete;
@@ -34,12 +35,15 @@
   void Listen();
   void Accept();
   void OnNewProcessGone();
-  // The new process does not answer: it is told so, for when it does, and its place is taken back.
+  // Serves again in place of a new process that does not answer. Sends it a notice, which it reads
+  // when it runs again.
   void RevokeNewProcess();
-  // Listens anew where the file at `path_` is no longer this process' socket.
+  // Creates the Unix socket again if the file at `path_` is no longer this process's socket.
   void ReplaceOtherSocket();
-  // Of the budget that both processes share: what this one has open, and may open yet.
+  // Returns the descriptors of the shared budget that this process has open or may still open.
   [[nodiscard]] size_t DescriptorsHeld() const;
+  // Sends the number of held descriptors to the new process, and repeats this periodically. Acts
+  // on a new process that leaves too many reports unanswered.
   void ReportDescriptorsHeld();
 
   EventLoop& loop_;
@@ -48,9 +52,9 @@
   Downstream& downstream_;
   DescriptorBudget& budget_;
   std::function<std::string()> export_learned_state_;
-  std::unique_ptr<Acceptor> acceptor_;  // null: without effect
-  uint64_t inode_ = 0;                  // of the socket's file, which a newer process may replace
-  std::shared_ptr<Channel> channel_;    // to the new process; null: none
+  std::unique_ptr<Acceptor> acceptor_;  // null if this object does nothing
+  uint64_t inode_ = 0;                  // of the socket file, which a newer process may replace
+  std::shared_ptr<Channel> channel_;    // to the new process; null if there is none
   EventLoop::TimerId report_timer_, accept_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this object
 };
--- a/tests/gateway/hot_restart_test.cpp
+++ b/tests/gateway/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// A second process of the program takes over from the first, under load.
+// Hot restarts of the program's own processes under load, with failures of either process.
 #include "gateway/hot_restart.h"
 
 #include <fcntl.h>
@@ -35,7 +35,7 @@
 // with "held" get no response.
 class Host {
  public:
-  Host() : thread_([this] { Play(); }) {}
+  Host() : thread_([this] { Run(); }) {}
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
   ~Host() {
@@ -43,12 +43,12 @@
     thread_.join();
   }
   Port port;
-  std::atomic<int> held = 0;
-  // Once the load has ended.
-  std::map<std::string, int> seen;
+  std::atomic<int> held = 0;  // requests without a response so far
+  // The number of requests by id. Not synchronized: to be read after the load has stopped.
+  std::map<std::string, int> counts_by_id;
 
  private:
-  void Play() {
+  void Run() {
     std::vector<Peer> peers;
     while (!stop_) {
       while (Peer peer = port.TryTake()) {
@@ -60,13 +60,13 @@
         }
         const std::string text = peer.Heard();
         peer.Forget();
-        const size_t at = text.find("X-Call-Id: ");
+        const size_t id_header = text.find("X-Call-Id: ");
         if (text.find("X-Call-Id: held") != std::string::npos) {
           ++held;
           continue;
         }
-        if (at != std::string::npos) {
-          ++seen[text.substr(at + 11, text.find('\r', at) - at - 11)];
+        if (id_header != std::string::npos) {
+          ++counts_by_id[text.substr(id_header + 11, text.find('\r', id_header) - id_header - 11)];
         }
         peer.Say(testing::Http200("served"));
       }
@@ -77,14 +77,15 @@
   std::thread thread_;
 };
 
-// Clients that keep their connections and open new ones, until they are stopped. Each counts its
-// requests without a response.
+// Clients that send requests, on kept and on new connections, until Stop is called. A request
+// without the expected response is a test failure.
 class Load {
  public:
-  // Clients numbered from `first` on; the ids of their requests begin with the number.
-  Load(const Address& to, int first, int clients) {
+  // Starts clients with the numbers from `first` on. The ids of a client's requests begin with its
+  // number.
+  Load(const Address& address, int first, int clients) {
     for (int i = first; i < first + clients; ++i) {
-      threads_.emplace_back([this, to, i] { Play(to, i); });
+      threads_.emplace_back([this, address, i] { RunClient(address, i); });
     }
   }
   Load(const Load&) = delete;
@@ -97,33 +98,33 @@
     }
     threads_.clear();
   }
-  std::atomic<int> asked = 0, served = 0, turned_back = 0;
+  std::atomic<int> requests_sent = 0, requests_served = 0, requests_failed = 0;
 
  private:
-  void Play(const Address& to, int client) {
+  void RunClient(const Address& address, int client) {
     Peer peer;
     for (int n = 0; !stop_; ++n) {
       usleep(5000);
-      // Every third time on a new connection.
-      const bool fresh = !peer || n % 3 == 0 || peer.Ended();
-      if (fresh) {
-        peer = Peer::To(to);
+      // Every third request uses a new connection.
+      const bool needs_connection = !peer || n % 3 == 0 || peer.Ended();
+      if (needs_connection) {
+        peer = Peer::To(address);
       }
       peer.Forget();
       const std::string id = std::to_string(client) + "-" + std::to_string(n);
-      ++asked;
+      ++requests_sent;
       peer.Say("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
       for (int i = 0; i < 3000 && !peer.Has("served") && !peer.Ended(); ++i) {
         usleep(300);
       }
       if (peer.Has("served")) {
-        ++served;
+        ++requests_served;
         if (peer.Has("Connection: close")) {
           peer = Peer();
         }
       } else {
-        ++turned_back;
-        ADD_FAILURE() << id << " was told: " << peer.Heard();
+        ++requests_failed;
+        ADD_FAILURE() << id << " got the response: " << peer.Heard();
         peer = Peer();
       }
     }
@@ -132,7 +133,7 @@
   std::vector<std::thread> threads_;
 };
 
-// Requests that outlast a test.
+// A request class whose deadline outlasts a test.
 constexpr const char* kSlowClass =
     R"(,{"Name":"slow","Effect":"unsafe","Slo":15000.0,"Deadline":20000.0})";
 
@@ -140,7 +141,7 @@
  protected:
   HotRestartTest()
       : folder_(::testing::TempDir() + "paddlestile-up-" + std::to_string(getpid())),
-        temporary_(folder_) {
+        tmpdir_(folder_) {
     std::filesystem::create_directory(folder_);
     address = {0x7f4e0000U | (static_cast<uint32_t>(getpid()) & 0xffffU), 5000};
     WriteConfig(256);
@@ -160,15 +161,15 @@
             {"LB_LISTEN", ToText(address)},
             {"LB_DISCOVERY", discovery.text()},
             {"LB_CONFIG", folder_ + "/config.json"},
-            {"TMPDIR", temporary_}};
+            {"TMPDIR", tmpdir_}};
   }
   void Start(Child& child, uint16_t admin) {
     std::map<std::string, std::string> environment = Environment();
     environment["LB_ADMIN"] = ToText({address.host, admin});
     child.Start(environment, {});
   }
-  // The response to GET /admin/health.
-  bool Yes(uint16_t admin) {
+  // Returns whether GET /admin/health at this port gets a response 200.
+  bool IsHealthy(uint16_t admin) {
     Peer peer = Peer::To({address.host, admin});
     peer.Say("GET /admin/health HTTP/1.1\r\n\r\n");
     for (int i = 0; i < 500 && !peer.Ended(); ++i) {
@@ -176,40 +177,41 @@
     }
     return peer.Heard().starts_with("HTTP/1.1 200");
   }
-  // A request that the host does not respond to.
-  [[nodiscard]] Peer Hold(const std::string& id) const {
+  // Sends a request to which the host does not respond. `id` must begin with "held".
+  [[nodiscard]] Peer SendHeldRequest(const std::string& id) const {
     Peer peer = Peer::To(address);
     peer.Say("GET /slow HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 20000\r\n\r\n");
     return peer;
   }
-  // Whether it has come to the host, as the latest of `count`; false where it gets a response.
-  bool IsHeld(Peer& peer, int count) const {
+  // Waits until the host holds `count` requests. Returns false if it does not, for instance because
+  // `peer` has received a response.
+  bool WaitUntilHeld(Peer& peer, int count) const {
     for (int i = 0; i < 1000 && host.held < count && !peer.Has("\r\n\r\n"); ++i) {
       usleep(2000);
     }
     return host.held == count;
   }
-  std::string Socket() { return folder_ + "/paddlestile-" + ToText(address) + ".sock"; }
-  // Each request with a response ran once; none was rejected.
-  void ExpectWhole(Load& load) {
+  std::string SocketPath() { return folder_ + "/paddlestile-" + ToText(address) + ".sock"; }
+  // Stops the load and expects that each request was served, and that each ran once on the host.
+  void StopAndExpectNoFailures(Load& load) {
     load.Stop();
-    EXPECT_GT(load.served, 50);
-    EXPECT_EQ(load.turned_back, 0);
-    EXPECT_EQ(load.asked, load.served);
-    for (const auto& [id, times] : host.seen) {
-      EXPECT_EQ(times, 1) << id;
+    EXPECT_GT(load.requests_served, 50);
+    EXPECT_EQ(load.requests_failed, 0);
+    EXPECT_EQ(load.requests_sent, load.requests_served);
+    for (const auto& [id, count] : host.counts_by_id) {
+      EXPECT_EQ(count, 1) << id;
     }
   }
 
-  std::string folder_, temporary_;
+  std::string folder_, tmpdir_;
   Host host;
   Port discovery;
   Address address;
 };
 
-// With a listening socket each, the kernel would reset the queued connections of the process that
-// ends.
-TEST_F(HotRestartTest, NoRequestFailsWhileTheNewProcessTakesOver) {
+// If each process had a listening socket of its own, the kernel would reset the connections that
+// wait in the queue of the exiting process.
+TEST_F(HotRestartTest, NoRequestFailsWhileNewProcessTakesOver) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -218,70 +220,71 @@
   Start(second, 6002);
   ASSERT_TRUE(second.WaitForOutput("learned state of the old process imported")) << second.Text();
   ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process")) << second.Text();
-  EXPECT_TRUE(Yes(6002));
+  EXPECT_TRUE(IsHealthy(6002));
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
-  EXPECT_FALSE(Yes(6001));
+  EXPECT_FALSE(IsHealthy(6001));
   first.Signal(SIGTERM);
   EXPECT_EQ(first.Wait(), 0);
   ASSERT_TRUE(second.WaitForOutput("the old process has ended"));
   usleep(200'000);
-  // And once more, killed at once: nothing is open at the old one by then.
+  // A second hot restart, after which the old process is killed once its connections have closed.
   Start(third, 6003);
-  ASSERT_TRUE(second.WaitForOutput("this one ends what is open"));
+  ASSERT_TRUE(second.WaitForOutput("the new process serves, this process drains"));
   usleep(700'000);
   second.Kill();
   usleep(200'000);
-  ExpectWhole(load);
-  EXPECT_TRUE(Yes(6003));
+  StopAndExpectNoFailures(load);
+  EXPECT_TRUE(IsHealthy(6003));
 }
 
-// Without a Unix socket both processes listen on the address; the newest gets the connections.
-TEST_F(HotRestartTest, NoRequestFailsWithoutAUnixSocket) {
-  temporary_ = folder_ + "/none";
+// Without a Unix socket both processes listen on the address, and the newer one gets the
+// connections.
+TEST_F(HotRestartTest, NoRequestFailsWithoutUnixSocket) {
+  tmpdir_ = folder_ + "/none";
   Child first, second;
   Start(first, 6001);
-  ASSERT_TRUE(first.WaitForOutput("hot restart: no Unix socket"));
+  ASSERT_TRUE(first.WaitForOutput("hot restart: cannot listen on Unix socket"));
   Load load(address, 0, 8);
   usleep(300'000);
   Start(second, 6002);
   ASSERT_TRUE(second.WaitForOutput("listens on")) << second.Text();
   usleep(100'000);
-  EXPECT_TRUE(Yes(6002));
+  EXPECT_TRUE(IsHealthy(6002));
   first.Signal(SIGTERM);
   EXPECT_EQ(first.Wait(), 0);
   usleep(200'000);
-  ExpectWhole(load);
+  StopAndExpectNoFailures(load);
 }
 
-TEST_F(HotRestartTest, OldProcessServesOnWhereTheNewOneDies) {
+TEST_F(HotRestartTest, OldProcessServesIfNewProcessDies) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
   Load load(address, 0, 8);
-  Start(second, 6002);  // waits up to a second for a list
-  ASSERT_TRUE(first.WaitForOutput("a new process has the listening socket"));
+  Start(second, 6002);  // waits up to a second for an endpoint list before it is ready
+  ASSERT_TRUE(first.WaitForOutput("sent the listening socket to a new process"));
   second.Signal(SIGSTOP);
   Start(third, 6003);
   EXPECT_EQ(third.Wait(), 1) << first.Text() << second.Text() << third.Text();
   EXPECT_NE(third.Text().find("another process is taking over"), std::string::npos);
   second.Kill();
   usleep(300'000);
-  ExpectWhole(load);
-  EXPECT_TRUE(Yes(6001));
-  // Also once it had reported that it was ready.
+  StopAndExpectNoFailures(load);
+  EXPECT_TRUE(IsHealthy(6001));
+  // The new process dies after it has reported that it is ready.
   Child fourth;
   Start(fourth, 6004);
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   fourth.Kill();
-  ASSERT_TRUE(first.WaitForOutput("this one serves on"));
-  Load more(address, 10, 4);
+  ASSERT_TRUE(first.WaitForOutput("this process serves again"));
+  Load later_load(address, 10, 4);
   usleep(300'000);
-  ExpectWhole(more);
+  StopAndExpectNoFailures(later_load);
 }
 
-// The process that is busy had replied and closed before the request was sent: the new one took the
-// failed send for a process that does not speak, and served beside the other two.
-TEST(RequestHotRestartTest, ABusyReplyIsReadWhereTheRequestIsNotTaken) {
+// A busy process may reply and close the connection before the request is sent. A new process that
+// gave up because sending failed would start to serve beside the other two.
+TEST(RequestHotRestartTest, ReadsBusyReplyIfRequestCannotBeSent) {
   int ends[2] = {-1, -1};
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends), 0);
   FileDescriptor channel(ends[0]), busy_process(ends[1]);
@@ -292,8 +295,9 @@
                std::runtime_error);
 }
 
-// A new process that hung after it was ready left nobody who served.
-TEST_F(HotRestartTest, OldProcessServesAgainWhereTheNewOneHangs) {
+// Guards against an address that no process serves because the new process hangs after it was
+// ready.
+TEST_F(HotRestartTest, OldProcessServesAgainIfNewProcessHangs) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -301,40 +305,42 @@
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   second.Signal(SIGSTOP);
   ASSERT_TRUE(first.WaitForOutput("the new process does not answer")) << first.Text();
-  EXPECT_TRUE(Yes(6001));
+  EXPECT_TRUE(IsHealthy(6001));
   Load load(address, 0, 4);
   usleep(200'000);
-  // The one that hung ends once it goes on, and is not missed.
+  // The new process exits once it runs again, without an effect on the requests.
   second.Signal(SIGCONT);
   EXPECT_EQ(second.Wait(), 0) << second.Text();
   EXPECT_NE(second.Text().find("the old process serves again"), std::string::npos);
-  // And another one can take over.
+  // Another process can take over.
   Start(third, 6003);
   ASSERT_TRUE(third.WaitForOutput("ready, reported to the old process")) << third.Text();
   usleep(200'000);
   first.Signal(SIGTERM);
   EXPECT_EQ(first.Wait(), 0);
   usleep(200'000);
-  ExpectWhole(load);
-  EXPECT_TRUE(Yes(6003));
+  StopAndExpectNoFailures(load);
+  EXPECT_TRUE(IsHealthy(6003));
 }
 
-// The bound of the accept queue, a quarter of the deadline, and what reports and a slow machine
-// add.
-constexpr int kAnsweredWithinMs = 250 + 350;
+// A connection may wait a quarter of the 1000 ms deadline to be accepted. The rest allows for the
+// interval between reports and for a slow machine.
+constexpr int kMaxResponseTimeMs = 250 + 350;
 
-// The response that comes to a request within the bound; what has come by then where none does.
-std::string ResponseInTime(const Address& to, const std::string& id) {
-  Peer peer = Peer::To(to);
+// Sends a request on a new connection. Returns the response, or the part of it that has arrived
+// after kMaxResponseTimeMs.
+std::string ReceiveInTime(const Address& address, const std::string& id) {
+  Peer peer = Peer::To(address);
   peer.Say("GET /read HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 1000\r\n\r\n");
-  for (int ms = 0; ms < kAnsweredWithinMs && !peer.Has("\r\n\r\n") && !peer.Ended(); ms += 2) {
+  for (int ms = 0; ms < kMaxResponseTimeMs && !peer.Has("\r\n\r\n") && !peer.Ended(); ms += 2) {
     usleep(2000);
   }
   return peer.Heard();
 }
 
-// What came waited unread for two seconds, until the new process was revoked.
-TEST_F(HotRestartTest, OldProcessRefusesInTimeWhileTheNewOneHangs) {
+// Guards against requests that wait unread until the new process is revoked, which takes two
+// seconds.
+TEST_F(HotRestartTest, OldProcessRefusesConnectionsInTimeWhileNewProcessHangs) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -343,51 +349,54 @@
   ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // it has answered reports by then
   second.Signal(SIGSTOP);
-  const std::string response = ResponseInTime(address, "hangs");
+  const std::string response = ReceiveInTime(address, "hangs");
   EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response << first.Text();
 }
 
-// What came waited for the new process' first list, a second at most.
-TEST_F(HotRestartTest, NewProcessAcceptsAtOnceWhereTheOldOneDiesBeforeItIsReady) {
+// Guards against requests that wait until the new process has its first endpoint list, which may
+// take a second.
+TEST_F(HotRestartTest, NewProcessAcceptsAtOnceIfOldProcessDiesBeforeItIsReady) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
   ASSERT_TRUE(second.WaitForOutput("learned state of the old process imported"));
   first.Kill();
-  const std::string response = ResponseInTime(address, "dies");
+  const std::string response = ReceiveInTime(address, "dies");
   EXPECT_TRUE(response.ends_with("served")) << response << second.Text();
 }
 
-// Nobody accepted what came until the old process closed its listening socket, which reset it.
-TEST_F(HotRestartTest, OldProcessThatEndsAcceptsAgainWhereTheNewOneDies) {
+// Guards against connections that no process accepts and that are reset when the old process closes
+// its listening socket.
+TEST_F(HotRestartTest, ExitingOldProcessAcceptsAgainIfNewProcessDies) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
-  Peer half = Peer::To(address);
-  half.Say("GET /read HT");  // keeps the old process for its time limit
+  Peer slow_client = Peer::To(address);
+  slow_client.Say("GET /read HT");  // keeps the old process running until the request times out
   usleep(100'000);
   Start(second, 6002);
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   first.Signal(SIGTERM);
   ASSERT_TRUE(first.WaitForOutput("draining"));
   second.Kill();
-  const std::string response = ResponseInTime(address, "ends");
+  const std::string response = ReceiveInTime(address, "ends");
   EXPECT_TRUE(response.ends_with("served")) << response << first.Text();
 }
 
-// Each request to the address has its response within the bound, for so long.
-void ExpectAnswersInTime(const Address& to, int ms, const std::string& name,
-                         const std::string& expected) {
-  const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
+// Sends requests to `address` for `duration_ms`, one after the other, and expects that each gets a
+// response with the text `expected` in time. The ids of the requests begin with `id_prefix`.
+void ExpectResponsesInTime(const Address& address, int duration_ms, const std::string& id_prefix,
+                           const std::string& expected) {
+  const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(duration_ms);
   for (int i = 0; std::chrono::steady_clock::now() < end; ++i) {
-    const std::string response = ResponseInTime(to, name + std::to_string(i));
-    EXPECT_NE(response.find(expected), std::string::npos) << name << i << ": " << response;
+    const std::string response = ReceiveInTime(address, id_prefix + std::to_string(i));
+    EXPECT_NE(response.find(expected), std::string::npos) << id_prefix << i << ": " << response;
   }
 }
 
-// A new process that was slow, and not revoked, accepts again; the old one refuses no more.
-TEST_F(HotRestartTest, NewProcessThatWakesBeforeItIsRevokedServesInTime) {
+// A new process that was paused but not revoked accepts again, and the old one stops refusing.
+TEST_F(HotRestartTest, NewProcessThatResumesBeforeRevocationServesInTime) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -396,17 +405,17 @@
   ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // it has answered reports by then
   second.Signal(SIGSTOP);
-  const std::string refused = ResponseInTime(address, "hangs");
-  EXPECT_TRUE(refused.starts_with("HTTP/1.1 503 ")) << refused << first.Text();
+  const std::string response = ReceiveInTime(address, "hangs");
+  EXPECT_TRUE(response.starts_with("HTTP/1.1 503 ")) << response << first.Text();
   second.Signal(SIGCONT);
-  usleep(100'000);  // it has answered the reports that waited
-  ExpectAnswersInTime(address, 500, "awake", "served");
+  usleep(100'000);  // it has answered the pending reports by then
+  ExpectResponsesInTime(address, 500, "awake", "served");
   EXPECT_EQ(first.Text().find("the new process does not answer"), std::string::npos);
 }
 
-// A revoked process finds the listening socket readable as it wakes, before it has read that it is
-// revoked: what it accepts then must not wait for its end.
-TEST_F(HotRestartTest, RequestsAreServedInTimeWhileARevokedProcessWakes) {
+// A revoked process that runs again may accept connections before it has read that it is revoked.
+// Their requests must not wait until that process exits.
+TEST_F(HotRestartTest, RequestsAreServedInTimeWhileRevokedProcessResumes) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -416,18 +425,18 @@
   usleep(100'000);  // it has answered reports by then
   second.Signal(SIGSTOP);
   ASSERT_TRUE(first.WaitForOutput("the new process does not answer")) << first.Text();
-  std::thread wakes([&] {
+  std::thread resume_thread([&] {
     usleep(100'000);
     second.Signal(SIGCONT);
   });
-  ExpectAnswersInTime(address, 800, "wakes", "served");
-  wakes.join();
+  ExpectResponsesInTime(address, 800, "wakes", "served");
+  resume_thread.join();
   EXPECT_EQ(second.Wait(), 0) << second.Text();
-  ExpectAnswersInTime(address, 100, "ended", "served");
+  ExpectResponsesInTime(address, 100, "ended", "served");
 }
 
-// What came while the new process was told to end, with a request of its own still at work.
-TEST_F(HotRestartTest, RequestsAreServedInTimeWhileTheNewProcessHandsBack) {
+// Requests that arrive while the new process is told to exit and still has a request in flight.
+TEST_F(HotRestartTest, RequestsAreServedInTimeWhileNewProcessHandsBack) {
   WriteConfig(256, kSlowClass);
   Child first, second;
   Start(first, 6001);
@@ -436,17 +445,18 @@
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(100'000);  // the old process has reported by then
-  Peer held = Hold("held");
-  ASSERT_TRUE(IsHeld(held, 1)) << held.Heard();
+  Peer held = SendHeldRequest("held");
+  ASSERT_TRUE(WaitUntilHeld(held, 1)) << held.Heard();
   second.Signal(SIGTERM);
-  ExpectAnswersInTime(address, 600, "back", "served");
+  ExpectResponsesInTime(address, 600, "back", "served");
   EXPECT_TRUE(second.WaitForOutput("handed back to the old process")) << second.Text();
-  EXPECT_TRUE(first.WaitForOutput("this one serves on")) << first.Text();
-  EXPECT_FALSE(held.Ended());  // the new process is there yet
+  EXPECT_TRUE(first.WaitForOutput("this process serves again")) << first.Text();
+  EXPECT_FALSE(held.Ended());  // the new process has not exited yet
 }
 
-// An old process that was ending revoked a new one that hung: both ended, and nobody served.
-TEST(NewProcessTest, ServesOnWhereAnOldProcessThatEndsRevokesIt) {
+// If a new process followed a revocation by an old process that is exiting, both would exit and no
+// process would serve.
+TEST(NewProcessTest, IgnoresRevocationByExitingOldProcess) {
   EventLoop loop;
   DescriptorBudget budget(256);
   auto [channel, old_process] = testing::Pair();
@@ -460,8 +470,9 @@
   EXPECT_FALSE(revoked);
 }
 
-// What came waited for the new process' first list though the old one was told to end.
-TEST_F(HotRestartTest, NewProcessIsReadyAtOnceWhereTheOldOneIsToldToEnd) {
+// Guards against requests that wait until the new process has its first endpoint list although the
+// old process is exiting.
+TEST_F(HotRestartTest, NewProcessIsReadyAtOnceIfOldProcessIsToldToExit) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -469,12 +480,13 @@
   ASSERT_TRUE(second.WaitForOutput("learned state of the old process imported"));
   first.Signal(SIGTERM);
   ASSERT_TRUE(first.WaitForOutput("draining"));
-  const std::string response = ResponseInTime(address, "told");
+  const std::string response = ReceiveInTime(address, "told");
   EXPECT_TRUE(response.ends_with("served")) << response << second.Text();
 }
 
-// A third process asked the one that hung, had no reply and listened beside the first.
-TEST_F(HotRestartTest, ThirdProcessTakesOverFromTheFirstWhereTheSecondHangs) {
+// Guards against a third process that gets no reply from the hung second one and then listens
+// beside the first.
+TEST_F(HotRestartTest, ThirdProcessTakesOverFromFirstIfSecondHangs) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -488,13 +500,13 @@
   ASSERT_TRUE(third.WaitForOutput("ready, reported to the old process")) << third.Text();
   Load load(address, 0, 4);
   usleep(200'000);
-  ExpectWhole(load);
-  EXPECT_TRUE(Yes(6003));
+  StopAndExpectNoFailures(load);
+  EXPECT_TRUE(IsHealthy(6003));
 }
 
-// The file of a new process that died after it was ready stayed: the next one found nobody there
-// and listened beside the old one.
-TEST_F(HotRestartTest, AnotherProcessTakesOverAfterOneDiedThatWasReady) {
+// A new process that dies after it was ready leaves its socket file behind. The next process must
+// not find that file and then listen beside the old one.
+TEST_F(HotRestartTest, AnotherProcessTakesOverAfterReadyProcessDied) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -503,13 +515,13 @@
   ASSERT_TRUE(second.WaitForOutput("ready, reported to the old process"));
   usleep(50'000);  // it listens for others by then
   second.Kill();
-  ASSERT_TRUE(first.WaitForOutput("this one serves on"));
+  ASSERT_TRUE(first.WaitForOutput("this process serves again"));
   Start(third, 6003);
   ASSERT_TRUE(third.WaitForOutput("received the listening socket")) << third.Text();
 }
 
-// A process that ends before it could serve must not stop the old one.
-TEST_F(HotRestartTest, NewProcessEndedBeforeItServesChangesNothing) {
+// A new process that exits before it is ready must not affect the old one.
+TEST_F(HotRestartTest, NewProcessThatExitsBeforeReadyChangesNothing) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -520,15 +532,16 @@
   EXPECT_EQ(second.Wait(), 0);
   EXPECT_EQ(second.Text().find("reported to the old process"), std::string::npos);
   usleep(200'000);
-  EXPECT_TRUE(Yes(6001));
-  ExpectWhole(load);
-  // And another process can still take over.
+  EXPECT_TRUE(IsHealthy(6001));
+  StopAndExpectNoFailures(load);
+  // Another process can still take over.
   Start(third, 6003);
   EXPECT_TRUE(first.WaitForOutput("the new process serves"));
 }
 
-// It went on accepting while it drained, and closed connections whose first request was on the way.
-TEST_F(HotRestartTest, NewProcessToldToEndHandsBackToTheOldOne) {
+// If the new process accepted connections while it drains, it would close some whose first request
+// is on the way.
+TEST_F(HotRestartTest, NewProcessToldToExitHandsBackToOldProcess) {
   Child first, second, third;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
@@ -537,7 +550,7 @@
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   usleep(200'000);
   second.Signal(SIGTERM);
-  // Requests that come a while behind their connections.
+  // Requests that are sent a while after their connections are opened.
   for (int i = 0; i < 150; ++i) {
     Peer client = Peer::To(address);
     usleep(4000);
@@ -546,74 +559,77 @@
     for (int k = 0; k < 1000 && !client.Has("served") && !client.Ended(); ++k) {
       usleep(500);
     }
-    EXPECT_TRUE(client.Has("served")) << i << " was told: " << client.Heard();
+    EXPECT_TRUE(client.Has("served")) << i << " got the response: " << client.Heard();
   }
-  ASSERT_TRUE(first.WaitForOutput("this one serves on"));
-  EXPECT_TRUE(Yes(6001));
+  ASSERT_TRUE(first.WaitForOutput("this process serves again"));
+  EXPECT_TRUE(IsHealthy(6001));
   EXPECT_EQ(second.Wait(), 0) << second.Text();
   Start(third, 6003);
   ASSERT_TRUE(third.WaitForOutput("ready, reported to the old process")) << third.Text();
   usleep(200'000);
-  ExpectWhole(load);
+  StopAndExpectNoFailures(load);
 }
 
-// Where both are told to end, the new one goes on accepting until the front has taken it out.
-TEST_F(HotRestartTest, NewProcessToldToEndAfterTheOldOneDrainsByItself) {
+// If both processes are told to exit, the new one keeps accepting while it drains, because clients
+// send requests until they see that the address is unhealthy.
+TEST_F(HotRestartTest, NewProcessToldToExitAfterOldProcessDrainsByItself) {
   Child first, second;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
   Start(second, 6002);
   ASSERT_TRUE(first.WaitForOutput("the new process serves"));
   usleep(100'000);
-  Peer open = Peer::To(address);  // keeps the second draining
-  open.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");
+  Peer slow_client = Peer::To(address);  // keeps the second process draining
+  slow_client.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");
   usleep(50'000);
   first.Signal(SIGTERM);
   usleep(100'000);
   second.Signal(SIGTERM);
   ASSERT_TRUE(second.WaitForOutput("draining"));
-  Peer late = Peer::To(address);
-  late.Say("GET /read HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 1000\r\n\r\n");
-  for (int i = 0; i < 500 && !late.Has("served"); ++i) {
+  Peer late_client = Peer::To(address);
+  late_client.Say("GET /read HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 1000\r\n\r\n");
+  for (int i = 0; i < 500 && !late_client.Has("served"); ++i) {
     usleep(2000);
   }
-  EXPECT_TRUE(late.Has("served")) << late.Heard();
-  open.Say("\r\n");
+  EXPECT_TRUE(late_client.Has("served")) << late_client.Heard();
+  slow_client.Say("\r\n");
   EXPECT_EQ(first.Wait(), 0);
   EXPECT_EQ(second.Wait(), 0);
 }
 
-// A new process that died just as the old one wrote to it took the old one with it.
-TEST_F(HotRestartTest, NewProcessThatDiesDuringAWriteLeavesTheOldOne) {
+// A failed write to a new process that has just died must not end the old process.
+TEST_F(HotRestartTest, OldProcessSurvivesNewProcessThatDiesDuringWrite) {
   Child first;
   Start(first, 6001);
   ASSERT_TRUE(first.WaitForOutput("listens on"));
-  sockaddr_un at{};
-  at.sun_family = AF_UNIX;
-  ASSERT_LT(Socket().size(), sizeof(at.sun_path));
-  Socket().copy(at.sun_path, Socket().size());
+  sockaddr_un socket_address{};
+  socket_address.sun_family = AF_UNIX;
+  ASSERT_LT(SocketPath().size(), sizeof(socket_address.sun_path));
+  SocketPath().copy(socket_address.sun_path, SocketPath().size());
   const FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  ASSERT_EQ(connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
-  const std::string take = "paddlestile 1 take " + ToText(address) + "\n";
-  send(fd.get(), take.data(), take.size(), MSG_NOSIGNAL);
-  ASSERT_TRUE(first.WaitForOutput("a new process has the listening socket"));
-  // No event reports it: only the next write finds it closed.
+  ASSERT_EQ(connect(fd.get(), reinterpret_cast<sockaddr*>(&socket_address), sizeof(socket_address)),
+            0);
+  const std::string request = "paddlestile 1 take " + ToText(address) + "\n";
+  send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL);
+  ASSERT_TRUE(first.WaitForOutput("sent the listening socket to a new process"));
+  // No event reports this to the old process: only its next write fails.
   shutdown(fd.get(), SHUT_RD);
   usleep(300'000);
-  EXPECT_TRUE(Yes(6001)) << first.Text();
+  EXPECT_TRUE(IsHealthy(6001)) << first.Text();
   Load load(address, 0, 8);
   usleep(300'000);
-  ExpectWhole(load);
+  StopAndExpectNoFailures(load);
 }
 
-// Without an admin interface there is no hot restart: a process that is started while the one
-// before it drains ends with one line, and what that one has in hand goes on.
-TEST_F(HotRestartTest, WithoutAnAdminAddressNoneStartsBesideOneThatDrains) {
+// Without an admin address there is no hot restart: a process that is started while the previous
+// one drains exits with one line, and the requests of the previous one are still served.
+TEST_F(HotRestartTest, WithoutAdminAddressNoProcessStartsBesideADrainingOne) {
   Child first, second, third;
   first.Start(Environment(), {});
   ASSERT_TRUE(first.WaitForOutput("listens on"));
   Peer client = Peer::To(address);
-  client.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");  // the rest below
+  // The rest of this request is sent below.
+  client.Say("GET /read HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n");
   usleep(100'000);
   first.Signal(SIGTERM);
   ASSERT_TRUE(first.WaitForOutput("draining"));
@@ -630,37 +646,38 @@
   EXPECT_TRUE(third.WaitForOutput("listens on")) << third.Text();
 }
 
-TEST_F(HotRestartTest, OtherFilesAtTheSocketPathAreHarmless) {
-  const auto starts = [&](const std::string& what) {
+TEST_F(HotRestartTest, StartsDespiteOtherFilesAtSocketPath) {
+  const auto expect_start = [&](const std::string& present) {
     Child child;
     Start(child, 6001);
-    EXPECT_TRUE(child.WaitForOutput("listens on")) << what << child.Text();
-    EXPECT_TRUE(Yes(6001)) << what;
-    child.Kill();  // leaves its own socket there
+    EXPECT_TRUE(child.WaitForOutput("listens on")) << present << child.Text();
+    EXPECT_TRUE(IsHealthy(6001)) << present;
+    child.Kill();  // leaves its own socket file behind
   };
-  starts("nothing");
-  starts("the socket of a killed process");
-  std::filesystem::remove(Socket());
-  std::ofstream(Socket()) << "no socket";
-  starts("a file");
-  std::filesystem::remove(Socket());
-  // One that listens and replies with garbage, and one that does not reply.
-  for (const char* const said : {"paddlestile 9 listen 1\n", ""}) {
+  expect_start("nothing");
+  expect_start("the socket of a killed process");
+  std::filesystem::remove(SocketPath());
+  std::ofstream(SocketPath()) << "no socket";
+  expect_start("a file");
+  std::filesystem::remove(SocketPath());
+  // A process that listens there and sends an invalid reply, and one that does not reply.
+  for (const char* const reply : {"paddlestile 9 listen 1\n", ""}) {
     const FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    ASSERT_LT(Socket().size(), sizeof(at.sun_path));
-    Socket().copy(at.sun_path, Socket().size());
-    ASSERT_EQ(bind(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+    sockaddr_un socket_address{};
+    socket_address.sun_family = AF_UNIX;
+    ASSERT_LT(SocketPath().size(), sizeof(socket_address.sun_path));
+    SocketPath().copy(socket_address.sun_path, SocketPath().size());
+    ASSERT_EQ(bind(fd.get(), reinterpret_cast<sockaddr*>(&socket_address), sizeof(socket_address)),
+              0);
     ASSERT_EQ(listen(fd.get(), 1), 0);
-    std::thread answer([&] {
-      const FileDescriptor caller(accept(fd.get(), nullptr, nullptr));
-      send(caller.get(), said, std::string(said).size(), MSG_NOSIGNAL);
+    std::thread responder([&] {
+      const FileDescriptor connection(accept(fd.get(), nullptr, nullptr));
+      send(connection.get(), reply, std::string(reply).size(), MSG_NOSIGNAL);
       usleep(700'000);
     });
-    starts(said);
-    answer.join();
-    std::filesystem::remove(Socket());
+    expect_start(reply);
+    responder.join();
+    std::filesystem::remove(SocketPath());
   }
 }
 
