--- a/src/gateway/lifecycle.h
+++ b/src/gateway/lifecycle.h
@@ -1,4 +1,5 @@
-// The lifecycle of a gateway process. Health checks, accepting and draining derive from it alone.
+// The lifecycle of a gateway process. Whether the process is healthy, accepts connections and
+// drains is derived from it alone.
 #ifndef PADDLESTILE_GATEWAY_LIFECYCLE_H_
 #define PADDLESTILE_GATEWAY_LIFECYCLE_H_
 
@@ -9,15 +10,15 @@
 
 //   stage           | entered by                    | accepts | healthy | draining
 //   ----------------+-------------------------------+---------+---------+---------
-//   kStarting       | the start, until set_ready    | no      | no      | no
+//   kStarting       | construction                  | no      | no      | no
 //   kServing        | set_ready                     | yes     | yes     | no
 //   kDrained        | set_drained(true)             | yes     | no      | yes
 //   kHotRestarting  | set_replaced(true)            | no      | yes     | yes
 //   kEnding         | set_ending; final             | if ready| no      | yes
 //
-// Flags of several stages may be set; the last stage of the table that applies is the stage, with
-// kStarting before kDrained. After set_replaced, kEnding accepts nothing and is healthy too: the
-// address is served by the new process.
+// The flags of several stages may be set at once. The order of precedence is kEnding,
+// kHotRestarting, kStarting, kDrained, kServing. After set_replaced(true), kEnding does not accept
+// and counts as healthy, because the new process serves the address.
 enum class LifecycleStage {
   kStarting,
   kServing,
@@ -26,7 +27,7 @@
   kEnding
 };
 
-// The name in the log.
+// Returns the stage's name in the log.
 inline const char* ToText(LifecycleStage stage) {
   switch (stage) {
     case LifecycleStage::kStarting:
@@ -43,15 +44,17 @@
   return "";
 }
 
-// The name in counters, which has no spaces.
+// Returns the stage's name in counters, which has no spaces.
 inline const char* CounterName(LifecycleStage stage) {
   return stage == LifecycleStage::kHotRestarting ? "handing_over" : ToText(stage);
 }
 
-// Set by signals, the admin interface and hot restart; read by the downstream side.
+// Holds the stage of this process. Signals, the admin interface and hot restarts change it; the
+// downstream side reads it.
 class Lifecycle {
  public:
-  // `ready`: serves at once. Not so where another process still serves the address.
+  // `ready` must be false if another process still serves the address; set_ready is then called
+  // later.
   explicit Lifecycle(bool ready = true) : ready_(ready) {}
 
   [[nodiscard]] LifecycleStage stage() const {
@@ -67,17 +70,17 @@
     return drained_ ? LifecycleStage::kDrained : LifecycleStage::kServing;
   }
 
-  // Whether clients should send requests to the address, whichever process serves it.
+  // Returns whether clients should send requests to the address, whichever process serves it.
   [[nodiscard]] bool healthy() const { return replaced_ || stage() == LifecycleStage::kServing; }
-  // Whether this process can serve, drained by an operator or not.
+  // Returns whether this process could serve. Does not depend on whether an operator drained it.
   [[nodiscard]] bool can_serve() const { return ready_ && !replaced_ && !ending_; }
-  // Whether this process accepts connections that wait at the address.
+  // Returns whether this process accepts the connections that arrive at the address.
   [[nodiscard]] bool accepts() const { return ready_ && !replaced_; }
-  // Whether clients' connections end after their responses.
+  // Returns whether client connections are closed after their responses.
   [[nodiscard]] bool draining() const {
     return stage() != LifecycleStage::kStarting && stage() != LifecycleStage::kServing;
   }
-  // Whether a new process serves the address.
+  // Returns whether another process of a hot restart serves the address.
   [[nodiscard]] bool replaced() const { return replaced_; }
 
   void set_ready() { Set(ready_, true); }
@@ -85,7 +88,7 @@
   void set_replaced(bool replaced) { Set(replaced_, replaced); }
   void set_ending() { Set(ending_, true); }
 
-  // Runs after each change; one at a time, null: none.
+  // Sets the callback that runs after each change, and replaces an earlier one. Null removes it.
   void SetChangeCallback(std::function<void()> callback) { change_callback_ = std::move(callback); }
 
  private:
@@ -96,8 +99,8 @@
   }
 
   bool ready_;
-  bool drained_ = false;   // by an operator
-  bool replaced_ = false;  // by the new process of a hot restart
+  bool drained_ = false;   // by an operator or the cluster agent
+  bool replaced_ = false;  // by another process of a hot restart
   bool ending_ = false;
   std::function<void()> change_callback_;
 };
