--- a/src/gateway/learned_state_codec.cpp
+++ b/src/gateway/learned_state_codec.cpp
@@ -16,8 +16,8 @@
 constexpr double kMaxAgeMs = 1e12;
 constexpr int kMaxConsecutiveEjections = 16;
 
-// ForEachField calls `field` with the JSON key and a reference for each number of a record, in
-// encoding and decoding alike. Overloads are chosen by a member that only one record has.
+// ForEachField calls `field` with the JSON key of, and a reference to, each number in a record. It
+// is used for encoding and decoding. Each overload requires a member that only its record has.
 
 template <typename Record, typename Field>
 void ForEachField(Record& endpoint, const Field& field) requires requires {
@@ -68,7 +68,7 @@
   return object;
 }
 
-// These throw, as json does, where a value is missing or out of range.
+// The decoding functions throw if a value is missing, of the wrong type or out of range.
 
 double DecodeNumber(const json& object, const char* key) {
   const double value = object.at(key).get<double>();
@@ -83,7 +83,8 @@
   ForEachField(record, [&](const char* key, double& value) { value = DecodeNumber(object, key); });
 }
 
-// A time as milliseconds before `now`, negative for a later one; null: never.
+// Encodes a time as milliseconds before `now`, which is negative for a later time. Time(0) and
+// earlier mean "never" and are encoded as null.
 json EncodeTime(Time time, Time now) {
   if (time <= Time(0)) {
     return nullptr;
@@ -129,8 +130,8 @@
   return endpoint;
 }
 
-// Calls `callback` with name and index of each entry of `table` below `size`. A table without names
-// has one entry, which is named "".
+// Calls `callback` with the name and index of each entry of `table` with an index below `size`. An
+// empty table counts as one entry with an empty name.
 template <typename Callback>
 void ForEachName(const NameTable& table, size_t size, const Callback& callback) {
   if (table.size() == 0 && size > 0) {
@@ -173,43 +174,43 @@
 }  // namespace
 
 std::string EncodeLearnedState(const LearnedState& learned, const NameTables& names, Time now) {
-  json out = EncodeFields(learned);
-  out["version"] = kVersion;
-  json& hosts = out["hosts"] = json::array();
+  json document = EncodeFields(learned);
+  document["version"] = kVersion;
+  json& hosts = document["hosts"] = json::array();
   for (const Endpoint& endpoint : learned.endpoints) {
     if (endpoint.info.state != EndpointState::kRemoved) {
       hosts.push_back(EncodeEndpoint(endpoint, now));
     }
   }
-  json& kinds = out["kinds"] = json::object();
+  json& kinds = document["kinds"] = json::object();
   ForEachName(names.kinds, learned.machine_kinds.size(),
               [&](const std::string& name, size_t index) {
                 kinds[name] = EncodeFields(learned.machine_kinds[index]);
               });
-  json& classes = out["classes"] = json::object();
+  json& classes = document["classes"] = json::object();
   ForEachName(names.classes, learned.mean_time_us.size(),
               [&](const std::string& name, size_t index) {
                 classes[name] = {{"time", learned.mean_time_us[index]},
                                  {"served", learned.objective_met_rate[index]},
                                  {"share", learned.arrival_shares[index]}};
               });
-  std::string text = out.dump(-1, ' ', true, json::error_handler_t::replace);
+  std::string text = document.dump(-1, ' ', true, json::error_handler_t::replace);
   return text.size() <= kMaxLearnedStateBytes ? text : std::string();
 }
 
 std::optional<LearnedState> DecodeLearnedState(const std::string& text, const NameTables& names,
                                                Time now) try {
-  const json in = json::parse(text);
-  if (in.at("version") != kVersion) {
+  const json document = json::parse(text);
+  if (document.at("version") != kVersion) {
     return std::nullopt;
   }
   LearnedState state;
-  DecodeFields(in, state);
-  for (const json& host : in.at("hosts")) {
+  DecodeFields(document, state);
+  for (const json& host : document.at("hosts")) {
     state.endpoints.push_back(DecodeEndpoint(host, now));
   }
-  DecodeKinds(in.at("kinds"), names, state);
-  DecodeClasses(in.at("classes"), names, state);
+  DecodeKinds(document.at("kinds"), names, state);
+  DecodeClasses(document.at("classes"), names, state);
   return state;
 } catch (const std::exception&) {
   return std::nullopt;
