--- a/src/gateway/listening_socket.cpp
+++ b/src/gateway/listening_socket.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kBacklog = 4096;  // connections
-// What the kernel may hold of a client's bytes; a request is shorter.
+// Limits how many bytes of a client the kernel buffers. Requests are shorter than this.
 constexpr int kReceiveBufferBytes = 1 << 17;
 
 }  // namespace
--- a/src/gateway/listening_socket.h
+++ b/src/gateway/listening_socket.h
@@ -11,23 +11,24 @@
 
 namespace paddlestile {
 
-// Owns the descriptor. Reports pending connections while watched; accepting is the owner's.
+// Owns a listening socket and reports pending connections while it is watched. Accepting them is up
+// to the owner of this object.
 class ListeningSocket final : public EventLoop::Handler {
  public:
-  // Listens on `address`, or takes `inherited` over where that is a listening socket. `shared`:
-  // another process may listen on the address too. Throws std::system_error.
+  // Listens on `address`, or uses `inherited` if that holds a descriptor. If `shared` is true,
+  // another process may listen on the same address. Throws std::system_error.
   ListeningSocket(EventLoop& loop, const Address& address, FileDescriptor inherited, bool shared,
                   std::function<void()> on_pending_connections);
   ListeningSocket(const ListeningSocket&) = delete;
   ListeningSocket& operator=(const ListeningSocket&) = delete;
   virtual ~ListeningSocket();
 
-  // Starts or stops reporting; connections that are pending already are reported at once. False
-  // where the kernel refuses.
+  // Starts or stops reporting. Connections that are already pending are reported once it starts.
+  // Returns false if the event loop cannot watch the socket.
   bool SetWatched(bool watched);
 
   [[nodiscard]] int fd() const { return fd_.get(); }
-  // With the port that the kernel chose where any was asked for.
+  // Returns the address the socket is bound to, with the actual port if port 0 was requested.
   [[nodiscard]] Address address() const;
 
  private:
