--- a/src/gateway/unix_socket.cpp
+++ b/src/gateway/unix_socket.cpp
@@ -20,16 +20,16 @@
 
 constexpr int kBacklog = 4;
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
-constexpr size_t kMaxReceiveBytes = 16'384;  // at once
+constexpr size_t kMaxReceiveBytes = 16'384;  // per call
 
 struct UnixAddress {
   sockaddr_un address{};
-  FileDescriptor directory;  // to stay open while the address is used
+  FileDescriptor directory;  // must stay open while the address is used
   [[nodiscard]] const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&address); }
 };
 
-// A path too long for sockaddr_un is reached by way of its open directory. Nothing where that
-// fails.
+// A path that is too long for sockaddr_un is replaced by one through /proc/self/fd and its open
+// directory. Returns nullopt if that fails.
 std::optional<UnixAddress> MakeUnixAddress(const std::string& path) {
   UnixAddress result;
   result.address.sun_family = AF_UNIX;
@@ -51,9 +51,9 @@
   return result;
 }
 
-// The last descriptor in a received message's control data; none where there is none.
+// Returns the last descriptor in the control data of a received message, or an empty descriptor.
 FileDescriptor PassedDescriptor(msghdr& message) {
-  FileDescriptor passed;
+  FileDescriptor passed_fd;
   for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr;
        header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) {
@@ -61,9 +61,9 @@
     }
     int fd = -1;
     std::memcpy(&fd, CMSG_DATA(header), sizeof(fd));
-    passed = FileDescriptor(fd);
+    passed_fd = FileDescriptor(fd);
   }
-  return passed;
+  return passed_fd;
 }
 
 }  // namespace
@@ -73,9 +73,9 @@
   if (!fd) {
     return {};
   }
-  // A process that hangs accepts nothing: once its queue is full, this would block for good.
-  const timeval limit{0, kConnectTimeout.count()};
-  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof(limit));
+  // Without a timeout, connect would block forever if a hung process has let its queue fill up.
+  const timeval timeout{0, kConnectTimeout.count()};
+  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof(timeout));
   const auto address = MakeUnixAddress(path);
   if (!address || connect(fd.get(), address->get(), sizeof(address->address)) != 0) {
     return {};
@@ -85,7 +85,7 @@
 
 FileDescriptor ListenUnix(const std::string& path) {
   FileDescriptor fd(::socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  unlink(path.c_str());  // of a process that was killed, or of the one before
+  unlink(path.c_str());  // may be left by a killed process, or belong to the previous process
   if (!fd) {
     return {};
   }
@@ -112,20 +112,20 @@
   return stat(path.c_str(), &file) == 0 ? file.st_ino : 0;
 }
 
-bool SendLine(int fd, const std::string& line, int passed) {
+bool SendLine(int fd, const std::string& line, int passed_fd) {
   iovec part{const_cast<char*>(line.data()), line.size()};
   msghdr message{};
   message.msg_iov = &part;
   message.msg_iovlen = 1;
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
-  if (passed >= 0) {
+  if (passed_fd >= 0) {
     message.msg_control = control;
     message.msg_controllen = sizeof(control);
     cmsghdr* const header = CMSG_FIRSTHDR(&message);
     header->cmsg_level = SOL_SOCKET;
     header->cmsg_type = SCM_RIGHTS;
     header->cmsg_len = CMSG_LEN(sizeof(int));
-    std::memcpy(CMSG_DATA(header), &passed, sizeof(int));
+    std::memcpy(CMSG_DATA(header), &passed_fd, sizeof(int));
   }
   return sendmsg(fd, &message, MSG_NOSIGNAL) == static_cast<ssize_t>(line.size());
 }
@@ -142,7 +142,7 @@
 }
 
 bool ReceiveBytes(int fd, size_t max_bytes, Duration timeout, std::string& text,
-                  FileDescriptor& passed) {
+                  FileDescriptor& passed_fd) {
   pollfd readable{fd, POLLIN, 0};
   const auto timeout_ms = std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count();
   if (poll(&readable, 1, static_cast<int>(timeout_ms)) <= 0) {
@@ -161,18 +161,18 @@
     return false;
   }
   if (FileDescriptor descriptor = PassedDescriptor(message)) {
-    passed = std::move(descriptor);
+    passed_fd = std::move(descriptor);
   }
   text.append(bytes, static_cast<size_t>(received));
   return true;
 }
 
 bool ReceiveLine(int fd, size_t max_bytes, Duration timeout, std::string& line,
-                 FileDescriptor& passed) {
+                 FileDescriptor& passed_fd) {
   line.clear();
-  // A byte at a time: what follows the line is read elsewhere.
+  // Reads a byte at a time, because the caller reads what follows the line.
   while (line.empty() || line.back() != '\n') {
-    if (line.size() >= max_bytes || !ReceiveBytes(fd, 1, timeout, line, passed)) {
+    if (line.size() >= max_bytes || !ReceiveBytes(fd, 1, timeout, line, passed_fd)) {
       return false;
     }
   }
--- a/src/gateway/unix_socket.h
+++ b/src/gateway/unix_socket.h
@@ -1,4 +1,4 @@
-// Unix stream sockets between processes of one user, and descriptors passed over them.
+// Unix stream sockets between processes of the same user, and descriptors passed over them.
 #ifndef PADDLESTILE_GATEWAY_UNIX_SOCKET_H_
 #define PADDLESTILE_GATEWAY_UNIX_SOCKET_H_
 
@@ -11,38 +11,40 @@
 
 namespace paddlestile {
 
-// Connects to the socket at `path`, blocking half a second at most; no descriptor where no process
-// listens there or its queue is full.
+// Connects to the socket at `path`. Blocks for up to half a second. Returns an empty descriptor if
+// no process listens there or its accept queue is full.
 FileDescriptor ConnectUnix(const std::string& path);
-// Listens at `path`, non-blocking, in place of a file that is there, with access for the present
-// user alone. No descriptor, with errno set, where that fails.
+// Returns a non-blocking listening socket at `path`, which only the current user can access. Any
+// file at `path` is replaced. Returns an empty descriptor, with errno set, on failure.
 FileDescriptor ListenUnix(const std::string& path);
 
-// Whether the peer runs under the present user.
+// Returns whether the peer process runs as the current user.
 bool IsPeerOfSameUser(int fd);
 
-// The inode of a file; 0 where there is none.
+// Returns the inode of a file, or 0 if there is no file.
 uint64_t InodeOf(const std::string& path);
 
-// Sends a line, and the descriptor `passed` with it unless that is -1; false where not all is sent.
-bool SendLine(int fd, const std::string& line, int passed);
+// Sends `line` and, unless it is -1, the descriptor `passed_fd` with it. Returns false unless the
+// whole line was sent.
+bool SendLine(int fd, const std::string& line, int passed_fd);
 
 enum class InputStatus {
-  kReadable,  // bytes have come
-  kEnded,     // the peer has closed, and no bytes are left
-  kNone       // neither within the time
+  kReadable,  // there are bytes to read
+  kEnded,     // the peer has closed the connection, and no bytes are left
+  kNone       // neither within the timeout
 };
-// Waits for input on a stream socket, without reading.
+// Waits for input on a stream socket without reading it.
 InputStatus WaitForInput(int fd, Duration timeout);
 
-// Appends the next bytes, `max_bytes` at most, to `text`. A descriptor that comes with them
-// replaces `passed`. False where nothing comes within `timeout`.
+// Appends the next bytes, up to `max_bytes`, to `text`. A descriptor that arrives with them
+// replaces `passed_fd`. Returns false if nothing arrives within `timeout` or the connection has
+// ended.
 bool ReceiveBytes(int fd, size_t max_bytes, Duration timeout, std::string& text,
-                  FileDescriptor& passed);
-// Receives one line, without its end, and nothing behind it. False where no line of at most
-// `max_bytes` comes; `timeout` is for each byte.
+                  FileDescriptor& passed_fd);
+// Receives one line, without its line feed, and reads nothing after it. Returns false if no line of
+// at most `max_bytes` arrives. `timeout` applies to each byte.
 bool ReceiveLine(int fd, size_t max_bytes, Duration timeout, std::string& line,
-                 FileDescriptor& passed);
+                 FileDescriptor& passed_fd);
 
 }  // namespace paddlestile
 
