--- a/tests/gateway/child_process.h
+++ b/tests/gateway/child_process.h
@@ -1,4 +1,4 @@
-// The program as a process of its own, with its log.
+// Runs the program as a child process and captures its standard error.
 #ifndef PADDLESTILE_TESTS_GATEWAY_CHILD_PROCESS_H_
 #define PADDLESTILE_TESTS_GATEWAY_CHILD_PROCESS_H_
 
@@ -22,60 +22,63 @@
   Child& operator=(const Child&) = delete;
   ~Child() { Kill(); }
 
-  // `before`: runs in the new process before it becomes the program.
+  // Starts the program with `env` as its whole environment. `before_exec` runs in the child process
+  // before the program is executed.
   void Start(const std::map<std::string, std::string>& env, std::vector<std::string> arguments,
-             void (*before)() = nullptr) {
-    int ends[2] = {-1, -1};
-    if (pipe2(ends, O_CLOEXEC) != 0) {
+             void (*before_exec)() = nullptr) {
+    int pipe_ends[2] = {-1, -1};
+    if (pipe2(pipe_ends, O_CLOEXEC) != 0) {
       return;
     }
     pid_ = fork();
     if (pid_ == 0) {
-      dup2(ends[1], STDERR_FILENO);
-      std::vector<std::string> words;
+      dup2(pipe_ends[1], STDERR_FILENO);
+      std::vector<std::string> variables;
       for (const auto& [name, value] : env) {
-        words.push_back(name + "=" + value);
+        variables.push_back(name + "=" + value);
       }
       std::vector<char*> environment;
-      for (std::string& word : words) {
-        environment.push_back(word.data());
+      for (std::string& variable : variables) {
+        environment.push_back(variable.data());
       }
       environment.push_back(nullptr);
       arguments.insert(arguments.begin(), "paddlestile");
-      std::vector<char*> args;
-      for (std::string& word : arguments) {
-        args.push_back(word.data());
+      std::vector<char*> argv;
+      for (std::string& argument : arguments) {
+        argv.push_back(argument.data());
       }
-      args.push_back(nullptr);
-      if (before != nullptr) {
-        before();
+      argv.push_back(nullptr);
+      if (before_exec != nullptr) {
+        before_exec();
       }
-      execve(PADDLESTILE_PROGRAM, args.data(), environment.data());
+      execve(PADDLESTILE_PROGRAM, argv.data(), environment.data());
       _exit(127);
     }
-    close(ends[1]);
-    err_ = FileDescriptor(ends[0]);
-    fcntl(err_.get(), F_SETFL, O_NONBLOCK);
+    close(pipe_ends[1]);
+    stderr_ = FileDescriptor(pipe_ends[0]);
+    fcntl(stderr_.get(), F_SETFL, O_NONBLOCK);
   }
-  // Its log so far.
+  // Returns what the program has written to standard error so far.
   const std::string& Text() {
     char bytes[4096];
     ssize_t n = 0;
-    while ((n = read(err_.get(), bytes, sizeof(bytes))) > 0) {
+    while ((n = read(stderr_.get(), bytes, sizeof(bytes))) > 0) {
       text_.append(bytes, static_cast<size_t>(n));
     }
     return text_;
   }
-  bool WaitForOutput(const std::string& what) {
+  // Waits until standard error contains `text`. Returns false if it does not within five seconds.
+  bool WaitForOutput(const std::string& text) {
     for (int i = 0; i < 1000; ++i) {
-      if (Text().find(what) != std::string::npos) {
+      if (Text().find(text) != std::string::npos) {
         return true;
       }
       usleep(5000);
     }
     return false;
   }
-  // Its exit code; -1 where it does not end in ten seconds or by a signal.
+  // Waits for the process to exit and returns its exit code. Returns -1 if it does not exit within
+  // ten seconds or is killed by a signal.
   int Wait() {
     for (int i = 0; i < 2000; ++i) {
       int status = 0;
@@ -104,7 +107,7 @@
 
  private:
   pid_t pid_ = -1;
-  FileDescriptor err_;
+  FileDescriptor stderr_;  // the read end of the pipe
   std::string text_;
 };
 
