--- a/src/gateway/serve.cpp
+++ b/src/gateway/serve.cpp
@@ -34,17 +34,16 @@
 
 using std::chrono::milliseconds;
 
-// A file may be written at the moment of SIGHUP, and no second signal comes once it is complete: an
-// invalid one is read again for a while.
+// The file may still be incomplete when SIGHUP arrives, and no second signal follows once it is
+// complete. An invalid file is therefore read again several times.
 constexpr Duration kReloadRetryInterval = milliseconds(200);
 constexpr int kMaxReloadRetries = 15;
-// While the process waits to become ready.
-constexpr Duration kReadyCheckInterval = milliseconds(100);
+constexpr Duration kReadyCheckInterval = milliseconds(100);  // before the process is ready
 
-// The gateway and, where it is a member of a cluster, its agent.
+// The gateway and, if it is a member of a cluster, its agent.
 struct ServedGateway {
   Gateway& gateway;
-  std::unique_ptr<ClusterAgent>& cluster_agent;  // null: no member
+  std::unique_ptr<ClusterAgent>& cluster_agent;  // null if the gateway is not a member
 };
 
 void LogCounters(const ServedGateway& served) {
@@ -53,8 +52,8 @@
   LogLine(LogLevel::kInfo, "counters: " + served.gateway.DescribeState() + cluster_state);
 }
 
-// Logs the counters at multiples of an interval of the wall clock, so that those of a fleet can be
-// added up.
+// Logs the counters whenever the wall clock is at a multiple of the interval, so that the counters
+// of all gateways refer to the same times and can be added up.
 class CounterLogger {
  public:
   CounterLogger(EventLoop& loop, const ServedGateway& served, Duration interval)
@@ -86,7 +85,8 @@
 // SIGTERM and SIGINT drain, SIGUSR1 logs the counters, SIGHUP reloads the configuration.
 class SignalHandler final : public EventLoop::Handler {
  public:
-  // Blocks the signals. Before anything else, so that none ends the process meanwhile.
+  // Blocks the signals. Must be called first, so that no signal kills the process before it is
+  // handled.
   static sigset_t Block() {
     sigset_t signals;
     sigemptyset(&signals);
@@ -97,7 +97,7 @@
     return signals;
   }
 
-  // Throws std::runtime_error.
+  // Throws std::runtime_error if the signals cannot be received.
   SignalHandler(EventLoop& loop, const ServedGateway& served, const sigset_t& signals)
       : loop_(loop), served_(served) {
     fd_ = FileDescriptor(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
@@ -120,12 +120,12 @@
     }
   }
 
-  // `before_drain` runs when the process is told to end, before it drains.
+  // `before_drain` runs when the process is told to exit, before it drains.
   void set_before_drain(std::function<void()> before_drain) {
     before_drain_ = std::move(before_drain);
   }
 
-  // Ends the process once what is open has ended. Without effect where it drains already.
+  // Stops the event loop once the gateway has drained. Does nothing if it already drains.
   void Drain() {
     if (std::exchange(draining_, true)) {
       return;
@@ -138,8 +138,8 @@
   }
 
  private:
-  // Keeps the present configuration where the new one is invalid. Also while draining: the endpoint
-  // list goes on changing.
+  // Keeps the current configuration if the new one is invalid. Reloads even while the gateway
+  // drains, because the endpoint list keeps changing.
   void Reload(int remaining_retries) {
     loop_.CancelTimer(reload_timer_);
     ++GlobalCounters().config_rereads;
@@ -157,17 +157,17 @@
     }
   }
 
-  // Throws where the file is invalid.
+  // Throws if the file is invalid.
   void ReloadConfig() {
     ClusterAgent* const cluster_agent = served_.cluster_agent.get();
-    const GatewayConfig& present =
+    const GatewayConfig& previous =
         cluster_agent != nullptr ? cluster_agent->file() : served_.gateway.config();
-    GatewayConfig reloaded = ReloadGatewayConfig(present, loop_.Now(), [&](double unix_ms) {
+    GatewayConfig reloaded = ReloadGatewayConfig(previous, loop_.Now(), [&](double unix_ms) {
       return loop_.clock().FromUnixMillis(unix_ms);
     });
-    const std::string changes = DescribeChanges(present, reloaded);
+    const std::string changes = DescribeChanges(previous, reloaded);
     if (cluster_agent != nullptr) {
-      Log(LogLevel::kInfo, "bank: what it has agreed on goes before the file, where both speak");
+      Log(LogLevel::kInfo, "bank: settings of the agreed version take precedence over the file");
       cluster_agent->set_file(std::move(reloaded));
     } else {
       served_.gateway.ApplyConfig(std::move(reloaded));
@@ -184,7 +184,7 @@
   std::function<void()> before_drain_;
 };
 
-// By the LB_* variables; no more sockets than the system grants.
+// Reads the configuration that the LB_* variables name. Limits its sockets to RLIMIT_NOFILE.
 GatewayConfig ReadConfigFromEnvironment(const EventLoop& loop) {
   GatewayConfig config =
       ReadGatewayConfig([](const char* name) { return std::getenv(name); },
@@ -196,7 +196,7 @@
   return config;
 }
 
-// Nothing where there is no operator's file.
+// Returns nullopt if no operator's file is given.
 std::optional<ClusterConfig> ReadOperatorFile(const ServeOptions& options,
                                               const std::string& gateway_name) {
   std::string path = options.operator_file;
@@ -212,7 +212,7 @@
 
 void LogUnsupportedSettings(const Settings& settings) {
   for (const std::string& line : UnsupportedSettings(settings)) {
-    Log(LogLevel::kWarning, "not carried out: {}", line);
+    Log(LogLevel::kWarning, "unsupported setting: {}", line);
   }
 }
 
@@ -223,7 +223,7 @@
   if (gateway.ImportLearnedState(text)) {
     Log(LogLevel::kInfo, "hot restart: learned state of the old process imported");
   } else {
-    Log(LogLevel::kWarning, "hot restart: learned state of the old process is malformed, left out");
+    Log(LogLevel::kWarning, "hot restart: ignored malformed learned state of the old process");
   }
 }
 
@@ -238,7 +238,7 @@
                                         std::move(file));
 }
 
-// Waits until the process can serve. False where it was told to end meanwhile.
+// Runs the event loop until the process can serve. Returns false if it was told to exit meanwhile.
 bool WaitUntilReady(EventLoop& loop, const Lifecycle& lifecycle) {
   while (!lifecycle.accepts() && !loop.stopped()) {
     loop.RunOnce(kReadyCheckInterval);
@@ -246,19 +246,19 @@
   return !loop.stopped() && lifecycle.stage() != LifecycleStage::kEnding;
 }
 
-// Ends the process where the old one has revoked it.
+// Makes the process drain and exit if the old process revokes it.
 void DrainWhenRevoked(NewProcess& new_process, Lifecycle& lifecycle,
                       SignalHandler& signal_handler) {
   new_process.set_on_revoked([&] {
-    lifecycle.set_replaced(true);  // by the old process, which accepts what comes from now on
+    lifecycle.set_replaced(true);  // the old process accepts connections from now on
     signal_handler.Drain();
   });
 }
 
-// Has the other processes of a hot restart know that this one was told to end.
+// Reports to the other processes of a hot restart that this process was told to exit.
 void ReportEndOfProcess(Lifecycle& lifecycle, std::optional<NewProcess>& new_process,
                         std::optional<OldProcess>& old_process) {
-  // What comes from now on waits in the queue for the old process.
+  // Once handed back, new connections wait in the accept queue for the old process.
   if (new_process && !lifecycle.replaced() && new_process->HandBack()) {
     lifecycle.set_replaced(true);
   }
@@ -272,14 +272,14 @@
   GatewayConfig config = ReadConfigFromEnvironment(loop);
   const std::string name = config.name;
   std::optional<ClusterConfig> cluster = ReadOperatorFile(options, name);
-  GatewayConfig file;  // as read, for the cluster agent
+  GatewayConfig file;  // unmodified, for the cluster agent
   if (cluster) {
     file = config;
   }
   const size_t known_endpoints = config.initial_endpoints.endpoints.size();
   LogUnsupportedSettings(config.settings);
 
-  // A second process may be started beside this one only where there is an admin interface.
+  // A second process may be started beside this one only if there is an admin interface.
   const std::optional<Address> admin_address = config.admin;
   const std::string hot_restart_path =
       admin_address ? HotRestartSocketPath(std::getenv("TMPDIR"), config.listen) : std::string();
@@ -309,10 +309,10 @@
     new_process->set_on_old_ended([&] { lifecycle.set_ready(); });
     DrainWhenRevoked(*new_process, lifecycle, signal_handler);
   }
-  // Told to end meanwhile, it leaves the old process as it was.
+  // If this process is told to exit before it is ready, the old process keeps serving.
   const bool serves = WaitUntilReady(loop, lifecycle);
-  // From now on a newer process can take over from this one. Before it reports that it is ready: an
-  // old process that takes its place back replaces the socket made here.
+  // From now on a newer process can take over from this one. The Unix socket must exist before
+  // ReportReady, because an old process that serves again replaces it.
   std::optional<OldProcess> old_process;
   if (admin_address && serves) {
     old_process.emplace(loop, hot_restart_path, lifecycle, gateway.downstream(), gateway.budget(),
--- a/src/gateway/serve.h
+++ b/src/gateway/serve.h
@@ -1,4 +1,4 @@
-// One gateway as a program: reads its configuration, serves, and drains on SIGTERM.
+// Runs one gateway: reads its configuration, serves, and drains on SIGTERM or SIGINT.
 #ifndef PADDLESTILE_GATEWAY_SERVE_H_
 #define PADDLESTILE_GATEWAY_SERVE_H_
 
@@ -18,20 +18,21 @@
 struct GatewayConfig;
 
 struct ServeOptions {
-  // Between two lines of counters in the log; 0: on SIGUSR1 and at the end only.
+  // The interval at which the counters are logged. With 0 they are logged only on SIGUSR1 and at
+  // exit.
   Duration counters_every{0};
-  // The operator's file; empty: the one that LB_OPERATOR names, or none, and all that it could
-  // switch on is off.
+  // The path of the operator's file. If it is empty, LB_OPERATOR gives the path. Without either,
+  // the gateway is not a member of a cluster.
   std::string operator_file;
-  // For tests: makes a cluster agent that misbehaves, in place of the usual one.
+  // For tests: creates the cluster agent, for instance one with an injected fault.
   std::function<std::unique_ptr<ClusterAgent>(EventLoop&, ClusterConfig, Gateway&, Lifecycle&,
                                               GatewayConfig)>
       make_cluster_agent;
 };
 
-// Runs until SIGTERM or SIGINT, and the drain after that. Takes over the signals of the process and
-// reads the LB_* variables. Returns the exit code of the process: 0, or 1, with one line in the
-// log, where it cannot start.
+// Serves until SIGTERM or SIGINT, then drains and returns. Handles the signals of the process and
+// reads the LB_* environment variables. Returns the exit code of the process: 0, or 1 with one line
+// in the log if the gateway cannot start.
 int Serve(const ServeOptions& options = {});
 
 }  // namespace paddlestile
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -260,7 +260,7 @@
   text.replace(text.find("\"SendCap\":3"), 11, "\"SendCap\":5");
   std::ofstream(folder_ + "/c.json") << text;
   members_[1].Signal(SIGHUP);
-  EXPECT_TRUE(members_[1].WaitForOutput("what it has agreed on goes before the file"));
+  EXPECT_TRUE(members_[1].WaitForOutput("settings of the agreed version take precedence"));
   EXPECT_TRUE(
       members_[1].WaitForOutput("attempts 3 to 5"));  // the file's change is logged all the same
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 1; }));
