--- a/src/gateway/cluster_storage.cpp
+++ b/src/gateway/cluster_storage.cpp
@@ -29,7 +29,8 @@
 
 std::string EncodeIdentityRecord(const ClusterConfig& config, const std::string& member_name,
                                  const raft::PersistentState& state) {
-  // The stored names of cluster, incarnation and restart count.
+  // In stored records, "bank" is the cluster's name, "life" the incarnation and "boot" the restart
+  // count.
   return EncodeLogRecord({{"bank", config.cluster_name},
                           {"name", member_name},
                           {"life", state.incarnation},
@@ -39,7 +40,7 @@
 void ApplyLogRecord(const ClusterConfig& config, const std::string& member_name,
                     std::string_view record, raft::PersistentState& state) {
   const json value = json::from_cbor(record, true, false);
-  if (value.is_object()) {  // an identity; writes are arrays
+  if (value.is_object()) {  // an identity record; storage writes are arrays
     const std::string cluster_name = value.value("bank", "");
     const std::string name = value.value("name", "");
     if (cluster_name != config.cluster_name || name != member_name) {
@@ -69,12 +70,12 @@
     files.MakeFolder(config.folder);
     const auto lock = files.Lock(LockPathIn(config.folder));
     if (!lock) {
-      throw ConfigError(config.folder + ": a process has it, expected none");
+      throw ConfigError(config.folder + ": in use by another process, expected an unused folder");
     }
     bool has_records = false;
     storage::WriteAheadLog log(files, config.folder, [&](std::string_view) { has_records = true; });
     if (has_records) {
-      throw ConfigError(config.folder + ": a log is there already, expected none");
+      throw ConfigError(config.folder + ": already contains a log, expected none");
     }
     raft::PersistentState state;
     state.incarnation = NewIncarnation();
