--- a/src/gateway/storage_thread.cpp
+++ b/src/gateway/storage_thread.cpp
@@ -105,7 +105,7 @@
 void StorageThread::WriteJob(const Job& job, bool& needs_sync) {
   if (job.replaces_log) {
     log_->Replace({identity_, job.record});
-    needs_sync = false;  // Replace has made it durable
+    needs_sync = false;  // Replace has made all records durable
   } else {
     log_->Append(job.record);
     needs_sync = needs_sync || job.needs_sync;
--- a/src/gateway/storage_thread.h
+++ b/src/gateway/storage_thread.h
@@ -1,6 +1,6 @@
-// The thread that writes the Raft log. The event loop queues records and goes on serving; the
-// thread appends them in order, syncs each batch once, and reports through an eventfd. A slow or
-// stuck disk therefore holds up no request.
+// The thread that writes the Raft log, so that a slow or stuck disk delays no request. The event
+// loop queues records; the thread appends them in order, syncs each batch once, and notifies the
+// event loop through an eventfd.
 #ifndef PADDLESTILE_GATEWAY_STORAGE_THREAD_H_
 #define PADDLESTILE_GATEWAY_STORAGE_THREAD_H_
 
@@ -24,16 +24,18 @@
  public:
   struct State {
     uint64_t durable_sequence_number = 0;  // this write and all before it are durable
-    bool failed = false;                   // permanent: nothing is written any more
-    std::string error;  // why it failed or, where it has not, why it waits for space; else empty
-    uint64_t log_bytes = 0;
+    bool failed = false;                   // permanent: nothing is written from then on
+    // The reason of the failure or, if `failed` is false, of waiting for disk space. Else empty.
+    std::string error;
+    uint64_t log_bytes = 0;  // size of the log file
   };
 
-  // Owns `log`. `identity` is the record that a replaced log begins with. `on_state_change` runs on
-  // the loop's thread after each change of state(); it must not destroy this object.
+  // Takes ownership of `log`. `identity` is the first record of a log that replaces another one.
+  // `on_state_change` runs on the loop's thread after each change of state() and must not destroy
+  // this object.
   StorageThread(EventLoop& loop, std::unique_ptr<storage::WriteAheadLog> log, std::string identity,
                 std::function<void()> on_state_change);
-  // Waits until what is queued is written, or its write has failed.
+  // Waits until all queued records have been written or writing has failed.
   virtual ~StorageThread();
   StorageThread(const StorageThread&) = delete;
   StorageThread& operator=(const StorageThread&) = delete;
@@ -41,25 +43,26 @@
   // Queues a write. Its sequence number must exceed those of all earlier ones.
   void Add(const raft::StorageWrite& write);
 
-  // As of the last completed batch or error.
+  // Returns the state after the last completed batch or error.
   [[nodiscard]] State state();
 
  private:
   struct Job {
     uint64_t sequence_number = 0;
     std::string record;
-    bool needs_sync = true;     // false: may stay unsynced until another write needs it
-    bool replaces_log = false;  // a snapshot: takes the place of all earlier records
+    bool needs_sync = true;     // if false, it need not be synced before another write needs it
+    bool replaces_log = false;  // a snapshot, which replaces all earlier records
   };
   void OnEvents(uint32_t events) override;
   void Run();
-  // Waits for jobs; false once the object is being destroyed and none is left.
+  // Waits for jobs. Returns false if the object is being destroyed and no job is left.
   bool WaitForJobs(std::deque<Job>& batch);
-  // Writes the batch's jobs to the log, unsynced but for replacements. False: stopped while it
-  // waited for space.
+  // Writes the jobs of the batch to the log. Only replacements are synced. Returns false if the
+  // object is being destroyed after a failed write.
   bool WriteBatch(std::deque<Job>& batch, bool& needs_sync);
   void WriteJob(const Job& job, bool& needs_sync);
-  // Records the error and waits a while if the disk is full. False: the object is being destroyed.
+  // Publishes the error and, if the disk is full, waits before the next attempt. Returns false if
+  // the object is being destroyed.
   bool HandleWriteError(const storage::FileError& error);
   void SyncBatch(bool needs_sync);
   void PublishState();
@@ -69,7 +72,7 @@
   FileDescriptor event_fd_;
   uint64_t event_token_ = 0;
 
-  // The thread's own.
+  // Used by the storage thread only.
   std::unique_ptr<storage::WriteAheadLog> log_;
   std::string identity_;
   State thread_state_;
@@ -80,7 +83,7 @@
   std::deque<Job> jobs_;      // guarded by mutex_
   State published_state_;     // guarded by mutex_
   bool is_stopping_ = false;  // guarded by mutex_
-  std::thread thread_;        // last: starts when all else is there
+  std::thread thread_;        // the last member, so that it starts after all others are initialized
 };
 
 }  // namespace paddlestile
