--- a/src/gateway/version_applier.cpp
+++ b/src/gateway/version_applier.cpp
@@ -30,7 +30,7 @@
     ++applied_count_;
     settings_match_content_ = true;
   } catch (const std::exception& error) {
-    Log(LogLevel::kError, "bank: version {} cannot be applied here: {}", version, error.what());
+    Log(LogLevel::kError, "bank: cannot apply version {}: {}", version, error.what());
     ApplyFallback(content, exclude_all_hosts);
     settings_match_content_ = false;
   }
@@ -46,7 +46,7 @@
     gateway_.ApplyConfig(
         file_settings_.ApplyVersion(content, gateway_.config(), nullptr, loop_.Now()));
   }
-  // New settings may change this gateway's zone.
+  // Without tenant_changes all settings are new, which may change this gateway's zone.
   if (!tenant_changes || exclude_all_hosts != all_hosts_excluded_ ||
       ExcludedHostsMayDiffer(content)) {
     gateway_.ExcludeHosts(ExcludedHosts(content), exclude_all_hosts);
--- a/src/gateway/version_applier.h
+++ b/src/gateway/version_applier.h
@@ -1,5 +1,6 @@
-// Applies a version's content to the gateway: settings laid over the platform's file, and the hosts
-// that get no requests. On the event loop's thread; owns neither loop nor gateway.
+// Applies the content of a version to the gateway: the settings, which override those of the
+// platform's configuration file, and the hosts that get no requests. Runs on the event loop's
+// thread. The loop and the gateway must outlive it.
 #ifndef PADDLESTILE_GATEWAY_VERSION_APPLIER_H_
 #define PADDLESTILE_GATEWAY_VERSION_APPLIER_H_
 
@@ -20,41 +21,44 @@
  public:
   VersionApplier(EventLoop& loop, Gateway& gateway, const GatewayConfig& file);
 
-  // The platform's file was read again: what was applied is to be applied over it anew.
+  // Must be called when the platform's configuration file has been reloaded. The content must then
+  // be applied again.
   void set_file(const GatewayConfig& file);
 
-  // What the gateway acts on; null: nothing was applied since the file was read.
+  // Returns the content that was last applied, or null if none was applied since the file was set.
   [[nodiscard]] const cluster::VersionContent* applied_content() const {
     return applied_content_ ? &*applied_content_ : nullptr;
   }
-  // How often something was applied.
+  // Returns how many times content was applied successfully.
   [[nodiscard]] uint64_t applied_count() const { return applied_count_; }
 
-  // In force before the gateway's next event; changes nothing where the gateway acts on it already.
-  // `exclude_all_hosts`: no host gets a request, whatever the content says. Where the gateway
-  // cannot take the content, logs why with `version` and applies the file's settings with nothing
-  // retried and the content's excluded hosts.
+  // Applies `content` before the gateway's next event. Does nothing if it is applied already. If
+  // `exclude_all_hosts` is true, no host gets a request, whatever the content says. If the content
+  // cannot be applied, logs the reason with the number `version`, and applies the file's settings
+  // with retries disabled and the excluded hosts of the content.
   void Apply(cluster::VersionContent content, uint64_t version, bool exclude_all_hosts);
 
-  // Why the gateway cannot take this content; empty: it can.
+  // Returns why the gateway cannot apply this content, or an empty string if it can.
   [[nodiscard]] std::string WhyNotApplicable(const cluster::VersionContent& content) const;
 
  private:
-  // How the settings in force differ from those of `content`, where they do by tenants alone.
+  // Returns the tenants whose settings differ between the applied content and `content`. Returns
+  // nullopt if other settings differ too, or if the applied content is not known to be in force.
   [[nodiscard]] std::optional<std::vector<TenantChange>> TenantChangesTo(
       const cluster::VersionContent& content) const;
   void ApplyContent(const cluster::VersionContent& content, bool exclude_all_hosts);
   void ApplyFallback(const cluster::VersionContent& content, bool exclude_all_hosts);
   [[nodiscard]] bool ExcludedHostsMayDiffer(const cluster::VersionContent& content) const;
-  // The hosts that get no request from this gateway: excluded, draining or of another zone.
+  // Returns the hosts that get no requests from this gateway: those that are excluded or draining,
+  // and those that only gateways of another zone may use.
   [[nodiscard]] std::set<std::string> ExcludedHosts(const cluster::VersionContent& content) const;
 
   EventLoop& loop_;
   Gateway& gateway_;
   VersionedSettings file_settings_;
   std::optional<cluster::VersionContent> applied_content_;
-  // The gateway's settings are those of applied_content_; false: none is, or a fallback was
-  // applied.
+  // Whether the gateway's settings are those of applied_content_. False if no content is applied,
+  // or if the fallback was applied.
   bool settings_match_content_ = false;
   bool all_hosts_excluded_ = false;
   uint64_t applied_count_ = 0;
