--- a/src/gateway/operator_calls.cpp
+++ b/src/gateway/operator_calls.cpp
@@ -13,9 +13,10 @@
 using nlohmann::json;
 
 constexpr size_t kMaxPendingCalls = 64;
-constexpr size_t kMaxHistoryTextBytes = 2 * cluster::kMaxVersionBytes;  // of one reply
+constexpr size_t kMaxHistoryTextBytes = 2 * cluster::kMaxVersionBytes;  // per reply
 
-// The texts of the versions asked for, newest first until the reply is full.
+// Returns the texts of the versions whose numbers are in the array `wanted`, or of all versions if
+// it is not an array. The oldest texts are left out if they exceed kMaxHistoryTextBytes.
 std::map<uint64_t, std::string> TextsOf(const cluster::VersionHistory& history,
                                         const json& wanted) {
   std::map<uint64_t, std::string> texts;
@@ -36,8 +37,9 @@
   return texts;
 }
 
-// Why this gateway could not act on the change; empty: it could. Nothing is said of a change that
-// is faulty in itself: the leader names all of its faults.
+// Returns why this gateway could not apply the change, or an empty string if it could. A change
+// that is invalid by itself also gives an empty string, because the leader reports all of its
+// faults.
 std::string WhyNotApplicable(const cluster::Change& change, const cluster::VersionHistory& history,
                              const VersionApplier& applier) {
   try {
@@ -56,14 +58,14 @@
   if (!value.is_object()) {
     return {};
   }
-  const std::string what = value.value("what", "");
-  if (what == "status") {
+  const std::string call_name = value.value("what", "");
+  if (call_name == "status") {
     return {Request::Kind::kStatus, std::nullopt};
   }
-  if (what == "history") {
+  if (call_name == "history") {
     return {Request::Kind::kHistory, std::nullopt};
   }
-  // "wish" is the wire's key of a change request.
+  // The protocol's key of a change request is "wish".
   if (!value.contains("wish")) {
     return {};
   }
--- a/src/gateway/operator_calls.h
+++ b/src/gateway/operator_calls.h
@@ -1,5 +1,6 @@
-// Operators' calls that come on the members' port as JSON values: status, history, change requests.
-// Decides what a call asks for and remembers which calls wait for a change's result. Does no I/O.
+// Operators' calls, which arrive as JSON values on the port of the members: status, history and
+// change requests. Parses the calls and keeps track of those that wait for the result of a change.
+// Does no I/O.
 #ifndef PADDLESTILE_GATEWAY_OPERATOR_CALLS_H_
 #define PADDLESTILE_GATEWAY_OPERATOR_CALLS_H_
 
@@ -16,34 +17,36 @@
 
 class OperatorCalls {
  public:
-  // What a call asks for.
+  // A parsed call.
   struct Request {
     enum class Kind : uint8_t {
-      kStatus,   // to be replied to with the member's status
-      kHistory,  // to be replied to with HistoryReply()
-      kChange,   // `change` is to be submitted to the cluster
-      kUnknown   // to be replied to with an error
+      kStatus,   // the reply is the member's status
+      kHistory,  // the reply is HistoryReply()
+      kChange,   // `change` is submitted to the cluster, and the reply is its result
+      kUnknown   // the reply is an error
     };
     Kind kind = Kind::kUnknown;
-    std::optional<cluster::ChangeRequest> change;  // of kChange
+    std::optional<cluster::ChangeRequest> change;  // set if the kind is kChange
   };
-  // Decodes a call; one that cannot be read is kUnknown.
+  // Parses a call. A malformed one is of kind kUnknown.
   [[nodiscard]] static Request ParseRequest(const nlohmann::json& value);
 
-  // The versions that `history` remembers. `value` may name those to send with their text under
-  // "texts"; else the newest that fit into one reply have it.
+  // Returns the reply with all versions in `history`. The call `value` may list under "texts" the
+  // numbers of the versions whose text is wanted; by default all texts are. The newest texts that
+  // fit into one reply are included.
   [[nodiscard]] static nlohmann::json HistoryReply(const nlohmann::json& value,
                                                    const cluster::VersionHistory& history);
 
-  // The reply that refuses this change before it is submitted, as this gateway could not act on it
-  // or too many calls wait already; nothing: it may be submitted.
+  // Returns the reply that rejects a request before it is submitted, because this gateway could not
+  // apply the change or too many calls are pending. Returns nullopt if it may be submitted.
   [[nodiscard]] std::optional<nlohmann::json> RejectionOf(const cluster::ChangeRequest& request,
                                                           const cluster::VersionHistory& history,
                                                           const VersionApplier& applier) const;
 
-  // Registers a call that waits for a change's result; its request number, never used before.
+  // Registers a call that waits for the result of a change, and returns a new request number for
+  // it.
   uint64_t AddPending(uint64_t call);
-  // The call that waits under this request number, which is forgotten; nothing where none does.
+  // Removes and returns the call with this request number. Returns nullopt if none is pending.
   std::optional<uint64_t> TakePending(uint64_t request_number);
 
   [[nodiscard]] static nlohmann::json ResultReply(const cluster::ChangeResult& result);
