--- a/src/gateway/cluster_agent.cpp
+++ b/src/gateway/cluster_agent.cpp
@@ -17,7 +17,7 @@
 using cluster::MemberOutput;
 using nlohmann::json;
 
-// Keys of a frame between members.
+// JSON keys of a frame between members.
 constexpr const char* kRaftMessageKey = "m";
 constexpr const char* kMemberMessageKey = "n";
 
@@ -48,10 +48,10 @@
   try {
     state = ReadPersistentState(files(), config_, file_.name);
   } catch (const storage::CorruptionError&) {
-    state = {};  // logged when the log is opened
+    state = {};  // OpenLog reports the error when it opens the log
   }
   CreateMember(std::move(state));
-  // Nothing is served yet: apply all of the log before anything is.
+  // Applies the whole log before the gateway serves any request.
   while (member_->raft_node().HasEntriesToApply()) {
     OnTimeout();
   }
@@ -95,10 +95,10 @@
   const uint64_t mismatches_before = member_->content_mismatch_count();
   step(*member_, Now(), output);
   content_mismatch_count_ += member_->content_mismatch_count() - mismatches_before;
-  CarryOut(output);
+  ProcessOutput(output);
 }
 
-void ClusterAgent::CarryOut(MemberOutput& output) {
+void ClusterAgent::ProcessOutput(MemberOutput& output) {
   for (const std::string& line : output.log) {
     Log(LogLevel::kInfo, "{}", line);
   }
@@ -111,12 +111,13 @@
   ReplyToCalls(output);
   if (output.storage_rolled_back) {
     RunDeferredWhileOwner([this] {
-      RestartWithEmptyLog("this disk has gone back to an older state, as the others report");
+      RestartWithEmptyLog("other members report that this log was rolled back to an older state");
     });
   }
-  // Once in a process: if what is sent is at fault, another copy does not help.
+  // At most once per process: if the content that is sent is wrong, another copy does not help.
   if (!output.needs_resync.empty() && !std::exchange(has_requested_resync_, true)) {
-    RunDeferredWhileOwner([this] { RestartWithEmptyLog("its content is not what was agreed"); });
+    RunDeferredWhileOwner(
+        [this] { RestartWithEmptyLog("its content differs from the agreed content"); });
   }
   UpdateWantedConnections();
   UpdateEffectiveConfig();
@@ -128,8 +129,8 @@
     if (storage_thread_) {
       storage_thread_->Add(write);
     } else {
-      // Without storage nothing is waited for: with its incarnation 0 the others do not count on
-      // what this member acknowledges.
+      // Without storage no message waits for a write. This is safe because of incarnation 0: the
+      // other members do not rely on what such a member acknowledges.
       durable_sequence_number_ = std::max(durable_sequence_number_, write.sequence_number);
     }
   }
@@ -182,8 +183,8 @@
   });
 }
 
-// Every member connects to the voters and to those that the file names as voters; two that do
-// neither have nothing to exchange.
+// Every member connects to the current voters and to the initial voters of the file. Two members
+// that are neither exchange no messages, so they need no connection.
 void ClusterAgent::UpdateWantedConnections() {
   std::set<std::string> wanted;
   for (const auto& [name, member] : config_.members) {
@@ -203,7 +204,7 @@
 
 void ClusterAgent::ScheduleTimeout() {
   loop_.CancelTimer(member_timer_);
-  // An observing agent only applies what its log holds.
+  // An observing agent needs no timeouts except to apply the entries of its log.
   if (!connections_ && !member_->raft_node().HasEntriesToApply()) {
     return;
   }
@@ -291,7 +292,7 @@
   });
 }
 
-// ---- What the gateway acts on -----------------------------------------------------------------
+// ---- The effective configuration --------------------------------------------------------------
 
 void ClusterAgent::UpdateEffectiveConfig() {
   const EffectiveConfig effective = CurrentConfig();
@@ -301,9 +302,10 @@
   }
   LogConnectivity(effective);
   const cluster::VersionContent* const applied = applier_.applied_content();
-  // A member that catches up without a lease keeps what it had: superseded versions would exclude
-  // fewer hosts than the latest that it knew, and delay its requests for nothing. It may not know
-  // yet that there is more to apply, as after its storage failed: then it is behind what it had.
+  // A member that catches up without a lease keeps the applied content. The superseded versions
+  // that it applies meanwhile may exclude fewer hosts than the latest version it knew, and applying
+  // each of them would delay requests. After a storage failure the member may not know yet that
+  // there are entries to apply; its latest version is then below the applied one.
   const bool catches_up =
       member_->raft_node().HasEntriesToApply() || effective.latest_version < applied_version_;
   const bool keeps_applied_content = applied != nullptr && !holds_lease && catches_up;
@@ -320,15 +322,16 @@
   if (!keeps_applied_content) {
     applied_version_ = effective.latest_version;
   }
-  // A gateway that drains when isolated must not send anything to a host that a version which it
-  // has not seen may exclude.
+  // A gateway that drains when isolated must not send requests to any host, because a version that
+  // it has not seen may exclude that host.
   const bool exclude_all_hosts =
       config_.when_disconnected == WhenDisconnected::kDrain && !holds_lease;
   applier_.Apply(keeps_applied_content ? cluster::StrictestFor(*applied) : ContentOf(effective),
                  effective.latest_version, exclude_all_hosts);
 }
 
-// Looks again before anything is decided past the lease's end, however late the loop is.
+// Updates the effective configuration when the lease ends, and before the gateway handles any event
+// after that time, however late the event loop is.
 void ClusterAgent::ScheduleLeaseCheck(Time valid_until) {
   const Duration remaining = LoopDuration(valid_until - Now());
   gateway_.RunBeforeEventsFrom(loop_.Now() + remaining, [this] { UpdateEffectiveConfig(); });
@@ -343,14 +346,16 @@
     return;
   }
   if (holds_lease) {
-    Log(LogLevel::kInfo, "bank: connected, version {} in force", effective.version_in_force);
+    Log(LogLevel::kInfo, "bank: connected to the cluster, version {} in force",
+        effective.version_in_force);
   } else {
     ++isolation_count_;
-    Log(LogLevel::kWarning, "bank: isolated: nothing is retried until it is connected again");
+    Log(LogLevel::kWarning,
+        "bank: isolated from the cluster, retries are disabled until it reconnects");
   }
 }
 
-// Takes back only a drain that this agent began.
+// Ends a drain only if this agent began it.
 void ClusterAgent::UpdateDrain(bool holds_lease) {
   if (config_.when_disconnected == WhenDisconnected::kDrain && drained_ == holds_lease) {
     drained_ = !holds_lease;
--- a/src/gateway/cluster_agent_participation.cpp
+++ b/src/gateway/cluster_agent_participation.cpp
@@ -1,4 +1,4 @@
-// The agent's participation in its cluster: see the table of states in cluster_agent.h.
+// The agent's participation in its cluster. cluster_agent.h has the table of states.
 #include <exception>
 #include <utility>
 
@@ -16,7 +16,7 @@
 void ClusterAgent::CheckOwnership() {
   try {
     if (lifecycle_.replaced() && folder_lock_) {
-      Log(LogLevel::kInfo, "bank: leaves it to the newer process");
+      Log(LogLevel::kInfo, "bank: stops participating, the new process takes over as the member");
       StopParticipating();
       CreateMember(ReadPersistentState(files(), config_, file_.name));
     } else if (!lifecycle_.replaced() && !folder_lock_) {
@@ -64,7 +64,9 @@
   }
   OpenConnections(state.incarnation, state.restart_count);
   CreateMember(std::move(state));
-  Log(LogLevel::kInfo, "bank: {} takes part in '{}', bound {} ms", file_.name, config_.cluster_name,
+  Log(LogLevel::kInfo,
+      "bank: {} participates in '{}', members contradict each other for at most {} ms", file_.name,
+      config_.cluster_name,
       cluster::MaxDisagreement(config_.timing, cluster::kDetectionDelay).count() / 1000);
 }
 
@@ -80,14 +82,15 @@
   try {
     log = open();
   } catch (const storage::CorruptionError& error) {
-    // It must not vote as if it remembered its votes; the file is kept for whoever investigates.
+    // The member must not vote, since it may have lost the votes it gave. The file is kept for
+    // investigation.
     Log(LogLevel::kError, "bank: {}; restarts as a non-voting member until it is voted in",
         error.what());
     files().Rename(path, path + ".damaged");
     log = open();
   }
   if (log->cut_off() > 0) {
-    Log(LogLevel::kWarning, "bank: {}: {} bytes cut off the end, as after a loss of power", path,
+    Log(LogLevel::kWarning, "bank: {}: removed {} bytes of an incomplete record at the end", path,
         log->cut_off());
   }
   return log;
@@ -154,7 +157,7 @@
   ++storage_failure_count_;
   without_storage_ = true;
   raft::PersistentState state;
-  state.incarnation = 0;  // no member without storage can become a voter
+  state.incarnation = 0;  // a member without storage cannot become a voter
   state.restart_count = 1;
   OpenConnections(state.incarnation, state.restart_count);
   CreateMember(std::move(state));
--- a/src/gateway/cluster_agent_status.cpp
+++ b/src/gateway/cluster_agent_status.cpp
@@ -1,4 +1,5 @@
-// What an agent reports of itself. Keys and words are the operators' and stay.
+// The agent's status reply and log line. Operators' tools read them, so keys and values must not
+// change.
 #include <fmt/format.h>
 
 #include "gateway/cluster_agent.h"
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -1,5 +1,5 @@
-// Gateways of a cluster as processes: what is opened, invalid input, a platform file that
-// contradicts the agreed version, a hot restart of a member, a corrupt log.
+// Gateways of a cluster, run as processes: opened resources, invalid input, a platform file that
+// contradicts the agreed version, hot restarts of a member, storage failures and a corrupt log.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -49,6 +49,7 @@
   }
   ~ClusterAgentTest() override { fs::remove_all(folder_); }
 
+  // Returns an address of this test process alone. Each member has a port from `port` on.
   static std::string AddressOf(int member, int port) {
     return "127.109." + std::to_string(getpid() / 250 % 250) + "." +
            std::to_string(getpid() % 250 + 1) + ":" + std::to_string(port + member);
@@ -127,48 +128,49 @@
   return count;
 }
 
-// Without an operator's file not one file, socket or thread more may be opened.
-TEST_F(ClusterAgentTest, WithoutAnOperatorFileNothingIsOpened) {
-  Child plain;
-  plain.Start(EnvironmentOf(0), {"serve"});
-  ASSERT_TRUE(plain.WaitForOutput("listens on"));
-  const std::string proc = "/proc/" + std::to_string(plain.pid());
-  EXPECT_EQ(CountEntries(proc + "/task"), 1U);
-  for (const auto& fd : fs::directory_iterator(proc + "/fd")) {
-    const std::string to = fs::read_symlink(fd.path()).string();
-    EXPECT_EQ(to.find("eventfd"), std::string::npos);
-    EXPECT_EQ(to.find(folder_ + "/g"), std::string::npos);
+// Without an operator's file the gateway must not open any file, socket or thread for a cluster.
+TEST_F(ClusterAgentTest, OpensNothingWithoutOperatorFile) {
+  Child standalone;
+  standalone.Start(EnvironmentOf(0), {"serve"});
+  ASSERT_TRUE(standalone.WaitForOutput("listens on"));
+  const std::string standalone_proc = "/proc/" + std::to_string(standalone.pid());
+  EXPECT_EQ(CountEntries(standalone_proc + "/task"), 1U);
+  for (const auto& fd : fs::directory_iterator(standalone_proc + "/fd")) {
+    const std::string target = fs::read_symlink(fd.path()).string();
+    EXPECT_EQ(target.find("eventfd"), std::string::npos);
+    EXPECT_EQ(target.find(folder_ + "/g"), std::string::npos);
   }
-  const size_t descriptors = CountEntries(proc + "/fd");
-  plain.Kill();
+  const size_t descriptors = CountEntries(standalone_proc + "/fd");
+  standalone.Kill();
   StartMember(0);
-  ASSERT_TRUE(members_[0].WaitForOutput("takes part"));
-  const std::string with = "/proc/" + std::to_string(members_[0].pid());
-  // The disk's thread; the log, its lock, the thread's eventfd, the listener for the others.
-  EXPECT_EQ(CountEntries(with + "/task"), 2U);
-  EXPECT_GE(CountEntries(with + "/fd"), descriptors + 4);
+  ASSERT_TRUE(members_[0].WaitForOutput("participates in"));
+  const std::string member_proc = "/proc/" + std::to_string(members_[0].pid());
+  // One more thread, for storage, and four more descriptors: the log, its lock, the eventfd of the
+  // storage thread, and the socket that listens for the other members.
+  EXPECT_EQ(CountEntries(member_proc + "/task"), 2U);
+  EXPECT_GE(CountEntries(member_proc + "/fd"), descriptors + 4);
 }
 
-TEST_F(ClusterAgentTest, ChangeIsValidatedAndCountsOnce) {
+TEST_F(ClusterAgentTest, ChangeIsValidatedAndAppliedOnce) {
   StartCluster();
-  const CommandResult bad = SubmitChange(R"({"bared":[],"drain":1})");
-  EXPECT_EQ(bad.code, 2);
-  EXPECT_NE(bad.text.find("bared: expected"), std::string::npos) << bad.text;
-  EXPECT_NE(bad.text.find("drain: expected"), std::string::npos) << bad.text;
-  // Valid in itself, but not together with this gateway's settings.
+  const CommandResult invalid = SubmitChange(R"({"bared":[],"drain":1})");
+  EXPECT_EQ(invalid.code, 2);
+  EXPECT_NE(invalid.text.find("bared: expected"), std::string::npos) << invalid.text;
+  EXPECT_NE(invalid.text.find("drain: expected"), std::string::npos) << invalid.text;
+  // Valid by itself, but not together with this gateway's settings.
   const CommandResult not_applicable =
       SubmitChange(R"({"settings":{"Allowed":{"MaxRetryAfter":"soon"}}})");
   EXPECT_EQ(not_applicable.code, 1);
   EXPECT_NE(not_applicable.text.find("refused"), std::string::npos) << not_applicable.text;
   EXPECT_EQ(StatusOf(0)["version_latest"], 0);
-  for (int turn = 0; turn < 2; ++turn) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     const CommandResult done = SubmitChange(R"({"barred":["h"]})", "--id one --expect 0");
     EXPECT_EQ(done.code, 0) << done.text;
     EXPECT_NE(done.text.find("version 1 is on"), std::string::npos) << done.text;
   }
-  const CommandResult late = SubmitChange("{}", "--id two --expect 0");
-  EXPECT_EQ(late.code, 1);
-  EXPECT_NE(late.text.find("latest version is 1"), std::string::npos) << late.text;
+  const CommandResult outdated = SubmitChange("{}", "--id two --expect 0");
+  EXPECT_EQ(outdated.code, 1);
+  EXPECT_NE(outdated.text.find("latest version is 1"), std::string::npos) << outdated.text;
   for (int i = 0; i < 3; ++i) {
     EXPECT_TRUE(WaitUntil([&] { return StatusOf(i)["version_on"] == 1; }));
   }
@@ -177,8 +179,9 @@
   EXPECT_NE(RunClusterCommand("history").text.find("test"), std::string::npos);
 }
 
-// Deltas as operators submit them; what is read back are whole versions.
-TEST_F(ClusterAgentTest, ChangeIsReplicatedAsADeltaWhereTheFileSaysSo) {
+// Changes are replicated as deltas, and operators may submit deltas. The versions that are read
+// back are whole.
+TEST_F(ClusterAgentTest, ReplicatesChangesAsDeltasIfConfigured) {
   WriteOperatorFile(3, "changes = \"delta\"\n");
   StartCluster();
   json document = {{"barred", {"h"}}};
@@ -211,7 +214,7 @@
       SubmitChange(R"({"settings":{"Allowed":{"MaxRetryAfter":"soon"}}})", "--delta");
   EXPECT_EQ(not_applicable.code, 1);
   EXPECT_NE(not_applicable.text.find("refused"), std::string::npos) << not_applicable.text;
-  // A new member that is configured for whole changes follows.
+  // A new member that is itself configured for whole changes can follow the deltas.
   WriteOperatorFile(3);
   StartMember(3);
   ASSERT_TRUE(WaitUntil([&] { return StatusOf(3)["version_on"] == 3; }));
@@ -222,7 +225,7 @@
   EXPECT_EQ(StatusOf(3)["stance"], "agreed");
 }
 
-TEST_F(ClusterAgentTest, DeltaIsRefusedWhereChangesAreWhole) {
+TEST_F(ClusterAgentTest, RefusesDeltaIfConfiguredForWholeChanges) {
   StartCluster();
   const CommandResult result = SubmitChange(R"({"barred":{"add":["i"]}})", "--delta");
   EXPECT_EQ(result.code, 1);
@@ -233,9 +236,9 @@
   EXPECT_EQ(StatusOf(0)["changes"], "whole");
 }
 
-// Without a leader the refusal comes at once and says since when, and the change can be submitted
-// again.
-TEST_F(ClusterAgentTest, WithoutAQuorumAChangeIsRefusedAndServiceGoesOn) {
+// Without a quorum there is no leader: a change fails with the time since there was one, and can
+// be submitted again later. Requests are still served.
+TEST_F(ClusterAgentTest, WithoutQuorumChangesFailAndRequestsAreServed) {
   StartCluster();
   members_[0].Kill();
   members_[1].Kill();
@@ -252,7 +255,7 @@
   EXPECT_EQ(SubmitChange("{}", "--id later").code, 0);
 }
 
-// The agreed version goes before the platform's file, and the log says so.
+// The agreed version takes precedence over the platform's file, and the log states this.
 TEST_F(ClusterAgentTest, ReloadedFileDoesNotOverrideTheAgreedVersion) {
   StartCluster();
   ASSERT_EQ(SubmitChange(R"({"settings":{"Allowed":{"SendCap":2}}})").code, 0);
@@ -261,20 +264,20 @@
   std::ofstream(folder_ + "/c.json") << text;
   members_[1].Signal(SIGHUP);
   EXPECT_TRUE(members_[1].WaitForOutput("settings of the agreed version take precedence"));
-  EXPECT_TRUE(
-      members_[1].WaitForOutput("attempts 3 to 5"));  // the file's change is logged all the same
+  // The change of the file is still logged.
+  EXPECT_TRUE(members_[1].WaitForOutput("attempts 3 to 5"));
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 1; }));
 }
 
-// Only one process at a time may be the member: two of them would vote twice.
-TEST_F(ClusterAgentTest, NewProcessTakesOverTheMember) {
+// Only one process at a time may be the member, because two could vote twice in a term.
+TEST_F(ClusterAgentTest, NewProcessOfHotRestartTakesOverMember) {
   StartCluster();
   Child new_process;
   auto environment = EnvironmentOf(1);
   environment["LB_ADMIN"] = AddressOf(9, 6000);
   new_process.Start(environment, {"serve", "--operator", folder_ + "/bank.toml"});
-  EXPECT_TRUE(members_[1].WaitForOutput("leaves it to the newer process"));
-  EXPECT_TRUE(new_process.WaitForOutput("takes part"));
+  EXPECT_TRUE(members_[1].WaitForOutput("stops participating, the new process takes over"));
+  EXPECT_TRUE(new_process.WaitForOutput("participates in"));
   members_[1].Signal(SIGTERM);
   EXPECT_EQ(members_[1].Wait(), 0);
   EXPECT_TRUE(
@@ -282,9 +285,9 @@
   EXPECT_EQ(SubmitChange("{}").code, 0);
 }
 
-// The new process applies its log version by version while it serves: meanwhile it must act on what
-// it had, not on superseded versions.
-TEST_F(ClusterAgentTest, NewProcessExcludesHostsWhileItCatchesUp) {
+// The new process of a hot restart applies its log version by version while it serves. Meanwhile it
+// must act on the content that it had applied, not on superseded versions.
+TEST_F(ClusterAgentTest, NewProcessExcludesHostsWhileCatchingUp) {
   Port host;
   std::string text = kPlatformFile;
   text.replace(text.find("\"members\":[]"), 12,
@@ -324,7 +327,7 @@
   auto environment = EnvironmentOf(1);
   environment["LB_ADMIN"] = AddressOf(9, 6000);
   new_process.Start(environment, {"serve", "--operator", folder_ + "/bank.toml"});
-  // From before the hot restart until long after: by then both processes have read the log again.
+  // Sends requests until long after the hot restart, when both processes have read the log again.
   std::vector<Peer> clients;
   for (int i = 0; i < 600; ++i) {
     clients.push_back(send_request("c" + std::to_string(i)));
@@ -334,15 +337,15 @@
     usleep(2'000);
     requests_at_host();
   }
-  ASSERT_TRUE(new_process.WaitForOutput("takes part"));
+  ASSERT_TRUE(new_process.WaitForOutput("participates in"));
   EXPECT_EQ(requests_at_host(), 1);
   members_[1].Signal(SIGTERM);
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 10; }));
 }
 
-// A member whose disk fails begins anew with nothing: until it had caught up it sent to hosts that
-// the version which it had acted on excludes.
-TEST_F(ClusterAgentTest, MemberThatLosesItsStorageExcludesHostsWhileItCatchesUp) {
+// A member whose disk fails restarts with an empty state. Until it has caught up, it must not send
+// requests to hosts that the version it had applied before excludes.
+TEST_F(ClusterAgentTest, MemberWithFailedStorageExcludesHostsWhileCatchingUp) {
   Port host;
   std::string text = kPlatformFile;
   text.replace(text.find("\"members\":[]"), 12,
@@ -367,7 +370,7 @@
     return std::ranges::count_if(connections, [](Peer& sent) { return sent.Has("GET /read"); });
   };
   std::ofstream(folder_ + "/disk") << "sync-fails";
-  std::thread change([&] { SubmitChange(R"({"barred":["h"],"drain":["x"]})"); });
+  std::thread change_thread([&] { SubmitChange(R"({"barred":["h"],"drain":["x"]})"); });
   for (int i = 0; i < 500; ++i) {
     clients.push_back(Peer::To(ParseAddress(AddressOf(1, 5000))));
     clients.back().Say("GET /read HTTP/1.1\r\nX-Call-Id: c" + std::to_string(i) +
@@ -378,15 +381,15 @@
     usleep(2'000);
     requests_at_host();
   }
-  change.join();
+  change_thread.join();
   EXPECT_TRUE(members_[1].WaitForOutput("restarts as a non-voting member"));
   EXPECT_EQ(requests_at_host(), 0);
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["version_on"] == 2; }));
 }
 
-// A log that is corrupt before its end is kept aside; its member follows until an operator replaces
-// it.
-TEST_F(ClusterAgentTest, MemberWithACorruptLogDoesNotVote) {
+// A log that is corrupt before its end is renamed. Its member follows without a vote until an
+// operator replaces the voter.
+TEST_F(ClusterAgentTest, MemberWithCorruptLogDoesNotVote) {
   StartCluster();
   ASSERT_EQ(SubmitChange("{}").code, 0);
   members_[1].Kill();
@@ -397,7 +400,7 @@
   }
   StartMember(1);
   EXPECT_TRUE(members_[1].WaitForOutput("log at 24: a record that does not check out"));
-  // It is logged before the file is renamed.
+  // The error is logged before the file is renamed.
   EXPECT_TRUE(WaitUntil([&] { return fs::exists(folder_ + "/g1/log.damaged"); }));
   ASSERT_TRUE(WaitUntil([&] { return StatusOf(1)["stance"] == "agreed"; }));
   EXPECT_EQ(StatusOf(1)["votes"], false);
@@ -406,82 +409,86 @@
   EXPECT_TRUE(WaitUntil([&] { return StatusOf(1)["votes"] == true; }));
 }
 
-// One line each, with file, line, key and what was expected.
-TEST_F(ClusterAgentTest, FaultsOfAnOperatorFileAreNamed) {
+// Each fault is reported in one line with file, line, key and what was expected.
+TEST_F(ClusterAgentTest, ReportsFaultsOfOperatorFile) {
   const std::string head = "[bank]\nname = \"n\"\nfolder = \"f\"\n";
-  const std::string one =
+  const std::string member =
       "[[bank.members]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\nvotes = true\n";
-  const std::pair<std::string, std::string> bad[] = {
+  const std::pair<std::string, std::string> invalid_files[] = {
       {"[bank", "f:1: "},
       {"x = 1", "f: bank: missing, expected a table [bank]"},
       {head, "f: bank.members: missing, expected [[bank.members]], one each"},
-      {head + "lease_ms = 1\n" + one, "f:4: bank.lease_ms: out of range"},
-      {head + "lease_ms = 200\n" + one, "f:4: bank.lease_ms: too short, expected 3 heartbeats"},
-      {head + "lesae_ms = 1\n" + one, "f:4: bank.lesae_ms: unknown key, expected one of"},
-      {head + "when_lost = \"panic\"\n" + one,
+      {head + "lease_ms = 1\n" + member, "f:4: bank.lease_ms: out of range"},
+      {head + "lease_ms = 200\n" + member, "f:4: bank.lease_ms: too short, expected 3 heartbeats"},
+      {head + "lesae_ms = 1\n" + member, "f:4: bank.lesae_ms: unknown key, expected one of"},
+      {head + "when_lost = \"panic\"\n" + member,
        "f:4: bank.when_lost: 'panic', expected serve or drain"},
-      {head + "changes = \"small\"\n" + one, "f:4: bank.changes: 'small', expected whole or delta"},
-      {head + one + one, "f:10: bank.members.1.address: another member has it, expected its own"},
-      {head + one + "[[bank.members]]\nname = \"a\"\naddress = \"127.0.0.1:2\"\n",
+      {head + "changes = \"small\"\n" + member,
+       "f:4: bank.changes: 'small', expected whole or delta"},
+      {head + member + member,
+       "f:10: bank.members.1.address: another member has it, expected its own"},
+      {head + member + "[[bank.members]]\nname = \"a\"\naddress = \"127.0.0.1:2\"\n",
        "f:9: bank.members.1.name: 'a' a second time, expected each member once"},
-      {head + one + "[[bank.members]]\nname = \"b\"\naddress = \"127.0.0.1:2\"\nvotes = true\n",
+      {head + member + "[[bank.members]]\nname = \"b\"\naddress = \"127.0.0.1:2\"\nvotes = true\n",
        "2 members vote, expected an odd number"},
       {head + "[[bank.members]]\nname = \"a\"\naddress = \"here\"\nvotes = true\n",
        "f:6: bank.members.0.address: 'here', expected an address"}};
-  for (const auto& [text, line] : bad) {
+  for (const auto& [text, expected_fault] : invalid_files) {
     const auto faults = ValidateClusterConfig(text, "f");
-    bool named = false;
+    bool is_reported = false;
     for (const std::string& fault : faults) {
-      named = named || fault.find(line) != std::string::npos;
+      is_reported = is_reported || fault.find(expected_fault) != std::string::npos;
     }
-    EXPECT_TRUE(named) << text << (faults.empty() ? "no fault" : faults.front());
+    EXPECT_TRUE(is_reported) << text << (faults.empty() ? "no fault" : faults.front());
   }
-  EXPECT_TRUE(ValidateClusterConfig(head + one, "f").empty());
+  EXPECT_TRUE(ValidateClusterConfig(head + member, "f").empty());
   EXPECT_EQ(RunCommand("check " PADDLESTILE_SOURCE "/deploy/bank.toml").code, 0);
 }
 
-TEST_F(ClusterAgentTest, FailedStartIsOneLineAndChangesNothing) {
-  const std::string file = folder_ + "/bank.toml";
+TEST_F(ClusterAgentTest, FailedStartLogsOneLineAndChangesNothing) {
+  const std::string operator_file = folder_ + "/bank.toml";
   const auto start = [&](int i) {
     StartMember(i);
     const int code = members_[i].Wait();
     return std::pair(code, members_[i].Text());
   };
-  // A folder that is not there and cannot be made.
+  // The member's folder cannot be created.
   WriteOperatorFile(3);
   std::string text;
   {
-    std::ifstream in(file);
-    text.assign(std::istreambuf_iterator<char>(in), {});
+    std::ifstream input(operator_file);
+    text.assign(std::istreambuf_iterator<char>(input), {});
   }
-  std::string nowhere = text;
-  nowhere.replace(nowhere.find(folder_ + "/{name}"), folder_.size() + 7, folder_ + "/no/{name}");
-  std::ofstream(file) << nowhere;
+  std::string missing_parent = text;
+  missing_parent.replace(missing_parent.find(folder_ + "/{name}"), folder_.size() + 7,
+                         folder_ + "/no/{name}");
+  std::ofstream(operator_file) << missing_parent;
   auto [code, output] = start(0);
   EXPECT_EQ(code, 1);
   EXPECT_NE(output.find("/no/g0: No such file"), std::string::npos) << output;
-  // The log of another bank.
-  std::ofstream(file) << text;
+  // The folder contains the log of another cluster.
+  std::ofstream(operator_file) << text;
   ASSERT_EQ(RunClusterCommand("init --name g0").code, 0);
-  EXPECT_EQ(RunClusterCommand("init --name g0").code, 2);  // not a second time
-  std::string other = text;
-  other.replace(other.find("\"north\""), 7, "\"south\"");
-  std::ofstream(file) << other;
+  EXPECT_EQ(RunClusterCommand("init --name g0").code, 2);  // fails the second time
+  std::string other_cluster = text;
+  other_cluster.replace(other_cluster.find("\"north\""), 7, "\"south\"");
+  std::ofstream(operator_file) << other_cluster;
   std::tie(code, output) = start(0);
   EXPECT_EQ(code, 1);
   EXPECT_NE(output.find("the log of g0 in bank 'north', expected that of g0 in 'south'"),
             std::string::npos)
       << output;
-  // An address in use, a name that is no member.
-  std::ofstream(file) << text;
+  // The address is in use.
+  std::ofstream(operator_file) << text;
   const FileDescriptor occupied = Listen(ParseAddress(AddressOf(0, 7000)), 1, false);
   ASSERT_TRUE(occupied);
   std::tie(code, output) = start(0);
   EXPECT_EQ(code, 1);
   EXPECT_NE(output.find("bank: listen on " + AddressOf(0, 7000)), std::string::npos) << output;
+  // The gateway's name is not that of a member.
   auto environment = EnvironmentOf(0);
   environment["LB_NAME"] = "g9";
-  members_[1].Start(environment, {"serve", "--operator", file});
+  members_[1].Start(environment, {"serve", "--operator", operator_file});
   EXPECT_EQ(members_[1].Wait(), 1);
   EXPECT_TRUE(members_[1].WaitForOutput("no 'g9', expected this gateway's LB_NAME"));
   EXPECT_EQ(RunCommand("bank status --operator " + folder_ + "/none.toml").code, 2);
