--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr unsigned char kFirstPrintable = 0x20;
-constexpr int kHexDigits = 4;  // of an escaped character
+constexpr int kHexDigitCount = 4;  // of a \u escape sequence
 
-// UTF-16's surrogates: a character beyond 16 bits is escaped as a high one and a low one.
-constexpr uint32_t kHighSurrogates = 0xd800;
-constexpr uint32_t kLowSurrogates = 0xdc00;
+// A character above 16 bits is escaped as a UTF-16 high surrogate followed by a low surrogate.
+constexpr uint32_t kFirstHighSurrogate = 0xd800;
+constexpr uint32_t kFirstLowSurrogate = 0xdc00;
 constexpr uint32_t kLastLowSurrogate = 0xdfff;
-constexpr uint32_t kFirstInPair = 0x10000;
+constexpr uint32_t kFirstSupplementary = 0x10000;
 
 bool IsSpace(char c) {
   return c == ' ' || c == '\t' || c == '\n' || c == '\r';
@@ -26,41 +26,41 @@
   return c >= '0' && c <= '9';
 }
 
-// Steps over the parts of a number.
+// Scans the parts of a number.
 class NumberScanner {
  public:
   explicit NumberScanner(std::string_view text) : text_(text) {}
 
-  [[nodiscard]] bool AtEnd() const { return at_ == text_.size(); }
+  [[nodiscard]] bool AtEnd() const { return position_ == text_.size(); }
 
-  // Steps over the next character if it is one of `characters`.
+  // Skips the next character if it is one of `characters`, and returns whether it did.
   bool Skip(std::string_view characters) {
-    if (AtEnd() || characters.find(text_[at_]) == std::string_view::npos) {
+    if (AtEnd() || characters.find(text_[position_]) == std::string_view::npos) {
       return false;
     }
-    ++at_;
+    ++position_;
     return true;
   }
 
-  // Steps over digits and returns how many there were.
+  // Skips digits and returns how many there were.
   size_t SkipDigits() {
-    const size_t begin = at_;
-    while (!AtEnd() && IsDigit(text_[at_])) {
-      ++at_;
+    const size_t begin = position_;
+    while (!AtEnd() && IsDigit(text_[position_])) {
+      ++position_;
     }
-    return at_ - begin;
+    return position_ - begin;
   }
 
  private:
   std::string_view text_;
-  size_t at_ = 0;
+  size_t position_ = 0;
 };
 
-// Whether the text is a number in JSON's form, which is stricter than that of from_chars.
+// Returns whether the text is a valid JSON number, which from_chars alone does not check.
 bool IsJsonNumber(std::string_view text) {
   NumberScanner scanner(text);
   scanner.Skip("-");
-  // A digit behind a leading zero is left over at the end, which makes the text invalid.
+  // A digit after a leading zero is not skipped, so AtEnd() is false and the text is invalid.
   if (!scanner.Skip("0") && scanner.SkipDigits() == 0) {
     return false;
   }
@@ -95,28 +95,28 @@
 
 void JsonParser::Feed(std::string_view piece) {
   for (const char c : piece) {
-    Take(c);
+    Consume(c);
     ++size_;
   }
 }
 
 Json JsonParser::End() {
   if (state_ == State::kNumber) {
-    EndOfNumber();
+    EndNumber();
   }
   if (state_ != State::kDone) {
-    Fail(begun_ ? "the text ends too soon" : "no value");
+    Fail(begun_ ? "unexpected end of text" : "no value");
   }
   return std::move(root_);
 }
 
-void JsonParser::Take(char c) {
+void JsonParser::Consume(char c) {
   if (state_ == State::kNumber) {
     if (IsDigit(c) || c == '.' || c == 'e' || c == 'E' || c == '+' || c == '-') {
       text_ += c;
       return;
     }
-    EndOfNumber();  // and c is what follows it
+    EndNumber();  // c is the first character after the number
   }
   if (!IsWithinToken() && IsSpace(c)) {
     return;
@@ -132,27 +132,27 @@
     case State::kName:
       return BeginName(c);
     case State::kNameEnd:
-      return TakeExpected(c, ':', "no colon", State::kValue);
+      return ConsumeExpected(c, ':', "missing ':'", State::kValue);
     case State::kAfter:
-      return TakeSeparator(c);
+      return ConsumeSeparator(c);
     case State::kString:
-      return TakeInString(c);
+      return ConsumeInString(c);
     case State::kEscape:
-      return TakeEscape(c);
-    case State::kHex:
-      return TakeHexDigit(c);
-    case State::kLow:
-      return TakeExpected(c, '\\', "half a character", State::kLowU);
-    case State::kLowU:
-      code_ = 0;
-      digits_ = 0;
-      return TakeExpected(c, 'u', "half a character", State::kHex);
-    case State::kWord:
-      return TakeInWord(c);
+      return ConsumeEscape(c);
+    case State::kHexDigits:
+      return ConsumeHexDigit(c);
+    case State::kLowSurrogate:
+      return ConsumeExpected(c, '\\', "unpaired surrogate", State::kLowSurrogateU);
+    case State::kLowSurrogateU:
+      code_unit_ = 0;
+      digit_count_ = 0;
+      return ConsumeExpected(c, 'u', "unpaired surrogate", State::kHexDigits);
+    case State::kLiteral:
+      return ConsumeInLiteral(c);
     case State::kNumber:
       return;
     case State::kDone:
-      Fail("more after the value");
+      Fail("unexpected text after the value");
   }
 }
 
@@ -160,36 +160,36 @@
   switch (state_) {
     case State::kString:
     case State::kEscape:
-    case State::kHex:
-    case State::kLow:
-    case State::kLowU:
-    case State::kWord:
+    case State::kHexDigits:
+    case State::kLowSurrogate:
+    case State::kLowSurrogateU:
+    case State::kLiteral:
       return true;
     default:
       return false;
   }
 }
 
-void JsonParser::TakeExpected(char c, char expected, std::string_view fault, State next) {
+void JsonParser::ConsumeExpected(char c, char expected, std::string_view fault, State next) {
   if (c != expected) {
     Fail(fault);
   }
   state_ = next;
 }
 
-void JsonParser::TakeSeparator(char c) {
+void JsonParser::ConsumeSeparator(char c) {
   if (c != ',') {
     return Close(c);
   }
-  state_ = open_.back().type_ == Json::Type::kObject ? State::kName : State::kValue;
+  state_ = open_containers_.back().type_ == Json::Type::kObject ? State::kName : State::kValue;
 }
 
-void JsonParser::TakeInString(char c) {
+void JsonParser::ConsumeInString(char c) {
   if (c == '"') {
-    return EndOfString();
+    return EndString();
   }
   if (static_cast<unsigned char>(c) < kFirstPrintable) {
-    Fail("control character in a string");
+    Fail("unescaped control character in a string");
   }
   if (c == '\\') {
     state_ = State::kEscape;
@@ -198,7 +198,7 @@
   }
 }
 
-void JsonParser::TakeInWord(char c) {
+void JsonParser::ConsumeInLiteral(char c) {
   text_ += c;
   for (const std::string_view word : {"true", "false", "null"}) {
     if (!word.starts_with(text_)) {
@@ -212,12 +212,12 @@
     value.boolean_ = word == "true";
     return Complete(std::move(value));
   }
-  Fail("no value");
+  Fail("invalid value");
 }
 
 void JsonParser::BeginName(char c) {
   if (c != '"') {
-    Fail("no name");
+    Fail("missing name");
   }
   is_name_ = true;
   text_.clear();
@@ -240,37 +240,37 @@
     state_ = State::kNumber;
   } else if (c == 't' || c == 'f' || c == 'n') {
     text_ = c;
-    state_ = State::kWord;
+    state_ = State::kLiteral;
   } else {
-    Fail("no value");
+    Fail("invalid value");
   }
 }
 
 void JsonParser::Open(Json::Type type) {
-  if (open_.size() >= Json::kMaxDepth) {
+  if (open_containers_.size() >= Json::kMaxDepth) {
     Fail("too deep");
   }
-  open_.emplace_back().type_ = type;
+  open_containers_.emplace_back().type_ = type;
   state_ = type == Json::Type::kObject ? State::kFirstName : State::kFirstItem;
 }
 
 void JsonParser::Close(char c) {
-  const bool is_object = open_.back().type_ == Json::Type::kObject;
+  const bool is_object = open_containers_.back().type_ == Json::Type::kObject;
   if (c != (is_object ? '}' : ']')) {
-    Fail(is_object ? "no end of an object" : "no end of a list");
+    Fail(is_object ? "missing ',' or '}'" : "missing ',' or ']'");
   }
-  Json value = std::move(open_.back());
-  open_.pop_back();
+  Json value = std::move(open_containers_.back());
+  open_containers_.pop_back();
   Complete(std::move(value));
 }
 
 void JsonParser::Complete(Json value) {
-  if (open_.empty()) {
+  if (open_containers_.empty()) {
     root_ = std::move(value);
     state_ = State::kDone;
     return;
   }
-  Json& parent = open_.back();
+  Json& parent = open_containers_.back();
   if (parent.type_ == Json::Type::kObject) {
     parent.fields_.back().second = std::move(value);
   } else {
@@ -279,9 +279,9 @@
   state_ = State::kAfter;
 }
 
-void JsonParser::EndOfString() {
+void JsonParser::EndString() {
   if (is_name_) {
-    open_.back().fields_.emplace_back(std::move(text_), Json());
+    open_containers_.back().fields_.emplace_back(std::move(text_), Json());
     state_ = State::kNameEnd;
     return;
   }
@@ -291,7 +291,7 @@
   Complete(std::move(value));
 }
 
-void JsonParser::EndOfNumber() {
+void JsonParser::EndNumber() {
   const auto number = ToNumber(text_);
   if (!number) {
     Fail("no number");
@@ -303,44 +303,46 @@
   Complete(std::move(value));
 }
 
-void JsonParser::TakeEscape(char c) {
+void JsonParser::ConsumeEscape(char c) {
   static constexpr std::string_view kEscapes = "\"\\/bfnrt";
   static constexpr std::string_view kCharacters = "\"\\/\b\f\n\r\t";
   if (c == 'u') {
-    state_ = State::kHex;
-    code_ = 0;
-    high_ = 0;
-    digits_ = 0;
+    state_ = State::kHexDigits;
+    code_unit_ = 0;
+    high_surrogate_ = 0;
+    digit_count_ = 0;
     return;
   }
   const size_t index = kEscapes.find(c);
   if (index == std::string_view::npos) {
-    Fail("bad escape");
+    Fail("invalid escape");
   }
   text_ += kCharacters[index];
   state_ = State::kString;
 }
 
-void JsonParser::TakeHexDigit(char c) {
+void JsonParser::ConsumeHexDigit(char c) {
   if (std::isxdigit(static_cast<unsigned char>(c)) == 0) {
-    Fail("bad escape");
+    Fail("invalid escape");
   }
-  code_ = code_ * 16 + static_cast<uint32_t>(IsDigit(c) ? c - '0' : (c | 0x20) - 'a' + 10);
-  ++digits_;
-  if (digits_ < kHexDigits) {
+  code_unit_ =
+      code_unit_ * 16 + static_cast<uint32_t>(IsDigit(c) ? c - '0' : (c | 0x20) - 'a' + 10);
+  ++digit_count_;
+  if (digit_count_ < kHexDigitCount) {
     return;
   }
-  const bool is_low = code_ >= kLowSurrogates && code_ <= kLastLowSurrogate;
-  if ((high_ != 0) != is_low) {
-    Fail("half a character");
+  const bool is_low = code_unit_ >= kFirstLowSurrogate && code_unit_ <= kLastLowSurrogate;
+  if ((high_surrogate_ != 0) != is_low) {
+    Fail("unpaired surrogate");
   }
-  if (code_ >= kHighSurrogates && code_ < kLowSurrogates) {
-    high_ = code_;
-    state_ = State::kLow;
+  if (code_unit_ >= kFirstHighSurrogate && code_unit_ < kFirstLowSurrogate) {
+    high_surrogate_ = code_unit_;
+    state_ = State::kLowSurrogate;
     return;
   }
-  const uint32_t pair = kFirstInPair + ((high_ - kHighSurrogates) << 10) + (code_ - kLowSurrogates);
-  AppendUtf8(is_low ? pair : code_);
+  const uint32_t pair = kFirstSupplementary + ((high_surrogate_ - kFirstHighSurrogate) << 10) +
+                        (code_unit_ - kFirstLowSurrogate);
+  AppendUtf8(is_low ? pair : code_unit_);
   state_ = State::kString;
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,5 +1,5 @@
-// JSON values and a parser that takes a text in pieces, as it arrives from a connection. Depth is
-// limited by Json::kMaxDepth; the size of a text is limited by who feeds it.
+// JSON values, and a parser that accepts a text in pieces, as it arrives on a connection. The
+// nesting depth is limited by Json::kMaxDepth; the caller must limit the size of a text.
 #ifndef PADDLESTILE_CONFIG_JSON_H_
 #define PADDLESTILE_CONFIG_JSON_H_
 
@@ -13,13 +13,13 @@
 
 namespace paddlestile {
 
-// A text that is no JSON, or a value that is missing or of another type.
+// Thrown for a text that is not valid JSON, and for a value that is missing or of the wrong type.
 class JsonError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A value; what it holds depends on its type, and the rest is empty or zero.
+// A JSON value. Accessors that do not apply to its type return an empty or zero value.
 class Json {
  public:
   enum class Type {
@@ -30,25 +30,26 @@
     kArray,
     kObject
   };
-  static constexpr size_t kMaxDepth = 32;  // of lists and objects within one another
+  static constexpr size_t kMaxDepth = 32;  // of nested arrays and objects
 
-  // The one value that a text holds. Throws JsonError.
+  // Parses a text that contains exactly one value. Throws JsonError.
   static Json Parse(std::string_view text);
 
   [[nodiscard]] Type type() const { return type_; }
   [[nodiscard]] bool boolean() const { return boolean_; }
   [[nodiscard]] double number() const { return number_; }
-  // The characters of a string, or a number as it was written.
+  // Returns the characters of a string, or a number as it is written in the text.
   [[nodiscard]] const std::string& text() const { return text_; }
   [[nodiscard]] const std::vector<Json>& items() const { return items_; }
-  // The fields of an object in the order of the text.
+  // Returns the fields of an object in the order of the text.
   [[nodiscard]] const std::vector<std::pair<std::string, Json>>& fields() const { return fields_; }
 
-  // The first field of an object with this name; null where there is none. Valid as long as the
-  // object is not changed.
+  // Returns the first field of an object with this name, or null if there is none. The pointer is
+  // valid as long as the object is not changed.
   [[nodiscard]] const Json* Find(std::string_view name) const;
 
-  // A field that must be there and of this type. Throws JsonError with the field's name.
+  // Returns the field with this name. Throws JsonError with the name if the field is missing or of
+  // another type.
   [[nodiscard]] const Json& Require(std::string_view name, Type type) const;
 
  private:
@@ -62,40 +63,40 @@
   std::vector<std::pair<std::string, Json>> fields_;
 };
 
-// Parses one value, a character at a time. Of no further use once it has thrown.
+// An incremental parser for one value. Must not be used any more after it has thrown.
 class JsonParser {
  public:
-  // Takes the next piece of the text. Throws JsonError at the first byte that is wrong.
+  // Parses the next piece of the text. Throws JsonError at the first invalid byte.
   void Feed(std::string_view piece);
 
-  // Ends the text and returns its value. Throws JsonError where the value is incomplete.
+  // Ends the text and returns its value. Throws JsonError if the value is incomplete.
   Json End();
 
-  // Whether anything but white space was fed.
+  // Returns whether anything but white space has been fed.
   [[nodiscard]] bool begun() const { return begun_; }
-  // Whether an object or a list has not ended.
-  [[nodiscard]] bool open() const { return !open_.empty(); }
-  // Bytes fed.
+  // Returns whether an object or an array has begun and not ended.
+  [[nodiscard]] bool open() const { return !open_containers_.empty(); }
+  // Returns the number of bytes parsed.
   [[nodiscard]] size_t size() const { return size_; }
 
  private:
-  // What the next character belongs to, or must begin.
+  // The parser's state: what the next character must be or belong to.
   //
-  //   state       expects                                  then
-  //   kValue      a value                                  kAfter, or a state within the value
-  //   kFirstItem  a value, or the end of an empty list     as kValue; kAfter
-  //   kFirstName  a name, or the end of an empty object    kString; kAfter
-  //   kName       a name                                   kString
-  //   kNameEnd    the colon behind a name                  kValue
-  //   kAfter      a comma, or the end of what is open      kName or kValue; kAfter or kDone
-  //   kString     characters of a value or of a name       kAfter; kNameEnd; kEscape
-  //   kEscape     what follows a backslash                 kString; kHex
-  //   kHex        the four digits of a character           kString; kLow
-  //   kLow        the backslash of the low surrogate       kLowU
-  //   kLowU       its 'u'                                  kHex
-  //   kNumber     characters of a number                   kAfter
-  //   kWord       letters of true, false or null           kAfter
-  //   kDone       nothing but white space
+  //   state           expects                                    next state
+  //   kValue          a value                                    kAfter, or one within the value
+  //   kFirstItem      a value, or the end of an empty array      as kValue; kAfter
+  //   kFirstName      a name, or the end of an empty object      kString; kAfter
+  //   kName           a name                                     kString
+  //   kNameEnd        the colon after a name                     kValue
+  //   kAfter          a comma, or the end of an array or object  kName or kValue; kAfter or kDone
+  //   kString         characters of a string or a name           kAfter; kNameEnd; kEscape
+  //   kEscape         the character after a backslash            kString; kHexDigits
+  //   kHexDigits      the four digits of a UTF-16 code unit      kString; kLowSurrogate
+  //   kLowSurrogate   the backslash of the low surrogate         kLowSurrogateU
+  //   kLowSurrogateU  the 'u' of the low surrogate               kHexDigits
+  //   kNumber         characters of a number                     kAfter
+  //   kLiteral        letters of true, false or null             kAfter
+  //   kDone           nothing but white space
   enum class State {
     kValue,
     kFirstItem,
@@ -105,41 +106,41 @@
     kAfter,
     kString,
     kEscape,
-    kHex,
-    kLow,
-    kLowU,
+    kHexDigits,
+    kLowSurrogate,
+    kLowSurrogateU,
     kNumber,
-    kWord,
+    kLiteral,
     kDone
   };
 
   [[noreturn]] void Fail(std::string_view what) const;
-  // Whether white space counts as a character of what is being parsed.
+  // Returns whether the next character belongs to the current token even if it is white space.
   [[nodiscard]] bool IsWithinToken() const;
-  void Take(char c);
-  void TakeExpected(char c, char expected, std::string_view fault, State next);
-  void TakeSeparator(char c);
-  void TakeInString(char c);
-  void TakeInWord(char c);
-  void TakeEscape(char c);
-  void TakeHexDigit(char c);
+  void Consume(char c);
+  void ConsumeExpected(char c, char expected, std::string_view fault, State next);
+  void ConsumeSeparator(char c);
+  void ConsumeInString(char c);
+  void ConsumeInLiteral(char c);
+  void ConsumeEscape(char c);
+  void ConsumeHexDigit(char c);
   void Begin(char c);
   void BeginName(char c);
   void Open(Json::Type type);
   void Close(char c);
   void Complete(Json value);
-  void EndOfString();
-  void EndOfNumber();
+  void EndString();
+  void EndNumber();
   void AppendUtf8(uint32_t code);
 
   State state_ = State::kValue;
-  std::vector<Json> open_;  // lists and objects that have not ended, the outermost first
+  std::vector<Json> open_containers_;  // arrays and objects that have not ended, outermost first
   Json root_;
-  std::string text_;      // of the string, number or word being parsed
-  bool is_name_ = false;  // the string is a field's name
-  uint32_t code_ = 0;     // of the escaped character being parsed
-  uint32_t high_ = 0;     // the high surrogate before it; 0: none
-  int digits_ = 0;        // of `code_` so far
+  std::string text_;             // of the string, number or literal being parsed
+  bool is_name_ = false;         // the string being parsed is a field's name
+  uint32_t code_unit_ = 0;       // of the escape sequence being parsed
+  uint32_t high_surrogate_ = 0;  // the code unit before, if that is a high surrogate; else 0
+  int digit_count_ = 0;          // digits of code_unit_ parsed so far
   bool begun_ = false;
   size_t size_ = 0;
 };
