--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMaxCell = 1e9;
 
-// Some platforms give a name, others a position.
+// Parses a zone or machine kind, which some platforms give as a name and others as a position.
 size_t ParsePosition(const Json* value, const NameTable& names) {
   if (value == nullptr || value->type() == Json::Type::kNull) {
     return 0;
@@ -23,7 +23,7 @@
   return is_known ? static_cast<size_t>(position) : names.size();
 }
 
-// An endpoint in an unknown phase does not ask for work, so it counts as draining.
+// An endpoint in an unknown phase counts as draining, since it has not asked for requests.
 EndpointState ParsePhase(const std::string& phase) {
   if (phase == "active") {
     return EndpointState::kUp;
@@ -34,10 +34,10 @@
   return EndpointState::kDraining;
 }
 
-void ParseOptionalFields(const Json& json, const TimeFromUnixMillis& from_wall,
+void ParseOptionalFields(const Json& json, const TimeFromUnixMillis& from_unix_millis,
                          EndpointInfo& info) {
   if (const Json* const cell = json.Find("cell")) {
-    // NOLINTNEXTLINE(bugprone-narrowing-conversions): bounded here
+    // NOLINTNEXTLINE(bugprone-narrowing-conversions): the value is limited to kMaxCell
     info.cell = static_cast<int>(std::fmin(std::fmax(cell->number(), 0), kMaxCell));
   }
   const Json* const size = json.Find("size");
@@ -45,18 +45,18 @@
     info.weight = size->number();
   }
   if (const Json* const up_since = json.Find("up_since_ms")) {
-    info.started_at = from_wall(up_since->number());
+    info.started_at = from_unix_millis(up_since->number());
   }
 }
 
 }  // namespace
 
 EndpointListEntry ParseEndpointListEntry(const Json& json, const NameTables& names,
-                                         const TimeFromUnixMillis& from_wall) {
+                                         const TimeFromUnixMillis& from_unix_millis) {
   EndpointListEntry entry;
   entry.info.id = json.Require("id", Json::Type::kString).text();
   if (entry.info.id.empty()) {
-    throw JsonError("an empty 'id'");
+    throw JsonError("'id' is empty");
   }
   entry.info.state = ParsePhase(json.Require("phase", Json::Type::kString).text());
   const Json* const address = json.Find("host_port");
@@ -67,18 +67,18 @@
   }
   entry.info.zone = static_cast<int>(ParsePosition(json.Find("locality"), names.zones));
   entry.info.machine_kind = ParsePosition(json.Find("flavor"), names.kinds);
-  ParseOptionalFields(json, from_wall, entry.info);
+  ParseOptionalFields(json, from_unix_millis, entry.info);
   return entry;
 }
 
 EndpointList ParseEndpointList(const Json& json, const NameTables& names,
-                               const TimeFromUnixMillis& from_wall) {
+                               const TimeFromUnixMillis& from_unix_millis) {
   EndpointList list;
   list.revision = json.Require("revision", Json::Type::kNumber).number();
   const Json* const complete = json.Find("complete");
   list.complete = complete != nullptr && complete->boolean();
   for (const Json& member : json.Require("members", Json::Type::kArray).items()) {
-    list.endpoints.push_back(ParseEndpointListEntry(member, names, from_wall));
+    list.endpoints.push_back(ParseEndpointListEntry(member, names, from_unix_millis));
   }
   return list;
 }
--- a/tests/config/endpoint_list_test.cpp
+++ b/tests/config/endpoint_list_test.cpp
@@ -5,7 +5,7 @@
 namespace paddlestile {
 namespace {
 
-TEST(EndpointList, PhasesAndUnknownNames) {
+TEST(EndpointList, ParsesPhasesAndUnknownNames) {
   NameTables names;
   names.zones.Add("a");
   names.kinds.Add("k");
@@ -18,9 +18,9 @@
   EXPECT_FALSE(list.complete);
   ASSERT_EQ(list.endpoints.size(), 3u);
   EXPECT_EQ(list.endpoints[0].info.state, EndpointState::kDraining);
-  // An endpoint in an unknown phase does not ask for work.
+  // An unknown phase counts as draining.
   EXPECT_EQ(list.endpoints[1].info.state, EndpointState::kDraining);
-  EXPECT_EQ(list.endpoints[1].info.zone, 1);  // unknown: behind the last
+  EXPECT_EQ(list.endpoints[1].info.zone, 1);  // an unknown zone has the position after the last
   EXPECT_EQ(list.endpoints[2].info.state, EndpointState::kRemoved);
   EXPECT_EQ(list.endpoints[2].info.machine_kind, 1u);
 }
