--- a/src/config/balancer_settings.cpp
+++ b/src/config/balancer_settings.cpp
@@ -16,10 +16,10 @@
 constexpr double kMaxInteger = 1e9;
 constexpr int kMaxListLength = 100'000;
 
-// The pairs by name. Remembers which names were asked for.
+// The pairs by name. Records which names have been looked up.
 class SettingPairs {
  public:
-  // Keeps views into `text`. Throws wire::InvalidValue where a piece is no pair.
+  // `text` must outlive this object. Throws wire::InvalidValue if a piece is not a pair.
   explicit SettingPairs(std::string_view text) {
     if (text.empty()) {
       return;
@@ -33,8 +33,8 @@
     }
   }
 
-  // Each Read leaves `value` as it is where the setting is not there, and throws
-  // wire::InvalidValue where it is malformed.
+  // Each Read leaves `value` unchanged if the setting is absent, and throws wire::InvalidValue if
+  // it is malformed.
   void Read(const std::string& name, double& value) const {
     if (const auto text = Find(name)) {
       value = wire::ParseNumber(name, *text);
@@ -86,13 +86,13 @@
 
   [[nodiscard]] bool Has(const std::string& name) const { return Find(name).has_value(); }
 
-  // The items of a list of words; none where the list is empty or not there.
+  // Returns the items of a list of words. The result is empty if the list is empty or absent.
   [[nodiscard]] wire::Fields List(const std::string& name) const {
     const auto text = Find(name);
     return text && !text->empty() ? wire::Split(*text, ',') : wire::Fields{};
   }
 
-  // The length of a list of objects.
+  // Returns the length of a list of objects. Throws wire::InvalidValue if it is out of range.
   [[nodiscard]] int Count(const std::string& name) const {
     int count = 0;
     Read(name + ".count", count);
@@ -102,7 +102,7 @@
     return count;
   }
 
-  // The names that were never asked for.
+  // Returns the names that were never looked up.
   [[nodiscard]] std::vector<std::string> Unread() const {
     std::vector<std::string> names;
     for (const auto& [name, value] : values_) {
@@ -116,11 +116,11 @@
  private:
   [[nodiscard]] std::optional<std::string_view> Find(const std::string& name) const {
     read_.insert(name);
-    const auto at = values_.find(name);
-    if (at == values_.end() || wire::IsAbsent(at->second)) {
+    const auto found = values_.find(name);
+    if (found == values_.end() || wire::IsAbsent(found->second)) {
       return std::nullopt;
     }
-    return at->second;
+    return found->second;
   }
 
   std::map<std::string, std::string_view> values_;
@@ -256,7 +256,7 @@
   pairs.Read("Zone", settings.zone);
   const auto zone_count = static_cast<int>(pairs.List("FailureDomains").size());
   settings.zone_count = std::max(1, zone_count);
-  // The first fault is the one that is reported: the order of the reads is part of the behaviour.
+  // Only the first invalid setting is reported, so the order of the reads is observable.
   ReadClassesAndTenants(pairs, settings);
   ReadEnvironment(pairs, settings);
   ReadAllowed(pairs, settings);
@@ -267,15 +267,15 @@
   return settings;
 }
 
-// Spaces and commas separate pairs and list items, so they cannot stand within a text.
+// Replaces spaces and commas, which separate pairs and list items.
 std::string ReplaceSeparators(std::string_view text) {
-  std::string out(text);
-  for (char& character : out) {
+  std::string result(text);
+  for (char& character : result) {
     if (character == ' ' || character == ',') {
       character = '_';
     }
   }
-  return out;
+  return result;
 }
 
 std::string FlattenScalar(const Json& value) {
@@ -308,7 +308,7 @@
 
 void AppendObject(const std::string& path, const Json& object, std::string& out) {
   for (const auto& [name, field] : object.fields()) {
-    // Such a name would be read as another one's; the settings have none like it.
+    // The pair of such a name could be parsed as that of another one. No setting has such a name.
     if (name.empty() || name.find_first_of(" =.") != std::string::npos) {
       continue;
     }
--- a/tests/config/balancer_settings_test.cpp
+++ b/tests/config/balancer_settings_test.cpp
@@ -7,8 +7,8 @@
 namespace paddlestile {
 namespace {
 
-// The JSON file and the simulator's pairs mean the same settings.
-TEST(BalancerSettings, NestedSettingsEqualPairs) {
+// The JSON file and the simulator's pairs give the same settings.
+TEST(BalancerSettings, FlattenedJsonEqualsPairs) {
   const Settings from_pairs = ParseSettings(
       "Me=1 NInstances=3 Zone=1 FailureDomains=north,south_east Classes.count=2 "
       "Classes.0.Effect=safe Classes.0.Slo=400 Classes.0.Deadline=1000 Classes.1.Effect=keyed "
@@ -24,7 +24,7 @@
   EXPECT_EQ(from_json.classes[1].deadline, from_pairs.classes[1].deadline);
 }
 
-TEST(BalancerSettings, ReadsEveryPart) {
+TEST(BalancerSettings, ReadsAllGroupsOfSettings) {
   const Settings settings = ParseSettings(
       "Me=1 NInstances=4 Zone=3 FailureDomains=a,b,c,d Classes.count=1 Classes.0.Effect=keyed "
       "Classes.0.Group=zone Classes.0.Window=2000.0 Classes.0.Slo=150.0 Classes.0.Deadline=400.0 "
