--- a/src/config/name_retention.cpp
+++ b/src/config/name_retention.cpp
@@ -11,7 +11,7 @@
 
 constexpr ptrdiff_t kMaxRetiredNames = 1024;
 
-// A list of the settings with the names of its items.
+// A list in the settings together with the names of its items. Refers to its parts.
 template <typename Value>
 struct NamedListView {
   const NameTable& names;
@@ -26,7 +26,7 @@
   std::vector<Time> expire_at;
 };
 
-// When the names of `previous` expire if no newer settings have them.
+// Returns when each name of `previous` expires if it is not in the new settings.
 template <typename Value>
 std::vector<Time> RetireAll(const NamedListView<Value>& previous, Time now) {
   std::vector<Time> expire_at(previous.names.size(), now + kRetiredNameAcceptedFor);
@@ -40,7 +40,7 @@
 }
 
 template <typename Value>
-NamedList<Value> MergeNamedLists(std::string_view what, const NamedListView<Value>& previous,
+NamedList<Value> MergeNamedLists(std::string_view list_name, const NamedListView<Value>& previous,
                                  const NamedListView<Value>& parsed, Time now) {
   NamedList<Value> merged{previous.names, previous.values, RetireAll(previous, now)};
   for (const auto& [name, parsed_position] : parsed.names.positions()) {
@@ -59,7 +59,7 @@
   const bool grows = merged.names.size() > previous.names.size();
   const ptrdiff_t retired =
       std::ssize(merged.expire_at) - std::ranges::count(merged.expire_at, Time::max());
-  CheckRetiredNames(what, grows, retired);
+  CheckRetiredNames(list_name, grows, retired);
   return merged;
 }
 
@@ -73,7 +73,8 @@
   return merged;
 }
 
-// The settings give the gateway's own zone as a position.
+// The settings identify the gateway's own zone by position. Converts a position in `parsed` to that
+// of the same name in `previous`.
 void KeepOwnZone(const NameTable& previous, const NameTable& parsed, Settings& settings) {
   const auto own_position = static_cast<size_t>(settings.zone);
   for (const auto& [name, position] : parsed.positions()) {
@@ -86,12 +87,12 @@
 
 }  // namespace
 
-void CheckRetiredNames(std::string_view what, bool grows, ptrdiff_t retired) {
+void CheckRetiredNames(std::string_view list_name, bool grows, ptrdiff_t retired) {
   if (!grows || retired <= kMaxRetiredNames) {
     return;
   }
-  throw ConfigError(
-      fmt::format("over {} {} gone since the start, expected a restart", kMaxRetiredNames, what));
+  throw ConfigError(fmt::format("over {} {} gone since the start, expected a restart",
+                                kMaxRetiredNames, list_name));
 }
 
 void KeepNamePositions(const GatewayConfig& previous, Time now, GatewayConfig& config) {
--- a/src/config/name_table.h
+++ b/src/config/name_table.h
@@ -1,5 +1,5 @@
-// Names of classes, tenants, zones and machine kinds, and the positions that stand for them in
-// `Settings` and in the decision module.
+// Names of classes, tenants, zones and machine kinds, and the positions by which `Settings` and the
+// decision module refer to them.
 #ifndef PADDLESTILE_CONFIG_NAME_TABLE_H_
 #define PADDLESTILE_CONFIG_NAME_TABLE_H_
 
@@ -15,21 +15,21 @@
 
 namespace paddlestile {
 
-// The names of one list of the settings, each with its position in it. Copies share the names until
-// one of them is added to: the configuration is copied at each change, its names are many and
-// rarely new.
+// The names in one list of the settings, each with its position in the list. Copies share the names
+// until a name is added to one of them, because the configuration is copied at each change, and its
+// many names rarely change.
 class NameTable {
  public:
   using Positions = std::map<std::string, size_t, std::less<>>;
 
-  // Gives the next position to `name`. A name that is there already keeps its first position; the
-  // position given here is then used up without a name.
+  // Assigns the next position to `name`. A name that is already in the table keeps its first
+  // position, and the new position then belongs to no name.
   void Add(std::string name);
 
-  // The position of a name; size() where the name is not there.
+  // Returns the position of a name, or size() if the name is not in the table.
   [[nodiscard]] size_t Find(std::string_view name) const;
 
-  // The number of positions given, of repeated names too.
+  // Returns the number of positions assigned, including those for repeated names.
   [[nodiscard]] size_t size() const { return size_; }
 
   [[nodiscard]] const Positions& positions() const { return *positions_; }
@@ -47,19 +47,18 @@
   NameTable kinds;                         // machine kinds
   std::vector<std::string> report_fields;  // of a load report, in the order of its values
 
-  // Names that are no longer in the settings keep their positions and are accepted a while longer.
-  // By position: when a name ceases to be accepted; Time::max(), or no entry, for names that the
-  // settings have.
+  // The times at which retired names are no longer accepted, by position. Names in the settings
+  // have Time::max() or no entry.
   std::vector<Time> classes_expire_at;
   std::vector<Time> tenants_expire_at;
 };
 
-// Whether the name at `position` has left the settings and is no longer accepted at `now`.
+// Returns whether the name at `position` is retired and no longer accepted at `now`.
 inline bool HasExpired(const std::vector<Time>& expire_at, size_t position, Time now) {
   return position < expire_at.size() && now >= expire_at[position];
 }
 
-// Whether the name at `position` is in the settings, rather than retired from them.
+// Returns whether the name at `position` is in the settings, rather than retired.
 inline bool IsCurrent(const std::vector<Time>& expire_at, size_t position) {
   return position >= expire_at.size() || expire_at[position] == Time::max();
 }
--- a/tests/config/name_table_test.cpp
+++ b/tests/config/name_table_test.cpp
@@ -5,8 +5,8 @@
 namespace paddlestile {
 namespace {
 
-// A repeated name in a list must not move the positions of the names behind it.
-TEST(NameTable, KeepsPositionsBehindARepeatedName) {
+// A repeated name in a list must not change the positions of the names after it.
+TEST(NameTable, KeepsPositionsAfterRepeatedName) {
   NameTable table;
   for (const char* const name : {"a", "b", "a", "c"}) {
     table.Add(name);
@@ -17,8 +17,8 @@
   EXPECT_EQ(table.Find("d"), 4u);
 }
 
-// A copy has names of its own once either changes.
-TEST(NameTable, CopiesShareUntilOneChanges) {
+// Copies share their names until a name is added to one of them.
+TEST(NameTable, CopiesShareNamesUntilOneChanges) {
   NameTable a;
   a.Add("x");
   NameTable b = a;
