--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -47,23 +47,23 @@
   }
 }
 
-// A file without a key that it had before was probably cut short.
+// Throws ConfigError if a key is missing that the file had before: it was probably truncated.
 void CheckKeysRemain(const std::set<std::string>& previous, const std::set<std::string>& current) {
   for (const std::string& key : previous) {
-    // Keys of a list's items are missing where the list has no items.
+    // The keys of the items of a list are absent if the list is empty, which is allowed.
     const size_t item = key.find(".*");
     const bool list_is_empty =
         item != std::string::npos && !current.contains(key.substr(0, item + 2));
     if (!list_is_empty && !current.contains(key)) {
-      throw ConfigError(fmt::format("no '{}', expected as before", key));
+      throw ConfigError(fmt::format("no '{}', expected all keys of the previous file", key));
     }
   }
 }
 
 GatewayConfig ParseReloaded(const std::string& text, const GatewayConfig& previous, Time now,
-                            const TimeFromUnixMillis& from_wall) {
+                            const TimeFromUnixMillis& from_unix_millis) {
   const Json json = Json::Parse(text);
-  GatewayConfig config = ParseGatewayConfig(json, from_wall);
+  GatewayConfig config = ParseGatewayConfig(json, from_unix_millis);
   CheckKeysRemain(previous.file_keys, config.file_keys);
   CheckConsistency(config);
   config.discovery = previous.discovery;
@@ -76,17 +76,18 @@
   return config;
 }
 
-// "class NAME new", "gone" or "changed"; empty where the class at `position` is as before.
+// Returns "class NAME added", "removed" or "changed", or an empty string if the class at `position`
+// is unchanged.
 std::string DescribeClass(const std::string& name, size_t position, const GatewayConfig& previous,
                           const GatewayConfig& current) {
   const std::vector<RequestClass>& previous_classes = previous.settings.classes;
-  const bool was_there =
+  const bool was_present =
       position < previous_classes.size() && IsCurrent(previous.names.classes_expire_at, position);
-  const bool is_there = IsCurrent(current.names.classes_expire_at, position);
-  if (was_there != is_there) {
-    return fmt::format("class {} {}", name, was_there ? "gone" : "new");
+  const bool is_present = IsCurrent(current.names.classes_expire_at, position);
+  if (was_present != is_present) {
+    return fmt::format("class {} {}", name, was_present ? "removed" : "added");
   }
-  if (was_there && previous_classes[position] != current.settings.classes[position]) {
+  if (was_present && previous_classes[position] != current.settings.classes[position]) {
     return fmt::format("class {} changed", name);
   }
   return {};
@@ -94,7 +95,8 @@
 
 }  // namespace
 
-GatewayConfig ReadGatewayConfig(const EnvironmentReader& env, const TimeFromUnixMillis& from_wall) {
+GatewayConfig ReadGatewayConfig(const EnvironmentReader& env,
+                                const TimeFromUnixMillis& from_unix_millis) {
   const std::string name = RequireVariable(env, "LB_NAME");
   const Address listen = RequireAddressVariable(env, "LB_LISTEN");
   const Address discovery = RequireAddressVariable(env, "LB_DISCOVERY");
@@ -103,7 +105,7 @@
   const std::string text = ReadConfigFile(path);
   try {
     const Json json = Json::Parse(text);
-    GatewayConfig config = ParseGatewayConfig(json, from_wall);
+    GatewayConfig config = ParseGatewayConfig(json, from_unix_millis);
     CheckConsistency(config);
     config.admin = admin ? admin : AdminFromFile(json);
     config.path = path;
@@ -118,10 +120,10 @@
 }
 
 GatewayConfig ReloadGatewayConfig(const GatewayConfig& previous, Time now,
-                                  const TimeFromUnixMillis& from_wall) {
+                                  const TimeFromUnixMillis& from_unix_millis) {
   const std::string text = ReadConfigFile(previous.path);
   try {
-    return ParseReloaded(text, previous, now, from_wall);
+    return ParseReloaded(text, previous, now, from_unix_millis);
   } catch (const std::exception& error) {
     throw ConfigError(fmt::format("LB_CONFIG: {}: {}", previous.path, error.what()));
   }
@@ -130,7 +132,7 @@
 std::vector<std::string> UnsupportedSettings(const Settings& settings) {
   std::vector<std::string> lines;
   if (settings.allowed.peer_messages) {
-    lines.emplace_back("Allowed.PeerMessages is true: gateways on sockets send one another none");
+    lines.emplace_back("Allowed.PeerMessages is true: gateways do not send messages to each other");
   }
   if (settings.allowed.max_streams > 1) {
     lines.push_back(
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -1,5 +1,6 @@
-// The configuration of a gateway: the LB_* variables and the JSON file that LB_CONFIG names.
-// Reading it at the start, reloading it while the gateway runs, and validating a file.
+// The configuration of a gateway, from the LB_* environment variables and the JSON file that
+// LB_CONFIG names. Functions to read it at the start, to reload it while the gateway runs, and to
+// validate a file.
 #ifndef PADDLESTILE_CONFIG_GATEWAY_CONFIG_H_
 #define PADDLESTILE_CONFIG_GATEWAY_CONFIG_H_
 
@@ -23,44 +24,46 @@
 namespace paddlestile {
 
 struct GatewayConfig {
-  std::string path;  // of the file; from LB_CONFIG
-  std::string name;  // of this gateway; from LB_NAME
+  std::string path;  // of the file, from LB_CONFIG
+  std::string name;  // of this gateway, from LB_NAME
   Address listen;
   Address discovery;
-  std::optional<Address> admin;  // where operators call; from LB_ADMIN, else the file's `admin`
-  uint64_t seed = 0;             // of the decision module's random numbers
-  size_t max_sockets = 1024;     // descriptors that the gateway may have open
+  std::optional<Address> admin;  // admin interface, from LB_ADMIN or else the file's `admin`
+  uint64_t seed = 0;             // for the decision module's random numbers
+  size_t max_sockets = 1024;     // limit of the gateway's open descriptors
   Settings settings;
-  Duration endpoint_idle_timeout{0};  // endpoints close idle connections after it; 0: not known
+  Duration endpoint_idle_timeout{0};  // after which endpoints close idle connections; 0: unknown
   NameTables names;                   // the positions of names in `settings`
   EndpointList initial_endpoints;
-  std::set<std::string> file_keys;  // paths of the file's keys; a reloaded file must have them too
-  std::string file_text;            // the file as it was read
+  std::set<std::string> file_keys;  // paths of the file's keys, which a reloaded file must have too
+  std::string file_text;            // the text of the file
 };
 
-// Reads a variable of the environment; null where it is not set.
+// Returns the value of an environment variable, or null if it is not set.
 using EnvironmentReader = std::function<const char*(const char*)>;
 
-// Reads the variables and the file. Throws ConfigError with one line that names what is wrong.
-GatewayConfig ReadGatewayConfig(const EnvironmentReader& env, const TimeFromUnixMillis& from_wall);
+// Reads the variables and the file. Throws ConfigError with one line that describes the fault.
+GatewayConfig ReadGatewayConfig(const EnvironmentReader& env,
+                                const TimeFromUnixMillis& from_unix_millis);
 
-// Reads the file of `previous` again. Throws ConfigError with one line, and nothing changes, where
-// the file is cut short, lacks a key that it had or is invalid. Names keep their positions in the
-// settings; a name that the file no longer has is accepted a while longer. The addresses but
-// discovery's, the seed and the limits stay those of `previous`: they need a restart.
+// Reads the file of `previous` again. Throws ConfigError with one line if the file is truncated,
+// lacks a key that it had before or is invalid. Names keep their positions in the settings, and a
+// name that the file no longer has is accepted for a while. The addresses other than discovery's,
+// the seed and the limits are those of `previous`, since changing them requires a restart.
 GatewayConfig ReloadGatewayConfig(const GatewayConfig& previous, Time now,
-                                  const TimeFromUnixMillis& from_wall);
+                                  const TimeFromUnixMillis& from_unix_millis);
 
 inline constexpr size_t kMaxReportedFaults = 100;
 
-// All faults of the file at `path`, a line each: where (line or field), what is wrong, and what was
-// expected; about kMaxReportedFaults at most. Empty: a gateway can start from it.
+// Returns the faults of the file at `path`, one line each: where (line or field), what is wrong,
+// and what was expected. Returns about kMaxReportedFaults at most. If the result is empty, a
+// gateway can start with the file.
 std::vector<std::string> ValidateGatewayConfig(const std::string& path);
 
-// What the settings allow or ask for that the gateway does not support, a line each.
+// Returns the settings that the gateway does not support, one line each.
 std::vector<std::string> UnsupportedSettings(const Settings& settings);
 
-// The differences between two configurations, for the log; empty where there is none.
+// Describes the differences between two configurations for the log. Empty if there are none.
 std::string DescribeChanges(const GatewayConfig& previous, const GatewayConfig& current);
 
 }  // namespace paddlestile
--- a/src/config/gateway_config_parser.cpp
+++ b/src/config/gateway_config_parser.cpp
@@ -21,7 +21,7 @@
 
 void CollectKeys(const std::string& path, const Json& value, std::set<std::string>& keys);
 
-// Of a list of objects: the keys that all items have, below PATH.* .
+// Collects the keys that all items of a list of objects have, as PATH.*.KEY.
 void CollectItemKeys(const std::string& path, const std::vector<Json>& items,
                      std::set<std::string>& keys) {
   std::map<std::string, size_t> counts;
@@ -39,7 +39,7 @@
   }
 }
 
-// The paths of all keys with a value, joined by dots.
+// Collects the paths of all keys whose value is not null. A path has its keys joined by dots.
 void CollectKeys(const std::string& path, const Json& value, std::set<std::string>& keys) {
   if (value.type() == Json::Type::kNull) {
     return;
@@ -48,7 +48,8 @@
     keys.insert(path);
   }
   for (const auto& [name, field] : value.fields()) {
-    // The endpoints come from discovery once the gateway runs: what is in them may change.
+    // The keys within the endpoint list may change, since discovery provides it once the gateway
+    // runs.
     if (path.empty() && name == "known") {
       keys.insert(name);
       continue;
@@ -137,14 +138,14 @@
   ParseIdleTimeout(settings, config);
 }
 
-GatewayConfig ParseGatewayConfig(const Json& json, const TimeFromUnixMillis& from_wall) {
+GatewayConfig ParseGatewayConfig(const Json& json, const TimeFromUnixMillis& from_unix_millis) {
   GatewayConfig config;
   config.seed = ParseSeed(json.Require("seed", Json::Type::kString).text());
   ParseLimits(json, config);
   ParseSettingsObject(json.Require("settings", Json::Type::kObject), config);
   CollectKeys("", json, config.file_keys);
   config.initial_endpoints =
-      ParseEndpointList(json.Require("known", Json::Type::kObject), config.names, from_wall);
+      ParseEndpointList(json.Require("known", Json::Type::kObject), config.names, from_unix_millis);
   return config;
 }
 
--- a/src/config/gateway_config_validation.cpp
+++ b/src/config/gateway_config_validation.cpp
@@ -13,9 +13,10 @@
 
 using Faults = std::vector<std::string>;
 
-// Runs `check`; what it throws becomes a fault at `where`, unless there are enough already.
+// Runs `check` and adds an exception from it as a fault at `where`. Does nothing if
+// kMaxReportedFaults have been found.
 template <typename Check>
-void Collect(std::string_view where, const Check& check, Faults& faults) {
+void CollectFault(std::string_view where, const Check& check, Faults& faults) {
   if (faults.size() >= kMaxReportedFaults) {
     return;
   }
@@ -26,7 +27,7 @@
   }
 }
 
-// Removes the pair of a setting; false where there is none.
+// Removes the pair of a setting. Returns false if there is none.
 bool RemovePair(const std::string& name, std::string& pairs) {
   const size_t begin = pairs.starts_with(name + "=") ? 0 : pairs.find(" " + name + "=");
   if (begin == std::string::npos) {
@@ -40,7 +41,8 @@
   return true;
 }
 
-// Parsing stops at the first invalid setting: it is removed, and the others are parsed again.
+// Parsing stops at the first invalid setting. To find all of them, this removes the invalid setting
+// and parses the rest again.
 void CheckSettingValues(const Json& settings, Faults& faults) {
   std::string pairs = FlattenSettings(settings);
   while (faults.size() < kMaxReportedFaults) {
@@ -61,11 +63,11 @@
 
 void CheckNamesAreUnique(std::string_view list, const NameTable& names, Faults& faults) {
   if (names.positions().size() != names.size()) {
-    faults.push_back(fmt::format("settings.{}: a name twice, expected each once", list));
+    faults.push_back(fmt::format("settings.{}: duplicate name, expected unique names", list));
   }
 }
 
-// Fills `names` for the check of the endpoints.
+// Checks the settings, and fills `names` for the check of the endpoints.
 void CheckSettings(const Json& json, NameTables& names, Faults& faults) {
   const Json& settings = json.Require("settings", Json::Type::kObject);
   CheckSettingValues(settings, faults);
@@ -77,8 +79,8 @@
   CheckNamesAreUnique("Tenants", names.tenants, faults);
 }
 
-// A gateway takes the addresses from the environment at its start, and discovery's from the file
-// when it reloads it.
+// Checks the addresses in the file. A gateway uses those of the environment when it starts, but
+// uses the file's discovery address when it reloads the file.
 void CheckAddresses(const Json& json, Faults& faults) {
   for (const char* const name : {"listen", "discovery", "admin"}) {
     if (json.Find(name) == nullptr) {
@@ -87,7 +89,7 @@
     const auto check = [&] {
       ParseAddress(json.Require(name, Json::Type::kString).text());
     };
-    Collect(name, check, faults);
+    CollectFault(name, check, faults);
   }
 }
 
@@ -101,11 +103,11 @@
     const auto check = [&] {
       ParseEndpointListEntry(members[i], names, any_time);
     };
-    Collect(fmt::format("known.members.{}", i), check, faults);
+    CollectFault(fmt::format("known.members.{}", i), check, faults);
   }
 }
 
-// The line in which the parser stopped, counted from 1.
+// Returns the line in which the parser stopped. The first line is 1.
 ptrdiff_t LineOf(const JsonParser& parser, const std::string& text) {
   const auto stopped_at = static_cast<ptrdiff_t>(std::min(parser.size(), text.size()));
   return 1 + std::count(text.begin(), text.begin() + stopped_at, '\n');
@@ -131,13 +133,13 @@
   Faults faults;
   NameTables names;
   CheckAddresses(json, faults);
-  Collect(
+  CollectFault(
       "", [&] { CheckSettings(json, names, faults); }, faults);
-  Collect(
+  CollectFault(
       "", [&] { CheckEndpoints(json, names, faults); }, faults);
   if (faults.empty()) {
-    // What the checks of the parts do not cover.
-    Collect(
+    // Finds faults that the checks of the parts do not cover.
+    CollectFault(
         "", [&] { ParseGatewayConfig(json, [](double) { return Time(0); }); }, faults);
   }
   return faults;
--- a/tests/config/gateway_config_fixture.h
+++ b/tests/config/gateway_config_fixture.h
@@ -1,4 +1,4 @@
-// A gateway's configuration file as the tests write it.
+// Fixtures of tests that write and read a gateway's configuration file.
 #ifndef PADDLESTILE_CONFIG_GATEWAY_CONFIG_FIXTURE_H_
 #define PADDLESTILE_CONFIG_GATEWAY_CONFIG_FIXTURE_H_
 
@@ -24,14 +24,14 @@
     R"("Stats":{"Source":"probe","Fields":["inflight","latency_ms"]},)"
     R"("Obligations":{"ColdFrom":0.3},"SomethingNew":{"Deep":[{"x":1}]},"Nothing":null})";
 
-// The file with these settings and entries of its endpoint list.
+// Returns the text of a file with these settings and endpoint list entries.
 inline std::string ConfigText(const std::string& settings, const std::string& members = "[]") {
   return R"({"name":"n1","seed":"8c1f30d27a5be964","limits":{"sockets":512},"known":)"
          R"({"revision":41,"complete":true,"members":)" +
          members + R"(},"settings":)" + settings + "}";
 }
 
-// Reads a file that the test writes, with the variables in env_.
+// Reads a file that the test writes, with the environment variables in env_.
 class GatewayConfigTest : public ::testing::Test {
  protected:
   void Write(const std::string& text) {
@@ -46,6 +46,7 @@
         },
         [](double ms) { return Time(static_cast<int64_t>(ms)); });
   }
+  // Returns the error of Read, or an empty string if it succeeds.
   std::string Error() {
     try {
       Read();
@@ -62,26 +63,26 @@
       {"LB_NAME", "n1"}, {"LB_LISTEN", "127.0.0.4:5000"}, {"LB_DISCOVERY", "127.0.0.9:8500"}};
 };
 
-// Reloads the file after a first read with kSettings.
+// Reloads the file after it was read with kSettings.
 class GatewayConfigReloadTest : public GatewayConfigTest {
  protected:
   void SetUp() override {
     Write(ConfigText(kSettings));
     previous = Read();
   }
-  // The file with a part of it replaced.
-  static std::string With(const std::string& from, const std::string& to) {
+  // Returns the text of the file with kSettings, in which `from` is replaced by `to`.
+  static std::string ConfigTextWith(const std::string& from, const std::string& to) {
     std::string text = ConfigText(kSettings);
-    const size_t at = text.find(from);
-    EXPECT_NE(at, std::string::npos) << from;
-    return text.replace(at, from.size(), to);
+    const size_t position = text.find(from);
+    EXPECT_NE(position, std::string::npos) << from;
+    return text.replace(position, from.size(), to);
   }
   GatewayConfig Reload(const std::string& text) {
     Write(text);
     return ReloadGatewayConfig(previous, Time(5'000'000),
                                [](double ms) { return Time(static_cast<int64_t>(ms)); });
   }
-  // The error; empty where the text is accepted.
+  // Returns the error of Reload, or an empty string if it succeeds.
   std::string RejectionOf(const std::string& text) {
     try {
       Reload(text);
--- a/tests/config/gateway_config_test.cpp
+++ b/tests/config/gateway_config_test.cpp
@@ -17,24 +17,24 @@
       kSettings,
       R"([{"id":"h1","host_port":"127.0.0.2:80","locality":"south east","flavor":"small",)"
       R"("cell":3,"phase":"active","size":1.5,"up_since_ms":7,"extra":{}}])"));
-  const GatewayConfig c = Read();
-  EXPECT_EQ(c.name, "n1");
-  EXPECT_EQ(ToText(c.listen), "127.0.0.4:5000");
-  EXPECT_EQ(ToText(c.discovery), "127.0.0.9:8500");
-  EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
-  EXPECT_EQ(c.max_sockets, 512u);
-  EXPECT_EQ(c.endpoint_idle_timeout, Duration(60'000'000));
-  EXPECT_EQ(c.settings.instance_count, 3);
-  ASSERT_EQ(c.settings.classes.size(), 2u);
-  EXPECT_EQ(c.settings.classes[1].idempotency, Idempotency::kKeyed);
-  EXPECT_EQ(c.settings.classes[1].deduplication_window, Duration(1'500'000));
-  EXPECT_EQ(c.settings.load_report.latency_ms, 1u);
-  EXPECT_EQ(c.names.classes.Find("book"), 1u);
-  EXPECT_EQ(c.names.tenants.Find("t one"), 0u);
-  EXPECT_EQ(c.names.tenants.Find("three"), 2u);
-  EXPECT_EQ(c.names.report_fields, (std::vector<std::string>{"inflight", "latency_ms"}));
-  ASSERT_EQ(c.initial_endpoints.endpoints.size(), 1u);
-  const EndpointListEntry& host = c.initial_endpoints.endpoints[0];
+  const GatewayConfig config = Read();
+  EXPECT_EQ(config.name, "n1");
+  EXPECT_EQ(ToText(config.listen), "127.0.0.4:5000");
+  EXPECT_EQ(ToText(config.discovery), "127.0.0.9:8500");
+  EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
+  EXPECT_EQ(config.max_sockets, 512u);
+  EXPECT_EQ(config.endpoint_idle_timeout, Duration(60'000'000));
+  EXPECT_EQ(config.settings.instance_count, 3);
+  ASSERT_EQ(config.settings.classes.size(), 2u);
+  EXPECT_EQ(config.settings.classes[1].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(config.settings.classes[1].deduplication_window, Duration(1'500'000));
+  EXPECT_EQ(config.settings.load_report.latency_ms, 1u);
+  EXPECT_EQ(config.names.classes.Find("book"), 1u);
+  EXPECT_EQ(config.names.tenants.Find("t one"), 0u);
+  EXPECT_EQ(config.names.tenants.Find("three"), 2u);
+  EXPECT_EQ(config.names.report_fields, (std::vector<std::string>{"inflight", "latency_ms"}));
+  ASSERT_EQ(config.initial_endpoints.endpoints.size(), 1u);
+  const EndpointListEntry& host = config.initial_endpoints.endpoints[0];
   EXPECT_EQ(host.info.zone, 1);
   EXPECT_EQ(host.info.machine_kind, 1u);
   EXPECT_EQ(host.info.cell, 3);
@@ -42,16 +42,16 @@
   EXPECT_EQ(ToText(host.address), "127.0.0.2:80");
 }
 
-// Settings that older files do not have: the nines of the result, and warm keys.
+// Older files lack the settings ResultMix.NinesPart, ResultMix.TopNines and FamilyInfo.WarmKeys.
 TEST_F(GatewayConfigTest, OptionalSettingsAreCheckedAndHaveDefaults) {
-  const auto with = [](const std::string& more) {
-    return "{" + more + "," + kSettings.substr(1);
+  const auto settings_with = [](const std::string& added) {
+    return "{" + added + "," + kSettings.substr(1);
   };
   Write(ConfigText(kSettings));
   EXPECT_FALSE(Read().settings.key_affinity);
   EXPECT_EQ(Read().settings.score_weights.nines, 0);
-  Write(ConfigText(
-      with(R"("FamilyInfo":{"WarmKeys":true},"ResultMix":{"NinesPart":0.2,"TopNines":3})")));
+  Write(ConfigText(settings_with(
+      R"("FamilyInfo":{"WarmKeys":true},"ResultMix":{"NinesPart":0.2,"TopNines":3})")));
   EXPECT_TRUE(Read().settings.key_affinity);
   EXPECT_EQ(Read().settings.score_weights.nines, 0.2);
   EXPECT_EQ(Read().settings.score_weights.top_nines, 3);
@@ -61,17 +61,17 @@
       {R"({"NinesPart":"much","TopNines":3})", "bad ResultMix.NinesPart 'much', expected a number"},
       {R"({"NinesPart":0.2})", "expected ResultMix.TopNines beside it"},
       {R"({"TopNines":0})", "bad ResultMix.TopNines '0.000000', expected a number above 0"}};
-  for (const auto& [mix, what] : invalid) {
-    Write(ConfigText(with(R"("ResultMix":)" + mix)));
-    EXPECT_NE(Error().find(what), std::string::npos) << Error();
+  for (const auto& [result_mix, expected] : invalid) {
+    Write(ConfigText(settings_with(R"("ResultMix":)" + result_mix)));
+    EXPECT_NE(Error().find(expected), std::string::npos) << Error();
     const auto faults = ValidateGatewayConfig(path_);
-    ASSERT_EQ(faults.size(), 1u) << mix;
-    EXPECT_NE(faults[0].find(what), std::string::npos) << faults[0];
+    ASSERT_EQ(faults.size(), 1u) << result_mix;
+    EXPECT_NE(faults[0].find(expected), std::string::npos) << faults[0];
   }
 }
 
 // A setting that the gateway does not support is reported, not silently ignored.
-TEST_F(GatewayConfigTest, NamesUnsupportedSettings) {
+TEST_F(GatewayConfigTest, ReportsUnsupportedSettings) {
   Settings settings;
   EXPECT_TRUE(UnsupportedSettings(settings).empty());
   settings.allowed.peer_messages = true;
@@ -81,7 +81,7 @@
   EXPECT_NE(UnsupportedSettings(settings)[1].find("Allowed.MaxStreams"), std::string::npos);
 }
 
-TEST_F(GatewayConfigTest, NamesEachMissingOrMalformedVariable) {
+TEST_F(GatewayConfigTest, ReportsMissingAndMalformedVariables) {
   Write(ConfigText(kSettings));
   for (const char* const name : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"}) {
     const std::string value = env_[name];
@@ -96,7 +96,7 @@
   }
 }
 
-TEST_F(GatewayConfigTest, NamesFaultsOfTheFile) {
+TEST_F(GatewayConfigTest, ReportsFaultsOfFile) {
   env_["LB_CONFIG"] = "/nowhere/at/all";
   EXPECT_EQ(Error(), "LB_CONFIG: cannot read /nowhere/at/all, expected a file");
   const auto error_of = [&](const std::string& text) {
@@ -117,15 +117,14 @@
             std::string::npos);
 }
 
-// An invalid setting is one line with the file, the key and what was expected, and no gateway
-// starts with it.
-TEST_F(GatewayConfigTest, NamesInvalidSettings) {
-  const std::string good = R"({"Name":"a","Effect":"safe","Slo":400.0,"Deadline":900.0})";
-  const auto classes = [](const std::string& items, const std::string& more = "") {
-    return R"({"Classes":[)" + items + R"(],"Allowed":{"SendCap":3})" + more + "}";
+// The error for an invalid setting has the file, the key and what was expected.
+TEST_F(GatewayConfigTest, ReportsInvalidSettings) {
+  const std::string valid_class = R"({"Name":"a","Effect":"safe","Slo":400.0,"Deadline":900.0})";
+  const auto classes = [](const std::string& items, const std::string& added = "") {
+    return R"({"Classes":[)" + items + R"(],"Allowed":{"SendCap":3})" + added + "}";
   };
-  const auto with = [&](const std::string& change) {
-    return classes(good + R"(,{"Name":"b","Effect":"keyed","Slo":400.0,"Deadline":900.0,)" +
+  const auto classes_with = [&](const std::string& change) {
+    return classes(valid_class + R"(,{"Name":"b","Effect":"keyed","Slo":400.0,"Deadline":900.0,)" +
                    change + "}");
   };
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -134,25 +133,28 @@
       {classes(R"({"Name":"a","Slo":-1.0,"Deadline":900.0})"),
        "setting out of range: Classes.0.Slo, expected over 0 and an hour at most"},
       {classes(""), "setting out of range: Classes, expected one at the least"},
-      {with(R"("Window":-5.0)"), "setting out of range: Classes.1.Window, expected 0 or more"},
-      {with(R"("Worth":-1.0)"), "setting out of range: Classes.1.Worth, expected 0 or more"},
+      {classes_with(R"("Window":-5.0)"),
+       "setting out of range: Classes.1.Window, expected 0 or more"},
+      {classes_with(R"("Worth":-1.0)"),
+       "setting out of range: Classes.1.Worth, expected 0 or more"},
       {classes(R"({"Name":"a","Effect":"perhaps","Slo":400.0,"Deadline":900.0})"),
        "bad Classes.0.Effect 'perhaps', expected one of safe, keyed, unsafe"},
-      {classes(good + "," + good), "'settings.Classes' names one twice, expected each once"},
-      {classes(good, R"(,"Tenants":[{"Name":"t","Share":0.5},{"Name":"t","Share":0.5}])"),
+      {classes(valid_class + "," + valid_class),
+       "'settings.Classes' names one twice, expected each once"},
+      {classes(valid_class, R"(,"Tenants":[{"Name":"t","Share":0.5},{"Name":"t","Share":0.5}])"),
        "'settings.Tenants' names one twice, expected each once"},
-      {classes(good, R"(,"Tenants":[{"Name":"t","Share":-0.5}])"),
+      {classes(valid_class, R"(,"Tenants":[{"Name":"t","Share":-0.5}])"),
        "setting out of range: Tenants.0.Share, expected 0 or more"},
-      {R"({"Classes":[)" + good + R"(],"Allowed":{"SendCap":0}})",
+      {R"({"Classes":[)" + valid_class + R"(],"Allowed":{"SendCap":0}})",
        "setting out of range: Allowed.SendCap, expected 1 to 1000"},
-      {R"({"Classes":[)" + good + R"(],"Allowed":{"SendCap":3,"ConnectTimeout":-1.0}})",
+      {R"({"Classes":[)" + valid_class + R"(],"Allowed":{"SendCap":3,"ConnectTimeout":-1.0}})",
        "setting out of range: Allowed.ConnectTimeout, expected 0 or more"},
   };
   for (const auto& [settings, error] : cases) {
     Write(ConfigText(settings));
     EXPECT_EQ(Error(), "LB_CONFIG: " + path_ + ": " + error);
   }
-  Write(ConfigText(classes(good)));
+  Write(ConfigText(classes(valid_class)));
   EXPECT_EQ(Error(), "");
 }
 
@@ -164,32 +166,32 @@
   }
 }
 
-// All faults at once, with the line of a text that is no JSON.
-TEST_F(GatewayConfigTest, ValidationNamesEveryFault) {
+// Reports all faults at once. For a text that is not JSON, reports the line.
+TEST_F(GatewayConfigTest, ValidationReportsEveryFault) {
   Write(ConfigText(kSettings));
   EXPECT_TRUE(ValidateGatewayConfig(path_).empty());
   Write(R"({"seed":"1","discovery":"here","known":{"revision":1,"members":[{"id":"a"},)"
         R"({"id":"b","phase":"active"}]},"settings":{"NInstances":"many",)"
         R"("Classes":[{"Name":"a","Effect":"maybe","Slo":1,"Deadline":"x"}]}})");
   const auto faults = ValidateGatewayConfig(path_);
-  const auto named = [&](const std::string& part) {
-    return std::ranges::any_of(faults,
-                               [&](const std::string& f) { return f.find(part) != f.npos; });
+  const auto is_reported = [&](const std::string& part) {
+    return std::ranges::any_of(
+        faults, [&](const std::string& fault) { return fault.find(part) != fault.npos; });
   };
-  EXPECT_TRUE(named("discovery: no address and port: 'here'"));
-  EXPECT_TRUE(named("NInstances 'many', expected a number"));
-  EXPECT_TRUE(named("Classes.0.Effect 'maybe', expected one of safe, keyed, unsafe"));
-  EXPECT_TRUE(named("Classes.0.Deadline 'x', expected a number"));
-  EXPECT_TRUE(named("known.members.0: 'phase' is missing"));
-  EXPECT_TRUE(named("known.members.1: no 'host_port'"));
+  EXPECT_TRUE(is_reported("discovery: no address and port: 'here'"));
+  EXPECT_TRUE(is_reported("NInstances 'many', expected a number"));
+  EXPECT_TRUE(is_reported("Classes.0.Effect 'maybe', expected one of safe, keyed, unsafe"));
+  EXPECT_TRUE(is_reported("Classes.0.Deadline 'x', expected a number"));
+  EXPECT_TRUE(is_reported("known.members.0: 'phase' is missing"));
+  EXPECT_TRUE(is_reported("known.members.1: no 'host_port'"));
   Write("{\n\"seed\":\n\n}");
   ASSERT_EQ(ValidateGatewayConfig(path_).size(), 1u);
   EXPECT_EQ(ValidateGatewayConfig(path_)[0].substr(0, 7), "line 4:");
   EXPECT_EQ(ValidateGatewayConfig("/no/such").size(), 1u);
 }
 
-// The variable precedes the file, and neither is required.
-TEST_F(GatewayConfigTest, AdminAddressComesFromVariableElseFile) {
+// The variable takes precedence over the file, and neither is required.
+TEST_F(GatewayConfigTest, AdminAddressComesFromVariableOrFile) {
   Write(ConfigText(kSettings));
   EXPECT_FALSE(Read().admin);
   std::string text = ConfigText(kSettings);
@@ -207,8 +209,8 @@
 
 // ---- Reloading ---------------------------------------------------------------------------------
 
-// The decision module knows classes by position: in a file of another order a request would become
-// one of another class, and its learned state another's.
+// The decision module refers to classes by position. If the positions changed with the order in the
+// file, requests and learned state would be attributed to another class.
 TEST_F(GatewayConfigReloadTest, NamesKeepTheirPositions) {
   const std::string classes =
       R"({"Name":"new","Effect":"unsafe","Slo":100.0,"Deadline":500.0,"Worth":2.0},)"
@@ -229,12 +231,13 @@
   EXPECT_EQ(now.settings.tenants[0].share, 0.1);
   EXPECT_EQ(now.settings.zone, 1);
   EXPECT_EQ(now.names.zones.Find("south east"), 1u);
-  EXPECT_EQ(DescribeChanges(previous, now), "class book changed, class new new, class read gone");
-  // A retired name is accepted a little longer, a current one for good.
+  EXPECT_EQ(DescribeChanges(previous, now),
+            "class book changed, class new added, class read removed");
+  // A retired name is accepted for a while, a current one without a limit.
   EXPECT_FALSE(HasExpired(now.names.classes_expire_at, 0, Time(5'500'000)));
   EXPECT_TRUE(HasExpired(now.names.classes_expire_at, 0, Time(6'200'000)));
   EXPECT_FALSE(HasExpired(now.names.classes_expire_at, 1, Time(1'000'000'000)));
-  // A name that comes back has its old position.
+  // A name that is added again gets its old position.
   previous = now;
   const GatewayConfig back = Reload(ConfigText(kSettings));
   EXPECT_EQ(back.names.classes.Find("read"), 0u);
@@ -242,31 +245,34 @@
   EXPECT_TRUE(HasExpired(back.names.classes_expire_at, 2, Time(1'000'000'000)));
 }
 
-TEST_F(GatewayConfigReloadTest, RejectsABrokenFileAndNamesWhatWasExpected) {
+TEST_F(GatewayConfigReloadTest, RejectsInvalidFileAndReportsFault) {
   EXPECT_EQ(RejectionOf(ConfigText(kSettings)), "");
   EXPECT_NE(RejectionOf(""), "");
   const std::string whole = ConfigText(kSettings);
   for (size_t size = 0; size < whole.size(); size += 7) {
     EXPECT_NE(RejectionOf(whole.substr(0, size)), "");
   }
-  const auto expect = [&](const std::string& text, const std::string& says) {
-    EXPECT_NE(RejectionOf(text).find(says), std::string::npos) << says << ": " << RejectionOf(text);
+  const auto expect_error = [&](const std::string& text, const std::string& error) {
+    EXPECT_NE(RejectionOf(text).find(error), std::string::npos)
+        << error << ": " << RejectionOf(text);
   };
-  expect(With(R"("SendCap":3,)", ""), "no 'settings.Allowed.SendCap'");
-  expect(With(R"("SendCap":3,)", R"("SendCap":null,)"), "no 'settings.Allowed.SendCap'");
-  expect(With(R"("Deadline":1000.0,)", ""), "Deadline");
-  expect(With(R"("Effect":"safe",)", ""), "no 'settings.Classes.*.Effect'");
-  expect(With(R"("seed":"8c1f30d27a5be964",)", ""), "seed");
-  expect(With(R"("name":"n1",)", ""), "no 'name'");
+  expect_error(ConfigTextWith(R"("SendCap":3,)", ""), "no 'settings.Allowed.SendCap'");
+  expect_error(ConfigTextWith(R"("SendCap":3,)", R"("SendCap":null,)"),
+               "no 'settings.Allowed.SendCap'");
+  expect_error(ConfigTextWith(R"("Deadline":1000.0,)", ""), "Deadline");
+  expect_error(ConfigTextWith(R"("Effect":"safe",)", ""), "no 'settings.Classes.*.Effect'");
+  expect_error(ConfigTextWith(R"("seed":"8c1f30d27a5be964",)", ""), "seed");
+  expect_error(ConfigTextWith(R"("name":"n1",)", ""), "no 'name'");
   for (const char* const bad : {"0.0", "-5.0", "\"soon\"", "1e300", "[]"}) {
-    expect(With(R"("Deadline":1000.0)", std::string(R"("Deadline":)") + bad), "Deadline");
+    expect_error(ConfigTextWith(R"("Deadline":1000.0)", std::string(R"("Deadline":)") + bad),
+                 "Deadline");
   }
   for (const char* const bad : {"0", "-1", "2.5", "\"many\"", "100000"}) {
-    expect(With(R"("SendCap":3)", std::string(R"("SendCap":)") + bad), "SendCap");
+    expect_error(ConfigTextWith(R"("SendCap":3)", std::string(R"("SendCap":)") + bad), "SendCap");
   }
-  expect(With(R"("Name":"book")", R"("Name":"read")"), "names one twice");
-  // Unknown fields may come.
-  EXPECT_EQ(RejectionOf(With(R"("Me":1)", R"("Me":1,"More":{"x":[1]})")), "");
+  expect_error(ConfigTextWith(R"("Name":"book")", R"("Name":"read")"), "names one twice");
+  // Unknown fields may be added.
+  EXPECT_EQ(RejectionOf(ConfigTextWith(R"("Me":1)", R"("Me":1,"More":{"x":[1]})")), "");
 }
 
 }  // namespace
