--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -20,20 +20,20 @@
 namespace paddlestile {
 namespace {
 
-// Ordered, so that the new file keeps the order of the old one.
-using Object = nlohmann::ordered_json;
+// Keeps the order of keys, so that the new file has the order of the old one.
+using OrderedJson = nlohmann::ordered_json;
 
 // Values of settings.KindOfService.
 constexpr const char* kProxyKind = "proxy";
 constexpr const char* kMeshKind = "mesh";
 
-// The keys that the program reads beside the settings, or knows.
+// The top-level keys that the program reads or knows.
 const std::set<std::string, std::less<>> kKnownKeys = {"seed",   "limits",    "known", "settings",
                                                        "listen", "discovery", "name"};
 
 class Migrator {
  public:
-  Migrator(Object json, const MigrateOptions& options)
+  Migrator(OrderedJson json, const MigrateOptions& options)
       : json_(std::move(json)), options_(options) {}
 
   Migration Run() {
@@ -45,19 +45,21 @@
   }
 
  private:
-  void MigrateSettings(Object& settings) {
+  void MigrateSettings(OrderedJson& settings) {
     Set(settings, "settings.", "KindOfService", kMeshKind);
     Set(settings, "settings.", "NInstances", options_.gateways);
     Set(settings, "settings.", "Me", 0);
     AddNote(
-        "not carried over: settings.Me, seed: each gateway needs its own; both stand for the "
-        "first");
+        "not carried over: settings.Me, seed: each gateway needs its own; these are for the first "
+        "gateway");
     if (options_.warm_keys) {
       Set(settings["FamilyInfo"], "settings.FamilyInfo.", "WarmKeys", true);
     }
     if (settings.contains("Allowed") && settings["Allowed"].value("PeerMessages", false)) {
       Set(settings["Allowed"], "settings.Allowed.", "PeerMessages", false);
-      AddNote("not carried over: settings.Allowed.PeerMessages: gateways on sockets send none");
+      AddNote(
+          "not carried over: settings.Allowed.PeerMessages: gateways do not send messages to each "
+          "other");
     }
   }
 
@@ -67,14 +69,15 @@
     }
     const Address listen = ParseAddress(json_["listen"].get<std::string>());
     Set(json_, "", "listen", fmt::format("127.0.0.1:{}", listen.port));
-    AddNote("not carried over: listen: a gateway beside its client listens on this machine alone");
+    AddNote(
+        "not carried over: listen: a gateway beside its client listens on the loopback address");
   }
 
-  // Keys that the program does not read are kept, and named.
+  // Adds a note for each key that is kept although the program does not read it.
   void NoteUnreadKeys() {
     for (const auto& [key, value] : json_.items()) {
       if (!kKnownKeys.contains(key)) {
-        AddNote(fmt::format("kept, but not known here: {}", key));
+        AddNote(fmt::format("kept, but unknown: {}", key));
       }
     }
     const Json settings = Json::Parse(json_["settings"].dump());
@@ -83,9 +86,10 @@
     }
   }
 
-  // Sets a field of `object`, whose path is `path`, and notes the change if there is one.
+  // Sets a field of `object`, and adds a note if this changes it. `path` is the object's path with
+  // a trailing dot.
   template <typename Value>
-  void Set(Object& object, std::string_view path, const char* key, const Value& value) {
+  void Set(OrderedJson& object, std::string_view path, const char* key, const Value& value) {
     const std::string before = object.contains(key) ? object[key].dump() : "absent";
     object[key] = value;
     const std::string after = object[key].dump();
@@ -96,17 +100,17 @@
 
   void AddNote(std::string line) { notes_.push_back(std::move(line)); }
 
-  Object json_;
+  OrderedJson json_;
   MigrateOptions options_;
   std::vector<std::string> notes_;
 };
 
-// The error of the last system call, with the file's path.
+// Returns an error with the file's path and the text of errno.
 ConfigError WriteError(const std::string& path) {
   return ConfigError(fmt::format("{}: cannot write it: {}", path, std::strerror(errno)));
 }
 
-// Writes all of `text`; false on an error, with errno set.
+// Writes all of `text`. Returns false on an error, with errno set.
 bool WriteAll(int fd, const std::string& text) {
   size_t written = 0;
   while (written < text.size()) {
@@ -122,7 +126,7 @@
   return true;
 }
 
-// Writes, syncs and closes; false on an error, with errno set to that of writing or syncing.
+// Writes, syncs and closes. Returns false on an error; errno is then that of writing or syncing.
 bool WriteAndClose(int fd, const std::string& text) {
   const bool is_synced = WriteAll(fd, text) && fsync(fd) == 0;
   const int error = errno;
@@ -140,11 +144,11 @@
   }
   std::ifstream file(path, std::ios::binary);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  Object json = Object::parse(text, nullptr, false);
+  OrderedJson json = OrderedJson::parse(text, nullptr, false);
   if (!json.is_object()) {
     throw ConfigError(fmt::format("{}: no JSON object, expected one", path));
   }
-  const Object& settings = json["settings"];
+  const OrderedJson& settings = json["settings"];
   const std::string kind =
       settings.contains("KindOfService") ? settings["KindOfService"].dump() : "";
   if (kind == fmt::format("\"{}\"", kMeshKind)) {
@@ -168,7 +172,7 @@
   }
   bool is_written = WriteAndClose(fd, text);
   if (is_written) {
-    // Unlike a rename, a link fails where another process has made the file meanwhile.
+    // Unlike rename, link fails if another process has created the file meanwhile.
     is_written = replace ? std::rename(temporary.c_str(), path.c_str()) == 0
                          : link(temporary.c_str(), path.c_str()) == 0;
   }
--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -243,7 +243,7 @@
   const std::string before = Slurp(path_);
   ASSERT_EQ(Call({"migrate", path_, "--gateways", "900", "--warm-keys", "--to", to_}), 0) << Text();
   for (const char* const line :
-       {"kept, but not known here: owner", "settings.Strange.Key", "not carried over: listen",
+       {"kept, but unknown: owner", "settings.Strange.Key", "not carried over: listen",
         "not carried over: settings.Me, seed", "changed: settings.KindOfService: \"proxy\" to"}) {
     EXPECT_NE(Text().find(line), std::string::npos) << line << "\n" << Text();
   }
