--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -73,26 +73,25 @@
   }
 }
 
-void TomlTable::Read(std::string_view key, double& value, double least, double most) {
+void TomlTable::Read(std::string_view key, double& value, double min, double max) {
   const toml::node* const node = Get(key);
   if (node == nullptr) {
     return;
   }
   const auto number = NumberOf(*node);
-  if (!number || !(*number >= least && *number <= most)) {
-    return faults_.Add(node, Path(key), "out of range or no number",
-                       fmt::format("a number from {} to {}", least, most));
+  if (!number || !(*number >= min && *number <= max)) {
+    return faults_.Add(node, Path(key), "out of range or not a number",
+                       fmt::format("a number from {} to {}", min, max));
   }
   value = *number;
 }
 
-void TomlTable::Read(std::string_view key, std::optional<double>& value, double least,
-                     double most) {
+void TomlTable::Read(std::string_view key, std::optional<double>& value, double min, double max) {
   if (Get(key) == nullptr) {
     return;
   }
-  double number = least;
-  Read(key, number, least, most);
+  double number = min;
+  Read(key, number, min, max);
   value = number;
 }
 
@@ -102,7 +101,7 @@
     return;
   }
   if (!node->is_boolean()) {
-    return faults_.Add(node, Path(key), "no boolean", "true or false");
+    return faults_.Add(node, Path(key), "not a boolean", "true or false");
   }
   value = *node->value_exact<bool>();
 }
@@ -113,15 +112,15 @@
     return;
   }
   if (!node->is_string()) {
-    return faults_.Add(node, Path(key), "no text", "a text in quotes");
+    return faults_.Add(node, Path(key), "not a string", "a quoted string");
   }
   value = *node->value_exact<std::string>();
 }
 
-void TomlTable::ReadDuration(std::string_view key, Duration& value, double unit_us, double most) {
-  double in_file = static_cast<double>(value.count()) / unit_us;
-  Read(key, in_file, 0, most);
-  value = Duration(std::llround(in_file * unit_us));
+void TomlTable::ReadDuration(std::string_view key, Duration& value, double unit_us, double max) {
+  double units = static_cast<double>(value.count()) / unit_us;
+  Read(key, units, 0, max);
+  value = Duration(std::llround(units * unit_us));
 }
 
 void TomlTable::ReadSeconds(std::string_view key, Duration& value) {
@@ -132,8 +131,7 @@
   ReadDuration(key, value, kMicrosPerMilli, kMaxDurationSeconds * 1000);
 }
 
-void TomlTable::ReadRange(std::string_view key, double& low, double& high, double least,
-                          double most) {
+void TomlTable::ReadRange(std::string_view key, double& low, double& high, double min, double max) {
   const toml::node* const node = Get(key);
   if (node == nullptr) {
     return;
@@ -148,9 +146,9 @@
     first = NumberOf(*node);
     last = first;
   }
-  if (!first || !last || !(*first >= least && *first <= *last && *last <= most)) {
-    return faults_.Add(node, Path(key), "no range",
-                       fmt::format("a number, or [low, high], from {} to {}", least, most));
+  if (!first || !last || !(*first >= min && *first <= *last && *last <= max)) {
+    return faults_.Add(node, Path(key), "not a valid range",
+                       fmt::format("a number, or [low, high], from {} to {}", min, max));
   }
   low = *first;
   high = *last;
@@ -160,7 +158,7 @@
   const toml::node* const node = Get(key);
   const auto text = node != nullptr ? node->value_exact<std::string>() : std::nullopt;
   if (!text || text->empty()) {
-    Fault(key, node != nullptr ? "no text" : "missing", "a text");
+    Fault(key, node != nullptr ? "not a string or empty" : "missing", "a string");
     return {};
   }
   return *text;
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,5 +1,5 @@
-// Reading of TOML files that people write: the operator's file and the experiments. One pass
-// collects all faults, each as "FILE:LINE: KEY: what, expected ...".
+// Reads TOML files that are written by hand: the operator's file and experiments. One pass collects
+// all faults, each as "FILE:LINE: KEY: what, expected ...".
 #ifndef PADDLESTILE_CONFIG_TOML_READER_H_
 #define PADDLESTILE_CONFIG_TOML_READER_H_
 
@@ -24,14 +24,14 @@
 // The faults of one file, in the order in which they were found.
 class TomlFaults {
  public:
-  // `path` names the file in each line.
+  // `path` is the file name used in the lines.
   explicit TomlFaults(std::string path) : path_(std::move(path)) {}
 
-  // `node` gives the line; null: the fault has none.
+  // Adds a fault at the line of `node`, or without a line if `node` is null.
   void Add(const toml::node* node, std::string_view key, std::string_view what,
            std::string_view expected);
 
-  // Parses the file's text; nullopt, and a fault, where it is no TOML.
+  // Parses the file's text. Adds a fault and returns nullopt if it is not valid TOML.
   std::optional<toml::table> Parse(std::string_view text);
 
   [[nodiscard]] const std::vector<std::string>& lines() const { return lines_; }
@@ -41,17 +41,17 @@
   std::vector<std::string> lines_;
 };
 
-// The words of a setting that has one of several meanings.
+// The words that a setting may have, each with its meaning.
 template <typename Enum>
 using TomlWords = std::vector<std::pair<std::string_view, Enum>>;
 
 template <typename Int>
 concept TomlInteger = std::is_integral_v<Int> && !std::is_same_v<Int, bool>;
 
-// One table of a file. Keys become known by being asked for; those that were never asked for are
-// reported as unknown when the reader is destroyed, unless ReportUnknownKeys has done it. Each Read
-// leaves the value as it is where the key is not there, and where it is malformed, which it
-// reports. Keeps references to the table and to the faults.
+// Reads one table of a file. Each function that reads a key marks it as known; the destructor
+// reports the unknown keys of the table as faults unless ReportUnknownKeys was called. Each Read
+// function leaves the value unchanged if the key is absent, and also if it is malformed, which adds
+// a fault. The table and the faults must outlive this object.
 class TomlTable {
  public:
   // `path` is the table's key within the file, empty for the file's root.
@@ -61,48 +61,49 @@
   TomlTable& operator=(const TomlTable&) = delete;
   ~TomlTable();
 
-  // The node of a key, which becomes known; null where it is not there.
+  // Returns the node of a key and marks the key as known. Returns null if the key is absent.
   [[nodiscard]] const toml::node* Get(std::string_view key);
 
-  // The key within the file.
+  // Returns the key's full path within the file.
   [[nodiscard]] std::string Path(std::string_view key) const;
 
-  // Reports a fault at the line of `key`, or of the table where the key is not there.
+  // Adds a fault at the line of `key`, or of the table if the key is absent.
   void Fault(std::string_view key, std::string_view what, std::string_view expected);
 
-  // Reports a fault at the line of `node` with the key as it is given; null: with no line.
+  // Adds a fault with a full key path, at the line of `node` or without a line if `node` is null.
   void FaultAt(const toml::node* node, std::string_view key, std::string_view what,
                std::string_view expected);
 
-  // Reports keys other than these now instead of at the end.
+  // Reports all keys other than these as unknown now, instead of in the destructor.
   void ReportUnknownKeys(const std::set<std::string>& known);
 
-  // A number from `least` to `most`.
-  void Read(std::string_view key, double& value, double least, double most);
-  void Read(std::string_view key, std::optional<double>& value, double least, double most);
+  // Reads a number from `min` to `max`.
+  void Read(std::string_view key, double& value, double min, double max);
+  void Read(std::string_view key, std::optional<double>& value, double min, double max);
 
-  // An integer from `least` to `most`.
+  // Reads an integer from `min` to `max`.
   template <TomlInteger Int>
-  void Read(std::string_view key, Int& value, Int least, Int most);
+  void Read(std::string_view key, Int& value, Int min, Int max);
 
   void Read(std::string_view key, bool& value);
 
-  // A text, which may be empty.
+  // Reads a string, which may be empty.
   void Read(std::string_view key, std::string& value);
 
-  // One of the words; `expected` names them in a fault, and by default lists them.
+  // Reads one of the words. `expected` describes them in a fault; by default they are listed.
   template <typename Enum>
   void Read(std::string_view key, Enum& value, const TomlWords<Enum>& words,
             std::string_view expected = {});
 
-  // A duration of an hour at most, in the unit of the file.
+  // These read a duration of at most one hour, which the file has in seconds or in milliseconds.
   void ReadSeconds(std::string_view key, Duration& value);
   void ReadMillis(std::string_view key, Duration& value);
 
-  // A number for both, or a list [low, high].
-  void ReadRange(std::string_view key, double& low, double& high, double least, double most);
+  // Reads a list [low, high], or one number for both.
+  void ReadRange(std::string_view key, double& low, double& high, double min, double max);
 
-  // A text that must be there and not be empty; empty after a fault.
+  // Returns a string that must be present and not empty. Adds a fault and returns an empty string
+  // otherwise.
   [[nodiscard]] std::string RequireText(std::string_view key);
 
   // Calls `read(TomlTable&)` for each table of the list of tables `key`.
@@ -114,7 +115,7 @@
   void ReadTable(std::string_view key, const Reader& read);
 
  private:
-  void ReadDuration(std::string_view key, Duration& value, double unit_us, double most);
+  void ReadDuration(std::string_view key, Duration& value, double unit_us, double max);
 
   const toml::table& table_;
   std::string path_;
@@ -124,17 +125,17 @@
 };
 
 template <TomlInteger Int>
-void TomlTable::Read(std::string_view key, Int& value, Int least, Int most) {
+void TomlTable::Read(std::string_view key, Int& value, Int min, Int max) {
   const toml::node* const node = Get(key);
   if (node == nullptr) {
     return;
   }
   const auto number = node->value_exact<int64_t>();
-  const bool in_range = number && *number >= static_cast<int64_t>(least) &&
-                        static_cast<uint64_t>(*number) <= static_cast<uint64_t>(most);
+  const bool in_range = number && *number >= static_cast<int64_t>(min) &&
+                        static_cast<uint64_t>(*number) <= static_cast<uint64_t>(max);
   if (!in_range) {
-    return faults_.Add(node, Path(key), "out of range or no whole number",
-                       fmt::format("a whole number from {} to {}", least, most));
+    return faults_.Add(node, Path(key), "out of range or not a whole number",
+                       fmt::format("a whole number from {} to {}", min, max));
   }
   value = static_cast<Int>(*number);
 }
@@ -167,7 +168,7 @@
   }
   const toml::array* const list = node->as_array();
   if (list == nullptr || !list->is_array_of_tables()) {
-    return faults_.Add(node, Path(key), "no list of tables", fmt::format("[[{}]]", Path(key)));
+    return faults_.Add(node, Path(key), "not a list of tables", fmt::format("[[{}]]", Path(key)));
   }
   size_t index = 0;
   for (const toml::node& entry : *list) {
@@ -184,7 +185,7 @@
     return;
   }
   if (!node->is_table()) {
-    return faults_.Add(node, Path(key), "no table", fmt::format("[{}]", Path(key)));
+    return faults_.Add(node, Path(key), "not a table", fmt::format("[{}]", Path(key)));
   }
   TomlTable table(*node->as_table(), Path(key), faults_);
   read(table);
