--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -16,7 +16,7 @@
 constexpr int kMinHeartbeatsPerTimeout = 3;
 constexpr std::string_view kMemberNamePlaceholder = "{name}";
 
-// Milliseconds as the file has them.
+// The timing values of the file, in milliseconds.
 struct TimingMillis {
   double heartbeat = 100;
   double election = 500;
@@ -27,7 +27,7 @@
   return Duration(static_cast<int64_t>(millis * 1000));
 }
 
-// An election or a lease outlasts the loss of a heartbeat or two.
+// Checks that an election timeout or a lease outlasts the loss of one or two heartbeats.
 void CheckOutlastsHeartbeats(TomlTable& cluster, std::string_view key, double millis,
                              double heartbeat_millis) {
   if (millis < kMinHeartbeatsPerTimeout * heartbeat_millis) {
@@ -79,15 +79,16 @@
   if (node == nullptr) {
     return false;
   }
-  // Not exact: files with 0 and 1 have been accepted.
+  // value() also accepts numbers, unlike value_exact(), because existing files may have 0 or 1.
   const auto votes = node->value<bool>();
   if (!votes) {
-    member.Fault("votes", "no boolean", "true or false");
+    member.Fault("votes", "not a boolean", "true or false");
   }
   return votes.value_or(false);
 }
 
-// Reads one member into `config`; whether it votes. `addresses` are those of the members before.
+// Reads one member into `config` and returns whether it votes. `addresses` has the addresses of the
+// members read before.
 bool ReadMember(TomlTable& member, std::set<std::pair<uint32_t, uint16_t>>& addresses,
                 ClusterConfig& config) {
   member.ReportUnknownKeys({"name", "address", "dial", "votes"});
@@ -98,7 +99,7 @@
     entry.address = *address;
     entry.dial_address = *address;
     if (!addresses.emplace(address->host, address->port).second) {
-      member.Fault("address", "another member has it", "its own");
+      member.Fault("address", "used by another member", "a unique address");
     }
   }
   if (member.Get("dial") != nullptr) {
@@ -107,7 +108,7 @@
   entry.votes = ReadVotes(member);
   const bool is_new = config.members.emplace(name, entry).second;
   if (!is_new && !name.empty()) {
-    member.Fault("name", fmt::format("'{}' a second time", name), "each member once");
+    member.Fault("name", fmt::format("duplicate '{}'", name), "unique names");
   }
   return entry.votes;
 }
@@ -115,7 +116,7 @@
 void CheckVoterCount(const toml::node* members, size_t voters, TomlFaults& faults) {
   if (voters % 2 == 0 || voters > raft::kMaxVoters) {
     faults.Add(members, "bank.members", fmt::format("{} members vote", voters),
-               "an odd number of them, 3 or 5 for a bank that bears a loss");
+               "an odd number, 3 or 5 for a cluster that tolerates a failure");
   }
 }
 
@@ -130,7 +131,7 @@
     const std::string path = fmt::format("bank.members.{}", i);
     const toml::table* const table = members->get(i)->as_table();
     if (table == nullptr) {
-      faults.Add(members->get(i), path + ".", "no table", "name, address, votes");
+      faults.Add(members->get(i), path + ".", "not a table", "name, address, votes");
       continue;
     }
     TomlTable member(*table, path, faults);
@@ -151,7 +152,7 @@
   ReadMembers(cluster.Get("members"), faults, config);
 }
 
-// The file's TOML keys keep the word `bank`, by which operators know the cluster.
+// In the file's TOML keys the cluster is called `bank`.
 ClusterConfig ParseClusterConfig(std::string_view text, const std::string& path,
                                  TomlFaults& faults) {
   ClusterConfig config;
@@ -170,7 +171,7 @@
   return config;
 }
 
-// Throws ConfigError with all faults, a line each.
+// Like ParseClusterConfig. Throws ConfigError with all faults, one line each.
 ClusterConfig ParseValidClusterConfig(std::string_view text, const std::string& path) {
   TomlFaults faults(path);
   ClusterConfig config = ParseClusterConfig(text, path, faults);
--- a/src/config/operator_config.h
+++ b/src/config/operator_config.h
@@ -1,5 +1,6 @@
-// The operator's file (TOML): the cluster of gateways that a gateway belongs to. The file's keys
-// call the cluster `bank`; a gateway without such a file has none.
+// The operator's file (TOML), which describes the cluster of gateways that a gateway belongs to. In
+// the file's keys the cluster is called `bank`. A gateway without such a file belongs to no
+// cluster.
 #ifndef PADDLESTILE_CONFIG_OPERATOR_CONFIG_H_
 #define PADDLESTILE_CONFIG_OPERATOR_CONFIG_H_
 
@@ -13,49 +14,49 @@
 
 namespace paddlestile {
 
-// What a gateway does once it has lost contact with the cluster, and others may have excluded
-// endpoints that it still uses.
+// What a gateway does while it is disconnected from the cluster, when other gateways may have
+// excluded endpoints that it still uses.
 enum class WhenDisconnected {
-  kServe,  // goes on with the configuration that it has, and sends no request twice
-  kDrain   // finishes its requests and rejects new ones until it is in contact again
+  kServe,  // serves with the configuration that it has, without retries
+  kDrain   // finishes its requests and rejects new ones until it is connected again
 };
 
-// How a leader proposes a version.
+// How a leader encodes a proposed version.
 enum class ChangeEncoding {
-  kWhole,  // its whole content
-  kDelta   // what differs from the version before
+  kWhole,  // as its whole content
+  kDelta   // as the difference from the previous version
 };
 
 struct ClusterConfig {
   struct MemberAddress {
     Address address;
-    Address dial_address;  // where the other members reach it; `address` unless the file differs
+    Address dial_address;  // to which other members connect; `address` unless the file sets `dial`
     bool votes = false;
   };
 
   std::string path;  // of the file
   std::string cluster_name;
-  std::string folder;                            // of this member's state, `{name}` replaced
+  std::string folder;                            // for this member's state, with `{name}` replaced
   std::map<std::string, MemberAddress> members;  // by name; an odd number of them vote
   raft::RaftTiming timing;
   WhenDisconnected when_disconnected = WhenDisconnected::kServe;
   ChangeEncoding change_encoding = ChangeEncoding::kWhole;
 
-  // For the lab alone: this process's clock runs so much faster than the machine's, and the file
-  // that controls faults of its disk (see controlled_files.h).
-  double clock_factor = 1;
-  std::string disk_control;
+  // Set by the lab only.
+  double clock_factor = 1;   // the speed of this process's clock relative to the machine's
+  std::string disk_control;  // path of the file that injects disk faults, see controlled_files.h
 };
 
-// All faults of the file's text, a line each: "FILE:LINE: KEY: what, expected ...". Empty: valid.
-// `path` is used in the lines alone.
+// Returns the faults of the file's text, one line each: "FILE:LINE: KEY: what, expected ...". If
+// the result is empty, the file is valid. `path` is used only in these lines.
 std::vector<std::string> ValidateClusterConfig(std::string_view text, const std::string& path);
 
-// The members' addresses by name. Throws ConfigError with the lines of ValidateClusterConfig.
+// Returns the members' addresses by name. Throws ConfigError with the lines of
+// ValidateClusterConfig.
 std::map<std::string, Address> ReadMemberAddresses(std::string_view text, const std::string& path);
 
-// The file at `path` as the member `name` uses it. Throws ConfigError with the lines of
-// ValidateClusterConfig, or with one line where there is no file or no such member.
+// Reads the file at `path` for the member `name`. Throws ConfigError with the lines of
+// ValidateClusterConfig, or with one line if there is no such file or member.
 ClusterConfig ReadClusterConfig(const std::string& path, const std::string& name);
 
 }  // namespace paddlestile
