--- a/src/config/versioned_settings.cpp
+++ b/src/config/versioned_settings.cpp
@@ -12,10 +12,10 @@
 namespace paddlestile {
 namespace {
 
-// Differences between two versions, and the JSON of the tenants that are new or changed in the
-// order in which `changes` has them, separated by commas.
+// The tenants that differ between two versions.
 struct TenantDifferences {
   std::vector<TenantChange> changes;
+  // The JSON of the new and changed tenants, in the order of `changes` and separated by commas.
   std::string tenants_json;
 };
 
@@ -35,7 +35,7 @@
   return differences;
 }
 
-// Fills in the quotas of the changes that have one.
+// Parses the JSON of the new and changed tenants into their quotas.
 void ParseQuotas(TenantDifferences& differences) {
   if (differences.tenants_json.empty()) {
     return;
@@ -58,8 +58,8 @@
          previous.tenants.has_value() == version.tenants.has_value();
 }
 
-// A strict version forbids any second attempt.
-void ForbidRepeats(Settings& settings) {
+// Disables retries, as a strict version requires.
+void DisableRetries(Settings& settings) {
   for (RequestClass& request_class : settings.classes) {
     request_class.idempotency = Idempotency::kUnsafe;
   }
@@ -95,7 +95,7 @@
   bool grows = false;
   ptrdiff_t newly_retired = 0;
   for (const auto& [name, quota] : changes) {
-    // The text is that of ValidateSettings, which sees a whole version's tenants.
+    // The same error as that of ValidateSettings, which checks the tenants of a whole version.
     if (quota && !(quota->share >= 0)) {
       throw ConfigError(
           fmt::format("setting out of range: Tenants.{}.Share, expected 0 or more", name));
@@ -158,7 +158,7 @@
   config.discovery = discovery_;
   KeepNamePositions(previous, now, config);
   if (version.strict) {
-    ForbidRepeats(config.settings);
+    DisableRetries(config.settings);
   }
   return config;
 }
--- a/src/config/versioned_settings.h
+++ b/src/config/versioned_settings.h
@@ -1,4 +1,4 @@
-// A version of the replicated configuration laid over the settings of a gateway's file.
+// Applies a version of the replicated configuration to the settings of a gateway's file.
 #ifndef PADDLESTILE_CONFIG_VERSIONED_SETTINGS_H_
 #define PADDLESTILE_CONFIG_VERSIONED_SETTINGS_H_
 
@@ -15,40 +15,39 @@
 
 struct GatewayConfig;
 
-// One tenant that differs between two versions.
+// A tenant that differs between two versions.
 struct TenantChange {
   std::string name;
-  std::optional<TenantQuota> quota;  // none: the tenant was removed
+  std::optional<TenantQuota> quota;  // nullopt if the tenant was removed
 };
 
-// Throws ConfigError where `config` cannot take the changes: a share below 0, or too many tenants
-// retired since the start.
+// Throws ConfigError if the changes cannot be applied to `config`, because a share is below 0 or
+// too many tenants have been retired since the start.
 void ValidateTenantChanges(const std::vector<TenantChange>& changes, const GatewayConfig& config);
 
-// Applies the changes to `config` with the result that reading all of its settings again would
-// have: names keep their positions, new ones come behind them, and a removed one is accepted a
-// while longer. Throws ConfigError, and then changes nothing.
+// Applies the changes to `config`. The result is the same as if all of its settings were read
+// again: names keep their positions, new names get positions after them, and a removed name is
+// accepted for a while. Throws ConfigError; then nothing is changed.
 void ApplyTenantChanges(const std::vector<TenantChange>& changes, Time now, GatewayConfig& config);
 
-// The settings of a gateway's file, parsed once, to lay versions over. A version that differs from
-// the one before in tenants alone costs only what those tenants cost.
+// The parsed settings of a gateway's file, to which versions are applied. A version that differs
+// from the previous one only in some tenants is applied by parsing only these tenants.
 class VersionedSettings {
  public:
-  // Throws ConfigError where the settings of the file's text cannot be parsed.
+  // Throws ConfigError if the settings in the file's text cannot be parsed.
   explicit VersionedSettings(const GatewayConfig& file);
 
-  // The file's settings with those of `version` laid over them; where the version is strict, no
-  // request is sent twice. `previous` is the configuration in force, and `previous_version` the
-  // version that this function made it from; null where it was not made so. The result has no
-  // endpoints and no text of the file. Throws ConfigError where file and version do not fit
-  // together.
+  // Returns the file's settings, overridden by those of `version`. A strict version disables
+  // retries. `previous` is the configuration in force. `previous_version` is the version from which
+  // this function created `previous`, or null if it did not. The result has no endpoints and no
+  // file text. Throws ConfigError if the file and the version are not consistent.
   [[nodiscard]] GatewayConfig ApplyVersion(const cluster::VersionContent& version,
                                            const GatewayConfig& previous,
                                            const cluster::VersionContent* previous_version,
                                            Time now) const;
 
-  // The tenants that differ between two versions; nullopt where the versions differ in more than
-  // tenants. Throws ConfigError where a tenant's quota is malformed.
+  // Returns the tenants that differ between two versions, or nullopt if other settings differ too.
+  // Throws ConfigError if a tenant's quota is malformed.
   [[nodiscard]] static std::optional<std::vector<TenantChange>> TenantsChanged(
       const cluster::VersionContent& previous, const cluster::VersionContent& version);
 
--- a/tests/config/versioned_settings_test.cpp
+++ b/tests/config/versioned_settings_test.cpp
@@ -13,7 +13,7 @@
 
 class VersionedSettingsTest : public GatewayConfigReloadTest {
  protected:
-  static cluster::VersionContent Of(const std::string& text) {
+  static cluster::VersionContent ContentOf(const std::string& text) {
     return cluster::ParseDocument(text);
   }
   static void ExpectSame(const GatewayConfig& a, const GatewayConfig& b) {
@@ -39,9 +39,9 @@
   const Time kNow{7'000'000};
 };
 
-// A version that is applied as changes of the one before must give what applying all of it gives,
-// whatever came before it, in whatever order.
-TEST_F(VersionedSettingsTest, ChangeEqualsWholeVersion) {
+// Applying only the changes from the previous version must have the same result as applying the
+// whole version, for any sequence of versions.
+TEST_F(VersionedSettingsTest, ApplyingChangesEqualsApplyingWholeVersion) {
   const char* const versions[] = {
       "{}",
       R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},{"Name":"x","Share":0.2}]}})",
@@ -61,95 +61,101 @@
     for (const char* const to : versions) {
       for (const bool strict : {false, true}) {
         for (const char* const text : {from, to}) {
-          cluster::VersionContent rules = Of(text);
-          rules.strict = strict;
-          const GatewayConfig whole = file.ApplyVersion(rules, previous, nullptr, kNow);
-          const GatewayConfig now =
-              file.ApplyVersion(rules, previous, before ? &*before : nullptr, kNow);
+          cluster::VersionContent content = ContentOf(text);
+          content.strict = strict;
+          const GatewayConfig whole = file.ApplyVersion(content, previous, nullptr, kNow);
+          const GatewayConfig changed =
+              file.ApplyVersion(content, previous, before ? &*before : nullptr, kNow);
           SCOPED_TRACE(std::string(from) + " to " + to);
-          ExpectSame(now, whole);
-          EXPECT_EQ(now.settings.allowed.max_attempts == 1, strict);
-          previous = now;
-          before = rules;
+          ExpectSame(changed, whole);
+          EXPECT_EQ(changed.settings.allowed.max_attempts == 1, strict);
+          previous = changed;
+          before = content;
         }
       }
     }
   }
 }
 
-// A gateway that read all of its settings again for one tenant's quota would stall all tenants.
-TEST_F(VersionedSettingsTest, ChangeOfATenantReadsThatTenantAlone) {
+// If a change of one tenant's quota made the gateway parse all of its settings again, the requests
+// of all tenants would be delayed.
+TEST_F(VersionedSettingsTest, ChangeOfTenantParsesOnlyThatTenant) {
   const VersionedSettings file(previous);
   const cluster::VersionContent a =
-      Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},{"Name":"two"}]}})");
+      ContentOf(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},{"Name":"two"}]}})");
   const cluster::VersionContent b =
-      Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":6},{"Name":"two"}]}})");
+      ContentOf(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":6},{"Name":"two"}]}})");
   GatewayConfig now = file.ApplyVersion(a, previous, nullptr, kNow);
-  now.settings.tenants[1].requests_per_second = 77;  // in no version: shows that it is left alone
+  now.settings.tenants[1].requests_per_second = 77;  // in no version, so it shows a parsed tenant
   const GatewayConfig next = file.ApplyVersion(b, now, &a, kNow);
   EXPECT_EQ(next.settings.tenants[0].requests_per_second, 6);
   EXPECT_EQ(next.settings.tenants[1].requests_per_second, 77);
   EXPECT_EQ(file.ApplyVersion(b, now, nullptr, kNow).settings.tenants[1].requests_per_second, 0);
   // An invalid quota is rejected either way.
-  for (const char* const bad : {R"("soon")", "{}"}) {
-    const cluster::VersionContent odd =
-        Of(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
-           R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
-    cluster::VersionContent wrong = odd;
-    wrong.tenants->Set("two", R"({"Name":"two","OddShare":1,"Share":)" + std::string(bad) + "}");
-    std::string whole, part;
+  for (const char* const invalid_share : {R"("soon")", "{}"}) {
+    const cluster::VersionContent valid =
+        ContentOf(R"({"settings":{"Tenants":[{"Name":"t one","QuotaPerS":5},)"
+                  R"({"Name":"two","OddShare":1,"Share":0.1}]}})");
+    cluster::VersionContent invalid = valid;
+    invalid.tenants->Set(
+        "two", R"({"Name":"two","OddShare":1,"Share":)" + std::string(invalid_share) + "}");
+    std::string whole_error, change_error;
     try {
-      static_cast<void>(file.ApplyVersion(wrong, now, nullptr, kNow));
+      static_cast<void>(file.ApplyVersion(invalid, now, nullptr, kNow));
     } catch (const ConfigError& error) {
-      whole = error.what();
+      whole_error = error.what();
     }
     try {
-      static_cast<void>(file.ApplyVersion(wrong, now, &odd, kNow));
+      static_cast<void>(file.ApplyVersion(invalid, now, &valid, kNow));
     } catch (const ConfigError& error) {
-      part = error.what();
+      change_error = error.what();
     }
-    EXPECT_EQ(whole.empty(), part.empty()) << bad << ": " << whole << " / " << part;
+    EXPECT_EQ(whole_error.empty(), change_error.empty())
+        << invalid_share << ": " << whole_error << " / " << change_error;
   }
 }
 
-// Retired names keep their positions for the requests that have them; without a bound a gateway
-// that runs for months would hold all names there ever were. Current names do not count: with a
-// bound on all names, 1,100 tenants could be started with and never changed.
-TEST_F(VersionedSettingsTest, BoundsRetiredNamesAndNotCurrentOnes) {
-  const auto named = [&](size_t from, size_t count) {
+// Retired names keep their positions for the requests that refer to them. Without a limit, a
+// gateway that runs for months would keep all names there ever were. Current names do not count:
+// with a limit on all names, a gateway could start with 1,100 tenants but never change them.
+TEST_F(VersionedSettingsTest, LimitsRetiredButNotCurrentNames) {
+  const auto content_with_tenants = [&](size_t from, size_t count) {
     nlohmann::json settings;
     for (size_t i = from; i < from + count; ++i) {
       settings["Tenants"].push_back({{"Name", "n" + std::to_string(i)}, {"Share", 0.1}});
     }
-    return Of(nlohmann::json{{"settings", settings}}.dump());
+    return ContentOf(nlohmann::json{{"settings", settings}}.dump());
   };
   const VersionedSettings file(previous);
-  previous = file.ApplyVersion(named(0, 3000), previous, nullptr, kNow);
+  previous = file.ApplyVersion(content_with_tenants(0, 3000), previous, nullptr, kNow);
   EXPECT_GE(previous.names.tenants.size(), 3000u);
-  const GatewayConfig some = file.ApplyVersion(named(1000, 3000), previous, nullptr, kNow);
-  for (const bool part : {false, true}) {
-    const cluster::VersionContent before = named(1000, 3000);
-    const auto with = [&](const cluster::VersionContent& rules) {
-      return file.ApplyVersion(rules, some, part ? &before : nullptr, kNow);
+  const GatewayConfig current =
+      file.ApplyVersion(content_with_tenants(1000, 3000), previous, nullptr, kNow);
+  for (const bool as_changes : {false, true}) {
+    const cluster::VersionContent before = content_with_tenants(1000, 3000);
+    const auto apply = [&](const cluster::VersionContent& content) {
+      return file.ApplyVersion(content, current, as_changes ? &before : nullptr, kNow);
     };
-    EXPECT_NO_THROW(static_cast<void>(with(named(1010, 3000))));
+    EXPECT_NO_THROW(static_cast<void>(apply(content_with_tenants(1010, 3000))));
     try {
-      static_cast<void>(with(named(1100, 3000)));
-      FAIL() << "1,100 gone beside 100 new ones were taken";
+      static_cast<void>(apply(content_with_tenants(1100, 3000)));
+      FAIL() << "accepted 1,100 retired names together with 100 new ones";
     } catch (const ConfigError& error) {
       EXPECT_STREQ(error.what(),
                    "bank: over 1024 tenants gone since the start, expected a restart");
     }
-    // Retiring takes no room, and a name that comes back frees some.
-    EXPECT_NO_THROW(static_cast<void>(with(named(3999, 1))));
-    EXPECT_NO_THROW(static_cast<void>(with(named(0, 4000))));
+    // Names may be retired as long as no name is added, and adding a retired name again lowers the
+    // number of retired names.
+    EXPECT_NO_THROW(static_cast<void>(apply(content_with_tenants(3999, 1))));
+    EXPECT_NO_THROW(static_cast<void>(apply(content_with_tenants(0, 4000))));
   }
-  // Back to the file's own settings, as when a version cannot be applied: it brings no new name.
+  // Returning to the file's settings, as after a version that cannot be applied, adds no name.
   EXPECT_EQ(RejectionOf(ConfigText(kSettings)), "");
 }
 
-// A version has no endpoints: the file's 99,000 were once read, and their text kept, with each.
-TEST_F(VersionedSettingsTest, DoesNotReadTheFilesEndpointsAgain) {
+// A version has no endpoints. Applying it must not parse the file's endpoints again or copy the
+// text of the file, which may have 99,000 endpoints.
+TEST_F(VersionedSettingsTest, DoesNotParseEndpointsOfFileAgain) {
   Write(ConfigText(kSettings, R"([{"id":"h1","host_port":"127.0.0.2:80","phase":"active"}])"));
   const GatewayConfig file = Read();
   ASSERT_EQ(file.initial_endpoints.endpoints.size(), 1u);
