--- a/src/config/wire_values.cpp
+++ b/src/config/wire_values.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr uint32_t kMaxIndex = 1'000'000;
-constexpr double kMaxMillis = 1e12;  // keeps microseconds far inside 64 bits
+constexpr double kMaxMillis = 1e12;  // as microseconds this fits easily in 64 bits
 constexpr double kMicrosPerMilli = 1000.0;
 
 std::string ErrorText(std::string_view name, std::string_view value, std::string_view expected) {
