--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -15,7 +15,7 @@
 namespace paddlestile {
 namespace {
 
-// An operator's file has a list of members, an experiment has none.
+// A TOML file with a list of members is an operator's file. Any other is an experiment.
 std::vector<std::string> CheckToml(const std::string& path) {
   std::ifstream file(path);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
@@ -24,7 +24,7 @@
 }
 
 int CheckFile(const std::string& path) {
-  // The lines of a TOML file begin with its name already.
+  // The faults of a TOML file already begin with its path.
   const bool is_toml = path.ends_with(".toml");
   const std::vector<std::string> faults = is_toml ? CheckToml(path) : ValidateGatewayConfig(path);
   for (const std::string& fault : faults) {
@@ -41,7 +41,7 @@
 
 Subcommand AddCheckCommand(CLI::App& app) {
   const auto file = std::make_shared<std::string>();
-  CLI::App* const check = app.add_subcommand("check", "Say what is wrong in a file, all of it");
+  CLI::App* const check = app.add_subcommand("check", "Check a file and print all of its faults");
   check
       ->add_option("FILE", *file,
                    "a gateway's configuration (JSON), an operator's file or an experiment (.toml)")
--- a/src/cli/check_command.h
+++ b/src/cli/check_command.h
@@ -1,4 +1,4 @@
-// `paddlestile check`: the faults of a file of any kind that the program reads.
+// `paddlestile check`: prints the faults of a file of any kind that the program reads.
 #ifndef PADDLESTILE_CLI_CHECK_COMMAND_H_
 #define PADDLESTILE_CLI_CHECK_COMMAND_H_
 
