--- a/src/cli/cluster_client.cpp
+++ b/src/cli/cluster_client.cpp
@@ -22,7 +22,7 @@
 using cluster::ChangeResult;
 using nlohmann::json;
 
-constexpr Duration kRetryDelay{100'000};  // us; once all members were asked
+constexpr Duration kRetryDelay{100'000};  // us, after all members have been called
 
 std::string NewChangeId() {
   std::random_device device;
@@ -52,8 +52,8 @@
   }
 }
 
-// A member's reply to a submitted change: an exit code where it settles the change. Otherwise
-// `reason` is set to why it does not, if the reply says so.
+// Handles a member's reply to a submitted change. Returns an exit code if the change is done or
+// refused. Otherwise sets `reason` to the reason that the reply gives, if any.
 std::optional<int> HandleSubmitReply(const json& reply, bool as_json, std::string& reason) {
   if (reply.contains("error")) {
     reason = reply["error"].get<std::string>();
@@ -79,25 +79,26 @@
 CLI::App* AddClusterSubcommand(CLI::App& parent, const char* name, const char* description,
                                const char* examples, std::string& operator_file) {
   CLI::App* const command = parent.add_subcommand(name, description);
-  command->footer(std::string("Exit codes: 0 done, 1 not, 2 wrong usage.\n\nExamples:\n") +
+  command->footer(std::string("Exit codes: 0 done, 1 not done, 2 wrong usage.\n\nExamples:\n") +
                   examples);
   command->add_option("--operator", operator_file,
-                      "the operator's file: all members are asked in turn");
+                      "an operator's file, whose members are called in turn");
   return command;
 }
 
 void AddCallOptions(CLI::App& command, MemberCallOptions& options) {
   command.add_option("--at", options.members,
-                     "a member's address in the bank; several are asked in turn");
-  command.add_flag("--json", options.as_json, "for programs");
+                     "the address of a member; several are called in turn");
+  command.add_flag("--json", options.as_json, "print JSON");
 }
 
 void AddSubmitOptions(CLI::App& command, SubmitOptions& options) {
   AddCallOptions(command, options.call);
-  command.add_option("--id", options.id, "the same id again is the same change, and counts once");
-  command.add_option("--author", options.author, "who wants it; $USER where none is given");
-  command.add_option("--reason", options.reason, "why, for the history");
-  command.add_option("--within", options.timeout_s, "seconds to go on asking")
+  command.add_option("--id", options.id,
+                     "of the change; a change submitted again with the same id is applied once");
+  command.add_option("--author", options.author, "who makes the change; by default $USER");
+  command.add_option("--reason", options.reason, "the reason, for the history");
+  command.add_option("--within", options.timeout_s, "seconds until it gives up")
       ->check(CLI::Range(0.1, 3600.0))
       ->capture_default_str();
 }
@@ -108,7 +109,7 @@
 }
 
 int FailNoReply() {
-  return FailClusterCommand(kExitFailed, "no member answers");
+  return FailClusterCommand(kExitFailed, "no member replied");
 }
 
 std::vector<Address> MemberAddresses(const MemberCallOptions& options) {
@@ -147,12 +148,12 @@
   request.change.author = AuthorOf(options);
   request.change.reason = options.reason;
   request.change.submitted_unix_s = UnixSeconds();
-  // The members' protocol calls the request a wish and its result an answer.
+  // In the members' protocol the key of the request is "wish", and that of its result "answer".
   const json call = {{"what", "submit"}, {"wish", cluster::ToJson(request)}};
   const std::vector<Address> addresses = MemberAddresses(options.call);
   using Clock = std::chrono::steady_clock;
   const auto deadline = Clock::now() + std::chrono::duration<double>(options.timeout_s);
-  std::string reason = "no member answers";
+  std::string reason = "no member replied";
   for (size_t attempt = 0; attempt == 0 || Clock::now() < deadline; ++attempt) {
     if (attempt >= addresses.size()) {
       std::this_thread::sleep_for(kRetryDelay);
--- a/src/cli/cluster_client.h
+++ b/src/cli/cluster_client.h
@@ -1,4 +1,4 @@
-// What the subcommands of `bank` have in common: their options, and calls to the members.
+// Options and calls to cluster members that the subcommands of `bank` share.
 #ifndef PADDLESTILE_CLI_CLUSTER_CLIENT_H_
 #define PADDLESTILE_CLI_CLUSTER_CLIENT_H_
 
@@ -16,48 +16,49 @@
 
 inline constexpr Duration kMemberCallTimeout{5'000'000};  // us
 
-// Which members to ask, and how to print what they reply.
+// Which members to call, and how to print their replies.
 struct MemberCallOptions {
-  std::string operator_file;         // the operator's file: all members in it
-  std::vector<std::string> members;  // addresses, before those of the file
+  std::string operator_file;         // path of an operator's file, whose members are called
+  std::vector<std::string> members;  // addresses of members to call before those of the file
   bool as_json = false;
 };
 
-// Options of a call that changes something.
+// Options of a call that submits a change.
 struct SubmitOptions {
   MemberCallOptions call;
-  std::string id;  // of the change; empty: a new one
+  std::string id;  // of the change; if empty, a new id is generated
   std::string author;
   std::string reason;
   double timeout_s = 10;
 };
 
-// Adds a subcommand with the footer that all of them have, and the option --operator.
+// Adds a subcommand with the common footer and the option --operator.
 CLI::App* AddClusterSubcommand(CLI::App& parent, const char* name, const char* description,
                                const char* examples, std::string& operator_file);
 
 // Adds the options --at and --json.
 void AddCallOptions(CLI::App& command, MemberCallOptions& options);
 
-// Adds those of AddCallOptions and --id, --author, --reason and --within.
+// Adds the options of AddCallOptions and --id, --author, --reason and --within.
 void AddSubmitOptions(CLI::App& command, SubmitOptions& options);
 
 // Prints one line to standard error and returns the exit code.
 int FailClusterCommand(int exit_code, const std::string& text);
 
-// As FailClusterCommand, where no member replied.
+// Like FailClusterCommand, for the case that no member replied.
 int FailNoReply();
 
-// The members to ask, in turn. Throws ConfigError where none is named, or the file is unusable.
+// Returns the members to call, in order. Throws ConfigError if none is given or the operator's file
+// cannot be read or is invalid.
 std::vector<Address> MemberAddresses(const MemberCallOptions& options);
 
-// The reply of the first member that gives one; nullopt where none does.
+// Calls the members in order and returns the first reply, or nullopt if no member replies.
 std::optional<nlohmann::json> CallAnyMember(const MemberCallOptions& options,
                                             const nlohmann::json& call);
 
-// Submits a change to the members in turn until one reports it done or refused, or the time is
-// over. The same id counts once, however often it arrives. Prints the result and returns the exit
-// code.
+// Submits a change to the members in turn until one reports it as done or refused, or until the
+// timeout. A change is applied once, however often its id is submitted. Prints the result and
+// returns the exit code.
 int SubmitChange(const SubmitOptions& options, cluster::ChangeRequest request);
 
 }  // namespace paddlestile
