--- a/src/cli/cluster_commands.cpp
+++ b/src/cli/cluster_commands.cpp
@@ -11,7 +11,7 @@
 namespace paddlestile {
 namespace {
 
-// Runs the parsed subcommand and turns what it throws into one line and an exit code.
+// Runs the parsed subcommand. Prints an exception as one line and converts it to an exit code.
 int RunClusterCommand(const std::vector<Subcommand>& subcommands) {
   try {
     return RunParsed(subcommands).value_or(kExitWrongUsage);
@@ -26,9 +26,10 @@
 }  // namespace
 
 Subcommand AddClusterCommands(CLI::App& app) {
-  CLI::App* const bank = app.add_subcommand("bank", "Settings and lists that gateways agree on");
+  CLI::App* const bank = app.add_subcommand(
+      "bank", "Manage the settings and host lists that a cluster of gateways agrees on");
   bank->require_subcommand(1);
-  // The order is that of the help text.
+  // In the order of the help text.
   const std::vector<Subcommand> subcommands = {
       AddClusterInitCommand(*bank), AddClusterStatusCommand(*bank), AddClusterHistoryCommand(*bank),
       AddClusterDiffCommand(*bank), AddClusterChangeCommand(*bank), AddClusterVotersCommand(*bank)};
--- a/src/cli/cluster_commands.h
+++ b/src/cli/cluster_commands.h
@@ -1,5 +1,5 @@
 // `paddlestile bank ...`: an operator's calls to the members of the cluster, which the command line
-// calls a bank. Each subcommand has a file of its own, cluster_NAME_command.cpp.
+// calls a bank. Each subcommand is in cluster_NAME_command.cpp.
 #ifndef PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
 #define PADDLESTILE_CLI_CLUSTER_COMMANDS_H_
 
@@ -10,7 +10,7 @@
 // Adds `bank` with all of its subcommands. Its exit codes: 0 done, 1 not done, 2 wrong usage.
 Subcommand AddClusterCommands(CLI::App& app);
 
-// One function a subcommand, which adds it to `bank`.
+// Each function adds one subcommand to `bank`.
 Subcommand AddClusterInitCommand(CLI::App& bank);
 Subcommand AddClusterStatusCommand(CLI::App& bank);
 Subcommand AddClusterHistoryCommand(CLI::App& bank);
