--- a/src/cli/cluster_change_command.cpp
+++ b/src/cli/cluster_change_command.cpp
@@ -49,14 +49,14 @@
 Subcommand AddClusterChangeCommand(CLI::App& bank) {
   const auto options = std::make_shared<ChangeOptions>();
   CLI::App* const change = AddClusterSubcommand(
-      bank, "change", "Submit a whole new version, or a delta to the latest",
+      bank, "change", "Submit a whole new version, or a delta to the latest version",
       "  paddlestile bank change rules.json --operator bank.toml --reason 'h-3 burns' --expect 4",
       options->submit.call.operator_file);
   AddSubmitOptions(*change, options->submit);
   change->add_option("FILE", options->file, "settings, barred, drain, zone_only (JSON)")
       ->required();
   change->add_option("--expect", options->expected_version,
-                     "refuse where another version is the latest");
+                     "refuse the change unless this is the latest version");
   change->add_flag("--delta", options->is_delta,
                    "FILE tells what to set and remove in the latest version (changes = \"delta\")");
   return {change, [options] {
