--- a/src/cli/cluster_diff_command.cpp
+++ b/src/cli/cluster_diff_command.cpp
@@ -15,11 +15,11 @@
 
 struct DiffOptions {
   MemberCallOptions call;
-  uint64_t from = 0;  // a version; 0: the empty document before the first
+  uint64_t from = 0;  // version numbers; 0 is the empty document before the first version
   uint64_t to = 0;
 };
 
-// The document of a version in a reply with the history; nullopt where its text was not kept.
+// Returns the document of a version in a history reply, or nullopt if its text is not available.
 std::optional<json> FindDocument(const json& versions, uint64_t number) {
   if (number == 0) {
     return json::parse(cluster::ToText(cluster::ConfigDocument()));
@@ -39,13 +39,13 @@
   return document;
 }
 
-int FailNotKept(uint64_t number) {
+int FailNoText(uint64_t number) {
   return FailClusterCommand(
-      kExitFailed, fmt::format("version {} is not kept whole, expected one of the last {}", number,
+      kExitFailed, fmt::format("version {} has no stored text, expected one of the last {}", number,
                                cluster::VersionHistory::kFullVersions));
 }
 
-// A line for each value that one document has and the other has not.
+// Prints one line for each value that only one of the documents has.
 void PrintPatch(const json& patch, const json& from) {
   for (const json& step : patch) {
     const std::string path = step["path"];
@@ -68,11 +68,11 @@
   const json& versions = (*reply)["versions"];
   const std::optional<json> from = FindDocument(versions, options.from);
   if (!from) {
-    return FailNotKept(options.from);
+    return FailNoText(options.from);
   }
   const std::optional<json> to = FindDocument(versions, options.to);
   if (!to) {
-    return FailNotKept(options.to);
+    return FailNoText(options.to);
   }
   const json patch = json::diff(*from, *to);
   if (options.call.as_json) {
@@ -92,12 +92,13 @@
 
 Subcommand AddClusterDiffCommand(CLI::App& bank) {
   const auto options = std::make_shared<DiffOptions>();
-  CLI::App* const diff = AddClusterSubcommand(bank, "diff", "What differs between two versions",
-                                              "  paddlestile bank diff 3 4 --at 127.0.0.1:7000",
-                                              options->call.operator_file);
+  CLI::App* const diff = AddClusterSubcommand(
+      bank, "diff", "Print the differences between two versions",
+      "  paddlestile bank diff 3 4 --at 127.0.0.1:7000", options->call.operator_file);
   AddCallOptions(*diff, options->call);
-  diff->add_option("A", options->from, "a version; 0: nothing agreed")->required();
-  diff->add_option("B", options->to, "another")->required();
+  diff->add_option("A", options->from, "a version; 0 is the state before the first version")
+      ->required();
+  diff->add_option("B", options->to, "another version")->required();
   return {diff, [options] {
             return Diff(*options);
           }};
