--- a/src/cli/cluster_history_command.cpp
+++ b/src/cli/cluster_history_command.cpp
@@ -24,7 +24,7 @@
 
 int History(const MemberCallOptions& options) {
   json call = {{"what", "history"}};
-  // The versions' texts may be many and large; only the JSON shows them.
+  // The texts of the versions may be large. Only the JSON output contains them.
   if (!options.as_json) {
     call["texts"] = json::array();
   }
@@ -47,9 +47,9 @@
 
 Subcommand AddClusterHistoryCommand(CLI::App& bank) {
   const auto options = std::make_shared<MemberCallOptions>();
-  CLI::App* const history = AddClusterSubcommand(bank, "history", "The versions, the oldest first",
-                                                 "  paddlestile bank history --at 127.0.0.1:7000",
-                                                 options->operator_file);
+  CLI::App* const history = AddClusterSubcommand(
+      bank, "history", "List the versions, the oldest first",
+      "  paddlestile bank history --at 127.0.0.1:7000", options->operator_file);
   AddCallOptions(*history, *options);
   return {history, [options] {
             return History(*options);
