--- a/src/cli/cluster_init_command.cpp
+++ b/src/cli/cluster_init_command.cpp
@@ -14,7 +14,7 @@
 
 struct InitOptions {
   std::string operator_file;
-  std::string name;  // of the member that begins the cluster
+  std::string name;  // of the cluster's first member
 };
 
 int Init(const InitOptions& options) {
@@ -27,7 +27,8 @@
                               options.name + ": does not vote, expected one of the voters");
   }
   InitCluster(config, options.name);
-  fmt::print("{}: begun; start the members, the other voters join by themselves\n", config.folder);
+  fmt::print("{}: created; start the members, the other voters join automatically\n",
+             config.folder);
   return kExitDone;
 }
 
@@ -36,9 +37,9 @@
 Subcommand AddClusterInitCommand(CLI::App& bank) {
   const auto options = std::make_shared<InitOptions>();
   CLI::App* const init = AddClusterSubcommand(
-      bank, "init", "Begin a bank at its first voter",
+      bank, "init", "Create the state of a new cluster's first voter",
       "  paddlestile bank init --operator bank.toml --name g0", options->operator_file);
-  init->add_option("--name", options->name, "that member")->required();
+  init->add_option("--name", options->name, "the name of that voter")->required();
   return {init, [options] {
             return Init(*options);
           }};
