--- a/src/cli/cluster_status_command.cpp
+++ b/src/cli/cluster_status_command.cpp
@@ -15,12 +15,12 @@
 
 using nlohmann::json;
 
-// A member's status is its reply with its address; that of a member without reply has an `error`.
+// The status of a member is its reply plus its address. Without a reply it has an `error` instead.
 bool HasReplied(const json& status) {
   return !status.contains("error");
 }
 
-std::vector<json> AskAllMembers(const MemberCallOptions& options) {
+std::vector<json> CallAllMembers(const MemberCallOptions& options) {
   std::vector<json> statuses;
   for (const Address& address : MemberAddresses(options)) {
     auto reply = CallMember(address, StatusCall(), kMemberCallTimeout);
@@ -51,7 +51,7 @@
       status["version_on"].get<uint64_t>(), status["version_latest"].get<uint64_t>(),
       status["term"].get<uint64_t>(), DescribeLeader(status), status["lease_ms"].get<int64_t>(),
       status["disk"].get<std::string>());
-  // Members of an earlier release do not report changes.
+  // Members of earlier versions do not report `changes`.
   if (!status.contains("changes")) {
     return;
   }
@@ -67,7 +67,7 @@
 }
 
 int Status(const MemberCallOptions& options) {
-  const std::vector<json> statuses = AskAllMembers(options);
+  const std::vector<json> statuses = CallAllMembers(options);
   const auto replied = std::find_if(statuses.begin(), statuses.end(), HasReplied);
   const int exit_code = replied != statuses.end() ? kExitDone : kExitFailed;
   if (options.as_json) {
@@ -88,7 +88,7 @@
 Subcommand AddClusterStatusCommand(CLI::App& bank) {
   const auto options = std::make_shared<MemberCallOptions>();
   CLI::App* const status = AddClusterSubcommand(
-      bank, "status", "Who is there, who leads, what is acted on",
+      bank, "status", "Print each member's role, leader and versions",
       "  paddlestile bank status --operator bank.toml", options->operator_file);
   AddCallOptions(*status, *options);
   return {status, [options] {
