--- a/src/cli/cluster_voters_command.cpp
+++ b/src/cli/cluster_voters_command.cpp
@@ -38,16 +38,17 @@
 }  // namespace
 
 Subcommand AddClusterVotersCommand(CLI::App& bank) {
-  CLI::App* const voters = bank.add_subcommand("voters", "Who votes");
+  CLI::App* const voters = bank.add_subcommand("voters", "Change which members vote");
   voters->require_subcommand(1);
   const std::vector<Subcommand> subcommands = {
-      AddVoterCommand(*voters, "add", "Let a member vote",
+      AddVoterCommand(*voters, "add", "Make a member a voter",
                       "  paddlestile bank voters add g7 --operator bank.toml",
                       ChangeRequest::Kind::kAddVoter),
-      AddVoterCommand(*voters, "remove", "Let a member vote no more",
+      AddVoterCommand(*voters, "remove", "Make a voter a non-voting member",
                       "  paddlestile bank voters remove g7 --at 127.0.0.1:7000",
                       ChangeRequest::Kind::kRemoveVoter),
-      AddVoterCommand(*voters, "replace", "Let a voter in anew that came back with another disk",
+      AddVoterCommand(*voters, "replace",
+                      "Make a voter that restarted with another disk a voter again",
                       "  paddlestile bank voters replace g1 --operator bank.toml",
                       ChangeRequest::Kind::kReplaceVoter)};
   return {voters, [subcommands] {
