--- a/src/cli/lab_bench_command.cpp
+++ b/src/cli/lab_bench_command.cpp
@@ -21,7 +21,7 @@
   bool module = false;
 };
 
-// Replaces this process by the benchmark of the decision module; returns only on failure.
+// Replaces this process with the benchmark of the decision module. Returns only on failure.
 int ExecModuleBench() {
   const std::filesystem::path folder =
       std::filesystem::read_symlink("/proc/self/exe").parent_path();
@@ -48,21 +48,26 @@
 
 Subcommand AddBenchCommand(CLI::App& lab) {
   const auto options = std::make_shared<BenchCommandOptions>();
-  CLI::App* const bench =
-      lab.add_subcommand("bench", "Weigh the gateway against the same load sent straight");
-  bench->add_option("--seconds", options->bench.seconds, "of each part")
+  CLI::App* const bench = lab.add_subcommand(
+      "bench", "Compare the gateway with the same load sent directly to the hosts");
+  bench->add_option("--seconds", options->bench.seconds, "duration of each part")
       ->check(CLI::Range(1.0, 60.0));
-  bench->add_option("--rounds", options->bench.rounds, "straight and through, by turns")
+  bench
+      ->add_option("--rounds", options->bench.rounds,
+                   "rounds, each sent directly and through the gateway")
       ->check(CLI::Range(1, 100));
-  bench->add_option("--rate", options->bench.rate, "requests a second of the rounds")
+  bench->add_option("--rate", options->bench.rate, "requests per second in the rounds")
       ->check(CLI::Range(1.0, 100'000.0));
-  bench->add_option("--connections", options->bench.connections, "idle ones, to weigh one")
+  bench
+      ->add_option("--connections", options->bench.connections,
+                   "idle connections, to measure the memory of one")
       ->check(CLI::Range(0, 20'000));
-  bench->add_option("--seed", options->bench.seed, "of the arrivals");
-  bench->add_option("--json", options->json, "write the figures here");
+  bench->add_option("--seed", options->bench.seed, "random seed of the arrivals");
+  bench->add_option("--json", options->json, "write the results to this file");
   bench->add_option("--gateway", options->bench.gateway,
-                    "the words that start a gateway, instead of this program");
-  bench->add_flag("--module", options->module, "the decision module alone (make bench builds it)");
+                    "the command that starts a gateway, instead of this program");
+  bench->add_flag("--module", options->module,
+                  "benchmark only the decision module (built by make bench)");
   bench->footer("Example:\n  paddlestile lab bench --seconds 5 --json bench.json");
   return {bench, [options] {
             return Bench(*options);
