--- a/src/cli/lab_capacity_command.cpp
+++ b/src/cli/lab_capacity_command.cpp
@@ -17,8 +17,8 @@
   std::string target = "lab/capacity/target.toml";
   std::string rows = "lab/capacity/rows.toml";
   std::string slopes = "lab/capacity/slopes.json";
-  std::string fit;   // a folder of runs; empty: the slopes stay
-  std::string page;  // a file to put the tables into; empty: they are printed
+  std::string fit;   // a folder of runs to fit; if empty, the slopes are read
+  std::string page;  // a file to write the tables into; if empty, they are printed
   bool as_json = false;
 };
 
@@ -59,17 +59,18 @@
 Subcommand AddCapacityCommand(CLI::App& lab) {
   const auto options = std::make_shared<CapacityCommandOptions>();
   CLI::App* const capacity = lab.add_subcommand(
-      "capacity", "What the operators' target takes of each role, from committed measurements");
-  capacity->add_option("--target", options->target, "the operators' figures")
+      "capacity", "Estimate the resources that the operators' target needs, from stored runs");
+  capacity->add_option("--target", options->target, "file with the operators' target")
       ->capture_default_str();
-  capacity->add_option("--rows", options->rows, "what is weighed")->capture_default_str();
-  capacity->add_option("--slopes", options->slopes, "the lines through the runs")
+  capacity->add_option("--rows", options->rows, "file with the rows to estimate")
       ->capture_default_str();
-  CLI::Option* const fit =
-      capacity->add_option("--fit", options->fit, "make the slopes anew from this folder of runs");
-  capacity->add_option("--page", options->page, "put the tables between the markers of this file")
+  capacity->add_option("--slopes", options->slopes, "file with the slopes fitted to the runs")
+      ->capture_default_str();
+  CLI::Option* const fit = capacity->add_option(
+      "--fit", options->fit, "fit the slopes to the runs in this folder and write them");
+  capacity->add_option("--page", options->page, "write the tables between the markers of this file")
       ->excludes(fit);
-  capacity->add_flag("--json", options->as_json, "as JSON instead of tables")
+  capacity->add_flag("--json", options->as_json, "print JSON instead of tables")
       ->excludes(fit)
       ->excludes("--page");
   capacity->footer(
