--- a/src/cli/lab_commands.cpp
+++ b/src/cli/lab_commands.cpp
@@ -13,7 +13,7 @@
 namespace paddlestile::lab {
 namespace {
 
-// Runs the parsed subcommand and turns what it throws into one line and an exit code.
+// Runs the parsed subcommand. Prints an exception as one line and converts it to an exit code.
 int RunLabCommand(const std::vector<Subcommand>& subcommands) {
   try {
     return RunParsed(subcommands).value_or(kExitWrongUsage);
@@ -26,7 +26,7 @@
   } catch (const CapacityError& error) {
     fmt::print(stderr, "{}\n", error.what());
     return kExitWrongUsage;
-  } catch (const std::exception& error) {  // a port in use, a file that is no result
+  } catch (const std::exception& error) {  // for instance a port in use or an invalid result file
     fmt::print(stderr, "paddlestile: {}\n", error.what());
     return kExitWrongUsage;
   }
@@ -49,9 +49,9 @@
 }
 
 Subcommand AddLabCommands(CLI::App& app) {
-  CLI::App* const lab = app.add_subcommand("lab", "Play experiments on emulated hosts");
+  CLI::App* const lab = app.add_subcommand("lab", "Run experiments with emulated hosts");
   lab->require_subcommand(1);
-  // The order is that of the help text.
+  // In the order of the help text.
   const std::vector<Subcommand> subcommands = {
       AddRunCommand(*lab),         AddListCommand(*lab),    AddReportCommand(*lab),
       AddFleetReportCommand(*lab), AddBenchCommand(*lab),   AddGatewayCommand(*lab),
--- a/src/cli/lab_commands.h
+++ b/src/cli/lab_commands.h
@@ -1,4 +1,4 @@
-// `paddlestile lab ...`: the lab's part of the command line. Each subcommand has a file of its own,
+// `paddlestile lab ...`: the lab's part of the command line. Each subcommand is in
 // lab_NAME_command.cpp.
 #ifndef PADDLESTILE_CLI_LAB_COMMANDS_H_
 #define PADDLESTILE_CLI_LAB_COMMANDS_H_
@@ -10,14 +10,15 @@
 
 namespace paddlestile::lab {
 
-// Adds `lab` with all of its subcommands. Its exit codes: 0 done or held, 1 it did not hold, 2
-// wrong usage.
+// Adds `lab` with all of its subcommands. Its exit codes: 0 done or held, 1 failed or did not hold,
+// 2 wrong usage.
 Subcommand AddLabCommands(CLI::App& app);
 
-// All faults of the experiment file at `path`, a line each; empty: it can be run.
+// Returns the faults of the experiment file at `path`, one line each. If there are none, it can be
+// run.
 std::vector<std::string> CheckExperiment(const std::string& path);
 
-// One function a subcommand, which adds it to `lab`.
+// Each function adds one subcommand to `lab`.
 Subcommand AddRunCommand(CLI::App& lab);
 Subcommand AddListCommand(CLI::App& lab);
 Subcommand AddReportCommand(CLI::App& lab);
