--- a/src/cli/lab_fleet_report_command.cpp
+++ b/src/cli/lab_fleet_report_command.cpp
@@ -41,13 +41,16 @@
 Subcommand AddFleetReportCommand(CLI::App& lab) {
   const auto options = std::make_shared<FleetReportCommandOptions>();
   CLI::App* const fleet = lab.add_subcommand(
-      "fleet-report", "Add up what all gateways of a fleet did, from their logs");
-  fleet->add_option("DIR", options->folder, "a folder of their logs, text or JSON")->required();
-  fleet->add_option("--json", options->json, "write the sums here");
-  fleet->add_option("--html", options->html, "write the page here");
-  fleet->add_option("--phase", options->phases, "a span with a name: NAME=FROM-TO, in seconds")
+      "fleet-report", "Add up the counters of all gateways of a fleet from their logs");
+  fleet->add_option("DIR", options->folder, "a folder of the gateways' logs, text or JSON")
+      ->required();
+  fleet->add_option("--json", options->json, "write the totals to this file");
+  fleet->add_option("--html", options->html, "write the HTML page to this file");
+  fleet->add_option("--phase", options->phases, "a named time span: NAME=FROM-TO, in seconds")
       ->take_all();
-  fleet->add_option("--gateways", options->gateways, "how many there are, to say who is missing")
+  fleet
+      ->add_option("--gateways", options->gateways,
+                   "the expected number of gateways, to report missing ones")
       ->check(CLI::Range(1, 1'000'000));
   fleet->footer(
       "The gateways log their counters where they run as `serve --counters-every 1`; what is kept "
