--- a/src/cli/lab_gateway_command.cpp
+++ b/src/cli/lab_gateway_command.cpp
@@ -20,7 +20,7 @@
   std::string json;
 };
 
-// The command line of this process, with the program's name alone in place of its path.
+// Returns the command line of this process, with the program's file name instead of its path.
 std::string CommandLine() {
   std::ifstream file("/proc/self/cmdline", std::ios::binary);
   std::string program;
@@ -45,30 +45,32 @@
 }
 
 void AddGatewayOptions(CLI::App& gateway, GatewayCommandOptions& options) {
-  gateway.add_option("--hosts", options.gateway.hosts, "of the list, up to 2,000,000")
+  gateway.add_option("--hosts", options.gateway.hosts, "hosts in the list, up to 2,000,000")
       ->check(CLI::Range(1, 2'000'000))
       ->capture_default_str();
   gateway
-      .add_option("--tenants", options.gateway.tenants, "with a quota each; 0 leaves settings out")
+      .add_option("--tenants", options.gateway.tenants,
+                  "tenants with a quota each; with 0, settings are not measured")
       ->check(CLI::Range(0, 1'000'000))
       ->capture_default_str();
   gateway
       .add_option("--seconds", options.gateway.seconds,
-                  "idle, with changes, and of each part of a rate")
+                  "duration of each phase: idle, with changes, and each part of a rate")
       ->check(CLI::Range(1.0, 600.0))
       ->capture_default_str();
-  gateway.add_option("--seed", options.gateway.seed, "of changes and arrivals")
+  gateway.add_option("--seed", options.gateway.seed, "random seed of changes and arrivals")
       ->capture_default_str();
-  gateway.add_option("--changes", options.gateway.changes, "entries of the list changed a second")
+  gateway.add_option("--changes", options.gateway.changes, "list entries changed per second")
       ->check(CLI::Range(0.0, 1000.0))
       ->capture_default_str();
   gateway
       .add_option("--rates", options.gateway.rates,
-                  "requests a second at which the latency added is measured: 100,200,400")
+                  "requests per second at which the added latency is measured: 100,200,400")
       ->delimiter(',')
       ->check(CLI::Range(1.0, 100'000.0));
-  gateway.add_option("--commit", options.gateway.commit, "kept in the figures as given");
-  gateway.add_option("--json", options.json, "write the figures here");
+  gateway.add_option("--commit", options.gateway.commit,
+                     "commit of the measured build, copied to the results");
+  gateway.add_option("--json", options.json, "write the results to this file");
 }
 
 }  // namespace
@@ -76,7 +78,7 @@
 Subcommand AddGatewayCommand(CLI::App& lab) {
   const auto options = std::make_shared<GatewayCommandOptions>();
   CLI::App* const gateway = lab.add_subcommand(
-      "gateway", "Measure one gateway with a long list, many tenants, and the latency it adds");
+      "gateway", "Measure one gateway with many hosts and tenants, and the latency that it adds");
   AddGatewayOptions(*gateway, *options);
   gateway->footer(
       "Exit codes: 0 measured, 1 broken or void (the lab itself was late), 2 wrong usage.\n\n"
