--- a/src/cli/lab_hollow_command.cpp
+++ b/src/cli/lab_hollow_command.cpp
@@ -1,4 +1,4 @@
-// `paddlestile lab hollow`, which `lab scale` starts; the help does not list it.
+// `paddlestile lab hollow`, which is started by `lab scale` and not listed in the help.
 #include <memory>
 
 #include "cli/lab_commands.h"
@@ -8,7 +8,8 @@
 
 Subcommand AddHollowCommand(CLI::App& lab) {
   const auto options = std::make_shared<HollowOptions>();
-  CLI::App* const hollow = lab.add_subcommand("hollow", "Hollow members of a bank")->group("");
+  CLI::App* const hollow =
+      lab.add_subcommand("hollow", "Run hollow members of a cluster")->group("");
   hollow->add_option("--operator", options->operator_file)->required();
   hollow->add_option("--first", options->first)->required();
   hollow->add_option("--count", options->count)->required();
--- a/src/cli/lab_list_command.cpp
+++ b/src/cli/lab_list_command.cpp
@@ -49,8 +49,8 @@
 
 Subcommand AddListCommand(CLI::App& lab) {
   const auto folder = std::make_shared<std::string>("lab/experiments");
-  CLI::App* const list = lab.add_subcommand("list", "List the experiments of a folder");
-  list->add_option("FOLDER", *folder, "lab/experiments where none is given");
+  CLI::App* const list = lab.add_subcommand("list", "List the experiments in a folder");
+  list->add_option("FOLDER", *folder, "by default lab/experiments");
   list->footer("Example:\n  paddlestile lab list");
   return {list, [folder] {
             return List(*folder);
