--- a/src/cli/lab_output.cpp
+++ b/src/cli/lab_output.cpp
@@ -19,7 +19,7 @@
   std::ofstream file(path, std::ios::app);
   if (!file) {
     throw ExperimentError(
-        fmt::format("{}: {}, expected a file that can be written", path, std::strerror(errno)));
+        fmt::format("{}: {}, expected a writable file", path, std::strerror(errno)));
   }
 }
 
@@ -39,7 +39,7 @@
     return;
   }
   if (!HaveGnuplot()) {
-    fmt::print(stderr, "no gnuplot here: the report comes without plots\n");
+    fmt::print(stderr, "no gnuplot here: the report has no plots\n");
   }
   WriteText(path, RenderReport(results, true));
   fmt::print("report: {}\n", path);
--- a/src/cli/lab_output.h
+++ b/src/cli/lab_output.h
@@ -1,4 +1,4 @@
-// Files that the lab's subcommands read and write.
+// Output files of the lab's subcommands.
 #ifndef PADDLESTILE_CLI_LAB_OUTPUT_H_
 #define PADDLESTILE_CLI_LAB_OUTPUT_H_
 
@@ -9,14 +9,14 @@
 
 namespace paddlestile::lab {
 
-// Checks before a run that its result can be written to `path`; an empty path is valid. Throws
-// ExperimentError.
+// Checks before a run that its result can be written to `path`. Does nothing if `path` is empty.
+// Throws ExperimentError.
 void RequireWritable(const std::string& path);
 
-// Writes `text` to the file at `path`; an empty path writes nothing. Throws std::runtime_error.
+// Writes `text` to the file at `path`. Does nothing if `path` is empty. Throws std::runtime_error.
 void WriteText(const std::string& path, const std::string& text);
 
-// Writes the HTML report of the results, as WriteText does, and says so on standard output.
+// Writes the HTML report of the results like WriteText, and prints its path to standard output.
 void WriteReport(const std::string& path, const std::vector<Result>& results);
 
 }  // namespace paddlestile::lab
