--- a/src/cli/lab_report_command.cpp
+++ b/src/cli/lab_report_command.cpp
@@ -34,11 +34,11 @@
 Subcommand AddReportCommand(CLI::App& lab) {
   const auto options = std::make_shared<ReportCommandOptions>();
   CLI::App* const report =
-      lab.add_subcommand("report", "One page of a result, or of two side by side");
+      lab.add_subcommand("report", "Write an HTML page of one result, or of two side by side");
   report->add_option("RESULT", options->results, "what lab run wrote with --json")
       ->required()
       ->expected(1, 2);
-  report->add_option("--html", options->html, "write the page here")->required();
+  report->add_option("--html", options->html, "write the HTML page to this file")->required();
   report->footer("Example:\n  paddlestile lab report before.json after.json --html both.html");
   return {report, [options] {
             return Report(*options);
--- a/src/cli/lab_run_command.cpp
+++ b/src/cli/lab_run_command.cpp
@@ -43,17 +43,17 @@
 
 Subcommand AddRunCommand(CLI::App& lab) {
   const auto options = std::make_shared<RunCommandOptions>();
-  CLI::App* const run = lab.add_subcommand("run", "Play one experiment and judge it");
+  CLI::App* const run = lab.add_subcommand("run", "Run one experiment and check its expectations");
   run->add_option("FILE", options->file, "an experiment (TOML)")->required();
-  run->add_option("--seed", options->seed, "instead of the file's");
-  run->add_option("--seconds", options->seconds, "its first seconds only")
+  run->add_option("--seed", options->seed, "random seed, instead of the file's");
+  run->add_option("--seconds", options->seconds, "run only the first seconds")
       ->check(CLI::Range(1.0, 3600.0));
-  run->add_option("--json", options->json, "write the result here");
-  run->add_option("--html", options->html, "write the report here");
-  run->add_option("--logs", options->logs, "a folder to keep the gateways' logs in")
+  run->add_option("--json", options->json, "write the result to this file");
+  run->add_option("--html", options->html, "write the HTML report to this file");
+  run->add_option("--logs", options->logs, "keep the gateways' logs in this folder")
       ->check(CLI::ExistingDirectory);
   run->add_option("--gateway", options->gateway,
-                  "the words that start a gateway, instead of this program");
+                  "the command that starts a gateway, instead of this program");
   run->footer(
       "Exit codes: 0 held, 1 broken or void (the lab itself was late), 2 wrong usage.\n\n"
       "Examples:\n"
