--- a/src/cli/lab_soak_command.cpp
+++ b/src/cli/lab_soak_command.cpp
@@ -40,21 +40,23 @@
   const auto command = std::make_shared<SoakCommandOptions>();
   SoakOptions* const options = &command->soak;
   CLI::App* const soak = lab.add_subcommand(
-      "soak", "Play experiments drawn from seeds, faults of all kinds in series");
-  soak->add_option("--seed", options->first_seed, "of the first")->capture_default_str();
-  soak->add_option("--seeds", options->seeds, "how many, one after the other, some 20 s each")
+      "soak", "Run random experiments from seeds, with a series of faults of all kinds");
+  soak->add_option("--seed", options->first_seed, "random seed of the first experiment")
+      ->capture_default_str();
+  soak->add_option("--seeds", options->seeds,
+                   "number of experiments, one after the other, about 20 s each")
       ->check(CLI::Range(uint64_t{1}, kMaxSeeds))
       ->capture_default_str();
   soak->add_option(
           "--mix", command->mix,
-          "wide: also long requests, bad clients, lists and settings that go wrong, and hot "
-          "restarts in a cluster, some 30 s each")
+          "wide: also long requests, invalid clients, faulty lists and settings, and hot restarts "
+          "in a cluster, about 30 s each")
       ->check(CLI::IsMember({"base", "wide"}))
       ->capture_default_str();
-  soak->add_option("--logs", options->logs, "a folder to keep the gateways' logs in")
+  soak->add_option("--logs", options->logs, "keep the gateways' logs in this folder")
       ->check(CLI::ExistingDirectory);
   soak->add_option("--gateway", options->gateway,
-                   "the words that start a gateway, instead of this program");
+                   "the command that starts a gateway, instead of this program");
   soak->footer(
       "A line a seed: verdict, what broke first, and the command that repeats it.\n\n"
       "Exit codes: 0 all held, 1 one was broken or had no verdict, 2 wrong usage.\n\n"
