--- a/src/cli/migrate_command.cpp
+++ b/src/cli/migrate_command.cpp
@@ -15,12 +15,12 @@
 struct MigrateCommandOptions {
   MigrateOptions migrate;
   std::string file;
-  std::string target;  // empty: a dry run, which prints what would be written
+  std::string target;  // empty in a dry run, which prints the new file instead
   bool dry_run = false;
   bool replace = false;
 };
 
-// The notes go to standard error, so that the new file can be piped.
+// Prints the notes to standard error, so that the new file can be piped from standard output.
 int MigrateFile(const MigrateCommandOptions& options) {
   if (!options.dry_run && options.target.empty()) {
     fmt::print(stderr, "paddlestile: migrate: no target, expected --to FILE or --dry-run\n");
@@ -47,19 +47,21 @@
 
 Subcommand AddMigrateCommand(CLI::App& app) {
   const auto options = std::make_shared<MigrateCommandOptions>();
-  CLI::App* const migrate =
-      app.add_subcommand("migrate", "Write a file for a gateway beside every client process");
-  migrate->add_option("FILE", options->file, "a configuration of a bank's proxy (JSON)")
+  CLI::App* const migrate = app.add_subcommand(
+      "migrate", "Write a configuration for a gateway beside every client process");
+  migrate
+      ->add_option("FILE", options->file, "the configuration of a proxy that clients share (JSON)")
       ->required();
   migrate
-      ->add_option("--gateways", options->migrate.gateways, "client processes, each with a gateway")
+      ->add_option("--gateways", options->migrate.gateways,
+                   "number of client processes, each with a gateway")
       ->required()
       ->check(CLI::Range(1, 100'000));
-  migrate->add_option("--sockets", options->migrate.sockets, "descriptors of one gateway")
+  migrate->add_option("--sockets", options->migrate.sockets, "descriptor limit of one gateway")
       ->check(CLI::Range(64, 1'000'000))
       ->capture_default_str();
   migrate->add_flag("--warm-keys", options->migrate.warm_keys,
-                    "hosts do less work for a key met lately");
+                    "hosts do less work for a key that they served recently");
   CLI::Option* const target = migrate->add_option("--to", options->target, "the file to write");
   CLI::Option* const dry_run = migrate->add_flag("--dry-run", options->dry_run,
                                                  "write nothing, print what would be written");
--- a/src/cli/migrate_command.h
+++ b/src/cli/migrate_command.h
@@ -1,4 +1,4 @@
-// `paddlestile migrate`: a configuration file for a gateway beside every client process.
+// `paddlestile migrate`: writes a configuration file for a gateway beside every client process.
 #ifndef PADDLESTILE_CLI_MIGRATE_COMMAND_H_
 #define PADDLESTILE_CLI_MIGRATE_COMMAND_H_
 
