--- a/src/cli/exit_codes.h
+++ b/src/cli/exit_codes.h
@@ -5,7 +5,7 @@
 namespace paddlestile {
 
 inline constexpr int kExitDone = 0;
-inline constexpr int kExitFailed = 1;  // a check did not hold, or the work could not be done
+inline constexpr int kExitFailed = 1;  // a check failed, or the work could not be done
 inline constexpr int kExitWrongUsage = 2;
 
 }  // namespace paddlestile
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,5 @@
-// The program: one binary for the gateway, the checks of files, calls to the cluster and the lab.
-// Without arguments it serves, which is how the platform starts it.
+// The program, which contains the gateway, the checks of files, the calls to a cluster and the lab.
+// Without a subcommand it serves, which is how the platform starts it.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -38,7 +38,7 @@
 };
 
 struct ServeCommandOptions {
-  double counters_every_s = 0;  // 0: never
+  double counters_every_s = 0;  // 0 means never
   std::string operator_file;
 };
 
@@ -47,10 +47,10 @@
   if (level != nullptr && std::string_view(level) == "debug") {
     options.level = level;
   }
-  app.add_option("--log-format", options.format, "text, or json: one object a line")
+  app.add_option("--log-format", options.format, "text, or json with one object per line")
       ->check(CLI::IsMember({"text", "json"}));
   app.add_option("--log-level", options.level,
-                 "the least that is logged; LB_LOG=debug does the same")
+                 "the lowest level that is logged; LB_LOG=debug sets debug")
       ->check(CLI::IsMember({"debug", "info", "warning", "error"}));
 }
 
@@ -81,10 +81,11 @@
       "  paddlestile serve --counters-every 1");
   serve
       ->add_option("--counters-every", options.counters_every_s,
-                   "seconds between two lines of counters in the log, for lab fleet-report")
+                   "the interval in seconds at which counters are logged, for lab fleet-report")
       ->check(CLI::Range(0.1, 3600.0));
-  serve->add_option("--operator", options.operator_file,
-                    "the operator's file (TOML): [bank]; LB_OPERATOR does the same");
+  serve->add_option(
+      "--operator", options.operator_file,
+      "the operator's file (TOML) with [bank]; by default the file that LB_OPERATOR names");
 }
 
 Subcommand AddVersionCommand(CLI::App& app) {
@@ -96,15 +97,16 @@
   return {version, print};
 }
 
-// Serving is what the program does without a subcommand, and so is not among those that run.
+// Runs `serve`. The program serves without a subcommand too, so this is not a Subcommand.
 int RunServe(const ServeCommandOptions& options) {
   const Duration counters_every(std::llround(options.counters_every_s * kMicrosPerSecond));
   return Serve({counters_every, options.operator_file, nullptr});
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app{"An HTTP load balancer: each proxy decides alone, by Prequal's hot-cold choice.",
-               "paddlestile"};
+  CLI::App app{
+      "An HTTP load balancer whose proxies select hosts independently by Prequal's hot-cold rule.",
+      "paddlestile"};
   app.footer(
       "Without a command: serve, as the platform starts it.\n"
       "Exit codes: 0 done, 1 it did not hold or could not start, 2 wrong usage.\n\n"
@@ -119,14 +121,14 @@
   AddLogOptions(app, log_options);
   ServeCommandOptions serve_options;
   AddServeCommand(app, serve_options);
-  // The order is that of the help text.
+  // In the order of the help text.
   const std::vector<Subcommand> subcommands = {AddCheckCommand(app), AddMigrateCommand(app),
                                                lab::AddLabCommands(app), AddClusterCommands(app),
                                                AddVersionCommand(app)};
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    // Help is no error; all else gets one plain line.
+    // CLI11 prints the help text. An error is printed as one line.
     if (error.get_exit_code() == 0) {
       return app.exit(error);
     }
--- a/src/cli/subcommand.h
+++ b/src/cli/subcommand.h
@@ -1,4 +1,4 @@
-// A subcommand of the command line together with what carries it out.
+// A subcommand of the command line and the function that runs it.
 #ifndef PADDLESTILE_CLI_SUBCOMMAND_H_
 #define PADDLESTILE_CLI_SUBCOMMAND_H_
 
@@ -11,10 +11,10 @@
 
 struct Subcommand {
   CLI::App* app = nullptr;   // owned by the application that it was added to
-  std::function<int()> run;  // to be called after parsing; returns an exit code
+  std::function<int()> run;  // must be called after parsing; returns an exit code
 };
 
-// Runs the subcommand that was parsed; nullopt where none of them was.
+// Runs the parsed subcommand and returns its exit code, or nullopt if none of them was parsed.
 inline std::optional<int> RunParsed(const std::vector<Subcommand>& subcommands) {
   for (const Subcommand& subcommand : subcommands) {
     if (subcommand.app->parsed()) {
