--- a/src/cli/startup_signals.cpp
+++ b/src/cli/startup_signals.cpp
@@ -19,7 +19,7 @@
   sigprocmask(SIG_BLOCK, &signals, &inherited_mask);
 }
 
-// Run by the dynamic linker before the initializers of any library.
+// The dynamic linker runs this before the initializers of any library.
 [[gnu::section(".preinit_array"),
   gnu::used]] void (*const kBlockGatewaySignals)(int, char**, char**) = &BlockGatewaySignals;
 
--- a/tests/cli/signal_mask_probe.cpp
+++ b/tests/cli/signal_mask_probe.cpp
@@ -1,4 +1,4 @@
-// A library to be preloaded: says whether SIGTERM was blocked as its own initializers ran.
+// A library to be preloaded, which reports whether SIGTERM is blocked while its initializers run.
 #include <unistd.h>
 
 #include <csignal>
--- a/tests/cli/startup_signals_test.cpp
+++ b/tests/cli/startup_signals_test.cpp
@@ -1,4 +1,4 @@
-// Signals that come while the program starts.
+// Signals that arrive while the program starts.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -53,7 +53,7 @@
   std::map<std::string, std::string> environment_;
 };
 
-// A gateway that is sent SIGHUP or SIGTERM as it starts must not be ended by the default action.
+// The default action of SIGHUP or SIGTERM must not kill a gateway that is starting.
 TEST_F(StartupSignals, AreBlockedBeforeAnyLibraryIsInitialized) {
   testing::Child child;
   child.Start(
@@ -63,8 +63,9 @@
   EXPECT_NE(child.Text().find("probe: blocked"), std::string::npos) << child.Text();
 }
 
-// Whoever starts a gateway may block the signals for the time that exec and the linker take.
-TEST_F(StartupSignals, PendingSighupIsAReload) {
+// The parent process may block the signals until the gateway does. One that arrives meanwhile is
+// pending when the program starts.
+TEST_F(StartupSignals, PendingSighupReloadsConfiguration) {
   for (int i = 0; i < kStarts; ++i) {
     testing::Child child;
     child.Start(environment_, {}, RaiseHup);
@@ -74,7 +75,7 @@
   }
 }
 
-TEST_F(StartupSignals, PendingSigtermEndsWithZero) {
+TEST_F(StartupSignals, PendingSigtermExitsWithZero) {
   for (int i = 0; i < kStarts; ++i) {
     testing::Child child;
     child.Start(environment_, {}, RaiseTerm);
@@ -82,8 +83,8 @@
   }
 }
 
-// A command that reads a file which never comes can be interrupted.
-TEST_F(StartupSignals, OtherCommandsAreEndedBySigterm) {
+// SIGTERM ends a command that waits for input, here from a FIFO without a writer.
+TEST_F(StartupSignals, SigtermEndsOtherCommands) {
   const std::string fifo = config_path_ + ".fifo";
   ASSERT_EQ(mkfifo(fifo.c_str(), 0600), 0);
   testing::Child child;
@@ -91,7 +92,7 @@
   usleep(100'000);
   child.Signal(SIGTERM);
   EXPECT_EQ(child.Wait(), -1);
-  EXPECT_EQ(child.pid(), -1) << "it did not end";
+  EXPECT_EQ(child.pid(), -1) << "the process did not exit";
   std::remove(fifo.c_str());
 }
 
