--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process: its command line, logs, signals, exit codes and memory.
+// The program, run as a process: its command line, logs, signals, exit codes and memory.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -34,7 +34,8 @@
  protected:
   Program() {
     path_ = ::testing::TempDir() + "paddlestile-main-" + std::to_string(getpid()) + ".json";
-    // An address of this process alone: a free port of 127.0.0.1 may be another test's by then.
+    // An address that no other test process uses. A free port of 127.0.0.1 could be taken by
+    // another test before the program listens on it.
     address = {0x7f4d0000U | (static_cast<uint32_t>(getpid()) & 0xffffU), 5000};
     env_ = {{"LB_NAME", "n1"},
             {"LB_LISTEN", ToText(address)},
@@ -49,7 +50,7 @@
     child_.Start(env_, arguments_);
   }
   const std::string& Text() { return child_.Text(); }
-  bool WaitForOutput(const std::string& what) { return child_.WaitForOutput(what); }
+  bool WaitForOutput(const std::string& text) { return child_.WaitForOutput(text); }
   int Wait() { return child_.Wait(); }
 
   Port discovery;
@@ -65,14 +66,14 @@
   [[nodiscard]] pid_t pid() const { return child_.pid(); }
 };
 
-TEST_F(Program, InvalidStartEndsAtOnceWithOneLine) {
+TEST_F(Program, FailedStartLogsOneLine) {
   env_.erase("LB_DISCOVERY");
   Start();
   EXPECT_EQ(Wait(), 1);
   EXPECT_EQ(Text(), "error: paddlestile: LB_DISCOVERY is not set\n");
 }
 
-// One JSON object a line: text from a peer or a file adds neither a line nor a field.
+// Text from a peer or a file must add neither a line nor a field to a JSON log line.
 TEST_F(Program, JsonLogLinesCannotBeForged) {
   arguments_ = {"--log-format", "json", "serve"};
   env_["LB_LISTEN"] = "x\"}\n{\"level\":\"info\xff";
@@ -86,33 +87,33 @@
   EXPECT_EQ(line.size(), 3u);
 }
 
-TEST_F(Program, WrongCommandLineExitsWithTwo) {
+TEST_F(Program, InvalidCommandLineExitsWithTwo) {
   arguments_ = {"serf"};
   Start();
   EXPECT_EQ(Wait(), 2);
   EXPECT_EQ(std::ranges::count(Text(), '\n'), 1) << Text();
 }
 
-TEST_F(Program, NamesInvalidSettings) {
+TEST_F(Program, ReportsInvalidSettings) {
   std::ofstream(path_) << R"({"seed":"1","known":{"revision":0,"members":[]},)"
                           R"("settings":{"Classes":[{"Name":"a","Slo":0.0,"Deadline":1.0}]}})";
   Start();
   EXPECT_EQ(Wait(), 1);
-  // One line: file, key, what was expected.
+  // One line with the file, the key and what was expected.
   EXPECT_EQ(Text(), "error: paddlestile: LB_CONFIG: " + path_ +
                         ": setting out of range: Classes.0.Slo, expected over 0 and an hour at "
                         "most\n");
 }
 
-TEST_F(Program, NamesAnAddressInUse) {
-  Port taken;
-  env_["LB_LISTEN"] = taken.text();
+TEST_F(Program, ReportsAddressInUse) {
+  Port occupied;
+  env_["LB_LISTEN"] = occupied.text();
   Start();
   EXPECT_EQ(Wait(), 1);
-  EXPECT_NE(Text().find("listen on " + taken.text()), std::string::npos) << Text();
+  EXPECT_NE(Text().find("listen on " + occupied.text()), std::string::npos) << Text();
 }
 
-TEST_F(Program, LogsCountersOnRequestAndAtTheEnd) {
+TEST_F(Program, LogsCountersOnSignalAndAtExit) {
   Start();
   ASSERT_TRUE(WaitForOutput("listens on"));
   Peer client = Peer::To(address);
@@ -131,7 +132,7 @@
   EXPECT_TRUE(client.Ended());
 }
 
-// `lab fleet-report` adds up the counters of all gateways by second, from these lines.
+// `lab fleet-report` reads these lines to add up the counters of all gateways by second.
 TEST_F(Program, LogsCountersPeriodicallyWithTheTime) {
   arguments_ = {"serve", "--counters-every", "0.1"};
   Start();
@@ -154,8 +155,8 @@
   EXPECT_GT(std::stol(text.substr(memory + 11)), 500) << text;
 }
 
-// Whether a gateway has begun a watch at a port.
-bool Watched(Port& port, Peer& peer) {
+// Waits until a gateway has sent a watch request to `port`, on the connection that becomes `peer`.
+bool WaitForWatch(Port& port, Peer& peer) {
   for (int i = 0; i < 1000; ++i) {
     if (!peer) {
       peer = port.TryTake();
@@ -168,8 +169,9 @@
   return false;
 }
 
-// SIGHUP, more than once and while draining: the file is reloaded, and nothing else changes.
-TEST_F(Program, ReloadsItsConfigurationOnHangUp) {
+// SIGHUP reloads the configuration file, also repeatedly and while draining. An invalid file
+// changes nothing.
+TEST_F(Program, ReloadsConfigurationOnSighup) {
   const auto write = [&](const std::string& discovery_text) {
     std::string text = kConfig;
     text.insert(1, R"("discovery":")" + discovery_text + R"(",)");
@@ -178,7 +180,7 @@
   Start();
   ASSERT_TRUE(WaitForOutput("listens on"));
   Peer first, second, third;
-  ASSERT_TRUE(Watched(discovery, first));
+  ASSERT_TRUE(WaitForWatch(discovery, first));
   first.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
   Peer client = Peer::To(address);
   client.Say("GET /_health HTTP/1.1\r\n\r\n");
@@ -186,13 +188,13 @@
     usleep(5000);
   }
 
-  std::ofstream(path_) << kConfig.substr(0, 100);  // half of it, at first
+  std::ofstream(path_) << kConfig.substr(0, 100);  // incomplete at first
   kill(pid(), SIGHUP);
   ASSERT_TRUE(WaitForOutput("configuration kept as it was"));
   EXPECT_FALSE(first.Ended());
-  Port elsewhere;
-  write(elsewhere.text());
-  ASSERT_TRUE(Watched(elsewhere, second));  // without a second signal
+  Port second_discovery;
+  write(second_discovery.text());
+  ASSERT_TRUE(WaitForWatch(second_discovery, second));  // read again without a second signal
   second.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
   for (int i = 0; i < 1000 && !first.Ended(); ++i) {
     usleep(5000);
@@ -206,15 +208,15 @@
 
   kill(pid(), SIGTERM);
   ASSERT_TRUE(WaitForOutput("draining"));
-  Port last;
-  write(last.text());
+  Port third_discovery;
+  write(third_discovery.text());
   kill(pid(), SIGHUP);
-  EXPECT_TRUE(Watched(last, third));
+  EXPECT_TRUE(WaitForWatch(third_discovery, third));
   EXPECT_EQ(Wait(), 0);
 }
 
-// `paddlestile migrate`: from the file of a shared proxy to that of a gateway beside its client. No
-// key and no existing file may be lost.
+// `paddlestile migrate` converts the file of a shared proxy to that of a gateway beside its client.
+// It must not lose a key or an existing file.
 class Migration : public Program {
  protected:
   Migration() {
@@ -222,83 +224,88 @@
     text.insert(text.rfind("}}"), R"(,"Strange":{"Key":1},"KindOfService":"proxy")");
     text.insert(1, R"("listen":"127.0.0.4:5000","owner":"ops",)");
     std::ofstream(path_) << text;
-    to_ = path_ + ".new-shape";
-    std::remove(to_.c_str());
+    target_ = path_ + ".new-shape";
+    std::remove(target_.c_str());
   }
-  ~Migration() override { std::remove(to_.c_str()); }
-  // The exit code of one call; its text is in Text().
-  int Call(const std::vector<std::string>& arguments) {
+  ~Migration() override { std::remove(target_.c_str()); }
+  // Runs the program and returns its exit code. Its output is in Text().
+  int RunCommand(const std::vector<std::string>& arguments) {
     arguments_ = arguments;
     Start();
     return Wait();
   }
-  static std::string Slurp(const std::string& path) {
+  static std::string ReadFile(const std::string& path) {
     std::ifstream file(path);
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   }
-  std::string to_;
+  std::string target_;
 };
 
 TEST_F(Migration, WritesAFileThatIsValidAndStartsAGateway) {
-  const std::string before = Slurp(path_);
-  ASSERT_EQ(Call({"migrate", path_, "--gateways", "900", "--warm-keys", "--to", to_}), 0) << Text();
+  const std::string before = ReadFile(path_);
+  ASSERT_EQ(RunCommand({"migrate", path_, "--gateways", "900", "--warm-keys", "--to", target_}), 0)
+      << Text();
   for (const char* const line :
        {"kept, but unknown: owner", "settings.Strange.Key", "not carried over: listen",
         "not carried over: settings.Me, seed", "changed: settings.KindOfService: \"proxy\" to"}) {
     EXPECT_NE(Text().find(line), std::string::npos) << line << "\n" << Text();
   }
-  EXPECT_EQ(Slurp(path_), before);
-  const auto json = nlohmann::json::parse(Slurp(to_), nullptr, false);
+  EXPECT_EQ(ReadFile(path_), before);
+  const auto json = nlohmann::json::parse(ReadFile(target_), nullptr, false);
   ASSERT_TRUE(json.is_object());
   EXPECT_EQ(json["owner"], "ops");
   EXPECT_EQ(json["settings"]["Strange"]["Key"], 1);
   EXPECT_EQ(json["settings"]["NInstances"], 900);
   EXPECT_EQ(json["settings"]["FamilyInfo"]["WarmKeys"], true);
   EXPECT_EQ(json["listen"], "127.0.0.1:5000");
-  EXPECT_EQ(Call({"check", to_}), 0) << Text();
-  env_["LB_CONFIG"] = to_;
+  EXPECT_EQ(RunCommand({"check", target_}), 0) << Text();
+  env_["LB_CONFIG"] = target_;
   arguments_.clear();
   Start();
   EXPECT_TRUE(WaitForOutput("listens on"));
 }
 
 TEST_F(Migration, DryRunWritesNothing) {
-  const std::string before = Slurp(path_);
-  EXPECT_EQ(Call({"migrate", path_, "--gateways", "900", "--dry-run"}), 0);
+  const std::string before = ReadFile(path_);
+  EXPECT_EQ(RunCommand({"migrate", path_, "--gateways", "900", "--dry-run"}), 0);
   EXPECT_NE(Text().find("changed: settings.NInstances"), std::string::npos) << Text();
-  EXPECT_EQ(Slurp(path_), before);
-  EXPECT_NE(access(to_.c_str(), F_OK), 0);
+  EXPECT_EQ(ReadFile(path_), before);
+  EXPECT_NE(access(target_.c_str(), F_OK), 0);
 }
 
-TEST_F(Migration, FailureIsOneLineAndChangesNothing) {
-  const auto fails = [&](const std::vector<std::string>& arguments, const std::string& what) {
-    const size_t from = Text().size();
-    EXPECT_EQ(Call(arguments), 2) << what;
-    const std::string said = Text().substr(from);
-    EXPECT_EQ(std::ranges::count(said, '\n'), 1) << said;
-    EXPECT_NE(said.find(what), std::string::npos) << said;
+TEST_F(Migration, FailurePrintsOneLineAndChangesNothing) {
+  const auto expect_failure = [&](const std::vector<std::string>& arguments,
+                                  const std::string& expected) {
+    const size_t previous_size = Text().size();
+    EXPECT_EQ(RunCommand(arguments), 2) << expected;
+    const std::string output = Text().substr(previous_size);
+    EXPECT_EQ(std::ranges::count(output, '\n'), 1) << output;
+    EXPECT_NE(output.find(expected), std::string::npos) << output;
   };
-  fails({"migrate", path_, "--gateways", "900"}, "expected --to FILE or --dry-run");
-  fails({"migrate", path_, "--gateways", "0", "--dry-run"}, "--gateways");
-  fails({"migrate", path_ + ".none", "--gateways", "9", "--to", to_}, "expected a file");
-  fails({"migrate", path_, "--gateways", "9", "--to", "/proc/none/x"}, "cannot write it");
+  expect_failure({"migrate", path_, "--gateways", "900"}, "expected --to FILE or --dry-run");
+  expect_failure({"migrate", path_, "--gateways", "0", "--dry-run"}, "--gateways");
+  expect_failure({"migrate", path_ + ".none", "--gateways", "9", "--to", target_},
+                 "expected a file");
+  expect_failure({"migrate", path_, "--gateways", "9", "--to", "/proc/none/x"}, "cannot write it");
   std::ofstream(path_ + ".bad") << "{\"seed\"";
-  fails({"migrate", path_ + ".bad", "--gateways", "9", "--to", to_}, "expected JSON");
+  expect_failure({"migrate", path_ + ".bad", "--gateways", "9", "--to", target_}, "expected JSON");
   std::remove((path_ + ".bad").c_str());
-  EXPECT_NE(access(to_.c_str(), F_OK), 0);
-  ASSERT_EQ(Call({"migrate", path_, "--gateways", "9", "--to", to_}), 0);
-  const std::string written = Slurp(to_);
-  const std::string again = to_ + "2";
-  fails({"migrate", to_, "--gateways", "9", "--to", again}, "of the new shape already");
-  std::ofstream(to_) << "mine";
-  fails({"migrate", path_, "--gateways", "9", "--to", to_}, "expected a new name or --replace");
-  EXPECT_EQ(Slurp(to_), "mine");
-  EXPECT_EQ(Call({"migrate", path_, "--gateways", "9", "--to", to_, "--replace"}), 0);
-  EXPECT_EQ(Slurp(to_), written);
+  EXPECT_NE(access(target_.c_str(), F_OK), 0);
+  ASSERT_EQ(RunCommand({"migrate", path_, "--gateways", "9", "--to", target_}), 0);
+  const std::string written = ReadFile(target_);
+  const std::string again = target_ + "2";
+  expect_failure({"migrate", target_, "--gateways", "9", "--to", again},
+                 "of the new shape already");
+  std::ofstream(target_) << "mine";
+  expect_failure({"migrate", path_, "--gateways", "9", "--to", target_},
+                 "expected a new name or --replace");
+  EXPECT_EQ(ReadFile(target_), "mine");
+  EXPECT_EQ(RunCommand({"migrate", path_, "--gateways", "9", "--to", target_, "--replace"}), 0);
+  EXPECT_EQ(ReadFile(target_), written);
 }
 
 // Sixty responses of 32 MiB to clients that read nothing, then sixty such requests to a host that
-// reads nothing: the memory for their bodies is bounded, whatever their length.
+// reads nothing. The memory for their bodies must be bounded, whatever their length.
 TEST_F(Program, BoundsMemoryForDozensOfSlowLargeBodies) {
   Port host;
   std::string config = kConfig;
@@ -310,24 +317,25 @@
   ASSERT_TRUE(WaitForOutput("listens on"));
   constexpr size_t kBodies = 60;
   const std::string part(1 << 18, 'x');
-  for (const bool answers : {true, false}) {
+  for (const bool are_responses_large : {true, false}) {
     std::vector<Peer> clients, hosts;
     for (size_t i = 0; i < kBodies; ++i) {
       clients.push_back(Peer::To(address));
-      clients.back().Say((answers ? "GET /read HTTP/1.1\r\n"
-                                  : "POST /read HTTP/1.1\r\nContent-Length: 33554432\r\n") +
-                         ("X-Call-Id: " + std::to_string(i)) + (answers ? "a" : "r") +
+      clients.back().Say((are_responses_large
+                              ? "GET /read HTTP/1.1\r\n"
+                              : "POST /read HTTP/1.1\r\nContent-Length: 33554432\r\n") +
+                         ("X-Call-Id: " + std::to_string(i)) + (are_responses_large ? "a" : "r") +
                          "\r\nX-Budget-Ms: 60000\r\n\r\n");
     }
     size_t sent = 0;
     for (int round = 0; round < 600; ++round) {
       while (Peer peer = host.TryTake()) {
         hosts.push_back(std::move(peer));
-        if (answers) {
+        if (are_responses_large) {
           hosts.back().Say("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
         }
       }
-      for (Peer& peer : answers ? hosts : clients) {
+      for (Peer& peer : are_responses_large ? hosts : clients) {
         const ssize_t n = send(peer.fd(), part.data(), part.size(), MSG_NOSIGNAL);
         if (n > 0) {
           sent += static_cast<size_t>(n);
@@ -338,7 +346,7 @@
     EXPECT_GE(hosts.size(), 36u);         // some are rejected, as the host's capacity is unknown
     EXPECT_GT(sent, hosts.size() << 20);  // most of it in the kernel's buffers
   }
-#ifndef __SANITIZE_ADDRESS__  // which keeps its own memory
+#ifndef __SANITIZE_ADDRESS__  // AddressSanitizer uses memory of its own
   std::ifstream status("/proc/" + std::to_string(pid()) + "/status");
   long kib = 0;
   for (std::string line; std::getline(status, line);) {
@@ -350,12 +358,13 @@
 #endif
 }
 
-// Five hundred clients, each of which has sent all but the last byte of the longest body.
-TEST_F(Program, BoundsMemoryForATableOfLongRequests) {
-  rlimit files{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &files), 0);
-  files.rlim_cur = std::min<rlim_t>(files.rlim_max, 4096);
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &files), 0);
+// Five hundred clients, each of which has sent all but the last byte of a body of the maximum
+// length.
+TEST_F(Program, BoundsMemoryForManyLongRequests) {
+  rlimit descriptor_limit{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &descriptor_limit), 0);
+  descriptor_limit.rlim_cur = std::min<rlim_t>(descriptor_limit.rlim_max, 4096);
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &descriptor_limit), 0);
   std::string config = kConfig;
   config.replace(config.find("256"), 3, "1024");
   std::ofstream(path_) << config;
@@ -368,18 +377,19 @@
   for (size_t i = 0; i < sent.size(); ++i) {
     clients.push_back(Peer::To(address));
   }
-  // A part to each in turn: the sockets take no whole body at once.
+  // Sends a part of the body on each connection in turn, since a socket does not accept all at
+  // once.
   for (int round = 0; round < 5000; ++round) {
-    size_t left = 0;
+    size_t unsent_bytes = 0;
     for (size_t i = 0; i < sent.size(); ++i) {
       const std::string_view rest = std::string_view(text).substr(sent[i]);
       const ssize_t n = send(clients[i].fd(), rest.data(), rest.size(), MSG_NOSIGNAL);
       if (n > 0) {
         sent[i] += static_cast<size_t>(n);
       }
-      left += text.size() - sent[i];
+      unsent_bytes += text.size() - sent[i];
     }
-    if (left == 0) {
+    if (unsent_bytes == 0) {
       break;
     }
     usleep(1000);
@@ -391,7 +401,7 @@
     usleep(5000);
   }
   EXPECT_TRUE(late.Has("200 OK"));
-#ifndef __SANITIZE_ADDRESS__  // which keeps its own memory
+#ifndef __SANITIZE_ADDRESS__  // AddressSanitizer uses memory of its own
   std::ifstream status("/proc/" + std::to_string(pid()) + "/status");
   long kib = 0;
   for (std::string line; std::getline(status, line);) {
@@ -399,7 +409,7 @@
       kib = std::stol(line.substr(6));
     }
   }
-  EXPECT_GT(kib, 30L * 1024);  // all of it is there
+  EXPECT_GT(kib, 30L * 1024);  // all bodies are in memory
   EXPECT_LT(kib, 70L * 1024);
 #endif
 }
