--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -23,7 +23,8 @@
   return is_known ? static_cast<size_t>(position) : names.size();
 }
 
-// An endpoint in an unknown phase counts as draining, since it has not asked for requests.
+// An endpoint in an unknown phase counts as draining, because only active endpoints ask for
+// requests.
 EndpointState ParsePhase(const std::string& phase) {
   if (phase == "active") {
     return EndpointState::kUp;
--- a/src/config/migration.cpp
+++ b/src/config/migration.cpp
@@ -27,7 +27,7 @@
 constexpr const char* kProxyKind = "proxy";
 constexpr const char* kMeshKind = "mesh";
 
-// The top-level keys that the program reads or knows.
+// The top-level keys that the program reads, and those that it knows but ignores.
 const std::set<std::string, std::less<>> kKnownKeys = {"seed",   "limits",    "known", "settings",
                                                        "listen", "discovery", "name"};
 
--- a/src/gateway/cluster_agent.h
+++ b/src/gateway/cluster_agent.h
@@ -2,11 +2,10 @@
 // does no I/O) with a clock, connections and storage, and applies the member's effective
 // configuration to the gateway.
 //
-//   state            holds the folder lock  connections  storage thread  effective configuration
-//   observing        no                     no           no              of the stored log,
-//   isolated participating    yes                    yes          yes             by the member's
-//   lease without storage  yes                    yes          no              by the member's
-//   lease
+//   state            folder lock  connections  storage thread  effective configuration
+//   observing        no           no           no              of the stored log, isolated
+//   participating    held         yes          yes             by the member's lease
+//   without storage  held         yes          no              by the member's lease
 //
 // An agent starts in the state observing, and participates as soon as no other process holds the
 // folder lock. It observes again while the newer process of a hot restart serves. After a disk
--- a/tests/gateway/cluster_agent_test.cpp
+++ b/tests/gateway/cluster_agent_test.cpp
@@ -49,7 +49,7 @@
   }
   ~ClusterAgentTest() override { fs::remove_all(folder_); }
 
-  // Returns an address of this test process alone. Each member has a port from `port` on.
+  // Returns an address that no other test process uses. Its port is `port` plus `member`.
   static std::string AddressOf(int member, int port) {
     return "127.109." + std::to_string(getpid() / 250 % 250) + "." +
            std::to_string(getpid() % 250 + 1) + ":" + std::to_string(port + member);
