--- a/src/gateway/connection_acceptor.cpp
+++ b/src/gateway/connection_acceptor.cpp
@@ -51,7 +51,7 @@
     case AcceptBlock::kProcessLimit:
       return "the process is at its descriptor limit";
     case AcceptBlock::kNewProcessHangs:
-      return "the new process does not answer reports";
+      return "the new process is not responding";
   }
   return "";
 }
