--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -304,7 +304,7 @@
   ++GlobalCounters().requests_admitted;
   ++unanswered_count_;
   recent_request_ids_.Add(arrival.id, now);
-  // Keeps the configuration under which the request arrived alive.
+  // Shares ownership of the configuration that was in force when the request arrived.
   std::shared_ptr<const RequestClass> request_class(
       config_, &config_->settings.classes[arrival.request_class]);
   auto request = std::make_shared<ProxiedRequest>(arrival.id, std::move(message), arrival.deadline,
