--- a/src/balancer/discovery_schedule.h
+++ b/src/balancer/discovery_schedule.h
@@ -6,7 +6,8 @@
 
 namespace paddlestile {
 
-// Token of the timer that OnTimer handles. It is part of the simulator's protocol.
+// Token of the timer that OnTimer handles. It is part of the simulator's protocol and must not
+// change.
 constexpr const char* kDiscoveryToken = "follow";
 
 // Starts a watch after the first list, and again after each failure with an exponential, randomized
--- a/src/balancer/dispatcher.h
+++ b/src/balancer/dispatcher.h
@@ -29,7 +29,8 @@
 
 namespace paddlestile {
 
-// Token of the timer that OnQueueTick handles. It is part of the simulator's protocol.
+// Token of the timer that OnQueueTick handles. It is part of the simulator's protocol and must not
+// change.
 constexpr const char* kQueueTickToken = "sweep";
 
 // Owns the queue and writes the statistics. No other module starts attempts, rejects requests or
