--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -1,5 +1,6 @@
-// Selects the endpoint of a request. Ineligible endpoints are excluded first. The hot-cold order of
-// the probe pool then picks one, or two random choices if the pool has no eligible entry.
+// Selects the endpoint of a request and counts why others are excluded. Among eligible endpoints
+// the hot-cold order of the probe pool decides. If the pool has too few entries or no eligible one,
+// the better of two random choices is taken.
 #ifndef PADDLESTILE_BALANCER_ENDPOINT_SELECTION_H_
 #define PADDLESTILE_BALANCER_ENDPOINT_SELECTION_H_
 
