--- a/src/balancer/learned_state.h
+++ b/src/balancer/learned_state.h
@@ -28,7 +28,7 @@
   double reported_latency_us = 0;  // mean
 
   // Counts a finished attempt. `in_flight_at_start`: requests at its endpoint when it started,
-  // itself included. `weight`: the weight of this sample in the decayed sums, 0 to 1.
+  // itself included. `weight`: the fraction by which the sums over earlier attempts decay.
   void Record(double in_flight_at_start, double weight) {
     finished_attempts = finished_attempts * (1 - weight) + 1;
     busy_us *= 1 - weight;
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -19,7 +19,8 @@
   // `initial_mean_time_us`: the mean request time that is assumed at the start.
   TrafficStatistics(TrafficRecords& records, double initial_mean_time_us);
 
-  // Existing classes keep their indices and what was learned about them; new ones get defaults.
+  // Existing classes keep their mean times and arrival shares, by index; new ones get defaults. The
+  // rates at which classes meet their latency objectives are reset.
   void ApplySettings(const Settings& settings);
 
   // Counts an arrival of a class. Returns the time since the previous arrival of any class, in us.
