--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -6,8 +6,8 @@
 //                     half-open trial
 //   ejected           the error rate is too high or a       none, as it is outside the subset
 //                     connect failed, while in the subset
-//   half-open trial   drawn into the subset again after     one at a time; unsafe requests only if
-//                     the ejection time                     no other endpoint is eligible
+//   half-open trial   drawn into the subset again,          one at a time; unsafe requests only if
+//                     normally after the ejection time      no other endpoint is eligible
 //
 // An unresponsive endpoint gets no attempts in any state.
 #ifndef PADDLESTILE_BALANCER_OUTLIER_DETECTION_H_
--- a/src/balancer/prober.h
+++ b/src/balancer/prober.h
@@ -1,6 +1,6 @@
-// Decides which endpoints are probed. Every request triggers probes: of random endpoints of the
-// subset, or with key affinity of the endpoints that the request may go to. With key affinity the
-// request waits for the responses.
+// Decides which endpoints are probed. Probes are sent together with requests: to random endpoints
+// of the subset, or with key affinity to the endpoints that the request may go to. With key
+// affinity the request waits for the responses.
 #ifndef PADDLESTILE_BALANCER_PROBER_H_
 #define PADDLESTILE_BALANCER_PROBER_H_
 
