--- a/src/lab/arrivals.cpp
+++ b/src/lab/arrivals.cpp
@@ -34,7 +34,7 @@
     const double until =
         step_ + 1 < steps.size() ? static_cast<double>(steps[step_ + 1].at.count()) : end;
     const double begin = std::max(at_us_, static_cast<double>(steps[step_].at.count()));
-    const double per_us = steps[step_].per_s / 1e6;
+    const double per_us = steps[step_].requests_per_s / 1e6;
     if (begin + left / std::max(per_us, 1e-18) <= until) {
       at_us_ = begin + left / per_us;
       break;
@@ -54,7 +54,7 @@
   // One that is not there yet is drawn anew.
   do {
     f.cls = class_(rng_);
-  } while (e_.classes[f.cls].from > out.at);
+  } while (e_.classes[f.cls].available_from > out.at);
   if (!e_.tenants.empty()) {
     f.tenant = tenant_(rng_);
   }
@@ -63,14 +63,14 @@
   f.work = Duration(std::llround(Draw(cls.work_ms) * 1000));
   f.wait = Duration(std::llround(Draw(cls.wait_ms) * 1000));
   f.body_bytes = static_cast<size_t>(Draw(cls.body_bytes));
-  f.answer_bytes = static_cast<size_t>(Draw(cls.answer_bytes));
+  f.answer_bytes = static_cast<size_t>(Draw(cls.response_bytes));
   out.gateway = Uniform();
-  out.leaves = Uniform() < e_.load.leave_share;
+  out.leaves = Uniform() < e_.load.client_abort_share;
   out.leave_part = 0.1 + 0.8 * Uniform();
-  out.trickles = Uniform() < e_.load.trickle_share;
-  out.once = Uniform() < e_.load.once_share;
-  for (int i = 0; i < e_.load.retries; ++i) {
-    out.retry_waits.emplace_back(std::llround(Draw(e_.load.retry_wait_ms) * 1000));
+  out.trickles = Uniform() < e_.load.slow_send_share;
+  out.once = Uniform() < e_.load.close_after_response_share;
+  for (int i = 0; i < e_.load.max_retries; ++i) {
+    out.retry_waits.emplace_back(std::llround(Draw(e_.load.retry_delay_ms) * 1000));
   }
   Digest(out);
   return true;
--- a/src/lab/arrivals.h
+++ b/src/lab/arrivals.h
@@ -33,7 +33,7 @@
 
  private:
   double Uniform() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
-  double Draw(const Span& span) { return span.low + (span.high - span.low) * Uniform(); }
+  double Draw(const UniformRange& span) { return span.low + (span.high - span.low) * Uniform(); }
   void Digest(const Arrival& arrival);
 
   const Experiment& e_;
--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -122,16 +122,16 @@
       judge_(cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay), kSlack) {
   const size_t count = e_.gateway.count;
   // Who votes is linked with all; the others have nothing to say to each other.
-  for (size_t a = 0; a < std::min(count, e_.bank.voters); ++a) {
+  for (size_t a = 0; a < std::min(count, e_.cluster.voters); ++a) {
     for (size_t b = a + 1; b < count; ++b) {
       relays_[{a, b}] = std::make_unique<Relay>(loop_, OwnAddress(place_ + count + a * count + b),
                                                 SeatOf(b), random_());
     }
   }
-  if (e_.bank.hollow_read_bytes_per_s > 0) {
+  if (e_.cluster.simulated_member_read_bytes_per_s > 0) {
     slow_ = Draw(kSlowOf);
-    for (size_t v = 0; v < std::min(count, e_.bank.voters); ++v) {
-      for (size_t n = 0; n < e_.bank.hollow; ++n) {
+    for (size_t v = 0; v < std::min(count, e_.cluster.voters); ++v) {
+      for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
         if (!ReadsSlowly(n)) {
           continue;
         }
@@ -144,7 +144,7 @@
   for (size_t i = 0; i < count; ++i) {
     WriteFile(i);
   }
-  if (e_.bank.hollow > 0) {
+  if (e_.cluster.simulated_members > 0) {
     WriteHollowFile();
   }
   InitCluster(ReadClusterConfig(FileOf(0), "g000"), "g000");
@@ -168,28 +168,29 @@
   file << "[bank]\nname = \"lab\"\n"
        << fmt::format("folder = \"{}/disk-{{name}}\"\nlab_disk = \"{}/control-{}\"\n", folder_,
                       folder_, i)
-       << fmt::format("when_lost = \"{}\"\n", e_.bank.drains ? "drain" : "serve");
-  if (e_.bank.deltas) {
+       << fmt::format("when_lost = \"{}\"\n",
+                      e_.cluster.drains_when_disconnected ? "drain" : "serve");
+  if (e_.cluster.uses_delta_changes) {
     file << "changes = \"delta\"\n";
   }
-  for (const auto& [gateway, factor] : e_.bank.clocks) {
+  for (const auto& [gateway, factor] : e_.cluster.clock_rates) {
     if (gateway == i) {
       file << fmt::format("lab_clock_factor = {}\n", factor);
     }
   }
   for (size_t j = 0; j < e_.gateway.count; ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = {}\n", j,
-                        ToText(SeatOf(j)), j < e_.bank.voters);
+                        ToText(SeatOf(j)), j < e_.cluster.voters);
     const auto relay = relays_.find({i, j});
     if (relay != relays_.end()) {
       file << fmt::format("dial = \"{}\"\n",
                           ToText(OwnAddress(place_ + e_.gateway.count + i * e_.gateway.count + j)));
     }
   }
-  for (size_t n = 0; n < e_.bank.hollow; ++n) {
+  for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
     file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
                         ToText(HollowSeat(n)));
-    if (i < e_.bank.voters && ReadsSlowly(n)) {
+    if (i < e_.cluster.voters && ReadsSlowly(n)) {
       file << fmt::format("dial = \"{}\"\n", ToText(SlowSeat(i, n)));
     }
   }
@@ -207,17 +208,18 @@
     last_receipt_[gateway] = now;
     // Where the operator chose service, one that the script keeps away goes on with what it knows;
     // back in touch, it has as long as a lease to hear of what is new.
-    const bool excused = !e_.bank.drains && (away_[gateway] > 0 || now < back_at_[gateway]);
+    const bool excused =
+        !e_.cluster.drains_when_disconnected && (away_[gateway] > 0 || now < back_at_[gateway]);
     judge_.Received(now, host, gateway, ledger_.FactsOf(n).cls, ledger_.HandedAt(n), copy, excused,
                     ledger_.IdOf(n));
   });
-  loop_.RunAfter(std::max(kFirstChange, e_.bank.quiet_first),
+  loop_.RunAfter(std::max(kFirstChange, e_.cluster.quiet_after_start),
                  [this, alive = std::weak_ptr(alive_)] {
                    if (!alive.expired()) {
                      Submit();
                    }
                  });
-  if (e_.bank.measured || e_.bank.hollow > 0) {
+  if (e_.cluster.measured || e_.cluster.simulated_members > 0) {
     WatchSize();
   }
 }
@@ -248,23 +250,24 @@
   RelayWay& in = a < b ? relay.back : relay.there;
   const int step = on ? 1 : -1;
   for (RelayWay* const way : {&out, &in}) {
-    if (fault.ways == (way == &out ? Ways::kIn : Ways::kOut)) {
+    if (fault.link_direction ==
+        (way == &out ? LinkDirection::kIncoming : LinkDirection::kOutgoing)) {
       continue;
     }
     switch (fault.kind) {
       case FaultKind::kLinkSlow:
-        way->delay_ms = on ? fault.delay_ms : Span{0, 0};
+        way->delay_ms = on ? fault.delay_ms : UniformRange{0, 0};
         way->bytes_per_s = on ? fault.bytes_per_s : 0;
         break;
       case FaultKind::kLinkNoise:
-        way->noise = on ? fault.share : 0;
+        way->noise = on ? fault.request_share : 0;
         break;
       default:
         way->cuts += step;
     }
   }
   relay.Changed();
-  if (fault.resets && on) {
+  if (fault.reset_connections && on) {
     relay.Reset();
   }
 }
@@ -285,11 +288,11 @@
 
 void BankLab::Play(const Fault& fault) {
   const size_t count = e_.gateway.count;
-  std::set<size_t> side(fault.from.begin(), fault.from.end());
-  if (fault.gateways) {
+  std::set<size_t> side(fault.gateway_list.begin(), fault.gateway_list.end());
+  if (fault.random_gateway_count) {
     // Of a generator of their own: whom a fault befalls is the seed's alone.
     std::uniform_int_distribution<size_t> any(0, count - 1);
-    while (side.size() < *fault.gateways) {
+    while (side.size() < *fault.random_gateway_count) {
       side.insert(any(faults_));
     }
   } else if (side.empty()) {
@@ -298,11 +301,11 @@
   if (fault.kind == FaultKind::kGatewayDisk) {
     for (const size_t i : side) {
       std::ofstream(fmt::format("{}/control-{}", folder_, i))
-          << (fault.disk == DiskIs::kFull   ? "full"
-              : fault.disk == DiskIs::kSlow ? fmt::format("slow {}", fault.delay_ms.high)
-                                            : "sync-fails");
+          << (fault.disk == DiskState::kFull   ? "full"
+              : fault.disk == DiskState::kSlow ? fmt::format("slow {}", fault.delay_ms.high)
+                                               : "sync-fails");
     }
-    loop_.RunAfter(fault.lasts, [this, side] {
+    loop_.RunAfter(fault.duration, [this, side] {
       for (const size_t i : side) {
         std::ofstream(fmt::format("{}/control-{}", folder_, i)) << "";
       }
@@ -321,18 +324,18 @@
   for (size_t i = 0; i < count; ++i) {
     Kept(i, true);
   }
-  loop_.RunAfter(fault.lasts, [this, count] {
+  loop_.RunAfter(fault.duration, [this, count] {
     for (size_t i = 0; i < count; ++i) {
       Kept(i, false);
     }
   });
   if (fault.kind == FaultKind::kLinkFlap) {
-    return Flap(pairs, fault, Now() + fault.lasts, true);
+    return Flap(pairs, fault, Now() + fault.duration, true);
   }
   for (const auto& [a, b] : pairs) {
     Cut(a, b, fault, true);
   }
-  loop_.RunAfter(fault.lasts, [this, pairs, &fault] {
+  loop_.RunAfter(fault.duration, [this, pairs, &fault] {
     for (const auto& [a, b] : pairs) {
       Cut(a, b, fault, false);
     }
@@ -355,13 +358,13 @@
   });
 }
 
-void BankLab::ChangeDisk(size_t i, DiskIs disk) {
+void BankLab::ChangeDisk(size_t i, DiskState disk) {
   std::error_code error;
   const std::string log = FolderOf(i) + "/log";
-  if (disk == DiskIs::kNone) {
+  if (disk == DiskState::kEmpty) {
     fs::remove_all(FolderOf(i), error);
   }
-  if (disk == DiskIs::kOld) {
+  if (disk == DiskState::kRolledBack) {
     fs::rename(log + ".copy", log, error);
   }
 }
@@ -375,7 +378,7 @@
 
 // The next one, once the last is told; now and then two at once, in no order. First all tenants.
 void BankLab::Submit() {
-  if (Now() > e_.length - e_.bank.quiet_last) {
+  if (Now() > e_.length - e_.cluster.quiet_before_end) {
     return;
   }
   const auto again = [this](Duration after) {
@@ -386,31 +389,31 @@
     });
   };
   if (!std::ranges::all_of(changes_, &Change::done)) {
-    return again(fills_ ? kFillEvery : e_.bank.change_every);
+    return again(fills_ ? kFillEvery : e_.cluster.change_interval);
   }
   const Shape* const last = LastTold();
-  const bool full = last != nullptr && last->quotas.size() == e_.bank.version_tenants;
+  const bool full = last != nullptr && last->quotas.size() == e_.cluster.tenants_per_version;
   if (full && std::exchange(fills_, false)) {
     if (changes_.size() > 1) {
       filled_ = Now();
       figures_.version_bytes = static_cast<double>(WholeOf(*last).dump().size());
     }
-    if (e_.bank.measured) {
+    if (e_.cluster.measured) {
       loop_.RunAfter(kAside, [this, alive = std::weak_ptr(alive_)] {
         if (!alive.expired()) {
           Measure(first_changed_);
         }
       });
     }
-    return again(e_.bank.change_every);
+    return again(e_.cluster.change_interval);
   }
   fills_ = !full && (shapes_.empty() || shapes_.back().version > 0);
   SubmitOne();
-  const bool whole = e_.bank.version_tenants <= kFillWhole;
+  const bool whole = e_.cluster.tenants_per_version <= kFillWhole;
   if (full && whole && changes_.size() % kTwins == 0) {
     SubmitOne();
   }
-  again(fills_ ? kFillEvery : e_.bank.change_every);
+  again(fills_ ? kFillEvery : e_.cluster.change_interval);
 }
 
 void BankLab::SubmitOne() {
@@ -427,7 +430,7 @@
   // and goes, so that each change contradicts the one before. At size one host alone: figures are
   // of a change of so many parts.
   if (!bars_) {
-    const bool at_size = e_.bank.measured || e_.bank.hollow > 0;
+    const bool at_size = e_.cluster.measured || e_.cluster.simulated_members > 0;
     bars_.emplace(hosts_.size(), at_size ? 1 : BarPlan::Several(hosts_.size()), random_());
   }
   const auto block = static_cast<size_t>((Now() - kFirstChange).count() / kBlock.count());
@@ -442,15 +445,15 @@
   for (const size_t at : shape.barred) {
     wanted.barred.push_back(hosts_[at].host);
   }
-  shape.unsafe = e_.bank.effects && block % 2 == 1;
+  shape.unsafe = e_.cluster.changes_idempotency && block % 2 == 1;
   if (shape.unsafe) {
     wanted.once = 0;
   }
-  const size_t tenants = e_.bank.version_tenants, there = shape.quotas.size();
+  const size_t tenants = e_.cluster.tenants_per_version, there = shape.quotas.size();
   if (there < tenants) {
     // So many as one change bears: all of them in most experiments.
     shape.quotas.resize(std::min(tenants, last == nullptr ? kFillWhole : there + kFillDelta), 1000);
-    if (!e_.bank.deltas) {
+    if (!e_.cluster.uses_delta_changes) {
       shape.quotas.resize(tenants, 1000);
     }
   } else if (tenants > 0) {
@@ -462,8 +465,8 @@
   wish.change.author = "lab";
   wish.change.reason = fmt::format("change {}", n);
   // As operators of many tenants would; elsewhere by turns, as leaders make deltas of whole ones.
-  wish.change.is_delta = e_.bank.deltas && last != nullptr && alone &&
-                         (e_.bank.measured || n % 2 == 1 || tenants > kFillWhole);
+  wish.change.is_delta = e_.cluster.uses_delta_changes && last != nullptr && alone &&
+                         (e_.cluster.measured || n % 2 == 1 || tenants > kFillWhole);
   wish.change.document = (wish.change.is_delta ? DeltaOf(*last, shape) : WholeOf(shape)).dump();
   if (!wish.change.is_delta) {
     figures_.version_bytes = static_cast<double>(wish.change.document.size());
@@ -471,7 +474,7 @@
   changes_.emplace_back().wish = cluster::ToJson(wish);
   shapes_.push_back(std::move(shape));
   judge_.Submitted(Now(), std::move(wanted));
-  if (e_.bank.measured && !fills_ && n % kByCommand == 2) {
+  if (e_.cluster.measured && !fills_ && n % kByCommand == 2) {
     return AskByCommand(n);
   }
   Ask(n);
@@ -490,7 +493,7 @@
   for (const size_t at : shape.barred) {
     rules["barred"].push_back(hosts_[at].id);
   }
-  if (e_.bank.effects) {
+  if (e_.cluster.changes_idempotency) {
     json classes = json::parse(SettingsJson(e_, 0))["Classes"];
     if (shape.unsafe) {
       classes[0]["Effect"] = "unsafe";
@@ -638,7 +641,7 @@
 
 BankResult BankLab::Finish(Time now) {
   ledger_.OnReceipt(nullptr);
-  return judge_.Finish(now, e_.length - e_.bank.quiet_last);
+  return judge_.Finish(now, e_.length - e_.cluster.quiet_before_end);
 }
 
 // ---- At size ----------------------------------------------------------------------------------
@@ -652,11 +655,11 @@
 void BankLab::WriteHollowFile() const {
   std::ofstream file(folder_ + "/bank-hollow.toml");
   file << "[bank]\nname = \"lab\"\n" << fmt::format("folder = \"{}/hollow\"\n", folder_);
-  for (size_t j = 0; j < std::min(e_.gateway.count, e_.bank.voters); ++j) {
+  for (size_t j = 0; j < std::min(e_.gateway.count, e_.cluster.voters); ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = true\n", j,
                         ToText(SeatOf(j)));
   }
-  for (size_t n = 0; n < e_.bank.hollow; ++n) {
+  for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
     file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
                         ToText(HollowSeat(n)));
   }
@@ -665,35 +668,36 @@
 void BankLab::StartHollow(std::function<Process::Usage(size_t)> usage) {
   usage_ = std::move(usage);
   started_ = MachineNow();
-  const size_t parts = std::min(kHollowParts, e_.bank.hollow);
+  const size_t parts = std::min(kHollowParts, e_.cluster.simulated_members);
   const std::string program = fs::read_symlink("/proc/self/exe").string();
   for (size_t k = 0; k < parts; ++k) {
     HollowPart part;
-    part.first = e_.bank.hollow * k / parts;
-    part.count = e_.bank.hollow * (k + 1) / parts - part.first;
+    part.first = e_.cluster.simulated_members * k / parts;
+    part.count = e_.cluster.simulated_members * (k + 1) / parts - part.first;
     part.book = fmt::format("{}/hollow-{}.book", folder_, k);
     part.log = fmt::format("{}/hollow-{}.log", folder_, k);
     // So many over all of them.
     const auto of = [&](size_t all) {
       return all * (k + 1) / parts - all * k / parts;
     };
-    const std::vector<std::string> words = {program,
-                                            "lab",
-                                            "hollow",
-                                            "--operator",
-                                            folder_ + "/bank-hollow.toml",
-                                            "--first",
-                                            std::to_string(part.first),
-                                            "--count",
-                                            std::to_string(part.count),
-                                            "--book",
-                                            part.book,
-                                            "--seed",
-                                            std::to_string(random_()),
-                                            "--restarts",
-                                            std::to_string(of(e_.bank.hollow_restarts)),
-                                            "--cuts",
-                                            std::to_string(of(e_.bank.hollow_cuts))};
+    const std::vector<std::string> words = {
+        program,
+        "lab",
+        "hollow",
+        "--operator",
+        folder_ + "/bank-hollow.toml",
+        "--first",
+        std::to_string(part.first),
+        "--count",
+        std::to_string(part.count),
+        "--book",
+        part.book,
+        "--seed",
+        std::to_string(random_()),
+        "--restarts",
+        std::to_string(of(e_.cluster.simulated_member_restarts)),
+        "--cuts",
+        std::to_string(of(e_.cluster.simulated_member_link_cuts))};
     part.process = std::make_unique<Process>(
         words, std::vector<std::pair<std::string, std::string>>{}, part.log);
     hollow_.push_back(std::move(part));
@@ -710,9 +714,9 @@
   const Address at = SeatOf(0);  // where the bank was begun
   asking_ =
       std::make_shared<Call>(loop_, at, StatusCall(), [this](const std::optional<json>& status) {
-        const size_t others = e_.gateway.count + e_.bank.hollow - 1;
+        const size_t others = e_.gateway.count + e_.cluster.simulated_members - 1;
         linked_ = status && status->is_object() && status->value("leads", false) &&
-                  status->value("voters", json::array()).size() == e_.bank.voters &&
+                  status->value("voters", json::array()).size() == e_.cluster.voters &&
                   status->value("linked", json::array()).size() == others;
         if (linked_) {
           figures_.linked_ms = Ms(MachineNow() - started_);
@@ -747,7 +751,7 @@
 
 // Idle from soon after time 0; changes; faults beside changes; then all is to be level.
 void BankLab::WatchSize() {
-  figures_.on = e_.bank.measured;
+  figures_.on = e_.cluster.measured;
   const auto at = [this](Duration when, std::function<void()> then) {
     loop_.RunAfter(when, [then = std::move(then), alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) {
@@ -755,15 +759,15 @@
       }
     });
   };
-  if (e_.bank.measured) {
+  if (e_.cluster.measured) {
     at(kSettled, [this] { Measure(idle_from_); });
     // Before the first change, and behind it: with deltas that one alone is whole. See Submit.
-    at(e_.bank.quiet_first - kAside, [this] { Measure(idle_to_); });
-    at(e_.bank.hollow_faults_at, [this] { Measure(changed_); });
+    at(e_.cluster.quiet_after_start - kAside, [this] { Measure(idle_to_); });
+    at(e_.cluster.simulated_member_faults_at, [this] { Measure(changed_); });
     at(e_.length, [this] { Measure(last_); });
   }
-  if (e_.bank.hollow_faults_at > Duration(0)) {
-    at(e_.bank.hollow_faults_at, [this] { PlayHollow(); });
+  if (e_.cluster.simulated_member_faults_at > Duration(0)) {
+    at(e_.cluster.simulated_member_faults_at, [this] { PlayHollow(); });
   }
   Weigh();
 }
@@ -791,14 +795,14 @@
   for (const HollowPart& part : hollow_) {
     part.process->Signal(SIGUSR1);
   }
-  if (e_.bank.hollow_stalls && !hollow_.empty()) {
-    Stall(true, Now() + kHollowFaultsFor);
+  if (e_.cluster.stalls_simulated_members && !hollow_.empty()) {
+    Stall(true, Now() + kSimulatedMemberFaultDuration);
   }
   if (slow_relays_.empty()) {
     return;
   }
   ReadSlowly(true);
-  loop_.RunAfter(kHollowFaultsFor, [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(kSimulatedMemberFaultDuration, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
       ReadSlowly(false);
     }
@@ -806,18 +810,19 @@
 }
 
 bool BankLab::ReadsSlowly(size_t number) const {
-  return e_.bank.hollow_read_bytes_per_s > 0 && number % kSlowOf == slow_;
+  return e_.cluster.simulated_member_read_bytes_per_s > 0 && number % kSlowOf == slow_;
 }
 
 Address BankLab::SlowSeat(size_t voter, size_t number) const {
   const size_t count = e_.gateway.count;
-  return OwnAddress(place_ + count + count * count + e_.bank.hollow * (1 + voter) + number);
+  return OwnAddress(place_ + count + count * count + e_.cluster.simulated_members * (1 + voter) +
+                    number);
 }
 
 // What voters send them waits, as behind a reader that takes so much and no more.
 void BankLab::ReadSlowly(bool on) {
   for (const auto& relay : slow_relays_) {
-    relay->there.bytes_per_s = on ? e_.bank.hollow_read_bytes_per_s : 0;
+    relay->there.bytes_per_s = on ? e_.cluster.simulated_member_read_bytes_per_s : 0;
     relay->Changed();
   }
 }
@@ -828,11 +833,12 @@
   if (!stop && Now() >= until) {
     return;
   }
-  loop_.RunAfter(e_.bank.hollow_stall, [this, stop, until, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) {
-      Stall(!stop, until);
-    }
-  });
+  loop_.RunAfter(e_.cluster.simulated_member_stall,
+                 [this, stop, until, alive = std::weak_ptr(alive_)] {
+                   if (!alive.expired()) {
+                     Stall(!stop, until);
+                   }
+                 });
 }
 
 RoleFigures BankLab::RoleOf(const Sample& a, const Sample& b, bool leads, bool votes) const {
@@ -891,7 +897,7 @@
     return f;
   }
   over_ = MachineNow();
-  f.hollow = e_.bank.hollow;
+  f.hollow = e_.cluster.simulated_members;
   f.real = e_.gateway.count;
   f.members = f.real + f.hollow;
   f.leader = RoleOf(idle_from_, idle_to_, true, true);
@@ -945,10 +951,10 @@
   }
   terms.end = over_;
   terms.bound = cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay);
-  if (e_.bank.hollow_stalls && !hollow_.empty()) {
+  if (e_.cluster.stalls_simulated_members && !hollow_.empty()) {
     terms.stalled_from = hollow_[stalled_].first;
     terms.stalled_to = terms.stalled_from + hollow_[stalled_].count;
-    terms.stalled = e_.bank.hollow_stall;
+    terms.stalled = e_.cluster.simulated_member_stall;
   }
   JudgeHollow(std::move(lines), changes, terms, f);
   // A gateway acts on the last version as far as hosts have seen: it has sent to them since, and to
--- a/src/lab/cluster_experiment.h
+++ b/src/lab/cluster_experiment.h
@@ -48,7 +48,7 @@
   void Play(const Fault& fault);
   void Down(size_t gateway, bool down);
   // What a killed gateway finds when it comes back.
-  void ChangeDisk(size_t gateway, DiskIs disk);
+  void ChangeDisk(size_t gateway, DiskState disk);
   [[nodiscard]] size_t Draw(size_t count);
 
   // Members without clients beside the gateways, and figures of all; the gateways have started.
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -16,47 +16,48 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr size_t kHostsMost = 20'000;
-constexpr double kLengthMost = 3600;  // s
-constexpr double kRateMost = 200'000;
+constexpr size_t kMaxHosts = 20'000;
+constexpr double kMaxSeconds = 3600;  // seconds
+constexpr double kMaxRequestsPerSecond = 200'000;
 
-const TomlWords<BadKind> kBadKinds = {{"rubbish", BadKind::kRubbish},
-                                      {"endless-head", BadKind::kEndlessHead},
-                                      {"bad-length", BadKind::kBadLength},
-                                      {"negative-length", BadKind::kNegativeLength},
-                                      {"huge-length", BadKind::kHugeLength},
-                                      {"two-framings", BadKind::kTwoFramings},
-                                      {"unknown-class", BadKind::kUnknownClass},
-                                      {"bad-budget", BadKind::kBadBudget},
-                                      {"no-id", BadKind::kNoId},
-                                      {"half-request", BadKind::kHalfRequest},
-                                      {"silent", BadKind::kSilent},
-                                      {"trickle", BadKind::kTrickle}};
+const TomlWords<MisbehaviorKind> kMisbehaviorKinds = {
+    {"rubbish", MisbehaviorKind::kGarbage},
+    {"endless-head", MisbehaviorKind::kEndlessHeaders},
+    {"bad-length", MisbehaviorKind::kInvalidLength},
+    {"negative-length", MisbehaviorKind::kNegativeLength},
+    {"huge-length", MisbehaviorKind::kHugeLength},
+    {"two-framings", MisbehaviorKind::kConflictingFraming},
+    {"unknown-class", MisbehaviorKind::kUnknownClass},
+    {"bad-budget", MisbehaviorKind::kInvalidBudget},
+    {"no-id", MisbehaviorKind::kMissingRequestId},
+    {"half-request", MisbehaviorKind::kIncompleteRequest},
+    {"silent", MisbehaviorKind::kUnresponsive},
+    {"trickle", MisbehaviorKind::kByteByByte}};
 const TomlWords<FaultKind> kFaultKinds = {{"slow", FaultKind::kSlow},
-                                          {"silent", FaultKind::kSilent},
+                                          {"silent", FaultKind::kUnresponsive},
                                           {"errors", FaultKind::kErrors},
                                           {"stall", FaultKind::kStall},
-                                          {"neighbour", FaultKind::kNeighbour},
+                                          {"neighbour", FaultKind::kNoisyNeighbour},
                                           {"resets", FaultKind::kResets},
-                                          {"turned-away", FaultKind::kTurnedAway},
-                                          {"spoilt", FaultKind::kSpoilt},
-                                          {"half-dead", FaultKind::kHalfDead},
-                                          {"cut-off", FaultKind::kCutOff},
+                                          {"turned-away", FaultKind::kRejections},
+                                          {"spoilt", FaultKind::kTamperedResponses},
+                                          {"half-dead", FaultKind::kPartlyUnresponsive},
+                                          {"cut-off", FaultKind::kPartitioned},
                                           {"restart", FaultKind::kRestart},
                                           {"drain", FaultKind::kDrain},
                                           {"kill", FaultKind::kKill},
                                           {"add", FaultKind::kAdd},
-                                          {"list-silent", FaultKind::kListSilent},
-                                          {"list-lag", FaultKind::kListLag},
-                                          {"list-malformed", FaultKind::kListMalformed},
-                                          {"list-old", FaultKind::kListOld},
-                                          {"list-moved", FaultKind::kListMoved},
+                                          {"list-silent", FaultKind::kDiscoverySilent},
+                                          {"list-lag", FaultKind::kDiscoveryLag},
+                                          {"list-malformed", FaultKind::kDiscoveryMalformed},
+                                          {"list-old", FaultKind::kDiscoveryStale},
+                                          {"list-moved", FaultKind::kDiscoveryMoved},
                                           {"gateway-term", FaultKind::kGatewayTerm},
                                           {"gateway-kill", FaultKind::kGatewayKill},
                                           {"gateway-quiesce", FaultKind::kGatewayQuiesce},
                                           {"gateway-reload", FaultKind::kGatewayReload},
                                           {"gateway-upgrade", FaultKind::kGatewayUpgrade},
-                                          {"gateway-hup", FaultKind::kGatewayHup},
+                                          {"gateway-hup", FaultKind::kGatewayHangup},
                                           {"gateway-hang", FaultKind::kGatewayHang},
                                           {"gateway-stop", FaultKind::kGatewayStop},
                                           {"gateway-disk", FaultKind::kGatewayDisk},
@@ -64,340 +65,353 @@
                                           {"link-slow", FaultKind::kLinkSlow},
                                           {"link-flap", FaultKind::kLinkFlap},
                                           {"link-noise", FaultKind::kLinkNoise}};
-const TomlWords<Ways> kWays = {{"both", Ways::kBoth}, {"out", Ways::kOut}, {"in", Ways::kIn}};
-const TomlWords<UpgradeFate> kFates = {{"takes-over", UpgradeFate::kTakesOver},
-                                       {"killed", UpgradeFate::kKilled},
-                                       {"stopped", UpgradeFate::kStopped}};
-const TomlWords<DiskIs> kDisks = {{"kept", DiskIs::kKept}, {"old", DiskIs::kOld},
-                                  {"none", DiskIs::kNone}, {"full", DiskIs::kFull},
-                                  {"slow", DiskIs::kSlow}, {"sync-fails", DiskIs::kSyncFails}};
-const TomlWords<TamperOutgoing> kSpoils = {{"any", TamperOutgoing::kAny},
-                                           {"noise", TamperOutgoing::kNoise},
-                                           {"bad-head", TamperOutgoing::kBadHead},
-                                           {"endless-head", TamperOutgoing::kEndlessHead},
-                                           {"short-length", TamperOutgoing::kShortLength},
-                                           {"long-length", TamperOutgoing::kLongLength},
-                                           {"huge", TamperOutgoing::kHuge},
-                                           {"second-answer", TamperOutgoing::kSecondAnswer},
-                                           {"noise-behind", TamperOutgoing::kNoiseBehind},
-                                           {"interim", TamperOutgoing::kInterim},
-                                           {"bad-report", TamperOutgoing::kBadReport}};
-const TomlWords<Idempotency> kEffects = {
+const TomlWords<LinkDirection> kLinkDirections = {{"both", LinkDirection::kBoth},
+                                                  {"out", LinkDirection::kOutgoing},
+                                                  {"in", LinkDirection::kIncoming}};
+const TomlWords<UpgradeOutcome> kUpgradeOutcomes = {{"takes-over", UpgradeOutcome::kTakesOver},
+                                                    {"killed", UpgradeOutcome::kKilled},
+                                                    {"stopped", UpgradeOutcome::kStopped}};
+const TomlWords<DiskState> kDiskStates = {
+    {"kept", DiskState::kKept},  {"old", DiskState::kRolledBack},
+    {"none", DiskState::kEmpty}, {"full", DiskState::kFull},
+    {"slow", DiskState::kSlow},  {"sync-fails", DiskState::kSyncFails}};
+const TomlWords<ResponseTampering> kResponseTamperings = {
+    {"any", ResponseTampering::kAny},
+    {"noise", ResponseTampering::kRandomBytes},
+    {"bad-head", ResponseTampering::kMalformedHeaders},
+    {"endless-head", ResponseTampering::kEndlessHeaders},
+    {"short-length", ResponseTampering::kContentLengthTooShort},
+    {"long-length", ResponseTampering::kContentLengthTooLong},
+    {"huge", ResponseTampering::kEndlessBody},
+    {"second-answer", ResponseTampering::kDuplicateResponse},
+    {"noise-behind", ResponseTampering::kTrailingBytes},
+    {"interim", ResponseTampering::kInterimResponses},
+    {"bad-report", ResponseTampering::kMalformedLoadReport}};
+const TomlWords<Idempotency> kIdempotencies = {
     {"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}};
-const TomlWords<DeduplicationScope> kGroups = {{"all", DeduplicationScope::kAll},
-                                               {"zone", DeduplicationScope::kZone},
-                                               {"cell", DeduplicationScope::kCell}};
+const TomlWords<DeduplicationScope> kDeduplicationScopes = {{"all", DeduplicationScope::kAll},
+                                                            {"zone", DeduplicationScope::kZone},
+                                                            {"cell", DeduplicationScope::kCell}};
 
-bool OnHosts(FaultKind kind) {
+bool AffectsHosts(FaultKind kind) {
   return kind < FaultKind::kAdd;
 }
 
-void ThrowFaults(const TomlFaults& faults) {
+void ThrowIfInvalid(const TomlFaults& faults) {
   if (!faults.lines().empty()) {
     throw ExperimentError(fmt::format("{}", fmt::join(faults.lines(), "\n")));
   }
 }
 
-HostGroup ReadHosts(TomlTable& t) {
-  HostGroup g;
-  t.Read("name", g.name);
-  t.Read<size_t>("count", g.count, 1, kHostsMost);
-  t.Read<int>("cores", g.cores, 1, 1024);
-  t.ReadRange("speed", g.speed.low, g.speed.high, 0.01, 100);
-  t.Read("zone", g.zone);
-  t.Read("kind", g.kind);
-  t.Read<int>("cell", g.cell, 0, 1'000'000);
-  t.Read<size_t>("held_most", g.held_most, 1, 1'000'000);
-  t.Read<size_t>("connections_most", g.connections_most, 1, 1'000'000);
-  t.ReadMillis("handshake_ms", g.handshake);
-  t.ReadMillis("probe_work_ms", g.probe_work);
-  t.ReadRange("report_ms", g.report_ms.low, g.report_ms.high, 0, 10'000);
-  t.Read("stops_work", g.stops_work);
-  if (g.name.empty()) {
-    t.Fault("name", "empty", "a name");
-  }
-  return g;
+HostGroup ReadHosts(TomlTable& table) {
+  HostGroup group;
+  table.Read("name", group.name);
+  table.Read<size_t>("count", group.count, 1, kMaxHosts);
+  table.Read<int>("cores", group.cores, 1, 1024);
+  table.ReadRange("speed", group.speed.low, group.speed.high, 0.01, 100);
+  table.Read("zone", group.zone);
+  table.Read("kind", group.kind);
+  table.Read<int>("cell", group.cell, 0, 1'000'000);
+  table.Read<size_t>("held_most", group.max_held_requests, 1, 1'000'000);
+  table.Read<size_t>("connections_most", group.max_connections, 1, 1'000'000);
+  table.ReadMillis("handshake_ms", group.handshake_work);
+  table.ReadMillis("probe_work_ms", group.probe_work);
+  table.ReadRange("report_ms", group.report_interval_ms.low, group.report_interval_ms.high, 0,
+                  10'000);
+  table.Read("stops_work", group.cancels_work_on_disconnect);
+  if (group.name.empty()) {
+    table.Fault("name", "empty", "a name");
+  }
+  return group;
 }
 
-ClassSpec ReadClass(TomlTable& t) {
-  ClassSpec c;
-  c.rules.latency_objective = Duration(1'000'000);
-  c.rules.deadline = Duration(3'000'000);
-  t.Read("name", c.name);
-  if (c.name.empty() || c.name.find_first_of("/? ,") != std::string::npos) {
-    t.Fault("name", "empty or not fit for a path", "a word");
-  }
-  t.Read("effect", c.rules.idempotency, kEffects);
-  t.Read("group", c.rules.deduplication_scope, kGroups);
-  t.ReadMillis("window_ms", c.rules.deduplication_window);
-  t.ReadMillis("aim_ms", c.rules.latency_objective);
-  t.ReadMillis("deadline_ms", c.rules.deadline);
-  t.Read("worth", c.rules.priority_weight, 0, 1e6);
-  t.Read("late_share", c.rules.late_value_fraction, 0, 1);
-  t.Read("share", c.share, 0, 1e6);
-  t.ReadRange("work_ms", c.work_ms.low, c.work_ms.high, 0, 60'000);
-  t.ReadRange("wait_ms", c.wait_ms.low, c.wait_ms.high, 0, 60'000);
-  t.ReadRange("body_bytes", c.body_bytes.low, c.body_bytes.high, 0, 65'536);
-  t.ReadRange("answer_bytes", c.answer_bytes.low, c.answer_bytes.high, 0, 65'000);
-  if (c.rules.latency_objective <= Duration(0)) {
-    t.Fault("aim_ms", "0", "more than 0");
-  }
-  if (c.rules.deadline < c.rules.latency_objective) {
-    t.Fault("deadline_ms", "under aim_ms", "at least aim_ms");
-  }
-  if (c.rules.idempotency == Idempotency::kKeyed && c.rules.deduplication_window <= Duration(0)) {
-    t.Fault("window_ms", "missing", "how long a keyed class's repeats are dropped");
-  }
-  return c;
+ClassSpec ReadClass(TomlTable& table) {
+  ClassSpec spec;
+  spec.rules.latency_objective = Duration(1'000'000);
+  spec.rules.deadline = Duration(3'000'000);
+  table.Read("name", spec.name);
+  if (spec.name.empty() || spec.name.find_first_of("/? ,") != std::string::npos) {
+    table.Fault("name", "empty or not usable in a path", "a word");
+  }
+  table.Read("effect", spec.rules.idempotency, kIdempotencies);
+  table.Read("group", spec.rules.deduplication_scope, kDeduplicationScopes);
+  table.ReadMillis("window_ms", spec.rules.deduplication_window);
+  table.ReadMillis("aim_ms", spec.rules.latency_objective);
+  table.ReadMillis("deadline_ms", spec.rules.deadline);
+  table.Read("worth", spec.rules.priority_weight, 0, 1e6);
+  table.Read("late_share", spec.rules.late_value_fraction, 0, 1);
+  table.Read("share", spec.share, 0, 1e6);
+  table.ReadRange("work_ms", spec.work_ms.low, spec.work_ms.high, 0, 60'000);
+  table.ReadRange("wait_ms", spec.wait_ms.low, spec.wait_ms.high, 0, 60'000);
+  table.ReadRange("body_bytes", spec.body_bytes.low, spec.body_bytes.high, 0, 65'536);
+  table.ReadRange("answer_bytes", spec.response_bytes.low, spec.response_bytes.high, 0, 65'000);
+  if (spec.rules.latency_objective <= Duration(0)) {
+    table.Fault("aim_ms", "0", "more than 0");
+  }
+  if (spec.rules.deadline < spec.rules.latency_objective) {
+    table.Fault("deadline_ms", "under aim_ms", "at least aim_ms");
+  }
+  if (spec.rules.idempotency == Idempotency::kKeyed &&
+      spec.rules.deduplication_window <= Duration(0)) {
+    table.Fault("window_ms", "missing", "how long hosts drop duplicates of a keyed request");
+  }
+  return spec;
 }
 
-void ReadOptionalMillis(TomlTable& t, const char* key, std::optional<Duration>& value) {
-  if (t.Get(key) != nullptr) {
+void ReadOptionalMillis(TomlTable& table, const char* key, std::optional<Duration>& value) {
+  if (table.Get(key) != nullptr) {
     value = Duration(0);
-    t.ReadMillis(key, *value);
+    table.ReadMillis(key, *value);
   }
 }
 
-Fault ReadFault(TomlTable& t) {
-  Fault f;
-  if (t.Get("kind") == nullptr) {
-    t.Fault("kind", "missing", "a kind of fault");
-  }
-  t.Read("kind", f.kind, kFaultKinds);
-  t.Read("kind", f.name);
-  t.ReadSeconds("at_s", f.at);
-  t.ReadSeconds("for_s", f.lasts);
-  t.Read("hosts", f.hosts, 0, 1);
-  t.Read<size_t>("count", f.count, 1, kHostsMost);
-  if (const toml::node* const names = t.Get("names")) {
+Fault ReadFault(TomlTable& table) {
+  Fault fault;
+  if (table.Get("kind") == nullptr) {
+    table.Fault("kind", "missing", "a fault kind");
+  }
+  table.Read("kind", fault.kind, kFaultKinds);
+  table.Read("kind", fault.name);
+  table.ReadSeconds("at_s", fault.at);
+  table.ReadSeconds("for_s", fault.duration);
+  table.Read("hosts", fault.host_share, 0, 1);
+  table.Read<size_t>("count", fault.count, 1, kMaxHosts);
+  if (const toml::node* const names = table.Get("names")) {
     if (const toml::array* const list = names->as_array()) {
       for (const toml::node& name : *list) {
-        f.names.push_back(name.value_exact<std::string>().value_or(""));
+        fault.host_names.push_back(name.value_exact<std::string>().value_or(""));
       }
     } else {
-      t.Fault("names", "no list", "a list of hosts' names");
+      table.Fault("names", "not a list", "a list of host names");
     }
   }
-  t.Read("zone", f.zone);
-  t.Read("factor", f.factor, 0.01, 1000);
-  t.Read("share", f.share, 0, 1);
-  t.ReadSeconds("down_s", f.down);
-  t.ReadSeconds("leave_s", f.leave);
-  t.ReadMillis("stop_ms", f.stop);
-  t.ReadSeconds("every_s", f.every);
-  t.ReadMillis("lag_ms", f.lag);
-  t.Read("how", f.spoil, kSpoils);
-  t.Read<size_t>("gateway", f.gateway, 0, 10'000);
-  t.Read("class", f.cls);
-  if (t.Get("gateways") != nullptr) {
+  table.Read("zone", fault.zone);
+  table.Read("factor", fault.factor, 0.01, 1000);
+  table.Read("share", fault.request_share, 0, 1);
+  table.ReadSeconds("down_s", fault.downtime);
+  table.ReadSeconds("leave_s", fault.exit_delay);
+  table.ReadMillis("stop_ms", fault.stall_duration);
+  table.ReadSeconds("every_s", fault.interval);
+  table.ReadMillis("lag_ms", fault.discovery_lag);
+  table.Read("how", fault.tampering, kResponseTamperings);
+  table.Read<size_t>("gateway", fault.gateway, 0, 10'000);
+  table.Read("class", fault.request_class);
+  if (table.Get("gateways") != nullptr) {
     size_t count = 1;
-    t.Read<size_t>("gateways", count, 1, 10'000);
-    f.gateways = count;
+    table.Read<size_t>("gateways", count, 1, 10'000);
+    fault.random_gateway_count = count;
   }
-  if (const toml::node* const from = t.Get("from")) {
+  if (const toml::node* const from = table.Get("from")) {
     if (const toml::array* const list = from->as_array()) {
       for (const toml::node& one : *list) {
-        f.from.push_back(static_cast<size_t>(one.value_exact<int64_t>().value_or(0)));
+        fault.gateway_list.push_back(static_cast<size_t>(one.value_exact<int64_t>().value_or(0)));
       }
     } else {
-      t.Fault("from", "no list", "a list of gateways");
+      table.Fault("from", "not a list", "a list of gateway numbers");
     }
   }
-  t.Read("ways", f.ways, kWays);
-  t.Read("resets", f.resets);
-  t.ReadRange("delay_ms", f.delay_ms.low, f.delay_ms.high, 0, 60'000);
-  t.Read<size_t>("bytes_per_s", f.bytes_per_s, 1, 1'000'000'000);
-  t.Read("disk", f.disk, kDisks);
-  ReadOptionalMillis(t, "second_term_ms", f.second_term_after);
-  ReadOptionalMillis(t, "hup_ms", f.hup_after);
-  t.Read("kill_at_earliest", f.kill_at_earliest);
-  t.Read("fate", f.fate, kFates);
-  t.ReadMillis("fate_after_ms", f.fate_after);
-  const int ways = (f.hosts > 0 ? 1 : 0) + (f.count > 0 ? 1 : 0) + (f.names.empty() ? 0 : 1);
-  if (OnHosts(f.kind) && ways != 1) {
-    t.Fault("hosts", ways == 0 ? "no host named" : "named twice over",
-            "one of hosts (a share), count or names");
-  }
-  if (f.kind == FaultKind::kNeighbour && f.factor >= 1) {
-    t.Fault("factor", "all cores or more", "the share of the cores taken, under 1");
-  }
-  if (f.kind == FaultKind::kStall && f.every <= f.stop) {
-    t.Fault("every_s", "no longer than stop_ms", "more");
-  }
-  return f;
+  table.Read("ways", fault.link_direction, kLinkDirections);
+  table.Read("resets", fault.reset_connections);
+  table.ReadRange("delay_ms", fault.delay_ms.low, fault.delay_ms.high, 0, 60'000);
+  table.Read<size_t>("bytes_per_s", fault.bytes_per_s, 1, 1'000'000'000);
+  table.Read("disk", fault.disk, kDiskStates);
+  ReadOptionalMillis(table, "second_term_ms", fault.second_term_after);
+  ReadOptionalMillis(table, "hup_ms", fault.hup_after);
+  table.Read("kill_at_earliest", fault.kill_at_earliest);
+  table.Read("fate", fault.upgrade_outcome, kUpgradeOutcomes);
+  table.ReadMillis("fate_after_ms", fault.upgrade_outcome_delay);
+  const int selections = (fault.host_share > 0 ? 1 : 0) + (fault.count > 0 ? 1 : 0) +
+                         (fault.host_names.empty() ? 0 : 1);
+  if (AffectsHosts(fault.kind) && selections != 1) {
+    table.Fault("hosts", selections == 0 ? "no host selected" : "selected in several ways",
+                "one of hosts (a share), count or names");
+  }
+  if (fault.kind == FaultKind::kNoisyNeighbour && fault.factor >= 1) {
+    table.Fault("factor", "all cores or more", "the share of the cores taken, under 1");
+  }
+  if (fault.kind == FaultKind::kStall && fault.interval <= fault.stall_duration) {
+    table.Fault("every_s", "no longer than stop_ms", "more than stop_ms");
+  }
+  return fault;
 }
 
-void ReadLoad(TomlTable& t, LoadSpec& load) {
-  const toml::node* const rate = t.Get("rate");
+void ReadLoad(TomlTable& table, LoadSpec& load) {
+  const toml::node* const rate = table.Get("rate");
   if (rate == nullptr) {
-    t.Fault("rate", "missing", "requests a second, or [[second, rate], ...]");
+    table.Fault("rate", "missing", "requests per second, or [[second, rate], ...]");
   } else if (rate->is_array()) {
     for (const toml::node& step : *rate->as_array()) {
       const toml::array* const pair = step.as_array();
       const auto at = pair != nullptr && pair->size() == 2 ? pair->get(0)->value<double>()
                                                            : std::optional<double>();
       const auto per_s = at ? pair->get(1)->value<double>() : std::optional<double>();
-      if (!per_s || *at < 0 || *at > kLengthMost || *per_s < 0 || *per_s > kRateMost ||
+      if (!per_s || *at < 0 || *at > kMaxSeconds || *per_s < 0 || *per_s > kMaxRequestsPerSecond ||
           (!load.rate.empty() && *at * 1e6 <= static_cast<double>(load.rate.back().at.count()))) {
-        t.Fault("rate", "a step that makes no sense",
-                fmt::format("[second, rate] with growing seconds and rates to {}", kRateMost));
+        table.Fault("rate", "an invalid step",
+                    fmt::format("[second, rate] with increasing seconds and rates up to {}",
+                                kMaxRequestsPerSecond));
         break;
       }
       load.rate.push_back({Duration(std::llround(*at * 1e6)), *per_s});
     }
   } else {
     double per_s = 0;
-    t.Read("rate", per_s, 0, kRateMost);
+    table.Read("rate", per_s, 0, kMaxRequestsPerSecond);
     load.rate.push_back({Duration(0), per_s});
   }
-  t.Read<size_t>("connections_most", load.connections_most, 1, 100'000);
-  t.Read<size_t>("idle_connections", load.idle_connections, 0, 100'000);
-  t.Read<int>("retries", load.retries, 0, 10);
-  t.ReadRange("retry_wait_ms", load.retry_wait_ms.low, load.retry_wait_ms.high, 0, 60'000);
-  t.Read("leave_share", load.leave_share, 0, 1);
-  t.Read("trickle_share", load.trickle_share, 0, 1);
-  t.Read("once_share", load.once_share, 0, 1);
-  t.Read("keeps_connections", load.keeps_connections);
-  t.ReadEach("bad", [&](TomlTable& b) {
-    BadClients bad;
-    bad.to = Duration(std::llround(kLengthMost * 1e6));
-    if (b.Get("kind") == nullptr) {
-      b.Fault("kind", "missing", "a kind of bad client");
+  table.Read<size_t>("connections_most", load.max_connections, 1, 100'000);
+  table.Read<size_t>("idle_connections", load.idle_connections, 0, 100'000);
+  table.Read<int>("retries", load.max_retries, 0, 10);
+  table.ReadRange("retry_wait_ms", load.retry_delay_ms.low, load.retry_delay_ms.high, 0, 60'000);
+  table.Read("leave_share", load.client_abort_share, 0, 1);
+  table.Read("trickle_share", load.slow_send_share, 0, 1);
+  table.Read("once_share", load.close_after_response_share, 0, 1);
+  table.Read("keeps_connections", load.keeps_open_connections);
+  table.ReadEach("bad", [&](TomlTable& entry) {
+    MisbehavingClients clients;
+    clients.to = Duration(std::llround(kMaxSeconds * 1e6));
+    if (entry.Get("kind") == nullptr) {
+      entry.Fault("kind", "missing", "a kind of misbehaving client");
     }
-    b.Read("kind", bad.kind, kBadKinds);
-    b.Read("per_s", bad.per_s, 0.01, 10'000);
-    b.ReadSeconds("from_s", bad.from);
-    b.ReadSeconds("to_s", bad.to);
-    load.bad.push_back(bad);
+    entry.Read("kind", clients.kind, kMisbehaviorKinds);
+    entry.Read("per_s", clients.per_s, 0.01, 10'000);
+    entry.ReadSeconds("from_s", clients.from);
+    entry.ReadSeconds("to_s", clients.to);
+    load.misbehaving_clients.push_back(clients);
   });
 }
 
-void ReadMust(TomlTable& t, Must& must) {
-  t.Read("worth_share_least", must.worth_share_least, 0, 1);
-  t.Read("served_share_least", must.served_share_least, 0, 1);
-  t.Read("refused_share_most", must.refused_share_most, 0, 1);
-  t.Read("failed_share_most", must.failed_share_most, 0, 1);
-  t.Read("late_share_most", must.late_share_most, 0, 1);
-  t.Read("p50_ms_most", must.p50_ms_most, 0, 1e6);
-  t.Read("p99_ms_most", must.p99_ms_most, 0, 1e6);
-  t.Read("cpu_us_most", must.cpu_us_most, 0, 1e6);
-  t.Read("rss_mb_most", must.rss_mb_most, 0, 1e6);
-  t.Read("rss_growth_mb_most", must.rss_growth_mb_most, 0, 1e6);
-  t.Read("descriptors_most", must.descriptors_most, 0, 1e6);
-  t.Read("bad_unanswered_share_most", must.bad_unanswered_share_most, 0, 1);
-  t.Read("unavailable_ms_most", must.unavailable_ms_most, 0, 1e6);
-  t.Read("follow_ms_p50_most", must.follow_ms_p50_most, 0, 1e6);
-  t.Read("changes_done_share_least", must.changes_done_share_least, 0, 1);
-  t.ReadEach("window", [&](TomlTable& w) {
-    WindowMust window;
-    w.ReadSeconds("from_s", window.from);
-    w.ReadSeconds("to_s", window.to);
-    w.Read("worth_share_least", window.worth_share_least, 0, 1);
+void ReadRequirements(TomlTable& table, Requirements& must) {
+  table.Read("worth_share_least", must.min_worth_share, 0, 1);
+  table.Read("served_share_least", must.min_served_share, 0, 1);
+  table.Read("refused_share_most", must.max_refused_share, 0, 1);
+  table.Read("failed_share_most", must.max_failed_share, 0, 1);
+  table.Read("late_share_most", must.max_late_share, 0, 1);
+  table.Read("p50_ms_most", must.max_p50_ms, 0, 1e6);
+  table.Read("p99_ms_most", must.max_p99_ms, 0, 1e6);
+  table.Read("cpu_us_most", must.max_cpu_us, 0, 1e6);
+  table.Read("rss_mb_most", must.max_rss_mb, 0, 1e6);
+  table.Read("rss_growth_mb_most", must.max_rss_growth_mb, 0, 1e6);
+  table.Read("descriptors_most", must.max_descriptors, 0, 1e6);
+  table.Read("bad_unanswered_share_most", must.max_misbehaving_unanswered_share, 0, 1);
+  table.Read("unavailable_ms_most", must.max_unavailable_ms, 0, 1e6);
+  table.Read("follow_ms_p50_most", must.max_p50_follow_ms, 0, 1e6);
+  table.Read("changes_done_share_least", must.min_changes_done_share, 0, 1);
+  table.ReadEach("window", [&](TomlTable& entry) {
+    WindowRequirement window;
+    entry.ReadSeconds("from_s", window.from);
+    entry.ReadSeconds("to_s", window.to);
+    entry.Read("worth_share_least", window.min_worth_share, 0, 1);
     if (window.to <= window.from) {
-      w.Fault("to_s", "not after from_s", "a later second");
+      entry.Fault("to_s", "not after from_s", "a time after from_s");
     }
     must.windows.push_back(window);
   });
 }
 
-void ReadRules(TomlTable& t, Experiment& e) {
-  t.ReadSeconds("drain_grace_s", e.drain_grace);
-  t.Read("cold_from", e.slow_start_initial_capacity, 0.01, 1);
-  t.ReadSeconds("warm_s", e.slow_start_duration);
-  t.Read("fall_multiple", e.overload_collapse_multiple, 1, 100);
-  t.ReadSeconds("fall_s", e.fall);
-  t.Read<int>("send_cap", e.max_attempts, 1, 100);
-  t.ReadMillis("connect_timeout_ms", e.connect_timeout);
-  t.ReadSeconds("idle_close_s", e.idle_close);
-  t.ReadSeconds("list_every_s", e.list_every);
-  t.Read("probes", e.probes);
-  t.Read("retry_after", e.retry_after);
-  t.Read("marks_retry", e.marks_retry);
+void ReadRules(TomlTable& table, Experiment& experiment) {
+  table.ReadSeconds("drain_grace_s", experiment.drain_grace);
+  table.Read("cold_from", experiment.slow_start_initial_capacity, 0.01, 1);
+  table.ReadSeconds("warm_s", experiment.slow_start_duration);
+  table.Read("fall_multiple", experiment.overload_collapse_multiple, 1, 100);
+  table.ReadSeconds("fall_s", experiment.overload_collapse_duration);
+  table.Read<int>("send_cap", experiment.max_attempts, 1, 100);
+  table.ReadMillis("connect_timeout_ms", experiment.connect_timeout);
+  table.ReadSeconds("idle_close_s", experiment.idle_connection_timeout);
+  table.ReadSeconds("list_every_s", experiment.discovery_keepalive_interval);
+  table.Read("probes", experiment.probes);
+  table.Read("retry_after", experiment.retry_after);
+  table.Read("marks_retry", experiment.marks_retries);
 }
 
-void CheckTogether(TomlTable& t, Experiment& e) {
-  if (e.hosts.empty()) {
-    t.Fault("hosts", "missing", "at least one [[hosts]]");
+void CheckConsistency(TomlTable& table, Experiment& experiment) {
+  if (experiment.hosts.empty()) {
+    table.Fault("hosts", "missing", "at least one [[hosts]]");
   }
-  if (e.classes.empty()) {
-    t.Fault("classes", "missing", "at least one [[classes]]");
+  if (experiment.classes.empty()) {
+    table.Fault("classes", "missing", "at least one [[classes]]");
   }
-  if (e.host_count() > kHostsMost) {
-    t.Fault("hosts", fmt::format("{} in all", e.host_count()),
-            fmt::format("{} at most", kHostsMost));
+  if (experiment.host_count() > kMaxHosts) {
+    table.Fault("hosts", fmt::format("{} in total", experiment.host_count()),
+                fmt::format("at most {}", kMaxHosts));
   }
   std::set<std::string> names, classes;
-  for (const ClassSpec& c : e.classes) {
-    if (!classes.insert(c.name).second) {
-      t.Fault("classes", c.name + " twice", "names that differ");
+  for (const ClassSpec& spec : experiment.classes) {
+    if (!classes.insert(spec.name).second) {
+      table.Fault("classes", spec.name + " twice", "unique names");
     }
   }
-  for (const HostGroup& g : e.hosts) {
-    for (size_t i = 0; i < g.count; ++i) {
-      if (!names.insert(fmt::format("{}-{}", g.name, i + 1)).second) {
-        t.Fault("hosts", fmt::format("{}-{} twice", g.name, i + 1), "names that differ");
+  for (const HostGroup& group : experiment.hosts) {
+    for (size_t i = 0; i < group.count; ++i) {
+      if (!names.insert(fmt::format("{}-{}", group.name, i + 1)).second) {
+        table.Fault("hosts", fmt::format("{}-{} twice", group.name, i + 1), "unique names");
         break;
       }
     }
-    if (std::ranges::count(e.zones, g.zone) == 0) {
-      e.zones.push_back(g.zone);
+    if (std::ranges::count(experiment.zones, group.zone) == 0) {
+      experiment.zones.push_back(group.zone);
     }
-    if (std::ranges::count(e.kinds, g.kind) == 0) {
-      e.kinds.push_back(g.kind);
+    if (std::ranges::count(experiment.kinds, group.kind) == 0) {
+      experiment.kinds.push_back(group.kind);
     }
   }
-  for (size_t i = 0; i < e.faults.size(); ++i) {
-    const Fault& f = e.faults[i];
-    const std::string at = fmt::format("faults[{}]", i);
-    const toml::node* where = t.Get("faults");
+  for (size_t i = 0; i < experiment.faults.size(); ++i) {
+    const Fault& fault = experiment.faults[i];
+    const std::string key_prefix = fmt::format("faults[{}]", i);
+    const toml::node* where = table.Get("faults");
     if (where != nullptr && where->is_array()) {
       where = where->as_array()->get(i);
     }
-    const auto fault = [&](std::string_view key, std::string_view what, std::string_view expected) {
-      t.FaultAt(where, fmt::format("{}.{}", at, key), what, expected);
+    const auto report = [&](std::string_view key, std::string_view what,
+                            std::string_view expected) {
+      table.FaultAt(where, fmt::format("{}.{}", key_prefix, key), what, expected);
     };
-    if (f.at > e.length) {
-      fault("at_s", "after the end", "a second of the experiment");
+    if (fault.at > experiment.length) {
+      report("at_s", "after the end of the experiment", "a time within it");
     }
-    for (const std::string& name : f.names) {
+    for (const std::string& name : fault.host_names) {
       if (!names.contains(name)) {
-        fault("names", fmt::format("no host '{}'", name), "a host's name");
+        report("names", fmt::format("no host '{}'", name), "the name of a host");
       }
     }
-    if (!f.zone.empty() && std::ranges::count(e.zones, f.zone) == 0) {
-      fault("zone", fmt::format("no host in '{}'", f.zone), "a zone of [[hosts]]");
+    if (!fault.zone.empty() && std::ranges::count(experiment.zones, fault.zone) == 0) {
+      report("zone", fmt::format("no host in '{}'", fault.zone), "a zone used in [[hosts]]");
     }
-    if (f.count > e.host_count() && f.kind != FaultKind::kAdd) {
-      fault("count", fmt::format("{} of {} hosts", f.count, e.host_count()),
-            "no more than there are");
+    if (fault.count > experiment.host_count() && fault.kind != FaultKind::kAdd) {
+      report("count", fmt::format("{} of {} hosts", fault.count, experiment.host_count()),
+             "at most the number that exists");
     }
-    if (f.kind >= FaultKind::kGatewayTerm && f.gateway >= e.gateway.count) {
-      fault("gateway", fmt::format("no gateway {}", f.gateway),
-            fmt::format("0 to {}", e.gateway.count - 1));
+    if (fault.kind >= FaultKind::kGatewayTerm && fault.gateway >= experiment.gateway.count) {
+      report("gateway", fmt::format("no gateway {}", fault.gateway),
+             fmt::format("0 to {}", experiment.gateway.count - 1));
     }
-    const bool among = f.kind >= FaultKind::kGatewayDisk || f.disk != DiskIs::kKept;
-    if (among && !e.bank.on) {
-      fault("kind", "no bank", "[bank]");
+    const bool needs_cluster =
+        fault.kind >= FaultKind::kGatewayDisk || fault.disk != DiskState::kKept;
+    if (needs_cluster && !experiment.cluster.enabled) {
+      report("kind", "a fault of clusters without a cluster", "a [bank] table");
     }
-    for (const size_t gateway : f.from) {
-      if (gateway >= e.gateway.count) {
-        fault("from", fmt::format("no gateway {}", gateway),
-              fmt::format("0 to {}", e.gateway.count - 1));
+    for (const size_t gateway : fault.gateway_list) {
+      if (gateway >= experiment.gateway.count) {
+        report("from", fmt::format("no gateway {}", gateway),
+               fmt::format("0 to {}", experiment.gateway.count - 1));
       }
     }
-    if (f.gateways && *f.gateways > e.gateway.count) {
-      fault("gateways", fmt::format("{} of {}", *f.gateways, e.gateway.count),
-            "no more than there are");
+    if (fault.random_gateway_count && *fault.random_gateway_count > experiment.gateway.count) {
+      report("gateways",
+             fmt::format("{} of {}", *fault.random_gateway_count, experiment.gateway.count),
+             "at most the number that exists");
     }
-    if (f.kind != FaultKind::kGatewayReload) {
+    if (fault.kind != FaultKind::kGatewayReload) {
       continue;
     }
-    const auto cls = std::ranges::find(e.classes, f.cls, &ClassSpec::name);
-    if (cls == e.classes.end()) {
-      fault("class", fmt::format("no class '{}'", f.cls), "the class that it brings");
+    const auto request_class =
+        std::ranges::find(experiment.classes, fault.request_class, &ClassSpec::name);
+    if (request_class == experiment.classes.end()) {
+      report("class", fmt::format("no class '{}'", fault.request_class),
+             "the class that the reload adds");
     } else {
-      cls->listed = false;
-      cls->from = f.at + kReloadPause + kReloadWithin;
+      request_class->in_initial_settings = false;
+      request_class->available_from = fault.at + kReloadCompletionDelay + kMaxReloadTime;
     }
   }
 }
@@ -440,161 +454,168 @@
 }
 
 Experiment ParseExperiment(std::string_view text, const std::string& path) {
-  Experiment e;
-  e.path = path;
+  Experiment experiment;
+  experiment.path = path;
   TomlFaults faults(path);
   const std::optional<toml::table> root = faults.Parse(text);
-  ThrowFaults(faults);
+  ThrowIfInvalid(faults);
   {
-    TomlTable t(*root, "", faults);
-    t.Read("name", e.name);
-    t.Read("about", e.about);
-    t.Read<uint64_t>("seed", e.seed, 0, INT64_MAX);
-    t.ReadSeconds("seconds", e.length);
-    if (e.name.empty()) {
-      t.Fault("name", "missing", "the experiment's name");
+    TomlTable table(*root, "", faults);
+    table.Read("name", experiment.name);
+    table.Read("about", experiment.about);
+    table.Read<uint64_t>("seed", experiment.seed, 0, INT64_MAX);
+    table.ReadSeconds("seconds", experiment.length);
+    if (experiment.name.empty()) {
+      table.Fault("name", "missing", "the experiment's name");
     }
-    if (e.length < Duration(1'000'000)) {
-      t.Fault("seconds", "under 1", "1 to 3600");
+    if (experiment.length < Duration(1'000'000)) {
+      table.Fault("seconds", "under 1", "1 to 3600");
     }
-    t.ReadEach("hosts", [&](TomlTable& h) { e.hosts.push_back(ReadHosts(h)); });
-    t.ReadEach("classes", [&](TomlTable& c) { e.classes.push_back(ReadClass(c)); });
-    t.ReadEach("tenants", [&](TomlTable& n) {
+    table.ReadEach("hosts",
+                   [&](TomlTable& hosts) { experiment.hosts.push_back(ReadHosts(hosts)); });
+    table.ReadEach("classes",
+                   [&](TomlTable& classes) { experiment.classes.push_back(ReadClass(classes)); });
+    table.ReadEach("tenants", [&](TomlTable& tenants) {
       TenantSpec tenant;
-      n.Read("name", tenant.name);
-      n.Read("share", tenant.share, 0, 1);
+      tenants.Read("name", tenant.name);
+      tenants.Read("share", tenant.share, 0, 1);
       if (tenant.name.empty()) {
-        n.Fault("name", "missing", "a tenant's name");
+        tenants.Fault("name", "missing", "a tenant's name");
       }
-      e.tenants.push_back(tenant);
+      experiment.tenants.push_back(tenant);
     });
-    if (t.Get("load") == nullptr) {
-      t.Fault("load", "missing", "[load]");
+    if (table.Get("load") == nullptr) {
+      table.Fault("load", "missing", "[load]");
     }
-    t.ReadTable("load", [&](TomlTable& l) { ReadLoad(l, e.load); });
-    t.ReadTable("gateway", [&](TomlTable& g) {
-      g.Read<size_t>("count", e.gateway.count, 1, 200);
-      g.Read<size_t>("sockets", e.gateway.sockets, 64, 1'000'000);
-      g.Read("listen", e.gateway.listen);
-      if (const toml::node* const settings = g.Get("settings")) {
-        e.gateway.settings_json = ToJson(*settings).dump();
+    table.ReadTable("load", [&](TomlTable& load) { ReadLoad(load, experiment.load); });
+    table.ReadTable("gateway", [&](TomlTable& gateway) {
+      gateway.Read<size_t>("count", experiment.gateway.count, 1, 200);
+      gateway.Read<size_t>("sockets", experiment.gateway.sockets, 64, 1'000'000);
+      gateway.Read("listen", experiment.gateway.listen);
+      if (const toml::node* const settings = gateway.Get("settings")) {
+        experiment.gateway.settings_json = ToJson(*settings).dump();
       }
     });
-    t.ReadTable("bank", [&](TomlTable& b) {
-      e.bank.on = true;
-      b.Read<size_t>("voters", e.bank.voters, 1, 9);
-      b.ReadMillis("change_every_ms", e.bank.change_every);
-      b.ReadSeconds("quiet_last_s", e.bank.quiet_last);
-      b.Read("drains", e.bank.drains);
-      b.Read("effects", e.bank.effects);
-      b.Read<size_t>("hollow", e.bank.hollow, 0, 5000);
-      b.Read<size_t>("hollow_restarts", e.bank.hollow_restarts, 0, 5000);
-      b.Read<size_t>("hollow_cuts", e.bank.hollow_cuts, 0, 5000);
-      b.Read("hollow_stalls", e.bank.hollow_stalls);
-      b.ReadMillis("hollow_stall_ms", e.bank.hollow_stall);
-      b.Read<size_t>("hollow_read_bytes_per_s", e.bank.hollow_read_bytes_per_s, 0, 1'000'000'000);
-      b.ReadSeconds("hollow_faults_at_s", e.bank.hollow_faults_at);
-      b.Read("deltas", e.bank.deltas);
-      b.Read<size_t>("version_tenants", e.bank.version_tenants, 0, 70'000);
-      if (b.Get("clocks") != nullptr) {
-        b.ReadTable("clocks", [&](TomlTable& clocks) {
-          for (size_t i = 0; i < e.gateway.count; ++i) {
+    table.ReadTable("bank", [&](TomlTable& bank) {
+      experiment.cluster.enabled = true;
+      bank.Read<size_t>("voters", experiment.cluster.voters, 1, 9);
+      bank.ReadMillis("change_every_ms", experiment.cluster.change_interval);
+      bank.ReadSeconds("quiet_last_s", experiment.cluster.quiet_before_end);
+      bank.Read("drains", experiment.cluster.drains_when_disconnected);
+      bank.Read("effects", experiment.cluster.changes_idempotency);
+      bank.Read<size_t>("hollow", experiment.cluster.simulated_members, 0, 5000);
+      bank.Read<size_t>("hollow_restarts", experiment.cluster.simulated_member_restarts, 0, 5000);
+      bank.Read<size_t>("hollow_cuts", experiment.cluster.simulated_member_link_cuts, 0, 5000);
+      bank.Read("hollow_stalls", experiment.cluster.stalls_simulated_members);
+      bank.ReadMillis("hollow_stall_ms", experiment.cluster.simulated_member_stall);
+      bank.Read<size_t>("hollow_read_bytes_per_s",
+                        experiment.cluster.simulated_member_read_bytes_per_s, 0, 1'000'000'000);
+      bank.ReadSeconds("hollow_faults_at_s", experiment.cluster.simulated_member_faults_at);
+      bank.Read("deltas", experiment.cluster.uses_delta_changes);
+      bank.Read<size_t>("version_tenants", experiment.cluster.tenants_per_version, 0, 70'000);
+      if (bank.Get("clocks") != nullptr) {
+        bank.ReadTable("clocks", [&](TomlTable& clocks) {
+          for (size_t i = 0; i < experiment.gateway.count; ++i) {
             double factor = 1;
             clocks.Read(fmt::format("g{}", i), factor, 0.5, 2);
             if (factor != 1) {
-              e.bank.clocks.emplace_back(i, factor);
+              experiment.cluster.clock_rates.emplace_back(i, factor);
             }
           }
         });
       }
-      if (e.bank.voters % 2 == 0) {
-        b.Fault("voters", "an even number", "an odd one");
+      if (experiment.cluster.voters % 2 == 0) {
+        bank.Fault("voters", "an even number", "an odd number");
       }
-      if (e.bank.voters > e.gateway.count) {
-        b.Fault("voters", "more than gateways", "gateway.count at most");
+      if (experiment.cluster.voters > experiment.gateway.count) {
+        bank.Fault("voters", "more than there are gateways", "at most gateway.count");
       }
-      if (e.bank.change_every <= Duration(0)) {
-        b.Fault("change_every_ms", "0", "more than 0");
+      if (experiment.cluster.change_interval <= Duration(0)) {
+        bank.Fault("change_every_ms", "0", "more than 0");
       }
-      if (e.bank.hollow_stall <= Duration(0)) {
-        b.Fault("hollow_stall_ms", "0", "more than 0");
+      if (experiment.cluster.simulated_member_stall <= Duration(0)) {
+        bank.Fault("hollow_stall_ms", "0", "more than 0");
       }
     });
-    t.ReadTable("rules", [&](TomlTable& r) { ReadRules(r, e); });
-    t.ReadEach("faults", [&](TomlTable& f) { e.faults.push_back(ReadFault(f)); });
-    t.ReadTable("must", [&](TomlTable& m) { ReadMust(m, e.must); });
-    CheckTogether(t, e);
-  }
-  ThrowFaults(faults);
-  return e;
+    table.ReadTable("rules", [&](TomlTable& rules) { ReadRules(rules, experiment); });
+    table.ReadEach("faults",
+                   [&](TomlTable& fault) { experiment.faults.push_back(ReadFault(fault)); });
+    table.ReadTable("must",
+                    [&](TomlTable& must) { ReadRequirements(must, experiment.requirements); });
+    CheckConsistency(table, experiment);
+  }
+  ThrowIfInvalid(faults);
+  return experiment;
 }
 
 Experiment ReadExperiment(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) {
-    throw ExperimentError(fmt::format("{}: cannot read it, expected a file", path));
+    throw ExperimentError(fmt::format("{}: cannot be read, expected a readable file", path));
   }
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   return ParseExperiment(text, path);
 }
 
-std::string SettingsJson(const Experiment& e, size_t gateway) {
+std::string SettingsJson(const Experiment& experiment, size_t gateway) {
   using nlohmann::json;
-  const auto ms = [](Duration d) {
-    return static_cast<double>(d.count()) / 1000;
+  const auto to_millis = [](Duration duration) {
+    return static_cast<double>(duration.count()) / 1000;
   };
   json classes = json::array(), tenants = json::array();
-  for (const ClassSpec& c : e.classes) {
-    if (!c.listed) {
+  for (const ClassSpec& spec : experiment.classes) {
+    if (!spec.in_initial_settings) {
       continue;
     }
-    json entry = {{"Name", c.name},
-                  {"Effect", kEffects[static_cast<size_t>(c.rules.idempotency)].first},
-                  {"Slo", ms(c.rules.latency_objective)},
-                  {"Deadline", ms(c.rules.deadline)},
-                  {"Worth", c.rules.priority_weight},
-                  {"LateShare", c.rules.late_value_fraction}};
-    if (c.rules.idempotency == Idempotency::kKeyed) {
-      entry["Group"] = kGroups[static_cast<size_t>(c.rules.deduplication_scope)].first;
-      entry["Window"] = ms(c.rules.deduplication_window);
+    json entry = {{"Name", spec.name},
+                  {"Effect", kIdempotencies[static_cast<size_t>(spec.rules.idempotency)].first},
+                  {"Slo", to_millis(spec.rules.latency_objective)},
+                  {"Deadline", to_millis(spec.rules.deadline)},
+                  {"Worth", spec.rules.priority_weight},
+                  {"LateShare", spec.rules.late_value_fraction}};
+    if (spec.rules.idempotency == Idempotency::kKeyed) {
+      entry["Group"] =
+          kDeduplicationScopes[static_cast<size_t>(spec.rules.deduplication_scope)].first;
+      entry["Window"] = to_millis(spec.rules.deduplication_window);
     }
     classes.push_back(std::move(entry));
   }
-  for (const TenantSpec& t : e.tenants) {
-    tenants.push_back({{"Name", t.name}, {"Share", t.share}});
+  for (const TenantSpec& tenant : experiment.tenants) {
+    tenants.push_back({{"Name", tenant.name}, {"Share", tenant.share}});
   }
   json settings = {
       {"Me", gateway},
-      {"NInstances", e.gateway.count},
-      {"Zone", gateway % std::max<size_t>(e.zones.size(), 1)},
-      {"FailureDomains", e.zones},
-      {"Kinds", e.kinds},
+      {"NInstances", experiment.gateway.count},
+      {"Zone", gateway % std::max<size_t>(experiment.zones.size(), 1)},
+      {"FailureDomains", experiment.zones},
+      {"Kinds", experiment.kinds},
       {"Classes", classes},
       {"Tenants", tenants},
       {"RegistryMode", "automatic"},
-      {"Callers", {{"MarksRetry", e.marks_retry}}},
+      {"Callers", {{"MarksRetry", experiment.marks_retries}}},
       {"Allowed",
        {{"Cancel", true},
         {"ParallelTries", false},
-        {"Probes", e.probes},
-        {"RetryAfter", e.retry_after},
+        {"Probes", experiment.probes},
+        {"RetryAfter", experiment.retry_after},
         {"MaxRetryAfter", 1000.0},
-        {"ConnectTimeout", ms(e.connect_timeout)},
-        {"SendCap", e.max_attempts},
-        {"IdleClose", ms(e.idle_close)}}},
+        {"ConnectTimeout", to_millis(experiment.connect_timeout)},
+        {"SendCap", experiment.max_attempts},
+        {"IdleClose", to_millis(experiment.idle_connection_timeout)}}},
       {"Charges", {{"CrossZone", 0.01}, {"Handshake", 0.02}, {"Probe", 0.04}, {"Waste", 0.04}}},
       {"ResultMix",
        {{"Whole", 0.25}, {"WorstWindow", 0.45}, {"WorstClass", 0.2}, {"WorstTenant", 0.1}}},
       {"Obligations",
        {{"AnswerSlack", 50.0},
-        {"DrainGrace", ms(e.drain_grace)},
-        {"ColdFrom", e.slow_start_initial_capacity},
-        {"WarmWithin", ms(e.slow_start_duration)},
-        {"FallMultiple", e.overload_collapse_multiple},
-        {"Fall", ms(e.fall)}}},
-      {"Stats", {{"Source", e.probes ? "probe" : "none"}, {"Fields", {"inflight", "latency_ms"}}}}};
-  if (!e.gateway.settings_json.empty()) {
-    settings.merge_patch(json::parse(e.gateway.settings_json));
+        {"DrainGrace", to_millis(experiment.drain_grace)},
+        {"ColdFrom", experiment.slow_start_initial_capacity},
+        {"WarmWithin", to_millis(experiment.slow_start_duration)},
+        {"FallMultiple", experiment.overload_collapse_multiple},
+        {"Fall", to_millis(experiment.overload_collapse_duration)}}},
+      {"Stats",
+       {{"Source", experiment.probes ? "probe" : "none"}, {"Fields", {"inflight", "latency_ms"}}}}};
+  if (!experiment.gateway.settings_json.empty()) {
+    settings.merge_patch(json::parse(experiment.gateway.settings_json));
   }
   return settings.dump();
 }
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -1,6 +1,6 @@
-// One experiment as its file tells it: a fleet, its gateways, the clients, a script of faults in
-// time, and what must hold. Times in the file are seconds where a name ends in _s and milliseconds
-// where it ends in _ms; here they are Durations.
+// An experiment as its file describes it: emulated hosts, gateways, clients, a schedule of faults
+// and requirements on the result. In the file, times are in seconds where a key ends in _s and in
+// milliseconds where it ends in _ms; in memory they are Durations.
 #ifndef PADDLESTILE_LAB_EXPERIMENT_H_
 #define PADDLESTILE_LAB_EXPERIMENT_H_
 
@@ -16,37 +16,38 @@
 
 namespace paddlestile::lab {
 
-// A value drawn evenly between two bounds, both of the file.
-struct Span {
+// Bounds of a value that is drawn from a uniform distribution.
+struct UniformRange {
   double low = 0, high = 0;
 };
 
-// Hosts that are alike but for what is drawn.
+// A group of hosts with the same properties, apart from values drawn for each host.
 struct HostGroup {
   std::string name = "h";
   size_t count = 1;
   int cores = 3;
-  Span speed{1, 1};  // work a core does in a second, in seconds of work
+  UniformRange speed{1, 1};  // seconds of work that one core does in a second
   std::string zone = "a", kind = "std";
   int cell = 0;
-  size_t held_most = 256;          // requests held, beyond which it turns away
-  size_t connections_most = 2000;  // its connection table
-  Duration handshake{1000};        // work of a new connection
-  Duration probe_work{200};        // work of a probe
-  Span report_ms{7, 37};           // how often its report is refreshed
-  bool stops_work = false;         // work that runs ends with its connection
+  size_t max_held_requests = 256;           // the host rejects requests beyond this many
+  size_t max_connections = 2000;            // the host closes new connections beyond this many
+  Duration handshake_work{1000};            // CPU work for each new connection
+  Duration probe_work{200};                 // CPU work for each probe
+  UniformRange report_interval_ms{7, 37};   // interval between updates of the load report
+  bool cancels_work_on_disconnect = false;  // running work is cancelled when its connection closes
 };
 
 struct ClassSpec {
   std::string name;
   RequestClass rules;
-  double share = 1;      // of the arrivals, beside the other classes
-  Span work_ms{10, 10};  // on a core of speed 1
-  Span wait_ms{0, 0};    // on others
-  Span body_bytes{0, 0}, answer_bytes{200, 200};
-  // A reload brings it: the settings lack it until then, and nobody asks for it before `from`.
-  bool listed = true;
-  Duration from{0};
+  double share = 1;              // weight of this class among the arrivals
+  UniformRange work_ms{10, 10};  // CPU time at speed 1
+  UniformRange wait_ms{0, 0};    // waiting time without CPU use
+  UniformRange body_bytes{0, 0}, response_bytes{200, 200};
+  // False for a class that a reload adds to the settings. Clients send requests of the class from
+  // `available_from` on.
+  bool in_initial_settings = true;
+  Duration available_from{0};
 };
 
 struct TenantSpec {
@@ -56,243 +57,252 @@
 
 struct RateStep {
   Duration at{0};
-  double per_s = 0;
+  double requests_per_s = 0;
 };
 
-// Clients that do not do as they should.
-enum class BadKind {
-  kRubbish,
-  kEndlessHead,
-  kBadLength,
+// Clients that send invalid input or too little of it.
+enum class MisbehaviorKind {
+  kGarbage,
+  kEndlessHeaders,
+  kInvalidLength,
   kNegativeLength,
   kHugeLength,
-  kTwoFramings,
+  kConflictingFraming,
   kUnknownClass,
-  kBadBudget,
-  kNoId,
-  kHalfRequest,
-  kSilent,
-  kTrickle
+  kInvalidBudget,
+  kMissingRequestId,
+  kIncompleteRequest,
+  kUnresponsive,
+  kByteByByte
 };
-struct BadClients {
-  BadKind kind = BadKind::kRubbish;
+struct MisbehavingClients {
+  MisbehaviorKind kind = MisbehaviorKind::kGarbage;
   double per_s = 1;
   Duration from{0}, to{0};
 };
 
 struct LoadSpec {
-  std::vector<RateStep> rate;        // arrivals a second, over all gateways, from each time on
-  size_t connections_most = 20'000;  // open at once, over all gateways
-  size_t idle_connections = 0;       // opened at the start and kept without a request
-  int retries = 0;                   // of a client whose try was refused or failed
-  Span retry_wait_ms{50, 100};
-  double leave_share = 0;          // of the requests whose client leaves before the answer
-  double trickle_share = 0;        // of the requests that come in three pieces, 20 ms apart
-  double once_share = 0;           // of the requests after which the client closes
-  bool keeps_connections = false;  // clients go on with open ones to a gateway that is taken out
-  std::vector<BadClients> bad;
+  std::vector<RateStep> rate;       // in time order; over all gateways
+  size_t max_connections = 20'000;  // open at the same time, over all gateways
+  size_t idle_connections = 0;      // opened at the start; no request is sent on them
+  int max_retries = 0;              // retries by a client after a rejected or failed attempt
+  UniformRange retry_delay_ms{50, 100};
+  double client_abort_share = 0;  // share of requests whose client disconnects before the response
+  double slow_send_share = 0;     // share of requests sent in three pieces, 20 ms apart
+  // Share of requests after which the client closes the connection.
+  double close_after_response_share = 0;
+  // Clients still use open connections to a gateway that is out of rotation.
+  bool keeps_open_connections = false;
+  std::vector<MisbehavingClients> misbehaving_clients;
 };
 
 enum class FaultKind {
-  // On hosts.
+  // Host faults.
   kSlow,
-  kSilent,
+  kUnresponsive,
   kErrors,
   kStall,
-  kNeighbour,
+  kNoisyNeighbour,
   kResets,
-  kTurnedAway,
-  kSpoilt,
-  kHalfDead,
-  kCutOff,
+  kRejections,
+  kTamperedResponses,
+  kPartlyUnresponsive,
+  kPartitioned,
   kRestart,
   kDrain,
   kKill,
   kAdd,
-  // On the source of the list.
-  kListSilent,
-  kListLag,
-  kListMalformed,
-  kListOld,
-  kListMoved,
-  // On a gateway.
+  // Discovery faults.
+  kDiscoverySilent,
+  kDiscoveryLag,
+  kDiscoveryMalformed,
+  kDiscoveryStale,
+  kDiscoveryMoved,
+  // Gateway faults.
   kGatewayTerm,
   kGatewayKill,
   kGatewayHang,
   kGatewayQuiesce,
   kGatewayReload,
   kGatewayUpgrade,
-  kGatewayHup,
+  kGatewayHangup,
   kGatewayStop,
   kGatewayDisk,
-  // On links among gateways.
+  // Faults of the links between gateways.
   kLinkCut,
   kLinkSlow,
   kLinkFlap,
   kLinkNoise
 };
-// Which way a link's fault goes, as the gateway that is named sees it.
-enum class Ways {
+// The direction of a link fault, as seen from the gateway named in the fault.
+enum class LinkDirection {
   kBoth,
-  kOut,
-  kIn
+  kOutgoing,
+  kIncoming
 };
-// What a gateway that was killed has of its disk when it comes back, and what a disk does.
-enum class DiskIs {
+// The disk that a killed gateway finds at its restart (kept, rolled back, empty), or how a disk
+// misbehaves (full, slow, failing sync).
+enum class DiskState {
   kKept,
-  kOld,
-  kNone,
+  kRolledBack,
+  kEmpty,
   kFull,
   kSlow,
   kSyncFails
 };
-// How an answer is spoilt.
-enum class TamperOutgoing {
+// How a host corrupts a response.
+enum class ResponseTampering {
   kAny,
-  kNoise,
-  kBadHead,
-  kEndlessHead,
-  kShortLength,
-  kLongLength,
-  kHuge,
-  kSecondAnswer,
-  kNoiseBehind,
-  kInterim,
-  kBadReport
+  kRandomBytes,
+  kMalformedHeaders,
+  kEndlessHeaders,
+  kContentLengthTooShort,
+  kContentLengthTooLong,
+  kEndlessBody,
+  kDuplicateResponse,
+  kTrailingBytes,
+  kInterimResponses,
+  kMalformedLoadReport
 };
 
-// What becomes of the new process of an upgrade.
-enum class UpgradeFate {
+// The outcome of a hot restart for the new process.
+enum class UpgradeOutcome {
   kTakesOver,
   kKilled,
-  kStopped  // for the fault's duration; then it goes on and is told to end
+  kStopped  // stopped for the fault's duration, then continued and sent SIGTERM
 };
 
 struct Fault {
   FaultKind kind = FaultKind::kSlow;
-  std::string name;  // as the file has it
-  Duration at{0}, lasts{0};
-  double hosts = 0;  // share of those present; 0: by `count` or `names`
+  std::string name;  // `kind` in the file
+  Duration at{0}, duration{0};
+  double host_share = 0;  // share of the active hosts; 0: `count` or `host_names` selects them
   size_t count = 0;
-  std::vector<std::string> names;
-  std::string zone;   // only hosts of this zone
-  double factor = 4;  // kSlow: times slower; kNeighbour: share of the cores taken
-  double share = 1;   // kErrors, kResets, kTurnedAway, kSpoilt, kHalfDead: of the requests
-  Duration down{0};   // kRestart, kGatewayTerm, kGatewayKill: until it is back
-  Duration leave{0};  // kDrain: until the process ends; 0: it stays
-  Duration stop{300'000}, every{2'000'000};  // kStall; kGatewayHup: `count` of them, one `every`
-  Duration lag{0};  // kListLag; kRestart, kDrain, kKill: until the list tells
-  TamperOutgoing spoil = TamperOutgoing::kAny;
+  std::vector<std::string> host_names;
+  std::string zone;          // limits the selection to this zone
+  double factor = 4;         // kSlow: slowdown; kNoisyNeighbour: share of the CPU taken
+  double request_share = 1;  // share of the requests affected
+  Duration downtime{0};      // kRestart, kGatewayTerm, kGatewayKill: time until the restart
+  Duration exit_delay{0};    // kDrain: delay until the process exits; 0: it keeps running
+  // kStall: duration and interval of the stalls; kGatewayHangup: interval of `count` signals.
+  Duration stall_duration{300'000}, interval{2'000'000};
+  Duration discovery_lag{0};  // delay of discovery: kDiscoveryLag, kRestart, kDrain, kKill
+  ResponseTampering tampering = ResponseTampering::kAny;
   size_t gateway = 0;
-  std::optional<size_t> gateways;  // instead of one: so many, drawn by the seed
-  std::vector<size_t> from;  // kLink*: these gateways' links to all others; empty: `gateway`'s
-  Ways ways = Ways::kBoth;
-  bool resets = false;          // kLinkCut, kLinkFlap: connections are reset too
-  Span delay_ms{0, 0};          // kLinkSlow
-  size_t bytes_per_s = 0;       // kLinkSlow; 0: no bound
-  DiskIs disk = DiskIs::kKept;  // kGatewayKill, kGatewayDisk
-  // kGatewayTerm: a second SIGTERM, and SIGHUP, so long after the first SIGTERM; SIGKILL at the
-  // earliest that the platform sends it, with nothing excused.
+  // This many gateways, chosen by the seed, instead of `gateway`.
+  std::optional<size_t> random_gateway_count;
+  // The affected gateways, for kLink* with all their links; empty: `gateway`.
+  std::vector<size_t> gateway_list;
+  LinkDirection link_direction = LinkDirection::kBoth;
+  bool reset_connections = false;     // kLinkCut, kLinkFlap: also reset the connections
+  UniformRange delay_ms{0, 0};        // kLinkSlow
+  size_t bytes_per_s = 0;             // kLinkSlow; 0: unlimited
+  DiskState disk = DiskState::kKept;  // kGatewayKill, kGatewayDisk
+  // kGatewayTerm: a second SIGTERM, and a SIGHUP, this long after the first SIGTERM.
   std::optional<Duration> second_term_after, hup_after;
   bool kill_at_earliest = false;
-  UpgradeFate fate = UpgradeFate::kTakesOver;  // kGatewayUpgrade
-  Duration fate_after{0};                      // from the start of the new process
-  std::string cls;  // kGatewayReload: the class that the new settings bring
+  UpgradeOutcome upgrade_outcome = UpgradeOutcome::kTakesOver;  // kGatewayUpgrade
+  Duration upgrade_outcome_delay{0};  // since the start of the new process
+  std::string request_class;          // kGatewayReload: the class that the new settings add
 };
 
-struct WindowMust {
+struct WindowRequirement {
   Duration from{0}, to{0};
-  double worth_share_least = 0;
+  double min_worth_share = 0;
 };
 
-// What must hold beside the rules, which always must.
-struct Must {
-  std::optional<double> worth_share_least, served_share_least, refused_share_most,
-      failed_share_most, late_share_most, p50_ms_most, p99_ms_most, cpu_us_most, rss_mb_most,
-      rss_growth_mb_most, descriptors_most, bad_unanswered_share_most, unavailable_ms_most,
-      follow_ms_p50_most, changes_done_share_least;
-  std::vector<WindowMust> windows;
+// Requirements of the experiment, in addition to the rules that always apply.
+struct Requirements {
+  std::optional<double> min_worth_share, min_served_share, max_refused_share, max_failed_share,
+      max_late_share, max_p50_ms, max_p99_ms, max_cpu_us, max_rss_mb, max_rss_growth_mb,
+      max_descriptors, max_misbehaving_unanswered_share, max_unavailable_ms, max_p50_follow_ms,
+      min_changes_done_share;
+  std::vector<WindowRequirement> windows;
 };
 
 struct GatewaySpec {
   size_t count = 1;
   size_t sockets = 1024;
-  std::string listen;         // of the first; empty: an address of the lab's own
-  std::string settings_json;  // laid over the settings that the lab makes; empty: none
+  std::string listen;         // of the first gateway; empty: a loopback address chosen by the lab
+  std::string settings_json;  // a merge patch for the settings that the lab generates; empty: none
 };
 
-// How long hollow members are stopped by turns, and read slowly.
-inline constexpr Duration kHollowFaultsFor{4'000'000};  // us
+// How long simulated members are stopped in turn and read slowly.
+inline constexpr Duration kSimulatedMemberFaultDuration{4'000'000};  // us
 
-// Gateways that agree, and changes throughout.
-struct BankSpec {
-  bool on = false;
+// Gateways that form a cluster, and the changes that are submitted to it.
+struct ClusterSpec {
+  bool enabled = false;
   size_t voters = 3;
-  Duration change_every{400'000};
-  Duration quiet_last{4'000'000};                 // no change is submitted so long before the end
-  bool drains = false;                            // what gateways do that have lost the bank
-  bool effects = true;                            // changes let a class be sent once, too
-  bool deltas = false;                            // changes go by their own size
-  size_t version_tenants = 0;                     // that each version holds
-  std::vector<std::pair<size_t, double>> clocks;  // gateways whose clock runs faster by a factor
-  // Members that follow and serve nobody, many to a process (hollow.h); and what befalls them at
-  // `hollow_faults_at`: so many restart, so many lose their links, a tenth is stopped by turns for
-  // `hollow_stall`, and for as long as that goes on what voters send a tenth of them passes at
-  // `hollow_read_bytes_per_s` on each link (0: as fast as it goes).
-  size_t hollow = 0, hollow_restarts = 0, hollow_cuts = 0;
-  bool hollow_stalls = false;
-  Duration hollow_stall{400'000};
-  size_t hollow_read_bytes_per_s = 0;
-  Duration hollow_faults_at{0};
-  bool measured = false;    // all of its members are waited for, and figures are taken (lab scale)
-  Duration quiet_first{0};  // no change is submitted before; idle figures are taken then
+  Duration change_interval{400'000};
+  Duration quiet_before_end{4'000'000};   // period without changes before the end of the experiment
+  bool drains_when_disconnected = false;  // gateways that lose the cluster drain
+  bool changes_idempotency = true;        // changes may also set a class to be sent only once
+  bool uses_delta_changes = false;        // changes are sent as deltas
+  size_t tenants_per_version = 0;         // number of tenants in each version
+  // By gateway: the factor by which its clock runs faster.
+  std::vector<std::pair<size_t, double>> clock_rates;
+  // Members that follow the cluster and serve no clients, many to a process (simulated_member.h),
+  // and their faults. At `simulated_member_faults_at`, the given numbers of them restart and lose
+  // their links. A tenth is stopped in turn, for `simulated_member_stall` each. Meanwhile, what
+  // voters send to a tenth of them passes at `simulated_member_read_bytes_per_s` on each link (0:
+  // unlimited).
+  size_t simulated_members = 0, simulated_member_restarts = 0, simulated_member_link_cuts = 0;
+  bool stalls_simulated_members = false;
+  Duration simulated_member_stall{400'000};
+  size_t simulated_member_read_bytes_per_s = 0;
+  Duration simulated_member_faults_at{0};
+  bool measured = false;  // the run waits for all members and takes measurements (lab scale)
+  // Period without changes at the start; idle figures are taken in it.
+  Duration quiet_after_start{0};
 };
 
 struct Experiment {
   std::string path, name, about;
   uint64_t seed = 1;
   Duration length{10'000'000};
-  std::vector<std::string> zones;  // in the order of their first host
+  std::vector<std::string> zones;  // in the order of the first host of each
   std::vector<std::string> kinds;
   std::vector<HostGroup> hosts;
   std::vector<ClassSpec> classes;
   std::vector<TenantSpec> tenants;
   LoadSpec load;
   GatewaySpec gateway;
-  BankSpec bank;
+  ClusterSpec cluster;
   std::vector<Fault> faults;
-  Must must;
-  // The rules' figures.
+  Requirements requirements;
+  // Parameters of the rules and of the generated settings.
   Duration drain_grace{1'000'000};
   double slow_start_initial_capacity = 0.31;
   Duration slow_start_duration{9'000'000};
   double overload_collapse_multiple = 3;
-  Duration fall{1'500'000};
+  Duration overload_collapse_duration{1'500'000};
   int max_attempts = 5;
   Duration connect_timeout{250'000};
-  Duration idle_close{60'000'000};
-  Duration list_every{2'000'000};  // an empty line of the watch
+  Duration idle_connection_timeout{60'000'000};
+  Duration discovery_keepalive_interval{2'000'000};  // interval between empty lines on a watch
   bool probes = true;
   bool retry_after = true;
-  bool marks_retry = false;
+  bool marks_retries = false;
 
   [[nodiscard]] size_t host_count() const;
 };
 
-// A reload: half a file at first, the whole one after this; it is in use within so long.
-inline constexpr Duration kReloadPause{300'000}, kReloadWithin{1'200'000};  // us
+// A reload first writes an incomplete file, after kReloadCompletionDelay the complete one, which
+// has to be in use within kMaxReloadTime.
+inline constexpr Duration kReloadCompletionDelay{300'000}, kMaxReloadTime{1'200'000};  // us
 
 class ExperimentError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Reads the file; throws ExperimentError with a line for each fault: "FILE:LINE: KEY: what,
-// expected ...". `text` is the file's content, `path` its name in the faults.
+// Parses an experiment. Throws ExperimentError with one line per error: "FILE:LINE: KEY: what,
+// expected ...". `text` is the file's content; `path` names the file in errors.
 Experiment ParseExperiment(std::string_view text, const std::string& path);
 Experiment ReadExperiment(const std::string& path);
 
-// The settings that a gateway of this experiment is given (its LB_CONFIG's "settings"), as JSON.
+// The "settings" object, as JSON, of the LB_CONFIG file of a gateway in this experiment.
 std::string SettingsJson(const Experiment& experiment, size_t gateway);
 
 }  // namespace paddlestile::lab
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -130,13 +130,13 @@
     HostTraits traits;
     traits.cores = profile.group->cores;
     traits.speed = profile.speed;
-    traits.held_most = profile.group->held_most;
-    traits.stops_work = profile.group->stops_work;
+    traits.held_most = profile.group->max_held_requests;
+    traits.stops_work = profile.group->cancels_work_on_disconnect;
     traits.report_every = Duration(std::llround(profile.report_ms * 1000));
     traits.slow_start_initial_capacity = e.slow_start_initial_capacity;
     traits.slow_start_duration = e.slow_start_duration;
     traits.overload_collapse_multiple = e.overload_collapse_multiple;
-    traits.fall = e.fall;
+    traits.fall = e.overload_collapse_duration;
     return traits;
   }
 
@@ -145,7 +145,7 @@
   [[nodiscard]] size_t connections() const { return connections_.size(); }
 
   void Accept(FileDescriptor fd) {
-    if (connections_.size() >= profile_.group->connections_most) {
+    if (connections_.size() >= profile_.group->max_connections) {
       return;  // closed at once
     }
     connections_.push_back(std::make_shared<Connection>(*this, fleet_.loop_, std::move(fd)));
@@ -155,7 +155,7 @@
     if (!connection.Start()) {
       return Drop(connection);
     }
-    model_.Burden(Now(), profile_.group->handshake);
+    model_.Burden(Now(), profile_.group->handshake_work);
     Plan();
   }
 
@@ -226,7 +226,7 @@
     if (cut_off || !up()) {
       return;
     }
-    const Time before = Now() - fleet_.experiment_.idle_close;
+    const Time before = Now() - fleet_.experiment_.idle_connection_timeout;
     for (auto at = connections_.begin(); at != connections_.end();) {
       Connection& connection = **at++;
       if (!connection.busy() && !connection.begun_ && connection.used_ < before) {
@@ -309,7 +309,7 @@
 
   int silent = 0, stalls = 0;
   double half_dead = 0, turned_away = 0, errors = 0, resets = 0, spoilt = 0;
-  TamperOutgoing spoil = TamperOutgoing::kAny;
+  ResponseTampering spoil = ResponseTampering::kAny;
   bool cut_off = false;
 
  private:
@@ -355,45 +355,47 @@
     if (!Befalls(n, spoilt, 5)) {
       return connection.Answer(good);
     }
-    TamperOutgoing how = spoil;
-    if (how == TamperOutgoing::kAny) {
+    ResponseTampering how = spoil;
+    if (how == ResponseTampering::kAny) {
       // Not a length too short with its rest behind it: that is a good answer and noise, to
       // anybody.
       constexpr std::array kAll = {
-          TamperOutgoing::kNoise,       TamperOutgoing::kBadHead, TamperOutgoing::kEndlessHead,
-          TamperOutgoing::kLongLength,  TamperOutgoing::kHuge,    TamperOutgoing::kSecondAnswer,
-          TamperOutgoing::kNoiseBehind, TamperOutgoing::kInterim, TamperOutgoing::kBadReport};
+          ResponseTampering::kRandomBytes,        ResponseTampering::kMalformedHeaders,
+          ResponseTampering::kEndlessHeaders,     ResponseTampering::kContentLengthTooLong,
+          ResponseTampering::kEndlessBody,        ResponseTampering::kDuplicateResponse,
+          ResponseTampering::kTrailingBytes,      ResponseTampering::kInterimResponses,
+          ResponseTampering::kMalformedLoadReport};
       how = kAll[static_cast<size_t>(Draw(fleet_.seed_, n, 77) * kAll.size())];
     }
     // What is of no further use stays open, and its receipt is out until the other side ends it.
     switch (how) {
-      case TamperOutgoing::kAny:
-      case TamperOutgoing::kNoise: {
+      case ResponseTampering::kAny:
+      case ResponseTampering::kRandomBytes: {
         std::string noise;
         for (uint64_t i = 0; i < 200; ++i) {
           noise += static_cast<char>(Draw(fleet_.seed_, n, 1000 + i) * 256);
         }
         return connection.Answer(noise, false);
       }
-      case TamperOutgoing::kBadHead:
+      case ResponseTampering::kMalformedHeaders:
         return connection.Answer("HTTP/1.1 2x0 OK\r\n" + good, false);
-      case TamperOutgoing::kEndlessHead:
+      case ResponseTampering::kEndlessHeaders:
         return connection.Answer("HTTP/1.1 200 OK\r\nX-Long: " + std::string(1 << 16, 'y'), false);
-      case TamperOutgoing::kShortLength:
+      case ResponseTampering::kContentLengthTooShort:
         return connection.Answer(Head(200, body.size() / 2) + body);
-      case TamperOutgoing::kLongLength:
+      case ResponseTampering::kContentLengthTooLong:
         return connection.Answer(Head(200, body.size() + 100) + body, false);
-      case TamperOutgoing::kHuge:
+      case ResponseTampering::kEndlessBody:
         connection.Answer(Head(200, kHuge) + body, false);
         return connection.Flood();
-      case TamperOutgoing::kSecondAnswer:
+      case ResponseTampering::kDuplicateResponse:
         return connection.Answer(good + good);
-      case TamperOutgoing::kNoiseBehind:
+      case ResponseTampering::kTrailingBytes:
         return connection.Answer(good + "noise that nobody asked for");
-      case TamperOutgoing::kInterim:
+      case ResponseTampering::kInterimResponses:
         return connection.Answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" +
                                  good);
-      case TamperOutgoing::kBadReport:
+      case ResponseTampering::kMalformedLoadReport:
         return connection.Answer(
             Head(200, body.size(), "X-Load-Report: inflight=?,latency_ms\r\n") + body);
     }
@@ -496,13 +498,13 @@
   Tidy();
   for (const HostGroup& group : experiment_.hosts) {
     for (size_t i = 0; i < group.count; ++i) {
-      const auto draw = [&](const Span& span) {
+      const auto draw = [&](const UniformRange& span) {
         return std::uniform_real_distribution<double>(
             span.low, std::nextafter(span.high, span.high + 1))(rng_);
       };
       Profile profile{&group, 1, 20};
       profile.speed = draw(group.speed);
-      profile.report_ms = draw(group.report_ms);
+      profile.report_ms = draw(group.report_interval_ms);
       Add(profile, fmt::format("{}-{}", group.name, i + 1), OwnAddress(100 + addresses_++),
           std::nullopt);
     }
@@ -547,17 +549,17 @@
     }
     // A host's successors go by its name.
     const std::string name = listed.id.substr(0, listed.id.find('.'));
-    if (!fault.names.empty() && std::ranges::count(fault.names, name) == 0) {
+    if (!fault.host_names.empty() && std::ranges::count(fault.host_names, name) == 0) {
       continue;
     }
     there.push_back(i);
   }
-  if (!fault.names.empty()) {
+  if (!fault.host_names.empty()) {
     return there;
   }
   std::ranges::shuffle(there, rng_);
   const auto share =
-      static_cast<size_t>(std::ceil(fault.hosts * static_cast<double>(there.size()) - 1e-9));
+      static_cast<size_t>(std::ceil(fault.host_share * static_cast<double>(there.size()) - 1e-9));
   there.resize(std::min(there.size(), fault.count > 0 ? fault.count : share));
   return there;
 }
@@ -590,9 +592,9 @@
       const HostGroup& group = experiment_.hosts[added_ % experiment_.hosts.size()];
       const double middle = (group.speed.low + group.speed.high) / 2;
       const size_t place =
-          Add({&group, middle, group.report_ms.low}, fmt::format("added-{}", ++added_),
+          Add({&group, middle, group.report_interval_ms.low}, fmt::format("added-{}", ++added_),
               OwnAddress(100 + addresses_++), now);
-      changed_(hosts_[place]->listed(), fault.lag);
+      changed_(hosts_[place]->listed(), fault.discovery_lag);
     }
     return;
   }
@@ -602,45 +604,45 @@
       case FaultKind::kSlow:
         host.model().Slow(now, fault.factor);
         break;
-      case FaultKind::kSilent:
+      case FaultKind::kUnresponsive:
         ++host.silent;
         break;
       case FaultKind::kErrors:
-        host.errors = fault.share;
+        host.errors = fault.request_share;
         break;
-      case FaultKind::kNeighbour:
+      case FaultKind::kNoisyNeighbour:
         host.model().Neighbour(now, fault.factor);
         break;
       case FaultKind::kResets:
-        host.resets = fault.share;
+        host.resets = fault.request_share;
         break;
-      case FaultKind::kTurnedAway:
-        host.turned_away = fault.share;
+      case FaultKind::kRejections:
+        host.turned_away = fault.request_share;
         break;
-      case FaultKind::kSpoilt:
-        host.spoilt = fault.share;
-        host.spoil = fault.spoil;
+      case FaultKind::kTamperedResponses:
+        host.spoilt = fault.request_share;
+        host.spoil = fault.tampering;
         break;
-      case FaultKind::kHalfDead:
-        host.half_dead = fault.share;
+      case FaultKind::kPartlyUnresponsive:
+        host.half_dead = fault.request_share;
         break;
-      case FaultKind::kCutOff:
+      case FaultKind::kPartitioned:
         host.CutOff(true);
         break;
       case FaultKind::kRestart:
-        Restart(place, fault.down, fault.lag);
+        Restart(place, fault.downtime, fault.discovery_lag);
         break;
       case FaultKind::kKill:
         host.Die();
         host.listed().phase = Phase::kLeft;
-        changed_(host.listed(), fault.lag);
+        changed_(host.listed(), fault.discovery_lag);
         break;
       case FaultKind::kDrain:
         host.listed().phase = Phase::kLeaving;
-        changed_(host.listed(), fault.lag);
-        if (fault.leave > Duration(0)) {
-          loop_.RunAfter(fault.leave,
-                         [this, place, lag = fault.lag, alive = std::weak_ptr(alive_)] {
+        changed_(host.listed(), fault.discovery_lag);
+        if (fault.exit_delay > Duration(0)) {
+          loop_.RunAfter(fault.exit_delay,
+                         [this, place, lag = fault.discovery_lag, alive = std::weak_ptr(alive_)] {
                            if (alive.expired()) {
                              return;
                            }
@@ -659,17 +661,17 @@
             return;
           }
           hosts_[place]->Stand(true);
-          loop_.RunAfter(fault.stop, [this, place, alive] {
+          loop_.RunAfter(fault.stall_duration, [this, place, alive] {
             if (!alive.expired() && hosts_[place]->up()) {
               hosts_[place]->Stand(false);
             }
           });
-          loop_.RunAfter(fault.every, [again] { again(again); });
+          loop_.RunAfter(fault.interval, [again] { again(again); });
         };
         // Not all in step.
         const double part = Draw(seed_, place, 99);
         loop_.RunAfter(
-            Duration(static_cast<int64_t>(part * static_cast<double>(fault.every.count()))),
+            Duration(static_cast<int64_t>(part * static_cast<double>(fault.interval.count()))),
             [stall] { stall(stall); });
         break;
       }
@@ -691,28 +693,28 @@
       case FaultKind::kSlow:
         host.model().Slow(now, 1);
         break;
-      case FaultKind::kSilent:
+      case FaultKind::kUnresponsive:
         --host.silent;
         break;
       case FaultKind::kErrors:
         host.errors = 0;
         break;
-      case FaultKind::kNeighbour:
+      case FaultKind::kNoisyNeighbour:
         host.model().Neighbour(now, 0);
         break;
       case FaultKind::kResets:
         host.resets = 0;
         break;
-      case FaultKind::kTurnedAway:
+      case FaultKind::kRejections:
         host.turned_away = 0;
         break;
-      case FaultKind::kSpoilt:
+      case FaultKind::kTamperedResponses:
         host.spoilt = 0;
         break;
-      case FaultKind::kHalfDead:
+      case FaultKind::kPartlyUnresponsive:
         host.half_dead = 0;
         break;
-      case FaultKind::kCutOff:
+      case FaultKind::kPartitioned:
         host.CutOff(false);
         break;
       case FaultKind::kStall:
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -248,7 +248,7 @@
 
 class Load::BadConnection final : public Stream::Listener {
  public:
-  BadConnection(Load& load, const BadClients& bad, uint64_t number, Socket socket)
+  BadConnection(Load& load, const MisbehavingClients& bad, uint64_t number, Socket socket)
       : load_(load),
         kind_(bad.kind),
         number_(number),
@@ -257,7 +257,7 @@
     if (!stream_.Start()) {
       return false;
     }
-    const bool long_one = kind_ == BadKind::kHugeLength;
+    const bool long_one = kind_ == MisbehaviorKind::kHugeLength;
     timer_ = load_.loop_.RunAfter(long_one ? kBadOwedLong : kBadOwed, [this] {
       timer_ = {};
       Over(false);
@@ -279,7 +279,7 @@
   }
   void OnError() override { Over(true); }
   void OnWriteComplete() override {
-    if (kind_ == BadKind::kHalfRequest && sent_) {
+    if (kind_ == MisbehaviorKind::kIncompleteRequest && sent_) {
       Over(true);  // it closes itself
     }
     if (more_ > 0) {
@@ -308,7 +308,7 @@
     };
     std::string text;
     switch (kind_) {
-      case BadKind::kRubbish: {
+      case MisbehaviorKind::kGarbage: {
         std::mt19937_64 rng(number_);
         for (int i = 0; i < 400; ++i) {
           text += static_cast<char>(rng() & 0xff);
@@ -316,21 +316,21 @@
         text += "\r\n\r\n";
         break;
       }
-      case BadKind::kEndlessHead:
+      case MisbehaviorKind::kEndlessHeaders:
         text = head(cls, "X-Long: ", "1000");
         more_ = 1 << 20;
         break;
-      case BadKind::kBadLength:
+      case MisbehaviorKind::kInvalidLength:
         text = head(cls, "Content-Length: abc\r\n\r\n", "1000");
         break;
-      case BadKind::kNegativeLength:
+      case MisbehaviorKind::kNegativeLength:
         text = head(cls, "Content-Length: -5\r\n\r\n", "1000");
         break;
-      case BadKind::kHugeLength:
+      case MisbehaviorKind::kHugeLength:
         text = head(cls, fmt::format("Content-Length: {}\r\n\r\n", kHugeBody), "1000");
         more_ = kHugeBody;
         break;
-      case BadKind::kTwoFramings: {
+      case MisbehaviorKind::kConflictingFraming: {
         // What hides in its body must never reach a host.
         const std::string hidden =
             fmt::format("GET /{} HTTP/1.1\r\nX-Call-Id: hidden-{:x}\r\n{}X-Budget-Ms: 1000\r\n\r\n",
@@ -342,21 +342,21 @@
                "0\r\n\r\n" + hidden;
         break;
       }
-      case BadKind::kUnknownClass:
+      case MisbehaviorKind::kUnknownClass:
         text = head("no-such-class", "Content-Length: 0\r\n\r\n", "1000");
         break;
-      case BadKind::kBadBudget:
+      case MisbehaviorKind::kInvalidBudget:
         text = head(cls, "Content-Length: 0\r\n\r\n", "soon");
         break;
-      case BadKind::kNoId:
+      case MisbehaviorKind::kMissingRequestId:
         text = fmt::format("GET /{} HTTP/1.1\r\n{}X-Budget-Ms: 1000\r\n\r\n", cls, caller);
         break;
-      case BadKind::kHalfRequest:
+      case MisbehaviorKind::kIncompleteRequest:
         text = head(cls, "Content-Length: 100\r\n\r\nhalf", "1000");
         break;
-      case BadKind::kSilent:
+      case MisbehaviorKind::kUnresponsive:
         break;
-      case BadKind::kTrickle:
+      case MisbehaviorKind::kByteByByte:
         Trickle(head(cls, "Content-Length: 0\r\n\r\n", "1000"));
         return;
     }
@@ -386,7 +386,7 @@
   }
 
   Load& load_;
-  BadKind kind_;
+  MisbehaviorKind kind_;
   uint64_t number_;
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kResponse, kAnswerMost};
@@ -416,8 +416,8 @@
   for (size_t i = 0; i < e_.load.idle_connections; ++i) {
     Open(i % targets_.size());
   }
-  for (size_t i = 0; i < e_.load.bad.size(); ++i) {
-    BeginBad(e_.load.bad[i], i);
+  for (size_t i = 0; i < e_.load.misbehaving_clients.size(); ++i) {
+    BeginBad(e_.load.misbehaving_clients[i], i);
   }
   drawn_out_ = !arrivals_.Next(next_);
   Arrive();
@@ -498,7 +498,7 @@
 size_t Load::PickGateway(double part, int further) const {
   std::vector<size_t> in;
   for (size_t i = 0; i < targets_.size(); ++i) {
-    if (targets_[i].in || (e_.load.keeps_connections && HasQuietConnection(targets_[i]))) {
+    if (targets_[i].in || (e_.load.keeps_open_connections && HasQuietConnection(targets_[i]))) {
       in.push_back(i);
     }
   }
@@ -568,7 +568,7 @@
   if (keyed) {
     head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.facts.key);
   }
-  if (e_.marks_retry && trying.asking->tries > 1) {
+  if (e_.marks_retries && trying.asking->tries > 1) {
     head += "X-Again: 1\r\n";
   }
   if (body) {
@@ -604,7 +604,7 @@
 }
 
 Load::Connection* Load::Open(size_t gateway) {
-  if (connections_.size() >= e_.load.connections_most) {
+  if (connections_.size() >= e_.load.max_connections) {
     return nullptr;
   }
   bool refused = false;
@@ -634,7 +634,7 @@
   connections_.erase(connection.place);
 }
 
-void Load::BeginBad(const BadClients& bad, size_t place) {
+void Load::BeginBad(const MisbehavingClients& bad, size_t place) {
   // Evenly, begun at a place of its own.
   const auto every = Duration(std::llround(1e6 / bad.per_s));
   const auto step = [this, &bad, place, every, alive = std::weak_ptr(alive_)](
@@ -654,7 +654,7 @@
   loop_.RunAfter(every / 2, [step] { step(0, step); });
 }
 
-void Load::SendBad(const BadClients& bad, uint64_t number) {
+void Load::SendBad(const MisbehavingClients& bad, uint64_t number) {
   const size_t gateway = PickGateway(static_cast<double>(number % 97) / 97, 0);
   if (gateway == SIZE_MAX) {
     return;
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -93,8 +93,8 @@
   [[nodiscard]] std::string HeadOf(const Trying& trying) const;
   Connection* Open(size_t gateway);
   void Drop(Connection& connection);
-  void BeginBad(const BadClients& bad, size_t place);
-  void SendBad(const BadClients& bad, uint64_t number);
+  void BeginBad(const MisbehavingClients& bad, size_t place);
+  void SendBad(const MisbehavingClients& bad, uint64_t number);
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
 
   EventLoop& loop_;
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -18,7 +18,7 @@
 
 struct RelayWay {
   int cuts = 0;  // how many faults cut it
-  Span delay_ms{0, 0};
+  UniformRange delay_ms{0, 0};
   size_t bytes_per_s = 0;  // 0: as fast as it goes
   double noise = 0;        // share of the pieces that are spoilt
 };
--- a/src/lab/result.cpp
+++ b/src/lab/result.cpp
@@ -94,29 +94,29 @@
       r.broken.push_back(fmt::format("must: {} {:.4g}, at most {:.4g}", name, value, *bound));
     }
   };
-  const Must& m = e.must;
-  least(m.worth_share_least, r.worth_share(), "worth_share");
-  least(m.served_share_least, Share(c.served, c.asked), "served_share");
-  most(m.refused_share_most, Share(c.refused, c.asked), "refused_share");
-  most(m.failed_share_most, Share(c.failed, c.asked), "failed_share");
-  most(m.late_share_most, Share(c.late, c.asked), "late_share");
-  most(m.p50_ms_most, r.p50_us / 1000.0, "p50_ms");
-  most(m.p99_ms_most, r.p99_us / 1000.0, "p99_ms");
-  most(m.cpu_us_most, r.cpu_us_per_request, "cpu_us");
-  most(m.rss_mb_most, static_cast<double>(r.rss_kb_max) / 1024, "rss_mb");
-  most(m.rss_growth_mb_most, static_cast<double>(r.rss_kb_growth) / 1024, "rss_growth_mb");
-  most(m.descriptors_most, static_cast<double>(r.descriptors_max), "descriptors");
-  most(m.bad_unanswered_share_most, Share(r.bad_unanswered, r.bad_sent), "bad_unanswered_share");
+  const Requirements& m = e.requirements;
+  least(m.min_worth_share, r.worth_share(), "worth_share");
+  least(m.min_served_share, Share(c.served, c.asked), "served_share");
+  most(m.max_refused_share, Share(c.refused, c.asked), "refused_share");
+  most(m.max_failed_share, Share(c.failed, c.asked), "failed_share");
+  most(m.max_late_share, Share(c.late, c.asked), "late_share");
+  most(m.max_p50_ms, r.p50_us / 1000.0, "p50_ms");
+  most(m.max_p99_ms, r.p99_us / 1000.0, "p99_ms");
+  most(m.max_cpu_us, r.cpu_us_per_request, "cpu_us");
+  most(m.max_rss_mb, static_cast<double>(r.rss_kb_max) / 1024, "rss_mb");
+  most(m.max_rss_growth_mb, static_cast<double>(r.rss_kb_growth) / 1024, "rss_growth_mb");
+  most(m.max_descriptors, static_cast<double>(r.descriptors_max), "descriptors");
+  most(m.max_misbehaving_unanswered_share, Share(r.bad_unanswered, r.bad_sent),
+       "bad_unanswered_share");
   if (r.bank.on) {
-    most(m.unavailable_ms_most, r.bank.unavailable_ms_most, "unavailable_ms");
-    most(m.follow_ms_p50_most, r.bank.follow_ms_p50, "follow_ms_p50");
-    least(m.changes_done_share_least, Share(r.bank.told_done, r.bank.changes),
-          "changes_done_share");
+    most(m.max_unavailable_ms, r.bank.unavailable_ms_most, "unavailable_ms");
+    most(m.max_p50_follow_ms, r.bank.follow_ms_p50, "follow_ms_p50");
+    least(m.min_changes_done_share, Share(r.bank.told_done, r.bank.changes), "changes_done_share");
   }
   if (r.bad_served > 0) {
     r.broken.push_back(fmt::format("must: {} requests served that can't be read", r.bad_served));
   }
-  for (const WindowMust& w : m.windows) {
+  for (const WindowRequirement& w : m.windows) {
     double asked = 0, served = 0;
     for (const WindowResult& window : r.windows) {
       if (window.at_s * 1e6 < static_cast<double>(w.from.count()) ||
@@ -127,7 +127,7 @@
       served += window.counts.worth_served;
     }
     const double share = asked > 0 ? served / asked : 0;
-    least(w.worth_share_least, share,
+    least(w.min_worth_share, share,
           fmt::format("worth_share from {:.0f} to {:.0f} s",
                       static_cast<double>(w.from.count()) / 1e6,
                       static_cast<double>(w.to.count()) / 1e6));
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -87,7 +87,7 @@
         ledger_(ContentOf(e_, seed_)),
         fleet_(loop_, e_, ledger_, seed_,
                [this](const ListedHost& host, Duration lag) { directory_.Change(host, lag); }),
-        directory_(loop_, ledger_, e_.gateway.count, e_.list_every),
+        directory_(loop_, ledger_, e_.gateway.count, e_.discovery_keepalive_interval),
         signals_(loop_, [this] {
           interrupted_ = true;
           loop_.Stop();
@@ -107,7 +107,7 @@
       for (size_t i = 0; i < e_.gateway.count; ++i) {
         targets.push_back(Prepare(i));
       }
-      if (e_.bank.on) {
+      if (e_.cluster.enabled) {
         bank_ = std::make_unique<BankLab>(loop_, e_, ledger_, folder_.path(), seed_ ^ 0xba9c,
                                           kGatewayPlaces + e_.gateway.count);
       }
@@ -117,7 +117,7 @@
       if (!AwaitGateways()) {
         return Finish();
       }
-      if (bank_ && (e_.bank.measured || e_.bank.hollow > 0) && !AwaitBank()) {
+      if (bank_ && (e_.cluster.measured || e_.cluster.simulated_members > 0) && !AwaitBank()) {
         return Finish();
       }
     }
@@ -362,7 +362,7 @@
     if (fault.at > e_.length) {
       return;
     }
-    const double to = Seconds(fault.at + fault.lasts);
+    const double to = Seconds(fault.at + fault.duration);
     result_.faults.push_back({Seconds(fault.at), to, fault.name, {}});
     const size_t place = result_.faults.size() - 1;
     At(fault.at, [this, &fault, place] { Play(fault, place); });
@@ -370,19 +370,19 @@
 
   void Play(const Fault& fault, size_t place) {
     switch (fault.kind) {
-      case FaultKind::kListSilent:
+      case FaultKind::kDiscoverySilent:
         directory_.Silent(true);
-        return At(fault.at + fault.lasts, [this] { directory_.Silent(false); });
-      case FaultKind::kListLag:
-        directory_.Lag(fault.lag);
-        return At(fault.at + fault.lasts, [this] { directory_.Lag(Duration(0)); });
-      case FaultKind::kListMalformed:
+        return At(fault.at + fault.duration, [this] { directory_.Silent(false); });
+      case FaultKind::kDiscoveryLag:
+        directory_.Lag(fault.discovery_lag);
+        return At(fault.at + fault.duration, [this] { directory_.Lag(Duration(0)); });
+      case FaultKind::kDiscoveryMalformed:
         directory_.Malformed(true);
-        return At(fault.at + fault.lasts, [this] { directory_.Malformed(false); });
-      case FaultKind::kListOld:
+        return At(fault.at + fault.duration, [this] { directory_.Malformed(false); });
+      case FaultKind::kDiscoveryStale:
         directory_.Old(true);
-        return At(fault.at + fault.lasts, [this] { directory_.Old(false); });
-      case FaultKind::kListMoved:
+        return At(fault.at + fault.duration, [this] { directory_.Old(false); });
+      case FaultKind::kDiscoveryMoved:
         directory_.Move();
         for (size_t i = 0; i < gateways_.size(); ++i) {
           WriteConfig(i);
@@ -411,7 +411,7 @@
         return PlayReload(fault);
       case FaultKind::kGatewayUpgrade:
         return PlayUpgrade(fault);
-      case FaultKind::kGatewayHup:
+      case FaultKind::kGatewayHangup:
         return PlayHups(fault);
       default:
         break;
@@ -425,18 +425,18 @@
       }
     }
     fleet_.Begin(fault, chosen);
-    if (fault.lasts > Duration(0)) {
-      At(fault.at + fault.lasts, [this, &fault, chosen] { fleet_.End(fault, chosen); });
+    if (fault.duration > Duration(0)) {
+      At(fault.at + fault.duration, [this, &fault, chosen] { fleet_.End(fault, chosen); });
     }
   }
 
   // The one that is named, or several that the seed draws.
   void PlayGateways(const Fault& fault) {
-    std::set<size_t> chosen(fault.from.begin(), fault.from.end());
-    if (!fault.gateways && chosen.empty()) {
+    std::set<size_t> chosen(fault.gateway_list.begin(), fault.gateway_list.end());
+    if (!fault.random_gateway_count && chosen.empty()) {
       chosen.insert(fault.gateway);
     }
-    while (fault.gateways && chosen.size() < *fault.gateways) {
+    while (fault.random_gateway_count && chosen.size() < *fault.random_gateway_count) {
       chosen.insert(std::uniform_int_distribution<size_t>(0, gateways_.size() - 1)(random_));
     }
     for (const size_t i : chosen) {
@@ -452,14 +452,14 @@
       const bool planned = fault.kind == FaultKind::kGatewayStop;
       if (planned) {
         // What it has in hand may be as much later; the front notices and takes it out.
-        const size_t stop = StopServing(i, fault.lasts);
-        if (fault.lasts > kFrontNotices) {
+        const size_t stop = StopServing(i, fault.duration);
+        if (fault.duration > kFrontNotices) {
           loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, !gateways_[i].stopped); });
         }
         if (bank_) {
           bank_->Down(i, true);
         }
-        loop_.RunAfter(fault.lasts, [this, i, stop] {
+        loop_.RunAfter(fault.duration, [this, i, stop] {
           stopped_.Continue(stop, Now());
           load_->SetIn(i, true);
           if (bank_) {
@@ -469,7 +469,7 @@
       }
       g.stopped = true;
       g.process->Signal(SIGSTOP);
-      loop_.RunAfter(fault.lasts, [this, i] {
+      loop_.RunAfter(fault.duration, [this, i] {
         gateways_[i].stopped = false;
         gateways_[i].health.reset();
         // It may have become the old process of a hot restart meanwhile.
@@ -498,8 +498,8 @@
     g.up = false;
     const Duration longest = Longest();
     const bool killed = fault.kind == FaultKind::kGatewayKill;
-    loop_.RunAfter(fault.down, [this, i, killed, disk = fault.disk,
-                                until = loop_.Now() + longest + seconds(1)] {
+    loop_.RunAfter(fault.downtime, [this, i, killed, disk = fault.disk,
+                                    until = loop_.Now() + longest + seconds(1)] {
       if (bank_ && killed) {
         bank_->ChangeDisk(i, disk);
         bank_->Down(i, false);
@@ -560,7 +560,7 @@
   }
   void PlayHups(const Fault& fault) {
     for (size_t k = 0; k < std::max<size_t>(fault.count, 1); ++k) {
-      SignalAfter(static_cast<int64_t>(k) * fault.every, fault.gateway, SIGHUP);
+      SignalAfter(static_cast<int64_t>(k) * fault.interval, fault.gateway, SIGHUP);
     }
   }
 
@@ -607,7 +607,7 @@
         });
       });
     });
-    loop_.RunAfter(std::max(fault.lasts, kEmptyWithin + seconds(1)), [this, i] {
+    loop_.RunAfter(std::max(fault.duration, kEmptyWithin + seconds(1)), [this, i] {
       const Time until = loop_.Now() + kBackWithin;
       Operate(i, "POST /admin/resume", gateways_[i].admin, until, [this, i, until] {
         Operate(i, "GET /_health", gateways_[i].address, until,
@@ -624,8 +624,9 @@
         g.process->Signal(SIGHUP);
       }
     }
-    loop_.RunAfter(kReloadPause, [this, &fault] {
-      std::ranges::find(e_.classes, fault.cls, &ClassSpec::name)->listed = true;
+    loop_.RunAfter(kReloadCompletionDelay, [this, &fault] {
+      std::ranges::find(e_.classes, fault.request_class, &ClassSpec::name)->in_initial_settings =
+          true;
       for (size_t i = 0; i < gateways_.size(); ++i) {
         WriteConfig(i);
         if (gateways_[i].process) {
@@ -646,10 +647,10 @@
     ++starts_;
     const Address admin = g.admin;
     g.next = Run(i);
-    g.next_fails = fault.fate != UpgradeFate::kTakesOver;
+    g.next_fails = fault.upgrade_outcome != UpgradeOutcome::kTakesOver;
     if (g.next_fails) {
       g.admin = admin;
-      loop_.RunAfter(fault.fate_after, [this, &fault] { PlayFate(fault); });
+      loop_.RunAfter(fault.upgrade_outcome_delay, [this, &fault] { PlayFate(fault); });
       return;
     }
     Operate(i, "GET /admin/health", g.admin, loop_.Now() + kNewWithin, [this, i] {
@@ -677,12 +678,12 @@
     g.health.reset();
     g.next->Stop();
     std::vector<Address> accepted = AcceptedConnections(g.next->pid(), g.address);
-    if (fault.fate == UpgradeFate::kKilled) {
+    if (fault.upgrade_outcome == UpgradeOutcome::kKilled) {
       load_->ConnectionsKilled(i, accepted);
       g.next->Kill();
       return AwaitEnd(i, &GatewayState::next, "new", loop_.Now() + seconds(1));
     }
-    const Duration lasts = std::max(fault.lasts, kRevokedWithin);
+    const Duration lasts = std::max(fault.duration, kRevokedWithin);
     const size_t stop =
         stopped_.StopOneOfTwo(i, Now(), Now() + lasts, std::move(accepted), kRevokedWithin);
     loop_.RunAfter(lasts, [this, i, stop] {
@@ -906,9 +907,9 @@
       const Process::Usage& used = gateways_[i].used;
       const double mb = static_cast<double>(used.rss_kb) / 1024;
       const auto open = static_cast<double>(used.descriptors);
-      if (mb > e_.must.rss_mb_most.value_or(mb)) {
+      if (mb > e_.requirements.max_rss_mb.value_or(mb)) {
         Broken(i, fmt::format("gateway {} holds {:.0f} MB", i, mb));
-      } else if (open > e_.must.descriptors_most.value_or(open)) {
+      } else if (open > e_.requirements.max_descriptors.value_or(open)) {
         Broken(i, fmt::format("gateway {} holds {:.0f} descriptors", i, open));
       } else {
         continue;
@@ -1082,7 +1083,8 @@
   if (options.seconds) {
     e.length = Duration(static_cast<int64_t>(*options.seconds * 1e6));
     std::erase_if(e.faults, [&](const Fault& f) { return f.at >= e.length; });
-    std::erase_if(e.must.windows, [&](const WindowMust& w) { return w.to > e.length; });
+    std::erase_if(e.requirements.windows,
+                  [&](const WindowRequirement& w) { return w.to > e.length; });
   }
   Runner runner(std::move(e), options);
   return runner.Run();
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -92,48 +92,49 @@
     e.tenants = {{"t-000000", 1}};
   }
   e.load.rate = {{Duration(0), o.rate}};
-  e.load.retries = 2;
+  e.load.max_retries = 2;
   e.gateway.count = real;
   e.gateway.sockets = std::max<size_t>(1024, o.members + 512);
   if (!o.bank) {
     e.about = fmt::format("{} gateways without a bank", real);
     return e;
   }
-  BankSpec& b = e.bank;
-  b.on = b.measured = true;
+  ClusterSpec& b = e.cluster;
+  b.enabled = b.measured = true;
   b.voters = kScaleVoters;
-  b.deltas = o.deltas;
-  b.effects = o.tenants == 0;
-  b.change_every = kChangeEvery;
-  b.quiet_last = kLevelWithin;
-  b.quiet_first = Us(o.seconds * kQuiet);
-  b.hollow = hollow;
-  b.version_tenants = o.tenants;
-  b.hollow_faults_at = Us(o.seconds * (kQuiet + (1 - kQuiet) * kCalm));
+  b.uses_delta_changes = o.deltas;
+  b.changes_idempotency = o.tenants == 0;
+  b.change_interval = kChangeEvery;
+  b.quiet_before_end = kLevelWithin;
+  b.quiet_after_start = Us(o.seconds * kQuiet);
+  b.simulated_members = hollow;
+  b.tenants_per_version = o.tenants;
+  b.simulated_member_faults_at = Us(o.seconds * (kQuiet + (1 - kQuiet) * kCalm));
   if (!o.calm) {
-    b.hollow_restarts = std::min(kRestartsMost, hollow / 5);
-    b.hollow_cuts = hollow / 20;
-    b.hollow_stalls = hollow >= 10;
-    b.hollow_stall = Us(o.stall_ms / 1000);
-    b.hollow_read_bytes_per_s = o.read_bytes_per_s;
+    b.simulated_member_restarts = std::min(kRestartsMost, hollow / 5);
+    b.simulated_member_link_cuts = hollow / 20;
+    b.stalls_simulated_members = hollow >= 10;
+    b.simulated_member_stall = Us(o.stall_ms / 1000);
+    b.simulated_member_read_bytes_per_s = o.read_bytes_per_s;
     // What stood still last has a while to be level.
-    const double over = Seconds(kHollowFaultsFor + 2 * b.hollow_stall) + kLevelAgain;
+    const double over =
+        Seconds(kSimulatedMemberFaultDuration + 2 * b.simulated_member_stall) + kLevelAgain;
     const double needed = over / (1 - kQuiet - (1 - kQuiet) * kCalm);
-    if (b.hollow_stalls && o.seconds < needed) {
+    if (b.stalls_simulated_members && o.seconds < needed) {
       throw ExperimentError(
           fmt::format("--stall-ms {}: expected --seconds {:.0f} or more, for all "
                       "to be level behind the last stop",
                       o.stall_ms, std::ceil(needed)));
     }
   } else {
-    b.hollow_faults_at = e.length - kLevelWithin;
+    b.simulated_member_faults_at = e.length - kLevelWithin;
   }
   if (o.leader_dies) {
     Fault dies;
     dies.kind = FaultKind::kGatewayKill;
     dies.name = "gateway-kill";
-    dies.at = b.hollow_faults_at + Us(0.5);
-    dies.down = Us(2);
+    dies.at = b.simulated_member_faults_at + Us(0.5);
+    dies.downtime = Us(2);
     dies.gateway = 0;  // where the bank was begun
     e.faults.push_back(dies);
   }
--- a/src/lab/soak.cpp
+++ b/src/lab/soak.cpp
@@ -33,8 +33,8 @@
 // The wide mix.
 constexpr Duration kWideLength{26'000'000};
 constexpr Duration kLongDeadline{6'000'000};  // longer than a new process that hangs goes unnoticed
-constexpr Span kLongWaitMs{3500, 5200};
-constexpr Span kLongShare{0.02, 0.12};  // past what the gateways can hold
+constexpr UniformRange kLongWaitMs{3500, 5200};
+constexpr UniformRange kLongShare{0.02, 0.12};  // past what the gateways can hold
 constexpr uint64_t kLongShareStream = 1;
 constexpr double kBadPerSecond = 2;         // clients of each kind
 constexpr Duration kDrainTakes{6'000'000};  // an operator's, until it is in again
@@ -67,8 +67,8 @@
     if (is_wide_) {
       AddWideFaults();
     }
-    e_.must.rss_mb_most = kMaxResidentMegabytes;
-    e_.must.descriptors_most = static_cast<double>(e_.gateway.sockets) + kDescriptorMargin;
+    e_.requirements.max_rss_mb = kMaxResidentMegabytes;
+    e_.requirements.max_descriptors = static_cast<double>(e_.gateway.sockets) + kDescriptorMargin;
   }
 
   Experiment Take() { return std::move(e_); }
@@ -108,11 +108,11 @@
   }
   void AddLoad() {
     e_.load.rate = {{Duration(0), 250}};
-    e_.load.retries = 2;
-    e_.load.retry_wait_ms = {50, 150};
-    e_.load.leave_share = 0.01;
-    e_.load.once_share = 0.05;
-    e_.load.keeps_connections = true;
+    e_.load.max_retries = 2;
+    e_.load.retry_delay_ms = {50, 150};
+    e_.load.client_abort_share = 0.01;
+    e_.load.close_after_response_share = 0.05;
+    e_.load.keeps_open_connections = true;
   }
   Fault& Add(FaultKind kind, const char* name, Duration at, size_t gateway) {
     Fault& fault = e_.faults.emplace_back();
@@ -146,12 +146,12 @@
       slow.wait_ms = kLongWaitMs;
       e_.classes.push_back(slow);
     }
-    for (int kind = 0; kind <= static_cast<int>(BadKind::kTrickle); ++kind) {
-      if (static_cast<BadKind>(kind) == BadKind::kHugeLength) {
+    for (int kind = 0; kind <= static_cast<int>(MisbehaviorKind::kByteByByte); ++kind) {
+      if (static_cast<MisbehaviorKind>(kind) == MisbehaviorKind::kHugeLength) {
         continue;  // its megabytes are the lab's own lateness
       }
-      e_.load.bad.push_back(
-          {static_cast<BadKind>(kind), kBadPerSecond, kFirstFault, kWideLength - kDeadline});
+      e_.load.misbehaving_clients.push_back({static_cast<MisbehaviorKind>(kind), kBadPerSecond,
+                                             kFirstFault, kWideLength - kDeadline});
     }
   }
   void AddWideFaults() {
@@ -162,43 +162,43 @@
       const char* name;
     };
     constexpr std::array<ListFault, 4> kListFaults = {
-        {{FaultKind::kListMalformed, "list-malformed"},
-         {FaultKind::kListOld, "list-old"},
-         {FaultKind::kListLag, "list-lag"},
-         {FaultKind::kListMoved, "list-moved"}}};
+        {{FaultKind::kDiscoveryMalformed, "list-malformed"},
+         {FaultKind::kDiscoveryStale, "list-old"},
+         {FaultKind::kDiscoveryLag, "list-lag"},
+         {FaultKind::kDiscoveryMoved, "list-moved"}}};
     const ListFault& chosen = kListFaults[Pick(kListFaults.size())];
     Fault& fault = Add(chosen.kind, chosen.name, kFirstFault + DrawMillis(7000, 15000), 0);
-    fault.lasts = DrawMillis(500, 2000);
-    fault.lag = DrawMillis(200, 1500);
+    fault.duration = DrawMillis(500, 2000);
+    fault.discovery_lag = DrawMillis(200, 1500);
   }
   // New settings bring a class.
   void AddReload() {
     ClassSpec late = e_.classes.front();
     late.name = "soak-late";
     late.share = 0.1;
-    late.listed = false;
-    late.from = kReloadAt + kReloadPause + kReloadWithin;
+    late.in_initial_settings = false;
+    late.available_from = kReloadAt + kReloadCompletionDelay + kMaxReloadTime;
     e_.classes.push_back(late);
     Fault& fault = Add(FaultKind::kGatewayReload, "gateway-reload", kReloadAt, 0);
-    fault.cls = late.name;
+    fault.request_class = late.name;
   }
   void AddHostFaults() {
     Fault& drain = Add(FaultKind::kDrain, "drain", kFirstFault + DrawMillis(0, 8000), 0);
     drain.count = 1;
-    drain.leave = DrawMillis(2000, 4000);
+    drain.exit_delay = DrawMillis(2000, 4000);
     Fault& restart = Add(FaultKind::kRestart, "restart", kFirstFault + DrawMillis(9000, 16000), 0);
     restart.count = 1;
-    restart.down = DrawMillis(500, 2000);
+    restart.downtime = DrawMillis(500, 2000);
   }
   Duration AddOperatorsDrain(Duration at, size_t gateway) {
-    Add(FaultKind::kGatewayQuiesce, "gateway-quiesce", at, gateway).lasts = kDrainTakes;
+    Add(FaultKind::kGatewayQuiesce, "gateway-quiesce", at, gateway).duration = kDrainTakes;
     return kDrainTakes + kBackUpTakes;
   }
   Duration AddFullDisk(Duration at, size_t gateway) {
     Fault& fault = Add(FaultKind::kGatewayDisk, "gateway-disk", at, gateway);
-    fault.disk = DiskIs::kFull;
-    fault.lasts = DrawMillis(500, 2000);
-    return fault.lasts;
+    fault.disk = DiskState::kFull;
+    fault.duration = DrawMillis(500, 2000);
+    return fault.duration;
   }
   Duration AddWideMemberFault(Duration at, size_t gateway) {
     switch (Pick(3)) {
@@ -242,50 +242,50 @@
   Duration AddTerm(Duration at, size_t gateway) {
     Fault& fault = Add(FaultKind::kGatewayTerm, "gateway-term", at, gateway);
     fault.kill_at_earliest = true;
-    fault.down = DrawMillis(300, 1500);
+    fault.downtime = DrawMillis(300, 1500);
     if (Chance(0.4)) {
       fault.second_term_after = DrawMillis(0, 2000);
     }
     if (Chance(0.4)) {
       fault.hup_after = DrawMillis(0, 500);
     }
-    return TermTakes() + fault.down + kBackUpTakes;
+    return TermTakes() + fault.downtime + kBackUpTakes;
   }
   Duration AddHups(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayHup, "gateway-hup", at, gateway);
+    Fault& fault = Add(FaultKind::kGatewayHangup, "gateway-hup", at, gateway);
     fault.count = 1 + Pick(5);
-    fault.every = DrawMillis(1, 200);
-    return static_cast<int64_t>(fault.count) * fault.every;
+    fault.interval = DrawMillis(1, 200);
+    return static_cast<int64_t>(fault.count) * fault.interval;
   }
   Duration AddKill(Duration at, size_t gateway) {
     Fault& fault = Add(FaultKind::kGatewayKill, "gateway-kill", at, gateway);
-    fault.down = DrawMillis(300, 2000);
-    return fault.down + kBackUpTakes;
+    fault.downtime = DrawMillis(300, 2000);
+    return fault.downtime + kBackUpTakes;
   }
   Duration AddStop(Duration at, size_t gateway) {
     Fault& fault = Add(FaultKind::kGatewayStop, "gateway-stop", at, gateway);
-    fault.lasts = DrawMillis(50, 1500);
-    return fault.lasts + kBackUpTakes;
+    fault.duration = DrawMillis(50, 1500);
+    return fault.duration + kBackUpTakes;
   }
   // A new process is ready within a second and a half: killed or stopped before, just then or
   // after.
   Duration AddUpgrade(Duration at, size_t gateway) {
     Fault& fault = Add(FaultKind::kGatewayUpgrade, "gateway-upgrade", at, gateway);
-    constexpr std::array kFates = {UpgradeFate::kTakesOver, UpgradeFate::kKilled,
-                                   UpgradeFate::kStopped};
-    fault.fate = kFates[Pick(kFates.size())];
-    fault.fate_after = DrawMillis(0, 1500);
-    fault.lasts = fault.fate == UpgradeFate::kStopped ? kStoppedFor : Duration(0);
+    constexpr std::array kFates = {UpgradeOutcome::kTakesOver, UpgradeOutcome::kKilled,
+                                   UpgradeOutcome::kStopped};
+    fault.upgrade_outcome = kFates[Pick(kFates.size())];
+    fault.upgrade_outcome_delay = DrawMillis(0, 1500);
+    fault.duration = fault.upgrade_outcome == UpgradeOutcome::kStopped ? kStoppedFor : Duration(0);
     const Duration takes = kUpgradeMargin + TermTakes();
-    return fault.fate == UpgradeFate::kStopped ? kStoppedFor + takes : takes;
+    return fault.upgrade_outcome == UpgradeOutcome::kStopped ? kStoppedFor + takes : takes;
   }
 
   // ---- Gateways that agree ----
   void AddCluster() {
     e_.gateway.count = 5;
     e_.gateway.sockets = kSockets;
-    e_.bank.on = true;
-    e_.bank.deltas = Chance(0.5);
+    e_.cluster.enabled = true;
+    e_.cluster.uses_delta_changes = Chance(0.5);
     bool disk_replaced = false;
     Duration at = kFirstFault + DrawMillis(500, 1500);
     while (IsTime(at)) {
@@ -309,12 +309,12 @@
                                                        {FaultKind::kLinkNoise, "link-noise"}}};
     const LinkFault& chosen = kLinkFaults[Pick(kLinkFaults.size())];
     Fault& fault = Add(chosen.kind, chosen.name, at, gateway);
-    fault.lasts = DrawMillis(500, 2500);
-    fault.ways = static_cast<Ways>(Pick(3));
-    fault.resets = Chance(0.5);
+    fault.duration = DrawMillis(500, 2500);
+    fault.link_direction = static_cast<LinkDirection>(Pick(3));
+    fault.reset_connections = Chance(0.5);
     fault.delay_ms = {5, Draw(10, 300)};
-    fault.share = Draw(0.02, 0.2);
-    return fault.lasts;
+    fault.request_share = Draw(0.02, 0.2);
+    return fault.duration;
   }
   // One disk at most is replaced: two of three voters' lost at a time lose history.
   Duration AddMemberFault(Duration at, size_t gateway, bool& disk_replaced) {
@@ -328,7 +328,7 @@
     }
     const Duration takes = AddKill(at, gateway);
     if (!disk_replaced && Chance(0.5)) {
-      e_.faults.back().disk = Chance(0.5) ? DiskIs::kOld : DiskIs::kNone;
+      e_.faults.back().disk = Chance(0.5) ? DiskState::kRolledBack : DiskState::kEmpty;
       disk_replaced = true;
     }
     return takes;
@@ -336,9 +336,9 @@
 
   void AddListFault() {
     if (Chance(0.5)) {
-      Fault& fault = Add(FaultKind::kListSilent, "list-silent", kFirstFault, 0);
+      Fault& fault = Add(FaultKind::kDiscoverySilent, "list-silent", kFirstFault, 0);
       fault.at += DrawMillis(0, 6000);
-      fault.lasts = DrawMillis(500, 4000);
+      fault.duration = DrawMillis(500, 4000);
     }
   }
 
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -31,7 +31,7 @@
   Fault All(FaultKind kind) {
     Fault fault;
     fault.kind = kind;
-    fault.hosts = 1;
+    fault.host_share = 1;
     return fault;
   }
 
@@ -58,7 +58,7 @@
 TEST_F(FleetTest, AMachineThatIsCutOffSaysNothing) {
   Peer peer = Peer::To(address_);
   RunFor(loop_, Ms(20));
-  const Fault fault = All(FaultKind::kCutOff);
+  const Fault fault = All(FaultKind::kPartitioned);
   const auto hosts = fleet_.Choose(fault);
   ASSERT_EQ(hosts.size(), 1u);
   fleet_.Begin(fault, hosts);
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -259,15 +259,15 @@
   const Experiment with = ScaleExperiment(options);
   options.bank = false;
   const Experiment without = ScaleExperiment(options);
-  EXPECT_TRUE(with.bank.on);
-  EXPECT_FALSE(without.bank.on);
-  EXPECT_EQ(without.bank.hollow, 0U);
+  EXPECT_TRUE(with.cluster.enabled);
+  EXPECT_FALSE(without.cluster.enabled);
+  EXPECT_EQ(without.cluster.simulated_members, 0U);
   EXPECT_EQ(with.gateway.count, without.gateway.count);
   EXPECT_EQ(with.host_count(), 30U);
   EXPECT_EQ(without.host_count(), 30U);
   EXPECT_EQ(with.length, without.length);
   ASSERT_EQ(without.load.rate.size(), 1U);
-  EXPECT_EQ(with.load.rate[0].per_s, without.load.rate[0].per_s);
+  EXPECT_EQ(with.load.rate[0].requests_per_s, without.load.rate[0].requests_per_s);
   // No figure of a bank that was not there, nor one that a line could go through.
   Result result;
   result.gateways = 6;
--- a/tests/lab/soak_test.cpp
+++ b/tests/lab/soak_test.cpp
@@ -17,7 +17,7 @@
   std::string text;
   for (const Fault& fault : experiment.faults) {
     text += fault.name + " " + std::to_string(fault.at.count()) + " " +
-            std::to_string(fault.gateway) + " " + std::to_string(fault.lasts.count()) + ";";
+            std::to_string(fault.gateway) + " " + std::to_string(fault.duration.count()) + ";";
   }
   return text;
 }
@@ -52,11 +52,15 @@
   EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.second_term_after.has_value(); }),
             kOften);
   EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.hup_after.has_value(); }), kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.fate == UpgradeFate::kKilled; }),
+  EXPECT_GT(SeedsWith([](const Fault& fault) {
+              return fault.upgrade_outcome == UpgradeOutcome::kKilled;
+            }),
             kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.fate == UpgradeFate::kStopped; }),
+  EXPECT_GT(SeedsWith([](const Fault& fault) {
+              return fault.upgrade_outcome == UpgradeOutcome::kStopped;
+            }),
             kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.disk != DiskIs::kKept; }), 0U);
+  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.disk != DiskState::kKept; }), 0U);
 }
 
 // What the soak did not draw although the gateway does it.
@@ -64,10 +68,10 @@
   std::set<std::string> names, in_clusters;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const Experiment experiment = DrawSoakExperiment(seed, SoakMix::kWide);
-    EXPECT_FALSE(experiment.load.bad.empty());
+    EXPECT_FALSE(experiment.load.misbehaving_clients.empty());
     for (const Fault& fault : experiment.faults) {
       names.insert(fault.name);
-      if (experiment.bank.on) {
+      if (experiment.cluster.enabled) {
         in_clusters.insert(fault.name);
       }
     }
@@ -85,10 +89,10 @@
   size_t crowds = 0, clusters = 0;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const Experiment experiment = DrawSoakExperiment(seed);
-    EXPECT_TRUE(experiment.load.keeps_connections);
-    EXPECT_TRUE(experiment.must.descriptors_most && experiment.must.rss_mb_most);
+    EXPECT_TRUE(experiment.load.keeps_open_connections);
+    EXPECT_TRUE(experiment.requirements.max_descriptors && experiment.requirements.max_rss_mb);
     crowds += experiment.load.idle_connections > experiment.gateway.sockets ? 1 : 0;
-    clusters += experiment.bank.on ? 1 : 0;
+    clusters += experiment.cluster.enabled ? 1 : 0;
   }
   EXPECT_GT(crowds, kSeeds / 10);
   EXPECT_GT(clusters, kSeeds / 4);
