--- a/src/lab/arrivals.cpp
+++ b/src/lab/arrivals.cpp
@@ -50,20 +50,20 @@
   }
   out = Arrival{};
   out.at = Time(static_cast<int64_t>(at_us_));
-  AskFacts& f = out.facts;
+  RequestSpec& f = out.facts;
   // One that is not there yet is drawn anew.
   do {
-    f.cls = class_(rng_);
-  } while (e_.classes[f.cls].available_from > out.at);
+    f.class_index = class_(rng_);
+  } while (e_.classes[f.class_index].available_from > out.at);
   if (!e_.tenants.empty()) {
-    f.tenant = tenant_(rng_);
+    f.tenant_index = tenant_(rng_);
   }
-  const ClassSpec& cls = e_.classes[f.cls];
+  const ClassSpec& cls = e_.classes[f.class_index];
   f.key = ++keys_;
   f.work = Duration(std::llround(Draw(cls.work_ms) * 1000));
   f.wait = Duration(std::llround(Draw(cls.wait_ms) * 1000));
   f.body_bytes = static_cast<size_t>(Draw(cls.body_bytes));
-  f.answer_bytes = static_cast<size_t>(Draw(cls.response_bytes));
+  f.response_bytes = static_cast<size_t>(Draw(cls.response_bytes));
   out.gateway = Uniform();
   out.leaves = Uniform() < e_.load.client_abort_share;
   out.leave_part = 0.1 + 0.8 * Uniform();
@@ -79,12 +79,12 @@
 void Arrivals::Digest(const Arrival& a) {
   const std::array<uint64_t, 8> words = {
       static_cast<uint64_t>(a.at.count()),
-      a.facts.cls << 8 | a.facts.tenant << 24 | (a.leaves ? 1U : 0U) | (a.trickles ? 2U : 0U) |
-          (a.once ? 4U : 0U),
+      a.facts.class_index << 8 | a.facts.tenant_index << 24 | (a.leaves ? 1U : 0U) |
+          (a.trickles ? 2U : 0U) | (a.once ? 4U : 0U),
       static_cast<uint64_t>(a.facts.work.count()),
       static_cast<uint64_t>(a.facts.wait.count()),
       a.facts.body_bytes,
-      a.facts.answer_bytes,
+      a.facts.response_bytes,
       static_cast<uint64_t>(a.gateway * 1e15),
       a.retry_waits.empty() ? 0 : static_cast<uint64_t>(a.retry_waits[0].count())};
   digest_ = XXH64(words.data(), sizeof(words), digest_);
--- a/src/lab/arrivals.h
+++ b/src/lab/arrivals.h
@@ -14,7 +14,7 @@
 
 struct Arrival {
   Time at{0};
-  AskFacts facts;
+  RequestSpec facts;
   double gateway = 0;   // in [0, 1): which of those that are in
   bool leaves = false;  // its client leaves before the answer, at `leave_part` of its time
   double leave_part = 0;
--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -203,15 +203,15 @@
 void BankLab::Begin(Time zero, std::vector<ListedHost> hosts) {
   zero_ = zero;
   hosts_ = std::move(hosts);
-  ledger_.OnReceipt([this](Time now, size_t n, size_t host, size_t copy) {
+  ledger_.set_receipt_callback([this](Time now, size_t n, size_t host, size_t copy) {
     const size_t gateway = ledger_.GatewayOf(n);
     last_receipt_[gateway] = now;
     // Where the operator chose service, one that the script keeps away goes on with what it knows;
     // back in touch, it has as long as a lease to hear of what is new.
     const bool excused =
         !e_.cluster.drains_when_disconnected && (away_[gateway] > 0 || now < back_at_[gateway]);
-    judge_.Received(now, host, gateway, ledger_.FactsOf(n).cls, ledger_.HandedAt(n), copy, excused,
-                    ledger_.IdOf(n));
+    judge_.Received(now, host, gateway, ledger_.RequestOf(n).class_index, ledger_.SentAt(n), copy,
+                    excused, ledger_.AttemptId(n));
   });
   loop_.RunAfter(std::max(kFirstChange, e_.cluster.quiet_after_start),
                  [this, alive = std::weak_ptr(alive_)] {
@@ -640,7 +640,7 @@
 }
 
 BankResult BankLab::Finish(Time now) {
-  ledger_.OnReceipt(nullptr);
+  ledger_.set_receipt_callback(nullptr);
   return judge_.Finish(now, e_.length - e_.cluster.quiet_before_end);
 }
 
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -221,7 +221,7 @@
   ++told_;
   for (const ListedHost* const host : hosts) {
     if (host->phase != Phase::kActive) {
-      ledger_.Told(Now(), gateway, host->host);
+      ledger_.OnGatewayNotified(Now(), gateway, host->host);
     }
   }
   if (!whole) {
@@ -234,7 +234,7 @@
   }
   for (const Version& v : history_) {
     if (!present.contains(v.host.id)) {
-      ledger_.Told(Now(), gateway, v.host.host);
+      ledger_.OnGatewayNotified(Now(), gateway, v.host.host);
     }
   }
 }
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -163,7 +163,7 @@
     if (connection.receipt() != Connection::kNoReceipt) {
       model_.Leave(Now(), connection.receipt() + 1);
       jobs_.erase(connection.receipt() + 1);
-      fleet_.ledger_.Done(Now(), connection.receipt(), false);
+      fleet_.ledger_.OnHostFinished(Now(), connection.receipt(), false);
       connection.receipt_ = Connection::kNoReceipt;
       Plan();
     }
@@ -182,13 +182,13 @@
       return connection.Answer(Head(404, 0));
     }
     Ledger& ledger = fleet_.ledger_;
-    const size_t n = ledger.Find(*id);
+    const size_t n = ledger.FindAttempt(*id);
     if (n == SIZE_MAX) {
-      ledger.Invented(Now(), *id, fmt::format("{} received {}", listed_.id, target));
+      ledger.OnUnknownRequest(Now(), *id, fmt::format("{} received {}", listed_.id, target));
       return connection.Answer(Head(400, 0));
     }
     const uint64_t receipt =
-        ledger.Received(Now(), n, place_, ZonePlace(), listed_.cell, connection.first_);
+        ledger.OnHostReceived(Now(), n, place_, ZonePlace(), listed_.cell, connection.first_);
     connection.receipt_ = receipt;
     connection.try_ = n;
     if (silent > 0 || Befalls(n, half_dead, 1)) {
@@ -206,12 +206,12 @@
         Drop(c);
       });
     }
-    const AskFacts& facts = ledger.FactsOf(n);
+    const RequestSpec& facts = ledger.RequestOf(n);
     switch (model_.Arrive(Now(), receipt + 1, facts.work, facts.wait)) {
       case HostModel::Arrival::kFull:
         return TurnAway(connection);
       case HostModel::Arrival::kFell:
-        ledger.FellOver(Now(), listed_.id);
+        ledger.OnHostCollapsed(Now(), listed_.id);
         fleet_.loop_.RunDeferred([this] { Die(); });
         return;
       case HostModel::Arrival::kTaken:
@@ -333,7 +333,7 @@
   }
 
   void TurnAway(Connection& connection) {
-    fleet_.ledger_.TurnedAway(connection.receipt());
+    fleet_.ledger_.OnHostRejected(connection.receipt());
     connection.Answer(Head(503, 0, "X-Rejected: 1\r\n"));
   }
 
@@ -349,8 +349,8 @@
   void Serve(Connection& connection) {
     const size_t n = connection.try_;
     Ledger& ledger = fleet_.ledger_;
-    const std::string body =
-        MakeAnswerBody(ledger.IdOf(n), connection.receipt(), ledger.FactsOf(n).answer_bytes);
+    const std::string body = MakeResponseBody(ledger.AttemptId(n), connection.receipt(),
+                                              ledger.RequestOf(n).response_bytes);
     const std::string good = Head(200, body.size()) + body;
     if (!Befalls(n, spoilt, 5)) {
       return connection.Answer(good);
@@ -416,7 +416,7 @@
   begun_ = waits_ = false;
   used_ = host_.Now();
   if (receipt_ != kNoReceipt) {
-    host_.fleet_.ledger_.Done(host_.Now(), std::exchange(receipt_, kNoReceipt), true);
+    host_.fleet_.ledger_.OnHostFinished(host_.Now(), std::exchange(receipt_, kNoReceipt), true);
   }
   // What came meanwhile is looked at after the handler at work.
   host_.fleet_.loop_.RunDeferred([kept = *place] {
--- a/src/lab/ledger.cpp
+++ b/src/lab/ledger.cpp
@@ -10,29 +10,30 @@
 
 namespace paddlestile::lab {
 namespace {
-constexpr uint64_t kKeptOfARule = 20;   // breaches told one by one; the rest are counted
-constexpr Duration kCopyGrace{50'000};  // us; until an abandoned connection's end is seen
-constexpr Duration kCrossing{1'000};    // us; between two connections of one gateway
-constexpr size_t kWindowsMost = 4000;
+constexpr uint64_t kMaxReportedBreachesPerRule = 20;  // further breaches are only counted
+// us; until the end of an abandoned connection is seen
+constexpr Duration kConnectionCloseGrace{50'000};
+constexpr Duration kReorderTolerance{1'000};  // us; order of events on two connections of a gateway
+constexpr size_t kMaxWindows = 4000;
 }  // namespace
 
 std::string_view NameOf(Rule rule) {
   switch (rule) {
     case Rule::kLost:
       return "lost";
-    case Rule::kAnsweredTwice:
+    case Rule::kDuplicateResponse:
       return "answered twice";
-    case Rule::kNotItsAnswer:
+    case Rule::kWrongResponse:
       return "served another's answer";
-    case Rule::kTwice:
+    case Rule::kUnlawfulResend:
       return "sent again unlawfully";
-    case Rule::kRefusedAfterRun:
+    case Rule::kRejectedAfterExecution:
       return "refused after it may have run";
-    case Rule::kDrain:
+    case Rule::kSentToDrainingHost:
       return "sent to a draining host";
-    case Rule::kCold:
+    case Rule::kColdHostCollapse:
       return "a cold host fell over";
-    case Rule::kInvented:
+    case Rule::kUnrequestedSend:
       return "sent what no client asked";
   }
   return "";
@@ -44,38 +45,38 @@
       return "process killed";
     case Excuse::kProcessStopped:
       return "late by a stop";
-    case Excuse::kQueued:
+    case Excuse::kInAcceptQueue:
       return "late in the queue";
     case Excuse::kGatewayDown:
       return "gateway down";
-    case Excuse::kCrossed:
+    case Excuse::kCloseRace:
       return "crossed a close";
-    case Excuse::kNoConnection:
+    case Excuse::kNoLabConnection:
       return "no connection left";
   }
   return "";
 }
 
-std::string MakeAnswerBody(std::string_view id, uint64_t receipt, size_t size) {
+std::string MakeResponseBody(std::string_view id, uint64_t receipt, size_t size) {
   std::string body = fmt::format("id={} receipt={}\n", id, receipt);
-  // A pattern that moves with the receipt, so that a part of another body never fits.
+  // The pattern depends on the receipt, so that part of another body never matches.
   while (body.size() < size) {
     body += static_cast<char>('a' + (body.size() * 7 + receipt * 3) % 26);
   }
   return body;
 }
 
-void Ledger::Break(Rule rule, Time at, std::string id, std::string what) {
+void Ledger::RecordBreach(Rule rule, Time at, std::string id, std::string what) {
   counts_.first_breach = counts_.all_breaches() == 0 ? at : std::min(counts_.first_breach, at);
   counts_.last_breach = std::max(counts_.last_breach, at);
-  if (IsTold(rule)) {
+  if (IsReported(rule)) {
     breaches_.push_back({rule, at, std::move(id), std::move(what)});
   }
   ++counts_.breaches[static_cast<size_t>(rule)];
 }
 
-bool Ledger::IsTold(Rule rule) const {
-  return counts_.breaches[static_cast<size_t>(rule)] < kKeptOfARule;
+bool Ledger::IsReported(Rule rule) const {
+  return counts_.breaches[static_cast<size_t>(rule)] < kMaxReportedBreachesPerRule;
 }
 
 uint64_t Ledger::Counts::all_breaches() const {
@@ -83,72 +84,77 @@
 }
 
 Ledger::Window& Ledger::WindowOf(Time asked) {
-  const auto second = std::min(static_cast<size_t>(asked.count() / 1'000'000), kWindowsMost);
+  const auto second = std::min(static_cast<size_t>(asked.count() / 1'000'000), kMaxWindows);
   if (second >= windows_.size()) {
     windows_.resize(second + 1);
   }
   return windows_[second];
 }
 
-// ---- The clients' side ------------------------------------------------------------------------
+// ---- Events of the clients --------------------------------------------------------------------
 
-size_t Ledger::Ask(Time now, const AskFacts& facts) {
-  asks_.push_back({.facts = facts, .asked = now});
-  const double worth = rules_.classes[facts.cls].priority_weight;
+size_t Ledger::AddRequest(Time now, const RequestSpec& spec) {
+  requests_.push_back({.spec = spec, .requested_at = now});
+  const double worth = rules_.classes[spec.class_index].priority_weight;
   Window& window = WindowOf(now);
   ++counts_.asked;
   ++window.asked;
   counts_.worth_asked += worth;
   window.worth_asked += worth;
-  ++open_;
-  return asks_.size() - 1;
+  ++open_requests_;
+  return requests_.size() - 1;
 }
 
-size_t Ledger::Try(Time now, size_t ask, size_t gateway, Time deadline) {
-  tries_.push_back({.ask = ask, .gateway = gateway, .deadline = deadline, .handed = now});
-  ++counts_.tries;
-  due_.emplace(deadline, tries_.size() - 1);
-  return tries_.size() - 1;
+size_t Ledger::AddAttempt(Time now, size_t request, size_t gateway, Time deadline) {
+  attempts_.push_back(
+      {.request = request, .gateway = gateway, .deadline = deadline, .sent_at = now});
+  ++counts_.attempts;
+  deadlines_.emplace(deadline, attempts_.size() - 1);
+  return attempts_.size() - 1;
 }
 
-void Ledger::Answered(Time now, size_t n, int status, std::string_view body) {
-  TryState& t = tries_[n];
-  if (t.lost) {
-    return;  // its time was up; counted by then
+void Ledger::OnResponse(Time now, size_t attempt, int status, std::string_view body) {
+  AttemptState& state = attempts_[attempt];
+  if (state.expired) {
+    return;  // already counted as lost
   }
-  if (t.over) {
-    return Extra(now, n, fmt::format("a second answer, {}", status));
+  if (state.finished) {
+    return OnUnexpectedData(now, attempt, fmt::format("a second response, {}", status));
   }
-  t.over = true;
-  if (now > t.deadline && t.delay && t.delay->by > Duration(0)) {
-    ++counts_.excused[static_cast<size_t>(t.delay->excuse)];
+  state.finished = true;
+  if (now > state.deadline && state.delay && state.delay->duration > Duration(0)) {
+    ++counts_.excused[static_cast<size_t>(state.delay->excuse)];
   }
-  AskState& a = asks_[t.ask];
-  a.last_status = status;
-  bool ran = false;
-  for (uint64_t r = t.last_receipt; r > 0; r = receipts_[r - 1].before) {
-    ran = ran || receipts_[r - 1].may_have_run;
+  RequestState& request = requests_[state.request];
+  request.last_status = status;
+  bool may_have_run = false;
+  for (uint64_t receipt_link = state.last_receipt; receipt_link > 0;
+       receipt_link = receipts_[receipt_link - 1].previous) {
+    may_have_run = may_have_run || receipts_[receipt_link - 1].may_have_run;
   }
-  const RequestClass& cls = rules_.classes[a.facts.cls];
+  const RequestClass& request_class = rules_.classes[request.spec.class_index];
   if (status == 200) {
-    const std::string id = IdOf(n);
-    bool its_own = false;
-    for (uint64_t r = t.last_receipt; r > 0 && !its_own; r = receipts_[r - 1].before) {
-      its_own = body == MakeAnswerBody(id, r - 1, a.facts.answer_bytes);
+    const std::string id = AttemptId(attempt);
+    bool matches = false;
+    for (uint64_t receipt_link = state.last_receipt; receipt_link > 0 && !matches;
+         receipt_link = receipts_[receipt_link - 1].previous) {
+      matches = body == MakeResponseBody(id, receipt_link - 1, request.spec.response_bytes);
     }
-    if (!its_own) {
-      Break(Rule::kNotItsAnswer, now, id,
-            fmt::format("a body of {} bytes that no host made for it", body.size()));
+    if (!matches) {
+      RecordBreach(
+          Rule::kWrongResponse, now, id,
+          fmt::format("a body of {} bytes that no host sent for this request", body.size()));
       return;
     }
-    if (a.served) {
+    if (request.is_served) {
       return;
     }
-    a.served = true;
-    const Duration took = now - a.asked;
-    Window& window = WindowOf(a.asked);
-    const bool late = took > cls.latency_objective;
-    const double worth = cls.priority_weight * (late ? cls.late_value_fraction : 1);
+    request.is_served = true;
+    const Duration took = now - request.requested_at;
+    Window& window = WindowOf(request.requested_at);
+    const bool late = took > request_class.latency_objective;
+    const double worth =
+        request_class.priority_weight * (late ? request_class.late_value_fraction : 1);
     ++counts_.served;
     ++window.served;
     if (late) {
@@ -159,259 +165,273 @@
     window.worth_served += worth;
     window.latency_us.push_back(static_cast<uint32_t>(std::min<int64_t>(took.count(), UINT32_MAX)));
   } else if (status == 429 || status == 503) {
-    const bool harmless = cls.idempotency == Idempotency::kSafe ||
-                          (cls.idempotency == Idempotency::kKeyed &&
-                           cls.deduplication_scope == DeduplicationScope::kAll);
-    if (ran && !harmless) {
-      Break(Rule::kRefusedAfterRun, now, IdOf(n), fmt::format("{} though it may have run", status));
+    const bool harmless = request_class.idempotency == Idempotency::kSafe ||
+                          (request_class.idempotency == Idempotency::kKeyed &&
+                           request_class.deduplication_scope == DeduplicationScope::kAll);
+    if (may_have_run && !harmless) {
+      RecordBreach(Rule::kRejectedAfterExecution, now, AttemptId(attempt),
+                   fmt::format("{} though it may have run", status));
     }
   }
 }
 
-void Ledger::Broken(Time now, size_t n, std::string_view why) {
-  TryState& t = tries_[n];
-  if (std::exchange(t.over, true)) {
+void Ledger::OnConnectionLost(Time now, size_t attempt, std::string_view why) {
+  AttemptState& state = attempts_[attempt];
+  if (std::exchange(state.finished, true)) {
     return;
   }
-  asks_[t.ask].last_status = 0;
-  if (!t.taken) {
+  requests_[state.request].last_status = 0;
+  if (!state.request_sent) {
     return;
   }
   ++counts_.lost;
-  Break(Rule::kLost, now, IdOf(n), std::string(why));
+  RecordBreach(Rule::kLost, now, AttemptId(attempt), std::string(why));
 }
 
-void Ledger::Refused(Time now, size_t n, std::string_view why) {
-  tries_[n].taken = true;
-  Broken(now, n, why);
+void Ledger::OnConnectionRefused(Time now, size_t attempt, std::string_view why) {
+  attempts_[attempt].request_sent = true;
+  OnConnectionLost(now, attempt, why);
 }
 
-void Ledger::ClientLeft(size_t n) {
-  TryState& t = tries_[n];
-  if (std::exchange(t.over, true)) {
+void Ledger::OnClientDisconnected(size_t attempt) {
+  AttemptState& state = attempts_[attempt];
+  if (std::exchange(state.finished, true)) {
     return;
   }
-  asks_[t.ask].last_status = 0;
-  ++counts_.left;
+  requests_[state.request].last_status = 0;
+  ++counts_.client_disconnects;
 }
 
-void Ledger::Excused(size_t n, Excuse excuse) {
-  TryState& t = tries_[n];
-  if (std::exchange(t.over, true)) {
+void Ledger::ExcuseAttempt(size_t attempt, Excuse excuse) {
+  AttemptState& state = attempts_[attempt];
+  if (std::exchange(state.finished, true)) {
     return;
   }
-  asks_[t.ask].last_status = 0;
+  requests_[state.request].last_status = 0;
   ++counts_.excused[static_cast<size_t>(excuse)];
 }
 
-Duration Ledger::DelayOf(size_t n) {
-  TryState& t = tries_[n];
-  if (!t.delay) {
-    t.delay = delay_of_ ? delay_of_(n).value_or(Delay{}) : Delay{};
+Duration Ledger::AllowedDelay(size_t attempt) {
+  AttemptState& state = attempts_[attempt];
+  if (!state.delay) {
+    state.delay = delay_provider_ ? delay_provider_(attempt).value_or(Delay{}) : Delay{};
   }
-  return t.delay->by;
+  return state.delay->duration;
 }
 
-void Ledger::Over(Time now, size_t ask) {
+void Ledger::OnRequestFinished(Time now, size_t request) {
   (void)now;
-  AskState& a = asks_[ask];
-  if (std::exchange(a.over, true)) {
+  RequestState& state = requests_[request];
+  if (std::exchange(state.finished, true)) {
     return;
   }
-  --open_;
-  if (a.served) {
+  --open_requests_;
+  if (state.is_served) {
     return;
   }
-  Window& window = WindowOf(a.asked);
-  const bool refused = a.last_status == 429 || a.last_status == 503;
+  Window& window = WindowOf(state.requested_at);
+  const bool refused = state.last_status == 429 || state.last_status == 503;
   ++(refused ? counts_.refused : counts_.failed);
   ++(refused ? window.refused : window.failed);
 }
 
-void Ledger::Extra(Time now, size_t n, std::string_view what) {
+void Ledger::OnUnexpectedData(Time now, size_t attempt, std::string_view what) {
   ++counts_.answered_twice;
-  Break(Rule::kAnsweredTwice, now, n < tries_.size() ? IdOf(n) : "", std::string(what));
+  RecordBreach(Rule::kDuplicateResponse, now, attempt < attempts_.size() ? AttemptId(attempt) : "",
+               std::string(what));
 }
 
-// ---- The hosts' side --------------------------------------------------------------------------
+// ---- Events of the hosts ----------------------------------------------------------------------
 
-std::string Ledger::IdOf(size_t n) const {
-  return fmt::format("{}-{:x}", rules_.id_prefix, n);
+std::string Ledger::AttemptId(size_t attempt) const {
+  return fmt::format("{}-{:x}", rules_.id_prefix, attempt);
 }
 
-size_t Ledger::Find(std::string_view id) const {
+size_t Ledger::FindAttempt(std::string_view id) const {
   const size_t prefix = rules_.id_prefix.size();
   if (id.size() < prefix + 2 || id.substr(0, prefix) != rules_.id_prefix || id[prefix] != '-') {
     return SIZE_MAX;
   }
-  size_t n = 0;
+  size_t number = 0;
   const char* const end = id.data() + id.size();
-  const auto read = std::from_chars(id.data() + prefix + 1, end, n, 16);
-  return read.ec == std::errc() && read.ptr == end && n < tries_.size() ? n : SIZE_MAX;
+  const auto read = std::from_chars(id.data() + prefix + 1, end, number, 16);
+  return read.ec == std::errc() && read.ptr == end && number < attempts_.size() ? number : SIZE_MAX;
 }
 
-uint64_t Ledger::Received(Time now, size_t n, size_t host, int zone, int cell, Time first) {
-  TryState& t = tries_[n];
-  const RequestClass& cls = rules_.classes[asks_[t.ask].facts.cls];
+uint64_t Ledger::OnHostReceived(Time now, size_t attempt, size_t host, int zone, int cell,
+                                Time first_byte_at) {
+  AttemptState& state = attempts_[attempt];
+  const RequestClass& request_class = rules_.classes[requests_[state.request].spec.class_index];
   const uint64_t number = receipts_.size();
   ++counts_.receipts;
   bool unlawful = false;
   std::string why;
-  size_t copy = 1;
-  for (uint64_t r = t.last_receipt; r > 0; r = receipts_[r - 1].before) {
-    const Receipt& was = receipts_[r - 1];
-    if (was.open) {
-      suspects_.push_back({now, r - 1, number});
+  size_t copies = 1;
+  for (uint64_t receipt_link = state.last_receipt; receipt_link > 0;
+       receipt_link = receipts_[receipt_link - 1].previous) {
+    const Receipt& earlier = receipts_[receipt_link - 1];
+    if (earlier.open) {
+      possible_duplicates_.push_back({now, receipt_link - 1, number});
     }
-    copy += was.may_have_run ? 1 : 0;
-    if (!was.may_have_run || unlawful) {
+    copies += earlier.may_have_run ? 1 : 0;
+    if (!earlier.may_have_run || unlawful) {
       continue;
     }
-    if (cls.idempotency == Idempotency::kUnsafe) {
+    if (request_class.idempotency == Idempotency::kUnsafe) {
       unlawful = true;
       why = "a class that may run once";
     }
-    if (cls.idempotency != Idempotency::kKeyed) {
+    if (request_class.idempotency != Idempotency::kKeyed) {
       continue;
     }
-    if ((cls.deduplication_scope == DeduplicationScope::kZone && was.zone != zone) ||
-        (cls.deduplication_scope == DeduplicationScope::kCell && was.cell != cell)) {
+    if ((request_class.deduplication_scope == DeduplicationScope::kZone && earlier.zone != zone) ||
+        (request_class.deduplication_scope == DeduplicationScope::kCell && earlier.cell != cell)) {
       unlawful = true;
       why = "outside the group that drops its repeats";
-    } else if (first - was.at > cls.deduplication_window + rules_.slack + lag_) {
+    } else if (first_byte_at - earlier.at >
+               request_class.deduplication_window + rules_.time_tolerance + lab_lag_) {
       unlawful = true;
-      why = fmt::format("{} ms after the first, past its window", (first - was.at).count() / 1000);
+      why = fmt::format("{} ms after the first, past its window",
+                        (first_byte_at - earlier.at).count() / 1000);
     }
   }
   if (unlawful) {
     ++counts_.twice_unlawful;
-    Break(Rule::kTwice, now, IdOf(n), why);
+    RecordBreach(Rule::kUnlawfulResend, now, AttemptId(attempt), why);
   }
-  const auto told = told_.find({t.gateway, host});
-  if (told != told_.end() && first - told->second > rules_.drain_grace + rules_.slack + lag_) {
+  const auto notice = drain_notices_.find({state.gateway, host});
+  if (notice != drain_notices_.end() &&
+      first_byte_at - notice->second > rules_.drain_grace + rules_.time_tolerance + lab_lag_) {
     ++counts_.late_sends;
-    Break(Rule::kDrain, now, IdOf(n),
-          fmt::format("gateway {} sent to host {} {} ms after it was told", t.gateway, host,
-                      (first - told->second).count() / 1000));
+    RecordBreach(Rule::kSentToDrainingHost, now, AttemptId(attempt),
+                 fmt::format("gateway {} sent to host {} {} ms after discovery reported it",
+                             state.gateway, host, (first_byte_at - notice->second).count() / 1000));
   }
-  receipts_.push_back({n, host, now, zone, cell, true, true, t.last_receipt});
-  t.last_receipt = number + 1;
-  ++t.receipts;
-  if (receipt_) {
-    receipt_(now, n, host, copy);
+  receipts_.push_back({attempt, host, now, zone, cell, true, true, state.last_receipt});
+  state.last_receipt = number + 1;
+  ++state.receipts;
+  if (receipt_callback_) {
+    receipt_callback_(now, attempt, host, copies);
   }
   return number;
 }
 
-void Ledger::CountKey(const Receipt& receipt) {
-  const AskFacts& facts = asks_[tries_[receipt.n].ask].facts;
-  const RequestClass& cls = rules_.classes[facts.cls];
-  if (cls.idempotency != Idempotency::kKeyed) {
+void Ledger::CountKeyExecution(const Receipt& receipt) {
+  const RequestSpec& spec = requests_[attempts_[receipt.attempt].request].spec;
+  const RequestClass& request_class = rules_.classes[spec.class_index];
+  if (request_class.idempotency != Idempotency::kKeyed) {
     return;
   }
-  const auto [at, fresh] = keys_.try_emplace(facts.key, receipt.at);
+  const auto [at, fresh] = last_key_execution_.try_emplace(spec.key, receipt.at);
   if (fresh) {
     return;
   }
-  if (receipt.at - at->second > cls.deduplication_window) {
+  if (receipt.at - at->second > request_class.deduplication_window) {
     ++counts_.keys_run_again;
   }
   at->second = std::max(at->second, receipt.at);
 }
 
-void Ledger::TurnedAway(uint64_t receipt) {
+void Ledger::OnHostRejected(uint64_t receipt) {
   receipts_[receipt].may_have_run = false;
 }
 
-void Ledger::Done(Time now, uint64_t receipt, bool answered) {
-  Receipt& r = receipts_[receipt];
-  if (!std::exchange(r.open, false)) {
+void Ledger::OnHostFinished(Time now, uint64_t receipt, bool answered) {
+  Receipt& state = receipts_[receipt];
+  if (!std::exchange(state.open, false)) {
     return;
   }
-  if (r.may_have_run) {
-    CountKey(r);
+  if (state.may_have_run) {
+    CountKeyExecution(state);
   }
   if (!answered) {
     return;
   }
-  // It was really out when the copy came. Both at nearly one moment: its end may have been on the
-  // way, and only another connection's bytes were read first.
-  for (Suspect& s : suspects_) {
-    if (s.first == receipt && now - s.at > kCrossing) {
-      s.sure = true;
+  // The earlier copy was still open when the other one arrived. If both events are nearly
+  // simultaneous, the end of the earlier one may have been in transit while bytes of another
+  // connection were read first.
+  for (PossibleDuplicate& duplicate : possible_duplicates_) {
+    if (duplicate.first == receipt && now - duplicate.at > kReorderTolerance) {
+      duplicate.confirmed = true;
     }
   }
 }
 
-void Ledger::Invented(Time now, std::string_view id, std::string_view what) {
-  Break(Rule::kInvented, now, std::string(id), std::string(what));
+void Ledger::OnUnknownRequest(Time now, std::string_view id, std::string_view what) {
+  RecordBreach(Rule::kUnrequestedSend, now, std::string(id), std::string(what));
 }
 
-void Ledger::FellOver(Time now, const std::string& host) {
+void Ledger::OnHostCollapsed(Time now, const std::string& host) {
   ++counts_.fell_over;
-  Break(Rule::kCold, now, host, "more was sent than a host that has just started can take");
+  RecordBreach(Rule::kColdHostCollapse, now, host,
+               "received more work than a host that has just started can handle");
 }
 
-// ---- The source's side ------------------------------------------------------------------------
+// ---- Notices of discovery ---------------------------------------------------------------------
 
-void Ledger::Told(Time now, size_t gateway, size_t host) {
-  told_.try_emplace({gateway, host}, now);
+void Ledger::OnGatewayNotified(Time now, size_t gateway, size_t host) {
+  drain_notices_.try_emplace({gateway, host}, now);
 }
 
-void Ledger::Forgets(size_t gateway) {
-  std::erase_if(told_, [&](const auto& entry) { return entry.first.first == gateway; });
+void Ledger::OnGatewayRestarted(size_t gateway) {
+  std::erase_if(drain_notices_, [&](const auto& entry) { return entry.first.first == gateway; });
 }
 
-// ---- The account ------------------------------------------------------------------------------
+// ---- Results ----------------------------------------------------------------------------------
 
 void Ledger::Advance(Time now, Duration lag) {
-  lag_ = lag;
-  while (!suspects_.empty() && now - suspects_.front().at >= kCopyGrace + lag) {
-    const Suspect s = suspects_.front();
-    suspects_.pop_front();
-    if (!s.sure && !receipts_[s.first].open) {
+  lab_lag_ = lag;
+  while (!possible_duplicates_.empty() &&
+         now - possible_duplicates_.front().at >= kConnectionCloseGrace + lag) {
+    const PossibleDuplicate duplicate = possible_duplicates_.front();
+    possible_duplicates_.pop_front();
+    if (!duplicate.confirmed && !receipts_[duplicate.first].open) {
       continue;
     }
     ++counts_.twice_unlawful;
-    Break(Rule::kTwice, s.at, IdOf(receipts_[s.second].n), "while an earlier copy was still out");
-  }
-  const Duration allowed = 2 * rules_.slack + lag;
-  while (!due_.empty() && now > due_.begin()->first + allowed) {
-    const auto [deadline, n] = *due_.begin();
-    due_.erase(due_.begin());
-    const TryState& t = tries_[n];
-    if (t.over || !t.taken) {
+    RecordBreach(Rule::kUnlawfulResend, duplicate.at,
+                 AttemptId(receipts_[duplicate.second].attempt),
+                 "while an earlier copy was still out");
+  }
+  const Duration allowed = 2 * rules_.time_tolerance + lag;
+  while (!deadlines_.empty() && now > deadlines_.begin()->first + allowed) {
+    const auto [deadline, attempt] = *deadlines_.begin();
+    deadlines_.erase(deadlines_.begin());
+    const AttemptState& state = attempts_[attempt];
+    if (state.finished || !state.request_sent) {
       continue;
     }
-    if (const Duration delay = DelayOf(n); delay > Duration(0)) {
-      delayed_.emplace(deadline + delay, n);
+    if (const Duration delay = AllowedDelay(attempt); delay > Duration(0)) {
+      delayed_deadlines_.emplace(deadline + delay, attempt);
       continue;
     }
-    Unanswered(now, n);
+    RecordUnanswered(now, attempt);
   }
-  while (!delayed_.empty() && now > delayed_.begin()->first + allowed) {
-    const size_t n = delayed_.begin()->second;
-    delayed_.erase(delayed_.begin());
-    if (!tries_[n].over) {
-      Unanswered(now, n);
+  while (!delayed_deadlines_.empty() && now > delayed_deadlines_.begin()->first + allowed) {
+    const size_t attempt = delayed_deadlines_.begin()->second;
+    delayed_deadlines_.erase(delayed_deadlines_.begin());
+    if (!attempts_[attempt].finished) {
+      RecordUnanswered(now, attempt);
     }
   }
 }
 
-void Ledger::Unanswered(Time now, size_t n) {
-  TryState& t = tries_[n];
-  t.over = t.lost = true;
-  asks_[t.ask].last_status = 0;
+void Ledger::RecordUnanswered(Time now, size_t attempt) {
+  AttemptState& state = attempts_[attempt];
+  state.finished = state.expired = true;
+  requests_[state.request].last_status = 0;
   ++counts_.lost;
-  const double delay_ms = static_cast<double>(DelayOf(n).count()) / 1000;
-  // Looking for it takes time, which counts as the lab's own lateness.
+  const double delay_ms = static_cast<double>(AllowedDelay(attempt).count()) / 1000;
+  // The lookup takes time, which counts as lateness of the lab.
   const std::string connection =
-      describe_connection_ && IsTold(Rule::kLost) ? describe_connection_(n) : "";
-  Break(Rule::kLost, now, IdOf(n),
-        fmt::format("no answer in its time, gateway {}, handed at {:.3f} s{}{}{}", t.gateway,
-                    static_cast<double>(t.handed.count()) / 1e6,
-                    delay_ms > 0 ? fmt::format(", nor {:.0f} ms later", delay_ms) : "",
-                    connection.empty() ? "" : ", connection ", connection));
+      describe_connection_ && IsReported(Rule::kLost) ? describe_connection_(attempt) : "";
+  RecordBreach(
+      Rule::kLost, now, AttemptId(attempt),
+      fmt::format(
+          "no response in time, gateway {}, sent at {:.3f} s{}{}{}", state.gateway,
+          static_cast<double>(state.sent_at.count()) / 1e6,
+          delay_ms > 0 ? fmt::format(", including {:.0f} ms of permitted delay", delay_ms) : "",
+          connection.empty() ? "" : ", connection ", connection));
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/ledger.h
+++ b/src/lab/ledger.h
@@ -1,5 +1,6 @@
-// The account of an experiment: what was asked, received, answered and told, and which of the four
-// rules was broken by whom and when. No I/O; all times are the experiment's own.
+// Records what happens in an experiment: requests, what hosts received, responses and notices from
+// discovery. Determines which rule was broken, by which request or host, and when. No I/O; all
+// times are relative to the start of the experiment.
 #ifndef PADDLESTILE_LAB_LEDGER_H_
 #define PADDLESTILE_LAB_LEDGER_H_
 
@@ -20,218 +21,228 @@
 
 namespace paddlestile::lab {
 
-// What a client asks for: one request with all its tries.
-struct AskFacts {
-  size_t cls = 0, tenant = 0;
-  uint64_t key = 0;  // of a keyed class
+// A client's request, which may take several attempts.
+struct RequestSpec {
+  size_t class_index = 0, tenant_index = 0;
+  uint64_t key = 0;  // idempotency key, for a keyed class
   Duration work{0}, wait{0};
-  size_t body_bytes = 0, answer_bytes = 0;
+  size_t body_bytes = 0, response_bytes = 0;
 };
 
 enum class Rule {
   kLost,
-  kAnsweredTwice,
-  kNotItsAnswer,
-  kTwice,
-  kRefusedAfterRun,
-  kDrain,
-  kCold,
-  kInvented
+  kDuplicateResponse,
+  kWrongResponse,
+  kUnlawfulResend,
+  kRejectedAfterExecution,
+  kSentToDrainingHost,
+  kColdHostCollapse,
+  kUnrequestedSend
 };
-inline constexpr size_t kRules = 8;
+inline constexpr size_t kRuleCount = 8;
 std::string_view NameOf(Rule rule);
 
-// Why something that went wrong with a try is the script's doing, and not the gateway's.
+// Why the failure or delay of an attempt is caused by a fault of the experiment and not by the
+// gateway.
 enum class Excuse {
-  kProcessKilled,   // its connection was held by a process that was killed
-  kProcessStopped,  // answered late, by the time at most that the process was stopped
-  kQueued,          // answered late, by the time at most that its connection was not accepted
-  kGatewayDown,     // refused while the gateway was ended and not back
-  kCrossed,         // a kept connection was closed just as it was written; the client sent it again
-  kNoConnection     // the lab itself had none left
+  kProcessKilled,   // its connection belonged to a process that was killed
+  kProcessStopped,  // late by no more than the time for which the process was stopped
+  kInAcceptQueue,   // late by no more than the time its connection waited to be accepted
+  kGatewayDown,     // refused while the gateway was down
+  kCloseRace,  // an idle connection was closed as the request was written; the client resent it
+  kNoLabConnection  // the lab had reached its own connection limit
 };
-inline constexpr size_t kExcuses = 6;
+inline constexpr size_t kExcuseCount = 6;
 std::string_view NameOf(Excuse excuse);
 
 struct Breach {
   Rule rule = Rule::kLost;
   Time at{0};
-  std::string id;  // the request's, or the host's
+  std::string id;  // of the request or host
   std::string what;
 };
 
-// What a rule needs to know.
+// Parameters of the rules.
 struct LedgerRules {
   std::vector<RequestClass> classes;
   Duration drain_grace{1'000'000};
-  Duration slack{50'000};  // beyond each limit in time, for the way there
+  Duration time_tolerance{50'000};  // added to each time limit, for transmission
   std::string id_prefix = "r";
 };
 
-// The body that a host answers a request with; no two are alike.
-std::string MakeAnswerBody(std::string_view id, uint64_t receipt, size_t size);
+// The response body for one receipt of a request. No two receipts have the same body.
+std::string MakeResponseBody(std::string_view id, uint64_t receipt, size_t size);
 
 class Ledger {
  public:
   explicit Ledger(LedgerRules rules) : rules_(std::move(rules)) {}
 
-  // ---- The clients' side --------------------------------------------------------------------
-  // A request is asked for; its place.
-  size_t Ask(Time now, const AskFacts& facts);
-  // A try of it is handed to a gateway; the try's number, which its id holds.
-  size_t Try(Time now, size_t ask, size_t gateway, Time deadline);
-  // Its last byte is written to a connection that the gateway accepted.
-  void Taken(size_t n) { tries_[n].taken = true; }
-  // A whole answer has come. `body` is looked at for 200.
-  void Answered(Time now, size_t n, int status, std::string_view body);
-  // Its connection ended without a whole answer, by the gateway.
-  void Broken(Time now, size_t n, std::string_view why);
-  // A gateway that should serve refused its connection.
-  void Refused(Time now, size_t n, std::string_view why);
-  // Its client left before the answer.
-  void ClientLeft(size_t n);
-  // It ends without an answer by the script's doing.
-  void Excused(size_t n, Excuse excuse);
-  // The client sends it again on another connection.
-  void SentAgain(Excuse excuse) { ++counts_.excused[static_cast<size_t>(excuse)]; }
-  // How much later than its deadline its answer may come. Asked for at the deadline, once: later
-  // calls give the same. See set_delay_of.
-  Duration DelayOf(size_t n);
-  // No try of it will follow.
-  void Over(Time now, size_t ask);
-  // More came on a connection than was asked for.
-  void Extra(Time now, size_t n, std::string_view what);
-
-  // ---- The hosts' side ----------------------------------------------------------------------
-  // The try with this id; SIZE_MAX for an id that no client sent.
-  [[nodiscard]] size_t Find(std::string_view id) const;
-  [[nodiscard]] std::string IdOf(size_t n) const;
-  [[nodiscard]] int ReceiptsOf(size_t n) const { return tries_[n].receipts; }
-  [[nodiscard]] const AskFacts& FactsOf(size_t n) const { return asks_[tries_[n].ask].facts; }
-  // A host has a try's last byte; its first came at `first`. The receipt's number.
-  uint64_t Received(Time now, size_t n, size_t host, int zone, int cell, Time first);
-  // The host did not run it and says so.
-  void TurnedAway(uint64_t receipt);
-  // What it was received on is over: answered here, or given up by the end of the connection.
-  void Done(Time now, uint64_t receipt, bool answered);
-  // A request with an id that no client sent, or one hidden in another's body.
-  void Invented(Time now, std::string_view id, std::string_view what);
-  void FellOver(Time now, const std::string& host);
-
-  // ---- The source's side --------------------------------------------------------------------
-  // A gateway was told that a host drains or is gone.
-  void Told(Time now, size_t gateway, size_t host);
-  // A gateway that starts anew knows nothing.
-  void Forgets(size_t gateway);
-  // What the script delays a try by.
+  // ---- Events of the clients ----------------------------------------------------------------
+  // Adds a request and returns its index.
+  size_t AddRequest(Time now, const RequestSpec& spec);
+  // Adds an attempt to send the request to a gateway and returns its number, which is part of its
+  // id.
+  size_t AddAttempt(Time now, size_t request, size_t gateway, Time deadline);
+  // The last byte of the attempt was written to a connection that the gateway had accepted.
+  void OnRequestSent(size_t attempt) { attempts_[attempt].request_sent = true; }
+  // A complete response arrived. `body` is checked if the status is 200.
+  void OnResponse(Time now, size_t attempt, int status, std::string_view body);
+  // The gateway closed the connection before a complete response.
+  void OnConnectionLost(Time now, size_t attempt, std::string_view why);
+  // A gateway that should be serving refused the connection.
+  void OnConnectionRefused(Time now, size_t attempt, std::string_view why);
+  // The client disconnected before the response.
+  void OnClientDisconnected(size_t attempt);
+  // The attempt ends without a response because of a fault of the experiment.
+  void ExcuseAttempt(size_t attempt, Excuse excuse);
+  // The client resends an attempt on another connection.
+  void CountResend(Excuse excuse) { ++counts_.excused[static_cast<size_t>(excuse)]; }
+  // How long after its deadline the response may arrive. Determined once, at the deadline; later
+  // calls return the same value. See set_delay_provider.
+  Duration AllowedDelay(size_t attempt);
+  // The request is finished: no further attempt follows.
+  void OnRequestFinished(Time now, size_t request);
+  // More data arrived on a connection than was requested.
+  void OnUnexpectedData(Time now, size_t attempt, std::string_view what);
+
+  // ---- Events of the hosts ------------------------------------------------------------------
+  // The attempt with this id, or SIZE_MAX for an id that no client sent.
+  [[nodiscard]] size_t FindAttempt(std::string_view id) const;
+  [[nodiscard]] std::string AttemptId(size_t attempt) const;
+  [[nodiscard]] int ReceiptCount(size_t attempt) const { return attempts_[attempt].receipts; }
+  [[nodiscard]] const RequestSpec& RequestOf(size_t attempt) const {
+    return requests_[attempts_[attempt].request].spec;
+  }
+  // A host received the last byte of an attempt; its first byte arrived at `first_byte_at`. Returns
+  // the number of the receipt.
+  uint64_t OnHostReceived(Time now, size_t attempt, size_t host, int zone, int cell,
+                          Time first_byte_at);
+  // The host rejected the request without running it.
+  void OnHostRejected(uint64_t receipt);
+  // The receipt is closed: answered by the host, or given up because the connection ended.
+  void OnHostFinished(Time now, uint64_t receipt, bool answered);
+  // A host received a request with an id that no client sent, or one hidden in the body of another.
+  void OnUnknownRequest(Time now, std::string_view id, std::string_view what);
+  void OnHostCollapsed(Time now, const std::string& host);
+
+  // ---- Notices of discovery -----------------------------------------------------------------
+  // Discovery told a gateway that a host is draining or gone.
+  void OnGatewayNotified(Time now, size_t gateway, size_t host);
+  // A restarted gateway has received no notices.
+  void OnGatewayRestarted(size_t gateway);
+  // A permitted delay of an attempt, caused by a fault of the experiment.
   struct Delay {
-    Duration by{0};
+    Duration duration{0};
     Excuse excuse = Excuse::kProcessStopped;
   };
-  // Called once for a try that has no answer at its deadline; nullopt: nothing delays it.
-  void set_delay_of(std::function<std::optional<Delay>(size_t n)> delay_of) {
-    delay_of_ = std::move(delay_of);
+  // Called once for an attempt without a response at its deadline. nullopt means no permitted
+  // delay.
+  void set_delay_provider(std::function<std::optional<Delay>(size_t attempt)> provider) {
+    delay_provider_ = std::move(provider);
   }
-  // Called for a try that has no answer in its time: where its connection is, told with the breach.
-  // Empty where that is not known.
-  void set_describe_connection(std::function<std::string(size_t n)> describe_connection) {
+  // Called for an attempt that is judged lost. Returns where its connection is, for the text of the
+  // breach; empty if unknown.
+  void set_describe_connection(std::function<std::string(size_t attempt)> describe_connection) {
     describe_connection_ = std::move(describe_connection);
   }
 
-  // Told of each receipt of a client's try: the try, the host, and the how manieth it is of those
-  // that may run.
-  void OnReceipt(std::function<void(Time now, size_t n, size_t host, size_t copy)> then) {
-    receipt_ = std::move(then);
+  // Called for each receipt of an attempt by a host. `copy` counts, from 1, the receipts of the
+  // attempt that may have run.
+  void set_receipt_callback(
+      std::function<void(Time now, size_t attempt, size_t host, size_t copy)> callback) {
+    receipt_callback_ = std::move(callback);
   }
-  [[nodiscard]] size_t GatewayOf(size_t n) const { return tries_[n].gateway; }
-  [[nodiscard]] Time HandedAt(size_t n) const { return tries_[n].handed; }
-  [[nodiscard]] Time DeadlineOf(size_t n) const { return tries_[n].deadline; }
+  [[nodiscard]] size_t GatewayOf(size_t attempt) const { return attempts_[attempt].gateway; }
+  [[nodiscard]] Time SentAt(size_t attempt) const { return attempts_[attempt].sent_at; }
+  [[nodiscard]] Time DeadlineOf(size_t attempt) const { return attempts_[attempt].deadline; }
 
-  // ---- The account --------------------------------------------------------------------------
-  // Looks at what is due: answers that never came, copies still out. `lag`: what the lab itself was
-  // late of late, which nobody else is blamed for.
+  // ---- Results ------------------------------------------------------------------------------
+  // Judges what is due by `now`: missing responses, and duplicates whose earlier copy is still
+  // open. `lag` is how late the lab itself was recently, which is added to all limits.
   void Advance(Time now, Duration lag);
 
   struct Counts {
     uint64_t asked = 0, served = 0, late = 0, refused = 0, failed = 0, lost = 0, answered_twice = 0;
-    uint64_t tries = 0, left = 0;
-    std::array<uint64_t, kExcuses> excused{};
+    uint64_t attempts = 0, client_disconnects = 0;
+    std::array<uint64_t, kExcuseCount> excused{};
     double worth_asked = 0, worth_served = 0;
     uint64_t receipts = 0, twice_unlawful = 0, late_sends = 0, fell_over = 0;
-    // Keys whose effect came about twice over all of a client's tries, whoever's doing it was.
+    // Keys that hosts executed twice, over all attempts of a client, whoever caused it.
     uint64_t keys_run_again = 0;
-    std::array<uint64_t, kRules> breaches{};
-    Time first_breach{0}, last_breach{0};  // of any rule
+    std::array<uint64_t, kRuleCount> breaches{};
+    Time first_breach{0}, last_breach{0};  // over all rules
     [[nodiscard]] uint64_t all_breaches() const;
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  // The first ones of each rule.
+  // The first breaches of each rule, up to a limit per rule.
   [[nodiscard]] const std::vector<Breach>& breaches() const { return breaches_; }
   [[nodiscard]] bool broken() const { return !breaches_.empty(); }
 
-  // By the second in which a request was asked for.
+  // Counts by the second in which a request was made.
   struct Window {
     uint64_t asked = 0, served = 0, late = 0, refused = 0, failed = 0;
     double worth_asked = 0, worth_served = 0;
-    std::vector<uint32_t> latency_us;  // of the answers served, from the first try on
+    std::vector<uint32_t> latency_us;  // of served responses, since the first attempt
   };
   [[nodiscard]] const std::vector<Window>& windows() const { return windows_; }
-  [[nodiscard]] size_t open() const { return open_; }
-  // What the lab itself was late of late.
-  [[nodiscard]] Duration lag() const { return lag_; }
+  [[nodiscard]] size_t open_requests() const { return open_requests_; }
+  // How late the lab itself was recently.
+  [[nodiscard]] Duration lab_lag() const { return lab_lag_; }
 
  private:
-  struct AskState {
-    AskFacts facts;
-    Time asked{0};
-    bool over = false, served = false;
+  struct RequestState {
+    RequestSpec spec;
+    Time requested_at{0};
+    bool finished = false, is_served = false;
     int last_status = 0;
   };
-  struct TryState {
-    size_t ask = 0, gateway = 0;
-    Time deadline{0}, handed{0};
-    bool taken = false, over = false, lost = false;
-    std::optional<Delay> delay = std::nullopt;  // once asked for
+  struct AttemptState {
+    size_t request = 0, gateway = 0;
+    Time deadline{0}, sent_at{0};
+    bool request_sent = false, finished = false, expired = false;
+    std::optional<Delay> delay = std::nullopt;  // set at the deadline
     int receipts = 0;
-    uint64_t last_receipt = 0;  // number + 1
+    uint64_t last_receipt = 0;  // receipt number + 1; 0: none
   };
   struct Receipt {
-    size_t n = 0, host = 0;
+    size_t attempt = 0, host = 0;
     Time at{0};
     int zone = 0, cell = 0;
     bool open = true, may_have_run = true;
-    uint64_t before = 0;  // the one before of the same try, number + 1
+    uint64_t previous = 0;  // earlier receipt of the same attempt + 1; 0: none
   };
-  void Break(Rule rule, Time at, std::string id, std::string what);
-  // A try that nobody answered in its time.
-  void Unanswered(Time now, size_t n);
-  // Whether one more breach of the rule is told by itself, and not only counted.
-  [[nodiscard]] bool IsTold(Rule rule) const;
+  void RecordBreach(Rule rule, Time at, std::string id, std::string what);
+  // Records an attempt without a response in its time as lost.
+  void RecordUnanswered(Time now, size_t attempt);
+  // Whether a further breach of the rule is reported individually, or only counted.
+  [[nodiscard]] bool IsReported(Rule rule) const;
   Window& WindowOf(Time asked);
-  void CountKey(const Receipt& receipt);
+  void CountKeyExecution(const Receipt& receipt);
 
   LedgerRules rules_;
-  std::vector<AskState> asks_;
-  std::vector<TryState> tries_;
+  std::vector<RequestState> requests_;
+  std::vector<AttemptState> attempts_;
   std::vector<Receipt> receipts_;
-  std::multimap<Time, size_t> due_;  // tries that may have no answer yet, by deadline
-  struct Suspect {
+  std::multimap<Time, size_t> deadlines_;  // attempts that may still lack a response, by deadline
+  struct PossibleDuplicate {
     Time at{0};
     uint64_t first = 0, second = 0;
-    bool sure = false;
+    bool confirmed = false;
   };
-  std::deque<Suspect> suspects_;                    // copies received while an earlier one was out
-  std::map<std::pair<size_t, size_t>, Time> told_;  // by gateway and host
-  std::unordered_map<uint64_t, Time> keys_;         // when each key's effect last came about
-  std::multimap<Time, size_t> delayed_;  // tries without an answer at their deadline, by when due
-  std::function<std::optional<Delay>(size_t)> delay_of_;
+  // Copies received while an earlier one was open.
+  std::deque<PossibleDuplicate> possible_duplicates_;
+  std::map<std::pair<size_t, size_t>, Time> drain_notices_;  // first notice, by gateway and host
+  std::unordered_map<uint64_t, Time> last_key_execution_;    // when each key was last executed
+  // Attempts with a permitted delay, by extended deadline.
+  std::multimap<Time, size_t> delayed_deadlines_;
+  std::function<std::optional<Delay>(size_t)> delay_provider_;
   std::function<std::string(size_t)> describe_connection_;
-  std::function<void(Time, size_t, size_t, size_t)> receipt_;
-  Duration lag_{0};
+  std::function<void(Time, size_t, size_t, size_t)> receipt_callback_;
+  Duration lab_lag_{0};
   Counts counts_;
   std::vector<Breach> breaches_;
   std::vector<Window> windows_;
-  size_t open_ = 0;
+  size_t open_requests_ = 0;
 };
 
 }  // namespace paddlestile::lab
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -112,7 +112,7 @@
   // Its last byte is with the kernel of a connection that the gateway's machine accepted.
   void LookWritten() {
     if (trying_ != nullptr && connected_ && stream_.flushed() && !trickling_) {
-      load_.ledger_.Taken(trying_->n);
+      load_.ledger_.OnRequestSent(trying_->n);
     }
   }
   void Trickle(const std::shared_ptr<std::string>& text, int pieces) {
@@ -146,7 +146,7 @@
   void OutOfTime() {
     // The ledger has looked at the deadline itself; here the client only stops waiting. Where the
     // script delays the answer it waits as much longer, so that a lost one is told from a late one.
-    const Duration delay = load_.ledger_.DelayOf(trying_->n);
+    const Duration delay = load_.ledger_.AllowedDelay(trying_->n);
     if (delay > Duration(0) && !std::exchange(is_delayed_, true)) {
       timer_ = load_.loop_.RunAfter(trying_->deadline + delay + kSpare - load_.Now(), [this] {
         timer_ = {};
@@ -157,7 +157,7 @@
     Done(0, Duration(0), false);
   }
   void Leave() {
-    load_.ledger_.ClientLeft(trying_->n);
+    load_.ledger_.OnClientDisconnected(trying_->n);
     trying_->asking->arrival.retry_waits.clear();
     Done(0, Duration(0), false);
   }
@@ -183,8 +183,8 @@
     if (trying_ == nullptr) {
       // Nothing was asked for. A gateway that closes may say why.
       if (!stream_.input().view().starts_with("HTTP/1.1 408")) {
-        load_.ledger_.Extra(load_.Now(), last_,
-                            fmt::format("{} bytes behind its answer", stream_.input().size()));
+        load_.ledger_.OnUnexpectedData(
+            load_.Now(), last_, fmt::format("{} bytes behind its answer", stream_.input().size()));
       }
       return load_.Drop(*this);
     }
@@ -198,7 +198,7 @@
     const HttpMessage m = parser_.message();
     const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
     parser_.Reset();
-    load_.ledger_.Answered(load_.Now(), trying_->n, m.status, m.body.In(bytes.view()));
+    load_.ledger_.OnResponse(load_.Now(), trying_->n, m.status, m.body.In(bytes.view()));
     Done(m.status, RetryAfter(m, bytes.view()), m.keep_alive);
   }
   if (!stream_.closed() && stream_.ended()) {
@@ -224,19 +224,19 @@
     return trying->connects < kConnectsMost ? load_.Send(trying) : load_.RefusedEverywhere(trying);
   }
   if (killed_) {
-    load_.ledger_.Excused(trying->n, Excuse::kProcessKilled);
+    load_.ledger_.ExcuseAttempt(trying->n, Excuse::kProcessKilled);
     return load_.End(trying, 0, Duration(0));
   }
   // Closed between requests just as this one was written: once more, elsewhere.
   const Duration since_asked = load_.Now() - asked_at_;
   const bool crossed = reused && !answer_begun && trying->connects < kConnectsMost &&
-                       since_asked <= kMaxCrossing + load_.ledger_.lag() &&
-                       load_.ledger_.ReceiptsOf(trying->n) == 0;
+                       since_asked <= kMaxCrossing + load_.ledger_.lab_lag() &&
+                       load_.ledger_.ReceiptCount(trying->n) == 0;
   if (crossed) {
-    load_.ledger_.SentAgain(Excuse::kCrossed);
+    load_.ledger_.CountResend(Excuse::kCloseRace);
     return load_.Send(trying);
   }
-  load_.ledger_.Broken(
+  load_.ledger_.OnConnectionLost(
       load_.Now(), trying->n,
       fmt::format("its connection ended without a whole answer: {}, gateway {}, "
                   "request {} on it, {:.3f} s before, opened {:.3f} s before",
@@ -475,7 +475,7 @@
     auto asking = std::make_shared<Asking>();
     asking->arrival = next_;
     asking->first = Now();
-    asking->ask = ledger_.Ask(Now(), next_.facts);
+    asking->ask = ledger_.AddRequest(Now(), next_.facts);
     TryOnce(asking);
     drawn_out_ = !arrivals_.Next(next_);
   }
@@ -512,15 +512,15 @@
 void Load::TryOnce(const std::shared_ptr<Asking>& asking) {
   const Time now = Now();
   const size_t gateway = PickGateway(asking->arrival.gateway, asking->tries++);
-  const Time deadline = now + e_.classes[asking->arrival.facts.cls].rules.deadline;
+  const Time deadline = now + e_.classes[asking->arrival.facts.class_index].rules.deadline;
   auto trying = std::make_shared<Trying>();
   trying->asking = asking;
   trying->deadline = deadline;
   trying->gateway = gateway == SIZE_MAX ? 0 : gateway;
-  trying->n = ledger_.Try(now, asking->ask, trying->gateway, deadline);
+  trying->n = ledger_.AddAttempt(now, asking->ask, trying->gateway, deadline);
   if (gateway == SIZE_MAX) {
     ++counts_.no_gateway;
-    ledger_.Excused(trying->n, Excuse::kGatewayDown);
+    ledger_.ExcuseAttempt(trying->n, Excuse::kGatewayDown);
     return End(trying, 0, Duration(0));
   }
   Send(std::move(trying));
@@ -545,7 +545,7 @@
   }
   if (connection == nullptr) {
     ++counts_.beyond;
-    ledger_.Excused(trying->n, Excuse::kNoConnection);
+    ledger_.ExcuseAttempt(trying->n, Excuse::kNoLabConnection);
     return End(trying, 0, Duration(0));
   }
   std::erase(target.idle, connection);
@@ -554,16 +554,16 @@
 
 std::string Load::HeadOf(const Trying& trying) const {
   const Arrival& a = trying.asking->arrival;
-  const ClassSpec& cls = e_.classes[a.facts.cls];
+  const ClassSpec& cls = e_.classes[a.facts.class_index];
   const bool keyed = cls.rules.idempotency == Idempotency::kKeyed;
   const bool body =
       keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.facts.body_bytes > 0;
   const auto budget = std::max<int64_t>(1, (trying.deadline - Now()).count() / 1000);
   std::string head =
       fmt::format("{} /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\nX-Budget-Ms: {}\r\n",
-                  body ? "POST" : "GET", cls.name, ledger_.IdOf(trying.n), budget);
+                  body ? "POST" : "GET", cls.name, ledger_.AttemptId(trying.n), budget);
   if (!e_.tenants.empty()) {
-    head += fmt::format("X-Caller: {}\r\n", e_.tenants[a.facts.tenant].name);
+    head += fmt::format("X-Caller: {}\r\n", e_.tenants[a.facts.tenant_index].name);
   }
   if (keyed) {
     head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.facts.key);
@@ -582,7 +582,7 @@
   const size_t place = static_cast<size_t>(asking->tries) - 1;
   const auto& waits = asking->arrival.retry_waits;
   if (status == 200 || place >= waits.size()) {
-    return ledger_.Over(Now(), asking->ask);
+    return ledger_.OnRequestFinished(Now(), asking->ask);
   }
   loop_.RunAfter(std::max(waits[place], come_back), [this, asking, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
@@ -594,9 +594,9 @@
 void Load::RefusedEverywhere(const std::shared_ptr<Trying>& trying) {
   ++counts_.no_gateway;
   if (targets_[trying->gateway].down) {
-    ledger_.Excused(trying->n, Excuse::kGatewayDown);
+    ledger_.ExcuseAttempt(trying->n, Excuse::kGatewayDown);
   } else {
-    ledger_.Refused(
+    ledger_.OnConnectionRefused(
         Now(), trying->n,
         fmt::format("gateway {} refused its connections though it was up", trying->gateway));
   }
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -48,7 +48,7 @@
   [[nodiscard]] size_t OpenTo(size_t gateway) const;
 
   // Whether all that was asked for is over.
-  [[nodiscard]] bool finished() const { return drawn_out_ && ledger_.open() == 0; }
+  [[nodiscard]] bool finished() const { return drawn_out_ && ledger_.open_requests() == 0; }
 
   struct Counts {
     uint64_t connections = 0;  // opened
--- a/src/lab/result.cpp
+++ b/src/lab/result.cpp
@@ -75,7 +75,7 @@
     r.broken.push_back(fmt::format("rule: {} at {:.3f} s, {}: {}", NameOf(b.rule),
                                    static_cast<double>(b.at.count()) / 1e6, b.id, b.what));
   }
-  for (size_t i = 0; i < kRules; ++i) {
+  for (size_t i = 0; i < kRuleCount; ++i) {
     const auto told = std::ranges::count(breaches, static_cast<Rule>(i), &Breach::rule);
     if (c.breaches[i] > static_cast<uint64_t>(told)) {
       r.broken.push_back(fmt::format("rule: {}: {} more", NameOf(static_cast<Rule>(i)),
@@ -149,7 +149,7 @@
 
 json ExcusedToJson(const Ledger::Counts& counts) {
   json excused = json::object();
-  for (size_t i = 0; i < kExcuses; ++i) {
+  for (size_t i = 0; i < kExcuseCount; ++i) {
     excused[std::string(NameOf(static_cast<Excuse>(i)))] = counts.excused[i];
   }
   return excused;
@@ -217,8 +217,8 @@
         {"failed", c.failed},
         {"lost", c.lost},
         {"answered_twice", c.answered_twice},
-        {"tries", c.tries},
-        {"left", c.left},
+        {"tries", c.attempts},
+        {"left", c.client_disconnects},
         {"excused", ExcusedToJson(c)}}},
       {"receipts",
        {{"total", c.receipts},
@@ -280,7 +280,7 @@
   counts.failed = requests.at("failed");
   counts.lost = requests.at("lost");
   counts.answered_twice = requests.at("answered_twice");
-  counts.tries = requests.at("tries");
+  counts.attempts = requests.at("tries");
   counts.receipts = file.at("receipts").at("total");
   counts.twice_unlawful = file.at("receipts").at("twice_unlawful");
   counts.late_sends = file.at("drains").at("late_sends");
@@ -379,7 +379,7 @@
 
 std::string DescribeExcused(const Ledger::Counts& counts) {
   std::string text;
-  for (size_t i = 0; i < kExcuses; ++i) {
+  for (size_t i = 0; i < kExcuseCount; ++i) {
     if (counts.excused[i] > 0) {
       text += fmt::format("{}{} {}", text.empty() ? "" : ", ", counts.excused[i],
                           NameOf(static_cast<Excuse>(i)));
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -122,7 +122,7 @@
       }
     }
     load_ = std::make_unique<Load>(loop_, e_, ledger_, seed_ ^ 0x10ad, targets);
-    ledger_.set_delay_of([this](size_t n) { return DelayOf(n); });
+    ledger_.set_delay_provider([this](size_t n) { return DelayOf(n); });
     ledger_.set_describe_connection([this](size_t n) { return DescribeConnection(n); });
     if (options_.straight) {
       result_.faults.clear();
@@ -224,7 +224,7 @@
 
   void StartGateway(size_t i) {
     GatewayState& g = gateways_[i];
-    ledger_.Forgets(i);
+    ledger_.OnGatewayRestarted(i);
     WriteConfig(i);
     g.start = ++starts_;
     g.process = Run(i);
@@ -839,7 +839,7 @@
   // What the script's stops delay a try by.
   [[nodiscard]] std::optional<Ledger::Delay> DelayOf(size_t n) const {
     const auto client = load_->ClientOf(n);
-    return client ? stopped_.DelayOf(ledger_.GatewayOf(n), *client, ledger_.HandedAt(n),
+    return client ? stopped_.DelayOf(ledger_.GatewayOf(n), *client, ledger_.SentAt(n),
                                      ledger_.DeadlineOf(n))
                   : std::nullopt;
   }
@@ -956,7 +956,8 @@
       if (l.beyond > 0) {
         r.late.push_back(fmt::format("the lab had no connection left for {} tries", l.beyond));
       }
-      r.cpu_us_per_request = r.counts.tries > 0 ? cpu / static_cast<double>(r.counts.tries) : 0;
+      r.cpu_us_per_request =
+          r.counts.attempts > 0 ? cpu / static_cast<double>(r.counts.attempts) : 0;
       r.lab_cpu_share =
           (CpuUs(own) - lab_cpu_before_) / std::max(1.0, static_cast<double>(now.count()));
     }
--- a/src/lab/stopped_processes.cpp
+++ b/src/lab/stopped_processes.cpp
@@ -75,7 +75,7 @@
     return std::nullopt;
   }
   const Time until = queued->last_seen + kQueueLookInterval;
-  return Ledger::Delay{PauseOf(handed, deadline, stop.from, until), Excuse::kQueued};
+  return Ledger::Delay{PauseOf(handed, deadline, stop.from, until), Excuse::kInAcceptQueue};
 }
 
 std::optional<Ledger::Delay> StoppedProcesses::DelayOf(size_t gateway, const Address& client,
@@ -86,10 +86,10 @@
       continue;
     }
     const auto delay = DelayBy(stop, client, handed, deadline);
-    if (!delay || delay->by == Duration(0)) {
+    if (!delay || delay->duration == Duration(0)) {
       continue;
     }
-    sum = Ledger::Delay{delay->by + (sum ? sum->by : Duration(0)), delay->excuse};
+    sum = Ledger::Delay{delay->duration + (sum ? sum->duration : Duration(0)), delay->excuse};
   }
   return sum;
 }
--- a/tests/lab/soak_test.cpp
+++ b/tests/lab/soak_test.cpp
@@ -115,10 +115,10 @@
 TEST(SoakLine, CountsEachBreachAndTellsFromWhenToWhen) {
   Ledger ledger({.classes = {RequestClass{}}});
   for (int i = 0; i < 50; ++i) {
-    const size_t request = ledger.Ask(Duration(0), {});
-    const size_t attempt = ledger.Try(Duration(0), request, 0, Duration(1'000'000));
-    ledger.Taken(attempt);
-    ledger.Broken(Duration(2'000'000 + i * 10'000), attempt, "closed");
+    const size_t request = ledger.AddRequest(Duration(0), {});
+    const size_t attempt = ledger.AddAttempt(Duration(0), request, 0, Duration(1'000'000));
+    ledger.OnRequestSent(attempt);
+    ledger.OnConnectionLost(Duration(2'000'000 + i * 10'000), attempt, "closed");
   }
   Result result;
   result.seed = 12;
--- a/tests/lab/stopped_processes_test.cpp
+++ b/tests/lab/stopped_processes_test.cpp
@@ -18,7 +18,7 @@
 Duration DelayOf(const StoppedProcesses& stopped, const Address& client, Time handed,
                  size_t gateway = 0) {
   const auto delay = stopped.DelayOf(gateway, client, handed, handed + Ms(1000));
-  return delay ? delay->by : Duration(0);
+  return delay ? delay->duration : Duration(0);
 }
 
 TEST(StoppedProcesses, AStopOfAGatewayDelaysByItsLengthOnly) {
