--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -570,7 +570,7 @@
 
 void BankLab::AwaitCommand(size_t n) {
   Change& change = changes_[n];
-  const auto code = change.command->Ended();
+  const auto code = change.command->ExitCode();
   if (!code) {
     const auto mb = static_cast<double>(change.command->Measure().rss_kb) / 1024;
     figures_.command_rss_mb_most = std::max(figures_.command_rss_mb_most, mb);
@@ -582,7 +582,7 @@
     return;
   }
   const std::string said = TailOf(fmt::format("{}/change-{}.log", folder_, n), 1);
-  const double spent_ms = change.command->SpentUs() / 1000;
+  const double spent_ms = change.command->TotalCpuUs() / 1000;
   change.command.reset();
   const json told = json::parse(said, nullptr, false);
   // Not told done: the same id through a call, which counts once.
@@ -774,7 +774,7 @@
 
 // What all processes hold, now and then.
 void BankLab::Weigh() {
-  uint64_t kb = Process::Own().rss_kb;
+  uint64_t kb = Process::MeasureSelf().rss_kb;
   for (size_t i = 0; i < e_.gateway.count; ++i) {
     kb += usage_(i).rss_kb;
   }
@@ -913,7 +913,7 @@
   }
   std::vector<HollowLine> lines;
   for (HollowPart& part : hollow_) {
-    if (const auto code = part.process->Ended()) {
+    if (const auto code = part.process->ExitCode()) {
       f.broken.push_back(fmt::format("scale: members {} to {} ended with {}: {}", part.first,
                                      part.first + part.count - 1, *code, TailOf(part.log, 3)));
     }
@@ -922,7 +922,7 @@
   }
   for (HollowPart& part : hollow_) {
     const Duration until = MachineNow() + kEndWithin;
-    while (!part.process->Ended() && MachineNow() < until) {
+    while (!part.process->ExitCode() && MachineNow() < until) {
       loop_.RunOnce(kLookEvery);
     }
     std::ifstream book(part.book);
--- a/src/lab/fleet_report.cpp
+++ b/src/lab/fleet_report.cpp
@@ -569,7 +569,7 @@
   if (gnuplot.empty()) {
     out += "<p>Without plots: gnuplot is not on this machine.</p>\n";
   } else {
-    const Folder folder;
+    const TemporaryDirectory folder;
     std::vector<PlotMark> marks;
     const double length = static_cast<double>(r.seconds.size());
     for (const Phase& p : r.phases) {
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -473,7 +473,7 @@
       if (!process_) {
         continue;
       }
-      if (const auto code = process_->Ended(); code && !ending_ && !may_refuse_) {
+      if (const auto code = process_->ExitCode(); code && !ending_ && !may_refuse_) {
         Broken(fmt::format("the gateway ended with {}", *code));
       }
     }
@@ -499,7 +499,7 @@
     if (file >> size >> resident) {
       own_kb = resident * page_kb;
     }
-    const bool runs = process_ && !process_->Ended();
+    const bool runs = process_ && !process_->ExitCode();
     const double used = Mb(own_kb + (runs ? process_->Measure().rss_kb : 0));
     r_.rss_mb_most = std::max(r_.rss_mb_most, used);
     r_.processes_most = std::max<size_t>(r_.processes_most, runs ? 2 : 1);
@@ -553,7 +553,7 @@
         log_path_);
     prober_ = std::make_unique<Prober>(loop_, address_, kProbeStart);
     const bool ready =
-        Until([&] { return prober_->answered() || process_->Ended(); }, kReadyWithin);
+        Until([&] { return prober_->answered() || process_->ExitCode(); }, kReadyWithin);
     prober_->set_every(kProbeEvery);
     if (ready && prober_->answered()) {
       return Ms(loop_.Now() - began);
@@ -563,15 +563,15 @@
 
   void Stop() {
     prober_.reset();
-    if (process_ && !process_->Ended()) {
+    if (process_ && !process_->ExitCode()) {
       ending_ = true;
       process_->Signal(SIGTERM);
-      const bool ended = Until([&] { return process_->Ended().has_value(); }, kEndWithin);
+      const bool ended = Until([&] { return process_->ExitCode().has_value(); }, kEndWithin);
       if (Fine() && !ended) {
         Broken("the gateway did not end after SIGTERM");
       }
-      if (ended && *process_->Ended() != 0) {
-        Broken(fmt::format("the gateway ended with {}", *process_->Ended()));
+      if (ended && *process_->ExitCode() != 0) {
+        Broken(fmt::format("the gateway ended with {}", *process_->ExitCode()));
       }
       ending_ = false;
     }
@@ -778,7 +778,7 @@
     cost.bytes = config_bytes_;
     std::string counters;
     if (!ready) {
-      if (!Fine() || !process_->Ended()) {
+      if (!Fine() || !process_->ExitCode()) {
         return NotReady("settings");
       }
       ReadLog(counters);
@@ -838,7 +838,7 @@
     if (!Fine()) {
       return;
     }
-    const auto code = process_->Ended();
+    const auto code = process_->ExitCode();
     Broken(fmt::format(
         "{}: {}", what,
         code ? fmt::format("the gateway ended with {}", *code)
@@ -894,7 +894,7 @@
   bool interrupted_ = false, ending_ = false;
   bool may_refuse_ = false;  // an end is an answer
   SignalWatch signals_;
-  Folder folder_;
+  TemporaryDirectory folder_;
   json settings_;
   Address address_, source_at_;
   std::string config_path_, log_path_;
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -60,7 +60,8 @@
 }
 
 std::string Draw(const Plot& plot, double seconds, const std::vector<PlotMark>& marks,
-                 const std::string& name, const Folder& folder, const std::string& gnuplot) {
+                 const std::string& name, const TemporaryDirectory& folder,
+                 const std::string& gnuplot) {
   const std::string base = fmt::format("{}/{}", folder.path(), name);
   std::string script = fmt::format(
       "set term svg size 760,260 dynamic name \"{}\" font \"sans,11\" background \"white\"\n"
@@ -94,10 +95,10 @@
   }
   std::ofstream(base + ".gp") << script << lines << "\n";
   Process process({gnuplot, base + ".gp"}, {}, base + ".log");
-  for (int ms = 0; ms < kPlotWait && !process.Ended(); ms += 2) {
+  for (int ms = 0; ms < kPlotWait && !process.ExitCode(); ms += 2) {
     usleep(2000);
   }
-  if (process.Ended().value_or(1) != 0) {
+  if (process.ExitCode().value_or(1) != 0) {
     return "";
   }
   std::ifstream file(base + ".svg");
--- a/src/lab/plot.h
+++ b/src/lab/plot.h
@@ -40,7 +40,8 @@
 // The plot over 0 to `seconds`, drawn in `folder` under files of that name; empty where gnuplot
 // drew nothing.
 std::string Draw(const Plot& plot, double seconds, const std::vector<PlotMark>& marks,
-                 const std::string& name, const Folder& folder, const std::string& gnuplot);
+                 const std::string& name, const TemporaryDirectory& folder,
+                 const std::string& gnuplot);
 
 }  // namespace paddlestile::lab
 
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -22,35 +22,36 @@
 namespace fs = std::filesystem;
 }  // namespace
 
-Process::Process(const std::vector<std::string>& words,
+Process::Process(const std::vector<std::string>& command,
                  const std::vector<std::pair<std::string, std::string>>& env,
                  const std::string& log_path, Signals signals) {
-  // All memory is taken before the fork.
+  // All memory is allocated before the fork.
   std::vector<std::string> variables;
   variables.reserve(env.size());
   for (const auto& [name, value] : env) {
     variables.push_back(fmt::format("{}={}", name, value));
   }
-  for (char** at = environ; *at != nullptr; ++at) {
-    const std::string_view name = std::string_view(*at).substr(0, std::string_view(*at).find('='));
-    const auto given = [&](const auto& variable) {
+  for (char** inherited = environ; *inherited != nullptr; ++inherited) {
+    const std::string_view name =
+        std::string_view(*inherited).substr(0, std::string_view(*inherited).find('='));
+    const auto overrides = [&](const auto& variable) {
       return variable.first == name;
     };
-    if (std::ranges::none_of(env, given)) {
-      variables.emplace_back(*at);
+    if (std::ranges::none_of(env, overrides)) {
+      variables.emplace_back(*inherited);
     }
   }
-  std::vector<char*> args, vars;
-  args.reserve(words.size() + 1);
-  vars.reserve(variables.size() + 1);
-  for (const std::string& word : words) {
-    args.push_back(const_cast<char*>(word.c_str()));
+  std::vector<char*> args, environment;
+  args.reserve(command.size() + 1);
+  environment.reserve(variables.size() + 1);
+  for (const std::string& argument : command) {
+    args.push_back(const_cast<char*>(argument.c_str()));
   }
   for (const std::string& variable : variables) {
-    vars.push_back(const_cast<char*>(variable.c_str()));
+    environment.push_back(const_cast<char*>(variable.c_str()));
   }
   args.push_back(nullptr);
-  vars.push_back(nullptr);
+  environment.push_back(nullptr);
   const int log = open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   if (log < 0) {
     throw std::system_error(errno, std::generic_category(), log_path);
@@ -72,7 +73,7 @@
     sigprocmask(SIG_SETMASK, &blocked, nullptr);
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
-    execve(args[0], args.data(), vars.data());
+    execve(args[0], args.data(), environment.data());
     _exit(127);
   }
   const int error = errno;
@@ -83,7 +84,7 @@
 }
 
 Process::~Process() {
-  if (Ended()) {
+  if (ExitCode()) {
     return;
   }
   kill(pid_, SIGKILL);
@@ -91,25 +92,25 @@
 }
 
 void Process::Signal(int signal) const {
-  if (!ended_) {
+  if (!exit_code_) {
     kill(pid_, signal);
   }
 }
 
 void Process::Stop() const {
-  if (ended_) {
+  if (exit_code_) {
     return;
   }
   kill(pid_, SIGSTOP);
   siginfo_t info{};
-  // Left waitable, so that Ended sees its end.
+  // WNOWAIT keeps the exit status for ExitCode.
   while (waitid(P_PID, static_cast<id_t>(pid_), &info, WSTOPPED | WEXITED | WNOWAIT) != 0 &&
          errno == EINTR) {
   }
 }
 
 void Process::Kill() {
-  if (Ended()) {
+  if (ExitCode()) {
     return;
   }
   killed_ = true;
@@ -119,23 +120,23 @@
   }
 }
 
-std::optional<int> Process::Ended() {
+std::optional<int> Process::ExitCode() {
   int status = 0;
   rusage used{};
-  if (!ended_ && wait4(pid_, &status, WNOHANG, &used) == pid_) {
+  if (!exit_code_ && wait4(pid_, &status, WNOHANG, &used) == pid_) {
     const auto us = [](const timeval& t) {
       return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_usec);
     };
-    spent_us_ = us(used.ru_utime) + us(used.ru_stime);
-    ended_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    total_cpu_us_ = us(used.ru_utime) + us(used.ru_stime);
+    exit_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
-  return ended_;
+  return exit_code_;
 }
 
 Process::Usage Process::Measure() const {
   return Measure(fmt::format("/proc/{}", pid_));
 }
-Process::Usage Process::Own() {
+Process::Usage Process::MeasureSelf() {
   return Measure("/proc/self");
 }
 
@@ -163,25 +164,25 @@
 
 std::string TailOf(const std::string& path, size_t lines) {
   std::ifstream file(path);
-  std::deque<std::string> last;
+  std::deque<std::string> tail;
   for (std::string line; std::getline(file, line);) {
-    constexpr size_t kLineMost = 400;
-    if (line.size() > kLineMost) {
-      line = line.substr(0, kLineMost) + "...";
+    constexpr size_t kMaxLineBytes = 400;
+    if (line.size() > kMaxLineBytes) {
+      line = line.substr(0, kMaxLineBytes) + "...";
     }
-    last.push_back(line);
-    if (last.size() > lines) {
-      last.pop_front();
+    tail.push_back(line);
+    if (tail.size() > lines) {
+      tail.pop_front();
     }
   }
   std::string out;
-  for (const std::string& line : last) {
+  for (const std::string& line : tail) {
     out += line + "\n";
   }
   return out;
 }
 
-Folder::Folder() {
+TemporaryDirectory::TemporaryDirectory() {
   std::string name = (fs::temp_directory_path() / "paddlestile-lab-XXXXXX").string();
   if (mkdtemp(name.data()) == nullptr) {
     throw std::system_error(errno, std::generic_category(), name);
@@ -189,7 +190,7 @@
   path_ = name;
 }
 
-Folder::~Folder() {
+TemporaryDirectory::~TemporaryDirectory() {
   std::error_code error;
   fs::remove_all(path_, error);
 }
--- a/src/lab/process.h
+++ b/src/lab/process.h
@@ -1,4 +1,4 @@
-// A gateway as a process of its own: started, signalled, measured, and never left behind.
+// A child process of the lab, such as a gateway. It never outlives the lab.
 #ifndef PADDLESTILE_LAB_PROCESS_H_
 #define PADDLESTILE_LAB_PROCESS_H_
 
@@ -15,29 +15,29 @@
 
 class Process {
  public:
-  // The signals that a gateway handles, as it starts.
+  // Whether the signals that a gateway handles are blocked at its start.
   enum class Signals {
     kUnblocked,
-    kBlocked  // none that comes before the program's first instruction can end it
+    kBlocked  // a signal that arrives before the program handles it cannot end it
   };
-  // Runs the words with these variables added to the environment; both its outputs go to a file.
-  // Throws std::system_error. It dies with this process, whatever becomes of this one.
-  Process(const std::vector<std::string>& words,
+  // Runs the command with `env` added to the environment; stdout and stderr are appended to the log
+  // file. Throws std::system_error. The kernel kills the child when this process ends.
+  Process(const std::vector<std::string>& command,
           const std::vector<std::pair<std::string, std::string>>& env, const std::string& log_path,
           Signals signals = Signals::kUnblocked);
-  ~Process();  // killed, if it still runs
+  ~Process();  // kills the process if it is still running
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   void Signal(int signal) const;
-  // Stops it, and returns once it stands; without effect where it has ended.
+  // Sends SIGSTOP and returns once the process has stopped. No effect if it has exited.
   void Stop() const;
-  // Kills it, and returns once its descriptors are closed.
+  // Sends SIGKILL and returns once the process has ended and its descriptors are closed.
   void Kill();
-  // Whether Kill was called before it had ended.
+  // Whether Kill was called while the process was still running.
   [[nodiscard]] bool killed() const { return killed_; }
-  // How it ended: its exit code, or 128 and the signal; nothing while it runs.
-  std::optional<int> Ended();
+  // Its exit code, or 128 plus the signal that ended it; nullopt while it runs.
+  std::optional<int> ExitCode();
 
   struct Usage {
     double cpu_us = 0;  // since its start
@@ -45,30 +45,30 @@
     uint64_t descriptors = 0;
   };
   [[nodiscard]] Usage Measure() const;
-  // Processor time of one that has ended, us, over its whole life. Its most memory is not told: the
-  // kernel counts in it what this process held as it began that one.
-  [[nodiscard]] double SpentUs() const { return spent_us_; }
-  [[nodiscard]] static Usage Own();  // of this process
+  // CPU time of an ended process over its whole life, in us. Its peak memory is not available: the
+  // kernel's figure includes what this process used at the time of the fork.
+  [[nodiscard]] double TotalCpuUs() const { return total_cpu_us_; }
+  [[nodiscard]] static Usage MeasureSelf();
   [[nodiscard]] pid_t pid() const { return pid_; }
 
  private:
   static Usage Measure(const std::string& proc);
   pid_t pid_ = -1;
-  std::optional<int> ended_;
+  std::optional<int> exit_code_;
   bool killed_ = false;
-  double spent_us_ = 0;
+  double total_cpu_us_ = 0;
 };
 
-// The last lines of a file, the longest first cut off.
+// The last lines of a file. Long lines are truncated.
 std::string TailOf(const std::string& path, size_t lines);
 
-// A folder of this run alone, gone with this object.
-class Folder {
+// A temporary directory, removed by the destructor.
+class TemporaryDirectory {
  public:
-  Folder();  // throws std::system_error
-  ~Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryDirectory();  // throws std::system_error
+  ~TemporaryDirectory();
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
   [[nodiscard]] const std::string& path() const { return path_; }
 
  private:
--- a/src/lab/process_sockets.cpp
+++ b/src/lab/process_sockets.cpp
@@ -19,7 +19,7 @@
 namespace paddlestile::lab {
 namespace {
 
-// The numbers of the sockets that a process has open.
+// The descriptor numbers of a process's open sockets.
 std::vector<int> SocketsOf(pid_t pid) {
   std::vector<int> sockets;
   std::error_code error;
--- a/src/lab/process_sockets.h
+++ b/src/lab/process_sockets.h
@@ -1,5 +1,5 @@
-// Which connections of clients a child process has accepted, by copies of its own descriptors: the
-// cost goes with what it has open, not with all sockets of the machine.
+// Finds the client connections that a child process has accepted, from copies of its descriptors.
+// The cost depends on its number of descriptors, not on all sockets of the machine.
 #ifndef PADDLESTILE_LAB_PROCESS_SOCKETS_H_
 #define PADDLESTILE_LAB_PROCESS_SOCKETS_H_
 
@@ -11,8 +11,8 @@
 
 namespace paddlestile::lab {
 
-// The clients' ends of the connections to `listen` that the process holds. Exact where the process
-// is stopped; empty where it has ended.
+// The client addresses of the connections to `listen` that the process has accepted. Exact only
+// while the process is stopped; empty if it has exited.
 std::vector<Address> AcceptedConnections(pid_t pid, const Address& listen);
 
 }  // namespace paddlestile::lab
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -206,7 +206,7 @@
   if (gnuplot.empty()) {
     out += "<p>Without plots: gnuplot is not on this machine.</p>\n";
   } else {
-    const Folder folder;
+    const TemporaryDirectory folder;
     std::vector<std::vector<Plot>> all;
     all.reserve(results.size());
     for (const Result& r : results) {
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -270,7 +270,7 @@
       bool all = true;
       for (size_t i = 0; i < gateways_.size(); ++i) {
         GatewayState& g = gateways_[i];
-        if (const auto code = g.process->Ended()) {
+        if (const auto code = g.process->ExitCode()) {
           Broken(i, fmt::format("gateway {} ended with {} before it was up", i, *code));
           return false;
         }
@@ -537,7 +537,7 @@
   void SignalAfter(Duration after, size_t i, int signal) {
     loop_.RunAfter(after, [this, i, signal, start = gateways_[i].start] {
       GatewayState& g = gateways_[i];
-      if (!finishing_ && g.process && g.start == start && !g.process->Ended()) {
+      if (!finishing_ && g.process && g.start == start && !g.process->ExitCode()) {
         g.process->Signal(signal);
       }
     });
@@ -671,7 +671,7 @@
     if (finishing_ || !g.next) {
       return;
     }
-    if (const auto code = g.next->Ended()) {
+    if (const auto code = g.next->ExitCode()) {
       Broken(i, fmt::format("gateway {}: the new process ended with {} by itself", i, *code));
       return loop_.Stop();
     }
@@ -705,7 +705,7 @@
     if (finishing_ || !process) {
       return;
     }
-    const auto code = process->Ended();
+    const auto code = process->ExitCode();
     if (!code && loop_.Now() <= until) {
       loop_.RunAfter(kOperateAgain,
                      [this, i, which, role, until] { AwaitEnd(i, which, role, until); });
@@ -725,7 +725,7 @@
 
   void Restart(size_t i, Time until) {
     GatewayState& g = gateways_[i];
-    if (!g.process->Ended()) {
+    if (!g.process->ExitCode()) {
       if (loop_.Now() > until) {
         Broken(i, fmt::format("gateway {} did not end after SIGTERM", i));
         return loop_.Stop();
@@ -740,7 +740,7 @@
 
   void CheckEnd(size_t i) {
     Process& process = *gateways_[i].process;
-    const int code = process.Ended().value_or(0);
+    const int code = process.ExitCode().value_or(0);
     if (!IsEndAsItShould(process, code)) {
       Broken(i, fmt::format("gateway {} ended with {}", i, code));
     }
@@ -852,14 +852,14 @@
     ledger_.Advance(now, lag_recent_);
     for (size_t i = 0; i < gateways_.size(); ++i) {
       GatewayState& g = gateways_[i];
-      if (g.next && !g.next_fails && g.next->Ended()) {
-        Broken(i, fmt::format("gateway {}: the new process ended with {}", i, *g.next->Ended()));
+      if (g.next && !g.next_fails && g.next->ExitCode()) {
+        Broken(i, fmt::format("gateway {}: the new process ended with {}", i, *g.next->ExitCode()));
         return loop_.Stop();
       }
       if (g.expected_to_end || !g.process) {
         continue;
       }
-      if (const auto code = g.process->Ended()) {
+      if (const auto code = g.process->ExitCode()) {
         Broken(i, fmt::format("gateway {} crashed with {}", i, *code));
         return loop_.Stop();
       }
@@ -876,7 +876,7 @@
     uint64_t rss = 0, descriptors = 0;
     for (GatewayState& g : gateways_) {
       // One that is not up may still be this program, with the lab's own descriptors.
-      if (g.process && g.up && !g.process->Ended() && !g.expected_to_end) {
+      if (g.process && g.up && !g.process->ExitCode() && !g.expected_to_end) {
         g.used = g.process->Measure();
       }
       cpu += g.cpu_before + g.used.cpu_us;
@@ -1034,13 +1034,13 @@
     for (size_t i = 0; i < gateways_.size(); ++i) {
       GatewayState& g = gateways_[i];
       // The stand-ins go on meanwhile: a host that answers nobody would keep a gateway waiting.
-      while (g.process && !g.process->Ended() && loop_.Now() < until) {
+      while (g.process && !g.process->ExitCode() && loop_.Now() < until) {
         loop_.RunOnce(Duration(10'000));
       }
       if (!g.process || !result_.broken.empty()) {
         continue;
       }
-      if (!g.process->Ended()) {
+      if (!g.process->ExitCode()) {
         Broken(i, fmt::format("gateway {} did not end after SIGTERM", i));
       } else {
         CheckEnd(i);
@@ -1056,7 +1056,7 @@
   Fleet fleet_;
   Directory directory_;
   SignalWatch signals_;
-  Folder folder_;
+  TemporaryDirectory folder_;
   std::deque<GatewayState> gateways_;
   std::unique_ptr<BankLab> bank_;
   std::unique_ptr<Load> load_;
--- a/tests/lab/process_sockets_test.cpp
+++ b/tests/lab/process_sockets_test.cpp
@@ -1,4 +1,4 @@
-// Whose a connection is.
+// Which process has accepted a connection.
 #include "lab/process_sockets.h"
 
 #include <gtest/gtest.h>
@@ -14,13 +14,13 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr size_t kPlace = 39'000;  // apart from those of other tests
+constexpr size_t kAddressIndex = 39'000;  // not used by other tests
 constexpr pid_t kNoProcess = 0;
 
-TEST(ProcessSockets, HoldAcceptedConnectionsAndNotQueuedOnes) {
+TEST(ProcessSockets, ListsAcceptedAndNotQueuedConnections) {
   EventLoop loop;
   std::vector<FileDescriptor> accepted;
-  const Address address = OwnAddress(kPlace);
+  const Address address = OwnAddress(kAddressIndex);
   const Listener listener(loop, address,
                           [&](FileDescriptor fd) { accepted.push_back(std::move(fd)); });
   bool refused = false;
