--- a/src/lab/processor_time.cpp
+++ b/src/lab/processor_time.cpp
@@ -11,14 +11,14 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr Duration kKept{4'000'000};  // beyond the longest deadline and its slack
+constexpr Duration kHistoryLength{4'000'000};  // longer than the longest deadline and its tolerance
 constexpr int64_t kMicrosecondsPerSecond = 1'000'000;
 
 double Millis(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-// What the host has taken from each processor so far, in ticks of the kernel's accounts.
+// The steal time of each processor so far, in clock ticks, from /proc/stat.
 std::vector<int64_t> StolenTicks(std::istream& stat) {
   std::vector<int64_t> stolen;
   for (std::string line; std::getline(stat, line);) {
@@ -48,7 +48,7 @@
     }
   }
   stolen_ticks_ = stolen_ticks;
-  while (!recent_steals_.empty() && recent_steals_.front().to < now - kKept) {
+  while (!recent_steals_.empty() && recent_steals_.front().to < now - kHistoryLength) {
     recent_steals_.pop_front();
   }
 }
@@ -56,16 +56,17 @@
 std::string ProcessorTime::DescribeMachine() const {
   const auto longest = std::ranges::max_element(recent_steals_, {}, &Steal::taken);
   if (longest == recent_steals_.end()) {
-    return "machine: its host took no processor away\n";
+    return "machine: the hypervisor took no processor time\n";
   }
   return fmt::format(
-      "machine: its host took processor {} away for {:.0f} ms in one sample, until {:.3f} s\n",
+      "machine: the hypervisor took processor {} away for {:.0f} ms in one sample, until {:.3f} "
+      "s\n",
       longest->processor, Millis(longest->taken),
       std::chrono::duration<double>(longest->to).count());
 }
 
 void ProcessorTime::Sample(Time now, std::string_view name, pid_t pid) {
-  // Of the main thread, which has the event loop: ns on a processor, ns in the run queue.
+  // Of the main thread, which runs the event loop: ns on a processor, ns in the run queue.
   std::ifstream file(fmt::format("/proc/{}/schedstat", pid));
   int64_t ran_ns = 0, waited_ns = 0;
   if (!(file >> ran_ns >> waited_ns)) {
@@ -82,7 +83,7 @@
   account.sampled_at = now;
   account.ran = ran;
   account.waited = waited;
-  while (!account.recent.empty() && account.recent.front().to < now - kKept) {
+  while (!account.recent.empty() && account.recent.front().to < now - kHistoryLength) {
     account.recent.pop_front();
   }
 }
@@ -118,7 +119,7 @@
   }
   std::string text;
   for (const auto& [pid, account] : accounts_) {
-    if (account.sampled_at + kKept >= newest) {
+    if (account.sampled_at + kHistoryLength >= newest) {
       text += Describe(account);
     }
   }
--- a/src/lab/processor_time.h
+++ b/src/lab/processor_time.h
@@ -1,6 +1,6 @@
-// What the processes of gateways had of the processors: tells a process that stood by itself, or
-// had nothing to do, from one that waited for a processor or was stopped, and from a processor that
-// the host of a virtual machine took away. From the kernel's accounts under /proc.
+// Records the processor time of gateway processes from /proc. Distinguishes a process that was idle
+// from one that waited for a processor or was stopped, and from one whose processor was taken by
+// the hypervisor (steal time).
 #ifndef PADDLESTILE_LAB_PROCESSOR_TIME_H_
 #define PADDLESTILE_LAB_PROCESSOR_TIME_H_
 
@@ -18,19 +18,20 @@
 
 namespace paddlestile::lab {
 
-// Between two samples of a process.
+// The interval between samples of a process.
 inline constexpr Duration kProcessorSampleInterval{50'000};
 
 class ProcessorTime {
  public:
-  // To be called for each process that lives, at that interval. `name`: that of its line.
+  // Samples a process. Call it for each running process once per interval. `name` identifies the
+  // process in Describe.
   void Sample(Time now, std::string_view name, pid_t pid);
-  // To be called at that interval, with the text of /proc/stat.
+  // Samples the steal time. Call it once per interval, with the content of /proc/stat.
   void SampleMachine(Time now, std::istream& stat);
-  // A line for each process sampled of late: over the last seconds, its time on a processor, the
-  // time that it waited for one, the most of both in one sample, and the longest time with neither.
-  // Then one for the machine: the most that its host took from one processor in one sample. The
-  // process on that processor stands meanwhile, and by the kernel's account runs.
+  // One line per recently sampled process: its time on a processor and its time waiting for one
+  // over the last seconds, the maximum of each in one sample, and the longest time with neither.
+  // Then a line for the machine: the largest steal time of a processor in one sample. A process on
+  // that processor makes no progress, although the kernel counts it as running.
   [[nodiscard]] std::string Describe() const;
 
  private:
@@ -53,7 +54,7 @@
   [[nodiscard]] std::string DescribeMachine() const;
 
   std::map<pid_t, Account> accounts_;
-  std::vector<int64_t> stolen_ticks_;  // by processor, at the last sample
+  std::vector<int64_t> stolen_ticks_;  // by processor; at the last sample
   std::deque<Steal> recent_steals_;
 };
 
