--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -516,8 +516,8 @@
     if (!g.next && !g.before) {
       return stopped_.StopGateway(i, Now(), Now() + lasts);
     }
-    return stopped_.StopOneOfTwo(i, Now(), Now() + lasts,
-                                 AcceptedConnections(g.process->pid(), g.address), lasts);
+    return stopped_.StopHotRestartProcess(i, Now(), Now() + lasts,
+                                          AcceptedConnections(g.process->pid(), g.address), lasts);
   }
   // Kills the process that serves. What it had accepted ends by that; where it is the only one of
   // its gateway, also what nobody had accepted.
@@ -684,8 +684,8 @@
       return AwaitEnd(i, &GatewayState::next, "new", loop_.Now() + seconds(1));
     }
     const Duration lasts = std::max(fault.duration, kRevokedWithin);
-    const size_t stop =
-        stopped_.StopOneOfTwo(i, Now(), Now() + lasts, std::move(accepted), kRevokedWithin);
+    const size_t stop = stopped_.StopHotRestartProcess(i, Now(), Now() + lasts, std::move(accepted),
+                                                       kRevokedWithin);
     loop_.RunAfter(lasts, [this, i, stop] {
       stopped_.Continue(stop, Now());
       GatewayState& now = gateways_[i];
@@ -777,7 +777,7 @@
     for (size_t i = 0; i < gateways_.size(); ++i) {
       const GatewayState& g = gateways_[i];
       if (stopped_.WatchesQueue(i, Now())) {
-        stopped_.Queued(i, Now(), QueuedConnections(i));
+        stopped_.RecordQueued(i, Now(), QueuedConnections(i));
       }
       for (const GatewayProcess& running : ProcessesOf(g)) {
         processor_time_.Sample(Now(), fmt::format("gateway {}{}", i, running.role),
--- a/src/lab/stopped_processes.cpp
+++ b/src/lab/stopped_processes.cpp
@@ -6,13 +6,13 @@
 namespace paddlestile::lab {
 namespace {
 
-// Between two looks at the queue: a connection may be accepted so long after it was last seen
-// there.
+// Between samples of the accept queue: a connection may be accepted this long after it was last
+// seen there.
 constexpr Duration kQueueLookInterval{50'000};
 
-// The time for an answer stands still from `from` to `to`: by how much it ends later.
-Duration PauseOf(Time handed, Time deadline, Time from, Time to) {
-  return from >= deadline ? Duration(0) : std::max(Duration(0), to - std::max(from, handed));
+// By how much a response may be later because its process was stopped from `from` to `to`.
+Duration PauseOf(Time sent_at, Time deadline, Time from, Time to) {
+  return from >= deadline ? Duration(0) : std::max(Duration(0), to - std::max(from, sent_at));
 }
 
 }  // namespace
@@ -22,12 +22,13 @@
   return stops_.size() - 1;
 }
 
-size_t StoppedProcesses::StopOneOfTwo(size_t gateway, Time from, Time to,
-                                      std::vector<Address> accepted, Duration queue_bound) {
+size_t StoppedProcesses::StopHotRestartProcess(size_t gateway, Time from, Time to,
+                                               std::vector<Address> accepted,
+                                               Duration queue_bound) {
   stops_.push_back({.gateway = gateway,
                     .from = from,
                     .to = to,
-                    .is_one_of_two = true,
+                    .is_hot_restart = true,
                     .accepted = std::move(accepted),
                     .queue_bound = queue_bound});
   return stops_.size() - 1;
@@ -38,7 +39,7 @@
 }
 
 bool StoppedProcesses::WatchesQueue(const Stop& stop, size_t gateway, Time now) {
-  return stop.is_one_of_two && stop.gateway == gateway && stop.from <= now &&
+  return stop.is_hot_restart && stop.gateway == gateway && stop.from <= now &&
          now <= std::min(stop.to, stop.from + stop.queue_bound);
 }
 
@@ -47,7 +48,7 @@
                              [&](const Stop& stop) { return WatchesQueue(stop, gateway, now); });
 }
 
-void StoppedProcesses::Queued(size_t gateway, Time now, const std::vector<Address>& clients) {
+void StoppedProcesses::RecordQueued(size_t gateway, Time now, const std::vector<Address>& clients) {
   for (Stop& stop : stops_) {
     if (!WatchesQueue(stop, gateway, now)) {
       continue;
@@ -63,29 +64,29 @@
   }
 }
 
-std::optional<Ledger::Delay> StoppedProcesses::DelayBy(const Stop& stop, const Address& client,
-                                                       Time handed, Time deadline) {
+std::optional<Ledger::Delay> StoppedProcesses::DelayByStop(const Stop& stop, const Address& client,
+                                                           Time sent_at, Time deadline) {
   const bool is_held =
-      !stop.is_one_of_two || std::ranges::find(stop.accepted, client) != stop.accepted.end();
+      !stop.is_hot_restart || std::ranges::find(stop.accepted, client) != stop.accepted.end();
   if (is_held) {
-    return Ledger::Delay{PauseOf(handed, deadline, stop.from, stop.to), Excuse::kProcessStopped};
+    return Ledger::Delay{PauseOf(sent_at, deadline, stop.from, stop.to), Excuse::kProcessStopped};
   }
   const auto queued = std::ranges::find(stop.queued, client, &QueuedConnection::client);
   if (queued == stop.queued.end()) {
     return std::nullopt;
   }
   const Time until = queued->last_seen + kQueueLookInterval;
-  return Ledger::Delay{PauseOf(handed, deadline, stop.from, until), Excuse::kInAcceptQueue};
+  return Ledger::Delay{PauseOf(sent_at, deadline, stop.from, until), Excuse::kInAcceptQueue};
 }
 
 std::optional<Ledger::Delay> StoppedProcesses::DelayOf(size_t gateway, const Address& client,
-                                                       Time handed, Time deadline) const {
+                                                       Time sent_at, Time deadline) const {
   std::optional<Ledger::Delay> sum;
   for (const Stop& stop : stops_) {
     if (stop.gateway != gateway) {
       continue;
     }
-    const auto delay = DelayBy(stop, client, handed, deadline);
+    const auto delay = DelayByStop(stop, client, sent_at, deadline);
     if (!delay || delay->duration == Duration(0)) {
       continue;
     }
--- a/src/lab/stopped_processes.h
+++ b/src/lab/stopped_processes.h
@@ -1,5 +1,6 @@
-// What the script's stops of gateway processes must cost: answers that are late by the time that a
-// process stood, and nothing else. No I/O; all times are the experiment's own.
+// Determines which delays are permitted because the lab stopped gateway processes: responses may be
+// late by the time for which the process was stopped. No I/O; all times are relative to the start
+// of the experiment.
 #ifndef PADDLESTILE_LAB_STOPPED_PROCESSES_H_
 #define PADDLESTILE_LAB_STOPPED_PROCESSES_H_
 
@@ -15,24 +16,26 @@
 
 class StoppedProcesses {
  public:
-  // The only process of a gateway is stopped until `to`, as planned. Its number, for Continue.
+  // The only process of a gateway is stopped, as planned until `to`. Returns the number of the
+  // stop, for Continue.
   size_t StopGateway(size_t gateway, Time from, Time to);
-  // One of the two processes of a hot restart is stopped until `to`, as planned. `accepted`: the
-  // clients' ends of the connections that it holds. The other one has to accept what is queued
-  // within `queue_bound`.
-  size_t StopOneOfTwo(size_t gateway, Time from, Time to, std::vector<Address> accepted,
-                      Duration queue_bound);
-  // It goes on, later than planned where the lab was late.
+  // One of the two processes of a hot restart is stopped, as planned until `to`. `accepted`: the
+  // client addresses of its connections. The other process has to accept queued connections within
+  // `queue_bound`.
+  size_t StopHotRestartProcess(size_t gateway, Time from, Time to, std::vector<Address> accepted,
+                               Duration queue_bound);
+  // The process was continued, possibly later than planned if the lab was late.
   void Continue(size_t stop, Time now);
-  // Whether Queued wants to hear what is in the queue of a gateway.
+  // Whether RecordQueued has to be called for a gateway.
   [[nodiscard]] bool WatchesQueue(size_t gateway, Time now) const;
-  // Nobody has accepted these connections of clients yet. To be called each 50 ms.
-  void Queued(size_t gateway, Time now, const std::vector<Address>& clients);
+  // The connections of these clients are in the accept queue. Call it every 50 ms while
+  // WatchesQueue is true.
+  void RecordQueued(size_t gateway, Time now, const std::vector<Address>& clients);
 
-  // By how much the answer to a request may be late that was handed over on this client's
-  // connection: its time stands still while no running process has it.
+  // By how much the response may be late to a request that was sent on this client's connection:
+  // time does not count while no running process holds the connection.
   [[nodiscard]] std::optional<Ledger::Delay> DelayOf(size_t gateway, const Address& client,
-                                                     Time handed, Time deadline) const;
+                                                     Time sent_at, Time deadline) const;
 
  private:
   struct QueuedConnection {
@@ -42,14 +45,14 @@
   struct Stop {
     size_t gateway = 0;
     Time from{0}, to{0};
-    bool is_one_of_two = false;  // the others are for such a stop
+    bool is_hot_restart = false;  // the following fields apply only to such a stop
     std::vector<Address> accepted = {};
     Duration queue_bound{0};
     std::vector<QueuedConnection> queued = {};
   };
   static bool WatchesQueue(const Stop& stop, size_t gateway, Time now);
-  static std::optional<Ledger::Delay> DelayBy(const Stop& stop, const Address& client, Time handed,
-                                              Time deadline);
+  static std::optional<Ledger::Delay> DelayByStop(const Stop& stop, const Address& client,
+                                                  Time sent_at, Time deadline);
 
   std::vector<Stop> stops_;
 };
