--- a/src/lab/health_call.cpp
+++ b/src/lab/health_call.cpp
@@ -7,11 +7,11 @@
 
 namespace paddlestile::lab {
 
-HealthCall::HealthCall(EventLoop& loop, const Address& to, std::function<void(bool)> done,
+HealthCall::HealthCall(EventLoop& loop, const Address& address, std::function<void(bool)> on_done,
                        std::string_view call)
-    : loop_(loop), done_(std::move(done)) {
+    : loop_(loop), on_done_(std::move(on_done)) {
   bool refused = false;
-  auto socket = Connect(to, nullptr, refused);
+  auto socket = Connect(address, nullptr, refused);
   if (socket) {
     stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
   }
@@ -31,14 +31,14 @@
   }
 }
 
-void HealthCall::Finish(bool good) {
-  if (std::exchange(finished_, true)) {
+void HealthCall::Finish(bool succeeded) {
+  if (std::exchange(is_finished_, true)) {
     return;
   }
   if (stream_) {
     stream_->Close();
   }
-  loop_.RunDeferred([done = done_, good] { done(good); });
+  loop_.RunDeferred([done = on_done_, succeeded] { done(succeeded); });
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/health_call.h
+++ b/src/lab/health_call.h
@@ -1,4 +1,4 @@
-// A short call to a gateway, on a connection of its own: whether it says yes.
+// A single HTTP call to a gateway on a new connection; reports whether the response is 200.
 #ifndef PADDLESTILE_LAB_HEALTH_CALL_H_
 #define PADDLESTILE_LAB_HEALTH_CALL_H_
 
@@ -15,9 +15,9 @@
 
 class HealthCall final : public Stream::Listener {
  public:
-  // Begins at once. `done` runs once, never within this call: true for an answer of 200, false for
-  // any other end. Destroyed before, it asks no more. `call`: method and path.
-  HealthCall(EventLoop& loop, const Address& to, std::function<void(bool)> done,
+  // Starts immediately. `on_done` runs once, never within the constructor: true for a response with
+  // status 200, false otherwise. Destruction cancels the call. `call`: method and path.
+  HealthCall(EventLoop& loop, const Address& address, std::function<void(bool)> on_done,
              std::string_view call = "GET /_health");
   HealthCall(const HealthCall&) = delete;
   HealthCall& operator=(const HealthCall&) = delete;
@@ -26,13 +26,13 @@
  private:
   void OnData() override;
   void OnError() override { Finish(false); }
-  void Finish(bool good);
+  void Finish(bool succeeded);
 
   EventLoop& loop_;
-  std::function<void(bool)> done_;
+  std::function<void(bool)> on_done_;
   std::unique_ptr<Stream> stream_;
   HttpParser parser_{HttpParser::Kind::kResponse};
-  bool finished_ = false;
+  bool is_finished_ = false;
 };
 
 }  // namespace paddlestile::lab
