--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -124,8 +124,8 @@
   // Who votes is linked with all; the others have nothing to say to each other.
   for (size_t a = 0; a < std::min(count, e_.cluster.voters); ++a) {
     for (size_t b = a + 1; b < count; ++b) {
-      relays_[{a, b}] = std::make_unique<Relay>(loop_, OwnAddress(place_ + count + a * count + b),
-                                                SeatOf(b), random_());
+      relays_[{a, b}] = std::make_unique<Relay>(
+          loop_, LoopbackAddress(place_ + count + a * count + b), SeatOf(b), random_());
     }
   }
   if (e_.cluster.simulated_member_read_bytes_per_s > 0) {
@@ -160,7 +160,7 @@
   return fmt::format("{}/disk-g{:03}", folder_, i);
 }
 Address BankLab::SeatOf(size_t i) const {
-  return OwnAddress(place_ + i);
+  return LoopbackAddress(place_ + i);
 }
 
 void BankLab::WriteFile(size_t i) {
@@ -183,8 +183,8 @@
                         ToText(SeatOf(j)), j < e_.cluster.voters);
     const auto relay = relays_.find({i, j});
     if (relay != relays_.end()) {
-      file << fmt::format("dial = \"{}\"\n",
-                          ToText(OwnAddress(place_ + e_.gateway.count + i * e_.gateway.count + j)));
+      file << fmt::format("dial = \"{}\"\n", ToText(LoopbackAddress(place_ + e_.gateway.count +
+                                                                    i * e_.gateway.count + j)));
     }
   }
   for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
@@ -648,7 +648,7 @@
 
 Address BankLab::HollowSeat(size_t number) const {
   const size_t count = e_.gateway.count;
-  return OwnAddress(place_ + count + count * count + number);
+  return LoopbackAddress(place_ + count + count * count + number);
 }
 
 // A hollow member knows the voters and the hollow ones; nobody reaches it through a relay.
@@ -815,8 +815,8 @@
 
 Address BankLab::SlowSeat(size_t voter, size_t number) const {
   const size_t count = e_.gateway.count;
-  return OwnAddress(place_ + count + count * count + e_.cluster.simulated_members * (1 + voter) +
-                    number);
+  return LoopbackAddress(place_ + count + count * count +
+                         e_.cluster.simulated_members * (1 + voter) + number);
 }
 
 // What voters send them waits, as behind a reader that takes so much and no more.
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -160,7 +160,7 @@
     agents_.push_back(std::make_unique<Agent>());
     Agent& agent = *agents_.back();
     agent.gateway = i;
-    agent.address = OwnAddress(kAgentPlaces + moves_ * gateways_ + i);
+    agent.address = LoopbackAddress(kAgentPlaces + moves_ * gateways_ + i);
     agent.listener =
         std::make_unique<Listener>(loop_, agent.address, [this, &agent](FileDescriptor fd) {
           agent.connections.push_back(std::make_shared<Connection>(*this, agent, std::move(fd)));
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -259,7 +259,7 @@
         Drop(connection);
       }
     }
-    listener_->CutOff(off);
+    listener_->SetPartitioned(off);
   }
 
   void Stand(bool still) {
@@ -505,7 +505,7 @@
       Profile profile{&group, 1, 20};
       profile.speed = draw(group.speed);
       profile.report_ms = draw(group.report_interval_ms);
-      Add(profile, fmt::format("{}-{}", group.name, i + 1), OwnAddress(100 + addresses_++),
+      Add(profile, fmt::format("{}-{}", group.name, i + 1), LoopbackAddress(100 + addresses_++),
           std::nullopt);
     }
   }
@@ -593,7 +593,7 @@
       const double middle = (group.speed.low + group.speed.high) / 2;
       const size_t place =
           Add({&group, middle, group.report_interval_ms.low}, fmt::format("added-{}", ++added_),
-              OwnAddress(100 + addresses_++), now);
+              LoopbackAddress(100 + addresses_++), now);
       changed_(hosts_[place]->listed(), fault.discovery_lag);
     }
     return;
--- a/src/lab/listener.cpp
+++ b/src/lab/listener.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr int kBacklog = 4096;
-constexpr int kFillers = 3;  // a queue of 0 still holds one
+constexpr int kQueueFillers = 3;  // a backlog of 0 still admits one connection
 
-sockaddr_in ToSock(const Address& at) {
+sockaddr_in ToSocketAddress(const Address& at) {
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(at.port);
@@ -26,19 +26,21 @@
 
 }  // namespace
 
-Address OwnAddress(size_t place) {
+Address LoopbackAddress(size_t index) {
   const auto pid = static_cast<uint32_t>(getpid());
-  const uint32_t x = 64 + pid / 256 % 128, y = pid % 256;
-  constexpr size_t kHosts = 250;
-  return {0x7f000000U | x << 16 | y << 8 | static_cast<uint32_t>(1 + place % kHosts),
-          static_cast<uint16_t>(20'000 + place / kHosts)};
+  const uint32_t x = 64 + pid / 256 % 128, third_octet = pid % 256;
+  constexpr size_t kAddressesPerPort = 250;
+  return {0x7f000000U | x << 16 | third_octet << 8 |
+              static_cast<uint32_t>(1 + index % kAddressesPerPort),
+          static_cast<uint16_t>(20'000 + index / kAddressesPerPort)};
 }
 
-Listener::Listener(EventLoop& loop, const Address& at, std::function<void(FileDescriptor)> accepted)
-    : loop_(loop), at_(at), accepted_(std::move(accepted)) {
+Listener::Listener(EventLoop& loop, const Address& at,
+                   std::function<void(FileDescriptor)> on_accepted)
+    : loop_(loop), address_(at), on_accepted_(std::move(on_accepted)) {
   fd_ = FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const int on = 1;
-  const sockaddr_in address = ToSock(at);
+  const sockaddr_in address = ToSocketAddress(at);
   if (!fd_ || setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
       bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 ||
       listen(fd_.get(), kBacklog) != 0 || !loop_.Watch(fd_.get(), this, token_)) {
@@ -55,34 +57,34 @@
 }
 
 void Listener::Accept() {
-  while (!off_) {
+  while (!partitioned_) {
     FileDescriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       return;
     }
     const int on = 1;
     setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    accepted_(std::move(fd));
+    on_accepted_(std::move(fd));
   }
 }
 
-void Listener::CutOff(bool off) {
-  if (off_ == off) {
+void Listener::SetPartitioned(bool partitioned) {
+  if (partitioned_ == partitioned) {
     return;
   }
-  off_ = off;
-  if (!off) {
-    fillers_.clear();
+  partitioned_ = partitioned;
+  if (!partitioned) {
+    queue_fillers_.clear();
     listen(fd_.get(), kBacklog);
     return Accept();
   }
-  // With its queue full the kernel drops what asks for a connection, as a cut link does.
+  // With a full accept queue the kernel drops SYN packets, as a cut link does.
   listen(fd_.get(), 0);
-  for (int i = 0; i < kFillers; ++i) {
+  for (int i = 0; i < kQueueFillers; ++i) {
     FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    const sockaddr_in address = ToSock(at_);
+    const sockaddr_in address = ToSocketAddress(address_);
     (void)connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address));
-    fillers_.push_back(std::move(fd));
+    queue_fillers_.push_back(std::move(fd));
   }
 }
 
--- a/src/lab/listener.h
+++ b/src/lab/listener.h
@@ -1,4 +1,4 @@
-// A listening socket of a stand-in on the loop, at an address of its own on loopback.
+// A listening socket of an emulated server, at a loopback address.
 #ifndef PADDLESTILE_LAB_LISTENER_H_
 #define PADDLESTILE_LAB_LISTENER_H_
 
@@ -11,32 +11,35 @@
 
 namespace paddlestile::lab {
 
-// Addresses of this process alone: 127.x.y.z with x and y from its number, so that labs side by
-// side do not meet. `place` tells one stand-in from the others.
-Address OwnAddress(size_t place);
+// A loopback address used only by this process: 127.x.y.z, with x and y derived from the process id
+// so that labs running side by side do not collide. `index` distinguishes the addresses of a
+// process.
+Address LoopbackAddress(size_t index);
 
 class Listener final : public EventLoop::Handler {
  public:
-  // Listens at once; throws std::system_error that names the address.
-  Listener(EventLoop& loop, const Address& at, std::function<void(FileDescriptor)> accepted);
+  // Starts to listen. Throws std::system_error with the address.
+  Listener(EventLoop& loop, const Address& address,
+           std::function<void(FileDescriptor)> on_accepted);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   virtual ~Listener();
 
-  // A machine that is cut off: no new connection comes up, and none is refused. Undone by false.
-  void CutOff(bool off);
+  // Simulates a network partition: new connections are neither established nor refused. false ends
+  // it.
+  void SetPartitioned(bool partitioned);
 
  private:
   void OnEvents(uint32_t events) override;
   void Accept();
 
   EventLoop& loop_;
-  Address at_;
-  std::function<void(FileDescriptor)> accepted_;
+  Address address_;
+  std::function<void(FileDescriptor)> on_accepted_;
   FileDescriptor fd_;
   uint64_t token_ = 0;
-  bool off_ = false;
-  std::vector<FileDescriptor> fillers_;  // connections of our own that fill the queue
+  bool partitioned_ = false;
+  std::vector<FileDescriptor> queue_fillers_;  // own connections that fill the accept queue
 };
 
 }  // namespace paddlestile::lab
--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -75,7 +75,7 @@
   return fmt::format(
       R"({{"id":"host-{:06}","host_port":"{}","locality":"{}","cell":{},"phase":"{}",)"
       R"("size":1.0,"up_since_ms":{}}})",
-      place, ToText(OwnAddress(place)), kZones[place % std::size(kZones)], place % 7, phase,
+      place, ToText(LoopbackAddress(place)), kZones[place % std::size(kZones)], place % 7, phase,
       up_since_ms);
 }
 
@@ -536,8 +536,8 @@
   std::optional<double> Start(const json& settings, std::string_view known) {
     Stop();
     ++starts_;
-    address_ = OwnAddress(kOwnPlaces + 2 * starts_);
-    source_at_ = OwnAddress(kOwnPlaces + 2 * starts_ + 1);
+    address_ = LoopbackAddress(kOwnPlaces + 2 * starts_);
+    source_at_ = LoopbackAddress(kOwnPlaces + 2 * starts_ + 1);
     config_path_ = fmt::format("{}/config-{}.json", folder_.path(), starts_);
     log_path_ = fmt::format("{}/gateway-{}.log", folder_.path(), starts_);
     WriteConfig(settings, known);
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -197,7 +197,7 @@
   Address Prepare(size_t i) {
     GatewayState& g = gateways_.emplace_back();
     g.address = i == 0 && !e_.gateway.listen.empty() ? ParseAddress(e_.gateway.listen)
-                                                     : OwnAddress(kGatewayPlaces + i);
+                                                     : LoopbackAddress(kGatewayPlaces + i);
     // A port in use is said before anything is played.
     const Listener taken(loop_, g.address, [](const FileDescriptor&) {});
     g.config_path = fmt::format("{}/gateway-{}.json", folder_.path(), i);
--- a/tests/lab/process_sockets_test.cpp
+++ b/tests/lab/process_sockets_test.cpp
@@ -20,7 +20,7 @@
 TEST(ProcessSockets, ListsAcceptedAndNotQueuedConnections) {
   EventLoop loop;
   std::vector<FileDescriptor> accepted;
-  const Address address = OwnAddress(kAddressIndex);
+  const Address address = LoopbackAddress(kAddressIndex);
   const Listener listener(loop, address,
                           [&](FileDescriptor fd) { accepted.push_back(std::move(fd)); });
   bool refused = false;
