--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -130,13 +130,13 @@
     HostTraits traits;
     traits.cores = profile.group->cores;
     traits.speed = profile.speed;
-    traits.held_most = profile.group->max_held_requests;
-    traits.stops_work = profile.group->cancels_work_on_disconnect;
-    traits.report_every = Duration(std::llround(profile.report_ms * 1000));
+    traits.max_held_requests = profile.group->max_held_requests;
+    traits.cancels_work_on_disconnect = profile.group->cancels_work_on_disconnect;
+    traits.report_interval = Duration(std::llround(profile.report_ms * 1000));
     traits.slow_start_initial_capacity = e.slow_start_initial_capacity;
     traits.slow_start_duration = e.slow_start_duration;
     traits.overload_collapse_multiple = e.overload_collapse_multiple;
-    traits.fall = e.overload_collapse_duration;
+    traits.overload_collapse_duration = e.overload_collapse_duration;
     return traits;
   }
 
@@ -155,13 +155,13 @@
     if (!connection.Start()) {
       return Drop(connection);
     }
-    model_.Burden(Now(), profile_.group->handshake_work);
+    model_.AddInternalWork(Now(), profile_.group->handshake_work);
     Plan();
   }
 
   void Drop(Connection& connection) {
     if (connection.receipt() != Connection::kNoReceipt) {
-      model_.Leave(Now(), connection.receipt() + 1);
+      model_.CancelJob(Now(), connection.receipt() + 1);
       jobs_.erase(connection.receipt() + 1);
       fleet_.ledger_.OnHostFinished(Now(), connection.receipt(), false);
       connection.receipt_ = Connection::kNoReceipt;
@@ -210,11 +210,11 @@
     switch (model_.Arrive(Now(), receipt + 1, facts.work, facts.wait)) {
       case HostModel::Arrival::kFull:
         return TurnAway(connection);
-      case HostModel::Arrival::kFell:
+      case HostModel::Arrival::kCollapsed:
         ledger.OnHostCollapsed(Now(), listed_.id);
         fleet_.loop_.RunDeferred([this] { Die(); });
         return;
-      case HostModel::Arrival::kTaken:
+      case HostModel::Arrival::kAccepted:
         break;
     }
     jobs_[receipt + 1] = &connection;
@@ -263,7 +263,7 @@
   }
 
   void Stand(bool still) {
-    model_.Stand(Now(), still);
+    model_.SetStalled(Now(), still);
     Plan();
     if (still) {
       return;
@@ -278,7 +278,7 @@
 
   void Plan() {
     fleet_.loop_.CancelTimer(timer_);
-    const auto next = model_.Next();
+    const auto next = model_.NextCompletion();
     if (!next) {
       return;
     }
@@ -323,7 +323,7 @@
   }
 
   void OnProbe(Connection& connection, bool with_report) {
-    model_.Burden(Now(), profile_.group->probe_work);
+    model_.AddInternalWork(Now(), profile_.group->probe_work);
     const HostModel::Load load = model_.Report(Now());
     const std::string body =
         with_report ? fmt::format("inflight={},latency_ms={:.3f}", load.inflight, load.latency_ms)
@@ -438,7 +438,7 @@
     first_ = host_.Now();
   }
   if (!stream_.input().empty()) {
-    if ((waits_ = host_.model_.standing())) {
+    if ((waits_ = host_.model_.stalled())) {
       return;
     }
     switch (parser_.Feed(stream_.input())) {
@@ -602,7 +602,7 @@
     Host& host = *hosts_[place];
     switch (fault.kind) {
       case FaultKind::kSlow:
-        host.model().Slow(now, fault.factor);
+        host.model().SetSlowdown(now, fault.factor);
         break;
       case FaultKind::kUnresponsive:
         ++host.silent;
@@ -611,7 +611,7 @@
         host.errors = fault.request_share;
         break;
       case FaultKind::kNoisyNeighbour:
-        host.model().Neighbour(now, fault.factor);
+        host.model().SetNeighbourShare(now, fault.factor);
         break;
       case FaultKind::kResets:
         host.resets = fault.request_share;
@@ -691,7 +691,7 @@
     }
     switch (fault.kind) {
       case FaultKind::kSlow:
-        host.model().Slow(now, 1);
+        host.model().SetSlowdown(now, 1);
         break;
       case FaultKind::kUnresponsive:
         --host.silent;
@@ -700,7 +700,7 @@
         host.errors = 0;
         break;
       case FaultKind::kNoisyNeighbour:
-        host.model().Neighbour(now, 0);
+        host.model().SetNeighbourShare(now, 0);
         break;
       case FaultKind::kResets:
         host.resets = 0;
--- a/src/lab/host_model.cpp
+++ b/src/lab/host_model.cpp
@@ -7,212 +7,217 @@
 
 namespace paddlestile::lab {
 namespace {
-constexpr double kLatencyBlend = 0.1;  // weight of one request in the reported latency
-constexpr Duration kWarmStep{50'000};  // us; how often the speed of a warming host is set anew
-double Us(Duration d) {
-  return static_cast<double>(d.count());
+constexpr double kLatencySmoothing = 0.1;  // weight of one request in the reported latency
+constexpr Duration kWarmUpStep{50'000};  // us; step at which the speed of a warming host is updated
+double Microseconds(Duration duration) {
+  return static_cast<double>(duration.count());
 }
 }  // namespace
 
 HostModel::HostModel(const HostTraits& traits, std::optional<Time> started)
     : traits_(traits), started_(started) {}
 
-bool HostModel::Cold(Time now) const {
+bool HostModel::IsWarmingUp(Time now) const {
   return started_ && now - *started_ < traits_.slow_start_duration;
 }
 
-double HostModel::Rate(Time now) const {
-  if (standing_ || fallen_) {
+double HostModel::CoreRate(Time now) const {
+  if (stalled_ || collapsed_) {
     return 0;
   }
-  double warm = 1;
-  if (Cold(now)) {
-    const double age = std::max(0.0, Us(now - *started_) / Us(traits_.slow_start_duration));
-    warm = traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age;
+  double warm_up = 1;
+  if (IsWarmingUp(now)) {
+    const double age =
+        std::max(0.0, Microseconds(now - *started_) / Microseconds(traits_.slow_start_duration));
+    warm_up = traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age;
   }
-  return traits_.speed * warm * (1 - taken_) / slow_;
+  return traits_.speed * warm_up * (1 - neighbour_share_) / slowdown_;
 }
 
 double HostModel::Capacity(Time now) const {
-  return Rate(now) * traits_.cores;
+  return CoreRate(now) * traits_.cores;
 }
 
-bool HostModel::PushedOver(Time now, Duration work) {
-  if (!Cold(now)) {
-    sent_.clear();
-    sent_work_ = 0;
+bool HostModel::OverloadsColdHost(Time now, Duration work) {
+  if (!IsWarmingUp(now)) {
+    cold_arrivals_.clear();
+    cold_work_us_ = 0;
     return false;
   }
-  sent_.emplace_back(now, Us(work));
-  sent_work_ += Us(work);
-  while (now - sent_.front().first > traits_.fall) {
-    sent_work_ -= sent_.front().second;
-    sent_.pop_front();
+  cold_arrivals_.emplace_back(now, Microseconds(work));
+  cold_work_us_ += Microseconds(work);
+  while (now - cold_arrivals_.front().first > traits_.overload_collapse_duration) {
+    cold_work_us_ -= cold_arrivals_.front().second;
+    cold_arrivals_.pop_front();
   }
-  // By what it could do without its present troubles: those are not the senders' doing.
-  const double age = std::max(0.0, Us(now - *started_) / Us(traits_.slow_start_duration));
-  const double can =
+  // Compares with the capacity without current faults, which the senders did not cause.
+  const double age =
+      std::max(0.0, Microseconds(now - *started_) / Microseconds(traits_.slow_start_duration));
+  const double capacity_us =
       traits_.cores * traits_.speed *
       (traits_.slow_start_initial_capacity + (1 - traits_.slow_start_initial_capacity) * age) *
-      Us(traits_.fall);
-  return sent_work_ > traits_.overload_collapse_multiple * can;
+      Microseconds(traits_.overload_collapse_duration);
+  return cold_work_us_ > traits_.overload_collapse_multiple * capacity_us;
 }
 
 HostModel::Arrival HostModel::Arrive(Time now, uint64_t job, Duration work, Duration wait) {
-  Progress(now);
-  if (fallen_) {
+  AdvanceTo(now);
+  if (collapsed_) {
     return Arrival::kFull;
   }
-  if (PushedOver(now, work)) {
-    fallen_ = true;
+  if (OverloadsColdHost(now, work)) {
+    collapsed_ = true;
     running_.clear();
     waiting_.clear();
-    away_.clear();
-    began_.clear();
-    held_ = 0;
-    return Arrival::kFell;
+    external_waits_.clear();
+    started_at_.clear();
+    held_requests_ = 0;
+    return Arrival::kCollapsed;
   }
-  if (held_ >= traits_.held_most) {
+  if (held_requests_ >= traits_.max_held_requests) {
     return Arrival::kFull;
   }
-  ++held_;
+  ++held_requests_;
   waiting_.push_back({job, work, wait});
-  Fill(now);
-  return Arrival::kTaken;
+  StartWaitingJobs(now);
+  return Arrival::kAccepted;
 }
 
-void HostModel::Burden(Time now, Duration work) {
-  Progress(now);
-  if (fallen_ || work <= Duration(0)) {
+void HostModel::AddInternalWork(Time now, Duration work) {
+  AdvanceTo(now);
+  if (collapsed_ || work <= Duration(0)) {
     return;
   }
-  waiting_.push_front({kOwn, work, Duration(0)});
-  Fill(now);
+  waiting_.push_front({kInternalJob, work, Duration(0)});
+  StartWaitingJobs(now);
 }
 
-void HostModel::Fill(Time now) {
+void HostModel::StartWaitingJobs(Time now) {
   while (!waiting_.empty() && running_.size() < static_cast<size_t>(traits_.cores)) {
     const Waiting next = waiting_.front();
     waiting_.pop_front();
-    running_.push_back({next.job, Us(next.work), next.wait, now});
+    running_.push_back({next.job, Microseconds(next.work), next.wait, now});
   }
 }
 
-void HostModel::Leave(Time now, uint64_t job) {
-  Progress(now);
-  const auto waits = std::ranges::find(waiting_, job, &Waiting::job);
-  if (waits != waiting_.end()) {
-    waiting_.erase(waits);
-    --held_;
+void HostModel::CancelJob(Time now, uint64_t job) {
+  AdvanceTo(now);
+  const auto waiting = std::ranges::find(waiting_, job, &Waiting::job);
+  if (waiting != waiting_.end()) {
+    waiting_.erase(waiting);
+    --held_requests_;
     return;
   }
-  if (!traits_.stops_work) {
+  if (!traits_.cancels_work_on_disconnect) {
     return;
   }
-  const auto runs = std::ranges::find(running_, job, &Running::job);
-  if (runs != running_.end()) {
-    running_.erase(runs);
-    --held_;
-    Fill(now);
+  const auto running = std::ranges::find(running_, job, &Running::job);
+  if (running != running_.end()) {
+    running_.erase(running);
+    --held_requests_;
+    StartWaitingJobs(now);
     return;
   }
-  if (began_.erase(job) > 0) {
-    std::erase_if(away_, [&](const auto& entry) { return entry.second == job; });
-    std::ranges::make_heap(away_, std::greater<>());
-    --held_;
+  if (started_at_.erase(job) > 0) {
+    std::erase_if(external_waits_, [&](const auto& entry) { return entry.second == job; });
+    std::ranges::make_heap(external_waits_, std::greater<>());
+    --held_requests_;
   }
 }
 
 std::vector<uint64_t> HostModel::Advance(Time now) {
-  Progress(now);
-  return std::exchange(done_, {});
-}
-
-void HostModel::Progress(Time now) {
-  // In steps from one end of work to the next, so that a core that becomes free takes its next job
-  // at that moment and not at this call.
-  while (at_ < now && !running_.empty()) {
-    const double rate = Rate(at_);
-    Duration step = now - at_;
-    if (Cold(at_)) {
-      step = std::min(step, kWarmStep);
+  AdvanceTo(now);
+  return std::exchange(completed_, {});
+}
+
+void HostModel::AdvanceTo(Time now) {
+  // Advances from one completion to the next, so that a free core starts its next job at that time
+  // and not at the time of this call.
+  while (current_time_ < now && !running_.empty()) {
+    const double rate = CoreRate(current_time_);
+    Duration step = now - current_time_;
+    if (IsWarmingUp(current_time_)) {
+      step = std::min(step, kWarmUpStep);
     }
     if (rate > 0) {
-      for (const Running& r : running_) {
-        step = std::min(step, Duration(static_cast<int64_t>(std::ceil(r.left / rate))));
+      for (const Running& running : running_) {
+        step =
+            std::min(step, Duration(static_cast<int64_t>(std::ceil(running.remaining_us / rate))));
       }
     }
-    at_ += step;
-    for (Running& r : running_) {
-      r.left -= rate * Us(step);
+    current_time_ += step;
+    for (Running& running : running_) {
+      running.remaining_us -= rate * Microseconds(step);
     }
     for (size_t i = 0; i < running_.size();) {
-      const Running r = running_[i];
-      if (r.left > 0.5) {
+      const Running running = running_[i];
+      if (running.remaining_us > 0.5) {
         ++i;
         continue;
       }
       running_.erase(running_.begin() + static_cast<long>(i));
-      if (r.job == kOwn) {
+      if (running.job == kInternalJob) {
         continue;
       }
-      began_[r.job] = r.began;
-      away_.emplace_back(at_ + r.wait, r.job);
-      std::ranges::push_heap(away_, std::greater<>());
+      started_at_[running.job] = running.started_at;
+      external_waits_.emplace_back(current_time_ + running.wait, running.job);
+      std::ranges::push_heap(external_waits_, std::greater<>());
     }
-    Fill(at_);
+    StartWaitingJobs(current_time_);
   }
-  at_ = std::max(at_, now);
-  while (!standing_ && !away_.empty() && away_.front().first <= now) {
-    std::ranges::pop_heap(away_, std::greater<>());
-    const auto [ready, job] = away_.back();
-    away_.pop_back();
-    const double took = Us(ready - began_[job]) / 1000;
-    latency_ms_ = latency_ms_ == 0 ? took : latency_ms_ + kLatencyBlend * (took - latency_ms_);
-    began_.erase(job);
-    --held_;
-    done_.push_back(job);
+  current_time_ = std::max(current_time_, now);
+  while (!stalled_ && !external_waits_.empty() && external_waits_.front().first <= now) {
+    std::ranges::pop_heap(external_waits_, std::greater<>());
+    const auto [ready, job] = external_waits_.back();
+    external_waits_.pop_back();
+    const double took_ms = Microseconds(ready - started_at_[job]) / 1000;
+    latency_ms_ =
+        latency_ms_ == 0 ? took_ms : latency_ms_ + kLatencySmoothing * (took_ms - latency_ms_);
+    started_at_.erase(job);
+    --held_requests_;
+    completed_.push_back(job);
   }
 }
 
-std::optional<Time> HostModel::Next() const {
-  if (standing_ || fallen_) {
+std::optional<Time> HostModel::NextCompletion() const {
+  if (stalled_ || collapsed_) {
     return std::nullopt;
   }
   std::optional<Time> next;
-  const auto at = [&](Time t) {
-    next = next ? std::min(*next, t) : t;
+  const auto consider = [&](Time time) {
+    next = next ? std::min(*next, time) : time;
   };
-  if (!away_.empty()) {
-    at(away_.front().first);
+  if (!external_waits_.empty()) {
+    consider(external_waits_.front().first);
   }
-  const double rate = Rate(at_);
-  for (const Running& r : running_) {
+  const double rate = CoreRate(current_time_);
+  for (const Running& running : running_) {
     if (rate > 0) {
-      at(at_ + Duration(static_cast<int64_t>(std::ceil(std::max(0.0, r.left) / rate))));
+      consider(current_time_ + Duration(static_cast<int64_t>(
+                                   std::ceil(std::max(0.0, running.remaining_us) / rate))));
     }
   }
   return next;
 }
 
-void HostModel::Slow(Time now, double factor) {
-  Progress(now);
-  slow_ = std::max(factor, 1e-3);
+void HostModel::SetSlowdown(Time now, double factor) {
+  AdvanceTo(now);
+  slowdown_ = std::max(factor, 1e-3);
 }
-void HostModel::Neighbour(Time now, double share) {
-  Progress(now);
-  taken_ = std::clamp(share, 0.0, 0.99);
+void HostModel::SetNeighbourShare(Time now, double share) {
+  AdvanceTo(now);
+  neighbour_share_ = std::clamp(share, 0.0, 0.99);
 }
-void HostModel::Stand(Time now, bool still) {
-  Progress(now);
-  standing_ = still;
+void HostModel::SetStalled(Time now, bool still) {
+  AdvanceTo(now);
+  stalled_ = still;
 }
 
 HostModel::Load HostModel::Report(Time now) {
-  Progress(now);
-  if (reported_ < Time(0) || now - reported_ >= traits_.report_every) {
-    reported_ = now;
-    report_ = {held_, latency_ms_};
+  AdvanceTo(now);
+  if (reported_at_ < Time(0) || now - reported_at_ >= traits_.report_interval) {
+    reported_at_ = now;
+    report_ = {held_requests_, latency_ms_};
   }
   return report_;
 }
--- a/src/lab/host_model.h
+++ b/src/lab/host_model.h
@@ -1,6 +1,6 @@
-// An emulated host as a state machine without I/O: cores, speed, a bounded queue, waits on others,
-// slow start, falling over when it is pushed while cold, and the load that it reports. The same
-// model serves behind sockets and in simulated time.
+// A model of a host without I/O: cores, speed, a bounded queue, waits without CPU use, slow start,
+// collapse under overload while cold, and the load that it reports. Used by the emulated hosts on
+// sockets and in simulated time.
 #ifndef PADDLESTILE_LAB_HOST_MODEL_H_
 #define PADDLESTILE_LAB_HOST_MODEL_H_
 
@@ -18,92 +18,96 @@
 
 struct HostTraits {
   int cores = 3;
-  double speed = 1;                        // seconds of work that a core does in a second
-  size_t held_most = 256;                  // requests held; beyond, one is turned away
-  bool stops_work = false;                 // work that runs ends when its connection does
-  Duration report_every{20'000};           // its report is as old as that at most
-  double slow_start_initial_capacity = 1;  // share of its speed at its start
-  Duration slow_start_duration{0};         // until it has all of it, growing evenly
-  double overload_collapse_multiple =
-      3;                     // of what it can do at that moment; sent more while cold for
-  Duration fall{1'500'000};  //   this long, it falls over and stays down
+  double speed = 1;                         // seconds of work that one core does in a second
+  size_t max_held_requests = 256;           // requests beyond this many are rejected
+  bool cancels_work_on_disconnect = false;  // running work is cancelled when its connection closes
+  Duration report_interval{20'000};         // maximum age of the load report
+  double slow_start_initial_capacity = 1;   // share of the full speed at its start
+  Duration slow_start_duration{0};          // time until full speed; the speed increases linearly
+  // A cold host that receives more than this multiple of its capacity within
+  // `overload_collapse_duration` collapses and stays down.
+  double overload_collapse_multiple = 3;
+  Duration overload_collapse_duration{1'500'000};
 };
 
 class HostModel {
  public:
-  // `started`: nothing for one that has run for long.
+  // `started`: when the host started; nullopt for a host that is already warm.
   HostModel(const HostTraits& traits, std::optional<Time> started);
 
   enum class Arrival {
-    kTaken,
+    kAccepted,
     kFull,
-    kFell
+    kCollapsed
   };
-  // A request with this much work for a core of speed 1 and then a wait on others. kFell: this one
-  // pushed it over; it does nothing from then on.
+  // Adds a request: `work` is the CPU time at speed 1, followed by `wait` without CPU use.
+  // kCollapsed: this request overloaded the host, which does nothing from then on.
   Arrival Arrive(Time now, uint64_t job, Duration work, Duration wait);
-  // Work of the host's own (a handshake, a probe); it ends unseen.
-  void Burden(Time now, Duration work);
-  // Nobody waits for it any more: dropped where it has not begun, else as `stops_work` says.
-  void Leave(Time now, uint64_t job);
+  // Adds work of the host itself (a handshake, a probe), which Advance does not report.
+  void AddInternalWork(Time now, Duration work);
+  // The client no longer waits for the job. A queued job is dropped; a running one is cancelled if
+  // `cancels_work_on_disconnect` is set.
+  void CancelJob(Time now, uint64_t job);
 
-  // Does what is due by now; the jobs that ended, in their order.
+  // Advances the model to `now` and returns the completed jobs in order of completion.
   std::vector<uint64_t> Advance(Time now);
-  // When Advance next has something to tell; nothing while there is nothing to do.
-  [[nodiscard]] std::optional<Time> Next() const;
+  // The next time at which Advance has to be called; nullopt if no work is pending.
+  [[nodiscard]] std::optional<Time> NextCompletion() const;
 
-  // Troubles. Each holds until it is set back.
-  void Slow(Time now, double factor);      // times slower; 1: as it should be
-  void Neighbour(Time now, double share);  // of the cores taken by another
-  void Stand(Time now, bool still);        // stands still
+  // Faults. Each stays in force until it is reset.
+  void SetSlowdown(Time now, double factor);  // 1: full speed
+  // Share of the CPU taken by another tenant of the machine.
+  void SetNeighbourShare(Time now, double share);
+  void SetStalled(Time now, bool stalled);
 
-  [[nodiscard]] bool fallen() const { return fallen_; }
-  [[nodiscard]] bool standing() const { return standing_; }
-  // Requests held, waiting or running; not its own burdens.
-  [[nodiscard]] size_t inflight() const { return held_; }
-  // What a report says now: both figures as they stood when it was last made.
+  [[nodiscard]] bool collapsed() const { return collapsed_; }
+  [[nodiscard]] bool stalled() const { return stalled_; }
+  // Requests that wait or run, without the host's internal work.
+  [[nodiscard]] size_t inflight() const { return held_requests_; }
+  // The load report. Both values date from when the report was last updated.
   struct Load {
     size_t inflight = 0;
-    double latency_ms = 0;  // recent service time without the wait for a core
+    double latency_ms = 0;  // recent service time, without queueing
   };
   Load Report(Time now);
-  // Seconds of work it can do in a second now.
+  // Seconds of work that the host can do per second now.
   [[nodiscard]] double Capacity(Time now) const;
 
  private:
-  static constexpr uint64_t kOwn = 0;  // the job of a burden
+  static constexpr uint64_t kInternalJob = 0;  // the job id of internal work
   struct Running {
-    uint64_t job = kOwn;
-    double left = 0;  // us of work
+    uint64_t job = kInternalJob;
+    double remaining_us = 0;  // us of work at speed 1
     Duration wait{0};
-    Time began{0};
+    Time started_at{0};
   };
   struct Waiting {
-    uint64_t job = kOwn;
+    uint64_t job = kInternalJob;
     Duration work{0}, wait{0};
   };
-  [[nodiscard]] double Rate(Time now) const;  // of one core
-  [[nodiscard]] bool Cold(Time now) const;
-  void Progress(Time now);
-  void Fill(Time now);
-  bool PushedOver(Time now, Duration work);
+  [[nodiscard]] double CoreRate(Time now) const;  // work per unit of time of one core
+  [[nodiscard]] bool IsWarmingUp(Time now) const;
+  void AdvanceTo(Time now);
+  void StartWaitingJobs(Time now);
+  bool OverloadsColdHost(Time now, Duration work);
 
   HostTraits traits_;
   std::optional<Time> started_;
-  Time at_{0};  // all is done up to here
+  Time current_time_{0};  // the state is advanced to this time
   std::vector<Running> running_;
   std::deque<Waiting> waiting_;
-  std::vector<std::pair<Time, uint64_t>> away_;  // jobs that wait on others, a heap by time
-  std::unordered_map<uint64_t, Time> began_;     // of the jobs away
-  std::deque<std::pair<Time, double>> sent_;     // work that came while cold
-  double sent_work_ = 0;
-  std::vector<uint64_t> done_;  // not yet told
-  size_t held_ = 0;
-  double slow_ = 1, taken_ = 0;
-  bool standing_ = false, fallen_ = false;
+  std::vector<std::pair<Time, uint64_t>> external_waits_;  // a min-heap by end time
+  std::unordered_map<uint64_t, Time> started_at_;  // start times of the jobs in external_waits_
+  // Work that arrived within the collapse duration, while cold.
+  std::deque<std::pair<Time, double>> cold_arrivals_;
+  double cold_work_us_ = 0;
+  std::vector<uint64_t> completed_;  // not yet returned by Advance
+  size_t held_requests_ = 0;
+  double slowdown_ = 1, neighbour_share_ = 0;
+  bool stalled_ = false, collapsed_ = false;
   double latency_ms_ = 0;
   Load report_;
-  Time reported_{-1};
+  Time reported_at_{-1};
 };
 
 }  // namespace paddlestile::lab
