--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -443,7 +443,7 @@
     shape.barred.insert(bars_->Passing(n / 2));
   }
   for (const size_t at : shape.barred) {
-    wanted.barred.push_back(hosts_[at].host);
+    wanted.barred.push_back(hosts_[at].host_index);
   }
   shape.unsafe = e_.cluster.changes_idempotency && block % 2 == 1;
   if (shape.unsafe) {
--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -211,7 +211,7 @@
                        {"cell", host->cell},
                        {"phase", PhaseName(host->phase)},
                        {"size", 1.0},
-                       {"up_since_ms", host->up_since_ms}});
+                       {"up_since_ms", host->started_at_unix_ms}});
   }
   return nlohmann::json({{"revision", revision}, {"complete", complete}, {"members", members}})
       .dump();
@@ -221,7 +221,7 @@
   ++told_;
   for (const ListedHost* const host : hosts) {
     if (host->phase != Phase::kActive) {
-      ledger_.OnGatewayNotified(Now(), gateway, host->host);
+      ledger_.OnGatewayNotified(Now(), gateway, host->host_index);
     }
   }
   if (!whole) {
@@ -234,7 +234,7 @@
   }
   for (const Version& v : history_) {
     if (!present.contains(v.host.id)) {
-      ledger_.OnGatewayNotified(Now(), gateway, v.host.host);
+      ledger_.OnGatewayNotified(Now(), gateway, v.host.host_index);
     }
   }
 }
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -19,27 +19,27 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr size_t kUnreadMost = 1 << 17;
-constexpr size_t kHugePiece = 1 << 18;     // bytes at once of an answer without end
-constexpr Duration kResetAfter{5'000};     // us; a host that dies on a request
-constexpr Duration kErrorAfter{2'000};     // us; a host that fails fast
-constexpr Duration kTidyEvery{100'000};    // us; how often hosts look for idle connections
-constexpr uint64_t kHuge = 3'000'000'000;  // bytes that an answer claims to have
-
-// Even in [0, 1), from the seed and what it is for alone: the order of arrivals does not matter.
-double Draw(uint64_t seed, uint64_t a, uint64_t b) {
-  uint64_t x = seed ^ (a * 0x9e3779b97f4a7c15ULL) ^ (b * 0xc2b2ae3d27d4eb4fULL);
+constexpr size_t kMaxUnreadBytes = 1 << 17;
+constexpr size_t kFloodWriteBytes = 1 << 18;             // bytes per write of an endless response
+constexpr Duration kResetDelay{5'000};                   // us; from a request to the reset
+constexpr Duration kErrorDelay{2'000};                   // us; from a request to the error response
+constexpr Duration kIdleCheckInterval{100'000};          // us; between checks for idle connections
+constexpr uint64_t kFloodContentLength = 3'000'000'000;  // Content-Length of an endless response
+
+// A value in [0, 1) that depends only on the seed and its purpose, not on the order of arrivals.
+double UniformDraw(uint64_t seed, uint64_t stream, uint64_t index) {
+  uint64_t x = seed ^ (stream * 0x9e3779b97f4a7c15ULL) ^ (index * 0xc2b2ae3d27d4eb4fULL);
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return static_cast<double>((x ^ (x >> 31)) >> 11) * 0x1.0p-53;
 }
 
-std::string Head(int status, size_t length, std::string_view more = {}) {
+std::string ResponseHead(int status, size_t length, std::string_view extra_headers = {}) {
   return fmt::format("HTTP/1.1 {} {}\r\n{}Content-Length: {}\r\n\r\n", status,
-                     status == 200 ? "OK" : "No", more, length);
+                     status == 200 ? "OK" : "No", extra_headers, length);
 }
 
-int64_t WallMs() {
+int64_t UnixMillis() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
 }
@@ -52,7 +52,7 @@
  public:
   Connection(Host& host, EventLoop& loop, FileDescriptor fd)
       : host_(host), fd_(fd.get()), stream_(loop, Socket(std::move(fd), nullptr), this, false) {
-    stream_.set_max_unread_bytes(kUnreadMost);
+    stream_.set_max_unread_bytes(kMaxUnreadBytes);
   }
 
   bool Start() { return stream_.Start(); }
@@ -60,15 +60,15 @@
   [[nodiscard]] uint64_t receipt() const { return receipt_; }
   [[nodiscard]] bool closed() const { return stream_.closed(); }
 
-  void Answer(std::string text, bool over = true) {
+  void Respond(std::string text, bool finished = true) {
     stream_.Write(std::move(text));
-    if (over) {
-      Over();
+    if (finished) {
+      FinishResponse();
     }
   }
-  // The answer to the request in hand is out; what waits behind it may come.
-  void Over();
-  // An answer that goes on for as long as anybody reads.
+  // The response to the current request was written; parses the next request, if any.
+  void FinishResponse();
+  // Sends data for as long as the gateway reads it.
   void Flood() {
     flooding_ = true;
     OnWriteComplete();
@@ -81,14 +81,14 @@
     stream_.Close();
   }
   void Close() { stream_.Close(); }
-  void Look() { OnData(); }
+  void ResumeParsing() { OnData(); }
 
   void OnData() override;
   void OnError() override;
   void OnWriteComplete() override;
 
   static constexpr uint64_t kNoReceipt = UINT64_MAX;
-  std::list<std::shared_ptr<Connection>>::iterator place;
+  std::list<std::shared_ptr<Connection>>::iterator position;
 
  private:
   friend class Host;
@@ -96,28 +96,28 @@
   int fd_;
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest, 1 << 20};
-  bool begun_ = false, flooding_ = false, waits_ = false;
-  Time first_{0};  // the first byte of the request that is read
-  Time used_{0};   // when it was opened or last answered on
+  bool request_started_ = false, flooding_ = false, waits_for_host_ = false;
+  Time first_byte_at_{0};  // first byte of the current request
+  Time last_used_{0};      // when it was opened or last sent a response
   uint64_t receipt_ = kNoReceipt;
-  size_t try_ = 0;
+  size_t attempt_ = 0;
 };
 
 // ---- A host -------------------------------------------------------------------------------------
 
 class Fleet::Host {
  public:
-  Host(Fleet& fleet, size_t place, const Profile& profile, std::string id, Address address,
+  Host(Fleet& fleet, size_t index, const Profile& profile, std::string id, Address address,
        std::optional<Time> started)
-      : fleet_(fleet), place_(place), profile_(profile), model_(TraitsOf(fleet, profile), started) {
-    listed_ = {place,
+      : fleet_(fleet), index_(index), profile_(profile), model_(TraitsOf(fleet, profile), started) {
+    listed_ = {index,
                std::move(id),
                address,
                profile.group->zone,
                profile.group->kind,
                profile.group->cell,
                Phase::kActive,
-               started ? WallMs() : 0};
+               started ? UnixMillis() : 0};
     listener_ = std::make_unique<Listener>(fleet.loop_, address,
                                            [this](FileDescriptor fd) { Accept(std::move(fd)); });
   }
@@ -126,17 +126,17 @@
   Host& operator=(const Host&) = delete;
 
   static HostTraits TraitsOf(const Fleet& fleet, const Profile& profile) {
-    const Experiment& e = fleet.experiment_;
+    const Experiment& experiment = fleet.experiment_;
     HostTraits traits;
     traits.cores = profile.group->cores;
     traits.speed = profile.speed;
     traits.max_held_requests = profile.group->max_held_requests;
     traits.cancels_work_on_disconnect = profile.group->cancels_work_on_disconnect;
-    traits.report_interval = Duration(std::llround(profile.report_ms * 1000));
-    traits.slow_start_initial_capacity = e.slow_start_initial_capacity;
-    traits.slow_start_duration = e.slow_start_duration;
-    traits.overload_collapse_multiple = e.overload_collapse_multiple;
-    traits.overload_collapse_duration = e.overload_collapse_duration;
+    traits.report_interval = Duration(std::llround(profile.report_interval_ms * 1000));
+    traits.slow_start_initial_capacity = experiment.slow_start_initial_capacity;
+    traits.slow_start_duration = experiment.slow_start_duration;
+    traits.overload_collapse_multiple = experiment.overload_collapse_multiple;
+    traits.overload_collapse_duration = experiment.overload_collapse_duration;
     return traits;
   }
 
@@ -146,137 +146,139 @@
 
   void Accept(FileDescriptor fd) {
     if (connections_.size() >= profile_.group->max_connections) {
-      return;  // closed at once
+      return;  // the connection table is full; closes the connection
     }
     connections_.push_back(std::make_shared<Connection>(*this, fleet_.loop_, std::move(fd)));
     Connection& connection = *connections_.back();
-    connection.place = std::prev(connections_.end());
-    connection.used_ = Now();
+    connection.position = std::prev(connections_.end());
+    connection.last_used_ = Now();
     if (!connection.Start()) {
-      return Drop(connection);
+      return CloseConnection(connection);
     }
     model_.AddInternalWork(Now(), profile_.group->handshake_work);
-    Plan();
+    ScheduleCompletion();
   }
 
-  void Drop(Connection& connection) {
+  void CloseConnection(Connection& connection) {
     if (connection.receipt() != Connection::kNoReceipt) {
       model_.CancelJob(Now(), connection.receipt() + 1);
       jobs_.erase(connection.receipt() + 1);
       fleet_.ledger_.OnHostFinished(Now(), connection.receipt(), false);
       connection.receipt_ = Connection::kNoReceipt;
-      Plan();
+      ScheduleCompletion();
     }
     connection.Close();
-    fleet_.loop_.RunDeferred([kept = *connection.place] {});
-    connections_.erase(connection.place);
+    fleet_.loop_.RunDeferred([kept = *connection.position] {});
+    connections_.erase(connection.position);
   }
 
-  void OnRequest(Connection& connection, const HttpMessage& m, std::string_view base) {
-    const std::string_view target = m.target.In(base);
+  void OnRequest(Connection& connection, const HttpMessage& message, std::string_view base) {
+    const std::string_view target = message.target.In(base);
     if (target == "/_load" || target == "/ping") {
       return OnProbe(connection, target == "/_load");
     }
-    const auto id = m.FindHeader(base, "X-Call-Id");
+    const auto id = message.FindHeader(base, "X-Call-Id");
     if (!id) {
-      return connection.Answer(Head(404, 0));
+      return connection.Respond(ResponseHead(404, 0));
     }
     Ledger& ledger = fleet_.ledger_;
-    const size_t n = ledger.FindAttempt(*id);
-    if (n == SIZE_MAX) {
+    const size_t attempt = ledger.FindAttempt(*id);
+    if (attempt == SIZE_MAX) {
       ledger.OnUnknownRequest(Now(), *id, fmt::format("{} received {}", listed_.id, target));
-      return connection.Answer(Head(400, 0));
+      return connection.Respond(ResponseHead(400, 0));
     }
-    const uint64_t receipt =
-        ledger.OnHostReceived(Now(), n, place_, ZonePlace(), listed_.cell, connection.first_);
+    const uint64_t receipt = ledger.OnHostReceived(Now(), attempt, index_, ZoneIndex(),
+                                                   listed_.cell, connection.first_byte_at_);
     connection.receipt_ = receipt;
-    connection.try_ = n;
-    if (silent > 0 || Befalls(n, half_dead, 1)) {
-      return;  // swallowed: nobody ever answers
+    connection.attempt_ = attempt;
+    if (unresponsive_faults > 0 || IsAffected(attempt, unresponsive_share, 1)) {
+      return;  // never answered
     }
-    if (Befalls(n, turned_away, 2)) {
-      return TurnAway(connection);
+    if (IsAffected(attempt, rejection_share, 2)) {
+      return Reject(connection);
     }
-    if (Befalls(n, errors, 3)) {
-      return Later(kErrorAfter, connection, [](Connection& c) { c.Answer(Head(500, 0)); });
+    if (IsAffected(attempt, error_share, 3)) {
+      return RunLater(kErrorDelay, connection,
+                      [](Connection& c) { c.Respond(ResponseHead(500, 0)); });
     }
-    if (Befalls(n, resets, 4)) {
-      return Later(kResetAfter, connection, [this](Connection& c) {
+    if (IsAffected(attempt, reset_share, 4)) {
+      return RunLater(kResetDelay, connection, [this](Connection& c) {
         c.Reset();
-        Drop(c);
+        CloseConnection(c);
       });
     }
-    const RequestSpec& facts = ledger.RequestOf(n);
-    switch (model_.Arrive(Now(), receipt + 1, facts.work, facts.wait)) {
+    const RequestSpec& spec = ledger.RequestOf(attempt);
+    switch (model_.Arrive(Now(), receipt + 1, spec.work, spec.wait)) {
       case HostModel::Arrival::kFull:
-        return TurnAway(connection);
+        return Reject(connection);
       case HostModel::Arrival::kCollapsed:
         ledger.OnHostCollapsed(Now(), listed_.id);
-        fleet_.loop_.RunDeferred([this] { Die(); });
+        fleet_.loop_.RunDeferred([this] { Terminate(); });
         return;
       case HostModel::Arrival::kAccepted:
         break;
     }
     jobs_[receipt + 1] = &connection;
-    Plan();
+    ScheduleCompletion();
   }
 
-  // Hosts close what has idled for as long as the gateways were told, or a moment longer.
+  // Closes connections that were idle for longer than the timeout that the gateways were given.
   void CloseIdle() {
-    if (cut_off || !up()) {
+    if (is_partitioned || !up()) {
       return;
     }
     const Time before = Now() - fleet_.experiment_.idle_connection_timeout;
     for (auto at = connections_.begin(); at != connections_.end();) {
       Connection& connection = **at++;
-      if (!connection.busy() && !connection.begun_ && connection.used_ < before) {
-        Drop(connection);
+      if (!connection.busy() && !connection.request_started_ && connection.last_used_ < before) {
+        CloseConnection(connection);
       }
     }
   }
 
-  void Die() {
+  void Terminate() {
     listener_.reset();
     model_.Advance(Now());
     while (!connections_.empty()) {
       Connection& connection = *connections_.front();
       connection.Reset();
-      Drop(connection);
+      CloseConnection(connection);
     }
     fleet_.loop_.CancelTimer(timer_);
   }
 
-  // A link that is cut: nothing comes or goes. When it is back, the old connections are reset.
-  void CutOff(bool off) {
+  // Simulates a cut link: no data passes in either direction. At the end, the old connections are
+  // reset.
+  void SetPartitioned(bool partitioned) {
     if (!up()) {
       return;
     }
-    cut_off = off;
-    if (!off) {
+    is_partitioned = partitioned;
+    if (!partitioned) {
       while (!connections_.empty()) {
         Connection& connection = *connections_.front();
         connection.Reset();
-        Drop(connection);
+        CloseConnection(connection);
       }
     }
-    listener_->SetPartitioned(off);
+    listener_->SetPartitioned(partitioned);
   }
 
-  void Stand(bool still) {
-    model_.SetStalled(Now(), still);
-    Plan();
-    if (still) {
+  void SetStalled(bool stalled) {
+    model_.SetStalled(Now(), stalled);
+    ScheduleCompletion();
+    if (stalled) {
       return;
     }
     for (auto at = connections_.begin(); at != connections_.end();) {
       const std::shared_ptr<Connection> connection = *at++;
-      if (connection->waits_) {
-        connection->Look();
+      if (connection->waits_for_host_) {
+        connection->ResumeParsing();
       }
     }
   }
 
-  void Plan() {
+  void ScheduleCompletion() {
     fleet_.loop_.CancelTimer(timer_);
     const auto next = model_.NextCompletion();
     if (!next) {
@@ -284,42 +286,43 @@
     }
     timer_ = fleet_.loop_.RunAfter(*next - Now(), [this] {
       timer_ = {};
-      Finish();
+      CompleteJobs();
     });
   }
 
-  void Finish() {
+  void CompleteJobs() {
     for (const uint64_t job : model_.Advance(Now())) {
       const auto at = jobs_.find(job);
       if (at == jobs_.end()) {
-        continue;  // its client side has gone
+        continue;  // its connection is closed
       }
       Connection& connection = *at->second;
       jobs_.erase(at);
-      if (!cut_off) {
-        Serve(connection);
+      if (!is_partitioned) {
+        SendResponse(connection);
       }
     }
-    Plan();
+    ScheduleCompletion();
   }
 
   ListedHost& listed() { return listed_; }
   HostModel& model() { return model_; }
   [[nodiscard]] const Profile& profile() const { return profile_; }
 
-  int silent = 0, stalls = 0;
-  double half_dead = 0, turned_away = 0, errors = 0, resets = 0, spoilt = 0;
-  ResponseTampering spoil = ResponseTampering::kAny;
-  bool cut_off = false;
+  int unresponsive_faults = 0, stall_generation = 0;
+  double unresponsive_share = 0, rejection_share = 0, error_share = 0, reset_share = 0,
+         tampering_share = 0;
+  ResponseTampering tampering = ResponseTampering::kAny;
+  bool is_partitioned = false;
 
  private:
   friend class Connection;
-  [[nodiscard]] int ZonePlace() const {
+  [[nodiscard]] int ZoneIndex() const {
     const auto& zones = fleet_.experiment_.zones;
     return static_cast<int>(std::ranges::find(zones, listed_.zone) - zones.begin());
   }
-  [[nodiscard]] bool Befalls(size_t n, double share, uint64_t salt) const {
-    return share > 0 && Draw(fleet_.seed_, n, place_ * 16 + salt) < share;
+  [[nodiscard]] bool IsAffected(size_t attempt, double share, uint64_t salt) const {
+    return share > 0 && UniformDraw(fleet_.seed_, attempt, index_ * 16 + salt) < share;
   }
 
   void OnProbe(Connection& connection, bool with_report) {
@@ -328,98 +331,98 @@
     const std::string body =
         with_report ? fmt::format("inflight={},latency_ms={:.3f}", load.inflight, load.latency_ms)
                     : "";
-    connection.Answer(Head(200, body.size()) + body);
-    Plan();
+    connection.Respond(ResponseHead(200, body.size()) + body);
+    ScheduleCompletion();
   }
 
-  void TurnAway(Connection& connection) {
+  void Reject(Connection& connection) {
     fleet_.ledger_.OnHostRejected(connection.receipt());
-    connection.Answer(Head(503, 0, "X-Rejected: 1\r\n"));
+    connection.Respond(ResponseHead(503, 0, "X-Rejected: 1\r\n"));
   }
 
-  void Later(Duration after, Connection& connection, std::function<void(Connection&)> then) {
-    fleet_.loop_.RunAfter(
-        after, [kept = *connection.place, receipt = connection.receipt(), then = std::move(then)] {
-          if (!kept->closed() && kept->receipt() == receipt) {
-            then(*kept);
-          }
-        });
+  void RunLater(Duration delay, Connection& connection, std::function<void(Connection&)> task) {
+    fleet_.loop_.RunAfter(delay, [kept = *connection.position, receipt = connection.receipt(),
+                                  then = std::move(task)] {
+      if (!kept->closed() && kept->receipt() == receipt) {
+        then(*kept);
+      }
+    });
   }
 
-  void Serve(Connection& connection) {
-    const size_t n = connection.try_;
+  void SendResponse(Connection& connection) {
+    const size_t attempt = connection.attempt_;
     Ledger& ledger = fleet_.ledger_;
-    const std::string body = MakeResponseBody(ledger.AttemptId(n), connection.receipt(),
-                                              ledger.RequestOf(n).response_bytes);
-    const std::string good = Head(200, body.size()) + body;
-    if (!Befalls(n, spoilt, 5)) {
-      return connection.Answer(good);
-    }
-    ResponseTampering how = spoil;
-    if (how == ResponseTampering::kAny) {
-      // Not a length too short with its rest behind it: that is a good answer and noise, to
-      // anybody.
-      constexpr std::array kAll = {
+    const std::string body = MakeResponseBody(ledger.AttemptId(attempt), connection.receipt(),
+                                              ledger.RequestOf(attempt).response_bytes);
+    const std::string response = ResponseHead(200, body.size()) + body;
+    if (!IsAffected(attempt, tampering_share, 5)) {
+      return connection.Respond(response);
+    }
+    ResponseTampering chosen = tampering;
+    if (chosen == ResponseTampering::kAny) {
+      // Not kContentLengthTooShort: a receiver sees a valid response followed by extra bytes.
+      constexpr std::array kRandomTamperings = {
           ResponseTampering::kRandomBytes,        ResponseTampering::kMalformedHeaders,
           ResponseTampering::kEndlessHeaders,     ResponseTampering::kContentLengthTooLong,
           ResponseTampering::kEndlessBody,        ResponseTampering::kDuplicateResponse,
           ResponseTampering::kTrailingBytes,      ResponseTampering::kInterimResponses,
           ResponseTampering::kMalformedLoadReport};
-      how = kAll[static_cast<size_t>(Draw(fleet_.seed_, n, 77) * kAll.size())];
+      chosen = kRandomTamperings[static_cast<size_t>(UniformDraw(fleet_.seed_, attempt, 77) *
+                                                     kRandomTamperings.size())];
     }
-    // What is of no further use stays open, and its receipt is out until the other side ends it.
-    switch (how) {
+    // Invalid responses leave the connection and its receipt open until the gateway closes it.
+    switch (chosen) {
       case ResponseTampering::kAny:
       case ResponseTampering::kRandomBytes: {
-        std::string noise;
+        std::string bytes;
         for (uint64_t i = 0; i < 200; ++i) {
-          noise += static_cast<char>(Draw(fleet_.seed_, n, 1000 + i) * 256);
+          bytes += static_cast<char>(UniformDraw(fleet_.seed_, attempt, 1000 + i) * 256);
         }
-        return connection.Answer(noise, false);
+        return connection.Respond(bytes, false);
       }
       case ResponseTampering::kMalformedHeaders:
-        return connection.Answer("HTTP/1.1 2x0 OK\r\n" + good, false);
+        return connection.Respond("HTTP/1.1 2x0 OK\r\n" + response, false);
       case ResponseTampering::kEndlessHeaders:
-        return connection.Answer("HTTP/1.1 200 OK\r\nX-Long: " + std::string(1 << 16, 'y'), false);
+        return connection.Respond("HTTP/1.1 200 OK\r\nX-Long: " + std::string(1 << 16, 'y'), false);
       case ResponseTampering::kContentLengthTooShort:
-        return connection.Answer(Head(200, body.size() / 2) + body);
+        return connection.Respond(ResponseHead(200, body.size() / 2) + body);
       case ResponseTampering::kContentLengthTooLong:
-        return connection.Answer(Head(200, body.size() + 100) + body, false);
+        return connection.Respond(ResponseHead(200, body.size() + 100) + body, false);
       case ResponseTampering::kEndlessBody:
-        connection.Answer(Head(200, kHuge) + body, false);
+        connection.Respond(ResponseHead(200, kFloodContentLength) + body, false);
         return connection.Flood();
       case ResponseTampering::kDuplicateResponse:
-        return connection.Answer(good + good);
+        return connection.Respond(response + response);
       case ResponseTampering::kTrailingBytes:
-        return connection.Answer(good + "noise that nobody asked for");
+        return connection.Respond(response + "noise that nobody asked for");
       case ResponseTampering::kInterimResponses:
-        return connection.Answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" +
-                                 good);
+        return connection.Respond(
+            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nX: y\r\n\r\n" + response);
       case ResponseTampering::kMalformedLoadReport:
-        return connection.Answer(
-            Head(200, body.size(), "X-Load-Report: inflight=?,latency_ms\r\n") + body);
+        return connection.Respond(
+            ResponseHead(200, body.size(), "X-Load-Report: inflight=?,latency_ms\r\n") + body);
     }
   }
 
   Fleet& fleet_;
-  size_t place_;
+  size_t index_;
   Profile profile_;
   HostModel model_;
   ListedHost listed_;
   std::unique_ptr<Listener> listener_;
   std::list<std::shared_ptr<Connection>> connections_;
-  std::unordered_map<uint64_t, Connection*> jobs_;  // by receipt + 1
+  std::unordered_map<uint64_t, Connection*> jobs_;  // by job: receipt + 1
   EventLoop::TimerId timer_;
 };
 
-void Fleet::Connection::Over() {
-  begun_ = waits_ = false;
-  used_ = host_.Now();
+void Fleet::Connection::FinishResponse() {
+  request_started_ = waits_for_host_ = false;
+  last_used_ = host_.Now();
   if (receipt_ != kNoReceipt) {
     host_.fleet_.ledger_.OnHostFinished(host_.Now(), std::exchange(receipt_, kNoReceipt), true);
   }
-  // What came meanwhile is looked at after the handler at work.
-  host_.fleet_.loop_.RunDeferred([kept = *place] {
+  // Data that has already arrived is parsed after the current handler returns.
+  host_.fleet_.loop_.RunDeferred([kept = *position] {
     if (!kept->closed()) {
       kept->OnData();
     }
@@ -427,28 +430,28 @@
 }
 
 void Fleet::Connection::OnData() {
-  if (host_.cut_off || busy() || stream_.closed()) {
-    // A request in hand whose connection ends is over for its host.
-    if (!host_.cut_off && busy() && stream_.ended()) {
-      host_.Drop(*this);
+  if (host_.is_partitioned || busy() || stream_.closed()) {
+    // A request whose connection ends is finished for its host.
+    if (!host_.is_partitioned && busy() && stream_.ended()) {
+      host_.CloseConnection(*this);
     }
     return;
   }
-  if (!stream_.input().empty() && !std::exchange(begun_, true)) {
-    first_ = host_.Now();
+  if (!stream_.input().empty() && !std::exchange(request_started_, true)) {
+    first_byte_at_ = host_.Now();
   }
   if (!stream_.input().empty()) {
-    if ((waits_ = host_.model_.stalled())) {
+    if ((waits_for_host_ = host_.model_.stalled())) {
       return;
     }
     switch (parser_.Feed(stream_.input())) {
       case ParseProgress::kMalformed:
-        return host_.Drop(*this);
+        return host_.CloseConnection(*this);
       case ParseProgress::kDone: {
         const HttpMessage message = parser_.message();
         Buffer bytes = stream_.input().TakeFront(message.total_bytes);
         parser_.Reset();
-        begun_ = false;
+        request_started_ = false;
         host_.OnRequest(*this, message, bytes.view());
         if (!stream_.closed()) {
           stream_.ResumeReading();
@@ -460,7 +463,7 @@
     }
   }
   if (stream_.ended()) {
-    host_.Drop(*this);
+    host_.CloseConnection(*this);
   }
 }
 
@@ -468,77 +471,77 @@
   if (!flooding_ || stream_.closed()) {
     return;
   }
-  host_.fleet_.loop_.RunAfterRound([kept = *place] {
+  host_.fleet_.loop_.RunAfterRound([kept = *position] {
     if (!kept->closed()) {
-      kept->stream_.Write(std::string(kHugePiece, 'x'));
+      kept->stream_.Write(std::string(kFloodWriteBytes, 'x'));
     }
   });
 }
 
 void Fleet::Connection::OnError() {
-  host_.Drop(*this);
+  host_.CloseConnection(*this);
 }
 
 // ---- The fleet ----------------------------------------------------------------------------------
 
 Fleet::Fleet(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
-             Changed changed)
+             HostChangeCallback changed)
     : loop_(loop),
       experiment_(experiment),
       ledger_(ledger),
       seed_(seed),
-      changed_(std::move(changed)),
+      on_host_change_(std::move(changed)),
       rng_(seed ^ 0x5f1ee7) {}
 
 Fleet::~Fleet() {
-  loop_.CancelTimer(tidy_);
+  loop_.CancelTimer(idle_check_timer_);
 }
 
 void Fleet::Start() {
-  Tidy();
+  ScheduleIdleCheck();
   for (const HostGroup& group : experiment_.hosts) {
     for (size_t i = 0; i < group.count; ++i) {
-      const auto draw = [&](const UniformRange& span) {
+      const auto draw = [&](const UniformRange& range) {
         return std::uniform_real_distribution<double>(
-            span.low, std::nextafter(span.high, span.high + 1))(rng_);
+            range.low, std::nextafter(range.high, range.high + 1))(rng_);
       };
       Profile profile{&group, 1, 20};
       profile.speed = draw(group.speed);
-      profile.report_ms = draw(group.report_interval_ms);
-      Add(profile, fmt::format("{}-{}", group.name, i + 1), LoopbackAddress(100 + addresses_++),
-          std::nullopt);
+      profile.report_interval_ms = draw(group.report_interval_ms);
+      AddHost(profile, fmt::format("{}-{}", group.name, i + 1),
+              LoopbackAddress(100 + used_addresses_++), std::nullopt);
     }
   }
 }
 
-void Fleet::Tidy() {
-  tidy_ = loop_.RunAfter(kTidyEvery, [this] {
+void Fleet::ScheduleIdleCheck() {
+  idle_check_timer_ = loop_.RunAfter(kIdleCheckInterval, [this] {
     for (const auto& host : hosts_) {
       host->CloseIdle();
     }
-    Tidy();
+    ScheduleIdleCheck();
   });
 }
 
-size_t Fleet::Add(const Profile& profile, const std::string& name, const Address& address,
-                  std::optional<Time> started) {
-  const size_t place = hosts_.size();
-  hosts_.push_back(std::make_unique<Host>(*this, place, profile, name, address, started));
-  return place;
+size_t Fleet::AddHost(const Profile& profile, const std::string& name, const Address& address,
+                      std::optional<Time> started) {
+  const size_t index = hosts_.size();
+  hosts_.push_back(std::make_unique<Host>(*this, index, profile, name, address, started));
+  return index;
 }
 
-std::vector<ListedHost> Fleet::List() const {
-  std::vector<ListedHost> out;
+std::vector<ListedHost> Fleet::ListHosts() const {
+  std::vector<ListedHost> hosts;
   for (const auto& host : hosts_) {
     if (host->listed().phase != Phase::kLeft) {
-      out.push_back(host->listed());
+      hosts.push_back(host->listed());
     }
   }
-  return out;
+  return hosts;
 }
 
-std::vector<size_t> Fleet::Choose(const Fault& fault) {
-  std::vector<size_t> there;
+std::vector<size_t> Fleet::ChooseHosts(const Fault& fault) {
+  std::vector<size_t> candidates;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     const ListedHost& listed = hosts_[i]->listed();
     if (listed.phase != Phase::kActive || !hosts_[i]->up()) {
@@ -547,145 +550,146 @@
     if (!fault.zone.empty() && listed.zone != fault.zone) {
       continue;
     }
-    // A host's successors go by its name.
+    // Restarted hosts share the name and differ by a suffix.
     const std::string name = listed.id.substr(0, listed.id.find('.'));
     if (!fault.host_names.empty() && std::ranges::count(fault.host_names, name) == 0) {
       continue;
     }
-    there.push_back(i);
+    candidates.push_back(i);
   }
   if (!fault.host_names.empty()) {
-    return there;
+    return candidates;
   }
-  std::ranges::shuffle(there, rng_);
-  const auto share =
-      static_cast<size_t>(std::ceil(fault.host_share * static_cast<double>(there.size()) - 1e-9));
-  there.resize(std::min(there.size(), fault.count > 0 ? fault.count : share));
-  return there;
+  std::ranges::shuffle(candidates, rng_);
+  const auto share = static_cast<size_t>(
+      std::ceil(fault.host_share * static_cast<double>(candidates.size()) - 1e-9));
+  candidates.resize(std::min(candidates.size(), fault.count > 0 ? fault.count : share));
+  return candidates;
 }
 
-void Fleet::Restart(size_t place, Duration down, Duration lag) {
-  Host& host = *hosts_[place];
+void Fleet::RestartHost(size_t index, Duration downtime, Duration lag) {
+  Host& host = *hosts_[index];
   const Profile profile = host.profile();
   const Address address = host.listed().address;
   std::string id = host.listed().id;
   const size_t dot = id.find('.');
-  const int life = dot == std::string::npos ? 2 : std::stoi(id.substr(dot + 1)) + 1;
-  id = fmt::format("{}.{}", id.substr(0, dot), life);
-  host.Die();
+  const int generation = dot == std::string::npos ? 2 : std::stoi(id.substr(dot + 1)) + 1;
+  id = fmt::format("{}.{}", id.substr(0, dot), generation);
+  host.Terminate();
   host.listed().phase = Phase::kLeft;
-  changed_(host.listed(), lag);
-  loop_.RunAfter(down, [this, profile, id, address, lag, alive = std::weak_ptr(alive_)] {
+  on_host_change_(host.listed(), lag);
+  loop_.RunAfter(downtime, [this, profile, id, address, lag, alive = std::weak_ptr(alive_)] {
     if (alive.expired()) {
       return;
     }
-    const size_t next = Add(profile, id, address, Now());
-    changed_(hosts_[next]->listed(), lag);
+    const size_t successor = AddHost(profile, id, address, Now());
+    on_host_change_(hosts_[successor]->listed(), lag);
   });
 }
 
-void Fleet::Begin(const Fault& fault, const std::vector<size_t>& chosen) {
+void Fleet::BeginFault(const Fault& fault, const std::vector<size_t>& chosen) {
   const Time now = Now();
   if (fault.kind == FaultKind::kAdd) {
     const size_t count = std::max<size_t>(fault.count, 1);
     for (size_t i = 0; i < count; ++i) {
-      const HostGroup& group = experiment_.hosts[added_ % experiment_.hosts.size()];
-      const double middle = (group.speed.low + group.speed.high) / 2;
-      const size_t place =
-          Add({&group, middle, group.report_interval_ms.low}, fmt::format("added-{}", ++added_),
-              LoopbackAddress(100 + addresses_++), now);
-      changed_(hosts_[place]->listed(), fault.discovery_lag);
+      const HostGroup& group = experiment_.hosts[added_hosts_ % experiment_.hosts.size()];
+      const double middle_speed = (group.speed.low + group.speed.high) / 2;
+      const size_t index = AddHost({&group, middle_speed, group.report_interval_ms.low},
+                                   fmt::format("added-{}", ++added_hosts_),
+                                   LoopbackAddress(100 + used_addresses_++), now);
+      on_host_change_(hosts_[index]->listed(), fault.discovery_lag);
     }
     return;
   }
-  for (const size_t place : chosen) {
-    Host& host = *hosts_[place];
+  for (const size_t index : chosen) {
+    Host& host = *hosts_[index];
     switch (fault.kind) {
       case FaultKind::kSlow:
         host.model().SetSlowdown(now, fault.factor);
         break;
       case FaultKind::kUnresponsive:
-        ++host.silent;
+        ++host.unresponsive_faults;
         break;
       case FaultKind::kErrors:
-        host.errors = fault.request_share;
+        host.error_share = fault.request_share;
         break;
       case FaultKind::kNoisyNeighbour:
         host.model().SetNeighbourShare(now, fault.factor);
         break;
       case FaultKind::kResets:
-        host.resets = fault.request_share;
+        host.reset_share = fault.request_share;
         break;
       case FaultKind::kRejections:
-        host.turned_away = fault.request_share;
+        host.rejection_share = fault.request_share;
         break;
       case FaultKind::kTamperedResponses:
-        host.spoilt = fault.request_share;
-        host.spoil = fault.tampering;
+        host.tampering_share = fault.request_share;
+        host.tampering = fault.tampering;
         break;
       case FaultKind::kPartlyUnresponsive:
-        host.half_dead = fault.request_share;
+        host.unresponsive_share = fault.request_share;
         break;
       case FaultKind::kPartitioned:
-        host.CutOff(true);
+        host.SetPartitioned(true);
         break;
       case FaultKind::kRestart:
-        Restart(place, fault.downtime, fault.discovery_lag);
+        RestartHost(index, fault.downtime, fault.discovery_lag);
         break;
       case FaultKind::kKill:
-        host.Die();
+        host.Terminate();
         host.listed().phase = Phase::kLeft;
-        changed_(host.listed(), fault.discovery_lag);
+        on_host_change_(host.listed(), fault.discovery_lag);
         break;
       case FaultKind::kDrain:
         host.listed().phase = Phase::kLeaving;
-        changed_(host.listed(), fault.discovery_lag);
+        on_host_change_(host.listed(), fault.discovery_lag);
         if (fault.exit_delay > Duration(0)) {
           loop_.RunAfter(fault.exit_delay,
-                         [this, place, lag = fault.discovery_lag, alive = std::weak_ptr(alive_)] {
+                         [this, index, lag = fault.discovery_lag, alive = std::weak_ptr(alive_)] {
                            if (alive.expired()) {
                              return;
                            }
-                           hosts_[place]->Die();
-                           hosts_[place]->listed().phase = Phase::kLeft;
-                           changed_(hosts_[place]->listed(), lag);
+                           hosts_[index]->Terminate();
+                           hosts_[index]->listed().phase = Phase::kLeft;
+                           on_host_change_(hosts_[index]->listed(), lag);
                          });
         }
         break;
       case FaultKind::kStall: {
-        // Stands still for a while, again and again until the fault ends.
-        const int turn = ++host.stalls;
-        const auto stall = [this, place, turn, fault,
+        // Stalls the host repeatedly until the fault ends.
+        const int generation = ++host.stall_generation;
+        const auto stall = [this, index, generation, fault,
                             alive = std::weak_ptr(alive_)](const auto& again) -> void {
-          if (alive.expired() || hosts_[place]->stalls != turn || !hosts_[place]->up()) {
+          if (alive.expired() || hosts_[index]->stall_generation != generation ||
+              !hosts_[index]->up()) {
             return;
           }
-          hosts_[place]->Stand(true);
-          loop_.RunAfter(fault.stall_duration, [this, place, alive] {
-            if (!alive.expired() && hosts_[place]->up()) {
-              hosts_[place]->Stand(false);
+          hosts_[index]->SetStalled(true);
+          loop_.RunAfter(fault.stall_duration, [this, index, alive] {
+            if (!alive.expired() && hosts_[index]->up()) {
+              hosts_[index]->SetStalled(false);
             }
           });
           loop_.RunAfter(fault.interval, [again] { again(again); });
         };
-        // Not all in step.
-        const double part = Draw(seed_, place, 99);
+        // Hosts stall at different times.
+        const double phase = UniformDraw(seed_, index, 99);
         loop_.RunAfter(
-            Duration(static_cast<int64_t>(part * static_cast<double>(fault.interval.count()))),
+            Duration(static_cast<int64_t>(phase * static_cast<double>(fault.interval.count()))),
             [stall] { stall(stall); });
         break;
       }
       default:
         break;
     }
-    host.Plan();
+    host.ScheduleCompletion();
   }
 }
 
-void Fleet::End(const Fault& fault, const std::vector<size_t>& chosen) {
+void Fleet::EndFault(const Fault& fault, const std::vector<size_t>& chosen) {
   const Time now = Now();
-  for (const size_t place : chosen) {
-    Host& host = *hosts_[place];
+  for (const size_t index : chosen) {
+    Host& host = *hosts_[index];
     if (!host.up()) {
       continue;
     }
@@ -694,36 +698,36 @@
         host.model().SetSlowdown(now, 1);
         break;
       case FaultKind::kUnresponsive:
-        --host.silent;
+        --host.unresponsive_faults;
         break;
       case FaultKind::kErrors:
-        host.errors = 0;
+        host.error_share = 0;
         break;
       case FaultKind::kNoisyNeighbour:
         host.model().SetNeighbourShare(now, 0);
         break;
       case FaultKind::kResets:
-        host.resets = 0;
+        host.reset_share = 0;
         break;
       case FaultKind::kRejections:
-        host.turned_away = 0;
+        host.rejection_share = 0;
         break;
       case FaultKind::kTamperedResponses:
-        host.spoilt = 0;
+        host.tampering_share = 0;
         break;
       case FaultKind::kPartlyUnresponsive:
-        host.half_dead = 0;
+        host.unresponsive_share = 0;
         break;
       case FaultKind::kPartitioned:
-        host.CutOff(false);
+        host.SetPartitioned(false);
         break;
       case FaultKind::kStall:
-        ++host.stalls;
+        ++host.stall_generation;
         break;
       default:
         break;
     }
-    host.Plan();
+    host.ScheduleCompletion();
   }
 }
 
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -97,10 +97,10 @@
     RaiseLimits();
     random_.seed(seed_ ^ 0x6a7e);
     fleet_.Start();
-    directory_.Start(fleet_.List());
+    directory_.Start(fleet_.ListHosts());
     std::vector<Address> targets;
     if (options_.straight) {
-      for (const ListedHost& host : fleet_.List()) {
+      for (const ListedHost& host : fleet_.ListHosts()) {
         targets.push_back(host.address);
       }
     } else {
@@ -135,7 +135,7 @@
     rusage own{};
     getrusage(RUSAGE_SELF, &own);
     lab_cpu_before_ = CpuUs(own);
-    fleet_.Begin(zero_);
+    fleet_.SetStartTime(zero_);
     directory_.Begin(zero_);
     lag_due_ = loop_.Now() + kLagEvery;
     loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
@@ -150,7 +150,7 @@
       Script(fault);
     }
     if (bank_) {
-      bank_->Begin(zero_, fleet_.List());
+      bank_->Begin(zero_, fleet_.ListHosts());
     }
     load_->Begin(zero_);
     loop_.Run();
@@ -416,17 +416,17 @@
       default:
         break;
     }
-    const std::vector<size_t> chosen = fleet_.Choose(fault);
-    const auto listed = fleet_.List();
+    const std::vector<size_t> chosen = fleet_.ChooseHosts(fault);
+    const auto listed = fleet_.ListHosts();
     for (const size_t host : chosen) {
-      const auto at = std::ranges::find(listed, host, &ListedHost::host);
+      const auto at = std::ranges::find(listed, host, &ListedHost::host_index);
       if (at != listed.end()) {
         result_.faults[place].hosts.push_back(at->id);
       }
     }
-    fleet_.Begin(fault, chosen);
+    fleet_.BeginFault(fault, chosen);
     if (fault.duration > Duration(0)) {
-      At(fault.at + fault.duration, [this, &fault, chosen] { fleet_.End(fault, chosen); });
+      At(fault.at + fault.duration, [this, &fault, chosen] { fleet_.EndFault(fault, chosen); });
     }
   }
 
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Emulated hosts on sockets, spoken to by hand.
+// Emulated hosts on sockets.
 #include "lab/fleet.h"
 
 #include <gtest/gtest.h>
@@ -25,10 +25,10 @@
         ledger_({.classes = {experiment_.classes[0].rules}}),
         fleet_(loop_, experiment_, ledger_, 1, [](const ListedHost&, Duration) {}) {
     fleet_.Start();
-    fleet_.Begin(loop_.Now());
-    address_ = fleet_.List()[0].address;
+    fleet_.SetStartTime(loop_.Now());
+    address_ = fleet_.ListHosts()[0].address;
   }
-  Fault All(FaultKind kind) {
+  Fault AllHosts(FaultKind kind) {
     Fault fault;
     fault.kind = kind;
     fault.host_share = 1;
@@ -42,41 +42,42 @@
   Address address_;
 };
 
-// A gateway that keeps connections for too long has to meet it.
-TEST_F(FleetTest, HostsCloseWhatHasIdled) {
+// Hosts close idle connections, so that gateways that keep them too long are exposed.
+TEST_F(FleetTest, HostsCloseIdleConnections) {
   Peer peer = Peer::To(address_);
   RunFor(loop_, Ms(200));
   peer.Say("GET /ping HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(RunUntil(loop_, [&] { return peer.Has("200 OK"); }));
   RunFor(loop_, Ms(300));
-  EXPECT_FALSE(peer.Ended());  // counted from its last answer
+  EXPECT_FALSE(peer.Ended());  // counted from the last response
   EXPECT_TRUE(RunUntil(
       loop_, [&] { return peer.Ended(); }, Ms(600)));
 }
 
-// Nothing comes or goes, no new connection comes up, and none is refused; then all are reset.
-TEST_F(FleetTest, AMachineThatIsCutOffSaysNothing) {
+// No data passes and new connections are neither established nor refused; at the end, all
+// connections are reset.
+TEST_F(FleetTest, PartitionedHostIsUnreachable) {
   Peer peer = Peer::To(address_);
   RunFor(loop_, Ms(20));
-  const Fault fault = All(FaultKind::kPartitioned);
-  const auto hosts = fleet_.Choose(fault);
+  const Fault fault = AllHosts(FaultKind::kPartitioned);
+  const auto hosts = fleet_.ChooseHosts(fault);
   ASSERT_EQ(hosts.size(), 1u);
-  fleet_.Begin(fault, hosts);
+  fleet_.BeginFault(fault, hosts);
   peer.Say("GET /ping HTTP/1.1\r\n\r\n");
   bool refused = false;
-  auto late = Connect(address_, nullptr, refused);
-  ASSERT_TRUE(late);
+  auto second_connection = Connect(address_, nullptr, refused);
+  ASSERT_TRUE(second_connection);
   EXPECT_FALSE(refused);
   RunFor(loop_, Ms(150));
   EXPECT_EQ(peer.Heard(), "");
   sockaddr_in name{};
   socklen_t size = sizeof(name);
-  EXPECT_NE(getpeername(late->get(), reinterpret_cast<sockaddr*>(&name), &size), 0);
-  fleet_.End(fault, hosts);
+  EXPECT_NE(getpeername(second_connection->get(), reinterpret_cast<sockaddr*>(&name), &size), 0);
+  fleet_.EndFault(fault, hosts);
   EXPECT_TRUE(RunUntil(loop_, [&] { return peer.Ended(); }));
-  Peer again = Peer::To(address_);
-  again.Say("GET /ping HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(RunUntil(loop_, [&] { return again.Has("200 OK"); }));
+  Peer new_peer = Peer::To(address_);
+  new_peer.Say("GET /ping HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(RunUntil(loop_, [&] { return new_peer.Has("200 OK"); }));
 }
 
 }  // namespace
