--- a/src/lab/directory.cpp
+++ b/src/lab/directory.cpp
@@ -17,10 +17,11 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr size_t kAgentPlaces = 20'000;   // addresses behind those of the hosts
-constexpr Duration kMovedFor{1'500'000};  // us; an agent that has moved keeps its connections
+constexpr size_t kFirstAgentAddress = 20'000;  // beyond the addresses of the hosts
+// us; until an old agent closes its connections
+constexpr Duration kMovedAgentCloseDelay{1'500'000};
 
-constexpr std::string_view kNonsense[] = {
+constexpr std::string_view kMalformedLines[] = {
     "{\"revision\":,\"members\":[\n", "{\"revision\":9999999,\"members\":[{\"id\":\"x\"}]}\n",
     "not a list at all\n", "{\"revision\":9999998,\"complete\":true}\n"};
 
@@ -58,10 +59,10 @@
   void OnData() override;
   void OnError() override;
 
-  bool watches = false, headed = false;
-  uint64_t since = 0;  // what was told up to here
-  bool whole = false;  // the whole list is still to be told
-  std::list<std::shared_ptr<Connection>>::iterator place;
+  bool is_watch = false, head_sent = false;
+  uint64_t since = 0;            // the last revision that was sent
+  bool needs_full_list = false;  // the complete list still has to be sent
+  std::list<std::shared_ptr<Connection>>::iterator position;
   [[nodiscard]] Agent& agent() const { return agent_; }
 
  private:
@@ -79,29 +80,30 @@
 };
 
 void Directory::Connection::OnData() {
-  if (parser_.Feed(stream_.input()) == ParseProgress::kDone && !watches) {
-    const HttpMessage m = parser_.message();
-    const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
+  if (parser_.Feed(stream_.input()) == ParseProgress::kDone && !is_watch) {
+    const HttpMessage message = parser_.message();
+    const Buffer bytes = stream_.input().TakeFront(message.total_bytes);
     parser_.Reset();
-    const std::string_view target = m.target.In(bytes.view());
+    const std::string_view target = message.target.In(bytes.view());
     if (!target.starts_with("/catalog/members")) {
       stream_.Write("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n");
     } else if (target.find("follow=1") != std::string_view::npos) {
-      watches = true;
+      is_watch = true;
       const size_t at = target.find("since=");
       uint64_t revision = 0;
       if (at != std::string_view::npos) {
         std::from_chars(target.data() + at + 6, target.data() + target.size(), revision);
       }
       since = revision;
-      whole = revision > directory_.revision_ || revision < directory_.first_ || directory_.old_;
-      directory_.loop_.RunDeferred([kept = *place] {
+      needs_full_list = revision > directory_.revision_ ||
+                        revision < directory_.initial_revision_ || directory_.stale_;
+      directory_.loop_.RunDeferred([kept = *position] {
         if (!kept->closed()) {
-          kept->directory_.Tell(*kept);
+          kept->directory_.SendUpdates(*kept);
         }
       });
     } else if (!directory_.silent_) {
-      const std::string list = directory_.Whole(agent_.gateway);
+      const std::string list = directory_.FullList(agent_.gateway);
       stream_.Write(
           fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", list.size(), list));
     }
@@ -116,17 +118,17 @@
     return;
   }
   stream_.Close();
-  directory_.loop_.RunDeferred([kept = *place] {});
-  agent_.connections.erase(place);
+  directory_.loop_.RunDeferred([kept = *position] {});
+  agent_.connections.erase(position);
 }
 
 // ---- The directory ------------------------------------------------------------------------------
 
-Directory::Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every)
-    : loop_(loop), ledger_(ledger), gateways_(gateways), empty_every_(empty_every) {}
+Directory::Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration keepalive_interval)
+    : loop_(loop), ledger_(ledger), gateways_(gateways), keepalive_interval_(keepalive_interval) {}
 
 Directory::~Directory() {
-  loop_.CancelTimer(beat_);
+  loop_.CancelTimer(keepalive_timer_);
 }
 
 const Address& Directory::AddressOf(size_t gateway) const {
@@ -137,15 +139,15 @@
   for (const ListedHost& host : hosts) {
     history_.push_back({++revision_, host});
   }
-  first_ = revision_;
-  Move();
-  Beat();
+  initial_revision_ = revision_;
+  MoveAgents();
+  ScheduleKeepalive();
 }
 
-void Directory::Move() {
+void Directory::MoveAgents() {
   for (auto& agent : agents_) {
     agent->listener.reset();
-    loop_.RunAfter(kMovedFor, [was = agent.get(), alive = std::weak_ptr(alive_)] {
+    loop_.RunAfter(kMovedAgentCloseDelay, [was = agent.get(), alive = std::weak_ptr(alive_)] {
       if (alive.expired()) {
         return;
       }
@@ -153,19 +155,19 @@
         was->connections.front()->OnError();
       }
     });
-    moved_.push_back(std::move(agent));
+    previous_agents_.push_back(std::move(agent));
   }
   agents_.clear();
   for (size_t i = 0; i < gateways_; ++i) {
     agents_.push_back(std::make_unique<Agent>());
     Agent& agent = *agents_.back();
     agent.gateway = i;
-    agent.address = LoopbackAddress(kAgentPlaces + moves_ * gateways_ + i);
+    agent.address = LoopbackAddress(kFirstAgentAddress + moves_ * gateways_ + i);
     agent.listener =
         std::make_unique<Listener>(loop_, agent.address, [this, &agent](FileDescriptor fd) {
           agent.connections.push_back(std::make_shared<Connection>(*this, agent, std::move(fd)));
           Connection& connection = *agent.connections.back();
-          connection.place = std::prev(agent.connections.end());
+          connection.position = std::prev(agent.connections.end());
           if (!connection.Start()) {
             connection.OnError();
           }
@@ -174,34 +176,34 @@
   ++moves_;
 }
 
-void Directory::Change(const ListedHost& host, Duration lag) {
+void Directory::OnHostChange(const ListedHost& host, Duration lag) {
   loop_.RunAfter(lag + lag_, [this, host, alive = std::weak_ptr(alive_)] {
     if (alive.expired()) {
       return;
     }
     history_.push_back({++revision_, host});
-    TellAll();
+    SendUpdatesToAll();
   });
 }
 
-std::vector<const ListedHost*> Directory::At(uint64_t revision) const {
-  std::map<std::string_view, const ListedHost*> last;
-  for (const Version& v : history_) {
-    if (v.revision <= revision) {
-      last[v.host.id] = &v.host;
+std::vector<const ListedHost*> Directory::HostsAt(uint64_t revision) const {
+  std::map<std::string_view, const ListedHost*> latest;
+  for (const Version& version : history_) {
+    if (version.revision <= revision) {
+      latest[version.host.id] = &version.host;
     }
   }
-  std::vector<const ListedHost*> out;
-  for (const auto& [id, host] : last) {
+  std::vector<const ListedHost*> hosts;
+  for (const auto& [id, host] : latest) {
     if (host->phase != Phase::kLeft) {
-      out.push_back(host);
+      hosts.push_back(host);
     }
   }
-  return out;
+  return hosts;
 }
 
-std::string Directory::Members(const std::vector<const ListedHost*>& hosts, uint64_t revision,
-                               bool complete) const {
+std::string Directory::MembersJson(const std::vector<const ListedHost*>& hosts, uint64_t revision,
+                                   bool complete) const {
   nlohmann::json members = nlohmann::json::array();
   for (const ListedHost* const host : hosts) {
     members.push_back({{"id", host->id},
@@ -217,62 +219,63 @@
       .dump();
 }
 
-void Directory::CountTold(size_t gateway, const std::vector<const ListedHost*>& hosts, bool whole) {
-  ++told_;
+void Directory::RecordNotifications(size_t gateway, const std::vector<const ListedHost*>& hosts,
+                                    bool complete) {
+  ++lists_sent_;
   for (const ListedHost* const host : hosts) {
     if (host->phase != Phase::kActive) {
       ledger_.OnGatewayNotified(Now(), gateway, host->host_index);
     }
   }
-  if (!whole) {
+  if (!complete) {
     return;
   }
-  // Whoever is not in it is gone.
+  // Hosts that are missing in a complete list are gone.
   std::unordered_set<std::string_view> present;
   for (const ListedHost* const host : hosts) {
     present.insert(host->id);
   }
-  for (const Version& v : history_) {
-    if (!present.contains(v.host.id)) {
-      ledger_.OnGatewayNotified(Now(), gateway, v.host.host_index);
+  for (const Version& version : history_) {
+    if (!present.contains(version.host.id)) {
+      ledger_.OnGatewayNotified(Now(), gateway, version.host.host_index);
     }
   }
 }
 
-std::string Directory::Whole(size_t gateway) {
-  const uint64_t revision = old_ ? first_ : revision_;
-  const auto hosts = At(revision);
-  if (!old_) {
-    CountTold(gateway, hosts, true);
+std::string Directory::FullList(size_t gateway) {
+  const uint64_t revision = stale_ ? initial_revision_ : revision_;
+  const auto hosts = HostsAt(revision);
+  if (!stale_) {
+    RecordNotifications(gateway, hosts, true);
   }
-  return Members(hosts, revision, true);
+  return MembersJson(hosts, revision, true);
 }
 
-void Directory::Tell(Connection& connection) {
+void Directory::SendUpdates(Connection& connection) {
   if (silent_) {
     return;
   }
   std::string text;
-  if (std::exchange(connection.whole, false)) {
-    text = Chunk(Whole(connection.agent().gateway) + "\n");
-    connection.since = old_ ? first_ : revision_;
-  } else if (!old_) {
+  if (std::exchange(connection.needs_full_list, false)) {
+    text = Chunk(FullList(connection.agent().gateway) + "\n");
+    connection.since = stale_ ? initial_revision_ : revision_;
+  } else if (!stale_) {
     std::vector<const ListedHost*> changed;
-    uint64_t last = connection.since;
-    for (size_t i = connection.since; i < history_.size(); ++i) {  // in the order of revisions
+    uint64_t latest = connection.since;
+    for (size_t i = connection.since; i < history_.size(); ++i) {  // ordered by revision
       changed.push_back(&history_[i].host);
-      last = history_[i].revision;
+      latest = history_[i].revision;
     }
     if (!changed.empty()) {
-      CountTold(connection.agent().gateway, changed, false);
-      text = Chunk(Members(changed, last, false) + "\n");
-      connection.since = last;
+      RecordNotifications(connection.agent().gateway, changed, false);
+      text = Chunk(MembersJson(changed, latest, false) + "\n");
+      connection.since = latest;
     }
   }
   if (malformed_) {
-    text += Chunk(kNonsense[told_++ % std::size(kNonsense)]);
+    text += Chunk(kMalformedLines[lists_sent_++ % std::size(kMalformedLines)]);
   }
-  if (connection.watches && !std::exchange(connection.headed, true)) {
+  if (connection.is_watch && !std::exchange(connection.head_sent, true)) {
     text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + text;
     if (text.ends_with("\r\n\r\n")) {
       text += Chunk("\n");
@@ -283,11 +286,11 @@
   }
 }
 
-void Directory::TellAll() {
+void Directory::SendUpdatesToAll() {
   for (const auto& agent : agents_) {
     for (const auto& connection : agent->connections) {
-      if (connection->watches) {
-        Tell(*connection);
+      if (connection->is_watch) {
+        SendUpdates(*connection);
       }
     }
   }
@@ -301,38 +304,38 @@
   }
 }
 
-void Directory::Beat() {
-  beat_ = loop_.RunAfter(empty_every_, [this] {
+void Directory::ScheduleKeepalive() {
+  keepalive_timer_ = loop_.RunAfter(keepalive_interval_, [this] {
     if (!silent_) {
       for (const auto& agent : agents_) {
         for (const auto& connection : agent->connections) {
-          if (connection->watches && connection->headed) {
+          if (connection->is_watch && connection->head_sent) {
             connection->Write(Chunk("\n"));
           }
         }
       }
     }
-    Beat();
+    ScheduleKeepalive();
   });
 }
 
-void Directory::Silent(bool on) {
+void Directory::SetSilent(bool on) {
   silent_ = on;
   if (!on) {
-    TellAll();
+    SendUpdatesToAll();
   }
 }
 
-void Directory::Malformed(bool on) {
+void Directory::SetMalformed(bool on) {
   malformed_ = on;
   if (on) {
-    TellAll();
+    SendUpdatesToAll();
   }
 }
 
-void Directory::Old(bool on) {
-  old_ = on;
-  CloseWatches();  // the agent is another now, which lags or has caught up
+void Directory::SetStale(bool on) {
+  stale_ = on;
+  CloseWatches();  // gateways reconnect to what looks like another agent
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/directory.h
+++ b/src/lab/directory.h
@@ -1,6 +1,6 @@
-// A stand-in of the operators' discovery: the whole list, and a watch that tells changes, each
-// gateway by an agent of its own. It lags, falls silent, tells nonsense, goes back to an old
-// revision and moves, as the script has it.
+// An emulation of the discovery service: the complete list, and a watch that sends changes. Each
+// gateway has an agent of its own. As faults demand, it lags, becomes silent, sends malformed data,
+// goes back to an old revision or moves.
 #ifndef PADDLESTILE_LAB_DIRECTORY_H_
 #define PADDLESTILE_LAB_DIRECTORY_H_
 
@@ -19,30 +19,32 @@
 
 class Directory {
  public:
-  Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration empty_every);
+  Directory(EventLoop& loop, Ledger& ledger, size_t gateways, Duration keepalive_interval);
   ~Directory();
   Directory(const Directory&) = delete;
   Directory& operator=(const Directory&) = delete;
 
-  // Listens for each gateway; throws std::system_error.
+  // Starts an agent for each gateway. Throws std::system_error.
   void Start(const std::vector<ListedHost>& hosts);
-  void Begin(Time zero) { zero_ = zero; }
+  void SetStartTime(Time start_time) { start_time_ = start_time; }
   [[nodiscard]] const Address& AddressOf(size_t gateway) const;
 
-  // A host has come, changed its phase or left; told after `lag` and what lags beside.
-  void Change(const ListedHost& host, Duration lag);
-  // The list as it is told now, in discovery's form; the gateway counts as told.
-  std::string Whole(size_t gateway);
+  // A host was added, changed its phase or left. Gateways are told after `lag`, in addition to that
+  // of SetLag.
+  void OnHostChange(const ListedHost& host, Duration lag);
+  // The complete list as it is sent now, in discovery's JSON format. Recorded as told to the
+  // gateway.
+  std::string FullList(size_t gateway);
 
-  void Silent(bool on);
-  void Lag(Duration lag) { lag_ = lag; }
-  void Malformed(bool on);
-  void Old(bool on);
-  // All agents are elsewhere from now on; the old ones take no new connection and close the open
+  void SetSilent(bool on);
+  void SetLag(Duration lag) { lag_ = lag; }
+  void SetMalformed(bool on);
+  void SetStale(bool on);
+  // Moves all agents to new addresses. The old ones accept no new connections and close the open
   // ones after 1.5 s.
-  void Move();
+  void MoveAgents();
 
-  [[nodiscard]] uint64_t lists_told() const { return told_; }
+  [[nodiscard]] uint64_t lists_sent() const { return lists_sent_; }
 
  private:
   struct Agent;
@@ -51,31 +53,32 @@
     uint64_t revision = 0;
     ListedHost host;
   };
-  void Tell(Connection& connection);
-  [[nodiscard]] std::string Members(const std::vector<const ListedHost*>& hosts, uint64_t revision,
-                                    bool complete) const;
-  [[nodiscard]] std::vector<const ListedHost*> At(uint64_t revision) const;
-  void CountTold(size_t gateway, const std::vector<const ListedHost*>& hosts, bool whole);
-  void TellAll();
+  void SendUpdates(Connection& connection);
+  [[nodiscard]] std::string MembersJson(const std::vector<const ListedHost*>& hosts,
+                                        uint64_t revision, bool complete) const;
+  [[nodiscard]] std::vector<const ListedHost*> HostsAt(uint64_t revision) const;
+  void RecordNotifications(size_t gateway, const std::vector<const ListedHost*>& hosts,
+                           bool complete);
+  void SendUpdatesToAll();
   void CloseWatches();
-  void Beat();
-  [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
+  void ScheduleKeepalive();
+  [[nodiscard]] Time Now() const { return loop_.Now() - start_time_; }
 
   EventLoop& loop_;
   Ledger& ledger_;
   size_t gateways_;
-  Duration empty_every_;
-  Time zero_{0};
-  std::vector<Version> history_;  // by revision, from 1; those of the start first
-  uint64_t first_ = 0;            // the revision of the start
+  Duration keepalive_interval_;
+  Time start_time_{0};
+  std::vector<Version> history_;   // by revision, from 1; starts with the initial hosts
+  uint64_t initial_revision_ = 0;  // the revision of the initial list
   uint64_t revision_ = 0;
   std::vector<std::unique_ptr<Agent>> agents_;
-  std::vector<std::unique_ptr<Agent>> moved_;
+  std::vector<std::unique_ptr<Agent>> previous_agents_;
   size_t moves_ = 0;
   Duration lag_{0};
-  bool silent_ = false, malformed_ = false, old_ = false;
-  uint64_t told_ = 0;
-  EventLoop::TimerId beat_;
+  bool silent_ = false, malformed_ = false, stale_ = false;
+  uint64_t lists_sent_ = 0;
+  EventLoop::TimerId keepalive_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -85,8 +85,9 @@
         options_(options),
         seed_(options.seed.value_or(e_.seed)),
         ledger_(ContentOf(e_, seed_)),
-        fleet_(loop_, e_, ledger_, seed_,
-               [this](const ListedHost& host, Duration lag) { directory_.Change(host, lag); }),
+        fleet_(
+            loop_, e_, ledger_, seed_,
+            [this](const ListedHost& host, Duration lag) { directory_.OnHostChange(host, lag); }),
         directory_(loop_, ledger_, e_.gateway.count, e_.discovery_keepalive_interval),
         signals_(loop_, [this] {
           interrupted_ = true;
@@ -136,7 +137,7 @@
     getrusage(RUSAGE_SELF, &own);
     lab_cpu_before_ = CpuUs(own);
     fleet_.SetStartTime(zero_);
-    directory_.Begin(zero_);
+    directory_.SetStartTime(zero_);
     lag_due_ = loop_.Now() + kLagEvery;
     loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
     Every(kSampleEvery, [this] { Sample(); });
@@ -214,7 +215,7 @@
                          {"discovery", ToText(directory_.AddressOf(i))},
                          {"seed", fmt::format("{:x}", seed_ * 1000 + i + starts_)},
                          {"limits", {{"cores", 1.0}, {"sockets", e_.gateway.sockets}}},
-                         {"known", json::parse(directory_.Whole(i))},
+                         {"known", json::parse(directory_.FullList(i))},
                          {"settings", json::parse(SettingsJson(e_, i))}};
     // Whole or not at all: the gateway may read it at any time.
     const std::string part = g.config_path + ".part";
@@ -371,19 +372,19 @@
   void Play(const Fault& fault, size_t place) {
     switch (fault.kind) {
       case FaultKind::kDiscoverySilent:
-        directory_.Silent(true);
-        return At(fault.at + fault.duration, [this] { directory_.Silent(false); });
+        directory_.SetSilent(true);
+        return At(fault.at + fault.duration, [this] { directory_.SetSilent(false); });
       case FaultKind::kDiscoveryLag:
-        directory_.Lag(fault.discovery_lag);
-        return At(fault.at + fault.duration, [this] { directory_.Lag(Duration(0)); });
+        directory_.SetLag(fault.discovery_lag);
+        return At(fault.at + fault.duration, [this] { directory_.SetLag(Duration(0)); });
       case FaultKind::kDiscoveryMalformed:
-        directory_.Malformed(true);
-        return At(fault.at + fault.duration, [this] { directory_.Malformed(false); });
+        directory_.SetMalformed(true);
+        return At(fault.at + fault.duration, [this] { directory_.SetMalformed(false); });
       case FaultKind::kDiscoveryStale:
-        directory_.Old(true);
-        return At(fault.at + fault.duration, [this] { directory_.Old(false); });
+        directory_.SetStale(true);
+        return At(fault.at + fault.duration, [this] { directory_.SetStale(false); });
       case FaultKind::kDiscoveryMoved:
-        directory_.Move();
+        directory_.MoveAgents();
         for (size_t i = 0; i < gateways_.size(); ++i) {
           WriteConfig(i);
           // Both of a hot restart, as only one of them will be left.
