--- a/src/lab/arrivals.cpp
+++ b/src/lab/arrivals.cpp
@@ -8,85 +8,89 @@
 
 namespace paddlestile::lab {
 
-Arrivals::Arrivals(const Experiment& experiment, uint64_t seed) : e_(experiment), rng_(seed) {
+Arrivals::Arrivals(const Experiment& experiment, uint64_t seed)
+    : experiment_(experiment), rng_(seed) {
   std::vector<double> classes, tenants;
-  for (const ClassSpec& c : e_.classes) {
-    classes.push_back(c.share);
+  for (const ClassSpec& request_class : experiment_.classes) {
+    classes.push_back(request_class.share);
   }
-  for (const TenantSpec& t : e_.tenants) {
-    tenants.push_back(t.share);
+  for (const TenantSpec& tenant : experiment_.tenants) {
+    tenants.push_back(tenant.share);
   }
-  class_ = std::discrete_distribution<size_t>(classes.begin(), classes.end());
+  class_distribution_ = std::discrete_distribution<size_t>(classes.begin(), classes.end());
   if (!tenants.empty()) {
-    tenant_ = std::discrete_distribution<size_t>(tenants.begin(), tenants.end());
+    tenant_distribution_ = std::discrete_distribution<size_t>(tenants.begin(), tenants.end());
   }
 }
 
-bool Arrivals::Next(Arrival& out) {
-  const auto& steps = e_.load.rate;
-  const double end = static_cast<double>(e_.length.count());
-  // A Poisson process whose rate changes in steps: what is left of a draw goes on at the next rate.
-  double left = -std::log(1 - Uniform());
+bool Arrivals::Next(Arrival& arrival) {
+  const auto& steps = experiment_.load.rate;
+  const double end = static_cast<double>(experiment_.length.count());
+  // A Poisson process whose rate changes in steps: the unused part of a draw continues at the next
+  // rate.
+  double remaining = -std::log(1 - Uniform());
   while (true) {
-    if (step_ >= steps.size()) {
+    if (rate_step_ >= steps.size()) {
       return false;
     }
     const double until =
-        step_ + 1 < steps.size() ? static_cast<double>(steps[step_ + 1].at.count()) : end;
-    const double begin = std::max(at_us_, static_cast<double>(steps[step_].at.count()));
-    const double per_us = steps[step_].requests_per_s / 1e6;
-    if (begin + left / std::max(per_us, 1e-18) <= until) {
-      at_us_ = begin + left / per_us;
+        rate_step_ + 1 < steps.size() ? static_cast<double>(steps[rate_step_ + 1].at.count()) : end;
+    const double begin =
+        std::max(last_arrival_us_, static_cast<double>(steps[rate_step_].at.count()));
+    const double per_us = steps[rate_step_].requests_per_s / 1e6;
+    if (begin + remaining / std::max(per_us, 1e-18) <= until) {
+      last_arrival_us_ = begin + remaining / per_us;
       break;
     }
-    left -= std::max(0.0, until - begin) * per_us;
-    at_us_ = std::max(at_us_, until);
-    if (++step_ >= steps.size()) {
+    remaining -= std::max(0.0, until - begin) * per_us;
+    last_arrival_us_ = std::max(last_arrival_us_, until);
+    if (++rate_step_ >= steps.size()) {
       return false;
     }
   }
-  if (at_us_ >= end) {
+  if (last_arrival_us_ >= end) {
     return false;
   }
-  out = Arrival{};
-  out.at = Time(static_cast<int64_t>(at_us_));
-  RequestSpec& f = out.facts;
-  // One that is not there yet is drawn anew.
+  arrival = Arrival{};
+  arrival.at = Time(static_cast<int64_t>(last_arrival_us_));
+  RequestSpec& request = arrival.request;
+  // Redraws a class that is not available yet.
   do {
-    f.class_index = class_(rng_);
-  } while (e_.classes[f.class_index].available_from > out.at);
-  if (!e_.tenants.empty()) {
-    f.tenant_index = tenant_(rng_);
+    request.class_index = class_distribution_(rng_);
+  } while (experiment_.classes[request.class_index].available_from > arrival.at);
+  if (!experiment_.tenants.empty()) {
+    request.tenant_index = tenant_distribution_(rng_);
   }
-  const ClassSpec& cls = e_.classes[f.class_index];
-  f.key = ++keys_;
-  f.work = Duration(std::llround(Draw(cls.work_ms) * 1000));
-  f.wait = Duration(std::llround(Draw(cls.wait_ms) * 1000));
-  f.body_bytes = static_cast<size_t>(Draw(cls.body_bytes));
-  f.response_bytes = static_cast<size_t>(Draw(cls.response_bytes));
-  out.gateway = Uniform();
-  out.leaves = Uniform() < e_.load.client_abort_share;
-  out.leave_part = 0.1 + 0.8 * Uniform();
-  out.trickles = Uniform() < e_.load.slow_send_share;
-  out.once = Uniform() < e_.load.close_after_response_share;
-  for (int i = 0; i < e_.load.max_retries; ++i) {
-    out.retry_waits.emplace_back(std::llround(Draw(e_.load.retry_delay_ms) * 1000));
+  const ClassSpec& request_class = experiment_.classes[request.class_index];
+  request.key = ++last_key_;
+  request.work = Duration(std::llround(Draw(request_class.work_ms) * 1000));
+  request.wait = Duration(std::llround(Draw(request_class.wait_ms) * 1000));
+  request.body_bytes = static_cast<size_t>(Draw(request_class.body_bytes));
+  request.response_bytes = static_cast<size_t>(Draw(request_class.response_bytes));
+  arrival.gateway_position = Uniform();
+  arrival.client_aborts = Uniform() < experiment_.load.client_abort_share;
+  arrival.abort_position = 0.1 + 0.8 * Uniform();
+  arrival.sends_slowly = Uniform() < experiment_.load.slow_send_share;
+  arrival.closes_after_response = Uniform() < experiment_.load.close_after_response_share;
+  for (int i = 0; i < experiment_.load.max_retries; ++i) {
+    arrival.retry_delays.emplace_back(std::llround(Draw(experiment_.load.retry_delay_ms) * 1000));
   }
-  Digest(out);
+  Digest(arrival);
   return true;
 }
 
-void Arrivals::Digest(const Arrival& a) {
+void Arrivals::Digest(const Arrival& arrival) {
   const std::array<uint64_t, 8> words = {
-      static_cast<uint64_t>(a.at.count()),
-      a.facts.class_index << 8 | a.facts.tenant_index << 24 | (a.leaves ? 1U : 0U) |
-          (a.trickles ? 2U : 0U) | (a.once ? 4U : 0U),
-      static_cast<uint64_t>(a.facts.work.count()),
-      static_cast<uint64_t>(a.facts.wait.count()),
-      a.facts.body_bytes,
-      a.facts.response_bytes,
-      static_cast<uint64_t>(a.gateway * 1e15),
-      a.retry_waits.empty() ? 0 : static_cast<uint64_t>(a.retry_waits[0].count())};
+      static_cast<uint64_t>(arrival.at.count()),
+      arrival.request.class_index << 8 | arrival.request.tenant_index << 24 |
+          (arrival.client_aborts ? 1U : 0U) | (arrival.sends_slowly ? 2U : 0U) |
+          (arrival.closes_after_response ? 4U : 0U),
+      static_cast<uint64_t>(arrival.request.work.count()),
+      static_cast<uint64_t>(arrival.request.wait.count()),
+      arrival.request.body_bytes,
+      arrival.request.response_bytes,
+      static_cast<uint64_t>(arrival.gateway_position * 1e15),
+      arrival.retry_delays.empty() ? 0 : static_cast<uint64_t>(arrival.retry_delays[0].count())};
   digest_ = XXH64(words.data(), sizeof(words), digest_);
 }
 
--- a/src/lab/arrivals.h
+++ b/src/lab/arrivals.h
@@ -1,5 +1,4 @@
-// The clients' requests as the seed has them, one after another: open loop, so that what comes does
-// not depend on what was answered.
+// Generates the clients' requests from the seed. Open loop: arrivals do not depend on responses.
 #ifndef PADDLESTILE_LAB_ARRIVALS_H_
 #define PADDLESTILE_LAB_ARRIVALS_H_
 
@@ -14,34 +13,36 @@
 
 struct Arrival {
   Time at{0};
-  RequestSpec facts;
-  double gateway = 0;   // in [0, 1): which of those that are in
-  bool leaves = false;  // its client leaves before the answer, at `leave_part` of its time
-  double leave_part = 0;
-  bool trickles = false;  // comes in pieces
-  bool once = false;      // its client closes after the answer
-  std::vector<Duration> retry_waits;
+  RequestSpec request;
+  double gateway_position = 0;  // in [0, 1): selects one of the gateways in rotation
+  bool client_aborts = false;   // the client disconnects at `abort_position` of its timeout
+  double abort_position = 0;
+  bool sends_slowly = false;           // sent in pieces
+  bool closes_after_response = false;  // the client closes the connection after the response
+  std::vector<Duration> retry_delays;
 };
 
 class Arrivals {
  public:
   Arrivals(const Experiment& experiment, uint64_t seed);
-  // The next one; false past the experiment's end.
+  // Generates the next arrival. Returns false at the end of the experiment.
   bool Next(Arrival& arrival);
-  // Of all that were drawn: alike for the same experiment and seed.
+  // A hash of all arrivals so far; equal for the same experiment and seed.
   [[nodiscard]] uint64_t digest() const { return digest_; }
 
  private:
   double Uniform() { return std::uniform_real_distribution<double>(0, 1)(rng_); }
-  double Draw(const UniformRange& span) { return span.low + (span.high - span.low) * Uniform(); }
+  double Draw(const UniformRange& range) {
+    return range.low + (range.high - range.low) * Uniform();
+  }
   void Digest(const Arrival& arrival);
 
-  const Experiment& e_;
+  const Experiment& experiment_;
   std::mt19937_64 rng_;
-  double at_us_ = 0;
-  size_t step_ = 0;
-  uint64_t keys_ = 0, digest_ = 0;
-  std::discrete_distribution<size_t> class_, tenant_;
+  double last_arrival_us_ = 0;
+  size_t rate_step_ = 0;
+  uint64_t last_key_ = 0, digest_ = 0;
+  std::discrete_distribution<size_t> class_distribution_, tenant_distribution_;
 };
 
 }  // namespace paddlestile::lab
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -72,20 +72,20 @@
     asked_at_ = load_.Now();
     ++asked_;
     const Arrival& a = trying_->asking->arrival;
-    std::string text = load_.HeadOf(*trying_) + Pattern(a.facts.body_bytes);
+    std::string text = load_.HeadOf(*trying_) + Pattern(a.request.body_bytes);
     const Duration left = trying_->deadline + kSpare - load_.Now();
     timer_ = load_.loop_.RunAfter(left, [this] {
       timer_ = {};
       OutOfTime();
     });
-    if (a.leaves && trying_->asking->tries == 1) {
-      const auto part = static_cast<int64_t>(a.leave_part * static_cast<double>(left.count()));
+    if (a.client_aborts && trying_->asking->tries == 1) {
+      const auto part = static_cast<int64_t>(a.abort_position * static_cast<double>(left.count()));
       leave_timer_ = load_.loop_.RunAfter(Duration(part), [this] {
         leave_timer_ = {};
         Leave();
       });
     }
-    if (a.trickles && text.size() > 8) {
+    if (a.sends_slowly && text.size() > 8) {
       return Trickle(std::make_shared<std::string>(std::move(text)), 3);
     }
     stream_.Write(std::move(text));
@@ -136,7 +136,7 @@
     last_ = trying_->n;
     const auto trying = std::exchange(trying_, nullptr);
     trickling_ = false;
-    if (!keep || trying->asking->arrival.once) {
+    if (!keep || trying->asking->arrival.closes_after_response) {
       load_.Drop(*this);
     } else {
       load_.targets_[gateway_].idle.push_back(this);
@@ -158,7 +158,7 @@
   }
   void Leave() {
     load_.ledger_.OnClientDisconnected(trying_->n);
-    trying_->asking->arrival.retry_waits.clear();
+    trying_->asking->arrival.retry_delays.clear();
     Done(0, Duration(0), false);
   }
   void Ended(std::string_view how);
@@ -475,7 +475,7 @@
     auto asking = std::make_shared<Asking>();
     asking->arrival = next_;
     asking->first = Now();
-    asking->ask = ledger_.AddRequest(Now(), next_.facts);
+    asking->ask = ledger_.AddRequest(Now(), next_.request);
     TryOnce(asking);
     drawn_out_ = !arrivals_.Next(next_);
   }
@@ -511,8 +511,8 @@
 
 void Load::TryOnce(const std::shared_ptr<Asking>& asking) {
   const Time now = Now();
-  const size_t gateway = PickGateway(asking->arrival.gateway, asking->tries++);
-  const Time deadline = now + e_.classes[asking->arrival.facts.class_index].rules.deadline;
+  const size_t gateway = PickGateway(asking->arrival.gateway_position, asking->tries++);
+  const Time deadline = now + e_.classes[asking->arrival.request.class_index].rules.deadline;
   auto trying = std::make_shared<Trying>();
   trying->asking = asking;
   trying->deadline = deadline;
@@ -554,25 +554,25 @@
 
 std::string Load::HeadOf(const Trying& trying) const {
   const Arrival& a = trying.asking->arrival;
-  const ClassSpec& cls = e_.classes[a.facts.class_index];
+  const ClassSpec& cls = e_.classes[a.request.class_index];
   const bool keyed = cls.rules.idempotency == Idempotency::kKeyed;
   const bool body =
-      keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.facts.body_bytes > 0;
+      keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.request.body_bytes > 0;
   const auto budget = std::max<int64_t>(1, (trying.deadline - Now()).count() / 1000);
   std::string head =
       fmt::format("{} /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\nX-Budget-Ms: {}\r\n",
                   body ? "POST" : "GET", cls.name, ledger_.AttemptId(trying.n), budget);
   if (!e_.tenants.empty()) {
-    head += fmt::format("X-Caller: {}\r\n", e_.tenants[a.facts.tenant_index].name);
+    head += fmt::format("X-Caller: {}\r\n", e_.tenants[a.request.tenant_index].name);
   }
   if (keyed) {
-    head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.facts.key);
+    head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.request.key);
   }
   if (e_.marks_retries && trying.asking->tries > 1) {
     head += "X-Again: 1\r\n";
   }
   if (body) {
-    head += fmt::format("Content-Length: {}\r\n", a.facts.body_bytes);
+    head += fmt::format("Content-Length: {}\r\n", a.request.body_bytes);
   }
   return head + "\r\n";
 }
@@ -580,7 +580,7 @@
 void Load::End(const std::shared_ptr<Trying>& trying, int status, Duration come_back) {
   const auto& asking = trying->asking;
   const size_t place = static_cast<size_t>(asking->tries) - 1;
-  const auto& waits = asking->arrival.retry_waits;
+  const auto& waits = asking->arrival.retry_delays;
   if (status == 200 || place >= waits.size()) {
     return ledger_.OnRequestFinished(Now(), asking->ask);
   }
