--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -14,26 +14,29 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr Duration kPiecePause{20'000};      // us; between the pieces of one that trickles
-constexpr Duration kSpare{300'000};          // us; that a client waits beyond its budget
-constexpr Duration kBadOwed{3'000'000};      // us; within which a bad client is owed an end
-constexpr Duration kBadOwedLong{6'000'000};  // us; the same where it has much to send
-constexpr size_t kAnswerMost = 1 << 20;
-constexpr int kConnectsMost = 4;
-// From the writing of a request until the end of its connection, where both were on the way.
-constexpr Duration kMaxCrossing{50'000};
+constexpr Duration kSlowSendInterval{20'000};  // us; between the pieces of a slowly sent request
+constexpr Duration kClientTimeoutMargin{300'000};  // us; that a client waits beyond the deadline
+// us; within which the gateway has to end the connection
+constexpr Duration kMisbehavingClientTimeout{3'000'000};
+// us; the same for a client with a large body
+constexpr Duration kLargeBodyClientTimeout{6'000'000};
+constexpr size_t kMaxResponseBytes = 1 << 20;
+constexpr int kMaxConnects = 4;
+// us; how long after sending a request the end of its connection may arrive when the gateway closed
+// it before the request reached it.
+constexpr Duration kMaxCloseRace{50'000};
 constexpr size_t kHugeBody = 60'000'000;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-std::string Pattern(size_t size) {
+std::string RequestBody(size_t size) {
   return std::string(size, 'b');
 }
 
-Duration RetryAfter(const HttpMessage& m, std::string_view base) {
-  const auto text = m.FindHeader(base, "Retry-After");
+Duration RetryAfter(const HttpMessage& message, std::string_view base) {
+  const auto text = message.FindHeader(base, "Retry-After");
   double seconds = 0;
   if (!text) {
     return Duration(0);
@@ -54,7 +57,7 @@
         client_(LocalAddress(socket.get())),
         stream_(load.loop_, std::move(socket), this, true),
         opened_at_(load.Now()) {
-    stream_.set_max_unread_bytes(kAnswerMost);
+    stream_.set_max_unread_bytes(kMaxResponseBytes);
   }
   bool Start() { return stream_.Start(); }
   [[nodiscard]] bool closed() const { return stream_.closed(); }
@@ -62,207 +65,220 @@
   [[nodiscard]] const Address& client() const { return client_; }
   [[nodiscard]] bool killed() const { return killed_; }
   void set_killed() { killed_ = true; }
-  // Whether a try waits on it.
-  [[nodiscard]] bool Has(size_t n) const { return trying_ != nullptr && trying_->n == n; }
-  [[nodiscard]] bool Quiet() const { return stream_.IsIdle(); }
-
-  void Ask(std::shared_ptr<Trying> trying) {
-    trying_ = std::move(trying);
-    is_delayed_ = false;
-    asked_at_ = load_.Now();
-    ++asked_;
-    const Arrival& a = trying_->asking->arrival;
-    std::string text = load_.HeadOf(*trying_) + Pattern(a.request.body_bytes);
-    const Duration left = trying_->deadline + kSpare - load_.Now();
+  // Whether the attempt waits on this connection.
+  [[nodiscard]] bool HasAttempt(size_t attempt) const {
+    return attempt_ != nullptr && attempt_->number == attempt;
+  }
+  [[nodiscard]] bool IsIdle() const { return stream_.IsIdle(); }
+
+  void SendRequest(std::shared_ptr<Attempt> attempt) {
+    attempt_ = std::move(attempt);
+    waits_beyond_deadline_ = false;
+    request_sent_at_ = load_.Now();
+    ++request_count_;
+    const Arrival& arrival = attempt_->request->arrival;
+    std::string text = load_.RequestHead(*attempt_) + RequestBody(arrival.request.body_bytes);
+    const Duration left = attempt_->deadline + kClientTimeoutMargin - load_.Now();
     timer_ = load_.loop_.RunAfter(left, [this] {
       timer_ = {};
-      OutOfTime();
+      OnTimeout();
     });
-    if (a.client_aborts && trying_->asking->tries == 1) {
-      const auto part = static_cast<int64_t>(a.abort_position * static_cast<double>(left.count()));
-      leave_timer_ = load_.loop_.RunAfter(Duration(part), [this] {
-        leave_timer_ = {};
-        Leave();
+    if (arrival.client_aborts && attempt_->request->attempts == 1) {
+      const auto part =
+          static_cast<int64_t>(arrival.abort_position * static_cast<double>(left.count()));
+      abort_timer_ = load_.loop_.RunAfter(Duration(part), [this] {
+        abort_timer_ = {};
+        Abort();
       });
     }
-    if (a.sends_slowly && text.size() > 8) {
-      return Trickle(std::make_shared<std::string>(std::move(text)), 3);
+    if (arrival.sends_slowly && text.size() > 8) {
+      return SendSlowly(std::make_shared<std::string>(std::move(text)), 3);
     }
     stream_.Write(std::move(text));
-    LookWritten();
+    CheckRequestSent();
   }
 
   void Close() {
     load_.loop_.CancelTimer(timer_);
-    load_.loop_.CancelTimer(leave_timer_);
+    load_.loop_.CancelTimer(abort_timer_);
     stream_.Close();
   }
 
   void OnConnected() override {
     connected_ = true;
-    LookWritten();
+    CheckRequestSent();
   }
-  void OnWriteComplete() override { LookWritten(); }
+  void OnWriteComplete() override { CheckRequestSent(); }
   void OnData() override;
-  void OnError() override { Ended("reset"); }
+  void OnError() override { OnConnectionEnded("reset"); }
 
-  std::list<std::shared_ptr<Connection>>::iterator place;
+  std::list<std::shared_ptr<Connection>>::iterator position;
 
  private:
-  // Its last byte is with the kernel of a connection that the gateway's machine accepted.
-  void LookWritten() {
-    if (trying_ != nullptr && connected_ && stream_.flushed() && !trickling_) {
-      load_.ledger_.OnRequestSent(trying_->n);
+  // The last byte of the request was handed to the kernel on an established connection.
+  void CheckRequestSent() {
+    if (attempt_ != nullptr && connected_ && stream_.flushed() && !is_sending_slowly_) {
+      load_.ledger_.OnRequestSent(attempt_->number);
     }
   }
-  void Trickle(const std::shared_ptr<std::string>& text, int pieces) {
-    trickling_ = pieces > 1;
+  void SendSlowly(const std::shared_ptr<std::string>& text, int pieces) {
+    is_sending_slowly_ = pieces > 1;
     const size_t size = pieces > 1 ? text->size() / static_cast<size_t>(pieces) : text->size();
     stream_.Write(text->substr(0, size));
     text->erase(0, size);
-    if (!trickling_) {
-      return LookWritten();
+    if (!is_sending_slowly_) {
+      return CheckRequestSent();
     }
-    load_.loop_.RunAfter(kPiecePause, [kept = *place, text, pieces, n = trying_->n] {
-      if (kept->closed() || kept->trying_ == nullptr || kept->trying_->n != n) {
+    load_.loop_.RunAfter(kSlowSendInterval, [kept = *position, text, pieces, n = attempt_->number] {
+      if (kept->closed() || kept->attempt_ == nullptr || kept->attempt_->number != n) {
         return;
       }
-      kept->Trickle(text, pieces - 1);
+      kept->SendSlowly(text, pieces - 1);
     });
   }
-  void Done(int status, Duration come_back, bool keep) {
+  void FinishRequest(int status, Duration retry_after, bool keep_open) {
     load_.loop_.CancelTimer(timer_);
-    load_.loop_.CancelTimer(leave_timer_);
-    last_ = trying_->n;
-    const auto trying = std::exchange(trying_, nullptr);
-    trickling_ = false;
-    if (!keep || trying->asking->arrival.closes_after_response) {
-      load_.Drop(*this);
+    load_.loop_.CancelTimer(abort_timer_);
+    last_attempt_ = attempt_->number;
+    const auto attempt = std::exchange(attempt_, nullptr);
+    is_sending_slowly_ = false;
+    if (!keep_open || attempt->request->arrival.closes_after_response) {
+      load_.CloseConnection(*this);
     } else {
       load_.targets_[gateway_].idle.push_back(this);
     }
-    load_.End(trying, status, come_back);
-  }
-  void OutOfTime() {
-    // The ledger has looked at the deadline itself; here the client only stops waiting. Where the
-    // script delays the answer it waits as much longer, so that a lost one is told from a late one.
-    const Duration delay = load_.ledger_.AllowedDelay(trying_->n);
-    if (delay > Duration(0) && !std::exchange(is_delayed_, true)) {
-      timer_ = load_.loop_.RunAfter(trying_->deadline + delay + kSpare - load_.Now(), [this] {
-        timer_ = {};
-        OutOfTime();
-      });
+    load_.FinishAttempt(attempt, status, retry_after);
+  }
+  void OnTimeout() {
+    // The ledger judges the deadline itself; here the client only stops waiting. If the response
+    // may be delayed, the client waits longer by the same time, to distinguish a late response from
+    // a lost one.
+    const Duration delay = load_.ledger_.AllowedDelay(attempt_->number);
+    if (delay > Duration(0) && !std::exchange(waits_beyond_deadline_, true)) {
+      timer_ = load_.loop_.RunAfter(attempt_->deadline + delay + kClientTimeoutMargin - load_.Now(),
+                                    [this] {
+                                      timer_ = {};
+                                      OnTimeout();
+                                    });
       return;
     }
-    Done(0, Duration(0), false);
+    FinishRequest(0, Duration(0), false);
   }
-  void Leave() {
-    load_.ledger_.OnClientDisconnected(trying_->n);
-    trying_->asking->arrival.retry_delays.clear();
-    Done(0, Duration(0), false);
+  void Abort() {
+    load_.ledger_.OnClientDisconnected(attempt_->number);
+    attempt_->request->arrival.retry_delays.clear();
+    FinishRequest(0, Duration(0), false);
   }
-  void Ended(std::string_view how);
+  void OnConnectionEnded(std::string_view reason);
 
   Load& load_;
   size_t gateway_;
   Address client_;
   Stream stream_;
-  HttpParser parser_{HttpParser::Kind::kResponse, kAnswerMost};
-  std::shared_ptr<Trying> trying_;
-  EventLoop::TimerId timer_, leave_timer_;
-  size_t last_ = SIZE_MAX;  // the try that was answered last
-  Time opened_at_, asked_at_{0};
-  int asked_ = 0;
-  bool connected_ = false, trickling_ = false;
-  bool is_delayed_ = false;  // the client waits beyond its time
-  bool killed_ = false;      // the process that held it was
+  HttpParser parser_{HttpParser::Kind::kResponse, kMaxResponseBytes};
+  std::shared_ptr<Attempt> attempt_;
+  EventLoop::TimerId timer_, abort_timer_;
+  size_t last_attempt_ = SIZE_MAX;  // the last attempt with a response
+  Time opened_at_, request_sent_at_{0};
+  int request_count_ = 0;
+  bool connected_ = false, is_sending_slowly_ = false;
+  bool waits_beyond_deadline_ = false;  // the client waits longer for a permitted delay
+  bool killed_ = false;                 // the process that had accepted it was killed
 };
 
 void Load::Connection::OnData() {
   while (!stream_.closed() && !stream_.input().empty()) {
-    if (trying_ == nullptr) {
-      // Nothing was asked for. A gateway that closes may say why.
+    if (attempt_ == nullptr) {
+      // No request is pending. A gateway may send 408 before it closes an idle connection.
       if (!stream_.input().view().starts_with("HTTP/1.1 408")) {
         load_.ledger_.OnUnexpectedData(
-            load_.Now(), last_, fmt::format("{} bytes behind its answer", stream_.input().size()));
+            load_.Now(), last_attempt_,
+            fmt::format("{} bytes after its response", stream_.input().size()));
       }
-      return load_.Drop(*this);
+      return load_.CloseConnection(*this);
     }
     const ParseProgress progress = parser_.Feed(stream_.input());
     if (progress == ParseProgress::kNeedMore) {
       break;
     }
     if (progress == ParseProgress::kMalformed) {
-      return Ended("an answer that can't be read");
+      return OnConnectionEnded("malformed response");
     }
-    const HttpMessage m = parser_.message();
-    const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
+    const HttpMessage message = parser_.message();
+    const Buffer bytes = stream_.input().TakeFront(message.total_bytes);
     parser_.Reset();
-    load_.ledger_.OnResponse(load_.Now(), trying_->n, m.status, m.body.In(bytes.view()));
-    Done(m.status, RetryAfter(m, bytes.view()), m.keep_alive);
+    load_.ledger_.OnResponse(load_.Now(), attempt_->number, message.status,
+                             message.body.In(bytes.view()));
+    FinishRequest(message.status, RetryAfter(message, bytes.view()), message.keep_alive);
   }
   if (!stream_.closed() && stream_.ended()) {
-    Ended("closed");
+    OnConnectionEnded("closed");
   }
 }
 
-void Load::Connection::Ended(std::string_view how) {
+void Load::Connection::OnConnectionEnded(std::string_view reason) {
   if (stream_.closed()) {
     return;
   }
-  const auto trying = std::exchange(trying_, nullptr);
+  const auto attempt = std::exchange(attempt_, nullptr);
   const bool connected = connected_;
-  const bool reused = asked_ > 1;
+  const bool reused = request_count_ > 1;
   load_.loop_.CancelTimer(timer_);
-  load_.loop_.CancelTimer(leave_timer_);
-  const bool answer_begun = parser_.begun();
-  load_.Drop(*this);
-  if (trying == nullptr) {
+  load_.loop_.CancelTimer(abort_timer_);
+  const bool response_started = parser_.begun();
+  load_.CloseConnection(*this);
+  if (attempt == nullptr) {
     return;
   }
   if (!connected) {
-    return trying->connects < kConnectsMost ? load_.Send(trying) : load_.RefusedEverywhere(trying);
+    return attempt->connects_tried < kMaxConnects ? load_.SendAttempt(attempt)
+                                                  : load_.OnConnectionsRefused(attempt);
   }
   if (killed_) {
-    load_.ledger_.ExcuseAttempt(trying->n, Excuse::kProcessKilled);
-    return load_.End(trying, 0, Duration(0));
-  }
-  // Closed between requests just as this one was written: once more, elsewhere.
-  const Duration since_asked = load_.Now() - asked_at_;
-  const bool crossed = reused && !answer_begun && trying->connects < kConnectsMost &&
-                       since_asked <= kMaxCrossing + load_.ledger_.lab_lag() &&
-                       load_.ledger_.ReceiptCount(trying->n) == 0;
-  if (crossed) {
+    load_.ledger_.ExcuseAttempt(attempt->number, Excuse::kProcessKilled);
+    return load_.FinishAttempt(attempt, 0, Duration(0));
+  }
+  // The gateway closed the idle connection as this request was written: resend it once on another
+  // connection.
+  const Duration since_sent = load_.Now() - request_sent_at_;
+  const bool is_close_race = reused && !response_started &&
+                             attempt->connects_tried < kMaxConnects &&
+                             since_sent <= kMaxCloseRace + load_.ledger_.lab_lag() &&
+                             load_.ledger_.ReceiptCount(attempt->number) == 0;
+  if (is_close_race) {
     load_.ledger_.CountResend(Excuse::kCloseRace);
-    return load_.Send(trying);
+    return load_.SendAttempt(attempt);
   }
   load_.ledger_.OnConnectionLost(
-      load_.Now(), trying->n,
-      fmt::format("its connection ended without a whole answer: {}, gateway {}, "
+      load_.Now(), attempt->number,
+      fmt::format("its connection ended before a complete response: {}, gateway {}, "
                   "request {} on it, {:.3f} s before, opened {:.3f} s before",
-                  how, gateway_, asked_, Seconds(since_asked), Seconds(load_.Now() - opened_at_)));
-  load_.End(trying, 0, Duration(0));
+                  reason, gateway_, request_count_, Seconds(since_sent),
+                  Seconds(load_.Now() - opened_at_)));
+  load_.FinishAttempt(attempt, 0, Duration(0));
 }
 
-// ---- A client that does not do as it should -----------------------------------------------------
+// ---- A misbehaving client -----------------------------------------------------------------------
 
-class Load::BadConnection final : public Stream::Listener {
+class Load::MisbehavingConnection final : public Stream::Listener {
  public:
-  BadConnection(Load& load, const MisbehavingClients& bad, uint64_t number, Socket socket)
+  MisbehavingConnection(Load& load, const MisbehavingClients& clients, uint64_t number,
+                        Socket socket)
       : load_(load),
-        kind_(bad.kind),
+        kind_(clients.kind),
         number_(number),
         stream_(load.loop_, std::move(socket), this, true) {}
   bool Start() {
     if (!stream_.Start()) {
       return false;
     }
-    const bool long_one = kind_ == MisbehaviorKind::kHugeLength;
-    timer_ = load_.loop_.RunAfter(long_one ? kBadOwedLong : kBadOwed, [this] {
-      timer_ = {};
-      Over(false);
-    });
-    Speak();
+    const bool has_large_body = kind_ == MisbehaviorKind::kHugeLength;
+    timer_ = load_.loop_.RunAfter(
+        has_large_body ? kLargeBodyClientTimeout : kMisbehavingClientTimeout, [this] {
+          timer_ = {};
+          Finish(false);
+        });
+    SendInput();
     return true;
   }
   void OnData() override {
@@ -271,35 +287,37 @@
       if (status == 200) {
         ++load_.counts_.bad_served;
       }
-      return Over(true);
+      return Finish(true);
     }
     if (stream_.ended()) {
-      Over(true);
+      Finish(true);
     }
   }
-  void OnError() override { Over(true); }
+  void OnError() override { Finish(true); }
   void OnWriteComplete() override {
-    if (kind_ == MisbehaviorKind::kIncompleteRequest && sent_) {
-      Over(true);  // it closes itself
+    if (kind_ == MisbehaviorKind::kIncompleteRequest && input_sent_) {
+      Finish(true);  // the client closes the connection
     }
-    if (more_ > 0) {
-      const size_t piece = std::min<size_t>(more_, 1 << 16);
-      more_ -= piece;
-      load_.loop_.RunAfterRound([kept = *place, piece] {
+    if (remaining_filler_bytes_ > 0) {
+      const size_t piece = std::min<size_t>(remaining_filler_bytes_, 1 << 16);
+      remaining_filler_bytes_ -= piece;
+      load_.loop_.RunAfterRound([kept = *position, piece] {
         if (!kept->stream_.closed()) {
           kept->stream_.Write(std::string(piece, 'x'));
         }
       });
     }
   }
-  std::list<std::shared_ptr<BadConnection>>::iterator place;
+  std::list<std::shared_ptr<MisbehavingConnection>>::iterator position;
 
  private:
-  void Speak() {
-    const std::string& cls = load_.e_.classes[0].name;
+  void SendInput() {
+    const std::string& class_name = load_.experiment_.classes[0].name;
     const std::string id = fmt::format("bad-{:x}", number_);
     const std::string caller =
-        load_.e_.tenants.empty() ? "" : fmt::format("X-Caller: {}\r\n", load_.e_.tenants[0].name);
+        load_.experiment_.tenants.empty()
+            ? ""
+            : fmt::format("X-Caller: {}\r\n", load_.experiment_.tenants[0].name);
     const auto head = [&](std::string_view path, std::string_view more, std::string_view budget) {
       return fmt::format(
           "POST /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\n{}X-Budget-Ms: {}\r\n"
@@ -317,25 +335,25 @@
         break;
       }
       case MisbehaviorKind::kEndlessHeaders:
-        text = head(cls, "X-Long: ", "1000");
-        more_ = 1 << 20;
+        text = head(class_name, "X-Long: ", "1000");
+        remaining_filler_bytes_ = 1 << 20;
         break;
       case MisbehaviorKind::kInvalidLength:
-        text = head(cls, "Content-Length: abc\r\n\r\n", "1000");
+        text = head(class_name, "Content-Length: abc\r\n\r\n", "1000");
         break;
       case MisbehaviorKind::kNegativeLength:
-        text = head(cls, "Content-Length: -5\r\n\r\n", "1000");
+        text = head(class_name, "Content-Length: -5\r\n\r\n", "1000");
         break;
       case MisbehaviorKind::kHugeLength:
-        text = head(cls, fmt::format("Content-Length: {}\r\n\r\n", kHugeBody), "1000");
-        more_ = kHugeBody;
+        text = head(class_name, fmt::format("Content-Length: {}\r\n\r\n", kHugeBody), "1000");
+        remaining_filler_bytes_ = kHugeBody;
         break;
       case MisbehaviorKind::kConflictingFraming: {
-        // What hides in its body must never reach a host.
+        // The request hidden in the body must never reach a host.
         const std::string hidden =
             fmt::format("GET /{} HTTP/1.1\r\nX-Call-Id: hidden-{:x}\r\n{}X-Budget-Ms: 1000\r\n\r\n",
-                        cls, number_, caller);
-        text = head(cls,
+                        class_name, number_, caller);
+        text = head(class_name,
                     fmt::format("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n",
                                 hidden.size() + 5),
                     "1000") +
@@ -346,60 +364,64 @@
         text = head("no-such-class", "Content-Length: 0\r\n\r\n", "1000");
         break;
       case MisbehaviorKind::kInvalidBudget:
-        text = head(cls, "Content-Length: 0\r\n\r\n", "soon");
+        text = head(class_name, "Content-Length: 0\r\n\r\n", "soon");
         break;
       case MisbehaviorKind::kMissingRequestId:
-        text = fmt::format("GET /{} HTTP/1.1\r\n{}X-Budget-Ms: 1000\r\n\r\n", cls, caller);
+        text = fmt::format("GET /{} HTTP/1.1\r\n{}X-Budget-Ms: 1000\r\n\r\n", class_name, caller);
         break;
       case MisbehaviorKind::kIncompleteRequest:
-        text = head(cls, "Content-Length: 100\r\n\r\nhalf", "1000");
+        text = head(class_name, "Content-Length: 100\r\n\r\nhalf", "1000");
         break;
       case MisbehaviorKind::kUnresponsive:
         break;
       case MisbehaviorKind::kByteByByte:
-        Trickle(head(cls, "Content-Length: 0\r\n\r\n", "1000"));
+        SendByteByByte(head(class_name, "Content-Length: 0\r\n\r\n", "1000"));
         return;
     }
-    sent_ = true;
+    input_sent_ = true;
     if (!text.empty()) {
       stream_.Write(std::move(text));
     }
   }
-  void Trickle(std::string text) {
+  void SendByteByByte(std::string text) {
     stream_.Write(text.substr(0, 1));
     text.erase(0, 1);
-    load_.loop_.RunAfter(Duration(200'000), [kept = *place, text] {
+    load_.loop_.RunAfter(Duration(200'000), [kept = *position, text] {
       if (!kept->stream_.closed() && !text.empty()) {
-        kept->Trickle(text);
+        kept->SendByteByByte(text);
       }
     });
   }
-  void Over(bool answered) {
+  void Finish(bool answered) {
     if (stream_.closed()) {
       return;
     }
     load_.loop_.CancelTimer(timer_);
     ++(answered ? load_.counts_.bad_answered : load_.counts_.bad_unanswered);
     stream_.Close();
-    load_.loop_.RunDeferred([kept = *place] {});
-    load_.bad_.erase(place);
+    load_.loop_.RunDeferred([kept = *position] {});
+    load_.misbehaving_connections_.erase(position);
   }
 
   Load& load_;
   MisbehaviorKind kind_;
   uint64_t number_;
   Stream stream_;
-  HttpParser parser_{HttpParser::Kind::kResponse, kAnswerMost};
+  HttpParser parser_{HttpParser::Kind::kResponse, kMaxResponseBytes};
   EventLoop::TimerId timer_;
-  size_t more_ = 0;
-  bool sent_ = false;
+  size_t remaining_filler_bytes_ = 0;
+  bool input_sent_ = false;
 };
 
 // ---- The load -----------------------------------------------------------------------------------
 
 Load::Load(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
            const std::vector<Address>& targets)
-    : loop_(loop), e_(experiment), ledger_(ledger), arrivals_(experiment, seed), seed_(seed) {
+    : loop_(loop),
+      experiment_(experiment),
+      ledger_(ledger),
+      arrivals_(experiment, seed),
+      seed_(seed) {
   for (const Address& address : targets) {
     targets_.push_back({.address = address, .idle = {}});
   }
@@ -411,29 +433,29 @@
   }
 }
 
-void Load::Begin(Time zero) {
-  zero_ = zero;
-  for (size_t i = 0; i < e_.load.idle_connections; ++i) {
-    Open(i % targets_.size());
+void Load::Start(Time start_time) {
+  start_time_ = start_time;
+  for (size_t i = 0; i < experiment_.load.idle_connections; ++i) {
+    OpenConnection(i % targets_.size());
   }
-  for (size_t i = 0; i < e_.load.misbehaving_clients.size(); ++i) {
-    BeginBad(e_.load.misbehaving_clients[i], i);
+  for (size_t i = 0; i < experiment_.load.misbehaving_clients.size(); ++i) {
+    StartMisbehavingClients(experiment_.load.misbehaving_clients[i], i);
   }
-  drawn_out_ = !arrivals_.Next(next_);
-  Arrive();
+  arrivals_exhausted_ = !arrivals_.Next(next_arrival_);
+  ProcessArrivals();
 }
 
-void Load::SetIn(size_t gateway, bool in) {
+void Load::SetInRotation(size_t gateway, bool in_rotation) {
   Target& target = targets_[gateway];
-  target.in = in;
+  target.in_rotation = in_rotation;
 }
 
-size_t Load::OpenTo(size_t gateway) const {
+size_t Load::OpenConnectionsTo(size_t gateway) const {
   return static_cast<size_t>(
       std::ranges::count(connections_, gateway, [](const auto& c) { return c->gateway(); }));
 }
 
-std::vector<Address> Load::ClientsOf(size_t gateway) const {
+std::vector<Address> Load::ClientAddressesOf(size_t gateway) const {
   std::vector<Address> clients;
   for (const auto& connection : connections_) {
     if (connection->gateway() == gateway) {
@@ -447,7 +469,7 @@
   targets_[gateway].down = down;
 }
 
-void Load::ConnectionsKilled(size_t gateway, const std::vector<Address>& clients) {
+void Load::MarkConnectionsKilled(size_t gateway, const std::vector<Address>& clients) {
   for (const auto& connection : connections_) {
     if (connection->gateway() == gateway &&
         std::ranges::find(clients, connection->client()) != clients.end()) {
@@ -456,7 +478,7 @@
   }
 }
 
-void Load::ConnectionsKilled(size_t gateway) {
+void Load::MarkAllConnectionsKilled(size_t gateway) {
   for (const auto& connection : connections_) {
     if (connection->gateway() == gateway) {
       connection->set_killed();
@@ -464,147 +486,151 @@
   }
 }
 
-std::optional<Address> Load::ClientOf(size_t n) const {
-  const auto at = std::ranges::find_if(connections_,
-                                       [n](const auto& connection) { return connection->Has(n); });
-  return at == connections_.end() ? std::nullopt : std::optional((*at)->client());
+std::optional<Address> Load::ClientAddressOf(size_t attempt) const {
+  const auto found = std::ranges::find_if(
+      connections_, [attempt](const auto& connection) { return connection->HasAttempt(attempt); });
+  return found == connections_.end() ? std::nullopt : std::optional((*found)->client());
 }
 
-void Load::Arrive() {
-  while (!drawn_out_ && next_.at <= Now()) {
-    auto asking = std::make_shared<Asking>();
-    asking->arrival = next_;
-    asking->first = Now();
-    asking->ask = ledger_.AddRequest(Now(), next_.request);
-    TryOnce(asking);
-    drawn_out_ = !arrivals_.Next(next_);
+void Load::ProcessArrivals() {
+  while (!arrivals_exhausted_ && next_arrival_.at <= Now()) {
+    auto request = std::make_shared<PendingRequest>();
+    request->arrival = next_arrival_;
+    request->first_sent_at = Now();
+    request->ledger_request = ledger_.AddRequest(Now(), next_arrival_.request);
+    StartAttempt(request);
+    arrivals_exhausted_ = !arrivals_.Next(next_arrival_);
   }
-  if (drawn_out_) {
+  if (arrivals_exhausted_) {
     return;
   }
-  loop_.RunAfter(next_.at - Now(), [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(next_arrival_.at - Now(), [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
-      Arrive();
+      ProcessArrivals();
     }
   });
 }
 
-bool Load::HasQuietConnection(const Target& target) {
+bool Load::HasIdleConnection(const Target& target) {
   return std::ranges::any_of(target.idle, [](Connection* connection) {
-    return !connection->closed() && !connection->killed() && connection->Quiet();
+    return !connection->closed() && !connection->killed() && connection->IsIdle();
   });
 }
 
-size_t Load::PickGateway(double part, int further) const {
-  std::vector<size_t> in;
+size_t Load::PickGateway(double position, int offset) const {
+  std::vector<size_t> candidates;
   for (size_t i = 0; i < targets_.size(); ++i) {
-    if (targets_[i].in || (e_.load.keeps_open_connections && HasQuietConnection(targets_[i]))) {
-      in.push_back(i);
+    if (targets_[i].in_rotation ||
+        (experiment_.load.keeps_open_connections && HasIdleConnection(targets_[i]))) {
+      candidates.push_back(i);
     }
   }
-  if (in.empty()) {
+  if (candidates.empty()) {
     return SIZE_MAX;
   }
-  const auto place = static_cast<size_t>(part * static_cast<double>(in.size()));
-  return in[(place + static_cast<size_t>(further)) % in.size()];
+  const auto first = static_cast<size_t>(position * static_cast<double>(candidates.size()));
+  return candidates[(first + static_cast<size_t>(offset)) % candidates.size()];
 }
 
-void Load::TryOnce(const std::shared_ptr<Asking>& asking) {
+void Load::StartAttempt(const std::shared_ptr<PendingRequest>& request) {
   const Time now = Now();
-  const size_t gateway = PickGateway(asking->arrival.gateway_position, asking->tries++);
-  const Time deadline = now + e_.classes[asking->arrival.request.class_index].rules.deadline;
-  auto trying = std::make_shared<Trying>();
-  trying->asking = asking;
-  trying->deadline = deadline;
-  trying->gateway = gateway == SIZE_MAX ? 0 : gateway;
-  trying->n = ledger_.AddAttempt(now, asking->ask, trying->gateway, deadline);
+  const size_t gateway = PickGateway(request->arrival.gateway_position, request->attempts++);
+  const Time deadline =
+      now + experiment_.classes[request->arrival.request.class_index].rules.deadline;
+  auto attempt = std::make_shared<Attempt>();
+  attempt->request = request;
+  attempt->deadline = deadline;
+  attempt->gateway = gateway == SIZE_MAX ? 0 : gateway;
+  attempt->number = ledger_.AddAttempt(now, request->ledger_request, attempt->gateway, deadline);
   if (gateway == SIZE_MAX) {
     ++counts_.no_gateway;
-    ledger_.ExcuseAttempt(trying->n, Excuse::kGatewayDown);
-    return End(trying, 0, Duration(0));
+    ledger_.ExcuseAttempt(attempt->number, Excuse::kGatewayDown);
+    return FinishAttempt(attempt, 0, Duration(0));
   }
-  Send(std::move(trying));
+  SendAttempt(std::move(attempt));
 }
 
-void Load::Send(std::shared_ptr<Trying> trying) {
-  Target& target = targets_[trying->gateway];
+void Load::SendAttempt(std::shared_ptr<Attempt> attempt) {
+  Target& target = targets_[attempt->gateway];
   Connection* connection = nullptr;
-  // After a break only a new connection tells whether the gateway is there.
-  while (trying->connects == 0 && !target.idle.empty() && connection == nullptr) {
-    Connection* const kept = target.idle.back();
+  // After a failed connection, only a new one shows whether the gateway is up.
+  while (attempt->connects_tried == 0 && !target.idle.empty() && connection == nullptr) {
+    Connection* const idle = target.idle.back();
     target.idle.pop_back();
-    if (!kept->closed() && kept->Quiet()) {
-      connection = kept;
-    } else if (!kept->closed()) {
-      Drop(*kept);
+    if (!idle->closed() && idle->IsIdle()) {
+      connection = idle;
+    } else if (!idle->closed()) {
+      CloseConnection(*idle);
     }
   }
-  ++trying->connects;
+  ++attempt->connects_tried;
   if (connection == nullptr) {
-    connection = Open(trying->gateway);
+    connection = OpenConnection(attempt->gateway);
   }
   if (connection == nullptr) {
-    ++counts_.beyond;
-    ledger_.ExcuseAttempt(trying->n, Excuse::kNoLabConnection);
-    return End(trying, 0, Duration(0));
+    ++counts_.over_connection_limit;
+    ledger_.ExcuseAttempt(attempt->number, Excuse::kNoLabConnection);
+    return FinishAttempt(attempt, 0, Duration(0));
   }
   std::erase(target.idle, connection);
-  connection->Ask(std::move(trying));
+  connection->SendRequest(std::move(attempt));
 }
 
-std::string Load::HeadOf(const Trying& trying) const {
-  const Arrival& a = trying.asking->arrival;
-  const ClassSpec& cls = e_.classes[a.request.class_index];
-  const bool keyed = cls.rules.idempotency == Idempotency::kKeyed;
-  const bool body =
-      keyed || cls.rules.idempotency == Idempotency::kUnsafe || a.request.body_bytes > 0;
-  const auto budget = std::max<int64_t>(1, (trying.deadline - Now()).count() / 1000);
-  std::string head =
-      fmt::format("{} /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\nX-Budget-Ms: {}\r\n",
-                  body ? "POST" : "GET", cls.name, ledger_.AttemptId(trying.n), budget);
-  if (!e_.tenants.empty()) {
-    head += fmt::format("X-Caller: {}\r\n", e_.tenants[a.request.tenant_index].name);
+std::string Load::RequestHead(const Attempt& attempt) const {
+  const Arrival& arrival = attempt.request->arrival;
+  const ClassSpec& request_class = experiment_.classes[arrival.request.class_index];
+  const bool keyed = request_class.rules.idempotency == Idempotency::kKeyed;
+  const bool has_body = keyed || request_class.rules.idempotency == Idempotency::kUnsafe ||
+                        arrival.request.body_bytes > 0;
+  const auto budget = std::max<int64_t>(1, (attempt.deadline - Now()).count() / 1000);
+  std::string head = fmt::format(
+      "{} /{} HTTP/1.1\r\nHost: lab\r\nX-Call-Id: {}\r\nX-Budget-Ms: {}\r\n",
+      has_body ? "POST" : "GET", request_class.name, ledger_.AttemptId(attempt.number), budget);
+  if (!experiment_.tenants.empty()) {
+    head += fmt::format("X-Caller: {}\r\n", experiment_.tenants[arrival.request.tenant_index].name);
   }
   if (keyed) {
-    head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, a.request.key);
+    head += fmt::format("Idempotency-Key: {:016x}{:016x}\r\n", seed_, arrival.request.key);
   }
-  if (e_.marks_retries && trying.asking->tries > 1) {
+  if (experiment_.marks_retries && attempt.request->attempts > 1) {
     head += "X-Again: 1\r\n";
   }
-  if (body) {
-    head += fmt::format("Content-Length: {}\r\n", a.request.body_bytes);
+  if (has_body) {
+    head += fmt::format("Content-Length: {}\r\n", arrival.request.body_bytes);
   }
   return head + "\r\n";
 }
 
-void Load::End(const std::shared_ptr<Trying>& trying, int status, Duration come_back) {
-  const auto& asking = trying->asking;
-  const size_t place = static_cast<size_t>(asking->tries) - 1;
-  const auto& waits = asking->arrival.retry_delays;
-  if (status == 200 || place >= waits.size()) {
-    return ledger_.OnRequestFinished(Now(), asking->ask);
-  }
-  loop_.RunAfter(std::max(waits[place], come_back), [this, asking, alive = std::weak_ptr(alive_)] {
-    if (!alive.expired()) {
-      TryOnce(asking);
-    }
-  });
+void Load::FinishAttempt(const std::shared_ptr<Attempt>& attempt, int status,
+                         Duration retry_after) {
+  const auto& request = attempt->request;
+  const size_t retry_index = static_cast<size_t>(request->attempts) - 1;
+  const auto& delays = request->arrival.retry_delays;
+  if (status == 200 || retry_index >= delays.size()) {
+    return ledger_.OnRequestFinished(Now(), request->ledger_request);
+  }
+  loop_.RunAfter(std::max(delays[retry_index], retry_after),
+                 [this, request, alive = std::weak_ptr(alive_)] {
+                   if (!alive.expired()) {
+                     StartAttempt(request);
+                   }
+                 });
 }
 
-void Load::RefusedEverywhere(const std::shared_ptr<Trying>& trying) {
+void Load::OnConnectionsRefused(const std::shared_ptr<Attempt>& attempt) {
   ++counts_.no_gateway;
-  if (targets_[trying->gateway].down) {
-    ledger_.ExcuseAttempt(trying->n, Excuse::kGatewayDown);
+  if (targets_[attempt->gateway].down) {
+    ledger_.ExcuseAttempt(attempt->number, Excuse::kGatewayDown);
   } else {
     ledger_.OnConnectionRefused(
-        Now(), trying->n,
-        fmt::format("gateway {} refused its connections though it was up", trying->gateway));
+        Now(), attempt->number,
+        fmt::format("gateway {} refused connections while it should be up", attempt->gateway));
   }
-  End(trying, 0, Duration(0));
+  FinishAttempt(attempt, 0, Duration(0));
 }
 
-Load::Connection* Load::Open(size_t gateway) {
-  if (connections_.size() >= e_.load.max_connections) {
+Load::Connection* Load::OpenConnection(size_t gateway) {
+  if (connections_.size() >= experiment_.load.max_connections) {
     return nullptr;
   }
   bool refused = false;
@@ -614,47 +640,47 @@
   }
   connections_.push_back(std::make_shared<Connection>(*this, gateway, std::move(*socket)));
   Connection& connection = *connections_.back();
-  connection.place = std::prev(connections_.end());
+  connection.position = std::prev(connections_.end());
   ++counts_.connections;
-  counts_.open_most = std::max(counts_.open_most, connections_.size());
+  counts_.max_open = std::max(counts_.max_open, connections_.size());
   if (connection.Start()) {
     return &connection;
   }
-  Drop(connection);
+  CloseConnection(connection);
   return nullptr;
 }
 
-void Load::Drop(Connection& connection) {
+void Load::CloseConnection(Connection& connection) {
   if (connection.closed()) {
     return;
   }
   std::erase(targets_[connection.gateway()].idle, &connection);
   connection.Close();
-  loop_.RunDeferred([kept = *connection.place] {});
-  connections_.erase(connection.place);
+  loop_.RunDeferred([kept = *connection.position] {});
+  connections_.erase(connection.position);
 }
 
-void Load::BeginBad(const MisbehavingClients& bad, size_t place) {
-  // Evenly, begun at a place of its own.
-  const auto every = Duration(std::llround(1e6 / bad.per_s));
-  const auto step = [this, &bad, place, every, alive = std::weak_ptr(alive_)](
-                        uint64_t number, const auto& again) -> void {
+void Load::StartMisbehavingClients(const MisbehavingClients& clients, size_t index) {
+  // At a constant rate, starting after half an interval.
+  const auto interval = Duration(std::llround(1e6 / clients.per_s));
+  const auto open_next = [this, &clients, index, interval, alive = std::weak_ptr(alive_)](
+                             uint64_t number, const auto& again) -> void {
     if (alive.expired()) {
       return;
     }
     const Time now = Now();
-    if (now >= bad.to || now >= e_.length) {
+    if (now >= clients.to || now >= experiment_.length) {
       return;
     }
-    if (now >= bad.from) {
-      SendBad(bad, place << 40 | number);
+    if (now >= clients.from) {
+      OpenMisbehavingConnection(clients, index << 40 | number);
     }
-    loop_.RunAfter(every, [number, again] { again(number + 1, again); });
+    loop_.RunAfter(interval, [number, again] { again(number + 1, again); });
   };
-  loop_.RunAfter(every / 2, [step] { step(0, step); });
+  loop_.RunAfter(interval / 2, [open_next] { open_next(0, open_next); });
 }
 
-void Load::SendBad(const MisbehavingClients& bad, uint64_t number) {
+void Load::OpenMisbehavingConnection(const MisbehavingClients& clients, uint64_t number) {
   const size_t gateway = PickGateway(static_cast<double>(number % 97) / 97, 0);
   if (gateway == SIZE_MAX) {
     return;
@@ -665,11 +691,12 @@
     return;
   }
   ++counts_.bad_sent;
-  bad_.push_back(std::make_shared<BadConnection>(*this, bad, number, std::move(*socket)));
-  BadConnection& connection = *bad_.back();
-  connection.place = std::prev(bad_.end());
+  misbehaving_connections_.push_back(
+      std::make_shared<MisbehavingConnection>(*this, clients, number, std::move(*socket)));
+  MisbehavingConnection& connection = *misbehaving_connections_.back();
+  connection.position = std::prev(misbehaving_connections_.end());
   if (!connection.Start()) {
-    bad_.pop_back();
+    misbehaving_connections_.pop_back();
   }
 }
 
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -1,5 +1,5 @@
-// The clients: open-loop arrivals on kept connections to the gateways, their retries, and clients
-// that do not do as they should. One thread, the caller's loop.
+// The clients: open-loop arrivals on persistent connections to the gateways, with retries, and
+// misbehaving clients. Runs in the caller's event loop.
 #ifndef PADDLESTILE_LAB_LOAD_H_
 #define PADDLESTILE_LAB_LOAD_H_
 
@@ -22,39 +22,45 @@
 
 class Load {
  public:
-  // `targets`: where each gateway listens.
+  // `targets`: the listening address of each gateway.
   Load(EventLoop& loop, const Experiment& experiment, Ledger& ledger, uint64_t seed,
        const std::vector<Address>& targets);
   ~Load();
   Load(const Load&) = delete;
   Load& operator=(const Load&) = delete;
 
-  // The experiment's time 0 is now. Requests are handed to gateways that are in.
-  void Begin(Time zero);
-  // The front before the gateways: takes one in, or out (it has died or drains).
-  void SetIn(size_t gateway, bool in);
-  // The script has ended the gateway's process, and the next one is not up yet: it may refuse.
+  // Starts the clients. Requests are sent to gateways that are in rotation.
+  void Start(Time start_time);
+  // Puts a gateway in rotation or takes it out, as a load balancer in front of the gateways does
+  // when one dies or drains.
+  void SetInRotation(size_t gateway, bool in_rotation);
+  // While true, the gateway may refuse connections: a fault ended its process and the next one is
+  // not up.
   void SetDown(size_t gateway, bool down);
-  // The process that held these connections of clients was killed: they end by that. Without
-  // `clients`: all that are open to the gateway now.
-  void ConnectionsKilled(size_t gateway, const std::vector<Address>& clients);
-  void ConnectionsKilled(size_t gateway);
-  // The client's end of the connection on which a try waits; none where it waits on none.
-  [[nodiscard]] std::optional<Address> ClientOf(size_t n) const;
+  // The process that had accepted the connections of these clients was killed, so that their end is
+  // expected.
+  void MarkConnectionsKilled(size_t gateway, const std::vector<Address>& clients);
+  // The same for all connections that are open to the gateway now.
+  void MarkAllConnectionsKilled(size_t gateway);
+  // The client address of the connection on which an attempt waits, if any.
+  [[nodiscard]] std::optional<Address> ClientAddressOf(size_t attempt) const;
 
-  // The clients' ends of the connections open to a gateway.
-  [[nodiscard]] std::vector<Address> ClientsOf(size_t gateway) const;
-  // Connections open to a gateway.
-  [[nodiscard]] size_t OpenTo(size_t gateway) const;
+  // The client addresses of the open connections to a gateway.
+  [[nodiscard]] std::vector<Address> ClientAddressesOf(size_t gateway) const;
+  // The number of open connections to a gateway.
+  [[nodiscard]] size_t OpenConnectionsTo(size_t gateway) const;
 
-  // Whether all that was asked for is over.
-  [[nodiscard]] bool finished() const { return drawn_out_ && ledger_.open_requests() == 0; }
+  // Whether all requests are finished and no more will arrive.
+  [[nodiscard]] bool finished() const {
+    return arrivals_exhausted_ && ledger_.open_requests() == 0;
+  }
 
   struct Counts {
     uint64_t connections = 0;  // opened
-    size_t open_most = 0;      // at once
-    uint64_t no_gateway = 0;   // tries that no gateway took
-    uint64_t beyond = 0;       // tries for which the lab itself had no connection left
+    size_t max_open = 0;       // open at the same time
+    uint64_t no_gateway = 0;   // attempts that no gateway accepted
+    // Attempts that failed because of the lab's own connection limit.
+    uint64_t over_connection_limit = 0;
     uint64_t bad_sent = 0, bad_answered = 0, bad_unanswered = 0, bad_served = 0;
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
@@ -63,51 +69,51 @@
 
  private:
   class Connection;
-  class BadConnection;
+  class MisbehavingConnection;
   struct Target {
     Address address;
-    bool in = true, down = false;
+    bool in_rotation = true, down = false;
     std::vector<Connection*> idle;
   };
-  // A request with all its tries.
-  struct Asking {
+  // A request with all its attempts.
+  struct PendingRequest {
     Arrival arrival;
-    size_t ask = 0;
-    int tries = 0;
-    Time first{0};
+    size_t ledger_request = 0;
+    int attempts = 0;
+    Time first_sent_at{0};
   };
-  struct Trying {
-    std::shared_ptr<Asking> asking;
-    size_t n = 0, gateway = 0;
+  struct Attempt {
+    std::shared_ptr<PendingRequest> request;
+    size_t number = 0, gateway = 0;
     Time deadline{0};
-    int connects = 0;  // connections tried
+    int connects_tried = 0;  // connections that were attempted
   };
 
-  void Arrive();
-  void TryOnce(const std::shared_ptr<Asking>& asking);
-  void Send(std::shared_ptr<Trying> trying);
-  void End(const std::shared_ptr<Trying>& trying, int status, Duration come_back);
-  void RefusedEverywhere(const std::shared_ptr<Trying>& trying);
-  [[nodiscard]] static bool HasQuietConnection(const Target& target);
-  [[nodiscard]] size_t PickGateway(double part, int further) const;
-  [[nodiscard]] std::string HeadOf(const Trying& trying) const;
-  Connection* Open(size_t gateway);
-  void Drop(Connection& connection);
-  void BeginBad(const MisbehavingClients& bad, size_t place);
-  void SendBad(const MisbehavingClients& bad, uint64_t number);
-  [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
+  void ProcessArrivals();
+  void StartAttempt(const std::shared_ptr<PendingRequest>& request);
+  void SendAttempt(std::shared_ptr<Attempt> attempt);
+  void FinishAttempt(const std::shared_ptr<Attempt>& attempt, int status, Duration retry_after);
+  void OnConnectionsRefused(const std::shared_ptr<Attempt>& attempt);
+  [[nodiscard]] static bool HasIdleConnection(const Target& target);
+  [[nodiscard]] size_t PickGateway(double position, int offset) const;
+  [[nodiscard]] std::string RequestHead(const Attempt& attempt) const;
+  Connection* OpenConnection(size_t gateway);
+  void CloseConnection(Connection& connection);
+  void StartMisbehavingClients(const MisbehavingClients& clients, size_t index);
+  void OpenMisbehavingConnection(const MisbehavingClients& clients, uint64_t number);
+  [[nodiscard]] Time Now() const { return loop_.Now() - start_time_; }
 
   EventLoop& loop_;
-  const Experiment& e_;
+  const Experiment& experiment_;
   Ledger& ledger_;
   Arrivals arrivals_;
   uint64_t seed_;
   std::vector<Target> targets_;
-  Time zero_{0};
-  Arrival next_;
-  bool drawn_out_ = false;
+  Time start_time_{0};
+  Arrival next_arrival_;
+  bool arrivals_exhausted_ = false;
   std::list<std::shared_ptr<Connection>> connections_;
-  std::list<std::shared_ptr<BadConnection>> bad_;
+  std::list<std::shared_ptr<MisbehavingConnection>> misbehaving_connections_;
   Counts counts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -153,7 +153,7 @@
     if (bank_) {
       bank_->Begin(zero_, fleet_.ListHosts());
     }
-    load_->Begin(zero_);
+    load_->Start(zero_);
     loop_.Run();
     if (interrupted_) {
       throw Interrupted("interrupted; nothing is left running");
@@ -323,7 +323,7 @@
       if (good && !std::exchange(at.up, true) && load_) {
         // The front takes it in again.
         load_->SetDown(i, false);
-        load_->SetIn(i, true);
+        load_->SetInRotation(i, true);
       }
     });
   }
@@ -455,14 +455,15 @@
         // What it has in hand may be as much later; the front notices and takes it out.
         const size_t stop = StopServing(i, fault.duration);
         if (fault.duration > kFrontNotices) {
-          loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, !gateways_[i].stopped); });
+          loop_.RunAfter(kFrontNotices,
+                         [this, i] { load_->SetInRotation(i, !gateways_[i].stopped); });
         }
         if (bank_) {
           bank_->Down(i, true);
         }
         loop_.RunAfter(fault.duration, [this, i, stop] {
           stopped_.Continue(stop, Now());
-          load_->SetIn(i, true);
+          load_->SetInRotation(i, true);
           if (bank_) {
             bank_->Down(i, false);
           }
@@ -490,10 +491,10 @@
       if (bank_) {
         bank_->Down(i, true);
       }
-      loop_.RunAfter(kFrontNotices, [this, i] { load_->SetIn(i, gateways_[i].up); });
+      loop_.RunAfter(kFrontNotices, [this, i] { load_->SetInRotation(i, gateways_[i].up); });
     } else {
       g.process->Signal(SIGTERM);
-      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetIn(i, false); });
+      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetInRotation(i, false); });
       PlaySignalsAfterTerm(fault, i);
     }
     g.up = false;
@@ -526,12 +527,12 @@
     GatewayState& g = gateways_[i];
     if (g.next || g.before) {
       g.process->Stop();
-      load_->ConnectionsKilled(i, AcceptedConnections(g.process->pid(), g.address));
+      load_->MarkConnectionsKilled(i, AcceptedConnections(g.process->pid(), g.address));
       g.process->Kill();
       return;
     }
     g.process->Kill();
-    load_->ConnectionsKilled(i);
+    load_->MarkAllConnectionsKilled(i);
   }
 
   // Sends a signal to the present process of a gateway, unless another one has started by then.
@@ -592,9 +593,9 @@
   void PlayQuiesce(const Fault& fault) {
     const size_t i = fault.gateway;
     Operate(i, "POST /admin/quiesce", gateways_[i].admin, loop_.Now() + seconds(1), [this, i] {
-      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetIn(i, false); });
+      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetInRotation(i, false); });
       loop_.RunAfter(kEmptyWithin, [this, i] {
-        if (const size_t open = load_->OpenTo(i); open > 0 && !finishing_) {
+        if (const size_t open = load_->OpenConnectionsTo(i); open > 0 && !finishing_) {
           Broken(i, fmt::format("gateway {} holds {} connections 4 s after quiesce", i, open));
           loop_.Stop();
         }
@@ -612,7 +613,7 @@
       const Time until = loop_.Now() + kBackWithin;
       Operate(i, "POST /admin/resume", gateways_[i].admin, until, [this, i, until] {
         Operate(i, "GET /_health", gateways_[i].address, until,
-                [this, i] { load_->SetIn(i, true); });
+                [this, i] { load_->SetInRotation(i, true); });
       });
     });
   }
@@ -680,7 +681,7 @@
     g.next->Stop();
     std::vector<Address> accepted = AcceptedConnections(g.next->pid(), g.address);
     if (fault.upgrade_outcome == UpgradeOutcome::kKilled) {
-      load_->ConnectionsKilled(i, accepted);
+      load_->MarkConnectionsKilled(i, accepted);
       g.next->Kill();
       return AwaitEnd(i, &GatewayState::next, "new", loop_.Now() + seconds(1));
     }
@@ -805,7 +806,7 @@
   // The clients' ends of the connections to a gateway that none of its processes has accepted.
   [[nodiscard]] std::vector<Address> QueuedConnections(size_t i) const {
     const GatewayState& g = gateways_[i];
-    std::vector<Address> queued = load_->ClientsOf(i);
+    std::vector<Address> queued = load_->ClientAddressesOf(i);
     for (const GatewayProcess& running : ProcessesOf(g)) {
       const std::vector<Address> accepted = AcceptedConnections(running.process->pid(), g.address);
       std::erase_if(queued, [&](const Address& client) {
@@ -817,7 +818,7 @@
   // Where a try's connection is, so that a gateway that did not accept is told from one that did
   // not answer. Empty once the looks have taken too long: a breach must not cost the verdict.
   std::string DescribeConnection(size_t n) {
-    const auto client = load_->ClientOf(n);
+    const auto client = load_->ClientAddressOf(n);
     if (!client || options_.straight || looking_for_connections_ > kMaxLookingForConnections) {
       return "";
     }
@@ -839,7 +840,7 @@
   }
   // What the script's stops delay a try by.
   [[nodiscard]] std::optional<Ledger::Delay> DelayOf(size_t n) const {
-    const auto client = load_->ClientOf(n);
+    const auto client = load_->ClientAddressOf(n);
     return client ? stopped_.DelayOf(ledger_.GatewayOf(n), *client, ledger_.SentAt(n),
                                      ledger_.DeadlineOf(n))
                   : std::nullopt;
@@ -949,13 +950,14 @@
       const Load::Counts& l = load_->counts();
       r.arrivals_digest = load_->digest();
       r.client_connections = l.connections;
-      r.client_connections_most = l.open_most;
+      r.client_connections_most = l.max_open;
       r.no_gateway = l.no_gateway;
       r.bad_sent = l.bad_sent;
       r.bad_unanswered = l.bad_unanswered;
       r.bad_served = l.bad_served;
-      if (l.beyond > 0) {
-        r.late.push_back(fmt::format("the lab had no connection left for {} tries", l.beyond));
+      if (l.over_connection_limit > 0) {
+        r.late.push_back(
+            fmt::format("the lab had no connection left for {} tries", l.over_connection_limit));
       }
       r.cpu_us_per_request =
           r.counts.attempts > 0 ? cpu / static_cast<double>(r.counts.attempts) : 0;
