--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -35,60 +35,66 @@
 
 using std::chrono::seconds;
 
-constexpr size_t kGatewayPlaces = 40'000;      // addresses behind those of the sources
-constexpr Duration kUpWithin{10'000'000};      // us; for a gateway to come up
-constexpr Duration kLinkedWithin{60'000'000};  // us; for a bank to be formed and linked
-constexpr Duration kHangAfter{3'000'000};      // us; without an answer to /_health
-constexpr Duration kHealthEvery{500'000};      // us
-constexpr Duration kFrontTakesOut{300'000};    // us; after SIGTERM
-constexpr Duration kKillAllowance{700'000};    // us; from SIGTERM to SIGKILL beyond a deadline
-// us; until the old process serves again where a new one that was ready hangs.
-constexpr Duration kRevokedWithin{2'500'000};
-constexpr Duration kFrontNotices{1'000'000};  // us; that one has died
-constexpr Duration kSampleEvery{250'000};     // us
-constexpr Duration kLagEvery{5'000};          // us
-constexpr Duration kLookEvery{20'000};        // us; at the ledger and the processes
-constexpr Duration kLagSpan{1'000'000};       // us; lateness is excused for so long after it
-constexpr Duration kEndSpare{3'000'000};      // us; beyond the last deadline
-constexpr Duration kEmptyWithin{4'000'000};   // us; after an operator's drain
-constexpr Duration kBackWithin{2'000'000};    // us; after its end
-constexpr Duration kNewWithin{6'000'000};     // us; for a new process to say yes
-constexpr Duration kOperateAgain{50'000};     // us; between two of an operator's calls
-constexpr Duration kMaxLookingForConnections{50'000};  // us; of lost requests, in a play
-constexpr size_t kTailLines = 20;
+constexpr size_t kFirstGatewayAddress = 40'000;  // beyond the addresses of discovery
+constexpr Duration kStartupTimeout{10'000'000};  // us; for a gateway to become healthy
+// us; for the cluster to be formed and connected
+constexpr Duration kClusterFormationTimeout{60'000'000};
+constexpr Duration kHealthTimeout{3'000'000};  // us; without a response to /_health
+constexpr Duration kHealthInterval{500'000};   // us
+// us; from SIGTERM until clients stop using the gateway
+constexpr Duration kRemovalFromRotationDelay{300'000};
+// us; from SIGTERM to SIGKILL, in addition to the longest deadline
+constexpr Duration kKillDelayBeyondDeadline{700'000};
+// us; until the old process serves again if the new one hangs after becoming ready
+constexpr Duration kOldProcessResumeTimeout{2'500'000};
+// us; until clients stop using a gateway that died
+constexpr Duration kFailureDetectionDelay{1'000'000};
+constexpr Duration kUsageSampleInterval{250'000};  // us
+constexpr Duration kLagSampleInterval{5'000};      // us
+constexpr Duration kCheckInterval{20'000};  // us; between checks of the ledger and the processes
+constexpr Duration kLagWindow{1'000'000};   // us; for how long lateness of the lab extends limits
+constexpr Duration kEndMargin{3'000'000};   // us; after the last deadline, until the run is ended
+constexpr Duration kQuiesceTimeout{4'000'000};     // us; until no connection is left after quiesce
+constexpr Duration kResumeTimeout{2'000'000};      // us; until the gateway is healthy after resume
+constexpr Duration kNewProcessTimeout{6'000'000};  // us; for a new process to become healthy
+constexpr Duration kCallRetryInterval{50'000};     // us; between attempts of an admin call
+constexpr Duration kMaxConnectionLookupTime{50'000};  // us; total, for lost requests of one run
+constexpr size_t kLogTailLines = 20;
 
-double Seconds(Duration d) {
-  return static_cast<double>(d.count()) / 1e6;
+double Seconds(Duration duration) {
+  return static_cast<double>(duration.count()) / 1e6;
 }
 
 struct GatewayState {
   Address address;
   std::string config_path, log_path;
   std::unique_ptr<Process> process;
-  bool expected_to_end = false;  // the script has it so
-  bool stopped = false;          // the script has stopped it
+  bool expected_to_end = false;  // a fault ends the process
+  bool stopped = false;          // a fault has stopped the process
   bool up = false;
-  Address admin;                                // where operators call
-  std::unique_ptr<Process> next, before;        // of an upgrade: that which comes, that which goes
-  bool next_fails = false;                      // the script has `next` killed or stopped
-  uint64_t start = 0;                           // of `process`: grows with each
-  std::unique_ptr<HealthCall> health, operate;  // the second an operator's
-  Time asked{0};                                // when /_health was asked
-  Process::Usage used;                          // at the last look
-  double cpu_before = 0;  // of processes that have ended, less what was used before time 0
+  Address admin_address;
+  std::unique_ptr<Process> new_process, old_process;  // during a hot restart
+  bool new_process_fails = false;                     // a fault kills or stops `new_process`
+  uint64_t start_number = 0;                          // of `process`; increases with each start
+  // Pending calls to /_health and the admin API.
+  std::unique_ptr<HealthCall> health_call, admin_call;
+  Time health_called_at{0};    // when /_health was called
+  Process::Usage usage;        // at the last sample
+  double previous_cpu_us = 0;  // CPU time of ended processes, minus that used before time 0
 };
 
 class Runner {
  public:
   Runner(Experiment experiment, const RunOptions& options)
-      : e_(std::move(experiment)),
+      : experiment_(std::move(experiment)),
         options_(options),
-        seed_(options.seed.value_or(e_.seed)),
-        ledger_(ContentOf(e_, seed_)),
+        seed_(options.seed.value_or(experiment_.seed)),
+        ledger_(LedgerRulesOf(experiment_, seed_)),
         fleet_(
-            loop_, e_, ledger_, seed_,
+            loop_, experiment_, ledger_, seed_,
             [this](const ListedHost& host, Duration lag) { directory_.OnHostChange(host, lag); }),
-        directory_(loop_, ledger_, e_.gateway.count, e_.discovery_keepalive_interval),
+        directory_(loop_, ledger_, experiment_.gateway.count,
+                   experiment_.discovery_keepalive_interval),
         signals_(loop_, [this] {
           interrupted_ = true;
           loop_.Stop();
@@ -96,7 +102,7 @@
 
   Result Run() {
     RaiseLimits();
-    random_.seed(seed_ ^ 0x6a7e);
+    gateway_random_.seed(seed_ ^ 0x6a7e);
     fleet_.Start();
     directory_.Start(fleet_.ListHosts());
     std::vector<Address> targets;
@@ -105,75 +111,77 @@
         targets.push_back(host.address);
       }
     } else {
-      for (size_t i = 0; i < e_.gateway.count; ++i) {
-        targets.push_back(Prepare(i));
+      for (size_t i = 0; i < experiment_.gateway.count; ++i) {
+        targets.push_back(PrepareGateway(i));
       }
-      if (e_.cluster.enabled) {
-        bank_ = std::make_unique<BankLab>(loop_, e_, ledger_, folder_.path(), seed_ ^ 0xba9c,
-                                          kGatewayPlaces + e_.gateway.count);
+      if (experiment_.cluster.enabled) {
+        cluster_ =
+            std::make_unique<BankLab>(loop_, experiment_, ledger_, folder_.path(), seed_ ^ 0xba9c,
+                                      kFirstGatewayAddress + experiment_.gateway.count);
       }
-      for (size_t i = 0; i < e_.gateway.count; ++i) {
+      for (size_t i = 0; i < experiment_.gateway.count; ++i) {
         StartGateway(i);
       }
       if (!AwaitGateways()) {
         return Finish();
       }
-      if (bank_ && (e_.cluster.measured || e_.cluster.simulated_members > 0) && !AwaitBank()) {
+      if (cluster_ && (experiment_.cluster.measured || experiment_.cluster.simulated_members > 0) &&
+          !AwaitCluster()) {
         return Finish();
       }
     }
-    load_ = std::make_unique<Load>(loop_, e_, ledger_, seed_ ^ 0x10ad, targets);
-    ledger_.set_delay_provider([this](size_t n) { return DelayOf(n); });
-    ledger_.set_describe_connection([this](size_t n) { return DescribeConnection(n); });
+    load_ = std::make_unique<Load>(loop_, experiment_, ledger_, seed_ ^ 0x10ad, targets);
+    ledger_.set_delay_provider([this](size_t attempt) { return StopDelayOf(attempt); });
+    ledger_.set_describe_connection([this](size_t attempt) { return DescribeConnection(attempt); });
     if (options_.straight) {
       result_.faults.clear();
     }
-    zero_ = loop_.Now();
-    for (GatewayState& g : gateways_) {
-      g.used = g.process->Measure();
-      g.cpu_before = -g.used.cpu_us;
+    start_time_ = loop_.Now();
+    for (GatewayState& gateway : gateways_) {
+      gateway.usage = gateway.process->Measure();
+      gateway.previous_cpu_us = -gateway.usage.cpu_us;
     }
     rusage own{};
     getrusage(RUSAGE_SELF, &own);
-    lab_cpu_before_ = CpuUs(own);
-    fleet_.SetStartTime(zero_);
-    directory_.SetStartTime(zero_);
-    lag_due_ = loop_.Now() + kLagEvery;
-    loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
-    Every(kSampleEvery, [this] { Sample(); });
-    Every(kLookEvery, [this] { Look(); });
-    Every(kProcessorSampleInterval, [this] { WatchProcesses(); });
+    lab_cpu_at_start_us_ = CpuUs(own);
+    fleet_.SetStartTime(start_time_);
+    directory_.SetStartTime(start_time_);
+    lag_due_ = loop_.Now() + kLagSampleInterval;
+    loop_.RunAfter(kLagSampleInterval, [this] { MeasureLag(); });
+    RunEvery(kUsageSampleInterval, [this] { SampleUsage(); });
+    RunEvery(kCheckInterval, [this] { CheckProgress(); });
+    RunEvery(kProcessorSampleInterval, [this] { WatchProcesses(); });
     if (!options_.straight) {
-      Every(kHealthEvery, [this] { AskHealth(); });
+      RunEvery(kHealthInterval, [this] { CheckAllHealth(); });
     }
-    // Drawn now and in their order, whatever happens meanwhile.
-    for (const Fault& fault : e_.faults) {
-      Script(fault);
+    // Scheduled in file order before the start, independent of what happens during the run.
+    for (const Fault& fault : experiment_.faults) {
+      ScheduleFault(fault);
     }
-    if (bank_) {
-      bank_->Begin(zero_, fleet_.ListHosts());
+    if (cluster_) {
+      cluster_->Begin(start_time_, fleet_.ListHosts());
     }
-    load_->Start(zero_);
+    load_->Start(start_time_);
     loop_.Run();
     if (interrupted_) {
-      throw Interrupted("interrupted; nothing is left running");
+      throw Interrupted("interrupted; all processes were stopped");
     }
     return Finish();
   }
 
  private:
-  static LedgerRules ContentOf(const Experiment& e, uint64_t seed) {
+  static LedgerRules LedgerRulesOf(const Experiment& experiment, uint64_t seed) {
     LedgerRules rules;
-    for (const ClassSpec& c : e.classes) {
-      rules.classes.push_back(c.rules);
+    for (const ClassSpec& request_class : experiment.classes) {
+      rules.classes.push_back(request_class.rules);
     }
-    rules.drain_grace = e.drain_grace;
+    rules.drain_grace = experiment.drain_grace;
     rules.id_prefix = fmt::format("r{:x}", seed);
     return rules;
   }
-  static double CpuUs(const rusage& u) {
-    return static_cast<double>(u.ru_utime.tv_sec + u.ru_stime.tv_sec) * 1e6 +
-           static_cast<double>(u.ru_utime.tv_usec + u.ru_stime.tv_usec);
+  static double CpuUs(const rusage& usage) {
+    return static_cast<double>(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) * 1e6 +
+           static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec);
   }
   static void RaiseLimits() {
     rlimit files{};
@@ -185,128 +193,133 @@
     std::signal(SIGPIPE, SIG_IGN);
   }
 
-  [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
-  void Every(Duration every, std::function<void()> then) {
-    loop_.RunAfter(every, [this, every, then = std::move(then)] {
+  [[nodiscard]] Time Now() const { return loop_.Now() - start_time_; }
+  void RunEvery(Duration interval, std::function<void()> task) {
+    loop_.RunAfter(interval, [this, interval, then = std::move(task)] {
       then();
-      Every(every, then);
+      RunEvery(interval, then);
     });
   }
-  void At(Duration at, std::function<void()> then) { loop_.RunAfter(at - Now(), std::move(then)); }
+  void RunAt(Duration at, std::function<void()> task) {
+    loop_.RunAfter(at - Now(), std::move(task));
+  }
 
   // ---- Gateways -----------------------------------------------------------------------------
-  Address Prepare(size_t i) {
-    GatewayState& g = gateways_.emplace_back();
-    g.address = i == 0 && !e_.gateway.listen.empty() ? ParseAddress(e_.gateway.listen)
-                                                     : LoopbackAddress(kGatewayPlaces + i);
-    // A port in use is said before anything is played.
-    const Listener taken(loop_, g.address, [](const FileDescriptor&) {});
-    g.config_path = fmt::format("{}/gateway-{}.json", folder_.path(), i);
-    g.log_path =
+  Address PrepareGateway(size_t i) {
+    GatewayState& gateway = gateways_.emplace_back();
+    gateway.address = i == 0 && !experiment_.gateway.listen.empty()
+                          ? ParseAddress(experiment_.gateway.listen)
+                          : LoopbackAddress(kFirstGatewayAddress + i);
+    // Fails here, before the run starts, if the port is in use.
+    const Listener taken(loop_, gateway.address, [](const FileDescriptor&) {});
+    gateway.config_path = fmt::format("{}/gateway-{}.json", folder_.path(), i);
+    gateway.log_path =
         fmt::format("{}/gateway-{}.log", options_.logs.empty() ? folder_.path() : options_.logs, i);
-    return g.address;
+    return gateway.address;
   }
 
   void WriteConfig(size_t i) {
     using nlohmann::json;
-    GatewayState& g = gateways_[i];
+    GatewayState& gateway = gateways_[i];
     const json config = {{"name", fmt::format("g{}", i)},
-                         {"listen", ToText(g.address)},
+                         {"listen", ToText(gateway.address)},
                          {"discovery", ToText(directory_.AddressOf(i))},
-                         {"seed", fmt::format("{:x}", seed_ * 1000 + i + starts_)},
-                         {"limits", {{"cores", 1.0}, {"sockets", e_.gateway.sockets}}},
+                         {"seed", fmt::format("{:x}", seed_ * 1000 + i + process_starts_)},
+                         {"limits", {{"cores", 1.0}, {"sockets", experiment_.gateway.sockets}}},
                          {"known", json::parse(directory_.FullList(i))},
-                         {"settings", json::parse(SettingsJson(e_, i))}};
-    // Whole or not at all: the gateway may read it at any time.
-    const std::string part = g.config_path + ".part";
+                         {"settings", json::parse(SettingsJson(experiment_, i))}};
+    // Replaced atomically, since the gateway may read the file at any time.
+    const std::string part = gateway.config_path + ".part";
     std::ofstream(part) << config.dump();
-    std::filesystem::rename(part, g.config_path);
+    std::filesystem::rename(part, gateway.config_path);
   }
 
   void StartGateway(size_t i) {
-    GatewayState& g = gateways_[i];
+    GatewayState& gateway = gateways_[i];
     ledger_.OnGatewayRestarted(i);
     WriteConfig(i);
-    g.start = ++starts_;
-    g.process = Run(i);
-    g.expected_to_end = g.up = false;
-    g.health.reset();
-    g.used = {};
+    gateway.start_number = ++process_starts_;
+    gateway.process = StartProcess(i);
+    gateway.expected_to_end = gateway.up = false;
+    gateway.health_call.reset();
+    gateway.usage = {};
   }
 
-  std::unique_ptr<Process> Run(size_t i) {
-    GatewayState& g = gateways_[i];
-    std::vector<std::string> words = options_.gateway;
-    if (words.empty()) {
-      words = {std::filesystem::read_symlink("/proc/self/exe").string(), "serve"};
-      // Kept logs can be added up by fleet-report.
+  std::unique_ptr<Process> StartProcess(size_t i) {
+    GatewayState& gateway = gateways_[i];
+    std::vector<std::string> command = options_.gateway;
+    if (command.empty()) {
+      command = {std::filesystem::read_symlink("/proc/self/exe").string(), "serve"};
+      // fleet-report needs the counters in the kept logs.
       if (!options_.logs.empty()) {
-        words.insert(words.end(), {"--counters-every", "1"});
+        command.insert(command.end(), {"--counters-every", "1"});
       }
     }
     std::vector<std::pair<std::string, std::string>> env = {
         {"LB_NAME", fmt::format("g{}", i)},
-        {"LB_LISTEN", ToText(g.address)},
+        {"LB_LISTEN", ToText(gateway.address)},
         {"LB_DISCOVERY", ToText(directory_.AddressOf(i))},
-        {"LB_CONFIG", g.config_path}};
-    if (bank_) {
+        {"LB_CONFIG", gateway.config_path}};
+    if (cluster_) {
       env[0].second = fmt::format("g{:03}", i);
-      env.emplace_back("LB_OPERATOR", bank_->FileOf(i));
+      env.emplace_back("LB_OPERATOR", cluster_->FileOf(i));
     }
-    const auto operated = [](const Fault& f) {
-      return f.kind > FaultKind::kGatewayHang && f.kind <= FaultKind::kGatewayUpgrade;
+    const auto is_operator_fault = [](const Fault& fault) {
+      return fault.kind > FaultKind::kGatewayHang && fault.kind <= FaultKind::kGatewayUpgrade;
     };
-    if (std::ranges::any_of(e_.faults, operated)) {
-      // Another one for each start: two run at a time.
-      g.admin = {g.address.host, static_cast<uint16_t>(g.address.port + 1 + starts_ % 100)};
-      env.emplace_back("LB_ADMIN", ToText(g.admin));
+    if (std::ranges::any_of(experiment_.faults, is_operator_fault)) {
+      // A new port for each start, since two processes of a gateway may run at the same time.
+      gateway.admin_address = {
+          gateway.address.host,
+          static_cast<uint16_t>(gateway.address.port + 1 + process_starts_ % 100)};
+      env.emplace_back("LB_ADMIN", ToText(gateway.admin_address));
       env.emplace_back("TMPDIR", folder_.path());
     }
-    return std::make_unique<Process>(words, env, g.log_path, Process::Signals::kBlocked);
+    return std::make_unique<Process>(command, env, gateway.log_path, Process::Signals::kBlocked);
   }
 
   bool AwaitGateways() {
-    const Time until = loop_.Now() + kUpWithin;
+    const Time until = loop_.Now() + kStartupTimeout;
     while (!interrupted_) {
       bool all = true;
       for (size_t i = 0; i < gateways_.size(); ++i) {
-        GatewayState& g = gateways_[i];
-        if (const auto code = g.process->ExitCode()) {
-          Broken(i, fmt::format("gateway {} ended with {} before it was up", i, *code));
+        GatewayState& gateway = gateways_[i];
+        if (const auto code = gateway.process->ExitCode()) {
+          ReportBroken(i, fmt::format("gateway {} exited with {} before it was healthy", i, *code));
           return false;
         }
-        if (!g.up && !g.health) {
-          AskHealth(i);
+        if (!gateway.up && !gateway.health_call) {
+          CheckHealth(i);
         }
-        all = all && g.up;
+        all = all && gateway.up;
       }
       if (all) {
         return true;
       }
       if (loop_.Now() > until) {
-        result_.broken.emplace_back("a gateway did not come up within 10 s");
-        AddLogs();
+        result_.broken.emplace_back("a gateway did not become healthy within 10 s");
+        AddAllLogs();
         return false;
       }
       loop_.RunOnce(Duration(10'000));
     }
-    throw Interrupted("interrupted; nothing is left running");
+    throw Interrupted("interrupted; all processes were stopped");
   }
 
-  // Until one leads all members of the bank.
-  bool AwaitBank() {
-    bank_->StartHollow([this](size_t i) {
-      const GatewayState& g = gateways_[i];
-      return g.process ? g.process->Measure() : Process::Usage{};
+  // Waits until a leader is connected to all members of the cluster.
+  bool AwaitCluster() {
+    cluster_->StartHollow([this](size_t i) {
+      const GatewayState& gateway = gateways_[i];
+      return gateway.process ? gateway.process->Measure() : Process::Usage{};
     });
-    const Time until = loop_.Now() + kLinkedWithin;
-    while (!bank_->Linked()) {
+    const Time until = loop_.Now() + kClusterFormationTimeout;
+    while (!cluster_->Linked()) {
       if (interrupted_) {
-        throw Interrupted("interrupted; nothing is left running");
+        throw Interrupted("interrupted; all processes were stopped");
       }
       if (loop_.Now() > until) {
-        result_.broken.emplace_back("nobody led all members of the bank within 60 s");
-        AddLogs();
+        result_.broken.emplace_back("no leader was connected to all cluster members within 60 s");
+        AddAllLogs();
         return false;
       }
       loop_.RunOnce(Duration(10'000));
@@ -314,81 +327,82 @@
     return true;
   }
 
-  void AskHealth(size_t i) {
-    GatewayState& g = gateways_[i];
-    g.asked = loop_.Now();
-    g.health = std::make_unique<HealthCall>(loop_, g.address, [this, i](bool good) {
-      GatewayState& at = gateways_[i];
-      at.health.reset();
-      if (good && !std::exchange(at.up, true) && load_) {
-        // The front takes it in again.
-        load_->SetDown(i, false);
-        load_->SetInRotation(i, true);
-      }
-    });
+  void CheckHealth(size_t i) {
+    GatewayState& gateway = gateways_[i];
+    gateway.health_called_at = loop_.Now();
+    gateway.health_call =
+        std::make_unique<HealthCall>(loop_, gateway.address, [this, i](bool succeeded) {
+          GatewayState& state = gateways_[i];
+          state.health_call.reset();
+          if (succeeded && !std::exchange(state.up, true) && load_) {
+            // Clients use it again.
+            load_->SetDown(i, false);
+            load_->SetInRotation(i, true);
+          }
+        });
   }
-  void AskHealth() {
+  void CheckAllHealth() {
     if (finishing_) {
       return;
     }
     for (size_t i = 0; i < gateways_.size(); ++i) {
-      GatewayState& g = gateways_[i];
-      if (g.expected_to_end || g.stopped || !g.process) {
+      GatewayState& gateway = gateways_[i];
+      if (gateway.expected_to_end || gateway.stopped || !gateway.process) {
         continue;
       }
-      if (!g.health) {
-        AskHealth(i);
-      } else if (loop_.Now() - g.asked > kHangAfter + lag_recent_) {
-        Broken(i, fmt::format("gateway {} hangs: no answer to /_health for 3 s", i));
+      if (!gateway.health_call) {
+        CheckHealth(i);
+      } else if (loop_.Now() - gateway.health_called_at > kHealthTimeout + recent_lag_) {
+        ReportBroken(i, fmt::format("gateway {} hangs: no response to /_health for 3 s", i));
         loop_.Stop();
       }
     }
   }
 
-  void Broken(size_t gateway, const std::string& what) {
+  void ReportBroken(size_t gateway, const std::string& what) {
     result_.broken.push_back(
-        fmt::format("{} at {:.1f} s", what, zero_ > Time(0) ? Seconds(Now()) : 0));
-    result_.logs.push_back(
-        fmt::format("gateway {}:\n{}", gateway, TailOf(gateways_[gateway].log_path, kTailLines)));
+        fmt::format("{} at {:.1f} s", what, start_time_ > Time(0) ? Seconds(Now()) : 0));
+    result_.logs.push_back(fmt::format("gateway {}:\n{}", gateway,
+                                       TailOf(gateways_[gateway].log_path, kLogTailLines)));
   }
-  void AddLogs() {
+  void AddAllLogs() {
     for (size_t i = 0; i < gateways_.size(); ++i) {
       result_.logs.push_back(
-          fmt::format("gateway {}:\n{}", i, TailOf(gateways_[i].log_path, kTailLines)));
+          fmt::format("gateway {}:\n{}", i, TailOf(gateways_[i].log_path, kLogTailLines)));
     }
   }
 
-  // ---- The script ---------------------------------------------------------------------------
-  void Script(const Fault& fault) {
-    if (fault.at > e_.length) {
+  // ---- Faults -------------------------------------------------------------------------------
+  void ScheduleFault(const Fault& fault) {
+    if (fault.at > experiment_.length) {
       return;
     }
     const double to = Seconds(fault.at + fault.duration);
     result_.faults.push_back({Seconds(fault.at), to, fault.name, {}});
-    const size_t place = result_.faults.size() - 1;
-    At(fault.at, [this, &fault, place] { Play(fault, place); });
+    const size_t record = result_.faults.size() - 1;
+    RunAt(fault.at, [this, &fault, record] { PlayFault(fault, record); });
   }
 
-  void Play(const Fault& fault, size_t place) {
+  void PlayFault(const Fault& fault, size_t record) {
     switch (fault.kind) {
       case FaultKind::kDiscoverySilent:
         directory_.SetSilent(true);
-        return At(fault.at + fault.duration, [this] { directory_.SetSilent(false); });
+        return RunAt(fault.at + fault.duration, [this] { directory_.SetSilent(false); });
       case FaultKind::kDiscoveryLag:
         directory_.SetLag(fault.discovery_lag);
-        return At(fault.at + fault.duration, [this] { directory_.SetLag(Duration(0)); });
+        return RunAt(fault.at + fault.duration, [this] { directory_.SetLag(Duration(0)); });
       case FaultKind::kDiscoveryMalformed:
         directory_.SetMalformed(true);
-        return At(fault.at + fault.duration, [this] { directory_.SetMalformed(false); });
+        return RunAt(fault.at + fault.duration, [this] { directory_.SetMalformed(false); });
       case FaultKind::kDiscoveryStale:
         directory_.SetStale(true);
-        return At(fault.at + fault.duration, [this] { directory_.SetStale(false); });
+        return RunAt(fault.at + fault.duration, [this] { directory_.SetStale(false); });
       case FaultKind::kDiscoveryMoved:
         directory_.MoveAgents();
         for (size_t i = 0; i < gateways_.size(); ++i) {
           WriteConfig(i);
-          // Both of a hot restart, as only one of them will be left.
-          for (const auto* const process : {&gateways_[i].process, &gateways_[i].next}) {
+          // Both processes of a hot restart, since only one of them will remain.
+          for (const auto* const process : {&gateways_[i].process, &gateways_[i].new_process}) {
             if (*process) {
               (*process)->Signal(SIGHUP);
             }
@@ -405,7 +419,7 @@
       case FaultKind::kLinkSlow:
       case FaultKind::kLinkFlap:
       case FaultKind::kLinkNoise:
-        return bank_->Play(fault);
+        return cluster_->Play(fault);
       case FaultKind::kGatewayQuiesce:
         return PlayQuiesce(fault);
       case FaultKind::kGatewayReload:
@@ -413,7 +427,7 @@
       case FaultKind::kGatewayUpgrade:
         return PlayUpgrade(fault);
       case FaultKind::kGatewayHangup:
-        return PlayHups(fault);
+        return PlayHangups(fault);
       default:
         break;
     }
@@ -422,60 +436,63 @@
     for (const size_t host : chosen) {
       const auto at = std::ranges::find(listed, host, &ListedHost::host_index);
       if (at != listed.end()) {
-        result_.faults[place].hosts.push_back(at->id);
+        result_.faults[record].hosts.push_back(at->id);
       }
     }
     fleet_.BeginFault(fault, chosen);
     if (fault.duration > Duration(0)) {
-      At(fault.at + fault.duration, [this, &fault, chosen] { fleet_.EndFault(fault, chosen); });
+      RunAt(fault.at + fault.duration, [this, &fault, chosen] { fleet_.EndFault(fault, chosen); });
     }
   }
 
-  // The one that is named, or several that the seed draws.
+  // Applies the fault to the gateways named in it, or to as many as it asks for, chosen by the
+  // seed.
   void PlayGateways(const Fault& fault) {
     std::set<size_t> chosen(fault.gateway_list.begin(), fault.gateway_list.end());
     if (!fault.random_gateway_count && chosen.empty()) {
       chosen.insert(fault.gateway);
     }
     while (fault.random_gateway_count && chosen.size() < *fault.random_gateway_count) {
-      chosen.insert(std::uniform_int_distribution<size_t>(0, gateways_.size() - 1)(random_));
+      chosen.insert(
+          std::uniform_int_distribution<size_t>(0, gateways_.size() - 1)(gateway_random_));
     }
     for (const size_t i : chosen) {
       PlayGateway(fault, i);
     }
   }
   void PlayGateway(const Fault& fault, size_t i) {
-    GatewayState& g = gateways_[i];
-    if (!g.process || g.stopped || g.expected_to_end) {
+    GatewayState& gateway = gateways_[i];
+    if (!gateway.process || gateway.stopped || gateway.expected_to_end) {
       return;
     }
     if (fault.kind == FaultKind::kGatewayHang || fault.kind == FaultKind::kGatewayStop) {
-      const bool planned = fault.kind == FaultKind::kGatewayStop;
-      if (planned) {
-        // What it has in hand may be as much later; the front notices and takes it out.
+      const bool is_planned = fault.kind == FaultKind::kGatewayStop;
+      if (is_planned) {
+        // Requests in progress may be delayed by the duration of the stop. Clients notice and stop
+        // using the gateway.
         const size_t stop = StopServing(i, fault.duration);
-        if (fault.duration > kFrontNotices) {
-          loop_.RunAfter(kFrontNotices,
+        if (fault.duration > kFailureDetectionDelay) {
+          loop_.RunAfter(kFailureDetectionDelay,
                          [this, i] { load_->SetInRotation(i, !gateways_[i].stopped); });
         }
-        if (bank_) {
-          bank_->Down(i, true);
+        if (cluster_) {
+          cluster_->Down(i, true);
         }
         loop_.RunAfter(fault.duration, [this, i, stop] {
           stopped_.Continue(stop, Now());
           load_->SetInRotation(i, true);
-          if (bank_) {
-            bank_->Down(i, false);
+          if (cluster_) {
+            cluster_->Down(i, false);
           }
         });
       }
-      g.stopped = true;
-      g.process->Signal(SIGSTOP);
+      gateway.stopped = true;
+      gateway.process->Signal(SIGSTOP);
       loop_.RunAfter(fault.duration, [this, i] {
         gateways_[i].stopped = false;
-        gateways_[i].health.reset();
-        // It may have become the old process of a hot restart meanwhile.
-        for (const auto* const process : {&gateways_[i].process, &gateways_[i].before}) {
+        gateways_[i].health_call.reset();
+        // The process may have become the old one of a hot restart in the meantime.
+        for (const auto* const process : {&gateways_[i].process, &gateways_[i].old_process}) {
           if (*process) {
             (*process)->Signal(SIGCONT);
           }
@@ -483,68 +500,71 @@
       });
       return;
     }
-    g.used = g.process->Measure();
-    g.expected_to_end = true;
+    gateway.usage = gateway.process->Measure();
+    gateway.expected_to_end = true;
     load_->SetDown(i, true);
     if (fault.kind == FaultKind::kGatewayKill) {
       KillServing(i);
-      if (bank_) {
-        bank_->Down(i, true);
+      if (cluster_) {
+        cluster_->Down(i, true);
       }
-      loop_.RunAfter(kFrontNotices, [this, i] { load_->SetInRotation(i, gateways_[i].up); });
+      loop_.RunAfter(kFailureDetectionDelay,
+                     [this, i] { load_->SetInRotation(i, gateways_[i].up); });
     } else {
-      g.process->Signal(SIGTERM);
-      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetInRotation(i, false); });
-      PlaySignalsAfterTerm(fault, i);
+      gateway.process->Signal(SIGTERM);
+      loop_.RunAfter(kRemovalFromRotationDelay, [this, i] { load_->SetInRotation(i, false); });
+      SendSignalsAfterTerm(fault, i);
     }
-    g.up = false;
-    const Duration longest = Longest();
+    gateway.up = false;
+    const Duration longest = LongestDeadline();
     const bool killed = fault.kind == FaultKind::kGatewayKill;
     loop_.RunAfter(fault.downtime, [this, i, killed, disk = fault.disk,
                                     until = loop_.Now() + longest + seconds(1)] {
-      if (bank_ && killed) {
-        bank_->ChangeDisk(i, disk);
-        bank_->Down(i, false);
+      if (cluster_ && killed) {
+        cluster_->ChangeDisk(i, disk);
+        cluster_->Down(i, false);
       }
       Restart(i, until);
     });
   }
 
-  // Stops the process that serves, for so long, and notes what that must cost. The number of the
-  // stop.
-  size_t StopServing(size_t i, Duration lasts) {
-    GatewayState& g = gateways_[i];
-    g.process->Stop();
-    if (!g.next && !g.before) {
-      return stopped_.StopGateway(i, Now(), Now() + lasts);
-    }
-    return stopped_.StopHotRestartProcess(i, Now(), Now() + lasts,
-                                          AcceptedConnections(g.process->pid(), g.address), lasts);
+  // Stops the serving process for `duration` and records the permitted delays. Returns the number
+  // of the stop.
+  size_t StopServing(size_t i, Duration duration) {
+    GatewayState& gateway = gateways_[i];
+    gateway.process->Stop();
+    if (!gateway.new_process && !gateway.old_process) {
+      return stopped_.StopGateway(i, Now(), Now() + duration);
+    }
+    return stopped_.StopHotRestartProcess(
+        i, Now(), Now() + duration, AcceptedConnections(gateway.process->pid(), gateway.address),
+        duration);
   }
-  // Kills the process that serves. What it had accepted ends by that; where it is the only one of
-  // its gateway, also what nobody had accepted.
+  // Kills the serving process. This ends the connections it had accepted and, if it is the only
+  // process of its gateway, also those in the accept queue.
   void KillServing(size_t i) {
-    GatewayState& g = gateways_[i];
-    if (g.next || g.before) {
-      g.process->Stop();
-      load_->MarkConnectionsKilled(i, AcceptedConnections(g.process->pid(), g.address));
-      g.process->Kill();
+    GatewayState& gateway = gateways_[i];
+    if (gateway.new_process || gateway.old_process) {
+      gateway.process->Stop();
+      load_->MarkConnectionsKilled(i, AcceptedConnections(gateway.process->pid(), gateway.address));
+      gateway.process->Kill();
       return;
     }
-    g.process->Kill();
+    gateway.process->Kill();
     load_->MarkAllConnectionsKilled(i);
   }
 
-  // Sends a signal to the present process of a gateway, unless another one has started by then.
+  // Sends a signal to the current process of a gateway, unless another process has started by then.
   void SignalAfter(Duration after, size_t i, int signal) {
-    loop_.RunAfter(after, [this, i, signal, start = gateways_[i].start] {
-      GatewayState& g = gateways_[i];
-      if (!finishing_ && g.process && g.start == start && !g.process->ExitCode()) {
-        g.process->Signal(signal);
+    loop_.RunAfter(after, [this, i, signal, start = gateways_[i].start_number] {
+      GatewayState& gateway = gateways_[i];
+      if (!finishing_ && gateway.process && gateway.start_number == start &&
+          !gateway.process->ExitCode()) {
+        gateway.process->Signal(signal);
       }
     });
   }
-  void PlaySignalsAfterTerm(const Fault& fault, size_t i) {
+  void SendSignalsAfterTerm(const Fault& fault, size_t i) {
     if (fault.second_term_after) {
       SignalAfter(*fault.second_term_after, i, SIGTERM);
     }
@@ -552,83 +572,91 @@
       SignalAfter(*fault.hup_after, i, SIGHUP);
     }
     if (fault.kill_at_earliest) {
-      loop_.RunAfter(Longest() + kKillAllowance, [this, i, start = gateways_[i].start] {
-        GatewayState& g = gateways_[i];
-        if (!finishing_ && g.process && g.start == start) {
-          g.process->Kill();
-        }
-      });
+      loop_.RunAfter(LongestDeadline() + kKillDelayBeyondDeadline,
+                     [this, i, start = gateways_[i].start_number] {
+                       GatewayState& gateway = gateways_[i];
+                       if (!finishing_ && gateway.process && gateway.start_number == start) {
+                         gateway.process->Kill();
+                       }
+                     });
     }
   }
-  void PlayHups(const Fault& fault) {
+  void PlayHangups(const Fault& fault) {
     for (size_t k = 0; k < std::max<size_t>(fault.count, 1); ++k) {
       SignalAfter(static_cast<int64_t>(k) * fault.interval, fault.gateway, SIGHUP);
     }
   }
 
-  // ---- What operators do --------------------------------------------------------------------
-  // A call that has to be answered with yes, again and again until then.
-  void Operate(size_t i, const std::string& call, const Address& to, Time until,
-               std::function<void()> then) {
-    GatewayState& g = gateways_[i];
-    g.operate = std::make_unique<HealthCall>(
-        loop_, to,
-        [this, i, call, to, until, then = std::move(then)](bool good) {
+  // ---- Operator actions ---------------------------------------------------------------------
+  // Repeats an admin call until it succeeds, then runs `on_accepted`. Reports a failure if it has
+  // not succeeded by `until`.
+  void CallUntilAccepted(size_t i, const std::string& call, const Address& address, Time until,
+                         std::function<void()> on_accepted) {
+    GatewayState& gateway = gateways_[i];
+    gateway.admin_call = std::make_unique<HealthCall>(
+        loop_, address,
+        [this, i, call, address, until, then = std::move(on_accepted)](bool succeeded) {
           if (finishing_) {
             return;
           }
-          if (good) {
+          if (succeeded) {
             return then();
           }
-          if (loop_.Now() > until + lag_recent_) {
-            Broken(i, fmt::format("gateway {} gives no yes to {}", i, call));
+          if (loop_.Now() > until + recent_lag_) {
+            ReportBroken(i, fmt::format("gateway {} does not accept {}", i, call));
             return loop_.Stop();
           }
-          loop_.RunAfter(kOperateAgain,
-                         [this, i, call, to, until, then] { Operate(i, call, to, until, then); });
+          loop_.RunAfter(kCallRetryInterval, [this, i, call, address, until, then] {
+            CallUntilAccepted(i, call, address, until, then);
+          });
         },
         call);
   }
 
   void PlayQuiesce(const Fault& fault) {
     const size_t i = fault.gateway;
-    Operate(i, "POST /admin/quiesce", gateways_[i].admin, loop_.Now() + seconds(1), [this, i] {
-      loop_.RunAfter(kFrontTakesOut, [this, i] { load_->SetInRotation(i, false); });
-      loop_.RunAfter(kEmptyWithin, [this, i] {
-        if (const size_t open = load_->OpenConnectionsTo(i); open > 0 && !finishing_) {
-          Broken(i, fmt::format("gateway {} holds {} connections 4 s after quiesce", i, open));
-          loop_.Stop();
-        }
-        GatewayState& g = gateways_[i];
-        g.operate = std::make_unique<HealthCall>(loop_, g.address, [this, i](bool good) {
-          if (!good || finishing_) {
-            return;
-          }
-          Broken(i, fmt::format("gateway {} still wants clients 4 s after quiesce", i));
-          loop_.Stop();
+    CallUntilAccepted(
+        i, "POST /admin/quiesce", gateways_[i].admin_address, loop_.Now() + seconds(1), [this, i] {
+          loop_.RunAfter(kRemovalFromRotationDelay, [this, i] { load_->SetInRotation(i, false); });
+          loop_.RunAfter(kQuiesceTimeout, [this, i] {
+            if (const size_t open = load_->OpenConnectionsTo(i); open > 0 && !finishing_) {
+              ReportBroken(
+                  i, fmt::format("gateway {} still has {} connections 4 s after quiesce", i, open));
+              loop_.Stop();
+            }
+            GatewayState& gateway = gateways_[i];
+            gateway.admin_call =
+                std::make_unique<HealthCall>(loop_, gateway.address, [this, i](bool succeeded) {
+                  if (!succeeded || finishing_) {
+                    return;
+                  }
+                  ReportBroken(
+                      i, fmt::format("gateway {} still reports healthy 4 s after quiesce", i));
+                  loop_.Stop();
+                });
+          });
         });
-      });
-    });
-    loop_.RunAfter(std::max(fault.duration, kEmptyWithin + seconds(1)), [this, i] {
-      const Time until = loop_.Now() + kBackWithin;
-      Operate(i, "POST /admin/resume", gateways_[i].admin, until, [this, i, until] {
-        Operate(i, "GET /_health", gateways_[i].address, until,
-                [this, i] { load_->SetInRotation(i, true); });
-      });
+    loop_.RunAfter(std::max(fault.duration, kQuiesceTimeout + seconds(1)), [this, i] {
+      const Time until = loop_.Now() + kResumeTimeout;
+      CallUntilAccepted(i, "POST /admin/resume", gateways_[i].admin_address, until,
+                        [this, i, until] {
+                          CallUntilAccepted(i, "GET /_health", gateways_[i].address, until,
+                                            [this, i] { load_->SetInRotation(i, true); });
+                        });
     });
   }
 
-  // Half a file first, which changes nothing; then the whole.
+  // Writes an incomplete file first, which must change nothing, and then the complete file.
   void PlayReload(const Fault& fault) {
-    for (GatewayState& g : gateways_) {
-      std::ofstream(g.config_path) << R"({"discovery":"127.0.0.1:1","settings":{"Classes":[)";
-      if (g.process) {
-        g.process->Signal(SIGHUP);
+    for (GatewayState& gateway : gateways_) {
+      std::ofstream(gateway.config_path) << R"({"discovery":"127.0.0.1:1","settings":{"Classes":[)";
+      if (gateway.process) {
+        gateway.process->Signal(SIGHUP);
       }
     }
     loop_.RunAfter(kReloadCompletionDelay, [this, &fault] {
-      std::ranges::find(e_.classes, fault.request_class, &ClassSpec::name)->in_initial_settings =
-          true;
+      std::ranges::find(experiment_.classes, fault.request_class, &ClassSpec::name)
+          ->in_initial_settings = true;
       for (size_t i = 0; i < gateways_.size(); ++i) {
         WriteConfig(i);
         if (gateways_[i].process) {
@@ -638,150 +666,155 @@
     });
   }
 
-  // A second process beside the first; once it says yes, the first is ended.
+  // Starts a second process next to the first. Once it is healthy, the first one gets SIGTERM.
   void PlayUpgrade(const Fault& fault) {
     const size_t i = fault.gateway;
-    GatewayState& g = gateways_[i];
-    if (!g.process || g.next || g.before) {
+    GatewayState& gateway = gateways_[i];
+    if (!gateway.process || gateway.new_process || gateway.old_process) {
       return;
     }
     WriteConfig(i);
-    ++starts_;
-    const Address admin = g.admin;
-    g.next = Run(i);
-    g.next_fails = fault.upgrade_outcome != UpgradeOutcome::kTakesOver;
-    if (g.next_fails) {
-      g.admin = admin;
-      loop_.RunAfter(fault.upgrade_outcome_delay, [this, &fault] { PlayFate(fault); });
+    ++process_starts_;
+    const Address admin = gateway.admin_address;
+    gateway.new_process = StartProcess(i);
+    gateway.new_process_fails = fault.upgrade_outcome != UpgradeOutcome::kTakesOver;
+    if (gateway.new_process_fails) {
+      gateway.admin_address = admin;
+      loop_.RunAfter(fault.upgrade_outcome_delay, [this, &fault] { PlayUpgradeOutcome(fault); });
       return;
     }
-    Operate(i, "GET /admin/health", g.admin, loop_.Now() + kNewWithin, [this, i] {
-      GatewayState& now = gateways_[i];
-      now.cpu_before += now.process->Measure().cpu_us;
-      now.before = std::exchange(now.process, std::move(now.next));
-      now.start = ++starts_;
-      now.before->Signal(SIGTERM);
-      AwaitEnd(i, &GatewayState::before, "old", loop_.Now() + Longest() + seconds(1));
-    });
+    CallUntilAccepted(
+        i, "GET /admin/health", gateway.admin_address, loop_.Now() + kNewProcessTimeout, [this, i] {
+          GatewayState& state = gateways_[i];
+          state.previous_cpu_us += state.process->Measure().cpu_us;
+          state.old_process = std::exchange(state.process, std::move(state.new_process));
+          state.start_number = ++process_starts_;
+          state.old_process->Signal(SIGTERM);
+          AwaitExit(i, &GatewayState::old_process, "old",
+                    loop_.Now() + LongestDeadline() + seconds(1));
+        });
   }
-  // The new process of an upgrade is killed or stopped, whatever it has reached. What it had
-  // accepted is lost to its killing alone; what it holds while it is stopped may be later, and what
-  // waits in the queue until the old process serves again. The old process is judged throughout.
-  void PlayFate(const Fault& fault) {
+  // Kills or stops the new process of a hot restart, whatever state it has reached. Killing it
+  // loses only the connections it had accepted. While it is stopped, requests on those connections
+  // may be delayed, and queued connections may wait until the old process serves again. The old
+  // process is judged throughout.
+  void PlayUpgradeOutcome(const Fault& fault) {
     const size_t i = fault.gateway;
-    GatewayState& g = gateways_[i];
-    if (finishing_ || !g.next) {
+    GatewayState& gateway = gateways_[i];
+    if (finishing_ || !gateway.new_process) {
       return;
     }
-    if (const auto code = g.next->ExitCode()) {
-      Broken(i, fmt::format("gateway {}: the new process ended with {} by itself", i, *code));
+    if (const auto code = gateway.new_process->ExitCode()) {
+      ReportBroken(i,
+                   fmt::format("gateway {}: the new process exited with {} by itself", i, *code));
       return loop_.Stop();
     }
-    g.health.reset();
-    g.next->Stop();
-    std::vector<Address> accepted = AcceptedConnections(g.next->pid(), g.address);
+    gateway.health_call.reset();
+    gateway.new_process->Stop();
+    std::vector<Address> accepted =
+        AcceptedConnections(gateway.new_process->pid(), gateway.address);
     if (fault.upgrade_outcome == UpgradeOutcome::kKilled) {
       load_->MarkConnectionsKilled(i, accepted);
-      g.next->Kill();
-      return AwaitEnd(i, &GatewayState::next, "new", loop_.Now() + seconds(1));
+      gateway.new_process->Kill();
+      return AwaitExit(i, &GatewayState::new_process, "new", loop_.Now() + seconds(1));
     }
-    const Duration lasts = std::max(fault.duration, kRevokedWithin);
-    const size_t stop = stopped_.StopHotRestartProcess(i, Now(), Now() + lasts, std::move(accepted),
-                                                       kRevokedWithin);
-    loop_.RunAfter(lasts, [this, i, stop] {
+    const Duration stop_duration = std::max(fault.duration, kOldProcessResumeTimeout);
+    const size_t stop = stopped_.StopHotRestartProcess(
+        i, Now(), Now() + stop_duration, std::move(accepted), kOldProcessResumeTimeout);
+    loop_.RunAfter(stop_duration, [this, i, stop] {
       stopped_.Continue(stop, Now());
-      GatewayState& now = gateways_[i];
-      if (finishing_ || !now.next) {
+      GatewayState& state = gateways_[i];
+      if (finishing_ || !state.new_process) {
         return;
       }
-      now.next->Signal(SIGCONT);
-      now.next->Signal(SIGTERM);
-      AwaitEnd(i, &GatewayState::next, "new", loop_.Now() + Longest() + seconds(1));
+      state.new_process->Signal(SIGCONT);
+      state.new_process->Signal(SIGTERM);
+      AwaitExit(i, &GatewayState::new_process, "new", loop_.Now() + LongestDeadline() + seconds(1));
     });
   }
-  // One of the two processes of a hot restart has to end by `until`, with 0 unless the lab killed
-  // it.
-  void AwaitEnd(size_t i, std::unique_ptr<Process> GatewayState::*which, std::string_view role,
-                Time until) {
+  // Requires that a process of a hot restart exits by `until`, with 0 unless the lab killed it.
+  void AwaitExit(size_t i, std::unique_ptr<Process> GatewayState::*which, std::string_view role,
+                 Time until) {
     std::unique_ptr<Process>& process = gateways_[i].*which;
     if (finishing_ || !process) {
       return;
     }
     const auto code = process->ExitCode();
     if (!code && loop_.Now() <= until) {
-      loop_.RunAfter(kOperateAgain,
-                     [this, i, which, role, until] { AwaitEnd(i, which, role, until); });
+      loop_.RunAfter(kCallRetryInterval,
+                     [this, i, which, role, until] { AwaitExit(i, which, role, until); });
       return;
     }
     if (!code) {
-      Broken(i, fmt::format("gateway {}: the {} process did not end", i, role));
-    } else if (!IsEndAsItShould(*process, *code)) {
-      Broken(i, fmt::format("gateway {}: the {} process ended with {}", i, role, *code));
+      ReportBroken(i, fmt::format("gateway {}: the {} process did not exit", i, role));
+    } else if (!IsExpectedExit(*process, *code)) {
+      ReportBroken(i, fmt::format("gateway {}: the {} process exited with {}", i, role, *code));
     }
     process.reset();
   }
-  // After SIGTERM a process leaves with 0; killed by the lab, with what SIGKILL gives.
-  static bool IsEndAsItShould(const Process& process, int code) {
+  // A process exits with 0 after SIGTERM; one killed by the lab ends by SIGKILL.
+  static bool IsExpectedExit(const Process& process, int code) {
     return code == 0 || (process.killed() && code == 128 + SIGKILL);
   }
 
   void Restart(size_t i, Time until) {
-    GatewayState& g = gateways_[i];
-    if (!g.process->ExitCode()) {
+    GatewayState& gateway = gateways_[i];
+    if (!gateway.process->ExitCode()) {
       if (loop_.Now() > until) {
-        Broken(i, fmt::format("gateway {} did not end after SIGTERM", i));
+        ReportBroken(i, fmt::format("gateway {} did not exit after SIGTERM", i));
         return loop_.Stop();
       }
       loop_.RunAfter(Duration(50'000), [this, i, until] { Restart(i, until); });
       return;
     }
-    CheckEnd(i);
-    g.cpu_before += g.used.cpu_us;
+    CheckExitCode(i);
+    gateway.previous_cpu_us += gateway.usage.cpu_us;
     StartGateway(i);
   }
 
-  void CheckEnd(size_t i) {
+  void CheckExitCode(size_t i) {
     Process& process = *gateways_[i].process;
     const int code = process.ExitCode().value_or(0);
-    if (!IsEndAsItShould(process, code)) {
-      Broken(i, fmt::format("gateway {} ended with {}", i, code));
+    if (!IsExpectedExit(process, code)) {
+      ReportBroken(i, fmt::format("gateway {} exited with {}", i, code));
     }
   }
 
-  [[nodiscard]] Duration Longest() const {
+  [[nodiscard]] Duration LongestDeadline() const {
     Duration longest{0};
-    for (const ClassSpec& c : e_.classes) {
-      longest = std::max(longest, c.rules.deadline);
+    for (const ClassSpec& request_class : experiment_.classes) {
+      longest = std::max(longest, request_class.rules.deadline);
     }
     return longest;
   }
 
-  // ---- What is looked at --------------------------------------------------------------------
+  // ---- Monitoring ---------------------------------------------------------------------------
   void MeasureLag() {
     const Duration late = std::max(Duration(0), loop_.Now() - lag_due_);
-    lags_.push_back(static_cast<uint32_t>(late.count()));
-    lag_max_ = std::max(lag_max_, late);
-    recent_.emplace_back(loop_.Now(), late);
-    while (loop_.Now() - recent_.front().first > kLagSpan) {
-      recent_.pop_front();
-    }
-    lag_recent_ = Duration(0);
-    for (const auto& [at, lag] : recent_) {
-      lag_recent_ = std::max(lag_recent_, lag);
-    }
-    lag_due_ = loop_.Now() + kLagEvery;
-    loop_.RunAfter(kLagEvery, [this] { MeasureLag(); });
+    all_lags_us_.push_back(static_cast<uint32_t>(late.count()));
+    max_lag_ = std::max(max_lag_, late);
+    recent_lags_.emplace_back(loop_.Now(), late);
+    while (loop_.Now() - recent_lags_.front().first > kLagWindow) {
+      recent_lags_.pop_front();
+    }
+    recent_lag_ = Duration(0);
+    for (const auto& [at, lag] : recent_lags_) {
+      recent_lag_ = std::max(recent_lag_, lag);
+    }
+    lag_due_ = loop_.Now() + kLagSampleInterval;
+    loop_.RunAfter(kLagSampleInterval, [this] { MeasureLag(); });
   }
 
-  // Looks at the queues of gateways whose new process is stopped, and at what each process has of
-  // the processors; a first breach is told beside that.
+  // Samples the accept queues of gateways in whose hot restart a process is stopped, and the
+  // processor time of each gateway process. At the first breach, keeps a description of the
+  // processor times.
   void WatchProcesses() {
     for (size_t i = 0; i < gateways_.size(); ++i) {
-      const GatewayState& g = gateways_[i];
+      const GatewayState& gateway = gateways_[i];
       if (stopped_.WatchesQueue(i, Now())) {
         stopped_.RecordQueued(i, Now(), QueuedConnections(i));
       }
-      for (const GatewayProcess& running : ProcessesOf(g)) {
+      for (const GatewayProcess& running : ProcessesOf(gateway)) {
         processor_time_.Sample(Now(), fmt::format("gateway {}{}", i, running.role),
                                running.process->pid());
       }
@@ -792,127 +825,134 @@
       processors_at_breach_ = processor_time_.Describe();
     }
   }
-  // Those that there are, each with its role in a hot restart as told behind the gateway's number.
+  // The running processes of a gateway, each with its role in a hot restart for use in messages.
   struct GatewayProcess {
     std::string_view role;
     const Process* process;
   };
-  static std::vector<GatewayProcess> ProcessesOf(const GatewayState& g) {
-    std::vector<GatewayProcess> processes = {
-        {"", g.process.get()}, {", new process", g.next.get()}, {", old process", g.before.get()}};
+  static std::vector<GatewayProcess> ProcessesOf(const GatewayState& gateway) {
+    std::vector<GatewayProcess> processes = {{"", gateway.process.get()},
+                                             {", new process", gateway.new_process.get()},
+                                             {", old process", gateway.old_process.get()}};
     std::erase_if(processes, [](const GatewayProcess& each) { return each.process == nullptr; });
     return processes;
   }
-  // The clients' ends of the connections to a gateway that none of its processes has accepted.
+  // The client addresses of the connections to a gateway that none of its processes has accepted.
   [[nodiscard]] std::vector<Address> QueuedConnections(size_t i) const {
-    const GatewayState& g = gateways_[i];
+    const GatewayState& gateway = gateways_[i];
     std::vector<Address> queued = load_->ClientAddressesOf(i);
-    for (const GatewayProcess& running : ProcessesOf(g)) {
-      const std::vector<Address> accepted = AcceptedConnections(running.process->pid(), g.address);
+    for (const GatewayProcess& running : ProcessesOf(gateway)) {
+      const std::vector<Address> accepted =
+          AcceptedConnections(running.process->pid(), gateway.address);
       std::erase_if(queued, [&](const Address& client) {
         return std::ranges::find(accepted, client) != accepted.end();
       });
     }
     return queued;
   }
-  // Where a try's connection is, so that a gateway that did not accept is told from one that did
-  // not answer. Empty once the looks have taken too long: a breach must not cost the verdict.
-  std::string DescribeConnection(size_t n) {
-    const auto client = load_->ClientAddressOf(n);
-    if (!client || options_.straight || looking_for_connections_ > kMaxLookingForConnections) {
+  // Describes where the connection of an attempt is, to distinguish a gateway that did not accept
+  // it from one that did not respond. Returns an empty string once the lookups have taken too long,
+  // since they delay the lab and could void the verdict.
+  std::string DescribeConnection(size_t attempt) {
+    const auto client = load_->ClientAddressOf(attempt);
+    if (!client || options_.straight || connection_lookup_time_ > kMaxConnectionLookupTime) {
       return "";
     }
-    const Time begun = loop_.Now();
-    std::string holder = DescribeHolder(ledger_.GatewayOf(n), *client);
-    looking_for_connections_ += loop_.Now() - begun;
+    const Time started_at = loop_.Now();
+    std::string holder = DescribeHolder(ledger_.GatewayOf(attempt), *client);
+    connection_lookup_time_ += loop_.Now() - started_at;
     return holder;
   }
-  // Who has the connection of this client to a gateway.
+  // Describes which process has accepted the connection of this client to a gateway.
   [[nodiscard]] std::string DescribeHolder(size_t i, const Address& client) const {
-    const GatewayState& g = gateways_[i];
-    for (const GatewayProcess& running : ProcessesOf(g)) {
-      const std::vector<Address> accepted = AcceptedConnections(running.process->pid(), g.address);
+    const GatewayState& gateway = gateways_[i];
+    for (const GatewayProcess& running : ProcessesOf(gateway)) {
+      const std::vector<Address> accepted =
+          AcceptedConnections(running.process->pid(), gateway.address);
       if (std::ranges::find(accepted, client) != accepted.end()) {
         return fmt::format("held by gateway {}{}", i, running.role);
       }
     }
     return "in the accept queue";
   }
-  // What the script's stops delay a try by.
-  [[nodiscard]] std::optional<Ledger::Delay> DelayOf(size_t n) const {
-    const auto client = load_->ClientAddressOf(n);
-    return client ? stopped_.DelayOf(ledger_.GatewayOf(n), *client, ledger_.SentAt(n),
-                                     ledger_.DeadlineOf(n))
+  // The delay of an attempt that is permitted because the lab stopped processes.
+  [[nodiscard]] std::optional<Ledger::Delay> StopDelayOf(size_t attempt) const {
+    const auto client = load_->ClientAddressOf(attempt);
+    return client ? stopped_.DelayOf(ledger_.GatewayOf(attempt), *client, ledger_.SentAt(attempt),
+                                     ledger_.DeadlineOf(attempt))
                   : std::nullopt;
   }
 
-  void Look() {
+  void CheckProgress() {
     if (finishing_) {
       return;
     }
     const Time now = Now();
-    ledger_.Advance(now, lag_recent_);
+    ledger_.Advance(now, recent_lag_);
     for (size_t i = 0; i < gateways_.size(); ++i) {
-      GatewayState& g = gateways_[i];
-      if (g.next && !g.next_fails && g.next->ExitCode()) {
-        Broken(i, fmt::format("gateway {}: the new process ended with {}", i, *g.next->ExitCode()));
+      GatewayState& gateway = gateways_[i];
+      if (gateway.new_process && !gateway.new_process_fails && gateway.new_process->ExitCode()) {
+        ReportBroken(i, fmt::format("gateway {}: the new process exited with {}", i,
+                                    *gateway.new_process->ExitCode()));
         return loop_.Stop();
       }
-      if (g.expected_to_end || !g.process) {
+      if (gateway.expected_to_end || !gateway.process) {
         continue;
       }
-      if (const auto code = g.process->ExitCode()) {
-        Broken(i, fmt::format("gateway {} crashed with {}", i, *code));
+      if (const auto code = gateway.process->ExitCode()) {
+        ReportBroken(i, fmt::format("gateway {} crashed with {}", i, *code));
         return loop_.Stop();
       }
     }
-    const Time last = e_.length + Longest() + kEndSpare;
-    if ((now >= e_.length && load_->finished()) || now > last) {
+    const Time last = experiment_.length + LongestDeadline() + kEndMargin;
+    if ((now >= experiment_.length && load_->finished()) || now > last) {
       loop_.Stop();
     }
   }
 
-  void Sample() {
+  void SampleUsage() {
     const Time now = Now();
     double cpu = 0;
     uint64_t rss = 0, descriptors = 0;
-    for (GatewayState& g : gateways_) {
-      // One that is not up may still be this program, with the lab's own descriptors.
-      if (g.process && g.up && !g.process->ExitCode() && !g.expected_to_end) {
-        g.used = g.process->Measure();
+    for (GatewayState& gateway : gateways_) {
+      // Before exec, a child process still has the lab's own descriptors.
+      if (gateway.process && gateway.up && !gateway.process->ExitCode() &&
+          !gateway.expected_to_end) {
+        gateway.usage = gateway.process->Measure();
       }
-      cpu += g.cpu_before + g.used.cpu_us;
-      rss += g.used.rss_kb;
-      descriptors += g.used.descriptors;
-      result_.rss_kb_max = std::max(result_.rss_kb_max, g.used.rss_kb);
-      result_.descriptors_max = std::max(result_.descriptors_max, g.used.descriptors);
+      cpu += gateway.previous_cpu_us + gateway.usage.cpu_us;
+      rss += gateway.usage.rss_kb;
+      descriptors += gateway.usage.descriptors;
+      result_.rss_kb_max = std::max(result_.rss_kb_max, gateway.usage.rss_kb);
+      result_.descriptors_max = std::max(result_.descriptors_max, gateway.usage.descriptors);
     }
-    StopAtBounds();
+    StopAtResourceLimits();
     const auto second = static_cast<size_t>(now.count() / 1'000'000);
     if (second >= samples_.size()) {
       samples_.resize(second + 1);
     }
-    WindowResult& w = samples_[second];
-    w.rss_kb = std::max(w.rss_kb, rss);
-    w.descriptors = std::max(w.descriptors, descriptors);
-    w.inflight = fleet_.InFlight();
-    cpu_at_.resize(samples_.size(), cpu);
-    cpu_at_[second] = cpu;
+    WindowResult& window = samples_[second];
+    window.rss_kb = std::max(window.rss_kb, rss);
+    window.descriptors = std::max(window.descriptors, descriptors);
+    window.inflight = fleet_.InFlight();
+    cpu_us_by_second_.resize(samples_.size(), cpu);
+    cpu_us_by_second_[second] = cpu;
   }
 
-  // A gateway that leaks is stopped before it takes the machine with it.
-  void StopAtBounds() {
+  // Ends the run if a gateway exceeds its memory or descriptor limit, before a leak exhausts the
+  // machine.
+  void StopAtResourceLimits() {
     if (finishing_) {
       return;
     }
     for (size_t i = 0; i < gateways_.size(); ++i) {
-      const Process::Usage& used = gateways_[i].used;
+      const Process::Usage& used = gateways_[i].usage;
       const double mb = static_cast<double>(used.rss_kb) / 1024;
       const auto open = static_cast<double>(used.descriptors);
-      if (mb > e_.requirements.max_rss_mb.value_or(mb)) {
-        Broken(i, fmt::format("gateway {} holds {:.0f} MB", i, mb));
-      } else if (open > e_.requirements.max_descriptors.value_or(open)) {
-        Broken(i, fmt::format("gateway {} holds {:.0f} descriptors", i, open));
+      if (mb > experiment_.requirements.max_rss_mb.value_or(mb)) {
+        ReportBroken(i, fmt::format("gateway {} uses {:.0f} MB", i, mb));
+      } else if (open > experiment_.requirements.max_descriptors.value_or(open)) {
+        ReportBroken(i, fmt::format("gateway {} uses {:.0f} descriptors", i, open));
       } else {
         continue;
       }
@@ -924,90 +964,91 @@
     rusage own{};
     getrusage(RUSAGE_SELF, &own);
     const Time now = Now();
-    if (zero_ > Time(0)) {
-      ledger_.Advance(now, lag_recent_);
-      Sample();
+    if (start_time_ > Time(0)) {
+      ledger_.Advance(now, recent_lag_);
+      SampleUsage();
     }
     double cpu = 0;
-    for (GatewayState& g : gateways_) {
-      cpu += g.cpu_before + g.used.cpu_us;
+    for (GatewayState& gateway : gateways_) {
+      cpu += gateway.previous_cpu_us + gateway.usage.cpu_us;
     }
-    if (bank_ && zero_ > Time(0)) {
-      result_.bank = bank_->Finish(now);
-      result_.scale = bank_->FinishScale();
+    if (cluster_ && start_time_ > Time(0)) {
+      result_.bank = cluster_->Finish(now);
+      result_.scale = cluster_->FinishScale();
     }
     StopGateways();
-    Result& r = result_;
-    r.experiment = e_.name;
-    r.about = e_.about;
-    r.path = e_.path;
-    r.seed = seed_;
-    r.seconds = Seconds(e_.length);
-    r.hosts = e_.host_count();
-    r.gateways = options_.straight ? 0 : e_.gateway.count;
-    r.counts = ledger_.counts();
+    Result& result = result_;
+    result.experiment = experiment_.name;
+    result.about = experiment_.about;
+    result.path = experiment_.path;
+    result.seed = seed_;
+    result.seconds = Seconds(experiment_.length);
+    result.hosts = experiment_.host_count();
+    result.gateways = options_.straight ? 0 : experiment_.gateway.count;
+    result.counts = ledger_.counts();
     if (load_) {
-      const Load::Counts& l = load_->counts();
-      r.arrivals_digest = load_->digest();
-      r.client_connections = l.connections;
-      r.client_connections_most = l.max_open;
-      r.no_gateway = l.no_gateway;
-      r.bad_sent = l.bad_sent;
-      r.bad_unanswered = l.bad_unanswered;
-      r.bad_served = l.bad_served;
-      if (l.over_connection_limit > 0) {
-        r.late.push_back(
-            fmt::format("the lab had no connection left for {} tries", l.over_connection_limit));
+      const Load::Counts& load_counts = load_->counts();
+      result.arrivals_digest = load_->digest();
+      result.client_connections = load_counts.connections;
+      result.client_connections_most = load_counts.max_open;
+      result.no_gateway = load_counts.no_gateway;
+      result.bad_sent = load_counts.bad_sent;
+      result.bad_unanswered = load_counts.bad_unanswered;
+      result.bad_served = load_counts.bad_served;
+      if (load_counts.over_connection_limit > 0) {
+        result.late.push_back(fmt::format("the lab had no connection left for {} attempts",
+                                          load_counts.over_connection_limit));
       }
-      r.cpu_us_per_request =
-          r.counts.attempts > 0 ? cpu / static_cast<double>(r.counts.attempts) : 0;
-      r.lab_cpu_share =
-          (CpuUs(own) - lab_cpu_before_) / std::max(1.0, static_cast<double>(now.count()));
+      result.cpu_us_per_request =
+          result.counts.attempts > 0 ? cpu / static_cast<double>(result.counts.attempts) : 0;
+      result.lab_cpu_share =
+          (CpuUs(own) - lab_cpu_at_start_us_) / std::max(1.0, static_cast<double>(now.count()));
     }
     std::vector<uint32_t> latencies;
-    for (const Ledger::Window& w : ledger_.windows()) {
-      latencies.insert(latencies.end(), w.latency_us.begin(), w.latency_us.end());
-    }
-    r.p50_us = Quantile(latencies, 0.5);
-    r.p99_us = Quantile(latencies, 0.99);
-    r.p999_us = Quantile(latencies, 0.999);
-    r.lab_lag_ms_max = Seconds(lag_max_) * 1000;
-    r.lab_lag_ms_p99 = Quantile(lags_, 0.99) / 1000.0;
+    for (const Ledger::Window& window : ledger_.windows()) {
+      latencies.insert(latencies.end(), window.latency_us.begin(), window.latency_us.end());
+    }
+    result.p50_us = Quantile(latencies, 0.5);
+    result.p99_us = Quantile(latencies, 0.99);
+    result.p999_us = Quantile(latencies, 0.999);
+    result.lab_lag_ms_max = Seconds(max_lag_) * 1000;
+    result.lab_lag_ms_p99 = Quantile(all_lags_us_, 0.99) / 1000.0;
     FillWindows();
-    if (r.broken.empty() && ledger_.broken()) {
-      AddLogs();
+    if (result.broken.empty() && ledger_.broken()) {
+      AddAllLogs();
     }
     if (!processors_at_breach_.empty()) {
-      r.logs.push_back("at the first breach:\n" + processors_at_breach_);
+      result.logs.push_back("at the first breach:\n" + processors_at_breach_);
     }
-    Judge(e_, ledger_.breaches(), r);
-    return std::move(r);
+    Judge(experiment_, ledger_.breaches(), result);
+    return std::move(result);
   }
 
   void FillWindows() {
-    const auto& counted = ledger_.windows();
-    const auto end = static_cast<size_t>(Seconds(e_.length) + 0.999);
-    uint64_t middle = 0, last = 0;
-    for (size_t i = 0; i < std::min(end, std::max(counted.size(), samples_.size())); ++i) {
-      WindowResult w = i < samples_.size() ? samples_[i] : WindowResult{};
-      w.at_s = static_cast<double>(i);
-      if (i < counted.size()) {
-        w.counts = counted[i];
-        w.p50_us = Quantile(w.counts.latency_us, 0.5);
-        w.p99_us = Quantile(w.counts.latency_us, 0.99);
-        w.counts.latency_us.clear();
+    const auto& ledger_windows = ledger_.windows();
+    const auto end = static_cast<size_t>(Seconds(experiment_.length) + 0.999);
+    uint64_t middle_rss_kb = 0, last_rss_kb = 0;
+    for (size_t i = 0; i < std::min(end, std::max(ledger_windows.size(), samples_.size())); ++i) {
+      WindowResult window = i < samples_.size() ? samples_[i] : WindowResult{};
+      window.at_s = static_cast<double>(i);
+      if (i < ledger_windows.size()) {
+        window.counts = ledger_windows[i];
+        window.p50_us = Quantile(window.counts.latency_us, 0.5);
+        window.p99_us = Quantile(window.counts.latency_us, 0.99);
+        window.counts.latency_us.clear();
       }
-      const double before = i > 0 && i - 1 < cpu_at_.size() ? cpu_at_[i - 1] : 0;
-      if (i < cpu_at_.size()) {
-        w.cpu_share = std::max(0.0, cpu_at_[i] - before) / 1e6;
+      const double previous_cpu_us =
+          i > 0 && i - 1 < cpu_us_by_second_.size() ? cpu_us_by_second_[i - 1] : 0;
+      if (i < cpu_us_by_second_.size()) {
+        window.cpu_share = std::max(0.0, cpu_us_by_second_[i] - previous_cpu_us) / 1e6;
       }
       if (i * 4 >= end && i * 2 < end) {
-        middle = std::max(middle, w.rss_kb);
+        middle_rss_kb = std::max(middle_rss_kb, window.rss_kb);
       }
       if (i * 4 >= end * 3) {
-        last = std::max(last, w.rss_kb);
+        last_rss_kb = std::max(last_rss_kb, window.rss_kb);
       }
-      result_.windows.push_back(std::move(w));
+      result_.windows.push_back(std::move(window));
     }
     constexpr size_t kSpan = 10;
     const auto& all = result_.windows;
@@ -1022,36 +1063,37 @@
         result_.worst_10s = std::min(result_.worst_10s, served / asked);
       }
     }
-    result_.rss_kb_growth = last > middle ? last - middle : 0;
+    result_.rss_kb_growth = last_rss_kb > middle_rss_kb ? last_rss_kb - middle_rss_kb : 0;
   }
 
   void StopGateways() {
     finishing_ = true;
-    for (GatewayState& g : gateways_) {
-      if (g.process) {
-        g.process->Signal(SIGCONT);
-        g.process->Signal(SIGTERM);
+    for (GatewayState& gateway : gateways_) {
+      if (gateway.process) {
+        gateway.process->Signal(SIGCONT);
+        gateway.process->Signal(SIGTERM);
       }
     }
-    const Time until = loop_.Now() + Longest() + seconds(3);
+    const Time until = loop_.Now() + LongestDeadline() + seconds(3);
     for (size_t i = 0; i < gateways_.size(); ++i) {
-      GatewayState& g = gateways_[i];
-      // The stand-ins go on meanwhile: a host that answers nobody would keep a gateway waiting.
-      while (g.process && !g.process->ExitCode() && loop_.Now() < until) {
+      GatewayState& gateway = gateways_[i];
+      // Hosts keep running meanwhile: a host that does not respond would delay the exit of a
+      // gateway.
+      while (gateway.process && !gateway.process->ExitCode() && loop_.Now() < until) {
         loop_.RunOnce(Duration(10'000));
       }
-      if (!g.process || !result_.broken.empty()) {
+      if (!gateway.process || !result_.broken.empty()) {
         continue;
       }
-      if (!g.process->ExitCode()) {
-        Broken(i, fmt::format("gateway {} did not end after SIGTERM", i));
+      if (!gateway.process->ExitCode()) {
+        ReportBroken(i, fmt::format("gateway {} did not exit after SIGTERM", i));
       } else {
-        CheckEnd(i);
+        CheckExitCode(i);
       }
     }
   }
 
-  Experiment e_;
+  Experiment experiment_;
   RunOptions options_;
   uint64_t seed_;
   EventLoop loop_;
@@ -1061,36 +1103,37 @@
   SignalWatch signals_;
   TemporaryDirectory folder_;
   std::deque<GatewayState> gateways_;
-  std::unique_ptr<BankLab> bank_;
+  std::unique_ptr<BankLab> cluster_;
   std::unique_ptr<Load> load_;
   StoppedProcesses stopped_;
   ProcessorTime processor_time_;
   std::string processors_at_breach_;
-  Duration looking_for_connections_{0};  // of lost requests, so far
-  std::mt19937_64 random_;               // of the gateways that a fault befalls
+  Duration connection_lookup_time_{0};  // for lost requests, so far
+  std::mt19937_64 gateway_random_;      // chooses the gateways of a fault
   Result result_;
-  Time zero_{0};
-  uint64_t starts_ = 0;
+  Time start_time_{0};
+  uint64_t process_starts_ = 0;
   bool interrupted_ = false, finishing_ = false;
-  double lab_cpu_before_ = 0;
+  double lab_cpu_at_start_us_ = 0;
   Time lag_due_{0};
-  Duration lag_max_{0}, lag_recent_{0};
-  std::deque<std::pair<Time, Duration>> recent_;
-  std::vector<uint32_t> lags_;
+  Duration max_lag_{0}, recent_lag_{0};
+  std::deque<std::pair<Time, Duration>> recent_lags_;
+  std::vector<uint32_t> all_lags_us_;
   std::vector<WindowResult> samples_;
-  std::vector<double> cpu_at_;
+  std::vector<double> cpu_us_by_second_;
 };
 
 }  // namespace
 
-Result RunExperiment(Experiment e, const RunOptions& options) {
+Result RunExperiment(Experiment experiment, const RunOptions& options) {
   if (options.seconds) {
-    e.length = Duration(static_cast<int64_t>(*options.seconds * 1e6));
-    std::erase_if(e.faults, [&](const Fault& f) { return f.at >= e.length; });
-    std::erase_if(e.requirements.windows,
-                  [&](const WindowRequirement& w) { return w.to > e.length; });
+    experiment.length = Duration(static_cast<int64_t>(*options.seconds * 1e6));
+    std::erase_if(experiment.faults,
+                  [&](const Fault& fault) { return fault.at >= experiment.length; });
+    std::erase_if(experiment.requirements.windows,
+                  [&](const WindowRequirement& window) { return window.to > experiment.length; });
   }
-  Runner runner(std::move(e), options);
+  Runner runner(std::move(experiment), options);
   return runner.Run();
 }
 
--- a/src/lab/runner.h
+++ b/src/lab/runner.h
@@ -1,4 +1,5 @@
-// Plays one experiment on sockets: the stand-ins in this thread, each gateway a process of its own.
+// Runs an experiment on real sockets. Hosts, discovery and clients are emulated in this thread;
+// each gateway is a separate process.
 #ifndef PADDLESTILE_LAB_RUNNER_H_
 #define PADDLESTILE_LAB_RUNNER_H_
 
@@ -14,21 +15,21 @@
 namespace paddlestile::lab {
 
 struct RunOptions {
-  std::optional<uint64_t> seed;      // else the file's
-  std::optional<double> seconds;     // else the file's; what the script has later is left out
-  std::vector<std::string> gateway;  // the words that start one; empty: this program
-  std::string logs;                  // a folder to keep the gateways' logs in; empty: none is kept
-  bool straight = false;             // no gateway: each client goes to hosts by turns
+  std::optional<uint64_t> seed;      // default: the file's
+  std::optional<double> seconds;     // default: the file's; faults after the end are omitted
+  std::vector<std::string> gateway;  // command line of a gateway; empty: this program
+  std::string logs;                  // directory for the gateways' logs; empty: not kept
+  bool straight = false;             // no gateways: clients connect directly to the hosts, in turn
 };
 
-// Ctrl-C, or SIGTERM: nothing is left running.
+// Thrown after SIGINT or SIGTERM. All child processes have been ended.
 class Interrupted : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Throws ExperimentError, Interrupted, or std::system_error where the machine gives no address or
-// process.
+// Throws ExperimentError, Interrupted, or std::system_error if an address or a process is not
+// available.
 Result RunExperiment(Experiment experiment, const RunOptions& options);
 
 }  // namespace paddlestile::lab
--- a/tests/lab/run_test.cpp
+++ b/tests/lab/run_test.cpp
@@ -1,5 +1,5 @@
-// `paddlestile lab run` from outside: the rule-breaking gateway must be found out on every count,
-// an honest one must not, and bad input gets one plain line.
+// `paddlestile lab run` as a command: it detects each fault of the faulty gateway, reports none for
+// a correct gateway, and prints one line for invalid input.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -21,21 +21,21 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-struct Ran {
+struct ShellResult {
   int code = -1;
-  std::string text;  // both its outputs
+  std::string text;  // stdout and stderr
 };
 
-Ran Shell(const std::string& command) {
-  Ran ran;
-  FILE* const pipe = popen((command + " 2>&1").c_str(), "r");  // NOLINT: a fixed program
+ShellResult RunShell(const std::string& command) {
+  ShellResult result;
+  FILE* const pipe = popen((command + " 2>&1").c_str(), "r");  // NOLINT: the command is fixed
   std::array<char, 4096> part{};
   while (fgets(part.data(), part.size(), pipe) != nullptr) {
-    ran.text += part.data();
+    result.text += part.data();
   }
   const int status = pclose(pipe);
-  ran.code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-  return ran;
+  result.code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+  return result;
 }
 
 class LabRun : public ::testing::Test {
@@ -43,16 +43,16 @@
   LabRun() : json_(::testing::TempDir() + "lab-" + std::to_string(getpid()) + ".json") {}
   ~LabRun() override { fs::remove(json_); }
 
-  // Played again where the machine was too busy for a verdict.
-  json Play(const std::string& more, int& code) {
-    for (int turn = 0; turn < 3; ++turn) {
-      const Ran ran = Shell(std::string(PADDLESTILE_PROGRAM) + " lab run " + file_ + " --json " +
-                            json_ + " " + more);
-      code = ran.code;
+  // Repeats the run if the machine was too busy for a verdict.
+  json Play(const std::string& options, int& code) {
+    for (int attempt = 0; attempt < 3; ++attempt) {
+      const ShellResult shell_result = RunShell(std::string(PADDLESTILE_PROGRAM) + " lab run " +
+                                                file_ + " --json " + json_ + " " + options);
+      code = shell_result.code;
       std::ifstream file(json_);
       json result = json::parse(file, nullptr, false);
       if (result.is_discarded()) {
-        ADD_FAILURE() << ran.text;
+        ADD_FAILURE() << shell_result.text;
       }
       if (result.is_discarded() || result["verdict"] != "void") {
         return result;
@@ -66,26 +66,28 @@
   std::string json_;
 };
 
-struct Breach {
-  const char* how;
-  const char* rule;  // as the verdict names it; the request's id and the time stand in its line
+struct FaultyGatewayCase {
+  const char* fault;
+  // Expected in a line of "broken", which also has the request's id and the time.
+  const char* expected;
 };
 
-void PrintTo(const Breach& breach, std::ostream* out) {
-  *out << breach.how;
+void PrintTo(const FaultyGatewayCase& test_case, std::ostream* out) {
+  *out << test_case.fault;
 }
 
-class Broken : public LabRun, public ::testing::WithParamInterface<Breach> {};
+class LabRunWithFaultyGateway : public LabRun,
+                                public ::testing::WithParamInterface<FaultyGatewayCase> {};
 
-TEST_P(Broken, IsFoundOutByName) {
+TEST_P(LabRunWithFaultyGateway, IsDetectedAndNamed) {
   int code = 0;
   const json result =
-      Play(std::string("--gateway ") + PADDLESTILE_FAULTY_GATEWAY + " " + GetParam().how, code);
+      Play(std::string("--gateway ") + PADDLESTILE_FAULTY_GATEWAY + " " + GetParam().fault, code);
   EXPECT_EQ(code, 1);
   EXPECT_EQ(result["verdict"], "broken");
   bool named = false;
   for (const std::string line : result["broken"]) {
-    named = named || line.find(GetParam().rule) != std::string::npos;
+    named = named || line.find(GetParam().expected) != std::string::npos;
     if (line.starts_with("rule: ") && !line.ends_with(" more")) {
       EXPECT_NE(line.find(" s, "), std::string::npos) << line;
     }
@@ -93,58 +95,62 @@
   EXPECT_TRUE(named) << result["broken"].dump(1);
 }
 
-INSTANTIATE_TEST_SUITE_P(Gateway, Broken,
-                         ::testing::Values(Breach{"lose", "rule: lost"},
-                                           Breach{"twice", "rule: answered twice"},
-                                           Breach{"key-late", "past its window"},
-                                           Breach{"key-group", "outside the group"},
-                                           Breach{"unsafe", "a class that may run once"},
-                                           Breach{"at-once", "while an earlier copy was still out"},
-                                           Breach{"drain", "rule: sent to a draining host"},
-                                           Breach{"cold", "rule: a cold host fell over"},
-                                           Breach{"swap", "rule: served another's answer"},
-                                           Breach{"refuse", "rule: refused after it may have run"},
-                                           Breach{"invent", "rule: sent what no client asked"},
-                                           Breach{"crash", "gateway 0 crashed with 134"},
-                                           Breach{"hang", "gateway 0 hangs"}, Breach{"leak", " MB"},
-                                           Breach{"leak-fds", " descriptors"}),
-                         [](const auto& info) {
-                           std::string name = info.param.how;
-                           std::ranges::replace(name, '-', '_');
-                           return name;
-                         });
+INSTANTIATE_TEST_SUITE_P(
+    Gateway, LabRunWithFaultyGateway,
+    ::testing::Values(FaultyGatewayCase{"lose", "rule: lost"},
+                      FaultyGatewayCase{"twice", "rule: answered twice"},
+                      FaultyGatewayCase{"key-late", "past its window"},
+                      FaultyGatewayCase{"key-group", "outside the group"},
+                      FaultyGatewayCase{"unsafe", "a class that may run once"},
+                      FaultyGatewayCase{"at-once", "while an earlier copy was still out"},
+                      FaultyGatewayCase{"drain", "rule: sent to a draining host"},
+                      FaultyGatewayCase{"cold", "rule: a cold host fell over"},
+                      FaultyGatewayCase{"swap", "rule: served another's answer"},
+                      FaultyGatewayCase{"refuse", "rule: refused after it may have run"},
+                      FaultyGatewayCase{"invent", "rule: sent what no client asked"},
+                      FaultyGatewayCase{"crash", "gateway 0 crashed with 134"},
+                      FaultyGatewayCase{"hang", "gateway 0 hangs"},
+                      FaultyGatewayCase{"leak", " MB"},
+                      FaultyGatewayCase{"leak-fds", " descriptors"}),
+    [](const auto& info) {
+      std::string name = info.param.fault;
+      std::ranges::replace(name, '-', '_');
+      return name;
+    });
 
-// One that a process has and does not answer is told from one that nobody accepts.
-TEST_F(LabRun, ALostRequestNamesWhereItsConnectionIs) {
+// A connection that a process accepted but does not answer is distinguished from one that was not
+// accepted.
+TEST_F(LabRun, LostRequestReportsWhereItsConnectionIs) {
   int code = 0;
   const json result = Play(std::string("--gateway ") + PADDLESTILE_FAULTY_GATEWAY + " hang", code);
-  for (const char* const says : {"rule: lost .*, connection held by gateway 0",
-                                 "rule: lost .*, connection in the accept queue"}) {
+  for (const char* const pattern : {"rule: lost .*, connection held by gateway 0",
+                                    "rule: lost .*, connection in the accept queue"}) {
     const bool named = std::ranges::any_of(result["broken"], [&](const std::string line) {
-      return std::regex_search(line, std::regex(says));
+      return std::regex_search(line, std::regex(pattern));
     });
-    EXPECT_TRUE(named) << says << result["broken"].dump(1);
+    EXPECT_TRUE(named) << pattern << result["broken"].dump(1);
   }
 }
 
-// An operator's day with a gateway that knows of none: each is found out by its own name.
-TEST_F(LabRun, AGatewayThatCannotBeOperatedIsFoundOut) {
+// A gateway without the operators' functions is detected in each of the experiments that use them.
+TEST_F(LabRun, GatewayWithoutOperatorFunctionsIsDetected) {
   const std::pair<const char*, const char*> cases[] = {
-      {"operators-drain", "gives no yes to POST /admin/quiesce"},
+      {"operators-drain", "does not accept POST /admin/quiesce"},
       {"new-settings", "crashed with"},  // by SIGHUP
-      {"upgrade", "the new process ended with"}};
-  for (const auto& [name, says] : cases) {
+      {"upgrade", "the new process exited with"}};
+  for (const auto& [name, expected] : cases) {
     file_ = std::string(PADDLESTILE_SOURCE) + "/lab/experiments/" + name + ".toml";
     int code = 0;
     const json result =
         Play(std::string("--seconds 6 --gateway ") + PADDLESTILE_FAULTY_GATEWAY + " honest", code);
     EXPECT_EQ(code, 1) << name;
-    EXPECT_NE(result["broken"].dump().find(says), std::string::npos) << result["broken"].dump(1);
+    EXPECT_NE(result["broken"].dump().find(expected), std::string::npos)
+        << result["broken"].dump(1);
   }
 }
 
-// The other side of it: without a breach the same file holds, for the honest stand-in and for ours.
-TEST_F(LabRun, HoldsWithoutABreach) {
+// The counterpart: the same file holds for a correct stand-in and for the real gateway.
+TEST_F(LabRun, HoldsWithACorrectGateway) {
   for (const std::string& gateway :
        {std::string("--gateway ") + PADDLESTILE_FAULTY_GATEWAY + " honest", std::string()}) {
     int code = 0;
@@ -156,7 +162,7 @@
   }
 }
 
-TEST_F(LabRun, TheSameSeedPlaysTheSameArrivals) {
+TEST_F(LabRun, SameSeedGivesTheSameArrivals) {
   int code = 0;
   const json first = Play("--seconds 1 --seed 5", code), again = Play("--seconds 1 --seed 5", code);
   const json other = Play("--seconds 1 --seed 6", code);
@@ -167,8 +173,8 @@
   EXPECT_NE(first["clients"]["arrivals_digest"], other["clients"]["arrivals_digest"]);
 }
 
-// A lab that was itself late says nothing of the gateway, whatever it counted meanwhile.
-TEST_F(LabRun, IsNoVerdictWhereTheLabWasLate) {
+// A run in which the lab itself was late has no verdict, whatever was counted.
+TEST_F(LabRun, HasNoVerdictIfTheLabWasLate) {
   const pid_t pid = fork();
   if (pid == 0) {
     execl(PADDLESTILE_PROGRAM, "paddlestile", "lab", "run", file_.c_str(), "--seconds", "3",
@@ -188,11 +194,11 @@
   EXPECT_EQ(result["verdict"], "void");
   EXPECT_NE(result["lab_late"].dump().find("ms late once"), std::string::npos)
       << result["lab_late"];
-  EXPECT_EQ(result["requests"]["lost"], 0);  // what was late by the lab's doing is nobody's breach
+  EXPECT_EQ(result["requests"]["lost"], 0);  // lateness of the lab is not a breach
 }
 
-// Ctrl-C: nothing is left running and no folder left lying.
-TEST_F(LabRun, LeavesNothingBehindWhenItIsInterrupted) {
+// After SIGINT, no process and no temporary directory is left.
+TEST_F(LabRun, CleansUpAfterAnInterrupt) {
   const std::string temp = ::testing::TempDir() + "lab-tmp-" + std::to_string(getpid());
   fs::create_directory(temp);
   const pid_t pid = fork();
@@ -217,39 +223,41 @@
   fs::remove_all(temp);
 }
 
-TEST_F(LabRun, BadInputGetsOnePlainLine) {
-  const auto says = [&](const std::string& text, const std::string& expected) {
+TEST_F(LabRun, InvalidInputPrintsOneLine) {
+  const auto expect_message = [&](const std::string& text, const std::string& expected) {
     const std::string path = ::testing::TempDir() + "bad-" + std::to_string(getpid()) + ".toml";
     std::ofstream(path) << text;
-    const Ran ran = Shell(std::string(PADDLESTILE_PROGRAM) + " lab run " + path);
-    EXPECT_EQ(ran.code, 2) << ran.text;
-    EXPECT_NE(ran.text.find(expected), std::string::npos) << ran.text;
-    EXPECT_EQ(std::ranges::count(ran.text, '\n'), 1) << ran.text;
+    const ShellResult shell_result =
+        RunShell(std::string(PADDLESTILE_PROGRAM) + " lab run " + path);
+    EXPECT_EQ(shell_result.code, 2) << shell_result.text;
+    EXPECT_NE(shell_result.text.find(expected), std::string::npos) << shell_result.text;
+    EXPECT_EQ(std::ranges::count(shell_result.text, '\n'), 1) << shell_result.text;
     fs::remove(path);
   };
   std::ifstream file(file_);
   const std::string good((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  says("sead = 4\n" + good, ":1: sead: unknown key, expected one of");
-  says(good + "\n[[faults]]\nkind = \"slow\"\nat_s = 1\nnames = [\"east-1\"]\n",
-       "no host 'east-1'");
-  says("a = [", "expected TOML");
+  expect_message("sead = 4\n" + good, ":1: sead: unknown key, expected one of");
+  expect_message(good + "\n[[faults]]\nkind = \"slow\"\nat_s = 1\nnames = [\"east-1\"]\n",
+                 "no host 'east-1'");
+  expect_message("a = [", "expected TOML");
   testing::Port taken;
-  says(good + "\n[gateway]\nlisten = \"" + taken.text() + "\"\n", "listen on " + taken.text());
-  says(good + "\n[gateway]\nlisten = \"here\"\n", "no address and port");
-  EXPECT_EQ(Shell(std::string(PADDLESTILE_PROGRAM) + " lab run").code, 2);
-  EXPECT_EQ(Shell(std::string(PADDLESTILE_PROGRAM) + " lab run /no/such.toml").code, 2);
+  expect_message(good + "\n[gateway]\nlisten = \"" + taken.text() + "\"\n",
+                 "listen on " + taken.text());
+  expect_message(good + "\n[gateway]\nlisten = \"here\"\n", "no address and port");
+  EXPECT_EQ(RunShell(std::string(PADDLESTILE_PROGRAM) + " lab run").code, 2);
+  EXPECT_EQ(RunShell(std::string(PADDLESTILE_PROGRAM) + " lab run /no/such.toml").code, 2);
 }
 
-// The report: all in one file, nothing of a log or a file's words taken for markup; and without
-// gnuplot it comes without plots and says so.
-TEST_F(LabRun, ReportsComeWithOrWithoutPlots) {
+// The report is a single file, in which text from logs and files is escaped. Without gnuplot it has
+// no plots and says so.
+TEST_F(LabRun, ReportsWorkWithAndWithoutPlots) {
   const std::string page = json_ + ".html", run = std::string(PADDLESTILE_PROGRAM) + " lab run " +
                                                   file_ + " --seconds 2 --json " + json_;
   const auto read = [&] {
     std::ifstream file(page);
     return std::string((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   };
-  Shell(run + " --html " + page);
+  RunShell(run + " --html " + page);
   std::string text = read();
   EXPECT_NE(text.find("<svg"), std::string::npos);
   EXPECT_EQ(text.find("src="), std::string::npos);
@@ -258,33 +266,36 @@
   json result = json::parse(file);
   result["about"] = "<script>";
   std::ofstream(json_) << result;
-  const Ran ran = Shell("PATH=/nowhere " + std::string(PADDLESTILE_PROGRAM) + " lab report " +
-                        json_ + " " + json_ + " --html " + page);
-  EXPECT_EQ(ran.code, 0) << ran.text;
-  EXPECT_NE(ran.text.find("no gnuplot here"), std::string::npos) << ran.text;
+  const ShellResult shell_result =
+      RunShell("PATH=/nowhere " + std::string(PADDLESTILE_PROGRAM) + " lab report " + json_ + " " +
+               json_ + " --html " + page);
+  EXPECT_EQ(shell_result.code, 0) << shell_result.text;
+  EXPECT_NE(shell_result.text.find("no gnuplot here"), std::string::npos) << shell_result.text;
   text = read();
   EXPECT_EQ(text.find("<svg"), std::string::npos);
   EXPECT_EQ(text.find("<script"), std::string::npos);
   EXPECT_NE(text.find("Without plots"), std::string::npos);
   std::ofstream(json_) << "{}";
-  const Ran bad =
-      Shell(std::string(PADDLESTILE_PROGRAM) + " lab report " + json_ + " --html " + page);
-  EXPECT_EQ(bad.code, 2) << bad.text;
+  const ShellResult invalid =
+      RunShell(std::string(PADDLESTILE_PROGRAM) + " lab report " + json_ + " --html " + page);
+  EXPECT_EQ(invalid.code, 2) << invalid.text;
   fs::remove(page);
 }
 
-// The sums from the gateways' logs are what the hosts and clients of the same run counted.
-TEST_F(LabRun, TheKeptLogsAddUpToWhatTheLabCounted) {
+// The sums from the gateways' logs equal the counts of the hosts and clients in the same run.
+TEST_F(LabRun, KeptLogsAddUpToTheCountsOfTheLab) {
   const std::string logs = ::testing::TempDir() + "lab-logs-" + std::to_string(getpid());
   fs::create_directories(logs);
   file_ = std::string(PADDLESTILE_SOURCE) + "/lab/experiments/calm.toml";
   int code = 0;
   const json result = Play("--seconds 3 --logs " + logs, code);
   EXPECT_EQ(code, 0);
-  const Ran ran = Shell(std::string(PADDLESTILE_PROGRAM) + " lab fleet-report " + logs +
-                        " --gateways 99 --json " + json_);
-  EXPECT_EQ(ran.code, 0) << ran.text;
-  EXPECT_NE(ran.text.find("gateways tell of themselves, expected 99\n"), std::string::npos);
+  const ShellResult shell_result =
+      RunShell(std::string(PADDLESTILE_PROGRAM) + " lab fleet-report " + logs +
+               " --gateways 99 --json " + json_);
+  EXPECT_EQ(shell_result.code, 0) << shell_result.text;
+  EXPECT_NE(shell_result.text.find("gateways tell of themselves, expected 99\n"),
+            std::string::npos);
   std::ifstream file(json_);
   const json report = json::parse(file);
   const json& counts = report["phases"][0]["counts"];
