--- a/src/lab/soak.cpp
+++ b/src/lab/soak.cpp
@@ -13,33 +13,34 @@
 namespace {
 
 constexpr uint64_t kSeedMultiplier = 0x9e37'79b9'7f4a'7c15ULL;
-constexpr uint64_t kClusterEvery = 3;  // seeds
-constexpr uint64_t kCrowdEvery = 4;    // seeds without a cluster
-constexpr int kMaxAttempts = 3;        // at a verdict
+constexpr uint64_t kClusterEvery = 3;      // seeds
+constexpr uint64_t kIdleClientsEvery = 4;  // seeds without a cluster
+constexpr int kMaxAttempts = 3;            // runs until there is a verdict
 
 constexpr Duration kLength{16'000'000};
 constexpr Duration kClusterLength{18'000'000};
 constexpr Duration kFirstFault{1'000'000};
 constexpr Duration kLastFaultBeforeEnd{4'000'000};
 constexpr Duration kDeadline{1'500'000};
-constexpr Duration kTermMargin{1'000'000};     // beyond the longest deadline, until a process ended
-constexpr Duration kUpgradeMargin{3'000'000};  // beyond that, from the start of a new process
-constexpr Duration kStoppedFor{3'500'000};     // a new process; the old one serves again before
-constexpr Duration kBackUpTakes{1'500'000};    // after a start, until the front has taken it in
+constexpr Duration kTermMargin{1'000'000};     // after SIGTERM, in addition to the longest deadline
+constexpr Duration kUpgradeMargin{3'000'000};  // in addition, from the start of the new process
+// Of a new process; longer than the old one takes to serve again.
+constexpr Duration kNewProcessStopDuration{3'500'000};
+constexpr Duration kReadmissionTime{1'500'000};  // from the start of a process until clients use it
 
-constexpr size_t kSockets = 512;       // budget of a gateway
-constexpr size_t kCrowdSockets = 160;  // the same where a crowd is to fill it
-constexpr size_t kCrowd = 400;         // idle clients
+constexpr size_t kSockets = 512;                 // socket limit of a gateway
+constexpr size_t kSocketsWithIdleClients = 160;  // the same, to be exhausted by idle clients
+constexpr size_t kIdleClients = 400;             // more than kSocketsWithIdleClients
 // The wide mix.
 constexpr Duration kWideLength{26'000'000};
-constexpr Duration kLongDeadline{6'000'000};  // longer than a new process that hangs goes unnoticed
+constexpr Duration kLongDeadline{6'000'000};  // longer than a hung new process stays undetected
 constexpr UniformRange kLongWaitMs{3500, 5200};
-constexpr UniformRange kLongShare{0.02, 0.12};  // past what the gateways can hold
+constexpr UniformRange kLongShare{0.02, 0.12};  // up to more than the gateways can hold
 constexpr uint64_t kLongShareStream = 1;
-constexpr double kBadPerSecond = 2;         // clients of each kind
-constexpr Duration kDrainTakes{6'000'000};  // an operator's, until it is in again
-constexpr Duration kReloadAt{300'000};      // before any other fault
-constexpr double kDescriptorMargin = 64;    // beyond the budget: files, pipes, timers
+constexpr double kMisbehavingClientsPerSecond = 2;  // misbehaving clients of each kind
+constexpr Duration kQuiesceDuration{6'000'000};     // from quiesce until the gateway is resumed
+constexpr Duration kReloadAt{300'000};              // before any other fault
+constexpr double kDescriptorMargin = 64;  // in addition to the socket limit: files, pipes, timers
 constexpr double kMaxResidentMegabytes = 160;
 
 class SoakScript {
@@ -48,30 +49,31 @@
       : random_(seed * kSeedMultiplier + 1),
         long_share_random_(seed * kSeedMultiplier + 1 + kLongShareStream),
         is_wide_(mix == SoakMix::kWide) {
-    e_.name = "soak";
-    e_.about = "Faults in series, drawn from the seed.";
-    e_.seed = seed;
+    experiment_.name = "soak";
+    experiment_.about = "Faults in series, drawn from the seed.";
+    experiment_.seed = seed;
     const bool has_cluster = seed % kClusterEvery == 0;
     AddHostsAndClasses();
     AddLoad();
     if (is_wide_) {
       AddWideLoad(has_cluster);
     }
-    e_.length = is_wide_ ? kWideLength : has_cluster ? kClusterLength : kLength;
+    experiment_.length = is_wide_ ? kWideLength : has_cluster ? kClusterLength : kLength;
     if (has_cluster) {
       AddCluster();
     } else {
-      AddGateways(seed % kCrowdEvery == 0);
+      AddGateways(seed % kIdleClientsEvery == 0);
     }
-    AddListFault();
+    AddDiscoveryFault();
     if (is_wide_) {
       AddWideFaults();
     }
-    e_.requirements.max_rss_mb = kMaxResidentMegabytes;
-    e_.requirements.max_descriptors = static_cast<double>(e_.gateway.sockets) + kDescriptorMargin;
+    experiment_.requirements.max_rss_mb = kMaxResidentMegabytes;
+    experiment_.requirements.max_descriptors =
+        static_cast<double>(experiment_.gateway.sockets) + kDescriptorMargin;
   }
 
-  Experiment Take() { return std::move(e_); }
+  Experiment TakeExperiment() { return std::move(experiment_); }
 
  private:
   double Draw(double low, double high) {
@@ -80,17 +82,19 @@
   Duration DrawMillis(double low, double high) {
     return Duration(static_cast<int64_t>(Draw(low, high) * 1000));
   }
-  size_t Pick(size_t n) { return std::uniform_int_distribution<size_t>(0, n - 1)(random_); }
-  bool Chance(double p) { return Draw(0, 1) < p; }
+  size_t DrawIndex(size_t size) {
+    return std::uniform_int_distribution<size_t>(0, size - 1)(random_);
+  }
+  bool DrawChance(double probability) { return Draw(0, 1) < probability; }
 
   void AddHostsAndClasses() {
     HostGroup hosts;
     hosts.name = "std";
     hosts.count = 10;
     hosts.speed = {0.85, 1.1};
-    e_.hosts = {hosts};
-    e_.zones = {hosts.zone};
-    e_.kinds = {hosts.kind};
+    experiment_.hosts = {hosts};
+    experiment_.zones = {hosts.zone};
+    experiment_.kinds = {hosts.kind};
     ClassSpec safe, keyed;
     safe.name = "soak-read";
     safe.rules.latency_objective = Duration(250'000);
@@ -104,106 +108,111 @@
     keyed.rules.idempotency = Idempotency::kKeyed;
     keyed.rules.deduplication_window = Duration(3'000'000);
     keyed.body_bytes = {100, 2000};
-    e_.classes = {safe, keyed};
+    experiment_.classes = {safe, keyed};
   }
   void AddLoad() {
-    e_.load.rate = {{Duration(0), 250}};
-    e_.load.max_retries = 2;
-    e_.load.retry_delay_ms = {50, 150};
-    e_.load.client_abort_share = 0.01;
-    e_.load.close_after_response_share = 0.05;
-    e_.load.keeps_open_connections = true;
-  }
-  Fault& Add(FaultKind kind, const char* name, Duration at, size_t gateway) {
-    Fault& fault = e_.faults.emplace_back();
+    experiment_.load.rate = {{Duration(0), 250}};
+    experiment_.load.max_retries = 2;
+    experiment_.load.retry_delay_ms = {50, 150};
+    experiment_.load.client_abort_share = 0.01;
+    experiment_.load.close_after_response_share = 0.05;
+    experiment_.load.keeps_open_connections = true;
+  }
+  Fault& AddFault(FaultKind kind, const char* name, Duration at, size_t gateway) {
+    Fault& fault = experiment_.faults.emplace_back();
     fault.kind = kind;
     fault.name = name;
     fault.at = at;
     fault.gateway = gateway;
     return fault;
   }
-  [[nodiscard]] bool IsTime(Duration at) const { return at <= e_.length - kLastFaultBeforeEnd; }
+  [[nodiscard]] bool AllowsFaultAt(Duration at) const {
+    return at <= experiment_.length - kLastFaultBeforeEnd;
+  }
 
-  // From SIGTERM until a process has ended in any case.
-  [[nodiscard]] Duration TermTakes() const {
+  // The longest time from SIGTERM until a process has exited.
+  [[nodiscard]] Duration MaxTerminationTime() const {
     Duration longest{0};
-    for (const ClassSpec& cls : e_.classes) {
-      longest = std::max(longest, cls.rules.deadline);
+    for (const ClassSpec& request_class : experiment_.classes) {
+      longest = std::max(longest, request_class.rules.deadline);
     }
     return longest + kTermMargin;
   }
 
-  // ---- What the wide mix has beside ----
-  // No long requests in a cluster: an operator's drain has to be over before they are.
+  // ---- Additions of the wide mix -------
+  // A cluster gets no long requests, because a quiesce has to finish before they would.
   void AddWideLoad(bool has_cluster) {
     if (!has_cluster) {
-      ClassSpec slow = e_.classes.front();
-      slow.name = "soak-long";
-      slow.rules.latency_objective = kLongDeadline;
-      slow.rules.deadline = kLongDeadline;
-      slow.share =
+      ClassSpec long_class = experiment_.classes.front();
+      long_class.name = "soak-long";
+      long_class.rules.latency_objective = kLongDeadline;
+      long_class.rules.deadline = kLongDeadline;
+      long_class.share =
           std::uniform_real_distribution(kLongShare.low, kLongShare.high)(long_share_random_);
-      slow.wait_ms = kLongWaitMs;
-      e_.classes.push_back(slow);
+      long_class.wait_ms = kLongWaitMs;
+      experiment_.classes.push_back(long_class);
     }
     for (int kind = 0; kind <= static_cast<int>(MisbehaviorKind::kByteByByte); ++kind) {
       if (static_cast<MisbehaviorKind>(kind) == MisbehaviorKind::kHugeLength) {
-        continue;  // its megabytes are the lab's own lateness
+        continue;  // sending its large bodies would make the lab itself late
       }
-      e_.load.misbehaving_clients.push_back({static_cast<MisbehaviorKind>(kind), kBadPerSecond,
-                                             kFirstFault, kWideLength - kDeadline});
+      experiment_.load.misbehaving_clients.push_back({static_cast<MisbehaviorKind>(kind),
+                                                      kMisbehavingClientsPerSecond, kFirstFault,
+                                                      kWideLength - kDeadline});
     }
   }
   void AddWideFaults() {
     AddReload();
     AddHostFaults();
-    struct ListFault {
+    struct DiscoveryFault {
       FaultKind kind;
       const char* name;
     };
-    constexpr std::array<ListFault, 4> kListFaults = {
+    constexpr std::array<DiscoveryFault, 4> kDiscoveryFaults = {
         {{FaultKind::kDiscoveryMalformed, "list-malformed"},
          {FaultKind::kDiscoveryStale, "list-old"},
          {FaultKind::kDiscoveryLag, "list-lag"},
          {FaultKind::kDiscoveryMoved, "list-moved"}}};
-    const ListFault& chosen = kListFaults[Pick(kListFaults.size())];
-    Fault& fault = Add(chosen.kind, chosen.name, kFirstFault + DrawMillis(7000, 15000), 0);
+    const DiscoveryFault& chosen = kDiscoveryFaults[DrawIndex(kDiscoveryFaults.size())];
+    Fault& fault = AddFault(chosen.kind, chosen.name, kFirstFault + DrawMillis(7000, 15000), 0);
     fault.duration = DrawMillis(500, 2000);
     fault.discovery_lag = DrawMillis(200, 1500);
   }
-  // New settings bring a class.
+  // Reloads settings that add a class.
   void AddReload() {
-    ClassSpec late = e_.classes.front();
-    late.name = "soak-late";
-    late.share = 0.1;
-    late.in_initial_settings = false;
-    late.available_from = kReloadAt + kReloadCompletionDelay + kMaxReloadTime;
-    e_.classes.push_back(late);
-    Fault& fault = Add(FaultKind::kGatewayReload, "gateway-reload", kReloadAt, 0);
-    fault.request_class = late.name;
+    ClassSpec new_class = experiment_.classes.front();
+    new_class.name = "soak-late";
+    new_class.share = 0.1;
+    new_class.in_initial_settings = false;
+    new_class.available_from = kReloadAt + kReloadCompletionDelay + kMaxReloadTime;
+    experiment_.classes.push_back(new_class);
+    Fault& fault = AddFault(FaultKind::kGatewayReload, "gateway-reload", kReloadAt, 0);
+    fault.request_class = new_class.name;
   }
   void AddHostFaults() {
-    Fault& drain = Add(FaultKind::kDrain, "drain", kFirstFault + DrawMillis(0, 8000), 0);
+    Fault& drain = AddFault(FaultKind::kDrain, "drain", kFirstFault + DrawMillis(0, 8000), 0);
     drain.count = 1;
     drain.exit_delay = DrawMillis(2000, 4000);
-    Fault& restart = Add(FaultKind::kRestart, "restart", kFirstFault + DrawMillis(9000, 16000), 0);
+    Fault& restart =
+        AddFault(FaultKind::kRestart, "restart", kFirstFault + DrawMillis(9000, 16000), 0);
     restart.count = 1;
     restart.downtime = DrawMillis(500, 2000);
   }
-  Duration AddOperatorsDrain(Duration at, size_t gateway) {
-    Add(FaultKind::kGatewayQuiesce, "gateway-quiesce", at, gateway).duration = kDrainTakes;
-    return kDrainTakes + kBackUpTakes;
+  Duration AddQuiesce(Duration at, size_t gateway) {
+    AddFault(FaultKind::kGatewayQuiesce, "gateway-quiesce", at, gateway).duration =
+        kQuiesceDuration;
+    return kQuiesceDuration + kReadmissionTime;
   }
   Duration AddFullDisk(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayDisk, "gateway-disk", at, gateway);
+    Fault& fault = AddFault(FaultKind::kGatewayDisk, "gateway-disk", at, gateway);
     fault.disk = DiskState::kFull;
     fault.duration = DrawMillis(500, 2000);
     return fault.duration;
   }
   Duration AddWideMemberFault(Duration at, size_t gateway) {
-    switch (Pick(3)) {
+    switch (DrawIndex(3)) {
       case 0:
-        return AddOperatorsDrain(at, gateway);
+        return AddQuiesce(at, gateway);
       case 1:
         return AddFullDisk(at, gateway);
       default:
@@ -211,26 +220,26 @@
     }
   }
 
-  // ---- Gateways that share nothing ----
-  void AddGateways(bool with_crowd) {
-    e_.gateway.count = 2 + Pick(2);
-    e_.gateway.sockets = with_crowd ? kCrowdSockets : kSockets;
-    e_.load.idle_connections = with_crowd ? kCrowd : 0;
-    for (size_t gateway = 0; gateway < e_.gateway.count; ++gateway) {
+  // ---- Independent gateways -----------
+  void AddGateways(bool with_idle_clients) {
+    experiment_.gateway.count = 2 + DrawIndex(2);
+    experiment_.gateway.sockets = with_idle_clients ? kSocketsWithIdleClients : kSockets;
+    experiment_.load.idle_connections = with_idle_clients ? kIdleClients : 0;
+    for (size_t gateway = 0; gateway < experiment_.gateway.count; ++gateway) {
       Duration at = kFirstFault + DrawMillis(0, 2500);
-      while (IsTime(at)) {
+      while (AllowsFaultAt(at)) {
         at += AddGatewayFault(at, gateway) + DrawMillis(100, 1500);
       }
     }
   }
-  // Returns how long nothing else may befall this gateway.
+  // Adds a fault and returns how long this gateway must have no other fault.
   Duration AddGatewayFault(Duration at, size_t gateway) {
-    switch (Pick(8)) {
+    switch (DrawIndex(8)) {
       case 0:
       case 1:
         return AddTerm(at, gateway);
       case 2:
-        return AddHups(at, gateway);
+        return AddHangups(at, gateway);
       case 3:
         return AddKill(at, gateway);
       case 4:
@@ -240,60 +249,63 @@
     }
   }
   Duration AddTerm(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayTerm, "gateway-term", at, gateway);
+    Fault& fault = AddFault(FaultKind::kGatewayTerm, "gateway-term", at, gateway);
     fault.kill_at_earliest = true;
     fault.downtime = DrawMillis(300, 1500);
-    if (Chance(0.4)) {
+    if (DrawChance(0.4)) {
       fault.second_term_after = DrawMillis(0, 2000);
     }
-    if (Chance(0.4)) {
+    if (DrawChance(0.4)) {
       fault.hup_after = DrawMillis(0, 500);
     }
-    return TermTakes() + fault.downtime + kBackUpTakes;
+    return MaxTerminationTime() + fault.downtime + kReadmissionTime;
   }
-  Duration AddHups(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayHangup, "gateway-hup", at, gateway);
-    fault.count = 1 + Pick(5);
+  Duration AddHangups(Duration at, size_t gateway) {
+    Fault& fault = AddFault(FaultKind::kGatewayHangup, "gateway-hup", at, gateway);
+    fault.count = 1 + DrawIndex(5);
     fault.interval = DrawMillis(1, 200);
     return static_cast<int64_t>(fault.count) * fault.interval;
   }
   Duration AddKill(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayKill, "gateway-kill", at, gateway);
+    Fault& fault = AddFault(FaultKind::kGatewayKill, "gateway-kill", at, gateway);
     fault.downtime = DrawMillis(300, 2000);
-    return fault.downtime + kBackUpTakes;
+    return fault.downtime + kReadmissionTime;
   }
   Duration AddStop(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayStop, "gateway-stop", at, gateway);
+    Fault& fault = AddFault(FaultKind::kGatewayStop, "gateway-stop", at, gateway);
     fault.duration = DrawMillis(50, 1500);
-    return fault.duration + kBackUpTakes;
+    return fault.duration + kReadmissionTime;
   }
-  // A new process is ready within a second and a half: killed or stopped before, just then or
-  // after.
+  // A new process is ready within 1.5 s, so the delay places the kill or stop before, during or
+  // after that.
   Duration AddUpgrade(Duration at, size_t gateway) {
-    Fault& fault = Add(FaultKind::kGatewayUpgrade, "gateway-upgrade", at, gateway);
-    constexpr std::array kFates = {UpgradeOutcome::kTakesOver, UpgradeOutcome::kKilled,
-                                   UpgradeOutcome::kStopped};
-    fault.upgrade_outcome = kFates[Pick(kFates.size())];
+    Fault& fault = AddFault(FaultKind::kGatewayUpgrade, "gateway-upgrade", at, gateway);
+    constexpr std::array kOutcomes = {UpgradeOutcome::kTakesOver, UpgradeOutcome::kKilled,
+                                      UpgradeOutcome::kStopped};
+    fault.upgrade_outcome = kOutcomes[DrawIndex(kOutcomes.size())];
     fault.upgrade_outcome_delay = DrawMillis(0, 1500);
-    fault.duration = fault.upgrade_outcome == UpgradeOutcome::kStopped ? kStoppedFor : Duration(0);
-    const Duration takes = kUpgradeMargin + TermTakes();
-    return fault.upgrade_outcome == UpgradeOutcome::kStopped ? kStoppedFor + takes : takes;
+    fault.duration =
+        fault.upgrade_outcome == UpgradeOutcome::kStopped ? kNewProcessStopDuration : Duration(0);
+    const Duration busy_time = kUpgradeMargin + MaxTerminationTime();
+    return fault.upgrade_outcome == UpgradeOutcome::kStopped ? kNewProcessStopDuration + busy_time
+                                                             : busy_time;
   }
 
-  // ---- Gateways that agree ----
+  // ---- Clusters ---------------
   void AddCluster() {
-    e_.gateway.count = 5;
-    e_.gateway.sockets = kSockets;
-    e_.cluster.enabled = true;
-    e_.cluster.uses_delta_changes = Chance(0.5);
+    experiment_.gateway.count = 5;
+    experiment_.gateway.sockets = kSockets;
+    experiment_.cluster.enabled = true;
+    experiment_.cluster.uses_delta_changes = DrawChance(0.5);
     bool disk_replaced = false;
     Duration at = kFirstFault + DrawMillis(500, 1500);
-    while (IsTime(at)) {
-      const size_t gateway = Pick(e_.gateway.count);
-      if (is_wide_ && Chance(0.4)) {
+    while (AllowsFaultAt(at)) {
+      const size_t gateway = DrawIndex(experiment_.gateway.count);
+      if (is_wide_ && DrawChance(0.4)) {
         at += AddWideMemberFault(at, gateway);
       } else {
-        at += Chance(0.6) ? AddLinkFault(at, gateway) : AddMemberFault(at, gateway, disk_replaced);
+        at += DrawChance(0.6) ? AddLinkFault(at, gateway)
+                              : AddMemberFault(at, gateway, disk_replaced);
       }
       at += DrawMillis(300, 1500);
     }
@@ -307,18 +319,18 @@
                                                        {FaultKind::kLinkSlow, "link-slow"},
                                                        {FaultKind::kLinkFlap, "link-flap"},
                                                        {FaultKind::kLinkNoise, "link-noise"}}};
-    const LinkFault& chosen = kLinkFaults[Pick(kLinkFaults.size())];
-    Fault& fault = Add(chosen.kind, chosen.name, at, gateway);
+    const LinkFault& chosen = kLinkFaults[DrawIndex(kLinkFaults.size())];
+    Fault& fault = AddFault(chosen.kind, chosen.name, at, gateway);
     fault.duration = DrawMillis(500, 2500);
-    fault.link_direction = static_cast<LinkDirection>(Pick(3));
-    fault.reset_connections = Chance(0.5);
+    fault.link_direction = static_cast<LinkDirection>(DrawIndex(3));
+    fault.reset_connections = DrawChance(0.5);
     fault.delay_ms = {5, Draw(10, 300)};
     fault.request_share = Draw(0.02, 0.2);
     return fault.duration;
   }
-  // One disk at most is replaced: two of three voters' lost at a time lose history.
+  // Replaces at most one disk: losing two of three voters' disks at the same time loses history.
   Duration AddMemberFault(Duration at, size_t gateway, bool& disk_replaced) {
-    switch (Pick(3)) {
+    switch (DrawIndex(3)) {
       case 0:
         return AddStop(at, gateway);
       case 1:
@@ -326,30 +338,31 @@
       default:
         break;
     }
-    const Duration takes = AddKill(at, gateway);
-    if (!disk_replaced && Chance(0.5)) {
-      e_.faults.back().disk = Chance(0.5) ? DiskState::kRolledBack : DiskState::kEmpty;
+    const Duration busy_time = AddKill(at, gateway);
+    if (!disk_replaced && DrawChance(0.5)) {
+      experiment_.faults.back().disk = DrawChance(0.5) ? DiskState::kRolledBack : DiskState::kEmpty;
       disk_replaced = true;
     }
-    return takes;
+    return busy_time;
   }
 
-  void AddListFault() {
-    if (Chance(0.5)) {
-      Fault& fault = Add(FaultKind::kDiscoverySilent, "list-silent", kFirstFault, 0);
+  void AddDiscoveryFault() {
+    if (DrawChance(0.5)) {
+      Fault& fault = AddFault(FaultKind::kDiscoverySilent, "list-silent", kFirstFault, 0);
       fault.at += DrawMillis(0, 6000);
       fault.duration = DrawMillis(500, 4000);
     }
   }
 
   std::mt19937_64 random_;
-  std::mt19937_64 long_share_random_;  // apart, so that a seed's faults are what they were without
+  // A separate generator, so that these draws do not change the faults of a seed.
+  std::mt19937_64 long_share_random_;
   bool is_wide_;
-  Experiment e_;
+  Experiment experiment_;
 };
 
-// From when to when rules were broken; empty where none was.
-std::string SpanOfBreaches(const Ledger::Counts& counts) {
+// The time of the first and the last breach of a rule; empty if there was none.
+std::string DescribeBreachPeriod(const Ledger::Counts& counts) {
   if (counts.all_breaches() == 0) {
     return "";
   }
@@ -382,7 +395,7 @@
 }  // namespace
 
 Experiment DrawSoakExperiment(uint64_t seed, SoakMix mix) {
-  return SoakScript(seed, mix).Take();
+  return SoakScript(seed, mix).TakeExperiment();
 }
 
 SoakCounts PlaySoak(const SoakOptions& options, const std::function<void(const Result&)>& report) {
@@ -409,7 +422,7 @@
   std::string line = fmt::format("seed {}: {}", result.seed, NameOf(result.verdict));
   if (!result.broken.empty()) {
     line += fmt::format(", {} ({} in all{})", result.broken.front(), result.broken_count(),
-                        SpanOfBreaches(result.counts));
+                        DescribeBreachPeriod(result.counts));
   } else if (!result.late.empty()) {
     line += ", " + result.late.front();
   }
--- a/tests/lab/soak_test.cpp
+++ b/tests/lab/soak_test.cpp
@@ -1,4 +1,4 @@
-// What the soak draws from its seeds. The plays themselves are a stage of CI.
+// The experiments that the soak generates from seeds. Running them is a stage of CI.
 #include "lab/soak.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr uint64_t kSeeds = 100;
+constexpr uint64_t kSeedCount = 100;
 
 std::string Describe(const Experiment& experiment) {
   std::string text;
@@ -22,10 +22,10 @@
   return text;
 }
 
-// In how many of the first seeds some fault is as asked.
-size_t SeedsWith(const std::function<bool(const Fault&)>& is_wanted) {
+// The number of the first kSeedCount seeds with a matching fault.
+size_t CountSeedsWith(const std::function<bool(const Fault&)>& is_wanted) {
   size_t seeds = 0;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     seeds += std::ranges::any_of(DrawSoakExperiment(seed).faults, is_wanted) ? 1 : 0;
   }
   return seeds;
@@ -36,10 +36,10 @@
   EXPECT_NE(Describe(DrawSoakExperiment(7)), Describe(DrawSoakExperiment(8)));
 }
 
-// A soak that no longer draws a fault finds nothing there.
-TEST(SoakExperiment, DrawsEachKindOfFault) {
+// Guards against a kind of fault that is no longer generated and thus no longer tested.
+TEST(SoakExperiment, GeneratesEachKindOfFault) {
   std::set<std::string> names;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     for (const Fault& fault : DrawSoakExperiment(seed).faults) {
       names.insert(fault.name);
     }
@@ -47,26 +47,26 @@
   EXPECT_EQ(names, (std::set<std::string>{"gateway-hup", "gateway-kill", "gateway-stop",
                                           "gateway-term", "gateway-upgrade", "link-cut",
                                           "link-flap", "link-noise", "link-slow", "list-silent"}));
-  constexpr size_t kOften = kSeeds / 10;
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.kill_at_earliest; }), kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.second_term_after.has_value(); }),
+  constexpr size_t kOften = kSeedCount / 10;
+  EXPECT_GT(CountSeedsWith([](const Fault& fault) { return fault.kill_at_earliest; }), kOften);
+  EXPECT_GT(CountSeedsWith([](const Fault& fault) { return fault.second_term_after.has_value(); }),
             kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.hup_after.has_value(); }), kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) {
+  EXPECT_GT(CountSeedsWith([](const Fault& fault) { return fault.hup_after.has_value(); }), kOften);
+  EXPECT_GT(CountSeedsWith([](const Fault& fault) {
               return fault.upgrade_outcome == UpgradeOutcome::kKilled;
             }),
             kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) {
+  EXPECT_GT(CountSeedsWith([](const Fault& fault) {
               return fault.upgrade_outcome == UpgradeOutcome::kStopped;
             }),
             kOften);
-  EXPECT_GT(SeedsWith([](const Fault& fault) { return fault.disk != DiskState::kKept; }), 0U);
+  EXPECT_GT(CountSeedsWith([](const Fault& fault) { return fault.disk != DiskState::kKept; }), 0U);
 }
 
-// What the soak did not draw although the gateway does it.
-TEST(SoakExperiment, WideMixDrawsWhatTheBaseLacks) {
+// The wide mix covers features of the gateway that the base mix does not.
+TEST(SoakExperiment, WideMixGeneratesAdditionalFaults) {
   std::set<std::string> names, in_clusters;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     const Experiment experiment = DrawSoakExperiment(seed, SoakMix::kWide);
     EXPECT_FALSE(experiment.load.misbehaving_clients.empty());
     for (const Fault& fault : experiment.faults) {
@@ -85,20 +85,20 @@
   }
 }
 
-TEST(SoakExperiment, HasCrowdsAndClustersAndClientsThatKeepTheirConnections) {
+TEST(SoakExperiment, HasIdleClientsClustersAndPersistentConnections) {
   size_t crowds = 0, clusters = 0;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     const Experiment experiment = DrawSoakExperiment(seed);
     EXPECT_TRUE(experiment.load.keeps_open_connections);
     EXPECT_TRUE(experiment.requirements.max_descriptors && experiment.requirements.max_rss_mb);
     crowds += experiment.load.idle_connections > experiment.gateway.sockets ? 1 : 0;
     clusters += experiment.cluster.enabled ? 1 : 0;
   }
-  EXPECT_GT(crowds, kSeeds / 10);
-  EXPECT_GT(clusters, kSeeds / 4);
+  EXPECT_GT(crowds, kSeedCount / 10);
+  EXPECT_GT(clusters, kSeedCount / 4);
 }
 
-TEST(SoakLine, NamesTheSeedTheVerdictAndTheCommandThatRepeatsIt) {
+TEST(SoakLine, ContainsSeedVerdictAndCommand) {
   Result result;
   result.seed = 12;
   EXPECT_EQ(SoakLine(result),
@@ -111,8 +111,9 @@
       "--seeds 1");
 }
 
-// The number told was that of the lines kept, 21 at most: it was read as 21 requests lost at once.
-TEST(SoakLine, CountsEachBreachAndTellsFromWhenToWhen) {
+// Guards against reporting the number of breaches kept for the report, which is limited, as the
+// number of breaches.
+TEST(SoakLine, CountsAllBreachesAndReportsTheirPeriod) {
   Ledger ledger({.classes = {RequestClass{}}});
   for (int i = 0; i < 50; ++i) {
     const size_t request = ledger.AddRequest(Duration(0), {});
@@ -130,9 +131,9 @@
             "s); excused: none | paddlestile lab soak --seed 12 --seeds 1");
 }
 
-TEST(SoakExperiment, TheWideMixDrawsItsShareOfLongRequests) {
+TEST(SoakExperiment, WideMixDrawsTheShareOfLongRequests) {
   double least = 1, most = 0;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     const Experiment experiment = DrawSoakExperiment(seed, SoakMix::kWide);
     for (const ClassSpec& request_class : experiment.classes) {
       if (request_class.name == "soak-long") {
@@ -147,8 +148,9 @@
   EXPECT_LE(most, 0.12);
 }
 
-// A play with hundreds excused does not read like one with none, nor a break that was played again.
-TEST(SoakLine, CountsWhatWasExcusedAndTellsWhatBrokeWithoutAVerdict) {
+// A run with many excused failures is distinguishable from one with none, and so is a broken run
+// that was repeated because it had no verdict.
+TEST(SoakLine, ReportsExcusesAndFailuresWithoutVerdict) {
   Result result;
   result.seed = 3;
   result.counts.excused[static_cast<size_t>(Excuse::kProcessKilled)] = 400;
