--- a/tests/lab/faulty_gateway.cpp
+++ b/tests/lab/faulty_gateway.cpp
@@ -1,7 +1,7 @@
-// A small gateway that breaks one rule on purpose: an experiment that still holds with it would
-// show nothing. It goes to hosts by turns, on a new connection each time, and asks nobody.
-//   paddlestile_faulty_gateway HOW [EVERY]    the LB_* variables as for a gateway; each EVERY-th
-//   request
+// A minimal gateway that breaks one rule on purpose, to show that the lab detects it. It sends
+// requests to hosts in turn, each on a new connection, without probes or admission control.
+//   paddlestile_faulty_gateway MODE [INTERVAL]
+// It reads the LB_* variables like a gateway. Each INTERVAL-th request is handled wrongly.
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -25,7 +25,7 @@
 namespace paddlestile {
 namespace {
 
-enum class How {
+enum class FaultMode {
   kHonest,
   kLose,
   kTwice,
@@ -43,29 +43,31 @@
   kLeak,
   kLeakFds
 };
-const std::map<std::string, How> kHows = {
-    {"honest", How::kHonest},    {"lose", How::kLose},          {"twice", How::kTwice},
-    {"key-late", How::kKeyLate}, {"key-group", How::kKeyGroup}, {"unsafe", How::kUnsafe},
-    {"at-once", How::kAtOnce},   {"drain", How::kDrain},        {"cold", How::kCold},
-    {"swap", How::kSwap},        {"refuse", How::kRefuse},      {"invent", How::kInvent},
-    {"crash", How::kCrash},      {"hang", How::kHang},          {"leak", How::kLeak},
-    {"leak-fds", How::kLeakFds}};
+const std::map<std::string, FaultMode> kFaultModes = {
+    {"honest", FaultMode::kHonest},      {"lose", FaultMode::kLose},
+    {"twice", FaultMode::kTwice},        {"key-late", FaultMode::kKeyLate},
+    {"key-group", FaultMode::kKeyGroup}, {"unsafe", FaultMode::kUnsafe},
+    {"at-once", FaultMode::kAtOnce},     {"drain", FaultMode::kDrain},
+    {"cold", FaultMode::kCold},          {"swap", FaultMode::kSwap},
+    {"refuse", FaultMode::kRefuse},      {"invent", FaultMode::kInvent},
+    {"crash", FaultMode::kCrash},        {"hang", FaultMode::kHang},
+    {"leak", FaultMode::kLeak},          {"leak-fds", FaultMode::kLeakFds}};
 
 struct Request {
-  std::string id, cls, text;  // as it goes on
+  std::string id, class_name, bytes;  // as it is forwarded
 };
 
-class Breaker final : public DiscoveryClient::Listener {
+class FaultyGateway final : public DiscoveryClient::Listener {
  public:
-  Breaker(EventLoop& loop, GatewayConfig config, How how, int every)
-      : loop_(loop), config_(std::move(config)), how_(how), every_(every) {
+  FaultyGateway(EventLoop& loop, GatewayConfig config, FaultMode mode, int fault_interval)
+      : loop_(loop), config_(std::move(config)), mode_(mode), fault_interval_(fault_interval) {
     OnEndpointList(std::move(config_.initial_endpoints));
-    list_ =
+    discovery_client_ =
         std::make_unique<DiscoveryClient>(loop_, config_.discovery, config_.names, 0, true, this);
-    list_->Start();
+    discovery_client_->Start();
     listener_ = std::make_unique<lab::Listener>(loop_, config_.listen, [this](FileDescriptor fd) {
       clients_.push_back(std::make_shared<Client>(*this, std::move(fd)));
-      clients_.back()->place = std::prev(clients_.end());
+      clients_.back()->position = std::prev(clients_.end());
       clients_.back()->stream.Start();
     });
   }
@@ -77,8 +79,8 @@
     for (EndpointListEntry& entry : list.endpoints) {
       std::erase_if(hosts_, [&](const auto& h) { return h.info.id == entry.info.id; });
       const bool up = entry.info.state == EndpointState::kUp;
-      // Its breach: what drains is as good as any.
-      if (up || (how_ == How::kDrain && entry.info.state == EndpointState::kDraining)) {
+      // kDrain also uses draining hosts.
+      if (up || (mode_ == FaultMode::kDrain && entry.info.state == EndpointState::kDraining)) {
         hosts_.push_back(std::move(entry));
       }
     }
@@ -87,54 +89,56 @@
 
  private:
   struct Client;
-  // One attempt on a connection of its own. `then` hears the body of a 200, or nothing.
+  // An attempt on a new connection. `on_done` gets whether the status was 200, and the body.
   struct Attempt final : Stream::Listener {
-    Attempt(Breaker& b, Socket socket, std::function<void(bool, std::string)> t)
-        : breaker(b), stream(b.loop_, std::move(socket), this, true), then(std::move(t)) {}
+    Attempt(FaultyGateway& owner, Socket socket, std::function<void(bool, std::string)> done)
+        : gateway(owner),
+          stream(owner.loop_, std::move(socket), this, true),
+          on_done(std::move(done)) {}
     void OnData() override {
       if (parser.Feed(stream.input()) == ParseProgress::kDone) {
-        const HttpMessage& m = parser.message();
-        return End(m.status == 200, std::string(m.body.In(stream.input().view())));
+        const HttpMessage& message = parser.message();
+        return Finish(message.status == 200, std::string(message.body.In(stream.input().view())));
       }
       if (stream.ended()) {
-        End(false, "");
+        Finish(false, "");
       }
     }
-    void OnError() override { End(false, ""); }
-    void End(bool good, std::string body) {
+    void OnError() override { Finish(false, ""); }
+    void Finish(bool succeeded, std::string body) {
       if (stream.closed()) {
         return;
       }
       stream.Close();
-      breaker.loop_.RunDeferred([kept = *place] {});
-      breaker.attempts_.erase(place);
-      then(good, std::move(body));
+      gateway.loop_.RunDeferred([kept = *position] {});
+      gateway.attempts_.erase(position);
+      on_done(succeeded, std::move(body));
     }
-    Breaker& breaker;
+    FaultyGateway& gateway;
     Stream stream;
     HttpParser parser{HttpParser::Kind::kResponse, 1 << 20};
-    std::function<void(bool, std::string)> then;
-    std::list<std::shared_ptr<Attempt>>::iterator place;
+    std::function<void(bool, std::string)> on_done;
+    std::list<std::shared_ptr<Attempt>>::iterator position;
   };
 
   struct Client final : Stream::Listener {
-    Client(Breaker& b, FileDescriptor fd)
-        : breaker(b), stream(b.loop_, Socket(std::move(fd), nullptr), this, false) {}
+    Client(FaultyGateway& owner, FileDescriptor fd)
+        : gateway(owner), stream(owner.loop_, Socket(std::move(fd), nullptr), this, false) {}
     void OnData() override {
       if (!busy && parser.Feed(stream.input()) == ParseProgress::kDone) {
-        const HttpMessage m = parser.message();
-        const Buffer bytes = stream.input().TakeFront(m.total_bytes);
+        const HttpMessage message = parser.message();
+        const Buffer bytes = stream.input().TakeFront(message.total_bytes);
         parser.Reset();
         const std::string_view base = bytes.view();
-        if (m.target.In(base) == "/_health") {
+        if (message.target.In(base) == "/_health") {
           return Answer(200, "");
         }
         Request request;
-        request.id = m.FindHeader(base, "X-Call-Id").value_or("");
-        request.cls = m.target.In(base).substr(1);
-        request.text = std::string(base);
+        request.id = message.FindHeader(base, "X-Call-Id").value_or("");
+        request.class_name = message.target.In(base).substr(1);
+        request.bytes = std::string(base);
         busy = true;
-        breaker.Take(*place, request);
+        gateway.HandleRequest(*position, request);
       }
       if (stream.ended()) {
         Close();
@@ -146,8 +150,8 @@
         return;
       }
       stream.Close();
-      breaker.loop_.RunDeferred([kept = *place] {});
-      breaker.clients_.erase(place);
+      gateway.loop_.RunDeferred([kept = *position] {});
+      gateway.clients_.erase(position);
     }
     void Answer(int status, const std::string& body) {
       if (stream.closed()) {
@@ -157,17 +161,17 @@
       stream.Write(
           fmt::format("HTTP/1.1 {} X\r\nContent-Length: {}\r\n\r\n{}", status, body.size(), body));
     }
-    Breaker& breaker;
+    FaultyGateway& gateway;
     Stream stream;
     HttpParser parser{HttpParser::Kind::kRequest};
     bool busy = false;
-    std::list<std::shared_ptr<Client>>::iterator place;
+    std::list<std::shared_ptr<Client>>::iterator position;
   };
 
-  const EndpointListEntry& Next(int zone_not = -1) {
+  const EndpointListEntry& NextHost(int excluded_zone = -1) {
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      const EndpointListEntry& host = hosts_[turn_++ % hosts_.size()];
-      if (zone_not < 0 || host.info.zone != zone_not) {
+      const EndpointListEntry& host = hosts_[next_host_++ % hosts_.size()];
+      if (excluded_zone < 0 || host.info.zone != excluded_zone) {
         return host;
       }
     }
@@ -183,71 +187,73 @@
     }
     attempts_.push_back(std::make_shared<Attempt>(*this, std::move(*socket), std::move(then)));
     Attempt& attempt = *attempts_.back();
-    attempt.place = std::prev(attempts_.end());
+    attempt.position = std::prev(attempts_.end());
     attempt.stream.Start();
     attempt.stream.Write(std::move(text));
   }
 
-  void Take(std::shared_ptr<Client> client, const Request& request) {
-    const bool keyed = request.cls == "keyed", unsafe = request.cls == "unsafe";
-    // Each breach at its turn among the requests that it is about.
-    const bool about = how_ == How::kKeyLate || how_ == How::kKeyGroup ? keyed
-                       : how_ == How::kUnsafe || how_ == How::kRefuse  ? unsafe
-                                                                       : true;
-    const bool now = about && how_ != How::kHonest && ++count_ % every_ == 0;
-    if (now && how_ == How::kCrash) {
+  void HandleRequest(std::shared_ptr<Client> client, const Request& request) {
+    const bool keyed = request.class_name == "keyed", unsafe = request.class_name == "unsafe";
+    // Counts only the requests that the mode applies to.
+    const bool matches_mode = mode_ == FaultMode::kKeyLate || mode_ == FaultMode::kKeyGroup ? keyed
+                              : mode_ == FaultMode::kUnsafe || mode_ == FaultMode::kRefuse  ? unsafe
+                                                                                            : true;
+    const bool is_faulty =
+        matches_mode && mode_ != FaultMode::kHonest && ++matching_requests_ % fault_interval_ == 0;
+    if (is_faulty && mode_ == FaultMode::kCrash) {
       std::abort();
     }
-    if (now && how_ == How::kHang) {
+    if (is_faulty && mode_ == FaultMode::kHang) {
       while (true) {
         pause();
       }
     }
-    if (how_ == How::kLeak) {
+    if (mode_ == FaultMode::kLeak) {
       leaked_.emplace_back(1 << 20, 'x');
     }
-    if (how_ == How::kLeakFds) {
+    if (mode_ == FaultMode::kLeakFds) {
       dup(STDERR_FILENO);
     }
-    EndpointListEntry host = Next();
-    if (how_ == How::kCold) {
-      // All to the one that started last.
+    EndpointListEntry host = NextHost();
+    if (mode_ == FaultMode::kCold) {
+      // Sends all requests to the host that started last.
       host = *std::ranges::max_element(hosts_, {}, [](const auto& h) { return h.info.started_at; });
     }
-    if (now && how_ == How::kInvent) {
-      std::string text = request.text;
+    if (is_faulty && mode_ == FaultMode::kInvent) {
+      std::string text = request.bytes;
       text.replace(text.find(request.id), request.id.size(), "nobody-asked");
-      Send(Next(), text, [](bool, const std::string&) {});
+      Send(NextHost(), text, [](bool, const std::string&) {});
     }
-    if (now && how_ == How::kAtOnce) {
-      Send(Next(), request.text, [](bool, const std::string&) {});
+    if (is_faulty && mode_ == FaultMode::kAtOnce) {
+      Send(NextHost(), request.bytes, [](bool, const std::string&) {});
     }
-    Send(host, request.text,
-         [this, client, request, now, zone = host.info.zone](bool good, std::string body) {
-           if (now && (how_ == How::kKeyLate || how_ == How::kKeyGroup || how_ == How::kUnsafe)) {
-             const Duration wait(how_ == How::kKeyLate ? 700'000 : 0);
+    Send(host, request.bytes,
+         [this, client, request, is_faulty, zone = host.info.zone](bool good, std::string body) {
+           if (is_faulty && (mode_ == FaultMode::kKeyLate || mode_ == FaultMode::kKeyGroup ||
+                             mode_ == FaultMode::kUnsafe)) {
+             const Duration wait(mode_ == FaultMode::kKeyLate ? 700'000 : 0);
              loop_.RunAfter(wait, [this, client, request, zone] {
-               Send(Next(how_ == How::kKeyGroup ? zone : -1), request.text,
+               Send(NextHost(mode_ == FaultMode::kKeyGroup ? zone : -1), request.bytes,
                     [client](bool second, const std::string& text) {
                       client->Answer(second ? 200 : 502, text);
                     });
              });
              return;
            }
-           if (now && how_ == How::kLose) {
+           if (is_faulty && mode_ == FaultMode::kLose) {
              return client->Close();
            }
-           if (now && how_ == How::kRefuse) {
+           if (is_faulty && mode_ == FaultMode::kRefuse) {
              return client->Answer(503, "");
            }
-           if (now && how_ == How::kSwap) {
-             return client->Answer(200, last_);
+           if (is_faulty && mode_ == FaultMode::kSwap) {
+             return client->Answer(200, last_body_);
            }
            if (good) {
-             last_ = body;
+             last_body_ = body;
            }
            client->Answer(good ? 200 : 502, body);
-           if (now && how_ == How::kTwice) {
+           if (is_faulty && mode_ == FaultMode::kTwice) {
              client->Answer(good ? 200 : 502, body);
            }
          });
@@ -255,15 +261,15 @@
 
   EventLoop& loop_;
   GatewayConfig config_;
-  How how_;
-  int every_, count_ = 0;
+  FaultMode mode_;
+  int fault_interval_, matching_requests_ = 0;
   std::vector<EndpointListEntry> hosts_;
-  size_t turn_ = 0;
-  std::string last_ = "nothing yet";
+  size_t next_host_ = 0;
+  std::string last_body_ = "nothing yet";
   std::vector<std::string> leaked_;
   std::list<std::shared_ptr<Client>> clients_;
   std::list<std::shared_ptr<Attempt>> attempts_;
-  std::unique_ptr<DiscoveryClient> list_;
+  std::unique_ptr<DiscoveryClient> discovery_client_;
   std::unique_ptr<lab::Listener> listener_;
 };
 
@@ -271,8 +277,8 @@
 }  // namespace paddlestile
 
 int main(int argc, char** argv) {
-  using namespace paddlestile;  // NOLINT: a program of its own
-  if (argc < 2 || !kHows.contains(argv[1])) {
+  using namespace paddlestile;  // NOLINT: a standalone program
+  if (argc < 2 || !kFaultModes.contains(argv[1])) {
     return 2;
   }
   signal(SIGPIPE, SIG_IGN);
@@ -285,6 +291,7 @@
   GatewayConfig config =
       ReadGatewayConfig([](const char* name) { return std::getenv(name); },
                         [&](double ms) { return loop.clock().FromUnixMillis(ms); });
-  Breaker breaker(loop, std::move(config), kHows.at(argv[1]), argc > 2 ? std::atoi(argv[2]) : 100);
+  FaultyGateway gateway(loop, std::move(config), kFaultModes.at(argv[1]),
+                        argc > 2 ? std::atoi(argv[2]) : 100);
   loop.Run();
 }
