--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,5 +1,5 @@
-// What the decision module alone costs, by Google Benchmark: all events of one request, and a list
-// update that changes one entry, against the number of hosts and of gateways.
+// Benchmarks the decision module alone with Google Benchmark: all events of one request, and a list
+// update that changes one entry, by the number of hosts and gateways.
 #include <benchmark/benchmark.h>
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 using Ms = std::chrono::milliseconds;
 
-Settings SettingsFor(int gateways) {
+Settings MakeSettings(int gateways) {
   Settings settings;
   settings.instance_count = gateways;
   settings.zone_count = 4;
@@ -38,22 +38,22 @@
   return settings;
 }
 
-EndpointInfo HostAt(size_t i) {
+EndpointInfo MakeHost(size_t i) {
   return {
       .id = "host-" + std::to_string(i), .zone = static_cast<int>(i % 4), .machine_kind = i % 2};
 }
 
-// A gateway with eight requests in flight, as a busy one has: the oldest finishes as the next one
-// arrives. Time advances by 4 ms a request, and probes finish at once.
+// Drives a load balancer with eight requests in flight: the oldest finishes when the next one
+// arrives. Time advances by 4 ms per request, and probes finish immediately.
 class BusyGateway {
  public:
-  // `probes_report`: whether probes bring load reports. Else the pool stays empty and the fallback
-  // decides.
+  // `probes_report`: whether probe responses contain load reports. If not, the probe pool stays
+  // empty and hosts are selected by the fallback.
   BusyGateway(size_t hosts, int gateways, bool probes_report = true)
-      : balancer_(SettingsFor(gateways), 7), probes_report_(probes_report) {
+      : balancer_(MakeSettings(gateways), 7), probes_report_(probes_report) {
     EndpointUpdate all;
     for (size_t i = 0; i < hosts; ++i) {
-      all.endpoints.push_back(HostAt(i));
+      all.endpoints.push_back(MakeHost(i));
     }
     Handle(all);
   }
@@ -80,9 +80,9 @@
         AttemptFinished{attempt.id, 0, attempt.endpoint, Outcome::kOk, Ms(30), true, std::nullopt});
   }
 
-  // A list update that changes one entry.
+  // Handles a list update that changes one entry.
   void Update(size_t hosts) {
-    EndpointUpdate update{EndpointUpdateKind::kDelta, {HostAt(++event_count_ % hosts)}};
+    EndpointUpdate update{EndpointUpdateKind::kDelta, {MakeHost(++event_count_ % hosts)}};
     update.endpoints[0].weight = static_cast<double>(event_count_);
     Handle(update);
   }
@@ -99,7 +99,7 @@
         timers_.emplace_back(now_ + timer->after, timer->token);
       }
       if (const auto* const probe = std::get_if<StartProbe>(&action)) {
-        const double inflight = static_cast<double>(random_() % 8);
+        const double inflight = static_cast<double>(random_generator_() % 8);
         if (probes_report_) {
           Handle(ProbeFinished{probe->endpoint, Outcome::kOk, Ms(1),
                                LoadReport{inflight, 20 + inflight}});
@@ -113,13 +113,14 @@
   LoadBalancer balancer_;
   bool probes_report_;
   Time now_{Ms(100'000'000)};
-  std::mt19937_64 random_{3};
+  std::mt19937_64 random_generator_{3};
   std::deque<StartAttempt> in_flight_;
   std::deque<std::pair<Time, std::string>> timers_;
   uint64_t event_count_ = 0;
 };
 
-// All events of one request: its own, its probes', and the timers of its time.
+// Measures all events of one request: its own, those of its probes, and the timers that fire
+// meanwhile.
 void BM_Request(benchmark::State& state) {
   BusyGateway gateway(static_cast<size_t>(state.range(0)), static_cast<int>(state.range(1)));
   for (int i = 0; i < 2000; ++i) {
