--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -1,6 +1,6 @@
-// What the operators' page asks of the deploy file and of the program that `run` starts: one
-// process, linked dynamically against the C library, that starts no other program and needs no Unix
-// socket, splice or sendfile.
+// Checks the deploy file and the program that its `run` starts against the requirements of the
+// operators' page: one process, linked dynamically against the C library, that starts no other
+// program and needs no Unix socket, splice or sendfile.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <linux/audit.h>
@@ -37,14 +37,15 @@
 
 const std::string kSource = PADDLESTILE_SOURCE;
 
-std::string Whole(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ifstream file(path);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// The filter of the page, on this process and what it becomes: what starts a process or is refused
-// there ends this one with SIGSYS, so that a use shows; a Unix socket fails as where there is none.
-void ForbidWhatThePageForbids() {
+// Installs the seccomp filter of the operators' page in this process and the program that it
+// executes. Forbidden calls, such as those that start a process, kill the process with SIGSYS, so
+// that their use is visible. Creating a Unix socket fails as on a system without Unix sockets.
+void InstallSeccompFilter() {
   constexpr uint32_t kKill = SECCOMP_RET_KILL_PROCESS;
   constexpr auto kNumber = static_cast<uint32_t>(offsetof(seccomp_data, nr));
   constexpr auto kFirst = static_cast<uint32_t>(offsetof(seccomp_data, args));
@@ -60,7 +61,8 @@
     code.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, static_cast<uint32_t>(call), 0, 1));
     result(kKill);
   }
-  // A thread shares the memory and is no vfork; clone3 tells nothing, so that clone is used.
+  // Allows clone for threads, which share the memory and are no vfork. The filter cannot inspect
+  // the flags of clone3, so clone3 fails with ENOSYS and the C library falls back to clone.
   code.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_clone3, 0, 1));
   result(SECCOMP_RET_ERRNO | ENOSYS);
   code.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_clone, 0, 5));
@@ -81,8 +83,8 @@
   }
 }
 
-// A stale path in the file fails here and not in the operators' build.
-TEST(DeployFile, NamesWhatIsThere) {
+// Guards against a stale path in the file, which would fail the operators' build.
+TEST(DeployFile, PathsExist) {
   const auto file = toml::parse_file(kSource + "/deploy/balancer.toml");
   for (const char* key : {"policy", "node"}) {
     const auto* const paths = file[key].as_array();
@@ -94,8 +96,9 @@
   }
 }
 
-// A shell that stays, or a second process, is a crash on the operators' days.
-TEST(DeployFile, RunBecomesOneProcess) {
+// Guards against a `run` that leaves a shell or starts a second process, which the operators' bench
+// counts as a crash.
+TEST(DeployFile, RunExecutesOneProcess) {
   const auto file = toml::parse_file(kSource + "/deploy/balancer.toml");
   const std::string run = file["run"].value_or(std::string());
   EXPECT_TRUE(run.starts_with("exec build/paddlestile")) << run;
@@ -103,8 +106,9 @@
   EXPECT_NE(file["build"].value_or(std::string()).find("cmake"), std::string::npos);
 }
 
-// On the operators' days a process that forks, splices or waits for a Unix socket fails the test.
-TEST(DeployedProgram, ServesUnderThePagesFilterAndIsLinkedDynamically) {
+// Guards against a program that forks, splices or requires a Unix socket; it would fail on the
+// operators' bench.
+TEST(DeployedProgram, ServesUnderSeccompFilterAndIsLinkedDynamically) {
   const Port discovery;
   const Address address{0x7f4c0000U | (static_cast<uint32_t>(getpid()) & 0xffffU), 5000};
   const Address admin{address.host, 5001};
@@ -120,16 +124,16 @@
                {"LB_DISCOVERY", discovery.text()},
                {"LB_CONFIG", path},
                {"TMPDIR", ::testing::TempDir()}},
-              {}, ForbidWhatThePageForbids);
+              {}, InstallSeccompFilter);
   ASSERT_TRUE(child.WaitForOutput("listens on")) << child.Text();
-  EXPECT_NE(Whole("/proc/" + std::to_string(child.pid()) + "/maps").find("/libc.so.6"),
+  EXPECT_NE(ReadFile("/proc/" + std::to_string(child.pid()) + "/maps").find("/libc.so.6"),
             std::string::npos);
   Peer client = Peer::To(address);
   client.Send("GET /read/x HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 900\r\n\r\n");
   for (int i = 0; i < 400 && !client.Has("HTTP/1.1 503"); ++i) {
     usleep(5000);
   }
-  EXPECT_TRUE(client.Has("HTTP/1.1 503"));  // no host: refused, by a program at work
+  EXPECT_TRUE(client.Has("HTTP/1.1 503"));  // rejected, as there are no hosts
   child.Signal(SIGHUP);
   EXPECT_TRUE(child.WaitForOutput("configuration read again"));
   child.Signal(SIGTERM);
@@ -137,11 +141,11 @@
   std::filesystem::remove(path);
 }
 
-// ---- Nothing fits one deployment ----------------------------------------------------------------
+// ---- No code for a single deployment ------------------------------------------------------------
 
-// XXH64 of each name (site, class, tenant, zone, tier, kind) of the operators' deployments, whose
-// files are not part of this repository.
-const std::set<uint64_t> kGivenNames = {
+// XXH64 hashes of all names (sites, classes, tenants, zones, tiers, kinds) in the operators'
+// deployments, whose files are not part of this repository.
+const std::set<uint64_t> kDeploymentNameHashes = {
     0x000a649ac49ac13e, 0x0077db1b046896f8, 0x098065be87abd8aa, 0x098823c3c668c012,
     0x0f242aeff5b925f9, 0x106dc98eeb6e98db, 0x181c7277c55e280c, 0x1887b2a5db61cc2e,
     0x18a0cf2b12177e25, 0x1cc64fb6a501f095, 0x1df00564b86fe51e, 0x1e0d90c99eebc2e8,
@@ -168,16 +172,16 @@
     0xf63017cba542b256, 0xf92c429fc5cf8138, 0xfb83495b011ae4fc, 0xfc17167a280eec96,
     0xfc91152c29eecd5c, 0xffa2de270fc52bce};
 
-// Words of the language that are also names there. They stand in the sources in their own sense,
-// and must not stand there as a text of their own, which is how a name would be compared.
-const std::set<std::string> kCommon = {"bind",    "handover", "large", "price",
-                                       "release", "search",   "small", "status"};
-// But for the operators' command, the call that it makes and the member that answers it.
-const std::set<std::string> kAllowed = {"status in cluster_status_command.cpp",
-                                        "status in blocking_call.cpp",
-                                        "status in operator_calls.cpp"};
+// Names of deployments that are also common English words. The sources may use them as words, but
+// not as a complete string literal, which is how code would compare a name.
+const std::set<std::string> kCommonWords = {"bind",    "handover", "large", "price",
+                                            "release", "search",   "small", "status"};
+// Exceptions: the operators' command, the call that it makes, and the member that replies.
+const std::set<std::string> kAllowedUses = {"status in cluster_status_command.cpp",
+                                            "status in blocking_call.cpp",
+                                            "status in operator_calls.cpp"};
 
-std::vector<std::string> WordsOf(const std::string& text) {
+std::vector<std::string> SplitWords(const std::string& text) {
   std::vector<std::string> words;
   std::string word;
   for (const char c : text + ' ') {
@@ -197,7 +201,7 @@
   }
 }
 
-std::set<std::string> NamesOf(const toml::table& site) {
+std::set<std::string> NamesInSite(const toml::table& site) {
   std::set<std::string> names;
   AddName(site.get("name"), names);
   if (const auto* const zones = site["net"]["zones"].as_array()) {
@@ -224,35 +228,37 @@
   return names;
 }
 
-// The trouble: a rule for one class or zone by its name, or a figure read from a site's file.
-TEST(Deployments, NoneIsKnownToTheProgram) {
-  std::set<std::string> own;
+// Guards against a rule for one class or zone by its name, and against values that are read from
+// the file of a site.
+TEST(Deployments, SourcesNameNoDeployment) {
+  std::set<std::string> site_names;
   int sites = 0;
   for (const auto& at : std::filesystem::recursive_directory_iterator(kSource + "/deploy/sites")) {
     if (at.path().extension() != ".toml") {
       continue;
     }
-    own.merge(NamesOf(toml::parse_file(at.path().string())));
+    site_names.merge(NamesInSite(toml::parse_file(at.path().string())));
     ++sites;
   }
   EXPECT_EQ(sites, 2);
-  EXPECT_GE(own.size(), 15u);
-  std::map<std::string, std::string> texts = {{"deploy", Whole(kSource + "/deploy/balancer.toml")}};
+  EXPECT_GE(site_names.size(), 15u);
+  std::map<std::string, std::string> texts = {
+      {"deploy", ReadFile(kSource + "/deploy/balancer.toml")}};
   for (const auto& at : std::filesystem::recursive_directory_iterator(kSource + "/src")) {
     if (at.is_regular_file()) {
-      texts[at.path().string()] = Whole(at.path().string());
+      texts[at.path().string()] = ReadFile(at.path().string());
     }
   }
   EXPECT_GE(texts.size(), 60u);
   for (const auto& [path, text] : texts) {
     EXPECT_EQ(text.find("deploy/sites"), std::string::npos) << path;
-    for (const std::string& word : WordsOf(text)) {
-      const bool known =
-          own.contains(word) || kGivenNames.contains(XXH64(word.data(), word.size(), 0));
-      EXPECT_FALSE(known && !kCommon.contains(word)) << word << " in " << path;
+    for (const std::string& word : SplitWords(text)) {
+      const bool known = site_names.contains(word) ||
+                         kDeploymentNameHashes.contains(XXH64(word.data(), word.size(), 0));
+      EXPECT_FALSE(known && !kCommonWords.contains(word)) << word << " in " << path;
     }
-    for (const std::string& word : kCommon) {
-      if (kAllowed.contains(word + " in " + std::filesystem::path(path).filename().string())) {
+    for (const std::string& word : kCommonWords) {
+      if (kAllowedUses.contains(word + " in " + std::filesystem::path(path).filename().string())) {
         continue;
       }
       EXPECT_EQ(text.find('"' + word + '"'), std::string::npos) << word << " in " << path;
