--- a/tests/layers_test.cpp
+++ b/tests/layers_test.cpp
@@ -1,4 +1,5 @@
-// .ci/check-layers on a copy of the sources: it passes as they are, and names each kind of breach.
+// Tests .ci/check-layers on a copy of the sources: it passes for the unmodified sources and reports
+// each kind of violation.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,18 +15,18 @@
 
 namespace fs = std::filesystem;
 
-class Layers : public ::testing::Test {
+class LayersTest : public ::testing::Test {
  protected:
-  Layers() {
+  LayersTest() {
     fs::create_directories(root_);
     const fs::path source = PADDLESTILE_SOURCE;
     fs::copy(source / "src", root_ / "src", fs::copy_options::recursive);
     fs::create_directories(root_ / "deploy");
     fs::copy_file(source / "deploy/balancer.toml", root_ / "deploy/balancer.toml");
   }
-  ~Layers() override { fs::remove_all(root_); }
+  ~LayersTest() override { fs::remove_all(root_); }
 
-  // Runs the check; its exit code, with what it printed in text_.
+  // Runs the check, stores its output in text_ and returns its exit code.
   int Check() {
     const std::string out = root_ / "out";
     const std::string script = std::string(PADDLESTILE_SOURCE) + "/.ci/check-layers ";
@@ -37,7 +38,7 @@
     std::ifstream file(path);
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   }
-  // A further line at the end of a source.
+  // Appends a line to a source file.
   void Append(const std::string& path, const std::string& line) {
     std::ofstream(root_ / path, std::ios::app) << line << "\n";
   }
@@ -47,7 +48,7 @@
     ASSERT_NE(at, std::string::npos) << from;
     std::ofstream(root_ / path) << text.replace(at, from.size(), to);
   }
-  void ExpectBreach(const std::string& line) {
+  void ExpectViolation(const std::string& line) {
     EXPECT_EQ(Check(), 1);
     EXPECT_NE(text_.find(line), std::string::npos) << text_;
   }
@@ -57,52 +58,52 @@
   std::string text_;
 };
 
-TEST_F(Layers, HoldAsTheSourcesAre) {
+TEST_F(LayersTest, UnmodifiedSourcesPass) {
   EXPECT_EQ(Check(), 0) << text_;
   EXPECT_EQ(text_, "");
 }
 
-TEST_F(Layers, AFolderAboveIsNotIncluded) {
+TEST_F(LayersTest, ReportsIncludesFromHigherLayers) {
   for (const char* const folder : {"balancer", "raft", "cluster"}) {
     Append(std::string("src/") + folder + "/codec_extra.h", "#include \"gateway/gateway.h\"");
-    ExpectBreach(std::string("codec_extra.h includes gateway/gateway.h, which src/") + folder +
-                 " may not know");
+    ExpectViolation(std::string("codec_extra.h includes gateway/gateway.h, which src/") + folder +
+                    " may not know");
     fs::remove(root_ / "src" / folder / "codec_extra.h");
   }
 }
 
-TEST_F(Layers, DecidersDoNoInputOrOutput) {
+TEST_F(LayersTest, ReportsInputAndOutputInDecisionModules) {
   for (const char* const folder : {"balancer", "raft", "cluster"}) {
     const std::string path = std::string("src/") + folder + "/extra.h";
     for (const char* const line :
          {"#include <fstream>", "#include <thread>", "#include <sys/socket.h>", "#include <ctime>",
           "auto t = std::chrono::steady_clock::now();", "std::random_device seed;"}) {
       Append(path, line);
-      ExpectBreach(path + ":1:" + line);
+      ExpectViolation(path + ":1:" + line);
       fs::remove(root_ / path);
     }
   }
 }
 
-TEST_F(Layers, EachFolderHasItsPlace) {
+TEST_F(LayersTest, ReportsUnknownFolders) {
   fs::create_directories(root_ / "src/extra");
   Append("src/extra/extra.h", "");
-  ExpectBreach("src/extra is no folder of the layers");
+  ExpectViolation("src/extra is no folder of the layers");
 }
 
-TEST_F(Layers, ThePathsOfTheDeployFileExist) {
+TEST_F(LayersTest, ReportsMissingPathsInTheDeployFile) {
   Replace("deploy/balancer.toml", "node = [\"", "node = [\"src/nothing\", \"");
-  ExpectBreach("node names src/nothing, which does not exist");
+  ExpectViolation("node names src/nothing, which does not exist");
 }
 
-TEST_F(Layers, ThePolicysPathsExist) {
+TEST_F(LayersTest, ReportsMissingPolicyPaths) {
   Replace("deploy/balancer.toml", "policy = [\"", "policy = [\"src/balancer/nothing.cpp\", \"");
-  ExpectBreach("policy names src/balancer/nothing.cpp, which does not exist");
+  ExpectViolation("policy names src/balancer/nothing.cpp, which does not exist");
 }
 
-TEST_F(Layers, ThePolicyListsEachSourceOfTheBalancer) {
+TEST_F(LayersTest, ReportsBalancerSourcesMissingFromThePolicy) {
   Append("src/balancer/extra.cpp", "");
-  ExpectBreach("policy does not name src/balancer/extra.cpp");
+  ExpectViolation("policy does not name src/balancer/extra.cpp");
 }
 
 }  // namespace
