--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -11,10 +11,10 @@
 
 using std::chrono::seconds;
 
-// From one line of a watch to the next. Lines, empty ones at the least, are due every 2 s.
+// Between two lines of a watch. The agent sends at least an empty line every 2 s.
 constexpr Duration kLineTimeout = seconds(5);
-constexpr Duration kCallTimeout = seconds(2);  // to connect, and for a complete list
-constexpr size_t kMaxUnreadBytes = 1 << 17;    // then other connections have their turn
+constexpr Duration kCallTimeout = seconds(2);  // for connecting, and for a complete list
+constexpr size_t kMaxUnreadBytes = 1 << 17;    // read before yielding to other connections
 constexpr int kContentTooLarge = 413;
 
 }  // namespace
@@ -58,32 +58,33 @@
       is_watch_ ? fmt::format("?follow=1&since={:.0f}", client_.revision_) : std::string();
   stream_.Write(fmt::format("GET /catalog/members{} HTTP/1.1\r\nHost: {}\r\n\r\n", query,
                             ToText(client_.discovery_)));
-  // An agent that pushes sends what it has at once. One that accepts and sends nothing is asked
-  // again soon, or changes that a silent watch before it missed would come too late.
+  // An agent sends its pending changes as soon as a watch starts. If it accepts the connection and
+  // stays silent, a self-renewing watch is retried early: changes that an earlier silent watch
+  // missed would otherwise arrive too late.
   SetTimer(is_watch_ && !client_.self_renewing_watch_ ? kLineTimeout : kCallTimeout);
   reachable_at_ = loop_.Now();
 }
 
 void DiscoveryClient::Call::OnError() {
-  client_.OnCallFailed(*this, "connection broken");
+  client_.OnCallFailed(*this, "connection failed");
 }
 
 void DiscoveryClient::Call::OnData() {
   if (!is_watch_) {
     ReadPollResponse();
-  } else if (in_body_ || ReadWatchHead()) {
+  } else if (head_read_ || ReadWatchHead()) {
     ReadWatchLines();
   }
   if (stream_.closed()) {
     return;
   }
   if (stream_.ended()) {
-    return client_.OnCallFailed(*this, "connection ended");
+    return client_.OnCallFailed(*this, "connection closed by the agent");
   }
   ResumeReadingAfterRound();
 }
 
-// What is not read stays with the agent, which is not to send all of a list past the limit.
+// Unread bytes stay with the agent, so that it does not transfer an oversized list completely.
 void DiscoveryClient::Call::ResumeReadingAfterRound() {
   if (!stream_.readable() || std::exchange(resume_scheduled_, true)) {
     return;
@@ -102,7 +103,7 @@
 void DiscoveryClient::Call::ReadPollResponse() {
   const ParseProgress progress = response_parser_.Feed(stream_.input());
   if (progress == ParseProgress::kNeedMore) {
-    // The parser limits the body; a response is buffered as one.
+    // The whole response is buffered; the parser enforces the body limit.
     return stream_.set_max_unread_bytes(client_.max_list_bytes_ + kMaxHeadBytes);
   }
   if (progress == ParseProgress::kMalformed &&
@@ -111,12 +112,12 @@
   }
   const HttpMessage& message = response_parser_.message();
   if (progress == ParseProgress::kMalformed || message.status != 200) {
-    return client_.OnCallFailed(*this, "malformed answer");
+    return client_.OnCallFailed(*this, "invalid response");
   }
   JsonParser parser;
   if (!client_.Parse(parser, message.body.In(stream_.input().view())) ||
       !client_.AcceptList(*this, parser, true)) {
-    return client_.OnCallFailed(*this, "malformed list");
+    return client_.OnCallFailed(*this, "invalid list");
   }
   client_.Close(client_.poll_);
 }
@@ -130,11 +131,11 @@
   }
   const HttpMessage& message = head_parser_.message();
   if (progress == ParseProgress::kMalformed || message.status != 200 || !message.chunked) {
-    client_.OnCallFailed(*this, "malformed answer");
+    client_.OnCallFailed(*this, "invalid response");
     return false;
   }
   stream_.input().Consume(message.total_bytes);
-  in_body_ = true;
+  head_read_ = true;
   return true;
 }
 
@@ -149,42 +150,44 @@
   for (std::string_view text = in.view().substr(0, written); !text.empty();) {
     const size_t line_end = text.find('\n');
     const bool ends_line = line_end != std::string_view::npos;
-    const std::string_view piece = text.substr(0, ends_line ? line_end + 1 : line_end);
-    if (!ReadPiece(piece, ends_line)) {
+    const std::string_view part = text.substr(0, ends_line ? line_end + 1 : line_end);
+    if (!ParseLinePart(part, ends_line)) {
       return;
     }
-    text.remove_prefix(piece.size());
+    text.remove_prefix(part.size());
   }
   in.Consume(in.size());
   if (progress == ParseProgress::kMalformed) {
-    return client_.OnCallFailed(*this, "malformed framing");
+    return client_.OnCallFailed(*this, "malformed chunked encoding");
   }
   if (progress == ParseProgress::kDone) {
-    client_.OnCallFailed(*this, "watch ended");
+    client_.OnCallFailed(*this, "agent ended the watch response");
   }
 }
 
-bool DiscoveryClient::Call::ReadPiece(std::string_view piece, bool ends_line) {
-  line_is_blank_ = line_is_blank_ && piece.find_first_not_of(" \t\r\n") == std::string_view::npos;
-  if (line_parser_.size() + piece.size() > client_.max_list_bytes_) {
+bool DiscoveryClient::Call::ParseLinePart(std::string_view part, bool ends_line) {
+  line_is_blank_ = line_is_blank_ && part.find_first_not_of(" \t\r\n") == std::string_view::npos;
+  if (line_parser_.size() + part.size() > client_.max_list_bytes_) {
     client_.OnOversizedList(*this);
     return false;
   }
-  // Within an object no line begins with a brace: the next object begins, and this one was cut off.
-  const bool cut_off =
-      std::exchange(at_line_start_, ends_line) && line_parser_.open() && piece.front() == '{';
-  if (cut_off || !client_.Parse(line_parser_, piece) || (ends_line && !OnLineEnd())) {
-    client_.OnCallFailed(*this, "malformed line");
+  // No line within a list object starts with a brace, so a brace at the start of a line means that
+  // the current object was truncated and the next one follows.
+  const bool truncated =
+      std::exchange(at_line_start_, ends_line) && line_parser_.open() && part.front() == '{';
+  if (truncated || !client_.Parse(line_parser_, part) || (ends_line && !OnLineEnd())) {
+    client_.OnCallFailed(*this, "invalid line");
     return false;
   }
   return true;
 }
 
 bool DiscoveryClient::Call::OnLineEnd() {
-  // Objects may be indented over several lines. An empty line stands by itself: an object before it
-  // was cut off.
+  // An object may span several lines. An empty line is a keep-alive, which never occurs within an
+  // object, so an object that is still open was truncated.
   if (line_parser_.open()) {
-    return !std::exchange(line_is_blank_, true) || client_.OnMalformed("a line cut short");
+    return !std::exchange(line_is_blank_, true) ||
+           client_.OnMalformed("object truncated before an empty line");
   }
   line_is_blank_ = true;
   SetTimer(kLineTimeout);
@@ -196,8 +199,8 @@
   if (!accepted || !client_.StaleForTooLong()) {
     return accepted;
   }
-  // The agent counts revisions in a way of its own: from now on these count, and the next watch
-  // asks for the complete list.
+  // The agent uses a different revision sequence. Accept it from now on and request the complete
+  // list with the next watch.
   client_.revision_ = 0;
   client_.stale_since_ = Time(-1);
   return false;
--- a/src/discovery/discovery_call.h
+++ b/src/discovery/discovery_call.h
@@ -1,4 +1,4 @@
-// One connection to the discovery agent: a watch, or a poll. Used by DiscoveryClient only.
+// One connection to the discovery agent, for a watch or a poll. Used by DiscoveryClient only.
 #ifndef PADDLESTILE_DISCOVERY_DISCOVERY_CALL_H_
 #define PADDLESTILE_DISCOVERY_DISCOVERY_CALL_H_
 
@@ -14,10 +14,11 @@
 
 namespace paddlestile {
 
-// A poll reads one response with the complete list. A watch reads a chunked response without end:
-// JSON objects, each closed by a line end; empty lines keep it alive. Ends by one of the client's
-// OnCallFailed and OnOversizedList, or, for a poll, with its list. Owned by the client, which frees
-// it after the running handler.
+// A poll reads one response that contains the complete list. A watch reads an endless chunked
+// response: a sequence of JSON objects, each followed by a line end, with empty lines as
+// keep-alive. A call ends by calling OnCallFailed or OnOversizedList of the client; a poll also
+// ends when its list has been accepted. Owned by the client, which destroys it after the current
+// event handler.
 class DiscoveryClient::Call final : public Stream::Listener {
  public:
   Call(DiscoveryClient& client, Socket socket, bool watch);
@@ -25,11 +26,12 @@
   Call& operator=(const Call&) = delete;
   virtual ~Call();
 
-  // False where the kernel does not watch the connection.
+  // Starts the connection and its timeout. Returns false if epoll rejects the socket.
   bool Start();
+  // Closes the connection and cancels the timeout.
   void Stop();
   [[nodiscard]] bool is_watch() const { return is_watch_; }
-  // When the call began, or last showed that the agent is reachable.
+  // The latest time at which the agent was reachable; the start of the call until it connects.
   [[nodiscard]] Time reachable_at() const { return reachable_at_; }
 
  private:
@@ -38,29 +40,29 @@
   void OnError() override;
 
   void ReadPollResponse();
-  // True once the head has been read.
+  // Returns true when the complete response head has been read.
   bool ReadWatchHead();
   void ReadWatchLines();
-  // One line or a part of one; false where the call has ended.
-  bool ReadPiece(std::string_view piece, bool ends_line);
-  // False where the line is malformed, or the watch is to begin anew.
+  // Parses a line or a part of one. Returns false if the call has ended.
+  bool ParseLinePart(std::string_view part, bool ends_line);
+  // Handles the end of a line. Returns false if the line is malformed or the watch must restart.
   bool OnLineEnd();
   void ResumeReadingAfterRound();
   void SetTimer(Duration timeout);
 
   DiscoveryClient& client_;
-  EventLoop& loop_;  // may outlive the client, as tasks that were put off may
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this, for tasks
+  EventLoop& loop_;  // kept separately: deferred tasks may outlive the client
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // lets tasks detect destruction
   bool is_watch_;
-  HttpParser head_parser_{HttpParser::Kind::kResponse};  // of a watch
-  HttpParser response_parser_;                           // of a poll
+  HttpParser head_parser_{HttpParser::Kind::kResponse};  // used by a watch
+  HttpParser response_parser_;                           // used by a poll
   Stream stream_;
   bool resume_scheduled_ = false;
-  bool in_body_ = false;  // of a watch: the head has been read
+  bool head_read_ = false;  // watch only: the response head has been read
   ChunkDecoder chunk_decoder_;
   JsonParser line_parser_;
   bool at_line_start_ = true;
-  bool line_is_blank_ = true;  // nothing but white space since the last line end
+  bool line_is_blank_ = true;  // only white space since the last line end
   EventLoop::TimerId timer_;
   Time reachable_at_ = loop_.Now();
 };
