--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -17,15 +17,15 @@
 
 using std::chrono::milliseconds;
 
-// Of a self-renewing watch: doubles up to kMaxRetryDoublings times. It is never longer than 0.4 s
-// without a watch.
+// Retry delay of a self-renewing watch, doubled up to kMaxRetryDoublings times: at most 0.4 s.
 constexpr Duration kFirstRetryDelay = milliseconds(100);
 constexpr int kMaxRetryDoublings = 2;
-// Of a watch on request, from a call's begin or its last sign of a reachable agent. The load
-// balancer's own waits grow up to 6 s, behind a call that was silent for 5: too late for changes
-// that the agent has had since. The next watch begins here then; 0.4 s are left for its response.
+// When the client restarts a watch on request, counted from the time that the agent was last known
+// to be reachable. The load balancer's own retry delay grows up to 6 s, after a call that may have
+// been silent for 5 s, which is too late: changes must be in effect within 6 s. This leaves 0.4 s
+// for the response.
 constexpr Duration kRenewalDelay = milliseconds(5'600);
-constexpr int kReceiveBufferBytes = 1 << 18;  // held by the kernel while unread
+constexpr int kReceiveBufferBytes = 1 << 18;  // limits unread data held by the kernel
 
 }  // namespace
 
@@ -54,8 +54,8 @@
   }
 }
 
-// The agent at the address before closes soon, and later changes are known to the new one only: to
-// wait for the end of the watch before would lose drains.
+// Starts the new watch without waiting for the previous one to end: the agent at the previous
+// address may close soon and does not know later changes, so drains would be missed.
 void DiscoveryClient::Redirect(const Address& discovery) {
   if (discovery == discovery_) {
     return;
@@ -85,7 +85,7 @@
   loop_.CancelTimer(retry_timer_);
   const bool renewed = std::exchange(failure_reported_, false);
   if (on && renewed && watch_) {
-    return;  // the client has renewed it before this call
+    return;  // the client has already restarted the watch
   }
   if (!on) {
     Close(watch_);
@@ -143,7 +143,7 @@
   loop_.RunDeferred([kept = std::shared_ptr<Call>(std::move(call))] {});
 }
 
-// ---- Reports of the calls -------------------------------------------------------------------
+// ---- Called by Call -------------------------------------------------------------------------
 
 void DiscoveryClient::OnDelivered(const Call& call) {
   if (&call != watch_.get()) {
@@ -158,7 +158,7 @@
   const bool watch = call.is_watch();
   Log(LogLevel::kWarning, "discovery {}: {}", watch ? "watch" : "poll", reason);
   if (&call == previous_watch_.get()) {
-    return Close(previous_watch_);  // it is not renewed
+    return Close(previous_watch_);  // not restarted
   }
   const Time reachable_at = call.reachable_at();
   Close(watch ? watch_ : poll_);
@@ -173,20 +173,20 @@
   ++GlobalCounters().discovery_too_long;
   const bool watch = call.is_watch();
   if (&call == previous_watch_.get()) {
-    return OnCallFailed(call, "a list too long");
+    return OnCallFailed(call, "list too long");
   }
   Backoff& backoff = watch ? watch_backoff_ : poll_backoff_;
   if (backoff.tries == 0) {
     Log(LogLevel::kWarning,
-        "discovery {}: a list of over {} bytes is too long, the present one stays; retried with "
-        "exponential backoff, up to {:.0f} s",
+        "discovery {}: list too long (over {} bytes); keeping the current list and retrying with "
+        "exponential backoff up to {:.0f} s",
         watch ? "watch" : "poll", max_list_bytes_,
         static_cast<double>(oversize_backoff_max_.count()) / 1e6);
   }
   const Duration delay = NextOversizeDelay(backoff);
   const Time reachable_at = call.reachable_at();
   Close(watch ? watch_ : poll_);
-  // On request, SetWatching may come as soon as the backoff is over.
+  // In on-request mode, SetWatching may start the watch as soon as the backoff has expired.
   ReportFailure(watch, self_renewing_watch_ ? delay : std::max(delay, RetryDelay(reachable_at)));
 }
 
@@ -211,13 +211,13 @@
     EndpointList list = ParseEndpointList(
         parser.End(), *names_, [&](double unix_ms) { return clock.FromUnixMillis(unix_ms); });
     if (must_be_complete && !list.complete) {
-      throw JsonError("not the whole list");
+      throw JsonError("the list in a poll response is not complete");
     }
     if (!RecordStaleness(list.revision)) {
       return !must_be_complete;
     }
-    // A watch at the address before shows nothing of the new one, and a repeated change nothing
-    // new.
+    // A list from the previous address does not show that the current agent has recovered, and
+    // neither does a change that was received before.
     const bool is_new = list.complete || list.revision > revision_;
     if (is_new && &source != previous_watch_.get()) {
       ResetBackoff();
@@ -231,15 +231,17 @@
   }
 }
 
-// An older list would bring back endpoints that have left. An agent that lags catches up on the
-// same watch. One that never does has its own count of revisions, and is accepted after a while.
+// An older list would bring back endpoints that have left, so it is ignored. A lagging agent
+// catches up on the same watch. An agent that does not catch up uses a different revision sequence,
+// which is accepted after max_staleness_.
 bool DiscoveryClient::RecordStaleness(double list_revision) {
   if (list_revision >= revision_) {
     stale_since_ = Time(-1);
     return true;
   }
   ++GlobalCounters().discovery_stale;
-  Log(LogLevel::kWarning, "discovery: revision {:.0f} after {:.0f}", list_revision, revision_);
+  Log(LogLevel::kWarning, "discovery: ignoring revision {:.0f}, older than the current {:.0f}",
+      list_revision, revision_);
   if (stale_since_ < Time(0)) {
     stale_since_ = loop_.Now();
   }
@@ -270,8 +272,8 @@
   return delay;
 }
 
-// The load balancer answers each reported failure with one more request, perhaps at once: further
-// failures are not reported until that has come.
+// The load balancer responds to each reported watch failure with a new SetWatching call, possibly
+// immediately. Further watch failures are not reported until that call.
 void DiscoveryClient::ReportFailure(bool watch, Duration retry_delay) {
   ++GlobalCounters().discovery_failures;
   const bool already_reported = watch && failure_reported_;
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -1,5 +1,5 @@
-// The client of the discovery agent: keeps a watch on the endpoint list, polls it where asked,
-// connects again after failures.
+// The client of the discovery agent: watches the endpoint list, polls it on request, and reconnects
+// after failures.
 #ifndef PADDLESTILE_DISCOVERY_DISCOVERY_CLIENT_H_
 #define PADDLESTILE_DISCOVERY_DISCOVERY_CLIENT_H_
 
@@ -17,56 +17,57 @@
 
 namespace paddlestile {
 
-// Two ways of watching, by who renews a failed watch:
+// There are two watch modes, which differ in who restarts a failed watch:
 //
-//   self-renewing | the client watches from Start on, and again after each failure, with backoff;
-//                 | SetWatching has no effect
-//   on request    | SetWatching and Poll ask. Where a watch has failed and SetWatching does not
-//   come
-//                 | in time for the list to stay fresh, the client renews it once by itself
+//   self-renewing | The client starts the watch in Start and restarts it with backoff after each
+//                 | failure. SetWatching has no effect.
+//   on request    | SetWatching starts and restarts the watch. If it is not called soon enough
+//   after
+//                 | a failure to keep the list fresh, the client restarts the watch once by itself.
 //
-// Its connections come from the descriptors' reserve, so that clients cannot shut discovery out.
+// Connections use the descriptor reserve, so that client connections cannot block discovery.
 class DiscoveryClient {
  public:
   class Listener {
    public:
-    // A complete list, or changes of the one before.
+    // Called with a complete list, or with changes to the current one.
     virtual void OnEndpointList(EndpointList list) = 0;
-    // A watch or a poll failed; the present list stays in effect.
+    // Called when a watch or a poll has failed. The current list stays in effect.
     virtual void OnDiscoveryFailed() = 0;
 
    protected:
     ~Listener() = default;
   };
 
-  // `revision`: of the endpoint list that is known at the start. `names` and `listener` must
-  // outlive the client, `names` until set_names.
+  // `revision` is the revision of the endpoint list known at startup. `loop` and `listener` must
+  // outlive the client; `names` must stay valid until set_names replaces it.
   DiscoveryClient(EventLoop& loop, const Address& discovery, const NameTables& names,
                   double revision, bool self_renewing_watch, Listener* listener);
-  // Closes its connections without a report.
+  // Closes the connections without calling the listener.
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // For the lists that come from now on.
+  // Sets the name tables used for subsequent lists.
   void set_names(const NameTables& names) { names_ = &names; }
 
-  // Begins a self-renewing watch; else without effect.
+  // Starts a self-renewing watch. Has no effect in on-request mode.
   void Start();
-  // The agent has another address. The watch there begins at once; the one at the address before is
-  // kept until the new one has delivered a line, and is not renewed.
+  // Switches to another agent address. The watch there starts immediately. The watch at the
+  // previous address is kept until the new one has delivered a line, and is not restarted.
   void Redirect(const Address& discovery);
+  // On-request mode: starts or stops the watch.
   void SetWatching(bool on);
-  // Requests the complete list. Without effect while a poll is in progress.
+  // Requests the complete list. Has no effect while a poll is in progress or scheduled.
   void Poll();
 
-  // Of the present list.
+  // The revision of the current list.
   [[nodiscard]] double revision() const { return revision_; }
-  // How long a watch may deliver revisions older than the present one before they are accepted.
+  // How long a watch may deliver revisions older than the current one before they are accepted.
   void set_max_staleness(Duration limit) { max_staleness_ = limit; }
-  // Limit on a line of the watch, and on the response to a poll; longer ones are not accepted.
+  // Maximum size of a list in a watch or a poll response. Larger lists are rejected.
   void set_max_list_bytes(size_t bytes) { max_list_bytes_ = bytes; }
-  // The wait after a list that is too long: `first`, doubled each time up to `max`.
+  // Retry delay after an oversized list: `first`, doubled after each one up to `max`.
   void set_oversize_backoff(Duration first, Duration max) {
     oversize_backoff_first_ = first;
     oversize_backoff_max_ = max;
@@ -75,31 +76,33 @@
  private:
   class Call;
 
-  // Exponential backoff after lists that are too long. They come in full, megabytes each, and are
-  // as long a moment later: the retry interval of other failures would be permanent heavy traffic.
+  // Exponential backoff after oversized lists. Each attempt transfers megabytes, and the list is
+  // unlikely to shrink soon, so the short retry delay of other failures would cause permanent heavy
+  // traffic.
   struct Backoff {
-    int tries = 0;  // since a list was accepted
-    Time until{0};
+    int tries = 0;  // oversized lists since one was last accepted
+    Time until{0};  // no retry before this time
   };
 
   void Open(std::unique_ptr<Call>& call, bool watch);
-  // Frees the call after the running handler, which may be its own.
+  // Stops the call and destroys it after the current event handler, which may be its own.
   void Close(std::unique_ptr<Call>& call);
 
-  // ---- Reports of the calls.
+  // ---- Called by Call.
+  // A watch has received a complete line.
   void OnDelivered(const Call& call);
   void OnCallFailed(Call& call, std::string_view reason);
   void OnOversizedList(Call& call);
-  // Each is false where the text is no valid list; that is counted and logged.
+  // These return false if the text is not a valid list, which is counted and logged.
   bool Parse(JsonParser& parser, std::string_view text);
   bool AcceptList(const Call& source, JsonParser& parser, bool must_be_complete);
   bool OnMalformed(std::string_view reason);
-  // True, without effect, unless the list is older than the present one.
+  // Returns true if the list is not older than the current one. Otherwise counts and logs it.
   bool RecordStaleness(double list_revision);
   [[nodiscard]] bool StaleForTooLong() const;
 
   // ---- Retries.
-  // The wait before the next watch, after a call that last showed the agent reachable at that time.
+  // The delay before the next watch. `reachable_at`: when the agent was last known to be reachable.
   [[nodiscard]] Duration RetryDelay(Time reachable_at) const;
   Duration NextOversizeDelay(Backoff& backoff) const;
   void ReportFailure(bool watch, Duration retry_delay);
@@ -112,17 +115,17 @@
   double revision_;
   bool self_renewing_watch_;
   Listener* listener_;
-  std::unique_ptr<Call> watch_, poll_;    // null: none in progress
-  std::unique_ptr<Call> previous_watch_;  // at the address before, until watch_ has delivered
-  bool watch_has_delivered_ = false;      // a line of watch_ has come
-  Time stale_since_{-1};  // since when lists are older than the present one; -1: they are not
-  Duration max_staleness_ = std::chrono::seconds(15);  // agents lag by some seconds on bad days
+  std::unique_ptr<Call> watch_, poll_;    // null if none is in progress
+  std::unique_ptr<Call> previous_watch_;  // at the previous address, until watch_ has delivered
+  bool watch_has_delivered_ = false;      // watch_ has received a line
+  Time stale_since_{-1};  // when received lists became older than the current one; -1: never
+  Duration max_staleness_ = std::chrono::seconds(15);  // agents may lag by several seconds
   int consecutive_watch_failures_ = 0;
   EventLoop::TimerId retry_timer_, poll_retry_timer_;
-  // Watch on request: a failure was reported, and SetWatching has not come since.
+  // On-request mode: a failure was reported and SetWatching has not been called since.
   bool failure_reported_ = false;
   Backoff watch_backoff_, poll_backoff_;
-  size_t max_list_bytes_ = size_t{4} << 20;  // a list of tens of thousands of endpoints
+  size_t max_list_bytes_ = size_t{4} << 20;  // enough for tens of thousands of endpoints
   Duration oversize_backoff_first_ = std::chrono::milliseconds(100);
   Duration oversize_backoff_max_ = std::chrono::seconds(30);
 };
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -41,7 +41,7 @@
 class DiscoveryClientTest : public ::testing::Test, public DiscoveryClient::Listener {
  protected:
   DiscoveryClientTest() { names.zones.Add("a"); }
-  void OnEndpointList(EndpointList client) override { lists.push_back(std::move(client)); }
+  void OnEndpointList(EndpointList list) override { lists.push_back(std::move(list)); }
   void OnDiscoveryFailed() override { ++failed; }
 
   void StartClient(bool self_renewing_watch, double revision = 40) {
@@ -49,7 +49,7 @@
                                                self_renewing_watch, this);
     client->Start();
   }
-  // The next connection to the agent, with its request read.
+  // Accepts the next connection to the agent and reads its request.
   Peer Call() {
     Peer peer = port.Accept(loop);
     EXPECT_TRUE(RunUntil(loop, [&] { return peer.Has("\r\n\r\n"); }));
@@ -64,7 +64,7 @@
   std::unique_ptr<DiscoveryClient> client;
 };
 
-TEST_F(DiscoveryClientTest, WatchesFromThePresentRevision) {
+TEST_F(DiscoveryClientTest, WatchesFromTheCurrentRevision) {
   StartClient(true);
   Peer agent = Call();
   EXPECT_TRUE(agent.Has("GET /catalog/members?follow=1&since=40 HTTP/1.1\r\n"));
@@ -77,7 +77,7 @@
   EXPECT_EQ(failed, 0);
 }
 
-TEST_F(DiscoveryClientTest, LinesSplitAtEveryByteComeOutTheSame) {
+TEST_F(DiscoveryClientTest, ParsesLinesSplitAtEveryByte) {
   StartClient(true);
   Peer agent = Call();
   std::string all = kHead;
@@ -95,8 +95,8 @@
   EXPECT_EQ(failed, 0);
 }
 
-TEST_F(DiscoveryClientTest, MalformedWatchFailsOnceAndIsRenewedFromThePresentRevision) {
-  const std::string bad[] = {
+TEST_F(DiscoveryClientTest, MalformedWatchFailsOnceAndRestartsFromTheCurrentRevision) {
+  const std::string invalid_responses[] = {
       kHead + Chunk("{not json}\n"),
       kHead + Chunk("{\"revision\":44}\n"),
       kHead + Chunk(Line(44, false, R"({"id":"x","phase":"active"})")),
@@ -107,7 +107,7 @@
       "nonsense\r\n\r\n",
   };
   StartClient(true);
-  for (const std::string& text : bad) {
+  for (const std::string& text : invalid_responses) {
     Peer agent = Call();
     EXPECT_TRUE(agent.Has("since=40"));
     failed = 0;
@@ -121,7 +121,7 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
-// It lags, as the agent of another machine may: it catches up on the same watch.
+// An agent may lag behind others; it catches up on the same watch.
 TEST_F(DiscoveryClientTest, StaleListIsIgnoredUntilTheAgentCatchesUp) {
   StartClient(true);
   Peer agent = Call();
@@ -132,8 +132,9 @@
   EXPECT_EQ(failed, 0);
 }
 
-// It has its own count of revisions: ignored for ever, the list would never change again.
-TEST_F(DiscoveryClientTest, AgentThatStaysStaleIsAcceptedInTheEnd) {
+// The agent uses a different revision sequence: if it were ignored forever, the list would never
+// change again.
+TEST_F(DiscoveryClientTest, AgentThatStaysStaleIsEventuallyAccepted) {
   StartClient(true);
   client->set_max_staleness(Ms(300));
   Peer agent = Call();
@@ -150,8 +151,8 @@
   EXPECT_EQ(client->revision(), 4);
 }
 
-// The watch at the old address delivers until the new one has; its end then is no failure.
-TEST_F(DiscoveryClientTest, NewAddressIsWatchedAtOnceBesideTheOldOne) {
+// The watch at the old address is used until the new one has delivered. Its end is not a failure.
+TEST_F(DiscoveryClientTest, NewAddressIsWatchedAlongsideTheOldOne) {
   StartClient(true);
   Peer old = Call();
   old.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
@@ -170,11 +171,11 @@
   agent.Close();
   Peer again = elsewhere.Accept(loop);
   ASSERT_TRUE(RunUntil(loop, [&] { return again.Has("since=43"); }));
-  EXPECT_FALSE(port.TryAccept());  // the old one is left alone
+  EXPECT_FALSE(port.TryAccept());  // no new connection to the old address
 }
 
-// The first new address is silent, as one configured by mistake may be.
-TEST_F(DiscoveryClientTest, TwoNewAddressesInARowKeepTheOneThatDelivers) {
+// The first new address never responds, for example because it is misconfigured.
+TEST_F(DiscoveryClientTest, SecondRedirectKeepsTheWatchThatDelivers) {
   StartClient(true);
   Peer old = Call();
   old.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
@@ -186,7 +187,7 @@
   Peer second = good.Accept(loop);
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
   EXPECT_FALSE(old.Ended());
-  client->Redirect(good.address());  // the same again changes nothing
+  client->Redirect(good.address());  // redirecting to the current address has no effect
   second.Send(kHead + Chunk("\n"));
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended(); }));
   EXPECT_FALSE(second.Ended());
@@ -212,7 +213,7 @@
   testing::Port elsewhere;
   client->Redirect(elsewhere.address());
   testing::RunFor(loop, Ms(20));
-  EXPECT_FALSE(elsewhere.TryAccept());  // nobody has asked for one
+  EXPECT_FALSE(elsewhere.TryAccept());  // no watch was requested
   client->SetWatching(true);
   Peer old = elsewhere.Accept(loop);
   old.Send(kHead + Chunk("\n"));
@@ -235,21 +236,22 @@
   EXPECT_TRUE(next.Has("since=41"));
 }
 
-// An agent that is down is silent and closes nothing: only the missing empty lines show it.
-TEST_F(DiscoveryClientTest, SilentWatchTimesOutButEmptyLinesKeepIt) {
+// An agent whose machine is down does not close its connections: only the missing keep-alive lines
+// reveal it.
+TEST_F(DiscoveryClientTest, SilentWatchTimesOutUnlessEmptyLinesArrive) {
   StartClient(true);
   Peer agent = Call();
   agent.Send(kHead + Chunk("\n"));
   testing::RunFor(loop, Ms(2500));
   agent.Send(Chunk("\n"));
   testing::RunFor(loop, Ms(3000));
-  EXPECT_EQ(failed, 0);  // 5.5 s, but an empty line in between
+  EXPECT_EQ(failed, 0);  // 5.5 s, with an empty line in between
   ASSERT_TRUE(RunUntil(
       loop, [&] { return failed == 1; }, Ms(3000)));
   EXPECT_TRUE(agent.Ended());
 }
 
-TEST_F(DiscoveryClientTest, WatchOnRequestBeginsOnRequest) {
+TEST_F(DiscoveryClientTest, WatchOnRequestStartsOnRequest) {
   StartClient(false);
   testing::RunFor(loop, Ms(30));
   EXPECT_FALSE(port.TryAccept());
@@ -259,7 +261,7 @@
   agent.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return failed == 1; }));
   testing::RunFor(loop, Ms(300));
-  EXPECT_FALSE(port.TryAccept());  // it asks again itself, when it wants to
+  EXPECT_FALSE(port.TryAccept());  // not restarted before SetWatching
   client->SetWatching(true);
   Peer next = Call();
   client->SetWatching(false);
@@ -280,7 +282,7 @@
   EXPECT_EQ(client->revision(), 50);
 }
 
-TEST_F(DiscoveryClientTest, IncompletePollIsNoList) {
+TEST_F(DiscoveryClientTest, TruncatedPollResponseIsRejected) {
   StartClient(false);
   client->Poll();
   Peer agent = Call();
@@ -309,13 +311,13 @@
 
 // ---- Races (docs/crossings.md) ---------------------------------------------------------------
 
-// A watch that falls silent anywhere, or drips without a line end: changes that it misses must be
-// in effect 6 s after, so that it is renewed before that.
-TEST_F(DiscoveryClientTest, WatchThatFallsSilentAnywhereIsRenewedInTime) {
+// A watch may stall at any position, or trickle bytes without a line end. Changes that it misses
+// must be in effect within 6 s, so it must be restarted before that.
+TEST_F(DiscoveryClientTest, WatchThatStallsAnywhereIsRestartedInTime) {
   const std::string line = Line(41, false, Entry("h1"));
   const std::string whole = kHead + Chunk(line);
   struct Case {
-    std::string what, said;
+    std::string name, sent;
     bool trickles;
   };
   const std::vector<Case> cases = {
@@ -325,7 +327,7 @@
       {"between lines", whole, false},
       {"in a line", whole + Chunk(line.substr(0, 20)), false},
       {"in a line, a byte at a time", whole + Chunk(line.substr(0, 20)), true},
-      {"in a chunk's size", whole + "1", false},
+      {"in a chunk size", whole + "1", false},
       {"in a chunk", whole + "40\r\n" + line.substr(0, 10), false},
   };
   struct Agent final : DiscoveryClient::Listener {
@@ -333,8 +335,8 @@
     void OnDiscoveryFailed() override { ++failed; }
     testing::Port port;
     std::unique_ptr<DiscoveryClient> watch;
-    Peer peer, again;
-    Time silent{0}, anew{0};
+    Peer peer, restarted;
+    Time silent_since{0}, restarted_at{0};
     int lists = 0, failed = 0;
   };
   std::vector<std::unique_ptr<Agent>> agents;
@@ -346,53 +348,53 @@
     agent.watch->Start();
     agent.peer = agent.port.Accept(loop);
     ASSERT_TRUE(RunUntil(loop, [&] { return agent.peer.Has("\r\n\r\n"); }));
-    agent.peer.Send(c.said);
-    agent.silent = loop.Now();
+    agent.peer.Send(c.sent);
+    agent.silent_since = loop.Now();
   }
-  Time next = loop.Now();
+  Time next_send = loop.Now();
   RunUntil(
       loop,
       [&] {
-        bool all = true;
+        bool all_restarted = true;
         for (size_t i = 0; i < agents.size(); ++i) {
           Agent& agent = *agents[i];
-          // A space is white space in a line and in a header.
-          const bool in_chunk = cases[i].what.find("line") != std::string::npos;
-          if (cases[i].trickles && loop.Now() > next) {
-            agent.peer.Send(in_chunk ? Chunk(" ") : " ");
+          // Sends a space, which is allowed within a line and within a header.
+          const bool in_line = cases[i].name.find("line") != std::string::npos;
+          if (cases[i].trickles && loop.Now() > next_send) {
+            agent.peer.Send(in_line ? Chunk(" ") : " ");
           }
-          if (!agent.again && (agent.again = agent.port.TryAccept())) {
-            agent.anew = loop.Now();
+          if (!agent.restarted && (agent.restarted = agent.port.TryAccept())) {
+            agent.restarted_at = loop.Now();
           }
-          all = all && agent.again;
+          all_restarted = all_restarted && agent.restarted;
         }
-        if (loop.Now() > next) {
-          next = loop.Now() + Ms(200);
+        if (loop.Now() > next_send) {
+          next_send = loop.Now() + Ms(200);
         }
-        return all;
+        return all_restarted;
       },
       Ms(6500));
   for (size_t i = 0; i < agents.size(); ++i) {
-    EXPECT_TRUE(agents[i]->again) << cases[i].what;
-    EXPECT_LT(agents[i]->anew - agents[i]->silent, Ms(5600)) << cases[i].what;
-    EXPECT_GE(agents[i]->failed, 1) << cases[i].what;
-    EXPECT_EQ(agents[i]->lists, cases[i].said.starts_with(whole) ? 1 : 0) << cases[i].what;
+    EXPECT_TRUE(agents[i]->restarted) << cases[i].name;
+    EXPECT_LT(agents[i]->restarted_at - agents[i]->silent_since, Ms(5600)) << cases[i].name;
+    EXPECT_GE(agents[i]->failed, 1) << cases[i].name;
+    EXPECT_EQ(agents[i]->lists, cases[i].sent.starts_with(whole) ? 1 : 0) << cases[i].name;
   }
 }
 
-// An agent that accepts the new watch and sends nothing must not cost five seconds more.
+// An agent that accepts a watch and sends nothing must not delay the next one by another 5 s.
 TEST_F(DiscoveryClientTest, SilentAgentIsRetriedSoon) {
   StartClient(true);
   Peer silent = Call();
-  const Time began = loop.Now();
+  const Time started_at = loop.Now();
   Peer again = Call();
-  EXPECT_LT(loop.Now() - began, Ms(2600));
+  EXPECT_LT(loop.Now() - started_at, Ms(2600));
   EXPECT_TRUE(silent.Ended());
   again.Send(kHead + Chunk(Line(41, false, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
-// Lists may be indented: line ends within an object are white space.
+// A list object may be indented over several lines.
 TEST_F(DiscoveryClientTest, IndentedListIsAccepted) {
   StartClient(true);
   Peer agent = Call();
@@ -409,11 +411,12 @@
   EXPECT_EQ(failed, 0);
 }
 
-// A truncated line, with keep-alive lines behind it, is detected at once.
-TEST_F(DiscoveryClientTest, TruncatedLineIsNotWaitedFor) {
+// A truncated line followed by keep-alive lines is detected immediately.
+TEST_F(DiscoveryClientTest, TruncatedLineIsDetectedImmediately) {
   const std::string line = Line(41, false, Entry("h1"));
   StartClient(true);
-  // Within a string, within a number, between two values, in a list; then another line or none.
+  // Truncated within a string, a number, between values, in a list; followed by an empty line or
+  // another list.
   for (const size_t at : {line.find("h1") + 1, size_t{13}, size_t{15}, line.find('[') + 1}) {
     for (const std::string& next : {std::string("\n"), line}) {
       failed = 0;
@@ -428,8 +431,8 @@
   EXPECT_TRUE(lists.empty());
 }
 
-// Two polls at once: the first call serves both, and both get the list.
-TEST_F(DiscoveryClientTest, SecondPollIsServedByTheFirst) {
+// A Poll call while a poll is in progress does not start another one.
+TEST_F(DiscoveryClientTest, SecondPollJoinsTheOneInProgress) {
   StartClient(false);
   client->Poll();
   Peer agent = Call();
@@ -444,24 +447,24 @@
   EXPECT_TRUE(next.Has("GET /catalog/members HTTP/1.1\r\n"));
 }
 
-// Reset just before a change: the watch is renewed at once and delivers it.
-TEST_F(DiscoveryClientTest, ResetJustBeforeADrainLosesLittleTime) {
+// The connection is reset just before a change: the watch restarts quickly and delivers it.
+TEST_F(DiscoveryClientTest, ResetJustBeforeADrainDelaysItLittle) {
   StartClient(true);
   Peer agent = Call();
   agent.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
-  const Time began = loop.Now();
+  const Time started_at = loop.Now();
   agent.Reset();
   Peer again = Call();
   EXPECT_TRUE(again.Has("since=41"));
   again.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[1].endpoints[0].info.state, EndpointState::kDraining);
-  EXPECT_LT(loop.Now() - began, Ms(300));
+  EXPECT_LT(loop.Now() - started_at, Ms(300));
 }
 
-// To the new address and back before the new one has delivered: one watch stays, and gets all
-// changes.
+// Redirects to a new address and back before the new one has delivered: a single watch remains and
+// receives all changes.
 TEST_F(DiscoveryClientTest, RedirectAndBackKeepsOneWatch) {
   StartClient(true);
   Peer first = Call();
@@ -473,7 +476,7 @@
   client->Redirect(port.address());
   Peer back = Call();
   EXPECT_TRUE(RunUntil(loop, [&] { return there.Ended(); }));
-  EXPECT_FALSE(first.Ended());  // tells until the new one has spoken
+  EXPECT_FALSE(first.Ended());  // kept until the new watch has delivered
   back.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
@@ -486,25 +489,25 @@
 
 class OversizedListTest : public DiscoveryClientTest {
  protected:
-  static constexpr size_t kMost = 20'000;
-  void BeginShort(bool self_renewing_watch) {
+  static constexpr size_t kMaxListBytes = 20'000;
+  void StartWithSmallLimit(bool self_renewing_watch) {
     client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, self_renewing_watch,
                                                this);
-    client->set_max_list_bytes(kMost);
+    client->set_max_list_bytes(kMaxListBytes);
     client->set_oversize_backoff(Ms(60), Ms(480));
     client->Start();
   }
-  // On request: the load balancer requests again soon after each failure.
+  // Simulates the load balancer, which requests again soon after each failure.
   void OnDiscoveryFailed() override {
     ++failed;
     loop.RunAfter(Ms(10), [this] {
-      if (ask) {
-        ask();
+      if (request_again) {
+        request_again();
       }
     });
   }
-  // A list of at least so many bytes.
-  static std::string Long(size_t bytes, int revision = 60) {
+  // Returns a list line of at least `bytes` bytes.
+  static std::string ListOfAtLeast(size_t bytes, int revision = 60) {
     std::string members = Entry("h0");
     members.reserve(bytes + 200);
     for (int i = 1; members.size() < bytes; ++i) {
@@ -512,50 +515,52 @@
     }
     return Line(revision, true, members);
   }
-  // Sends it as fast as it is read, until the peer closes or has all; returns the bytes sent.
-  size_t Say(Peer& agent, std::string_view text, const std::function<bool()>& over) {
-    size_t said = 0;
+  // Sends `text` as fast as it is read, until `finished` returns true. Returns the bytes sent.
+  size_t SendUntil(Peer& agent, std::string_view text, const std::function<bool()>& finished) {
+    size_t sent = 0;
     EXPECT_TRUE(RunUntil(
         loop,
         [&] {
-          while (said < text.size()) {
-            const std::string_view part = text.substr(said, 1 << 16);
+          while (sent < text.size()) {
+            const std::string_view part = text.substr(sent, 1 << 16);
             const ssize_t n = send(agent.fd(), part.data(), part.size(), MSG_NOSIGNAL);
             if (n <= 0)
               break;
-            said += static_cast<size_t>(n);
+            sent += static_cast<size_t>(n);
           }
-          return over();
+          return finished();
         },
         Ms(20'000)));
-    return said;
+    return sent;
   }
-  size_t SayUntilCut(Peer& agent, std::string_view text) {
-    return Say(agent, text, [&] { return agent.Ended(); });
+  size_t SendUntilClosed(Peer& agent, std::string_view text) {
+    return SendUntil(agent, text, [&] { return agent.Ended(); });
   }
-  // The delays from one call to the next while each gets this response.
-  std::vector<double> Gaps(int count, const std::string& text) {
-    std::vector<double> gaps;
+  // Returns the delays in ms between successive calls, each answered with `text`, or reset if it is
+  // empty.
+  std::vector<double> DelaysBetweenCalls(int count, const std::string& text) {
+    std::vector<double> delays;
     Time last{0};
     for (int i = 0; i <= count; ++i) {
       Peer agent = Call();
       if (i > 0) {
-        gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
+        delays.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
       }
       last = loop.Now();
       if (text.empty()) {
         agent.Reset();
       } else {
-        SayUntilCut(agent, text);
+        SendUntilClosed(agent, text);
       }
     }
-    return gaps;
+    return delays;
   }
-  static void ExpectPace(const std::vector<double>& gaps, const std::vector<double>& waits) {
-    ASSERT_EQ(gaps.size(), waits.size());
-    for (size_t i = 0; i < gaps.size(); ++i) {
-      EXPECT_GE(gaps[i], waits[i] - 1) << i;
-      EXPECT_LT(gaps[i], waits[i] + 250) << i;  // what a busy machine adds
+  static void ExpectDelays(const std::vector<double>& delays,
+                           const std::vector<double>& expected_ms) {
+    ASSERT_EQ(delays.size(), expected_ms.size());
+    for (size_t i = 0; i < delays.size(); ++i) {
+      EXPECT_GE(delays[i], expected_ms[i] - 1) << i;
+      EXPECT_LT(delays[i], expected_ms[i] + 250) << i;  // tolerance for a busy machine
     }
   }
   static size_t CountOf(const std::string& text, const std::string& part) {
@@ -566,35 +571,36 @@
     return count;
   }
 
-  std::function<void()> ask;
+  std::function<void()> request_again;
 };
 
 TEST_F(OversizedListTest, SelfRenewingWatchBacksOff) {
   const uint64_t too_long = GlobalCounters().discovery_too_long,
                  malformed = GlobalCounters().discovery_malformed;
   ::testing::internal::CaptureStderr();
-  BeginShort(true);
-  const auto gaps = Gaps(6, kHead + Chunk(Long(kMost)));
+  StartWithSmallLimit(true);
+  const auto delays = DelaysBetweenCalls(6, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
   const std::string log = ::testing::internal::GetCapturedStderr();
-  ExpectPace(gaps, {60, 120, 240, 480, 480, 480});
+  ExpectDelays(delays, {60, 120, 240, 480, 480, 480});
   EXPECT_EQ(GlobalCounters().discovery_too_long, too_long + 7);
   EXPECT_EQ(GlobalCounters().discovery_malformed, malformed);
   EXPECT_EQ(failed, 7);
   EXPECT_TRUE(lists.empty());
   EXPECT_EQ(client->revision(), 40);
-  EXPECT_EQ(CountOf(log, "too long"), 1u) << log;  // not at each try
+  EXPECT_EQ(CountOf(log, "too long"), 1u) << log;  // not for each attempt
   EXPECT_EQ(CountOf(log, "discovery"), 1u) << log;
 }
 
 TEST_F(OversizedListTest, WatchOnRequestBacksOff) {
-  BeginShort(false);
-  ask = [this] {
+  StartWithSmallLimit(false);
+  request_again = [this] {
     client->SetWatching(true);
   };
   client->SetWatching(true);
-  ExpectPace(Gaps(5, kHead + Chunk(Long(kMost))), {60, 120, 240, 480, 480});
-  // Switched off, it is not renewed.
-  ask = nullptr;
+  ExpectDelays(DelaysBetweenCalls(5, kHead + Chunk(ListOfAtLeast(kMaxListBytes))),
+               {60, 120, 240, 480, 480});
+  // Not restarted after SetWatching(false).
+  request_again = nullptr;
   client->SetWatching(true);
   client->SetWatching(false);
   testing::RunFor(loop, Ms(700));
@@ -604,16 +610,17 @@
 TEST_F(OversizedListTest, PollBacksOff) {
   const uint64_t too_long = GlobalCounters().discovery_too_long;
   ::testing::internal::CaptureStderr();
-  BeginShort(false);
-  ask = [this] {
+  StartWithSmallLimit(false);
+  request_again = [this] {
     client->Poll();
   };
   client->Poll();
-  const auto gaps = Gaps(3, testing::Http200(Long(kMost)));
-  const auto chunked = Gaps(1, kHead + Chunk(Long(kMost)) + "0\r\n\r\n");
+  const auto delays = DelaysBetweenCalls(3, testing::Http200(ListOfAtLeast(kMaxListBytes)));
+  const auto chunked =
+      DelaysBetweenCalls(1, kHead + Chunk(ListOfAtLeast(kMaxListBytes)) + "0\r\n\r\n");
   const std::string log = ::testing::internal::GetCapturedStderr();
-  ExpectPace(gaps, {60, 120, 240});
-  ExpectPace(chunked, {480});
+  ExpectDelays(delays, {60, 120, 240});
+  ExpectDelays(chunked, {480});
   EXPECT_EQ(GlobalCounters().discovery_too_long, too_long + 6);
   EXPECT_EQ(CountOf(log, "discovery"), 1u) << log;
 }
@@ -621,171 +628,174 @@
 // Only an accepted list resets the backoff.
 TEST_F(OversizedListTest, AcceptedListResetsTheBackoff) {
   ::testing::internal::CaptureStderr();
-  BeginShort(true);
-  Gaps(3, kHead + Chunk(Long(kMost)));
-  Peer shrunk = Call();
-  shrunk.Send(kHead + Chunk(Line(61, true, Entry("h1"))));
+  StartWithSmallLimit(true);
+  DelaysBetweenCalls(3, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
+  Peer recovered = Call();
+  recovered.Send(kHead + Chunk(Line(61, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   EXPECT_EQ(client->revision(), 61);
-  SayUntilCut(shrunk, Chunk(Long(kMost, 62)));
-  const Time cut = loop.Now();
+  SendUntilClosed(recovered, Chunk(ListOfAtLeast(kMaxListBytes, 62)));
+  const Time closed_at = loop.Now();
   Call();
-  EXPECT_LT(loop.Now() - cut, Ms(60 + 250));
+  EXPECT_LT(loop.Now() - closed_at, Ms(60 + 250));
   const std::string log = ::testing::internal::GetCapturedStderr();
-  EXPECT_EQ(CountOf(log, "too long"), 2u) << log;  // once for each stretch
+  EXPECT_EQ(CountOf(log, "too long"), 2u) << log;  // once for each sequence of oversized lists
 }
 
-// A keep-alive line is no list.
+// A keep-alive line does not reset the backoff.
 TEST_F(OversizedListTest, EmptyLineKeepsTheBackoff) {
-  BeginShort(true);
-  ExpectPace(Gaps(4, kHead + Chunk("\n") + Chunk(Long(kMost))), {60, 120, 240, 480});
+  StartWithSmallLimit(true);
+  ExpectDelays(DelaysBetweenCalls(4, kHead + Chunk("\n") + Chunk(ListOfAtLeast(kMaxListBytes))),
+               {60, 120, 240, 480});
 }
 
-// A change must be in effect 6 s after the agent had it: only for oversized lists is it later.
+// Changes must be in effect within 6 s; only oversized lists may delay them further.
 TEST_F(OversizedListTest, OtherFailuresKeepTheirRetryDelay) {
   client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, true, this);
-  client->set_max_list_bytes(kMost);
+  client->set_max_list_bytes(kMaxListBytes);
   client->set_oversize_backoff(Ms(700), Ms(1500));
   client->Start();
-  Gaps(1, kHead + Chunk(Long(kMost)));
-  Call().Reset();  // the wait for it was that of the list
-  ExpectPace(Gaps(4, ""), {100, 200, 400, 400});
-  // And the backoff goes on where it was.
+  DelaysBetweenCalls(1, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
+  Call().Reset();  // preceded by the delay of the oversized list
+  ExpectDelays(DelaysBetweenCalls(4, ""), {100, 200, 400, 400});
+  // The backoff continues from its last value.
   Peer agent = Call();
-  SayUntilCut(agent, kHead + Chunk(Long(kMost)));
-  const Time cut = loop.Now();
+  SendUntilClosed(agent, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
+  const Time closed_at = loop.Now();
   Call();
-  EXPECT_GE(loop.Now() - cut, Ms(1400));
+  EXPECT_GE(loop.Now() - closed_at, Ms(1400));
 }
 
-// An oversized poll says nothing of the watch, which may deliver changes only.
+// An oversized poll response does not delay a watch, which may deliver only changes.
 TEST_F(OversizedListTest, OversizedPollDoesNotDelayTheWatch) {
   client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, false, this);
-  client->set_max_list_bytes(kMost);
+  client->set_max_list_bytes(kMaxListBytes);
   client->set_oversize_backoff(Ms(5000), Ms(5000));
   client->Poll();
   Peer agent = Call();
-  SayUntilCut(agent, testing::Http200(Long(kMost)));
+  SendUntilClosed(agent, testing::Http200(ListOfAtLeast(kMaxListBytes)));
   client->SetWatching(true);
-  const Time asked = loop.Now();
+  const Time requested_at = loop.Now();
   Call();
-  EXPECT_LT(loop.Now() - asked, Ms(250));
+  EXPECT_LT(loop.Now() - requested_at, Ms(250));
 }
 
-TEST_F(OversizedListTest, NewAddressIsWatchedAtOnce) {
+TEST_F(OversizedListTest, NewAddressIsWatchedImmediately) {
   for (const bool self_renewing_watch : {true, false}) {
     client = std::make_unique<DiscoveryClient>(loop, port.address(), names, 40, self_renewing_watch,
                                                this);
-    client->set_max_list_bytes(kMost);
+    client->set_max_list_bytes(kMaxListBytes);
     client->set_oversize_backoff(Ms(300), Ms(20'000));
     client->Start();
-    ask = self_renewing_watch ? std::function<void()>() : [this] {
+    request_again = self_renewing_watch ? std::function<void()>() : [this] {
       client->SetWatching(true);
     };
     if (!self_renewing_watch) {
       client->SetWatching(true);
     }
-    Gaps(2, kHead + Chunk(Long(kMost)));  // waits 1.2 s now
+    DelaysBetweenCalls(2, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));  // the next delay is 1.2 s
     testing::RunFor(loop, Ms(30));
     testing::Port elsewhere;
     client->Redirect(elsewhere.address());
-    const Time asked = loop.Now();
+    const Time requested_at = loop.Now();
     Peer agent = elsewhere.Accept(loop);
-    EXPECT_LT(loop.Now() - asked, Ms(250)) << self_renewing_watch;
-    // The backoff begins anew there, too.
-    SayUntilCut(agent, kHead + Chunk(Long(kMost)));
-    const Time cut = loop.Now();
+    EXPECT_LT(loop.Now() - requested_at, Ms(250)) << self_renewing_watch;
+    // The backoff starts over at the new address.
+    SendUntilClosed(agent, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
+    const Time closed_at = loop.Now();
     Peer again = elsewhere.Accept(loop);
-    EXPECT_GE(loop.Now() - cut, Ms(290)) << self_renewing_watch;
-    EXPECT_LT(loop.Now() - cut, Ms(600)) << self_renewing_watch;
+    EXPECT_GE(loop.Now() - closed_at, Ms(290)) << self_renewing_watch;
+    EXPECT_LT(loop.Now() - closed_at, Ms(600)) << self_renewing_watch;
     client.reset();
   }
 }
 
-// The previous watch delivers until the new one has: that says nothing of the new one's lists.
+// Lists that the previous watch delivers do not reset the backoff of the new one.
 TEST_F(OversizedListTest, ListFromTheOldAddressKeepsTheBackoff) {
-  BeginShort(true);
+  StartWithSmallLimit(true);
   Peer old = Call();
   old.Send(kHead + Chunk(Line(41, true, Entry("h1"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port elsewhere;
   client->Redirect(elsewhere.address());
   Time last{0};
-  std::vector<double> gaps;
+  std::vector<double> delays;
   for (int i = 0; i < 4; ++i) {
     Peer agent = elsewhere.Accept(loop);
     if (i > 0) {
-      gaps.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
+      delays.push_back(static_cast<double>((loop.Now() - last).count()) / 1000);
     }
     last = loop.Now();
-    SayUntilCut(agent, kHead + Chunk(Long(kMost)));
+    SendUntilClosed(agent, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
     old.Send(Chunk(Line(42 + i, false, Entry("h2"))));
   }
-  EXPECT_EQ(lists.size(), 4u);  // all that was told but the last
-  ExpectPace(gaps, {60, 120, 240});
+  EXPECT_EQ(lists.size(), 4u);  // all changes sent except the last
+  ExpectDelays(delays, {60, 120, 240});
 }
 
-// An agent that repeats a small change before each oversized list is no better than without it.
+// A change that the agent repeats before each oversized list does not reset the backoff.
 TEST_F(OversizedListTest, RepeatedChangeKeepsTheBackoff) {
-  BeginShort(true);
+  StartWithSmallLimit(true);
   const std::string change = Chunk(Line(41, false, Entry("h1")));
-  ExpectPace(Gaps(4, kHead + change + Chunk(Long(kMost))), {60, 120, 240, 480});
+  ExpectDelays(DelaysBetweenCalls(4, kHead + change + Chunk(ListOfAtLeast(kMaxListBytes))),
+               {60, 120, 240, 480});
 }
 
-// The actual limit, by a peer that sends while the client reads: bytes past it are not transferred.
+// With the default limit and a peer that sends while the client reads, little beyond the limit is
+// transferred.
 TEST_F(OversizedListTest, TransferStopsNearTheLimit) {
-  const std::string text = Long(13 << 20);
-  const size_t bound = size_t{4} << 20, spare = size_t{1} << 20;  // that, and the kernel's buffers
-  const auto said = [&](const std::string& all) {
+  const std::string text = ListOfAtLeast(13 << 20);
+  const size_t limit = size_t{4} << 20, tolerance = size_t{1} << 20;  // for kernel buffers
+  const auto bytes_sent = [&](const std::string& response) {
     Peer agent = Call();
-    const int size = 1 << 16;  // what this end holds back is not transferred
+    const int size = 1 << 16;  // small: bytes that stay in the send buffer count as sent
     setsockopt(agent.fd(), SOL_SOCKET, SO_SNDBUF, &size, sizeof(size));
-    std::atomic<size_t> out = 0;
-    std::atomic<bool> cut = false;
-    std::thread says([&] {
-      while (out < all.size()) {
+    std::atomic<size_t> sent = 0;
+    std::atomic<bool> done = false;
+    std::thread sender([&] {
+      while (sent < response.size()) {
         pollfd wait{agent.fd(), POLLOUT, 0};
         poll(&wait, 1, 1000);
-        const ssize_t n = send(agent.fd(), all.data() + out,
-                               std::min<size_t>(all.size() - out, 1 << 16), MSG_NOSIGNAL);
+        const ssize_t n = send(agent.fd(), response.data() + sent,
+                               std::min<size_t>(response.size() - sent, 1 << 16), MSG_NOSIGNAL);
         if (n < 0 && errno != EAGAIN) {
           break;
         }
         if (n > 0) {
-          out += static_cast<size_t>(n);
+          sent += static_cast<size_t>(n);
         }
       }
-      cut = true;
+      done = true;
     });
     const bool ended = RunUntil(
-        loop, [&] { return cut.load(); }, Ms(20'000));
+        loop, [&] { return done.load(); }, Ms(20'000));
     EXPECT_TRUE(ended);
-    client.reset();  // whatever was not cut off is now
-    says.join();
-    return out.load();
+    client.reset();  // closes the connection if it is still open
+    sender.join();
+    return sent.load();
   };
   StartClient(false);
   client->Poll();
-  EXPECT_LT(said(testing::Http200(text)), spare);
+  EXPECT_LT(bytes_sent(testing::Http200(text)), tolerance);
   StartClient(false);
   client->Poll();
-  EXPECT_LT(said(kHead + Chunk(text) + "0\r\n\r\n"), bound + spare);
+  EXPECT_LT(bytes_sent(kHead + Chunk(text) + "0\r\n\r\n"), limit + tolerance);
   StartClient(true);
-  EXPECT_LT(said(kHead + Chunk(text)), bound + spare);
+  EXPECT_LT(bytes_sent(kHead + Chunk(text)), limit + tolerance);
   EXPECT_TRUE(lists.empty());
 }
 
-// More than one read, within the limit, and nothing behind it: no later line is waited for.
-TEST_F(OversizedListTest, ListWithinTheLimitIsReadInOneGo) {
-  const std::string text = Long(700'000);
+// A list that takes several reads is accepted without waiting for further data.
+TEST_F(OversizedListTest, ListWithinTheLimitNeedsNoFurtherData) {
+  const std::string text = ListOfAtLeast(700'000);
   StartClient(true);
   Peer agent = Call();
-  Say(agent, kHead + Chunk(text), [&] { return lists.size() == 1; });
+  SendUntil(agent, kHead + Chunk(text), [&] { return lists.size() == 1; });
   ASSERT_EQ(lists.size(), 1u);
   EXPECT_EQ(failed, 0);
   client->Poll();
   Peer other = Call();
-  Say(other, testing::Http200(text), [&] { return lists.size() == 2; });
+  SendUntil(other, testing::Http200(text), [&] { return lists.size() == 2; });
   ASSERT_EQ(lists.size(), 2u);
   EXPECT_EQ(lists[0].endpoints.size(), lists[1].endpoints.size());
   EXPECT_EQ(failed, 0);
