--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -21,9 +21,8 @@
 //
 //   self-renewing | The client starts the watch in Start and restarts it with backoff after each
 //                 | failure. SetWatching has no effect.
-//   on request    | SetWatching starts and restarts the watch. If it is not called soon enough
-//   after
-//                 | a failure to keep the list fresh, the client restarts the watch once by itself.
+//   on request    | SetWatching starts and restarts the watch. If it is not called in time after
+//                 | a failure, the client restarts the watch once, to keep the list fresh.
 //
 // Connections use the descriptor reserve, so that client connections cannot block discovery.
 class DiscoveryClient {
