--- a/src/http/chunk_decoder.cpp
+++ b/src/http/chunk_decoder.cpp
@@ -9,8 +9,8 @@
 namespace paddlestile {
 namespace {
 
-constexpr int kMaxSizeDigits = 16;           // leading zeroes included
-constexpr size_t kMaxChunkBytes = 1U << 28;  // far above any body that is taken
+constexpr int kMaxSizeDigits = 16;           // including leading zeros
+constexpr size_t kMaxChunkBytes = 1U << 28;  // well above any accepted body
 constexpr size_t kMaxExtensionBytes = 256;
 
 size_t HexValue(unsigned char digit) {
@@ -104,7 +104,7 @@
   return true;
 }
 
-// A line of one byte, its CR, is the empty one that ends the trailer.
+// The trailer ends with an empty line, for which line_bytes_ is 1 (the CR).
 bool ChunkDecoder::DecodeTrailer(char c) {
   if (++trailer_bytes_ > kMaxHeadBytes) {
     return false;
--- a/src/http/http_limits.h
+++ b/src/http/http_limits.h
@@ -6,9 +6,9 @@
 
 namespace paddlestile {
 
-constexpr size_t kMaxHeadBytes = 16'384;          // start line and headers; also of a trailer
-constexpr size_t kMaxBufferedBodyBytes = 65'536;  // larger bodies stream, as a rule
-constexpr size_t kMaxBodyBytes = 34U << 20;       // of any message
+constexpr size_t kMaxHeadBytes = 16'384;          // start line and headers; also limits a trailer
+constexpr size_t kMaxBufferedBodyBytes = 65'536;  // larger bodies are usually streamed
+constexpr size_t kMaxBodyBytes = 34U << 20;       // body of any message
 constexpr size_t kMaxHeaders = 100;
 
 }  // namespace paddlestile
--- a/src/http/parse_progress.h
+++ b/src/http/parse_progress.h
@@ -6,8 +6,8 @@
 
 enum class ParseProgress {
   kNeedMore,  // more bytes are needed
-  kDone,      // the end has been read
-  kMalformed  // final: nothing further can be read
+  kDone,      // the end has been reached
+  kMalformed  // final: parsing cannot continue
 };
 
 }  // namespace paddlestile
