--- a/src/http/http_message.cpp
+++ b/src/http/http_message.cpp
@@ -35,9 +35,9 @@
 
 std::optional<std::string_view> HttpMessage::FindHeader(std::string_view base,
                                                         std::string_view name) const {
-  for (const auto& [key, value] : headers) {
-    if (HeaderNamesEqual(key.In(base), name)) {
-      return value.In(base);
+  for (const auto& [header_name, header_value] : headers) {
+    if (HeaderNamesEqual(header_name.In(base), name)) {
+      return header_value.In(base);
     }
   }
   return std::nullopt;
