--- a/src/http/http_parser.cpp
+++ b/src/http/http_parser.cpp
@@ -9,7 +9,7 @@
 namespace paddlestile {
 namespace {
 
-// Empty lines before a request are skipped where they end before this position: two of them.
+// Up to two empty lines before a request are skipped: their line ends lie before this position.
 constexpr size_t kMaxLeadingLineEnd = 4;
 
 bool IsToken(std::string_view text) {
@@ -19,7 +19,7 @@
   });
 }
 
-// No control characters: one that a peer reads as an end of line would let a header in.
+// Rejects control characters: a peer that treats one as a line end would see an injected header.
 bool IsFieldText(std::string_view text) {
   return std::ranges::all_of(text,
                              [](unsigned char c) { return c == '\t' || (c >= 0x20 && c != 0x7f); });
@@ -49,7 +49,7 @@
 
 void HttpParser::SetVersion(std::string_view version) {
   message_.is_http10 = version == "HTTP/1.0";
-  message_.keep_alive = !message_.is_http10;  // unless a header says otherwise
+  message_.keep_alive = !message_.is_http10;  // default, may be changed by the Connection header
 }
 
 ParseProgress HttpParser::ParseStatusLine(std::string_view text) {
@@ -100,7 +100,7 @@
 ParseProgress HttpParser::ParseHeaderLine(std::string_view all, Range line) {
   const std::string_view text = line.In(all);
   const size_t colon = text.find(':');
-  // Also rejects a folded line and a space before the colon, which peers read differently.
+  // Also rejects folded lines and white space before the colon, which peers interpret differently.
   if (colon == std::string_view::npos || !IsToken(text.substr(0, colon))) {
     return Fail(400);
   }
@@ -118,8 +118,8 @@
 
 void HttpParser::ReadConnectionHeaders(std::string_view all) {
   bool close = false;
-  for (const auto& [key, value] : message_.headers) {
-    if (!HeaderNamesEqual(key.In(all), "Connection")) {
+  for (const auto& [name, value] : message_.headers) {
+    if (!HeaderNamesEqual(name.In(all), "Connection")) {
       continue;
     }
     close = close || ListContains(value.In(all), "close");
@@ -130,21 +130,21 @@
 
 ParseProgress HttpParser::FinishHead(std::string_view all) {
   ReadConnectionHeaders(all);
-  const size_t lengths = message_.CountHeader(all, "Content-Length");
-  const size_t codings = message_.CountHeader(all, "Transfer-Encoding");
-  // Two lengths, or a length beside chunks, leave open where the message ends.
-  if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) {
+  const size_t length_count = message_.CountHeader(all, "Content-Length");
+  const size_t coding_count = message_.CountHeader(all, "Transfer-Encoding");
+  // With several lengths, or both a length and a transfer coding, the message end is ambiguous.
+  if (length_count > 1 || coding_count > 1 || (length_count > 0 && coding_count > 0)) {
     return Fail(400);
   }
   if (kind_ == Kind::kResponse && message_.status < 200) {
-    message_ = HttpMessage{};  // an interim response: the final one follows
+    message_ = HttpMessage{};  // interim response; the final one follows
     state_ = State::kStart;
     return ParseProgress::kNeedMore;
   }
   message_.body = {scanned_bytes_, 0};
   content_length_ = 0;
   state_ = State::kLength;
-  // These have no body, whatever their head says.
+  // Responses with these statuses have no body, whatever their headers say.
   if (kind_ == Kind::kResponse && (message_.status == 204 || message_.status == 304)) {
     return ParseProgress::kNeedMore;
   }
@@ -168,7 +168,7 @@
     }
     content_length_ = static_cast<size_t>(*length);
   } else if (kind_ == Kind::kResponse) {
-    // Endpoints that die reset their connections; a close is the end of the body.
+    // A close marks the end of the body. An endpoint that crashes resets its connections instead.
     message_.body_until_close = true;
     message_.keep_alive = false;
     state_ = State::kUntilClose;
@@ -199,7 +199,7 @@
       return ParseProgress::kNeedMore;
     }
     if (end == line_begin_ || all[end - 1] != '\r') {
-      return Fail(400);  // a bare line feed
+      return Fail(400);  // bare line feed
     }
     const Range line{line_begin_, end - 1 - line_begin_};
     scanned_bytes_ = end + 1;
@@ -273,7 +273,7 @@
     return Fail(413);
   }
   if (progress == ParseProgress::kNeedMore) {
-    // The framing that was read is dropped, or chunks of a byte would hold five more each.
+    // Drops the framing that was read. Otherwise one-byte chunks would occupy five more bytes each.
     scanned_bytes_ = message_.body.at + message_.body.size;
     in.Truncate(scanned_bytes_);
     return progress;
@@ -351,8 +351,8 @@
   if (progress == ParseProgress::kDone) {
     state_ = State::kDone;
   }
-  const bool cut_short = progress == ParseProgress::kNeedMore && piece.empty() && ended;
-  return cut_short ? Fail(400) : progress;
+  const bool truncated = progress == ParseProgress::kNeedMore && piece.empty() && ended;
+  return truncated ? Fail(400) : progress;
 }
 
 ParseProgress HttpParser::TakeSizedBody(Buffer& in, Buffer& piece) {
--- a/src/http/http_parser.h
+++ b/src/http/http_parser.h
@@ -1,4 +1,4 @@
-// Parses HTTP/1.1 messages incrementally, in the buffer that they are read into. No I/O.
+// Parses HTTP/1.1 messages incrementally in the buffer that they are read into. Does no I/O.
 #ifndef PADDLESTILE_HTTP_HTTP_PARSER_H_
 #define PADDLESTILE_HTTP_HTTP_PARSER_H_
 
@@ -15,15 +15,15 @@
 
 namespace paddlestile {
 
-// One message at a time; Reset before the next. The buffer is the caller's, and must hold the same
-// unread bytes, with more at the end, from call to call.
+// Parses one message at a time; call Reset before the next one. The buffer belongs to the caller.
+// Between calls the caller may only append to its content.
 //
 //   state        | reads                                            | next
 //   -------------+--------------------------------------------------+------------------------------
 //   kStart       | request line or status line                      | kHeaders
-//   kHeaders     | header lines, to the empty one                   | by the head one of the next
-//                |                                                  | three; kStart after a 1xx
-//   kLength      | a body of known length, which may be 0           | kDone
+//   kHeaders     | header lines, up to the empty one                | one of the next three, as the
+//                |                                                  | head says; kStart after a 1xx
+//   kLength      | a body of known length, possibly 0               | kDone
 //   kChunks      | a chunked body                                   | kDone
 //   kUntilClose  | a body that ends with the connection (response)  | kDone
 class HttpParser {
@@ -32,40 +32,41 @@
     kRequest,
     kResponse
   };
-  // Bodies of more than `max_body_bytes` are malformed.
+  // Messages with a body of more than `max_body_bytes` are rejected as malformed.
   explicit HttpParser(Kind kind, size_t max_body_bytes = kMaxBufferedBodyBytes)
       : kind_(kind), max_body_bytes_(max_body_bytes) {}
 
-  // Parses on in `in` and decodes chunks in place. kDone with the end of the message; its bytes
-  // stay in `in`, and message() refers to them.
+  // Continues to parse `in` and decodes chunks in place. Returns kDone at the end of the message,
+  // whose bytes stay in `in`; message() refers to them.
   ParseProgress Feed(Buffer& in);
-  // The same, but kDone with the end of the head.
+  // Like Feed, but stops with kDone at the end of the head.
   ParseProgress FeedHead(Buffer& in);
 
-  // To be called when the peer has closed its side: whether that is the end of the message.
+  // Must be called when the peer has closed its side. Returns whether that completes the message.
   bool EndsWithConnection(Buffer& in);
 
-  // ---- Bodies that stream.
-  // Whether the head has been parsed, and the body not to its end.
+  // ---- Streamed bodies.
+  // Returns whether the head is complete and the body is not.
   [[nodiscard]] bool head_done() const {
     return state_ == State::kLength || state_ == State::kChunks || state_ == State::kUntilClose;
   }
-  // Nothing where it is known at the end only.
+  // The body's length in bytes; nullopt if it is not known in advance.
   [[nodiscard]] std::optional<uint64_t> body_length() const;
-  // Bytes of the body that Feed has seen in `in`, without their framing.
+  // Number of body bytes in `in` that Feed has parsed, without framing.
   [[nodiscard]] size_t body_bytes_received(const Buffer& in) const;
-  // Moves the head from `in` to `head` and returns it as a message without a body. The body is read
-  // by TakeBody from then on.
+  // Moves the head from `in` to `head` and returns it as a message without a body. After that,
+  // TakeBody reads the body.
   HttpMessage TakeHead(Buffer& in, Buffer& head);
-  // Moves what has come of the body from `in` to `piece`, decoded. kDone with its end. `ended`: the
-  // peer has closed its side.
+  // Moves the available part of the body, decoded, from `in` to `piece`. Returns kDone at the end
+  // of the body. `ended`: the peer has closed its side.
   ParseProgress TakeBody(Buffer& in, Buffer& piece, bool ended);
 
   [[nodiscard]] const HttpMessage& message() const { return message_; }
-  // The HTTP status to respond with to a malformed request; else 0.
+  // The HTTP status of the response to a malformed request; 0 if there was no error.
   [[nodiscard]] int error_status() const { return error_status_; }
-  // Whether bytes of the present message have been seen.
+  // Returns whether any bytes of the current message have been parsed.
   [[nodiscard]] bool begun() const { return scanned_bytes_ > 0; }
+  // Prepares for the next message.
   void Reset();
 
  private:
@@ -77,7 +78,7 @@
     kUntilClose,
     kDone
   };
-  // `all` is the content of the buffer in each of these.
+  // In the following functions `all` is the whole content of the buffer.
   ParseProgress ParseHeadLines(std::string_view all);
   ParseProgress ParseHeadLine(std::string_view all, Range line);
   ParseProgress ParseRequestLine(std::string_view all, Range line);
@@ -94,17 +95,18 @@
   ParseProgress TakeSizedBody(Buffer& in, Buffer& piece);
   ParseProgress TakeChunkedBody(Buffer& in, Buffer& piece);
 
+  // Sets the error status and returns kMalformed.
   ParseProgress Fail(int status);
 
   Kind kind_;
   size_t max_body_bytes_;
   State state_ = State::kStart;
   HttpMessage message_;
-  size_t scanned_bytes_ = 0;     // of the buffer, parsed
-  size_t line_begin_ = 0;        // position in the buffer of the present line
-  size_t content_length_ = 0;    // where state_ is kLength
-  size_t body_bytes_taken_ = 0;  // by TakeBody
-  size_t decoded_bytes_ = 0;     // at the front of the buffer, decoded by Feed before TakeHead
+  size_t scanned_bytes_ = 0;     // bytes of the buffer that were parsed
+  size_t line_begin_ = 0;        // position in the buffer of the current line
+  size_t content_length_ = 0;    // valid in state kLength
+  size_t body_bytes_taken_ = 0;  // by TakeBody so far
+  size_t decoded_bytes_ = 0;     // body bytes in the buffer that Feed decoded before TakeHead
   ChunkDecoder chunk_decoder_;
   int error_status_ = 0;
 };
--- a/tests/http/http_parser_test.cpp
+++ b/tests/http/http_parser_test.cpp
@@ -11,35 +11,35 @@
 
 struct Parsed {
   ParseProgress progress = ParseProgress::kNeedMore;
-  int bad = 0;
+  int error_status = 0;
   HttpMessage message;
   std::string base, body, rest;
 };
 
-// Feeds the pieces one by one until the parser is done or has failed.
+// Feeds the pieces one by one until the parser has finished or failed.
 Parsed Parse(HttpParser::Kind kind, const std::vector<std::string>& pieces) {
-  Parsed out;
+  Parsed result;
   Buffer in;
   HttpParser parser(kind);
   for (const std::string& piece : pieces) {
     in.Append(piece);
-    if (out.progress == ParseProgress::kNeedMore) {
-      out.progress = parser.Feed(in);
+    if (result.progress == ParseProgress::kNeedMore) {
+      result.progress = parser.Feed(in);
     }
   }
-  out.bad = parser.error_status();
-  out.message = parser.message();
-  out.base = std::string(in.view());
-  if (out.progress == ParseProgress::kDone) {
-    out.body = std::string(out.message.body.In(out.base));
-    out.rest = out.base.substr(out.message.total_bytes);
+  result.error_status = parser.error_status();
+  result.message = parser.message();
+  result.base = std::string(in.view());
+  if (result.progress == ParseProgress::kDone) {
+    result.body = std::string(result.message.body.In(result.base));
+    result.rest = result.base.substr(result.message.total_bytes);
   }
-  return out;
+  return result;
 }
 Parsed ParseRequest(const std::string& text) {
   return Parse(HttpParser::Kind::kRequest, {text});
 }
-Parsed ParseAnswer(const std::string& text) {
+Parsed ParseResponse(const std::string& text) {
   return Parse(HttpParser::Kind::kResponse, {text});
 }
 
@@ -57,18 +57,18 @@
     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA;x=y\r\n0123456789\r\n"
     "0\r\nTrailer: t\r\n\r\n";
 
-TEST(HttpParserTest, ReadsARequest) {
-  const Parsed p = ParseRequest(kPost + "GET");
-  ASSERT_EQ(p.progress, ParseProgress::kDone);
-  EXPECT_EQ(p.message.method.In(p.base), "POST");
-  EXPECT_EQ(p.message.target.In(p.base), "/order/7?x=1");
-  EXPECT_EQ(p.message.FindHeader(p.base, "x-call-ID"), "abc");
-  EXPECT_EQ(p.body, "hello");
-  EXPECT_EQ(p.rest, "GET");  // the next request's first bytes
-  EXPECT_TRUE(p.message.keep_alive);
+TEST(HttpParserTest, ParsesARequest) {
+  const Parsed parsed = ParseRequest(kPost + "GET");
+  ASSERT_EQ(parsed.progress, ParseProgress::kDone);
+  EXPECT_EQ(parsed.message.method.In(parsed.base), "POST");
+  EXPECT_EQ(parsed.message.target.In(parsed.base), "/order/7?x=1");
+  EXPECT_EQ(parsed.message.FindHeader(parsed.base, "x-call-ID"), "abc");
+  EXPECT_EQ(parsed.body, "hello");
+  EXPECT_EQ(parsed.rest, "GET");  // first bytes of the next request
+  EXPECT_TRUE(parsed.message.keep_alive);
 }
 
-TEST(HttpParserTest, ReadsTheSameSplitAtEveryByte) {
+TEST(HttpParserTest, ParsesMessagesSplitAtEveryByte) {
   for (const std::string& text : {kPost, kChunked}) {
     const Parsed whole = ParseRequest(text);
     ASSERT_EQ(whole.progress, ParseProgress::kDone);
@@ -94,14 +94,14 @@
 }
 
 TEST(HttpParserTest, DecodesChunksInPlace) {
-  const Parsed p = ParseRequest(kChunked + "next");
-  ASSERT_EQ(p.progress, ParseProgress::kDone);
-  EXPECT_EQ(p.body, "abc0123456789");
-  EXPECT_EQ(p.rest, "next");
+  const Parsed parsed = ParseRequest(kChunked + "next");
+  ASSERT_EQ(parsed.progress, ParseProgress::kDone);
+  EXPECT_EQ(parsed.body, "abc0123456789");
+  EXPECT_EQ(parsed.rest, "next");
 }
 
-// A body of one-byte chunks is six times as long on the wire; only its content may be kept.
-TEST(HttpParserTest, KeepsNoFramingOfChunks) {
+// With one-byte chunks the body is six times as long on the wire. Only the content may be buffered.
+TEST(HttpParserTest, DropsTheFramingOfChunks) {
   Buffer in;
   HttpParser parser(HttpParser::Kind::kRequest);
   in.Append("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -116,8 +116,8 @@
   EXPECT_EQ(parser.message().body.In(in.view()), std::string(1000, 'x'));
 }
 
-TEST(HttpParserTest, RejectsLostFraming) {
-  const std::pair<std::string, int> bad[] = {
+TEST(HttpParserTest, RejectsMalformedRequests) {
+  const std::pair<std::string, int> malformed_requests[] = {
       {"GET /a HTTP/1.1\nHost: s\r\n\r\n", 400},                       // bare line ends
       {"GET /a HTTP/1.1\r\nHost: s\n\r\n", 400},                       //
       {"GET /a HTTP/1.1\r\nHost : s\r\n\r\n", 400},                    // space before the colon
@@ -146,35 +146,35 @@
       {"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n", 400},
       {"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nx\n\r\n", 400},
   };
-  for (const auto& [text, status] : bad) {
-    const Parsed p = ParseRequest(text);
-    EXPECT_EQ(p.progress, ParseProgress::kMalformed) << text;
-    EXPECT_EQ(p.bad, status) << text;
-    const Parsed slow = Parse(HttpParser::Kind::kRequest, Bytes(text));
-    EXPECT_EQ(slow.progress, ParseProgress::kMalformed) << text;
-    EXPECT_EQ(slow.bad, status) << text;
+  for (const auto& [text, status] : malformed_requests) {
+    const Parsed parsed = ParseRequest(text);
+    EXPECT_EQ(parsed.progress, ParseProgress::kMalformed) << text;
+    EXPECT_EQ(parsed.error_status, status) << text;
+    const Parsed bytewise = Parse(HttpParser::Kind::kRequest, Bytes(text));
+    EXPECT_EQ(bytewise.progress, ParseProgress::kMalformed) << text;
+    EXPECT_EQ(bytewise.error_status, status) << text;
   }
 }
 
 TEST(HttpParserTest, LimitsHeadAndBody) {
-  EXPECT_EQ(ParseRequest("GET /" + std::string(kMaxHeadBytes, 'a')).bad, 431);
-  std::string many = "GET /a HTTP/1.1\r\n";
+  EXPECT_EQ(ParseRequest("GET /" + std::string(kMaxHeadBytes, 'a')).error_status, 431);
+  std::string many_headers = "GET /a HTTP/1.1\r\n";
   for (size_t i = 0; i <= kMaxHeaders; ++i) {
-    many += "A: b\r\n";
+    many_headers += "A: b\r\n";
   }
-  EXPECT_EQ(ParseRequest(many + "\r\n").bad, 431);
-  const std::string most(kMaxBufferedBodyBytes, 'b');
+  EXPECT_EQ(ParseRequest(many_headers + "\r\n").error_status, 431);
+  const std::string largest_body(kMaxBufferedBodyBytes, 'b');
   const std::string head =
       "POST /a HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBufferedBodyBytes);
-  EXPECT_EQ(ParseRequest(head + "\r\n\r\n" + most).body, most);
+  EXPECT_EQ(ParseRequest(head + "\r\n\r\n" + largest_body).body, largest_body);
   std::string chunks = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int i = 0; i < 17; ++i) {
     chunks += "1000\r\n" + std::string(4096, 'c') + "\r\n";
   }
-  EXPECT_EQ(ParseRequest(chunks + "0\r\n\r\n").bad, 413);
+  EXPECT_EQ(ParseRequest(chunks + "0\r\n\r\n").error_status, 413);
 }
 
-TEST(HttpParserTest, ReadsKeepAlive) {
+TEST(HttpParserTest, ParsesKeepAlive) {
   EXPECT_FALSE(ParseRequest("GET /a HTTP/1.1\r\nConnection: x, Close\r\n\r\n").message.keep_alive);
   EXPECT_FALSE(ParseRequest("GET /a HTTP/1.0\r\n\r\n").message.keep_alive);
   EXPECT_TRUE(ParseRequest("GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n").message.keep_alive);
@@ -183,29 +183,32 @@
                    .message.keep_alive);
 }
 
-TEST(HttpParserTest, ReadsResponses) {
-  const Parsed p = ParseAnswer("HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno");
-  ASSERT_EQ(p.progress, ParseProgress::kDone);
-  EXPECT_EQ(p.message.status, 503);
-  EXPECT_EQ(p.body, "no");
-  EXPECT_EQ(ParseAnswer("HTTP/1.1 204\r\n\r\n").progress, ParseProgress::kDone);
+TEST(HttpParserTest, ParsesResponses) {
+  const Parsed parsed =
+      ParseResponse("HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 2\r\n\r\nno");
+  ASSERT_EQ(parsed.progress, ParseProgress::kDone);
+  EXPECT_EQ(parsed.message.status, 503);
+  EXPECT_EQ(parsed.body, "no");
+  EXPECT_EQ(ParseResponse("HTTP/1.1 204\r\n\r\n").progress, ParseProgress::kDone);
   EXPECT_EQ(
-      ParseAnswer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n").body,
+      ParseResponse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n")
+          .body,
       "x");
 }
 
 TEST(HttpParserTest, SkipsInterimResponses) {
-  const Parsed p =
-      ParseAnswer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
-  ASSERT_EQ(p.progress, ParseProgress::kDone);
-  EXPECT_EQ(p.message.status, 200);
-  EXPECT_EQ(p.body, "x");
+  const Parsed parsed =
+      ParseResponse("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
+  ASSERT_EQ(parsed.progress, ParseProgress::kDone);
+  EXPECT_EQ(parsed.message.status, 200);
+  EXPECT_EQ(parsed.body, "x");
 }
 
-// A connection also ends when a host dies: half a body must not pass. Such a response ends with its
-// connection and not before; a request never does.
+// A response with neither a length nor chunked coding ends when its connection is closed, and not
+// before. A response with a length is incomplete if the connection is closed early, for example
+// when the host crashes.
 TEST(HttpParserTest, ResponseWithoutALengthEndsWithItsConnection) {
-  EXPECT_EQ(ParseAnswer("HTTP/1.1 200 OK\r\n\r\nhalf").progress, ParseProgress::kNeedMore);
+  EXPECT_EQ(ParseResponse("HTTP/1.1 200 OK\r\n\r\nhalf").progress, ParseProgress::kNeedMore);
   Buffer in;
   in.Append("HTTP/1.1 200 OK\r\n\r\nall");
   HttpParser parser(HttpParser::Kind::kResponse);
@@ -213,11 +216,11 @@
   ASSERT_TRUE(parser.EndsWithConnection(in));
   EXPECT_EQ(parser.message().body.In(in.view()), "all");
   EXPECT_FALSE(parser.message().keep_alive);
-  Buffer cut;
-  cut.Append("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall");
+  Buffer truncated;
+  truncated.Append("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall");
   HttpParser other(HttpParser::Kind::kResponse);
-  EXPECT_EQ(other.Feed(cut), ParseProgress::kNeedMore);
-  EXPECT_FALSE(other.EndsWithConnection(cut));
+  EXPECT_EQ(other.Feed(truncated), ParseProgress::kNeedMore);
+  EXPECT_FALSE(other.EndsWithConnection(truncated));
 }
 
 TEST(HttpParserTest, RejectsMalformedResponses) {
@@ -225,30 +228,30 @@
        {"HTTP/1.1 20 OK\r\n\r\n", "HTTP/1.1 999 OK\r\n\r\n", "HTTP/1.1 2000 OK\r\n\r\n",
         "ICY 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", "HTTP/1.1 200 OK\n\n"}) {
-    EXPECT_EQ(ParseAnswer(text).progress, ParseProgress::kMalformed) << text;
+    EXPECT_EQ(ParseResponse(text).progress, ParseProgress::kMalformed) << text;
   }
 }
 
-TEST(HttpParserTest, KnowsHopByHopHeaders) {
-  const Parsed p =
+TEST(HttpParserTest, RecognizesHopByHopHeaders) {
+  const Parsed parsed =
       ParseRequest("GET /a HTTP/1.1\r\nConnection: X-Mine, close\r\nX-Mine: 1\r\n\r\n");
-  EXPECT_TRUE(IsHopByHop(p.message, p.base, "x-mine"));
-  EXPECT_TRUE(IsHopByHop(p.message, p.base, "Keep-Alive"));
-  EXPECT_FALSE(IsHopByHop(p.message, p.base, "X-Call-Id"));
+  EXPECT_TRUE(IsHopByHop(parsed.message, parsed.base, "x-mine"));
+  EXPECT_TRUE(IsHopByHop(parsed.message, parsed.base, "Keep-Alive"));
+  EXPECT_FALSE(IsHopByHop(parsed.message, parsed.base, "X-Call-Id"));
 }
 
-// Seeded mutations of valid messages: the parser ends, reads nothing past the buffer (for ASan to
-// see), and has the same result in one go as by bytes.
-TEST(HttpParserTest, ParsesAnyMutationTheSameInOneGoOrByBytes) {
+// Parses seeded random mutations of valid messages. The parser must terminate, must not read past
+// the buffer (detected by ASan), and must give the same result for a whole message as byte by byte.
+TEST(HttpParserTest, ParsesMutationsTheSameWholeOrByteByByte) {
   std::mt19937 rng(20261201);
-  const std::string answer =
+  const std::string response =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-Load-Report: inflight=1\r\n\r\n"
       "4\r\nbody\r\n0\r\n\r\n";
   static constexpr char kAlphabet[] = "\r\n :;,0159afAZ/\x00\xff";
   const std::string alphabet(kAlphabet, sizeof(kAlphabet) - 1);
   for (int round = 0; round < 20000; ++round) {
-    const bool request = round % 2 == 0;
-    std::string text = request ? (round % 4 == 0 ? kPost : kChunked) : answer;
+    const bool is_request = round % 2 == 0;
+    std::string text = is_request ? (round % 4 == 0 ? kPost : kChunked) : response;
     for (int changes = 1 + static_cast<int>(rng() % 4); changes > 0; --changes) {
       const size_t at = rng() % text.size();
       const char c = alphabet[rng() % alphabet.size()];
@@ -264,11 +267,11 @@
           break;
       }
     }
-    const auto kind = request ? HttpParser::Kind::kRequest : HttpParser::Kind::kResponse;
+    const auto kind = is_request ? HttpParser::Kind::kRequest : HttpParser::Kind::kResponse;
     const Parsed whole = Parse(kind, {text}), bytes = Parse(kind, Bytes(text));
     ASSERT_EQ(whole.progress, bytes.progress) << text;
     ASSERT_EQ(whole.body, bytes.body) << text;
-    ASSERT_EQ(whole.bad, bytes.bad) << text;
+    ASSERT_EQ(whole.error_status, bytes.error_status) << text;
   }
 }
 
