--- a/tests/http/proxied_request_test.cpp
+++ b/tests/http/proxied_request_test.cpp
@@ -35,7 +35,7 @@
   EXPECT_TRUE(statuses.empty());
 }
 
-TEST_F(ProxiedRequestTest, NumbersAttemptsInTheOrderOfTheirStart) {
+TEST_F(ProxiedRequestTest, NumbersAttemptsInStartOrder) {
   EXPECT_EQ(request.BeginAttempt(), 0u);
   EXPECT_EQ(request.BeginAttempt(), 1u);
   EXPECT_EQ(request.attempts_in_flight(), 2);
