--- a/src/http/streaming_body.cpp
+++ b/src/http/streaming_body.cpp
@@ -31,7 +31,7 @@
     body_->SetDataCallback(nullptr);
     body_ = nullptr;
   }
-  // The callback may release this writer.
+  // The callback may destroy this writer.
   if (const auto done = std::exchange(done_, nullptr)) {
     done(complete);
   }
@@ -57,13 +57,13 @@
     return;
   }
   writing_ = false;
-  // Where the body has not ended, the reading side reports what comes next.
+  // If the body has not ended, the reading side calls the data callback when there is more.
   if (read_all_ && !stream_.closed() && stream_.flushed()) {
     Finish(true);
   }
 }
 
-// The stream may call back within each Write, and the callback may destroy this writer.
+// Each Write may call the stream's listener, which may destroy this writer.
 void BodyWriter::WritePiece(Buffer piece) {
   const std::weak_ptr<bool> alive = alive_;
   if (!piece.empty()) {
@@ -72,8 +72,8 @@
       chunk_head = fmt::format("{}{:x}\r\n", first_chunk_ ? "" : "\r\n", piece.size());
       first_chunk_ = false;
     }
-    const auto kept = std::make_shared<Buffer>(std::move(piece));
-    stream_.Write(std::move(chunk_head), kept, kept->view());
+    const auto shared_piece = std::make_shared<Buffer>(std::move(piece));
+    stream_.Write(std::move(chunk_head), shared_piece, shared_piece->view());
   }
   if (alive.expired()) {
     return;
--- a/src/http/streaming_body.h
+++ b/src/http/streaming_body.h
@@ -1,6 +1,5 @@
-// The body of a message that is passed on as it comes, from the connection that it is read from to
-// the one that it is written to. The writer pulls: what it has no room for stays unread, and TCP
-// flow control slows the sender.
+// A message body that is forwarded while it is received, from one connection to another. The writer
+// pulls: data that it cannot write yet stays unread, so that TCP flow control slows the sender.
 #ifndef PADDLESTILE_HTTP_STREAMING_BODY_H_
 #define PADDLESTILE_HTTP_STREAMING_BODY_H_
 
@@ -17,34 +16,35 @@
 
 namespace paddlestile {
 
-// What one transfer reads ahead, and moves in one turn of the event loop.
+// Maximum that one transfer reads ahead, and moves in one round of the event loop.
 constexpr size_t kMaxPieceBytes = 32'768;
 
-// Links a reading connection and a writer; shared by both. It ends once: read to the end, truncated
-// by the reading side, or cancelled by the writing side.
+// Connects a reading connection and a writer, which share it. Ends in one of three ways: it is read
+// to the end, truncated by the reading side, or cancelled by the writing side.
 class StreamingBody {
  public:
   using ReadCallback = std::function<ParseProgress(Buffer& piece)>;
 
-  // `read` gives what has come, which may be nothing: kDone with the last piece, kMalformed where
-  // the body was cut short. `cancel`, or null, says that no more will be read; at most once.
+  // `read` provides the data received so far, which may be empty. It returns kDone with the last
+  // piece, and kMalformed if the body was truncated. `cancel` (may be null) is called at most once,
+  // when no more will be read.
   StreamingBody(std::optional<uint64_t> length, ReadCallback read, std::function<void()> cancel)
       : length_(length), read_(std::move(read)), cancel_(std::move(cancel)) {}
 
-  // Bytes; nothing where it is known at the end only.
+  // The length in bytes; nullopt if it is not known in advance.
   [[nodiscard]] std::optional<uint64_t> length() const { return length_; }
-  // Whether a part has been read, which cannot be read again.
+  // Returns whether any part was read. That part cannot be read again.
   [[nodiscard]] bool begun() const { return begun_; }
   [[nodiscard]] bool has_writer() const { return static_cast<bool>(data_callback_); }
 
   // ---- For the reading connection.
-  // More can be read.
+  // Called when more data can be read.
   void OnDataAvailable() {
     if (const auto callback = data_callback_) {
       callback();
     }
   }
-  // The connection broke: the next Read gives kMalformed.
+  // Called when the connection has failed. The next Read returns kMalformed.
   void OnTruncated() {
     read_ = nullptr;
     cancel_ = nullptr;
@@ -52,7 +52,7 @@
   }
 
   // ---- For the writer.
-  // To be called when Read may give more; null: there is no writer.
+  // Sets the callback for when Read may provide more data; null if there is no writer.
   void SetDataCallback(std::function<void()> callback) { data_callback_ = std::move(callback); }
   ParseProgress Read(Buffer& piece) {
     if (!read_) {
@@ -67,6 +67,7 @@
     }
     return progress;
   }
+  // Ends the body from the writing side.
   void Cancel() {
     data_callback_ = nullptr;
     read_ = nullptr;
@@ -77,8 +78,8 @@
 
  private:
   std::optional<uint64_t> length_;
-  ReadCallback read_;             // null: it has ended
-  std::function<void()> cancel_;  // null: it has ended
+  ReadCallback read_;             // null after the end
+  std::function<void()> cancel_;  // null after the end
   std::function<void()> data_callback_;
   bool begun_ = false;
 };
@@ -86,17 +87,17 @@
 // Writes a body to a stream.
 class BodyWriter {
  public:
-  // `stream` must outlive the writer. `chunked`: in chunked coding. `cancel_on_destruction`: the
-  // body is cancelled where the writer goes before its end, as no other one will follow. `done` is
-  // called once: `complete` where all is with the kernel, else the body was truncated. It may
-  // destroy the writer.
+  // `stream` must outlive the writer. `chunked`: use the chunked transfer coding.
+  // `cancel_on_destruction`: cancel the body if the writer is destroyed before the end, because no
+  // other writer will follow. `done` is called at most once, with `complete` true when all data was
+  // passed to the kernel, and false if the body was truncated. It may destroy the writer.
   BodyWriter(Stream& stream, std::shared_ptr<StreamingBody> body, bool chunked,
              bool cancel_on_destruction, std::function<void(bool complete)> done);
   BodyWriter(const BodyWriter&) = delete;
   BodyWriter& operator=(const BodyWriter&) = delete;
   ~BodyWriter();
 
-  // Writes what has come; to be called when the stream has flushed.
+  // Writes the available data. Must be called when the stream has been flushed.
   void Resume();
 
  private:
@@ -104,9 +105,9 @@
   void Finish(bool complete);
 
   Stream& stream_;
-  std::shared_ptr<StreamingBody> body_;                         // null once written
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires with this
-  std::function<void(bool)> done_;                              // null once called
+  std::shared_ptr<StreamingBody> body_;                         // null when completely written
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // used to detect destruction
+  std::function<void(bool)> done_;                              // null after it was called
   bool chunked_;
   bool cancel_on_destruction_;
   bool first_chunk_ = true;
