--- a/src/event/buffer.cpp
+++ b/src/event/buffer.cpp
@@ -20,8 +20,8 @@
     if (begin_ > 0 && capacity_ - size() >= min_bytes && begin_ >= size()) {
       std::memcpy(bytes_.get(), bytes_.get() + begin_, size());
     } else {
-      // Grows by a quarter: a thousand clients may each have a buffered request, and doubling would
-      // hold twice what they sent.
+      // Grows by a quarter: with a thousand clients that each have a buffered request, doubling
+      // would use twice the memory that they sent.
       const size_t capacity = size() + std::max(min_bytes, size() / 4);
       auto bytes = std::make_unique_for_overwrite<char[]>(capacity);
       if (size() > 0) {
--- a/tests/event/buffer_test.cpp
+++ b/tests/event/buffer_test.cpp
@@ -7,7 +7,7 @@
 namespace paddlestile {
 namespace {
 
-TEST(Buffer, KeepsWhatWasAppendedThroughGrowthAndConsumption) {
+TEST(Buffer, KeepsContentThroughGrowthAndConsumption) {
   Buffer buffer;
   std::string expected;
   for (int i = 0; i < 5000; ++i) {
@@ -23,7 +23,7 @@
   EXPECT_EQ(buffer.view(), expected);
 }
 
-TEST(Buffer, RangesSurviveGrowthWhileViewsNeedNot) {
+TEST(Buffer, RangesStayValidThroughGrowth) {
   Buffer buffer;
   buffer.Append("head value");
   const Range value{5, 5};
@@ -31,17 +31,17 @@
   EXPECT_EQ(value.In(buffer.view()), "value");
 }
 
-TEST(Buffer, TakeFrontHandsTheMemoryOverAndKeepsTheRest) {
+TEST(Buffer, TakeFrontMovesTheMemoryAndKeepsTheRest) {
   Buffer buffer;
   buffer.Append("first message second");
-  const char* const where = buffer.view().data();
+  const char* const address = buffer.view().data();
   const Buffer first = buffer.TakeFront(14);
   EXPECT_EQ(first.view(), "first message ");
-  EXPECT_EQ(first.view().data(), where);  // not copied
+  EXPECT_EQ(first.view().data(), address);  // not copied
   EXPECT_EQ(buffer.view(), "second");
 }
 
-TEST(Buffer, GivesItsMemoryBackWhenEmptied) {
+TEST(Buffer, FreesItsMemoryWhenEmptied) {
   Buffer buffer;
   buffer.Append(std::string(100000, 'x'));
   buffer.Consume(100000);
@@ -49,7 +49,7 @@
   EXPECT_EQ(buffer.Room(), 0u);
 }
 
-// A thousand clients may each hold a whole request: doubling would hold twice what they sent.
+// With a thousand buffered requests, doubling the capacity would use twice the memory sent.
 TEST(Buffer, HoldsLittleMoreThanItsContent) {
   Buffer buffer;
   const std::string piece(1000, 'x');
@@ -59,7 +59,7 @@
   EXPECT_LE(buffer.Room(), 25000u);
 }
 
-TEST(Buffer, TruncateForgetsTheEnd) {
+TEST(Buffer, TruncateRemovesTheEnd) {
   Buffer buffer;
   buffer.Append("keep, lose");
   buffer.Truncate(4);
