--- a/src/event/descriptor_budget.h
+++ b/src/event/descriptor_budget.h
@@ -1,4 +1,4 @@
-// The budget of file descriptors that all connections of a gateway share.
+// The file descriptor budget shared by all connections of a gateway.
 #ifndef PADDLESTILE_EVENT_DESCRIPTOR_BUDGET_H_
 #define PADDLESTILE_EVENT_DESCRIPTOR_BUDGET_H_
 
@@ -6,15 +6,16 @@
 
 namespace paddlestile {
 
-// Counts descriptors in use against a limit. During a hot restart two processes share one budget.
+// Counts the descriptors in use and enforces a limit. During a hot restart two processes share one
+// budget.
 class DescriptorBudget {
  public:
-  // Descriptors kept for what is not budgeted: files, admin interface, discovery.
+  // Number of descriptors reserved for uses outside the budget: files, admin interface, discovery.
   static constexpr size_t kReserve = 32;
-  // `limit`: descriptors that the process may open.
+  // `limit`: the number of descriptors that the process may open.
   explicit DescriptorBudget(size_t limit)
       : limit_(limit > 2 * kReserve ? limit - kReserve : limit / 2) {}
-  // Counts one descriptor; false, without effect, where the limit is reached.
+  // Counts one descriptor. Returns false, without effect, if the limit is reached.
   bool TryAcquire() {
     if (used_ + held_by_other_process_ >= limit_) {
       return false;
@@ -22,11 +23,12 @@
     ++used_;
     return true;
   }
+  // Releases a descriptor counted by TryAcquire.
   void Release() { --used_; }
   [[nodiscard]] size_t used() const { return used_; }
-  // Without the reserve.
+  // The limit without the reserve.
   [[nodiscard]] size_t limit() const { return limit_; }
-  // Descriptors of the budget that the other process of a hot restart holds; 0 without one.
+  // Number of descriptors held by the other process during a hot restart; 0 if there is none.
   void set_held_by_other_process(size_t count) { held_by_other_process_ = count; }
 
  private:
