--- a/src/event/event_loop.cpp
+++ b/src/event/event_loop.cpp
@@ -19,16 +19,16 @@
 using std::chrono::microseconds;
 
 constexpr Duration kLagThreshold = std::chrono::milliseconds(20);    // longer rounds are counted
-constexpr Duration kUrgentInterval = std::chrono::milliseconds(50);  // within a long round
-constexpr int kMaxPollsPerRound = 16;     // of the sockets, before timers have their turn
-constexpr uint64_t kUrgentToken = ~0ULL;  // of urgent_epoll_
+constexpr Duration kUrgentInterval = std::chrono::milliseconds(50);  // urgent polls in a long round
+constexpr int kMaxPollsPerRound = 16;     // epoll_wait calls before timers run
+constexpr uint64_t kUrgentToken = ~0ULL;  // identifies urgent_epoll_
 
 }  // namespace
 
 EventLoop::EventLoop()
     : epoll_(epoll_create1(EPOLL_CLOEXEC)), urgent_epoll_(epoll_create1(EPOLL_CLOEXEC)) {
   epoll_event event{};
-  event.events = EPOLLIN;  // level-triggered: reported as long as an urgent event is left
+  event.events = EPOLLIN;  // level-triggered: reported while an urgent event is pending
   event.data.u64 = kUrgentToken;
   if (!epoll_ || !urgent_epoll_ ||
       epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, urgent_epoll_.get(), &event) != 0) {
@@ -92,7 +92,8 @@
 }
 
 void EventLoop::RunTimers() {
-  // Only those due at the beginning: one that restarts itself must not starve the sockets.
+  // Runs only the timers due at the start, so that one that restarts itself cannot starve the
+  // sockets.
   const Time now = Now();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
     auto node = timers_.extract(timers_.begin());
@@ -118,7 +119,7 @@
   }
   const Slot slot = slots_[index];
   if (slot.handler == nullptr || slot.generation != token >> 32) {
-    return;  // closed within this round
+    return;  // the descriptor was unwatched within this round
   }
   slot.handler->OnEvents(events);
   RunDeferredTasks();
@@ -141,7 +142,7 @@
   if (!timers_.empty()) {
     wait = std::clamp(timers_.begin()->first.first - Now(), Duration(0), wait);
   }
-  // Rounded up, or the last part of a millisecond would be spent spinning.
+  // Rounded up to avoid busy-waiting during the last fraction of a millisecond.
   const auto wait_ms = static_cast<int>(std::min<int64_t>((wait.count() + 999) / 1000, 60'000));
   std::array<epoll_event, 256> events;
   constexpr auto kMaxEvents = static_cast<int>(events.size());
@@ -168,7 +169,7 @@
     }
     count = epoll_wait(epoll_.get(), events.data(), kMaxEvents, 0);  // more may be ready
   }
-  // After the sockets: bytes that had come by the time of a limit still count.
+  // Timers run after the sockets, so that data received before a timeout is still processed.
   RunTimers();
   const Time ended_at = Now();
   if (ended_at - started_at > kLagThreshold) {
--- a/src/event/event_loop.h
+++ b/src/event/event_loop.h
@@ -1,5 +1,5 @@
-// The event loop of one thread: sockets by edge-triggered epoll, timers by the monotonic clock,
-// deferred tasks.
+// A single-threaded event loop with edge-triggered epoll for sockets, timers on the monotonic
+// clock, and deferred tasks.
 #ifndef PADDLESTILE_EVENT_EVENT_LOOP_H_
 #define PADDLESTILE_EVENT_EVENT_LOOP_H_
 
@@ -16,12 +16,12 @@
 
 namespace paddlestile {
 
-// Not thread-safe. Callbacks run one after another, in RunOnce and Run only.
+// Not thread-safe. Callbacks run one at a time, and only within RunOnce and Run.
 class EventLoop {
  public:
   class Handler {
    public:
-    // `events`: the epoll events of the descriptor.
+    // Called with the epoll events of the descriptor.
     virtual void OnEvents(uint32_t events) = 0;
 
    protected:
@@ -36,27 +36,28 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Reports all events of a descriptor, edge-triggered, until Unwatch, which takes the `token` set
-  // here. False where the kernel refuses. `urgent` ones come first in a round, and also within a
-  // long one. `handler` must stay valid until Unwatch.
+  // Reports all events of `fd` to `handler`, edge-triggered, until Unwatch is called with the
+  // `token` that is set here. Returns false if epoll rejects the descriptor. Events of `urgent`
+  // descriptors are handled first in each round, and repeatedly during a long one. `handler` must
+  // stay valid until Unwatch.
   bool Watch(int fd, Handler* handler, uint64_t& token, bool urgent = false);
   void Unwatch(int fd, uint64_t token);
 
-  // Runs `callback` once, after the delay.
+  // Runs `callback` once, after `delay`.
   TimerId RunAfter(Duration delay, std::function<void()> callback);
-  // Cancels a timer that has not run, and resets the id. Without effect for one that has run.
+  // Cancels a timer and resets the id. A timer that has already run is not affected.
   void CancelTimer(TimerId& timer);
 
-  // Runs `task` after the running handler has returned, before any other handler.
+  // Runs `task` after the current handler has returned and before any other handler.
   void RunDeferred(std::function<void()> task) { deferred_tasks_.push_back(std::move(task)); }
 
-  // Runs `task` after the other events of this round: for work that could go on without end, so
-  // that others have their turn.
+  // Runs `task` after the other events of this round. Used for work that could otherwise continue
+  // indefinitely and starve other connections.
   void RunAfterRound(std::function<void()> task) { after_round_tasks_.push_back(std::move(task)); }
 
-  // One round: waits for events, for `max_wait` at most, and runs their handlers.
+  // Runs one round: waits for events for at most `max_wait` and runs their handlers.
   void RunOnce(Duration max_wait);
-  // Rounds until Stop.
+  // Runs rounds until Stop is called.
   void Run();
   void Stop() { stopped_ = true; }
   [[nodiscard]] bool stopped() const { return stopped_; }
@@ -68,7 +69,7 @@
   struct Slot {
     Handler* handler = nullptr;
     bool urgent = false;
-    uint32_t generation = 0;  // raised by Unwatch: events with an older one are stale
+    uint32_t generation = 0;  // incremented by Unwatch; events with an older one are stale
   };
   void RunDeferredTasks();
   void RunEvent(uint64_t token, uint32_t events);
@@ -77,10 +78,10 @@
   void RunAfterRoundTasks();
 
   Clock clock_;
-  FileDescriptor epoll_, urgent_epoll_;  // the first watches the second
+  FileDescriptor epoll_, urgent_epoll_;  // epoll_ watches urgent_epoll_
   Time urgent_polled_at_{0};
   RoundTime round_time_;
-  std::vector<Slot> slots_;  // a token is generation (high 32 bits) and index of a slot
+  std::vector<Slot> slots_;  // a token holds generation (high 32 bits) and index of a slot
   std::vector<uint32_t> free_slots_;
   std::map<std::pair<Time, uint64_t>, std::function<void()>> timers_;
   uint64_t next_timer_ = 1;
--- a/tests/event/event_loop_test.cpp
+++ b/tests/event/event_loop_test.cpp
@@ -18,39 +18,39 @@
 struct Recorder : EventLoop::Handler {
   void OnEvents(uint32_t events) override {
     ++calls;
-    seen |= events;
-    if (then) {
-      then();
+    seen_events |= events;
+    if (on_events) {
+      on_events();
     }
   }
   int calls = 0;
-  uint32_t seen = 0;
-  std::function<void()> then;
+  uint32_t seen_events = 0;
+  std::function<void()> on_events;
 };
 
-TEST(EventLoop, TimersFireInOrderOfTheirTime) {
+TEST(EventLoop, TimersFireInOrderOfDueTime) {
   EventLoop loop;
   std::vector<int> order;
   loop.RunAfter(Ms(6), [&] { order.push_back(2); });
   loop.RunAfter(Ms(1), [&] { order.push_back(1); });
-  EventLoop::TimerId gone = loop.RunAfter(Ms(3), [&] { order.push_back(9); });
-  loop.CancelTimer(gone);
+  EventLoop::TimerId cancelled = loop.RunAfter(Ms(3), [&] { order.push_back(9); });
+  loop.CancelTimer(cancelled);
   EXPECT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 2; }));
   EXPECT_EQ(order, (std::vector<int>{1, 2}));
 }
 
-TEST(EventLoop, ATimerNeverFiresEarly) {
+TEST(EventLoop, TimerDoesNotFireEarly) {
   EventLoop loop;
-  const Time begun = loop.Now();
-  Time fired{0};
-  loop.RunAfter(Ms(7), [&] { fired = loop.Now(); });
-  ASSERT_TRUE(testing::RunUntil(loop, [&] { return fired > Time(0); }));
-  EXPECT_GE(fired - begun, Ms(7));
+  const Time started_at = loop.Now();
+  Time fired_at{0};
+  loop.RunAfter(Ms(7), [&] { fired_at = loop.Now(); });
+  ASSERT_TRUE(testing::RunUntil(loop, [&] { return fired_at > Time(0); }));
+  EXPECT_GE(fired_at - started_at, Ms(7));
 }
 
-// More sockets are ready than one look shows, and a limit is due: what has come by then counts, and
-// is heard before the limit is.
-TEST(EventLoop, TimersWaitForAllThatHasCome) {
+// More sockets are ready than one epoll_wait call returns, and a timer is due. The events of all of
+// them must be handled before the timer.
+TEST(EventLoop, TimersRunAfterAllPendingEvents) {
   EventLoop loop;
   constexpr size_t kSockets = 600;
   std::vector<std::pair<FileDescriptor, testing::Peer>> pairs;
@@ -61,46 +61,46 @@
     ASSERT_TRUE(loop.Watch(pairs[i].first.get(), &recorders[i], tokens[i]));
     pairs[i].second.Send("x");
   }
-  size_t heard = 0;
+  size_t handled = 0;
   loop.RunAfter(Duration(0), [&] {
     for (const Recorder& recorder : recorders) {
-      heard += (recorder.seen & EPOLLIN) != 0 ? 1 : 0;
+      handled += (recorder.seen_events & EPOLLIN) != 0 ? 1 : 0;
     }
   });
   loop.RunOnce(Ms(5));
-  EXPECT_EQ(heard, kSockets);
+  EXPECT_EQ(handled, kSockets);
   for (size_t i = 0; i < kSockets; ++i) {
     loop.Unwatch(pairs[i].first.get(), tokens[i]);
   }
 }
 
-// One that is due again at once must leave the sockets their turn.
-TEST(EventLoop, ATimerThatSetsItselfAnewStarvesNobody) {
+// A timer that is immediately due again must not starve the sockets.
+TEST(EventLoop, SelfRestartingTimerDoesNotStarveSockets) {
   EventLoop loop;
   auto [fd, peer] = Pair();
   Recorder recorder;
   uint64_t token = 0;
   ASSERT_TRUE(loop.Watch(fd.get(), &recorder, token));
-  std::function<void()> again = [&] {
-    loop.RunAfter(Duration(0), again);
+  std::function<void()> restart = [&] {
+    loop.RunAfter(Duration(0), restart);
   };
-  again();
+  restart();
   peer.Send("x");
-  EXPECT_TRUE(testing::RunUntil(loop, [&] { return (recorder.seen & EPOLLIN) != 0; }));
+  EXPECT_TRUE(testing::RunUntil(loop, [&] { return (recorder.seen_events & EPOLLIN) != 0; }));
   loop.Unwatch(fd.get(), token);
 }
 
-// What came in by the time a limit is reached counts: a loop that ran late would else throw away
-// answers that are already there.
-TEST(EventLoop, SocketsComeBeforeTimersOfTheSameRound) {
+// Data that was received before a timeout must be processed first. Otherwise a delayed loop would
+// discard responses that have already arrived.
+TEST(EventLoop, SocketsAreHandledBeforeTimersInARound) {
   EventLoop loop;
   auto [fd, peer] = Pair();
   std::vector<int> order;
   Recorder recorder;
   uint64_t token = 0;
   ASSERT_TRUE(loop.Watch(fd.get(), &recorder, token));
-  loop.RunOnce(Duration(0));  // the edge of being writable
-  recorder.then = [&] {
+  loop.RunOnce(Duration(0));  // consumes the initial EPOLLOUT edge
+  recorder.on_events = [&] {
     order.push_back(1);
   };
   loop.RunAfter(Duration(0), [&] { order.push_back(2); });
@@ -110,21 +110,21 @@
   loop.Unwatch(fd.get(), token);
 }
 
-TEST(EventLoop, DeferredWorkRunsBeforeTheNextHandler) {
+TEST(EventLoop, DeferredTaskRunsBeforeTheNextHandler) {
   EventLoop loop;
   auto [fd1, peer1] = Pair();
   auto [fd2, peer2] = Pair();
   std::vector<int> order;
-  Recorder one, two;
+  Recorder first_handler, second_handler;
   uint64_t token1 = 0, token2 = 0;
-  ASSERT_TRUE(loop.Watch(fd1.get(), &one, token1));
-  ASSERT_TRUE(loop.Watch(fd2.get(), &two, token2));
+  ASSERT_TRUE(loop.Watch(fd1.get(), &first_handler, token1));
+  ASSERT_TRUE(loop.Watch(fd2.get(), &second_handler, token2));
   loop.RunOnce(Duration(0));
   const auto handle = [&] {
     order.push_back(1);
     loop.RunDeferred([&] { order.push_back(2); });
   };
-  one.then = two.then = handle;
+  first_handler.on_events = second_handler.on_events = handle;
   peer1.Send("x");
   peer2.Send("x");
   ASSERT_TRUE(testing::RunUntil(loop, [&] { return order.size() == 4; }));
@@ -133,41 +133,41 @@
   loop.Unwatch(fd2.get(), token2);
 }
 
-// Both descriptors are ready in one wait; the first handler closes the second and another takes
-// its number. The event that is left belongs to nobody.
-TEST(EventLoop, AStaleEventReachesNobody) {
+// Both descriptors are ready in one epoll_wait. The first handler unwatches the other one, and a
+// new descriptor takes its slot. The remaining stale event must not reach the new handler.
+TEST(EventLoop, StaleEventIsIgnored) {
   EventLoop loop;
   auto [fd1, peer1] = Pair();
   auto [fd2, peer2] = Pair();
-  Recorder one, two, heir;
+  Recorder first_handler, second_handler, successor;
   uint64_t token1 = 0, token2 = 0, token3 = 0;
-  ASSERT_TRUE(loop.Watch(fd1.get(), &one, token1));
-  ASSERT_TRUE(loop.Watch(fd2.get(), &two, token2));
+  ASSERT_TRUE(loop.Watch(fd1.get(), &first_handler, token1));
+  ASSERT_TRUE(loop.Watch(fd2.get(), &second_handler, token2));
   loop.RunOnce(Duration(0));
   auto [fd3, peer3] = Pair();
-  const int before = one.calls + two.calls;
-  bool swapped = false;
+  const int before = first_handler.calls + second_handler.calls;
+  bool replaced = false;
   const auto close_other = [&](FileDescriptor& fd, uint64_t token) {
-    if (std::exchange(swapped, true)) {
+    if (std::exchange(replaced, true)) {
       return;
     }
     loop.Unwatch(fd.get(), token);
-    ASSERT_TRUE(loop.Watch(fd3.get(), &heir, token3));  // takes the slot just freed
+    ASSERT_TRUE(loop.Watch(fd3.get(), &successor, token3));  // reuses the freed slot
   };
-  one.then = [&] {
+  first_handler.on_events = [&] {
     close_other(fd2, token2);
   };
-  two.then = [&] {
+  second_handler.on_events = [&] {
     close_other(fd1, token1);
   };
   peer1.Send("x");
   peer2.Send("x");
   loop.RunOnce(Ms(100));
-  EXPECT_EQ(one.calls + two.calls, before + 1);
-  EXPECT_EQ(heir.calls, 0);
+  EXPECT_EQ(first_handler.calls + second_handler.calls, before + 1);
+  EXPECT_EQ(successor.calls, 0);
 }
 
-TEST(Clock, AHostsStartComesOutTheSameEachTime) {
+TEST(Clock, ConvertsTheSameUnixTimeConsistently) {
   const Clock clock;
   const double now_ms = static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                 std::chrono::system_clock::now().time_since_epoch())
@@ -177,7 +177,7 @@
   EXPECT_NEAR(static_cast<double>((clock.Now() - first).count()), 5e6, 1e5);
 }
 
-TEST(Clock, LongAgoIsZero) {
+TEST(Clock, TimesBeforeTheOriginAreZero) {
   const Clock clock;
   EXPECT_EQ(clock.FromUnixMillis(0), Time(0));
   EXPECT_EQ(clock.FromUnixMillis(-5), Time(0));
