--- a/src/event/round_time.cpp
+++ b/src/event/round_time.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration kLongRound = std::chrono::milliseconds(250);
 
-// Processor time of this thread so far.
+// Returns the CPU time used by this thread.
 Duration ThreadCpuTime() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -50,8 +50,7 @@
                        Millis(time.longest));
   };
   Log(LogLevel::kWarning,
-      "event loop: a round of {:.0f} ms, {:.0f} ms of them on the processor; tasks: {}; events: "
-      "{}; timers: {}",
+      "event loop: a round of {:.0f} ms, {:.0f} ms of CPU time; tasks: {}; events: {}; timers: {}",
       Millis(now - started_at_), Millis(ThreadCpuTime() - cpu_at_start_),
       describe(RoundStep::kTasks), describe(RoundStep::kEvent), describe(RoundStep::kTimer));
 }
--- a/src/event/round_time.h
+++ b/src/event/round_time.h
@@ -1,5 +1,6 @@
-// Where the time of one round of the event loop goes. A long round is logged with it, so that a
-// loop that works too long is told from a process that was stopped or got no processor.
+// Records how the time of one round of the event loop is spent. Long rounds are logged with these
+// figures, to distinguish a loop that does too much work from a process that was stopped or did not
+// get a CPU.
 #ifndef PADDLESTILE_EVENT_ROUND_TIME_H_
 #define PADDLESTILE_EVENT_ROUND_TIME_H_
 
@@ -11,20 +12,20 @@
 namespace paddlestile {
 
 enum class RoundStep {
-  kTasks,  // urgent events, and tasks left by the round before
+  kTasks,  // urgent events, and tasks left from the previous round
   kEvent,  // the handler of one descriptor
   kTimer   // one timer
 };
 inline constexpr size_t kRoundSteps = 3;
 
-// Not thread-safe. All times are of one monotonic clock.
+// Not thread-safe. All times must be from the same monotonic clock.
 class RoundTime {
  public:
   void Start(Time now);
-  // The step that began with the one before, or with the round, is over.
+  // Ends a step, which started when the previous step ended or the round started.
   void EndStep(RoundStep step, Time now);
-  // Logs a round of 250 ms or more: its length, the processor time of this thread in it, and of
-  // each kind of step the count, the sum and the longest.
+  // Logs a round of 250 ms or more: its duration, the CPU time of this thread, and the count, total
+  // and longest time of each kind of step.
   void LogIfLong(Time now) const;
 
  private:
--- a/tests/event/round_time_test.cpp
+++ b/tests/event/round_time_test.cpp
@@ -1,4 +1,4 @@
-// The log line of a long round of the event loop.
+// Tests of the log line for a long round of the event loop.
 #include "event/round_time.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   return ::testing::internal::GetCapturedStderr();
 }
 
-TEST(RoundTime, LogsALongRoundByItsSteps) {
+TEST(RoundTime, LogsTheStepsOfALongRound) {
   RoundTime round;
   round.Start(Time(0));
   round.EndStep(RoundStep::kTasks, Ms(5));
@@ -33,7 +33,7 @@
   EXPECT_NE(log.find("timers: 1 in 5 ms, longest 5 ms"), std::string::npos) << log;
 }
 
-TEST(RoundTime, IsSilentOfAShortOneAndBeginsAnew) {
+TEST(RoundTime, DoesNotLogAShortRoundAndResets) {
   RoundTime round;
   round.Start(Time(0));
   round.EndStep(RoundStep::kEvent, Ms(300));
@@ -42,8 +42,8 @@
   EXPECT_NE(LogOf(round, Ms(250)).find("events: 0 in 0 ms"), std::string::npos);
 }
 
-// A process that stood, not one that worked: nearly no time on the processor.
-TEST(RoundTime, TellsATimerThatStoodFromOneThatWorked) {
+// A process that is blocked, and does no work, uses almost no CPU time.
+TEST(RoundTime, DistinguishesABlockedTimerFromABusyOne) {
   EventLoop loop;
   bool ran = false;
   loop.RunAfter(Ms(1), [&] {
@@ -56,8 +56,8 @@
   ASSERT_TRUE(fired);
   const size_t at = log.find("event loop: a round of ");
   ASSERT_NE(at, std::string::npos) << log;
-  const std::string on_processor = log.substr(log.find("ms, ", at) + 4);
-  EXPECT_LT(std::stoi(on_processor), 150) << log;
+  const std::string cpu_time_text = log.substr(log.find("ms, ", at) + 4);
+  EXPECT_LT(std::stoi(cpu_time_text), 150) << log;
 }
 
 }  // namespace
