--- a/src/event/socket.cpp
+++ b/src/event/socket.cpp
@@ -21,12 +21,12 @@
   return result;
 }
 
-// Of several sockets that listen on an address the newest gets all new connections, and an older
-// one can empty its queue. Without this the kernel spreads them.
+// Directs all new connections to the newest of several sockets that listen on the same address, so
+// that an older one can empty its accept queue. By default the kernel distributes them.
 void PreferNewestListener(int fd) {
-  sock_filter newest{BPF_RET | BPF_K, 0, 0, 1};
-  const sock_fprog choice{1, &newest};
-  setsockopt(fd, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &choice, sizeof(choice));
+  sock_filter select_newest{BPF_RET | BPF_K, 0, 0, 1};
+  const sock_fprog program{1, &select_newest};
+  setsockopt(fd, SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program, sizeof(program));
 }
 
 std::optional<tcp_info> TcpInfo(int fd) {
@@ -42,11 +42,11 @@
 
 FileDescriptor Listen(const Address& listen, int backlog, bool shared) {
   FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const int on = 1;
+  const int enabled = 1;
   const sockaddr_in address = ToSocketAddress(listen);
   const auto* const name = reinterpret_cast<const sockaddr*>(&address);
-  if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
-      (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof(on)) != 0) ||
+  if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled)) != 0 ||
+      (shared && setsockopt(fd.get(), SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof(enabled)) != 0) ||
       bind(fd.get(), name, sizeof(address)) != 0 || ::listen(fd.get(), backlog) != 0) {
     const int error = errno;
     fd.Reset();
@@ -69,7 +69,7 @@
 
 std::optional<size_t> AcceptQueueLength(int fd) {
   const std::optional<tcp_info> info = TcpInfo(fd);
-  // Of a listening socket the kernel tells the length of its queue in this field.
+  // For a listening socket the kernel reports the length of the accept queue in this field.
   return info ? std::optional<size_t>(info->tcpi_unacked) : std::nullopt;
 }
 
@@ -89,8 +89,8 @@
   if (socket.get() < 0) {
     return std::nullopt;
   }
-  const int on = 1;
-  setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
+  const int enabled = 1;
+  setsockopt(socket.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
   const sockaddr_in address = ToSocketAddress(to);
   if (connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 &&
       errno != EINPROGRESS && errno != EINTR) {
--- a/src/event/socket.h
+++ b/src/event/socket.h
@@ -1,4 +1,4 @@
-// TCP sockets that are counted in the descriptor budget; listening and connecting.
+// TCP sockets that are counted in the descriptor budget, and functions to listen and connect.
 #ifndef PADDLESTILE_EVENT_SOCKET_H_
 #define PADDLESTILE_EVENT_SOCKET_H_
 
@@ -12,10 +12,11 @@
 
 namespace paddlestile {
 
-// A descriptor that is counted in a budget while it is open.
+// Owns a descriptor that is counted in a budget while it is open.
 class Socket {
  public:
-  // Takes a descriptor that `budget` has counted by TryAcquire, or none with null.
+  // Takes ownership of `fd`, which was counted by budget->TryAcquire(). A null `budget` means that
+  // the descriptor is not counted.
   Socket(FileDescriptor fd, DescriptorBudget* budget) : fd_(std::move(fd)), budget_(budget) {}
   Socket(Socket&& other) noexcept
       : fd_(std::move(other.fd_)), budget_(std::exchange(other.budget_, nullptr)) {}
@@ -43,22 +44,24 @@
   DescriptorBudget* budget_;
 };
 
-// A non-blocking listening socket; none, with errno set, where the kernel refuses. `shared`: other
-// processes of the same user may listen on the address too.
+// Returns a non-blocking listening socket, or an invalid descriptor with errno set on failure.
+// `shared`: other processes of the same user may listen on the same address.
 FileDescriptor Listen(const Address& listen, int backlog, bool shared);
-// The address that a socket is bound to.
+// Returns the address that a socket is bound to.
 Address LocalAddress(int fd);
 
-// How many connections wait in the accept queue of a listening socket; nothing where the kernel
-// does not tell.
+// Returns the number of connections in the accept queue of a listening socket, or nullopt if the
+// kernel does not report it.
 std::optional<size_t> AcceptQueueLength(int fd);
 
-// How long ago the last bytes came on a connection, or it came up where none have; nothing where
-// the kernel does not tell. Of one that was just accepted: what it has waited for that.
+// Returns the time since a connection last received data, or since it was established if it has
+// received none; nullopt if the kernel does not report it. For a connection that was just accepted,
+// this is how long it has waited in the accept queue.
 std::optional<Duration> TimeSinceLastData(int fd);
 
-// Begins to connect, without blocking; from the reserve where `budget` is null. Nothing where the
-// budget or the kernel has no descriptor left, or, with `refused` set, where the connect fails.
+// Starts a non-blocking connect. A null `budget` uses the descriptor reserve. Returns nullopt if
+// the budget or the process has no descriptor left, or, with `refused` set, if the connect fails
+// immediately.
 std::optional<Socket> Connect(const Address& to, DescriptorBudget* budget, bool& refused);
 
 }  // namespace paddlestile
