--- a/src/event/stream.cpp
+++ b/src/event/stream.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr size_t kMaxSegmentsPerWrite = 16;
-// A peer may have far more to send: past this it is left to its own full buffers.
+// Beyond this limit the input is no longer read, and the peer's send buffer fills up.
 constexpr size_t kMaxDiscardedBytes = 1 << 20;
 constexpr size_t kDiscardBytesPerRead = 1 << 17;
 
@@ -90,45 +90,45 @@
   if (discarding_) {
     return !closed_ && !ended_ && !broken_ && DiscardAvailable();
   }
-  bool has_news = false;
+  bool has_new_data = false;
   while (!closed_ && !ended_ && !broken_) {
     if (input_.size() >= max_unread_bytes_) {
-      return has_news;  // readable_ stays set for ResumeReading
+      return has_new_data;  // readable_ stays set, for ResumeReading
     }
     char* const to = input_.Prepare(min_read_bytes_);
     const ssize_t n = recv(socket_.get(), to, input_.Room(), 0);
     if (n > 0) {
       const bool read_all = static_cast<size_t>(n) < input_.Room();
       input_.Commit(static_cast<size_t>(n));
-      has_news = true;
-      // A read that leaves room has read all: later bytes are another edge.
+      has_new_data = true;
+      // A read that does not fill the room has read everything; later bytes cause another edge.
       if (read_all && !hung_up_) {
         readable_ = false;
-        return has_news;
+        return has_new_data;
       }
     } else if (n == 0) {
       ended_ = true;
-      has_news = true;
+      has_new_data = true;
     } else if (errno == EINTR) {
       continue;
     } else {
       readable_ = false;
-      // Frees the memory of the buffer while the connection idles.
+      // Frees the buffer's memory while the connection is idle.
       if (input_.empty()) {
         input_.Consume(0);
       }
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
         // The bytes before the error may complete a message.
-        if (has_news) {
+        if (has_new_data) {
           listener_->OnData();
         }
-        has_news = false;
+        has_new_data = false;
         ReportError();
       }
-      return has_news;
+      return has_new_data;
     }
   }
-  return has_news;
+  return has_new_data;
 }
 
 void Stream::ResumeReading() {
@@ -140,7 +140,8 @@
   }
 }
 
-// Reports the connection or its failure; true where it has come up and the stream is open.
+// Reports that the connection is established or has failed. Returns true if it is established and
+// the stream is still open.
 bool Stream::FinishConnect(uint32_t events) {
   int error = 0;
   socklen_t size = sizeof(error);
@@ -152,7 +153,7 @@
   if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) {
     return false;
   }
-  // A socket that has not begun to connect reports EPOLLHUP too.
+  // EPOLLHUP is also reported for a socket on which no connect was started.
   sockaddr_in peer{};
   size = sizeof(peer);
   if (getpeername(socket_.get(), reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
@@ -185,11 +186,11 @@
   readable_ = true;
   const bool hung_up_before = hung_up_;
   hung_up_ = hung_up_ || hung_up;
-  const bool has_news = ReadAvailable();
-  // The end behind bytes that there is no room to read is not reported by the kernel again.
-  const bool end_hidden =
+  const bool has_new_data = ReadAvailable();
+  // The kernel does not report the end again if it follows bytes that there is no room to read.
+  const bool unreported_end =
       hung_up_ && !hung_up_before && !discarding_ && input_.size() >= max_unread_bytes_;
-  if (!closed_ && !broken_ && (has_news || end_hidden)) {
+  if (!closed_ && !broken_ && (has_new_data || unreported_end)) {
     listener_->OnData();
   }
 }
@@ -224,7 +225,7 @@
   }
 }
 
-// A peer may have responded and closed before it read all: the response can still be read.
+// The peer may have responded and closed before it read everything. Its response can still be read.
 void Stream::OnWriteFailed() {
   readable_ = true;
   hung_up_ = true;
@@ -237,7 +238,7 @@
   }
 }
 
-// Drops so many bytes from the queue, and empty segments at its front.
+// Removes `bytes` bytes from the output queue, and empty segments at its front.
 void Stream::ConsumeOutput(size_t bytes) {
   while (bytes > 0 || (!output_.empty() && output_.front().remaining.empty())) {
     WriteSegment& segment = output_.front();
--- a/src/event/stream.h
+++ b/src/event/stream.h
@@ -1,4 +1,4 @@
-// One TCP connection on the event loop: buffers what it reads and what is to be written.
+// A TCP connection on the event loop, with buffered input and output.
 #ifndef PADDLESTILE_EVENT_STREAM_H_
 #define PADDLESTILE_EVENT_STREAM_H_
 
@@ -16,80 +16,80 @@
 
 namespace paddlestile {
 
-// Owns the socket. Calls of the listener may close the stream, and must not destroy it: its owner
-// defers that by EventLoop::RunDeferred.
+// Owns the socket. Listener callbacks may close the stream but must not destroy it; its owner must
+// defer the destruction with EventLoop::RunDeferred.
 class Stream : public EventLoop::Handler {
  public:
   class Listener {
    public:
     virtual void OnConnected() {}
-    // input() has more bytes, or ended() or hung_up() has become true.
+    // input() has new bytes, or ended() or hung_up() has become true.
     virtual void OnData() = 0;
-    // All that was written is with the kernel.
+    // All written data was passed to the kernel.
     virtual void OnWriteComplete() {}
-    // The connection was reset or refused, or failed; at most once.
+    // The connection was reset or refused, or has failed. Called at most once.
     virtual void OnError() = 0;
 
    protected:
     ~Listener() = default;
   };
 
-  // `connecting`: the socket has begun to connect, else it is connected. `loop` and `listener` must
-  // outlive the stream.
+  // `connecting`: a connect is in progress; otherwise the socket is connected. `loop` and
+  // `listener` must outlive the stream.
   Stream(EventLoop& loop, Socket socket, Listener* listener, bool connecting);
   virtual ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Begins to read; false where the kernel does not watch the socket. `urgent`: see EventLoop.
+  // Starts reading. Returns false if epoll rejects the socket. `urgent`: see EventLoop::Watch.
   bool Start(bool urgent = false);
 
-  // What was read; the listener consumes it.
+  // The bytes that were read. The listener consumes them.
   Buffer& input() { return input_; }
-  // The peer has closed its side, and all that it sent was read.
+  // The peer has closed its side, and everything that it sent was read.
   [[nodiscard]] bool ended() const { return ended_; }
-  // The peer has closed its side; bytes before that may be unread.
+  // The peer has closed its side. Bytes sent before may still be unread.
   [[nodiscard]] bool hung_up() const { return hung_up_ || ended_; }
   [[nodiscard]] bool closed() const { return closed_; }
   [[nodiscard]] bool connected() const { return connected_; }
-  // Whether all that was written is with the kernel.
+  // Returns whether all written data was passed to the kernel.
   [[nodiscard]] bool flushed() const { return output_.empty(); }
 
-  // Reading stops while input() has so many bytes, until ResumeReading.
+  // Sets the size of input() at which reading stops until ResumeReading is called.
   void set_max_unread_bytes(size_t bytes) { max_unread_bytes_ = bytes; }
-  // Room that each read has at least.
+  // Sets the minimum room in the buffer for each read.
   void set_min_read_bytes(size_t bytes) { min_read_bytes_ = bytes; }
-  // Reads on where reading had stopped; may call the listener within this call.
+  // Continues reading after it was stopped. May call the listener.
   void ResumeReading();
-  // Whether the kernel may have more bytes than were read.
+  // Returns whether the kernel may have unread bytes.
   [[nodiscard]] bool readable() const { return readable_; }
 
-  // Writes `head` and `body`; queues what the kernel does not take. `keep_alive` owns the memory of
-  // `body`. May call the listener within this call.
+  // Writes `head` and `body`, and queues what the kernel does not accept. `keep_alive` owns the
+  // memory of `body`. May call the listener.
   void Write(std::string head, std::shared_ptr<const void> keep_alive = nullptr,
              std::string_view body = {});
-  // Closes so that the peer sees a reset: what it was sent is incomplete.
+  // Closes with a reset, so that the peer detects that the data sent is incomplete.
   void CloseByReset();
   // Closes the write side.
   void ShutdownWrite();
-  // From now on drops what comes, up to a limit; OnData reports only the end.
+  // Discards all further input, up to a limit. OnData then reports only the end.
   void DiscardInput();
-  // Closes the connection; the listener is not called any more.
+  // Closes the connection. The listener is not called afterwards.
   void Close();
 
-  // Whether the connection is open and nothing has come on it, neither bytes nor the end.
+  // Returns whether the connection is open and has received neither unread bytes nor the end.
   [[nodiscard]] bool IsIdle() const;
-  // Whether the kernel has bytes that were not read.
+  // Returns whether the kernel has unread bytes.
   [[nodiscard]] bool HasUnreadBytes() const;
 
  private:
   struct WriteSegment {
-    std::string owned;                       // the memory of `remaining`, or
-    std::shared_ptr<const void> keep_alive;  // the owner of that memory
+    std::string owned;                       // holds the data of `remaining`, or
+    std::shared_ptr<const void> keep_alive;  // owns that data
     std::string_view remaining;              // not yet written
   };
   void OnEvents(uint32_t events) final;
-  // True where bytes were read, or the end.
+  // Returns true if new bytes or the end were read.
   bool ReadAvailable();
   bool DiscardAvailable();
   bool FinishConnect(uint32_t events);
@@ -108,8 +108,8 @@
   bool closed_ = false;
   bool ended_ = false;
   bool broken_ = false;    // OnError was called
-  bool readable_ = false;  // an edge was reported and not read to EAGAIN
-  bool hung_up_ = false;   // the end, or an error, is behind the unread bytes
+  bool readable_ = false;  // an edge was reported, and EAGAIN not reached since
+  bool hung_up_ = false;   // the end or an error follows the unread bytes
   bool discarding_ = false;
   size_t discarded_ = 0;
   size_t max_unread_bytes_ = SIZE_MAX;
--- a/tests/event/stream_test.cpp
+++ b/tests/event/stream_test.cpp
@@ -19,21 +19,21 @@
   void OnConnected() override { ++connected; }
   void OnData() override {
     ++reads;
-    if (then) {
-      then();
+    if (on_data) {
+      on_data();
     }
   }
   void OnWriteComplete() override { ++flushed; }
-  void OnError() override { ++broken; }
-  int connected = 0, reads = 0, flushed = 0, broken = 0;
-  std::function<void()> then;
+  void OnError() override { ++errors; }
+  int connected = 0, reads = 0, flushed = 0, errors = 0;
+  std::function<void()> on_data;
 };
 
 class StreamTest : public ::testing::Test {
  protected:
   StreamTest() {
-    auto [fd, far] = Pair();
-    peer = std::move(far);
+    auto [fd, remote] = Pair();
+    peer = std::move(remote);
     stream = std::make_unique<Stream>(loop, Socket(std::move(fd), nullptr), &owner, false);
     EXPECT_TRUE(stream->Start());
     loop.RunOnce(Duration(0));
@@ -44,23 +44,23 @@
   std::unique_ptr<Stream> stream;
 };
 
-TEST_F(StreamTest, ReadsAllThatIsThereOnOneEdge) {
+TEST_F(StreamTest, ReadsAllAvailableDataOnOneEdge) {
   peer.Send(std::string(50000, 'x'));
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->input().size() == 50000; }));
   peer.Send("y");
   EXPECT_TRUE(RunUntil(loop, [&] { return stream->input().size() == 50001; }));
 }
 
-TEST_F(StreamTest, WritesWhatDoesNotFitAtOnceLater) {
+TEST_F(StreamTest, WritesTheRemainderWhenWritable) {
   const auto body = std::make_shared<std::string>(4'000'000, 'b');
   stream->Write("head", body, *body);
-  EXPECT_EQ(owner.flushed, 0);  // more than the socket holds
+  EXPECT_EQ(owner.flushed, 0);  // larger than the socket buffer
   ASSERT_TRUE(RunUntil(loop, [&] { return peer.Received().size() == 4'000'004; }));
   EXPECT_EQ(owner.flushed, 1);
   EXPECT_EQ(peer.Received().substr(0, 6), "headbb");
 }
 
-TEST_F(StreamTest, KeepsTheMemoryOfWhatIsUnwritten) {
+TEST_F(StreamTest, KeepsUnwrittenDataAlive) {
   auto body = std::make_shared<std::string>(4'000'000, 'b');
   const std::weak_ptr<std::string> held = body;
   const std::string_view view = *body;
@@ -70,38 +70,38 @@
   EXPECT_TRUE(held.expired());
 }
 
-TEST_F(StreamTest, SeesTheEndAndTheBreak) {
+TEST_F(StreamTest, ReportsTheEndWithoutAnError) {
   peer.Send("last");
   peer.Close();
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->ended(); }));
   EXPECT_EQ(stream->input().view(), "last");
-  EXPECT_EQ(owner.broken, 0);
+  EXPECT_EQ(owner.errors, 0);
 }
 
-TEST_F(StreamTest, AWriteToAClosedPeerBreaksWithoutASignal) {
+TEST_F(StreamTest, WriteToAClosedPeerReportsAnErrorWithoutASignal) {
   peer.Close();
-  stream->Write("x");  // would end the process by SIGPIPE
-  EXPECT_TRUE(RunUntil(loop, [&] { return owner.broken == 1; }));
+  stream->Write("x");  // SIGPIPE would terminate the process
+  EXPECT_TRUE(RunUntil(loop, [&] { return owner.errors == 1; }));
 }
 
-TEST_F(StreamTest, StopsReadingAtItsLimitAndGoesOn) {
+TEST_F(StreamTest, StopsReadingAtTheLimitAndResumes) {
   stream->set_max_unread_bytes(10000);
   peer.Send(std::string(60000, 'x'));
   ASSERT_TRUE(RunUntil(loop, [&] { return stream->input().size() >= 10000; }));
   testing::RunFor(loop, Ms(20));
   EXPECT_LT(stream->input().size(), 30000u);
-  size_t got = 0;
+  size_t received = 0;
   ASSERT_TRUE(RunUntil(loop, [&] {
-    got += stream->input().size();
+    received += stream->input().size();
     stream->input().Consume(stream->input().size());
     stream->ResumeReading();
-    return got >= 60000;
+    return received >= 60000;
   }));
-  EXPECT_EQ(got, 60000u);
+  EXPECT_EQ(received, 60000u);
 }
 
-TEST_F(StreamTest, AHandlerMayCloseItsOwnStream) {
-  owner.then = [&] {
+TEST_F(StreamTest, ListenerMayCloseTheStream) {
+  owner.on_data = [&] {
     stream->Close();
   };
   peer.Send("x");
@@ -111,18 +111,18 @@
   EXPECT_TRUE(peer.Ended());
 }
 
-TEST_F(StreamTest, IsQuietOnlyWithNothingWaiting) {
+TEST_F(StreamTest, IsNotIdleWithUnreadBytes) {
   EXPECT_TRUE(stream->IsIdle());
   peer.Send("x");
-  EXPECT_FALSE(stream->IsIdle());  // seen before the loop brings the event
+  EXPECT_FALSE(stream->IsIdle());  // detected before the loop reports the event
 }
 
-TEST_F(StreamTest, IsNotQuietAfterThePeersEnd) {
+TEST_F(StreamTest, IsNotIdleAfterThePeerCloses) {
   peer.Close();
   EXPECT_FALSE(stream->IsIdle());
 }
 
-TEST(Connect, ReachesAListener) {
+TEST(Connect, ConnectsToAListener) {
   EventLoop loop;
   DescriptorBudget budget(1024);
   testing::Port port;
@@ -136,7 +136,7 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return owner.connected == 1; }));
 }
 
-TEST(Connect, ARefusalBreaks) {
+TEST(Connect, RefusedConnectionReportsAnError) {
   EventLoop loop;
   DescriptorBudget budget(1024);
   testing::Port port;
@@ -150,26 +150,26 @@
   Owner owner;
   Stream stream(loop, std::move(*socket), &owner, true);
   ASSERT_TRUE(stream.Start());
-  EXPECT_TRUE(RunUntil(loop, [&] { return owner.broken == 1; }));
+  EXPECT_TRUE(RunUntil(loop, [&] { return owner.errors == 1; }));
   EXPECT_EQ(owner.connected, 0);
 }
 
-TEST(Descriptors, CountsWhatIsOpen) {
+TEST(Descriptors, CountsOpenSockets) {
   DescriptorBudget budget(DescriptorBudget::kReserve * 2 + 1);
   EXPECT_EQ(budget.limit(), DescriptorBudget::kReserve + 1);
   testing::Port port;
   bool refused = false;
   {
-    std::optional<Socket> one = Connect(port.address(), &budget, refused);
+    std::optional<Socket> socket = Connect(port.address(), &budget, refused);
     EXPECT_EQ(budget.used(), 1u);
-    Socket moved = std::move(*one);
-    one.reset();
+    Socket moved = std::move(*socket);
+    socket.reset();
     EXPECT_EQ(budget.used(), 1u);
   }
   EXPECT_EQ(budget.used(), 0u);
 }
 
-TEST(Descriptors, GivesNoMoreThanItHas) {
+TEST(Descriptors, EnforcesTheLimit) {
   DescriptorBudget budget(DescriptorBudget::kReserve + 34);
   testing::Port port;
   bool refused = false;
