--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -11,20 +11,20 @@
 namespace paddlestile {
 namespace {
 
-// More lines would cost too much time, and a full pipe would block the event loop.
+// Limits the time spent on logging, and avoids filling a pipe, which would block the event loop.
 constexpr int kLinesPerSecond = 100;
 
 struct Logger {
   Logger() { SetFormat(LogFormat::kText); }
   void SetFormat(LogFormat new_format) {
     format = new_format;
-    // The message of a JSON line has its own quotes.
+    // In JSON the message includes its quotes.
     logger.set_pattern(format == LogFormat::kJson
                            ? R"({"time":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","message":%v})"
                            : "%l: %v",
                        spdlog::pattern_time_type::utc);
-    logger.set_level(spdlog::level::trace);  // IsLogEnabled filters
-    logger.flush_on(spdlog::level::trace);   // so that the last line before a crash is written
+    logger.set_level(spdlog::level::trace);  // IsLogEnabled filters instead
+    logger.flush_on(spdlog::level::trace);   // writes the last line before a crash
   }
   void Write(LogLevel level, std::string_view text) {
     static constexpr spdlog::level::level_enum kLevels[] = {
@@ -44,9 +44,9 @@
   spdlog::logger logger{"paddlestile", std::make_shared<spdlog::sinks::stderr_sink_st>()};
   LogFormat format = LogFormat::kText;
   LogLevel min_level = LogLevel::kInfo;
-  std::chrono::steady_clock::time_point second_started_at;  // of the rate limit
-  int lines = 0;                                            // in that second
-  int dropped = 0;                                          // of those
+  std::chrono::steady_clock::time_point second_started_at;  // for the rate limit
+  int lines = 0;                                            // lines in that second
+  int dropped = 0;                                          // of those, lines dropped
 };
 
 Logger& GlobalLogger() {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,4 @@
-// Log lines on standard error, at a limited rate: as text, or as one JSON object a line. Not
-// thread-safe.
+// Rate-limited logging to standard error, as text or as one JSON object per line. Not thread-safe.
 #ifndef PADDLESTILE_BASE_LOG_H_
 #define PADDLESTILE_BASE_LOG_H_
 
@@ -21,15 +20,16 @@
   kJson
 };
 
-// Lines below the level are dropped; kInfo at first.
+// Sets the minimum level of lines to write; kInfo by default.
 void SetLogLevel(LogLevel level);
 [[nodiscard]] bool IsLogEnabled(LogLevel level);
 
-// kText at first: "warning: text". kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
+// kText, the default: "warning: text".
+// kJson: {"time": ISO 8601 in UTC, "level": ..., "message": ...}.
 void SetLogFormat(LogFormat format);
 
-// Writes one line. Control characters in it become '?', so that no peer can forge a line. In JSON,
-// invalid UTF-8 becomes U+FFFD.
+// Writes one line. Replaces control characters by '?', so that a peer cannot inject log lines. In
+// JSON, replaces invalid UTF-8 by U+FFFD.
 void LogLine(LogLevel level, std::string_view text);
 
 template <typename... Args>
--- a/tests/base/log_test.cpp
+++ b/tests/base/log_test.cpp
@@ -1,4 +1,4 @@
-// The log's bounds: so many lines a second, and no line or field that a peer could forge.
+// Tests that log lines are limited per second, and that a peer cannot inject a line.
 #include "base/log.h"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 namespace paddlestile {
 namespace {
 
-TEST(LogLines, AFloodIsCutOffAndCounted) {
-  usleep(1'100'000);  // a second of its own
+TEST(LogLines, ExcessLinesAreDroppedAndCounted) {
+  usleep(1'100'000);  // starts a new second of the rate limit
   ::testing::internal::CaptureStderr();
   for (int i = 0; i < 250; ++i) {
     LogLine(LogLevel::kInfo, "one of many");
