--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -28,10 +28,10 @@
   return counters;
 }
 
-bool CheckFailed(const char* what, const char* file, int line) {
+bool CheckFailed(const char* condition, const char* file, int line) {
   constexpr uint64_t kMaxLoggedFailures = 20;
   if (++GlobalCounters().invariant_failures <= kMaxLoggedFailures) {
-    Log(LogLevel::kError, "check failed: {} at {}:{}", what, file, line);
+    Log(LogLevel::kError, "check failed: {} at {}:{}", condition, file, line);
   }
   return false;
 }
--- a/tests/base/metrics_test.cpp
+++ b/tests/base/metrics_test.cpp
@@ -10,7 +10,7 @@
 namespace paddlestile {
 namespace {
 
-TEST(Counters, PrintOnlyWhatWasCounted) {
+TEST(Counters, PrintsOnlyNonZeroCounters) {
   Counters counters;
   EXPECT_EQ(counters.ToText(), "");
   counters.attempts_started = 3;
@@ -18,7 +18,7 @@
   EXPECT_EQ(counters.ToText(), "responses_served=2 attempts_started=3");
 }
 
-TEST(Counters, AFailedCheckIsCountedAndTold) {
+TEST(Counters, FailedCheckIsCountedAndLogged) {
   const uint64_t before = GlobalCounters().invariant_failures;
   ::testing::internal::CaptureStderr();
   EXPECT_FALSE(CheckFailed("a == b", "file.cpp", 7));
@@ -28,20 +28,20 @@
 }
 
 #ifndef NDEBUG
-TEST(CountersDeathTest, AFailedCheckEndsADebugBuild) {
+TEST(CountersDeathTest, FailedCheckAbortsADebugBuild) {
   ::testing::FLAGS_gtest_death_test_style = "threadsafe";
   EXPECT_DEATH((void)PADDLESTILE_CHECK(1 == 2), "1 == 2");
 }
 #endif
 
-TEST(Log, NoPeerCanForgeALine) {
+TEST(Log, ControlCharactersCannotInjectLines) {
   ::testing::internal::CaptureStderr();
   Log(LogLevel::kError, "id {}", "x\nerror: forged\r");
   const std::string text = ::testing::internal::GetCapturedStderr();
   EXPECT_EQ(text.find('\n'), text.size() - 1);
 }
 
-TEST(Log, AFloodIsCutOff) {
+TEST(Log, ExcessLinesAreDropped) {
   ::testing::internal::CaptureStderr();
   for (int i = 0; i < 5000; ++i) {
     Log(LogLevel::kError, "line {}", i);
@@ -50,7 +50,7 @@
   EXPECT_LT(std::count(text.begin(), text.end(), '\n'), 500);
 }
 
-TEST(Log, LevelsBelowTheLeastAreDropped) {
+TEST(Log, LinesBelowTheMinimumLevelAreDropped) {
   ::testing::internal::CaptureStderr();
   Log(LogLevel::kDebug, "quiet");
   EXPECT_EQ(::testing::internal::GetCapturedStderr(), "");
