--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -11,7 +11,7 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-// The origin lies so far before the construction: endpoints that started before it are warm.
+// The origin is this long before construction. Endpoints that started before it count as warm.
 constexpr int64_t kOriginOffsetUs = 24LL * 3600 * 1'000'000;
 constexpr double kMaxUnixMs = 1e15;  // far within 64 bits of microseconds
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-// The monotonic clock of a process, and conversion of wall time to it.
+// The monotonic clock of a process, and the conversion of wall-clock time to it.
 #ifndef PADDLESTILE_BASE_CLOCK_H_
 #define PADDLESTILE_BASE_CLOCK_H_
 
@@ -8,15 +8,16 @@
 
 namespace paddlestile {
 
-// The two clocks are related once, at construction: the start of an endpoint, which comes as wall
-// time, must convert to the same value each time, or it would look like a restart.
+// The relation of the two clocks is fixed at construction. The start time of an endpoint, which is
+// given in wall-clock time, must always convert to the same value; a different value would look
+// like a restart.
 class Clock {
  public:
   Clock();
-  // Monotonic; positive from the start.
+  // Returns the current monotonic time, which is always positive.
   [[nodiscard]] Time Now() const;
-  // Converts Unix time to the clock of Now(). 0 for values that are not positive, out of range, or
-  // before the origin.
+  // Converts Unix time to the time scale of Now(). Returns 0 for values that are not positive, out
+  // of range, or before the origin.
   [[nodiscard]] Time FromUnixMillis(double unix_ms) const;
 
  private:
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -10,7 +10,7 @@
 // A point in time, counted from an arbitrary origin by a monotonic clock.
 using Time = std::chrono::microseconds;
 
-// For logs and figures.
+// For log lines and statistics.
 constexpr double ToMilliseconds(Duration duration) {
   return static_cast<double>(duration.count()) / 1000;
 }
