--- a/src/base/file_descriptor.cpp
+++ b/src/base/file_descriptor.cpp
@@ -5,7 +5,7 @@
 namespace paddlestile {
 
 void FileDescriptor::Reset() {
-  // Not repeated on EINTR: Linux has closed the descriptor by then.
+  // Not retried after EINTR: Linux has already closed the descriptor.
   if (fd_ >= 0) {
     close(fd_);
   }
--- a/src/base/file_descriptor.h
+++ b/src/base/file_descriptor.h
@@ -6,7 +6,8 @@
 
 namespace paddlestile {
 
-// Closes its descriptor when it goes. Not valid, with -1, when default constructed or moved from.
+// Closes the descriptor on destruction. A default constructed or moved-from object is invalid and
+// holds -1.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -24,7 +25,7 @@
   ~FileDescriptor() { Reset(); }
   [[nodiscard]] int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  // Closes the descriptor, if there is one.
+  // Closes the descriptor if it is valid.
   void Reset();
 
  private:
