--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -12,17 +12,17 @@
 
 Address ParseAddress(std::string_view text) {
   const size_t colon = text.rfind(':');
-  const auto bad = [&] {
+  const auto invalid_address = [&] {
     return ConfigError(fmt::format("no address and port: '{}'", text));
   };
   if (colon == std::string_view::npos) {
-    throw bad();
+    throw invalid_address();
   }
   in_addr host{};
   const std::string ip(text.substr(0, colon));
   const auto port = ParseWholeNumber(text.substr(colon + 1));
   if (inet_pton(AF_INET, ip.c_str(), &host) != 1 || !port || *port == 0 || *port > 65535) {
-    throw bad();
+    throw invalid_address();
   }
   return {ntohl(host.s_addr), static_cast<uint16_t>(*port)};
 }
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -14,9 +14,9 @@
   bool operator==(const Address&) const = default;
 };
 
-// Reads "10.0.0.4:5000"; host names are not resolved. Throws ConfigError.
+// Parses an address such as "10.0.0.4:5000". Host names are not resolved. Throws ConfigError.
 Address ParseAddress(std::string_view text);
-// As ParseAddress reads it.
+// Formats an address as ParseAddress accepts it.
 std::string ToText(const Address& address);
 
 }  // namespace paddlestile
--- a/src/base/config_error.h
+++ b/src/base/config_error.h
@@ -6,7 +6,7 @@
 
 namespace paddlestile {
 
-// what() is one line that names what is wrong, where, and what was expected.
+// what() is a single line that states the problem, its location and what was expected.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/base/parse_number.cpp
+++ b/src/base/parse_number.cpp
@@ -10,8 +10,8 @@
   if (text.empty() || !std::isdigit(static_cast<unsigned char>(text[0]))) {
     return std::nullopt;
   }
-  const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (ec != std::errc() || end != text.data() + text.size()) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size()) {
     return std::nullopt;
   }
   return value;
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -8,8 +8,8 @@
 
 namespace paddlestile {
 
-// Reads an unsigned integer of decimal digits. Nothing for any other text, and for numbers of more
-// than 64 bits.
+// Parses an unsigned decimal integer. Returns nullopt for any other text, and for values that do
+// not fit in 64 bits.
 std::optional<uint64_t> ParseWholeNumber(std::string_view text);
 
 }  // namespace paddlestile
