--- a/src/http/chunk_decoder.h
+++ b/src/http/chunk_decoder.h
@@ -45,7 +45,7 @@
   bool Expect(char c, char expected, State next);
 
   State state_ = State::kSize;
-  size_t remaining_bytes_ = 0;  // content of the current chunk that is still to come
+  size_t remaining_bytes_ = 0;  // content of the current chunk not yet read
   int size_digits_ = 0;         // digits read of the current chunk's size
   size_t trailer_bytes_ = 0;
   size_t line_bytes_ = 0;    // length so far of the current extension or trailer line
