--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -54,8 +54,8 @@
   }
 }
 
-// Starts the new watch without waiting for the previous one to end: the agent at the previous
-// address may close soon and does not know later changes, so drains would be missed.
+// Starts the new watch without waiting for the previous one to end. The agent at the previous
+// address closes soon and does not receive later changes, so that waiting would miss drains.
 void DiscoveryClient::Redirect(const Address& discovery) {
   if (discovery == discovery_) {
     return;
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -169,8 +169,8 @@
   EXPECT_TRUE(RunUntil(loop, [&] { return old.Ended(); }));
   EXPECT_EQ(failed, 0);
   agent.Close();
-  Peer again = elsewhere.Accept(loop);
-  ASSERT_TRUE(RunUntil(loop, [&] { return again.Has("since=43"); }));
+  Peer restarted_watch = elsewhere.Accept(loop);
+  ASSERT_TRUE(RunUntil(loop, [&] { return restarted_watch.Has("since=43"); }));
   EXPECT_FALSE(port.TryAccept());  // no new connection to the old address
 }
 
@@ -387,10 +387,10 @@
   StartClient(true);
   Peer silent = Call();
   const Time started_at = loop.Now();
-  Peer again = Call();
+  Peer restarted_watch = Call();
   EXPECT_LT(loop.Now() - started_at, Ms(2600));
   EXPECT_TRUE(silent.Ended());
-  again.Send(kHead + Chunk(Line(41, false, Entry("h1"))));
+  restarted_watch.Send(kHead + Chunk(Line(41, false, Entry("h1"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
 }
 
@@ -455,16 +455,16 @@
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   const Time started_at = loop.Now();
   agent.Reset();
-  Peer again = Call();
-  EXPECT_TRUE(again.Has("since=41"));
-  again.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
+  Peer restarted_watch = Call();
+  EXPECT_TRUE(restarted_watch.Has("since=41"));
+  restarted_watch.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[1].endpoints[0].info.state, EndpointState::kDraining);
   EXPECT_LT(loop.Now() - started_at, Ms(300));
 }
 
-// Redirects to a new address and back before the new one has delivered: a single watch remains and
-// receives all changes.
+// Redirects to a new address and back before the new one has delivered: a single watch
+// remains and receives all changes.
 TEST_F(DiscoveryClientTest, RedirectAndBackKeepsOneWatch) {
   StartClient(true);
   Peer first = Call();
@@ -472,15 +472,15 @@
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 1; }));
   testing::Port other;
   client->Redirect(other.address());
-  Peer there = other.Accept(loop);
+  Peer redirected_watch = other.Accept(loop);
   client->Redirect(port.address());
-  Peer back = Call();
-  EXPECT_TRUE(RunUntil(loop, [&] { return there.Ended(); }));
+  Peer final_watch = Call();
+  EXPECT_TRUE(RunUntil(loop, [&] { return redirected_watch.Ended(); }));
   EXPECT_FALSE(first.Ended());  // kept until the new watch has delivered
-  back.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
+  final_watch.Send(kHead + Chunk(Line(42, false, Entry("h1", "leaving"))));
   ASSERT_TRUE(RunUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_TRUE(RunUntil(loop, [&] { return first.Ended(); }));
-  back.Send(Chunk(Line(43, false, Entry("h1", "left"))));
+  final_watch.Send(Chunk(Line(43, false, Entry("h1", "left"))));
   EXPECT_TRUE(RunUntil(loop, [&] { return lists.size() == 3; }));
   EXPECT_EQ(failed, 0);
 }
@@ -703,7 +703,7 @@
     // The backoff starts over at the new address.
     SendUntilClosed(agent, kHead + Chunk(ListOfAtLeast(kMaxListBytes)));
     const Time closed_at = loop.Now();
-    Peer again = elsewhere.Accept(loop);
+    Peer restarted_watch = elsewhere.Accept(loop);
     EXPECT_GE(loop.Now() - closed_at, Ms(290)) << self_renewing_watch;
     EXPECT_LT(loop.Now() - closed_at, Ms(600)) << self_renewing_watch;
     client.reset();
