--- a/src/lab/cluster_simulation.h
+++ b/src/lab/cluster_simulation.h
@@ -1,8 +1,8 @@
-// The bank's deciders in a deterministic world: one process, simulated time, no socket. A seed
-// gives one history, to the event: members with clocks that run apart, links that are cut, slow or
-// doubled, disks that lose what was not durable, stops, deaths, empty and older disks, voters
-// exchanged, clients that submit again. What holds is judged from what members applied, acted on
-// and told, never from what they believe.
+// Deterministic simulation of the cluster's protocol: one process, simulated time and no sockets.
+// A seed determines the whole sequence of events: clock drift, links that are cut, slow or deliver
+// twice, disks that lose what was not durable, paused and killed processes, empty and older disks,
+// voter changes, and clients that retry. The invariants are checked against what members applied,
+// acted on and answered, never against what they report about themselves.
 #ifndef PADDLESTILE_LAB_CLUSTER_SIMULATION_H_
 #define PADDLESTILE_LAB_CLUSTER_SIMULATION_H_
 
@@ -15,69 +15,74 @@
 
 namespace paddlestile::lab {
 
-// A member that breaks a term on purpose, to see that the judge finds it out.
+// A fault that members have on purpose, to show that the invariant checks detect it.
 enum class Mischief {
   kNone,
-  kForgetsVote,  // its vote and term are not on its disk when it starts again
-  kForgetsLog,   // what it acknowledged is not on its disk when it starts again
-  kActsOn,       // acts on what it had after its lease is over
-  kAppliesLate,  // says that it has applied what it has not
-  kVotesForAll,  // gives its vote to whoever asks, however often, whomever it hears
-  kTakesTwice,   // takes a change that it was told again for another
-  kMisapplies    // a follower that leaves out parts of deltas, and holds nothing against a hash
+  kForgetsVote,  // loses its vote and the last term on a restart
+  kForgetsLog,   // loses the last acknowledged log entries on a restart
+  kActsOn,       // goes on acting on its version after its lease has expired
+  kAppliesLate,  // claims to have applied entries that it has not applied
+  kVotesForAll,  // grants every vote request, also several in one term
+  kTakesTwice,   // treats a retried change as a new one
+  kMisapplies    // a follower that drops parts of deltas and does not check the hash
 };
 inline constexpr int kMischiefs = 8;
 const char* NameOf(Mischief mischief);
 
 struct WorldOptions {
   uint64_t seed = 1;
-  size_t voters = 3;      // 3 or 5
-  size_t followers = 2;   //
-  double seconds = 8;     // with faults; then all is mended
-  size_t faults = 6;      //
-  bool old_disks = true;  // older copies of a disk come back
-  // Cuts and outages last 6 to 60 s, beyond every wait of the deciders; set `seconds` accordingly.
+  size_t voters = 3;  // 3 or 5
+  size_t followers = 2;
+  double seconds = 8;  // of simulated time with faults; then all faults are repaired
+  size_t faults = 6;
+  bool old_disks = true;  // members may restart with an older copy of their disk
+  // Link cuts and outages last 6 to 60 s, longer than every timeout of the protocol; choose
+  // `seconds` accordingly.
   bool long_outages = false;
-  bool deltas = false;  // changes go as deltas, of random parts and sizes
+  bool deltas = false;  // changes are proposed as deltas, of random parts and sizes
   Mischief mischief = Mischief::kNone;
   bool trace = false;
 };
 
 struct WorldResult {
-  std::vector<std::string> broken;  // term, who, when; empty: all held
-  uint64_t events = 0, told_done = 0, submitted = 0, forgot = 0;
-  uint64_t refused = 0;              // as they were submitted from a stale version
-  double contradiction_ms_most = 0;  // two act on contradicting versions
-  double unavailable_ms_most = 0;    // between two changes told done, with clients asking
-  std::vector<double> change_ms;     // from submitted to told done, at the first try
-  std::vector<double> takeover_ms;   // from a leader's death to the next that can know itself so
-  uint64_t digest = 0;               // of the history: the same seed gives the same
+  std::vector<std::string> broken;  // rule, members and time; empty if all rules held
+  uint64_t events = 0, acknowledged = 0, submitted = 0, rollbacks_detected = 0;
+  uint64_t refused = 0;             // changes refused because their expected version was stale
+  double max_contradiction_ms = 0;  // members acted on contradictory versions
+  double max_unavailable_ms = 0;    // between two acknowledged changes while clients submit
+  std::vector<double> change_latency_ms;  // submission to acknowledgement, without retries
+  std::vector<double> failover_ms;        // from a leader's death to the next leader with a lease
+  uint64_t digest = 0;                    // of the version history; the same for the same seed
 };
 
 WorldResult PlayWorld(const WorldOptions& options);
 
 enum class WorldChanges {
-  kMixed,  // as deltas on the odd seeds
+  kMixed,  // deltas on odd seeds
   kWhole,
   kDelta
 };
 const char* NameOf(WorldChanges changes);
 
-// Many seeds, on several threads.
+// Runs many seeds on several threads.
 struct WorldsOptions {
-  WorldOptions world;  // of each; `seed` is the first's, three voters and five by turns
+  // For each schedule; `seed` is that of the first one, and the number of voters depends on the
+  // seed.
+  WorldOptions world;
   uint64_t schedules = 1000;
   size_t jobs = 1;
   WorldChanges changes = WorldChanges::kMixed;
 };
 struct WorldsResult {
-  uint64_t schedules = 0, events = 0, told_done = 0, submitted = 0, forgot = 0, refused = 0;
+  uint64_t schedules = 0, events = 0, acknowledged = 0, submitted = 0, rollbacks_detected = 0,
+           refused = 0;
   uint64_t with_deltas = 0;  // schedules
   uint64_t broken = 0;
-  std::map<std::string, uint64_t> terms;                // broken ones by the term's name
-  std::vector<std::pair<uint64_t, std::string>> first;  // seeds and what broke, the lowest ones
-  double contradiction_ms_most = 0, unavailable_ms_most = 0;
-  std::vector<double> change_ms, takeover_ms;  // sorted
+  std::map<std::string, uint64_t> violations_by_rule;  // number of broken schedules by rule name
+  // The lowest seeds that broke each rule, with the violation.
+  std::vector<std::pair<uint64_t, std::string>> first_violations;
+  double max_contradiction_ms = 0, max_unavailable_ms = 0;
+  std::vector<double> change_latency_ms, failover_ms;  // sorted
   uint64_t digest = 0;
 };
 WorldsResult PlayWorlds(const WorldsOptions& options);
