--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -210,8 +210,8 @@
     // back in touch, it has as long as a lease to hear of what is new.
     const bool excused =
         !e_.cluster.drains_when_disconnected && (away_[gateway] > 0 || now < back_at_[gateway]);
-    judge_.Received(now, host, gateway, ledger_.RequestOf(n).class_index, ledger_.SentAt(n), copy,
-                    excused, ledger_.AttemptId(n));
+    judge_.RecordReceipt(now, host, gateway, ledger_.RequestOf(n).class_index, ledger_.SentAt(n),
+                         copy, excused, ledger_.AttemptId(n));
   });
   loop_.RunAfter(std::max(kFirstChange, e_.cluster.quiet_after_start),
                  [this, alive = std::weak_ptr(alive_)] {
@@ -418,7 +418,7 @@
 
 void BankLab::SubmitOne() {
   const size_t n = changes_.size();
-  BankJudge::Wanted wanted;
+  ClusterInvariantChecker::RequestedRules requested;
   // Nothing else is on its way that could come between.
   const bool alone = std::ranges::all_of(changes_, &Change::done);
   const Shape* const last = LastTold();
@@ -431,23 +431,24 @@
   // of a change of so many parts.
   if (!bars_) {
     const bool at_size = e_.cluster.measured || e_.cluster.simulated_members > 0;
-    bars_.emplace(hosts_.size(), at_size ? 1 : BarPlan::Several(hosts_.size()), random_());
+    bars_.emplace(hosts_.size(), at_size ? 1 : ExclusionPlan::RecommendedCount(hosts_.size()),
+                  random_());
   }
   const auto block = static_cast<size_t>((Now() - kFirstChange).count() / kBlock.count());
   const bool begins = n == 0 || block != block_;
   block_ = block;
   if (!begins) {
-    shape.barred = bars_->KeptOff(block);
+    shape.barred = bars_->ExcludedInBlock(block);
   }
   if (n % 2 == 1) {
-    shape.barred.insert(bars_->Passing(n / 2));
+    shape.barred.insert(bars_->ExcludedByOneChange(n / 2));
   }
   for (const size_t at : shape.barred) {
-    wanted.barred.push_back(hosts_[at].host_index);
+    requested.excluded_hosts.push_back(hosts_[at].host_index);
   }
   shape.unsafe = e_.cluster.changes_idempotency && block % 2 == 1;
   if (shape.unsafe) {
-    wanted.once = 0;
+    requested.single_attempt_class = 0;
   }
   const size_t tenants = e_.cluster.tenants_per_version, there = shape.quotas.size();
   if (there < tenants) {
@@ -473,7 +474,7 @@
   }
   changes_.emplace_back().wish = cluster::ToJson(wish);
   shapes_.push_back(std::move(shape));
-  judge_.Submitted(Now(), std::move(wanted));
+  judge_.RecordSubmission(Now(), std::move(requested));
   if (e_.cluster.measured && !fills_ && n % kByCommand == 2) {
     return AskByCommand(n);
   }
@@ -593,7 +594,7 @@
   figures_.command_cpu_ms_most = std::max(figures_.command_cpu_ms_most, spent_ms);
   change.done = true;
   shapes_[n].version = told["version"].get<uint64_t>();
-  judge_.ToldDone(Now(), n, shapes_[n].version);
+  judge_.RecordAcknowledgement(Now(), n, shapes_[n].version);
 }
 
 // Through any gateway, also one that is cut off; again elsewhere where the answer is none.
@@ -629,17 +630,17 @@
             }
             changes_[n].done = true;
             shapes_[n].version = answer->version;
-            return judge_.ToldDone(Now(), n, answer->version);
+            return judge_.RecordAcknowledgement(Now(), n, answer->version);
           case cluster::ChangeResult::Kind::kRefused:
             changes_[n].done = true;
-            return judge_.Refused(Now(), n, answer->text);
+            return judge_.RecordRefusal(Now(), n, answer->text);
           default:
             return again();
         }
       });
 }
 
-BankResult BankLab::Finish(Time now) {
+ClusterResult BankLab::Finish(Time now) {
   ledger_.set_receipt_callback(nullptr);
   return judge_.Finish(now, e_.length - e_.cluster.quiet_before_end);
 }
@@ -938,9 +939,11 @@
   const Duration zero = MachineNow() - Now();
   std::vector<ToldChange> changes;
   Time last_done{0};
-  for (const BankJudge::Told& told : judge_.told()) {
-    changes.push_back({told.submitted + zero, told.done + zero, told.version});
-    last_done = std::max(last_done, told.done);
+  for (const ClusterInvariantChecker::AcknowledgedChange& acknowledged :
+       judge_.acknowledged_changes()) {
+    changes.push_back(
+        {acknowledged.submitted + zero, acknowledged.acknowledged_at + zero, acknowledged.version});
+    last_done = std::max(last_done, acknowledged.acknowledged_at);
   }
   f.changes = changes.size();
   HollowTerms terms;
--- a/src/lab/cluster_experiment.h
+++ b/src/lab/cluster_experiment.h
@@ -57,7 +57,7 @@
   // Whether one leads them all; asked again and again before time 0.
   [[nodiscard]] bool Linked();
 
-  BankResult Finish(Time now);
+  ClusterResult Finish(Time now);
   // Behind Finish: what a run at size came to; off where nothing was to be measured.
   ScaleFigures FinishScale();
 
@@ -111,7 +111,7 @@
   // Gateways that the script keeps from the others, by how many faults, and since when not.
   std::vector<int> away_;
   std::vector<Time> back_at_;
-  BankJudge judge_;
+  ClusterInvariantChecker judge_;
   struct Change {
     nlohmann::json wish;
     bool done = false, answer_lost = false;
@@ -133,7 +133,7 @@
   [[nodiscard]] nlohmann::json DeltaOf(const Shape& was, const Shape& shape) const;
   bool fills_ = false;  // the tenants come with one change after another
   Time filled_{0};      // when all were there, where that took several
-  std::optional<BarPlan> bars_;
+  std::optional<ExclusionPlan> bars_;
   size_t block_ = 0;  // of the last change
   // At size: hollow processes, what befalls them, and the samples by which figures are taken.
   struct HollowPart {
--- a/src/lab/cluster_invariants.cpp
+++ b/src/lab/cluster_invariants.cpp
@@ -7,187 +7,201 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr size_t kBrokenMost = 20;
+constexpr size_t kMaxViolations = 20;
 
-double Ms(Duration d) {
-  return static_cast<double>(d.count()) / 1000;
+double Ms(Duration duration) {
+  return static_cast<double>(duration.count()) / 1000;
 }
 
-double At(std::vector<double>& of, double part) {
-  if (of.empty()) {
+double Quantile(std::vector<double>& values, double quantile) {
+  if (values.empty()) {
     return 0;
   }
-  std::ranges::sort(of);
-  return of[static_cast<size_t>(part * static_cast<double>(of.size() - 1))];
+  std::ranges::sort(values);
+  return values[static_cast<size_t>(quantile * static_cast<double>(values.size() - 1))];
 }
 
 }  // namespace
 
-void BankJudge::Break(Time now, const std::string& what) {
-  if (r_.broken.size() >= kBrokenMost) {
+void ClusterInvariantChecker::ReportViolation(Time now, const std::string& violation) {
+  if (result_.broken.size() >= kMaxViolations) {
     return;
   }
-  r_.broken.push_back(fmt::format("bank: {} at {:.3f} s", what, Ms(now) / 1000));
+  result_.broken.push_back(fmt::format("bank: {} at {:.3f} s", violation, Ms(now) / 1000));
 }
 
-size_t BankJudge::Submitted(Time now, Wanted wanted) {
-  changes_.push_back({std::move(wanted), now});
-  ++r_.changes;
+size_t ClusterInvariantChecker::RecordSubmission(Time now, RequestedRules requested) {
+  changes_.push_back({std::move(requested), now});
+  ++result_.changes;
   return changes_.size() - 1;
 }
 
-void BankJudge::ToldDone(Time now, size_t n, uint64_t version) {
-  Change& change = changes_[n];
-  if (change.done >= Time(0)) {
+void ClusterInvariantChecker::RecordAcknowledgement(Time now, size_t change_index,
+                                                    uint64_t version) {
+  Change& change = changes_[change_index];
+  if (change.acknowledged_at >= Time(0)) {
     if (change.version != version) {
-      ++r_.twice;
-      Break(now, fmt::format("twice: change {} was told as version {} and as {}", n, change.version,
-                             version));
+      ++result_.duplicated;
+      ReportViolation(now, fmt::format("twice: change {} was acknowledged as version {} and as {}",
+                                       change_index, change.version, version));
     }
     return;
   }
-  change.done = now;
+  change.acknowledged_at = now;
   change.version = version;
-  ++r_.told_done;
-  const auto [at, fresh] = by_version_.emplace(version, n);
-  if (!fresh) {
-    ++r_.lost;
-    Break(now, fmt::format("lost: version {} was told for change {} and for {}", version,
-                           at->second, n));
+  ++result_.acknowledged;
+  const auto [entry, inserted] = change_by_version_.emplace(version, change_index);
+  if (!inserted) {
+    ++result_.lost;
+    ReportViolation(now, fmt::format("lost: version {} was acknowledged for change {} and for {}",
+                                     version, entry->second, change_index));
   }
   if (version > changes_.size()) {
-    ++r_.twice;
-    Break(now, fmt::format("twice: version {} after {} changes", version, changes_.size()));
+    ++result_.duplicated;
+    ReportViolation(now,
+                    fmt::format("twice: version {} after {} changes", version, changes_.size()));
   }
   for (size_t i = 0; i < changes_.size(); ++i) {
     const Change& other = changes_[i];
-    if (other.done < Time(0) || other.done >= change.submitted || other.version < version) {
+    if (other.acknowledged_at < Time(0) || other.acknowledged_at >= change.submitted ||
+        other.version < version) {
       continue;
     }
-    Break(now,
-          fmt::format("order: change {} is version {}, though {} was told as version {} before "
-                      "it was submitted",
-                      n, version, i, other.version));
+    ReportViolation(
+        now, fmt::format(
+                 "order: change {} is version {}, though {} was acknowledged as version {} before "
+                 "it was submitted",
+                 change_index, version, i, other.version));
   }
 }
 
-void BankJudge::Refused(Time now, size_t n, const std::string& why) {
-  ++r_.refused;
-  Break(now, fmt::format("refused: change {}: {}", n, why));
+void ClusterInvariantChecker::RecordRefusal(Time now, size_t change_index,
+                                            const std::string& reason) {
+  ++result_.refused;
+  ReportViolation(now, fmt::format("refused: change {}: {}", change_index, reason));
 }
 
-// Until when a host that this change bars is surely barred: until somebody wanted it back.
-Time BankJudge::Ends(const Change& change, size_t host) const {
-  Time ends = Time::max();
+// Until when `host`, which `change` excludes, is certainly excluded: the earliest time at which a
+// change without this exclusion may have taken effect.
+Time ClusterInvariantChecker::ExclusionEnd(const Change& change, size_t host) const {
+  Time end = Time::max();
   for (const Change& other : changes_) {
     if (&other == &change) {
       continue;
     }
-    // One that was told before this one was submitted is behind it.
-    if (other.done >= Time(0) && other.version < change.version) {
+    // A change acknowledged with a lower version precedes this one.
+    if (other.acknowledged_at >= Time(0) && other.version < change.version) {
       continue;
     }
-    if (other.done < Time(0) && other.submitted < change.submitted) {
-      // Not told: it may have come before or may still come.
-      if (std::ranges::find(other.wanted.barred, host) == other.wanted.barred.end()) {
-        ends = std::min(ends, change.done);
+    if (other.acknowledged_at < Time(0) && other.submitted < change.submitted) {
+      // Not acknowledged: it may precede this change or still follow it.
+      if (std::ranges::find(other.requested.excluded_hosts, host) ==
+          other.requested.excluded_hosts.end()) {
+        end = std::min(end, change.acknowledged_at);
       }
       continue;
     }
-    if (std::ranges::find(other.wanted.barred, host) == other.wanted.barred.end()) {
-      ends = std::min(ends, other.submitted);
+    if (std::ranges::find(other.requested.excluded_hosts, host) ==
+        other.requested.excluded_hosts.end()) {
+      end = std::min(end, other.submitted);
     }
   }
-  return ends;
+  return end;
 }
 
-void BankJudge::Received(Time now, size_t host, size_t gateway, size_t cls, Time handed,
-                         size_t copy, bool excused, const std::string& id) {
+void ClusterInvariantChecker::RecordReceipt(Time now, size_t host, size_t gateway,
+                                            size_t request_class, Time handed_over, size_t attempt,
+                                            bool excused, const std::string& id) {
   for (Change& change : changes_) {
     if (now <= change.submitted) {
       continue;
     }
-    const bool bars = std::ranges::find(change.wanted.barred, host) != change.wanted.barred.end();
-    const bool once = change.wanted.once == cls && copy > 1;
-    if (!bars && !once) {
+    const bool excludes = std::ranges::find(change.requested.excluded_hosts, host) !=
+                          change.requested.excluded_hosts.end();
+    const bool extra_attempt =
+        change.requested.single_attempt_class == request_class && attempt > 1;
+    if (!excludes && !extra_attempt) {
       continue;
     }
-    if (bars && now < Ends(change, host) && !excused) {
-      change.last_against = now;
+    if (excludes && now < ExclusionEnd(change, host) && !excused) {
+      change.last_contrary_receipt = now;
     }
-    if (change.done < Time(0)) {
+    if (change.acknowledged_at < Time(0)) {
       continue;
     }
-    if (bars && now > change.done && now < Ends(change, host)) {
+    if (excludes && now > change.acknowledged_at && now < ExclusionEnd(change, host)) {
       if (excused) {
-        ++r_.sent_while_alone;
+        ++result_.sent_while_isolated;
         continue;
       }
-      const Duration late = now - change.done;
-      r_.contradiction_ms_most = std::max(r_.contradiction_ms_most, Ms(late));
-      if (late > bound_ + slack_) {
-        Break(now,
-              fmt::format("contradiction: host {} received {} from gateway {} {:.0f} ms after it "
-                          "was told to be barred by version {}",
-                          host, id, gateway, Ms(late), change.version));
+      const Duration delay = now - change.acknowledged_at;
+      result_.max_contradiction_ms = std::max(result_.max_contradiction_ms, Ms(delay));
+      if (delay > bound_ + slack_) {
+        ReportViolation(
+            now,
+            fmt::format("contradiction: host {} received {} from gateway {} {:.0f} ms after it "
+                        "was acknowledged to be excluded by version {}",
+                        host, id, gateway, Ms(delay), change.version));
       }
     }
-    // What was handed over under it is sent once; under another it may be sent again.
-    if (!once || handed < change.done + bound_ + slack_) {
+    // Requests handed over under this version get one attempt; under another one they may get more.
+    if (!extra_attempt || handed_over < change.acknowledged_at + bound_ + slack_) {
       continue;
     }
-    const bool over = std::ranges::any_of(changes_, [&](const Change& other) {
-      const bool later = other.done < Time(0) || other.version > change.version;
-      return later && other.wanted.once != cls && other.submitted < now;
+    const bool replaced = std::ranges::any_of(changes_, [&](const Change& other) {
+      const bool later = other.acknowledged_at < Time(0) || other.version > change.version;
+      return later && other.requested.single_attempt_class != request_class &&
+             other.submitted < now;
     });
-    if (over) {
+    if (replaced) {
       continue;
     }
-    Break(now,
-          fmt::format("contradiction: {} of a class that version {} lets be sent once was sent "
-                      "a {}th time by gateway {}",
-                      id, change.version, copy, gateway));
+    ReportViolation(
+        now, fmt::format("contradiction: {} of a class with one attempt under version {} was sent "
+                         "in attempt {} by gateway {}",
+                         id, change.version, attempt, gateway));
   }
 }
 
-std::vector<BankJudge::Told> BankJudge::told() const {
-  std::vector<Told> all;
+std::vector<ClusterInvariantChecker::AcknowledgedChange>
+ClusterInvariantChecker::acknowledged_changes() const {
+  std::vector<AcknowledgedChange> acknowledged;
   for (const Change& change : changes_) {
-    if (change.done >= Time(0)) {
-      all.push_back({change.submitted, change.done, change.version});
+    if (change.acknowledged_at >= Time(0)) {
+      acknowledged.push_back({change.submitted, change.acknowledged_at, change.version});
     }
   }
-  return all;
+  return acknowledged;
 }
 
-BankResult BankJudge::Finish(Time now, Time asked_until) {
-  std::vector<double> follow, done;
-  std::vector<Time> told;
+ClusterResult ClusterInvariantChecker::Finish(Time now, Time submitted_until) {
+  std::vector<double> follow_ms, latency_ms;
+  std::vector<Time> acknowledged_at;
   for (const Change& change : changes_) {
-    if (change.done < Time(0)) {
+    if (change.acknowledged_at < Time(0)) {
       continue;
     }
-    told.push_back(change.done);
-    done.push_back(Ms(change.done - change.submitted));
-    if (!change.wanted.barred.empty()) {
-      follow.push_back(std::max(0.0, Ms(change.last_against - change.submitted)));
+    acknowledged_at.push_back(change.acknowledged_at);
+    latency_ms.push_back(Ms(change.acknowledged_at - change.submitted));
+    if (!change.requested.excluded_hosts.empty()) {
+      follow_ms.push_back(std::max(0.0, Ms(change.last_contrary_receipt - change.submitted)));
     }
   }
-  std::ranges::sort(told);
-  Time before = changes_.empty() ? now : changes_.front().submitted;
-  for (const Time at : told) {
-    r_.unavailable_ms_most = std::max(r_.unavailable_ms_most, Ms(at - before));
-    before = at;
+  std::ranges::sort(acknowledged_at);
+  Time previous = changes_.empty() ? now : changes_.front().submitted;
+  for (const Time time : acknowledged_at) {
+    result_.max_unavailable_ms = std::max(result_.max_unavailable_ms, Ms(time - previous));
+    previous = time;
   }
-  r_.unavailable_ms_most = std::max(r_.unavailable_ms_most, Ms(asked_until - before));
-  r_.on = true;
-  r_.bound_ms = Ms(bound_);
-  r_.follow_ms_p50 = At(follow, 0.5);
-  r_.follow_ms_p99 = At(follow, 0.99);
-  r_.follow_ms_most = At(follow, 1);
-  r_.done_ms_p50 = At(done, 0.5);
-  r_.done_ms_most = At(done, 1);
-  return std::move(r_);
+  result_.max_unavailable_ms = std::max(result_.max_unavailable_ms, Ms(submitted_until - previous));
+  result_.enabled = true;
+  result_.bound_ms = Ms(bound_);
+  result_.follow_ms_p50 = Quantile(follow_ms, 0.5);
+  result_.follow_ms_p99 = Quantile(follow_ms, 0.99);
+  result_.max_follow_ms = Quantile(follow_ms, 1);
+  result_.done_ms_p50 = Quantile(latency_ms, 0.5);
+  result_.max_done_ms = Quantile(latency_ms, 1);
+  return std::move(result_);
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/result.cpp
+++ b/src/lab/result.cpp
@@ -108,10 +108,11 @@
   most(m.max_descriptors, static_cast<double>(r.descriptors_max), "descriptors");
   most(m.max_misbehaving_unanswered_share, Share(r.bad_unanswered, r.bad_sent),
        "bad_unanswered_share");
-  if (r.bank.on) {
-    most(m.max_unavailable_ms, r.bank.unavailable_ms_most, "unavailable_ms");
+  if (r.bank.enabled) {
+    most(m.max_unavailable_ms, r.bank.max_unavailable_ms, "unavailable_ms");
     most(m.max_p50_follow_ms, r.bank.follow_ms_p50, "follow_ms_p50");
-    least(m.min_changes_done_share, Share(r.bank.told_done, r.bank.changes), "changes_done_share");
+    least(m.min_changes_done_share, Share(r.bank.acknowledged, r.bank.changes),
+          "changes_done_share");
   }
   if (r.bad_served > 0) {
     r.broken.push_back(fmt::format("must: {} requests served that can't be read", r.bad_served));
@@ -249,21 +250,21 @@
       {"faults", faults},
       {"windows", windows},
       {"logs", r.logs}};
-  if (r.bank.on) {
-    const BankResult& b = r.bank;
+  if (r.bank.enabled) {
+    const ClusterResult& b = r.bank;
     out["bank"] = {
         {"changes", b.changes},
-        {"changes_told_done", b.told_done},
+        {"changes_told_done", b.acknowledged},
         {"changes_lost", b.lost},
-        {"changes_twice", b.twice},
+        {"changes_twice", b.duplicated},
         {"changes_refused", b.refused},
         {"bound_ms", b.bound_ms},
-        {"contradiction_ms_most", b.contradiction_ms_most},
-        {"unavailable_ms_most", b.unavailable_ms_most},
-        {"sent_while_alone", b.sent_while_alone},
+        {"contradiction_ms_most", b.max_contradiction_ms},
+        {"unavailable_ms_most", b.max_unavailable_ms},
+        {"sent_while_alone", b.sent_while_isolated},
         {"follow_ms",
-         {{"p50", b.follow_ms_p50}, {"p99", b.follow_ms_p99}, {"most", b.follow_ms_most}}},
-        {"done_ms", {{"p50", b.done_ms_p50}, {"most", b.done_ms_most}}}};
+         {{"p50", b.follow_ms_p50}, {"p99", b.follow_ms_p99}, {"most", b.max_follow_ms}}},
+        {"done_ms", {{"p50", b.done_ms_p50}, {"most", b.max_done_ms}}}};
   }
   return out.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
@@ -410,17 +411,18 @@
       "{:.0f} ms late at most\n",
       r.cpu_us_per_request, static_cast<double>(r.rss_kb_max) / 1024, r.descriptors_max,
       r.lab_cpu_share, r.lab_lag_ms_max);
-  if (r.bank.on) {
-    const BankResult& b = r.bank;
+  if (r.bank.enabled) {
+    const ClusterResult& b = r.bank;
     out += fmt::format(
         "  bank: {} changes, {} told done, {} lost, {} twice; done in {:.0f} ms (p50), followed in "
         "{:.0f} ms (p50), {:.0f} (most)\n",
-        b.changes, b.told_done, b.lost, b.twice, b.done_ms_p50, b.follow_ms_p50, b.follow_ms_most);
+        b.changes, b.acknowledged, b.lost, b.duplicated, b.done_ms_p50, b.follow_ms_p50,
+        b.max_follow_ms);
     out += fmt::format(
         "  bank: contradiction at most {:.0f} ms, bound {:.0f}; no change could be made for {:.0f} "
         "ms "
         "at most; {} sent while out of touch\n",
-        b.contradiction_ms_most, b.bound_ms, b.unavailable_ms_most, b.sent_while_alone);
+        b.max_contradiction_ms, b.bound_ms, b.max_unavailable_ms, b.sent_while_isolated);
   }
   constexpr size_t kShown = 8;
   for (const auto* const list : {&r.late, &r.broken}) {
--- a/src/lab/result.h
+++ b/src/lab/result.h
@@ -51,7 +51,7 @@
   std::vector<std::string> broken_without_verdict;
   uint64_t broken_count_without_verdict = 0;  // each breach of a rule counted; 0: not counted
   Ledger::Counts counts;
-  BankResult bank;
+  ClusterResult bank;
   ScaleFigures scale;
   uint64_t arrivals_digest = 0;
   double worst_10s = 1;  // the least share of the worth over ten seconds in a row
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -194,7 +194,7 @@
       s.command_cpu_ms_most, s.command_rss_mb_most, s.members_in_force, s.members, s.returned,
       s.level_ms_most,
       s.return_bytes_each ? fmt::format(", {:.0f} bytes each", *s.return_bytes_each) : "",
-      std::max(s.contradiction_ms_most, r.bank.contradiction_ms_most), s.rss_mb_most,
+      std::max(s.contradiction_ms_most, r.bank.max_contradiction_ms), s.rss_mb_most,
       s.processes_most);
   return text + requests + faults();
 }
@@ -292,8 +292,8 @@
          when(!s.command_ms.empty(), s.command_ms.empty() ? 0 : std::ranges::max(s.command_ms))},
         {"cpu_s", when(!s.command_ms.empty(), s.command_cpu_ms_most / 1000)},
         {"memory_mb", when(!s.command_ms.empty(), s.command_rss_mb_most)}}},
-      {"contradiction_ms_most", std::max(s.contradiction_ms_most, r.bank.contradiction_ms_most)},
-      {"unavailable_ms_most", r.bank.unavailable_ms_most},
+      {"contradiction_ms_most", std::max(s.contradiction_ms_most, r.bank.max_contradiction_ms)},
+      {"unavailable_ms_most", r.bank.max_unavailable_ms},
       {"requests",
        {{"asked", r.counts.asked},
         {"served", r.counts.served},
