--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -25,25 +25,27 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr Duration kFirstChange{1'500'000};             // us; a bank is formed by then
-constexpr Duration kCallWithin{1'200'000};              // us; then the answer counts as lost
-constexpr Duration kAgain{100'000};                     // us; after an answer that is none
-constexpr Duration kBlock{6'000'000};                   // us
-constexpr size_t kTwins = 5, kLost = 7;                 // changes
-constexpr size_t kFillWhole = 4000, kFillDelta = 1500;  // tenants of a version, and of one change
-constexpr Duration kFillEvery{20'000};                  // us
-constexpr Duration kCopyEvery{2'000'000};               // us; of disks, to be put back
-constexpr size_t kHollowParts = 10;         // processes, of a tenth of the hollow members each
-constexpr Duration kLinkedAgain{200'000};   // us
-constexpr Duration kSettled{500'000};       // us; from time 0 to the first look
-constexpr Duration kAside{400'000};         // us; of looks, from the first change
-constexpr Duration kWeighEvery{1'000'000};  // us
-constexpr size_t kSlowOf = 10;              // one of so many hollow members reads slowly
-constexpr size_t kByCommand = 4;            // one of so many changes, at size
-constexpr Duration kCommandLook{2'000};     // us
-constexpr Duration kEndWithin{3'000'000};   // us; of a hollow process
-constexpr Duration kLookEvery{10'000};      // us
-// The way of a request that was decided before: a connection that comes up, the lab's own lateness.
+constexpr Duration kFirstChangeAt{1'500'000};           // us; the cluster has formed by then
+constexpr Duration kCallTimeout{1'200'000};             // us; after this the answer counts as lost
+constexpr Duration kRetryDelay{100'000};                // us; after a call without a result
+constexpr Duration kBlockDuration{6'000'000};           // us
+constexpr size_t kPairEvery = 5, kLostAnswerEvery = 7;  // one of so many changes
+// Tenants in the first change, and tenants added by one delta.
+constexpr size_t kMaxTenantsOfFirstChange = 4000, kMaxTenantsAddedByDelta = 1500;
+constexpr Duration kTenantChangeInterval{20'000};  // us
+constexpr Duration kDiskCopyInterval{2'000'000};  // us; between copies of disks for rollback faults
+constexpr size_t kSimulatedProcesses = 10;        // each runs a tenth of the simulated members
+constexpr Duration kConnectionCheckInterval{200'000};  // us
+constexpr Duration kIdleMeasurementDelay{500'000};     // us; from time 0 to the first measurement
+constexpr Duration kMeasurementMargin{400'000};  // us; between a measurement and the first change
+constexpr Duration kMemoryInterval{1'000'000};   // us
+constexpr size_t kSlowReaderEvery = 10;          // one of so many simulated members reads slowly
+constexpr size_t kCommandEvery = 4;              // one of so many changes, in runs at scale
+constexpr Duration kCommandPollInterval{2'000};  // us
+constexpr Duration kExitTimeout{3'000'000};      // us; of a process of simulated members
+constexpr Duration kExitPollInterval{10'000};    // us
+// For requests whose host was chosen before a change took effect: covers connection setup and the
+// delays of the lab itself.
 constexpr Duration kSlack{300'000};  // us
 
 double Ms(Duration d) {
@@ -52,8 +54,8 @@
 
 }  // namespace
 
-// One operator's call to a member.
-class BankLab::Call final : public Stream::Listener {
+// A call to a member, as operators make it. Reports the answer once; nothing if there was none.
+class ClusterExperiment::Call final : public Stream::Listener {
  public:
   Call(EventLoop& loop, const Address& to, const json& call,
        std::function<void(std::optional<json>)> done)
@@ -63,11 +65,11 @@
     if (socket) {
       stream_ = std::make_unique<Stream>(loop, std::move(*socket), this, true);
     }
-    timer_ = loop_.RunAfter(kCallWithin, [this] { Tell(std::nullopt); });
+    timer_ = loop_.RunAfter(kCallTimeout, [this] { Finish(std::nullopt); });
     if (stream_ && stream_->Start()) {
       stream_->Write(peer::EncodeCall(call));
     } else {
-      Tell(std::nullopt);
+      Finish(std::nullopt);
     }
   }
   Call(const Call&) = delete;
@@ -77,22 +79,22 @@
     json value;
     switch (peer::TakeReply(stream_->input(), value)) {
       case peer::FrameStatus::kComplete:
-        return Tell(std::move(value));
+        return Finish(std::move(value));
       case peer::FrameStatus::kMalformed:
       case peer::FrameStatus::kChecksumMismatch:
-        return Tell(std::nullopt);
+        return Finish(std::nullopt);
       case peer::FrameStatus::kIncomplete:
         break;
     }
     if (stream_->ended()) {
-      Tell(std::nullopt);
+      Finish(std::nullopt);
     }
   }
-  void OnError() override { Tell(std::nullopt); }
+  void OnError() override { Finish(std::nullopt); }
 
  private:
-  void Tell(std::optional<json> answer) {
-    if (std::exchange(told_, true)) {
+  void Finish(std::optional<json> answer) {
+    if (std::exchange(finished_, true)) {
       return;
     }
     loop_.CancelTimer(timer_);
@@ -105,165 +107,166 @@
   std::function<void(std::optional<json>)> done_;
   std::unique_ptr<Stream> stream_;
   EventLoop::TimerId timer_;
-  bool told_ = false;
+  bool finished_ = false;
 };
 
-BankLab::BankLab(EventLoop& loop, const Experiment& experiment, Ledger& ledger, std::string folder,
-                 uint64_t seed, size_t place)
+ClusterExperiment::ClusterExperiment(EventLoop& loop, const Experiment& experiment, Ledger& ledger,
+                                     std::string folder, uint64_t seed, size_t first_address)
     : loop_(loop),
-      e_(experiment),
+      experiment_(experiment),
       ledger_(ledger),
       folder_(std::move(folder)),
       random_(seed),
-      faults_(seed ^ 0xfa17),
-      place_(place),
-      away_(experiment.gateway.count),
-      back_at_(experiment.gateway.count, Time(-10'000'000)),
-      judge_(cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay), kSlack) {
-  const size_t count = e_.gateway.count;
-  // Who votes is linked with all; the others have nothing to say to each other.
-  for (size_t a = 0; a < std::min(count, e_.cluster.voters); ++a) {
+      fault_random_(seed ^ 0xfa17),
+      first_address_(first_address),
+      isolation_count_(experiment.gateway.count),
+      isolated_until_(experiment.gateway.count, Time(-10'000'000)),
+      invariants_(cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay), kSlack) {
+  const size_t count = experiment_.gateway.count;
+  // Voters connect to all members; the others do not connect to each other.
+  for (size_t a = 0; a < std::min(count, experiment_.cluster.voters); ++a) {
     for (size_t b = a + 1; b < count; ++b) {
       relays_[{a, b}] = std::make_unique<Relay>(
-          loop_, LoopbackAddress(place_ + count + a * count + b), SeatOf(b), random_());
+          loop_, LoopbackAddress(first_address_ + count + a * count + b), AddressOf(b), random_());
     }
   }
-  if (e_.cluster.simulated_member_read_bytes_per_s > 0) {
-    slow_ = Draw(kSlowOf);
-    for (size_t v = 0; v < std::min(count, e_.cluster.voters); ++v) {
-      for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
-        if (!ReadsSlowly(n)) {
+  if (experiment_.cluster.simulated_member_read_bytes_per_s > 0) {
+    first_slow_reader_ = Draw(kSlowReaderEvery);
+    for (size_t v = 0; v < std::min(count, experiment_.cluster.voters); ++v) {
+      for (size_t n = 0; n < experiment_.cluster.simulated_members; ++n) {
+        if (!IsSlowReader(n)) {
           continue;
         }
-        slow_relays_.push_back(
-            std::make_unique<Relay>(loop_, SlowSeat(v, n), HollowSeat(n), random_()));
+        slow_relays_.push_back(std::make_unique<Relay>(loop_, SlowRelayAddress(v, n),
+                                                       SimulatedMemberAddress(n), random_()));
       }
     }
   }
   last_receipt_.assign(count, Time(-1));
   for (size_t i = 0; i < count; ++i) {
-    WriteFile(i);
+    WriteConfigFile(i);
   }
-  if (e_.cluster.simulated_members > 0) {
-    WriteHollowFile();
+  if (experiment_.cluster.simulated_members > 0) {
+    WriteSimulatedMembersConfig();
   }
-  InitCluster(ReadClusterConfig(FileOf(0), "g000"), "g000");
-  Copies();
+  InitCluster(ReadClusterConfig(ConfigFileOf(0), "g000"), "g000");
+  CopyDisks();
 }
 
-BankLab::~BankLab() = default;
+ClusterExperiment::~ClusterExperiment() = default;
 
-std::string BankLab::FileOf(size_t i) const {
+std::string ClusterExperiment::ConfigFileOf(size_t i) const {
   return fmt::format("{}/bank-{}.toml", folder_, i);
 }
-std::string BankLab::FolderOf(size_t i) const {
+std::string ClusterExperiment::DataFolderOf(size_t i) const {
   return fmt::format("{}/disk-g{:03}", folder_, i);
 }
-Address BankLab::SeatOf(size_t i) const {
-  return LoopbackAddress(place_ + i);
+Address ClusterExperiment::AddressOf(size_t i) const {
+  return LoopbackAddress(first_address_ + i);
 }
 
-void BankLab::WriteFile(size_t i) {
-  std::ofstream file(FileOf(i));
+void ClusterExperiment::WriteConfigFile(size_t i) {
+  std::ofstream file(ConfigFileOf(i));
   file << "[bank]\nname = \"lab\"\n"
        << fmt::format("folder = \"{}/disk-{{name}}\"\nlab_disk = \"{}/control-{}\"\n", folder_,
                       folder_, i)
        << fmt::format("when_lost = \"{}\"\n",
-                      e_.cluster.drains_when_disconnected ? "drain" : "serve");
-  if (e_.cluster.uses_delta_changes) {
+                      experiment_.cluster.drains_when_disconnected ? "drain" : "serve");
+  if (experiment_.cluster.uses_delta_changes) {
     file << "changes = \"delta\"\n";
   }
-  for (const auto& [gateway, factor] : e_.cluster.clock_rates) {
+  for (const auto& [gateway, factor] : experiment_.cluster.clock_rates) {
     if (gateway == i) {
       file << fmt::format("lab_clock_factor = {}\n", factor);
     }
   }
-  for (size_t j = 0; j < e_.gateway.count; ++j) {
+  for (size_t j = 0; j < experiment_.gateway.count; ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = {}\n", j,
-                        ToText(SeatOf(j)), j < e_.cluster.voters);
+                        ToText(AddressOf(j)), j < experiment_.cluster.voters);
     const auto relay = relays_.find({i, j});
     if (relay != relays_.end()) {
-      file << fmt::format("dial = \"{}\"\n", ToText(LoopbackAddress(place_ + e_.gateway.count +
-                                                                    i * e_.gateway.count + j)));
+      file << fmt::format("dial = \"{}\"\n",
+                          ToText(LoopbackAddress(first_address_ + experiment_.gateway.count +
+                                                 i * experiment_.gateway.count + j)));
     }
   }
-  for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
+  for (size_t n = 0; n < experiment_.cluster.simulated_members; ++n) {
     file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
-                        ToText(HollowSeat(n)));
-    if (i < e_.cluster.voters && ReadsSlowly(n)) {
-      file << fmt::format("dial = \"{}\"\n", ToText(SlowSeat(i, n)));
+                        ToText(SimulatedMemberAddress(n)));
+    if (i < experiment_.cluster.voters && IsSlowReader(n)) {
+      file << fmt::format("dial = \"{}\"\n", ToText(SlowRelayAddress(i, n)));
     }
   }
 }
 
-size_t BankLab::Draw(size_t count) {
+size_t ClusterExperiment::Draw(size_t count) {
   return std::uniform_int_distribution<size_t>(0, count - 1)(random_);
 }
 
-void BankLab::Begin(Time zero, std::vector<ListedHost> hosts) {
+void ClusterExperiment::Begin(Time zero, std::vector<ListedHost> hosts) {
   zero_ = zero;
   hosts_ = std::move(hosts);
   ledger_.set_receipt_callback([this](Time now, size_t n, size_t host, size_t copy) {
     const size_t gateway = ledger_.GatewayOf(n);
     last_receipt_[gateway] = now;
-    // Where the operator chose service, one that the script keeps away goes on with what it knows;
-    // back in touch, it has as long as a lease to hear of what is new.
-    const bool excused =
-        !e_.cluster.drains_when_disconnected && (away_[gateway] > 0 || now < back_at_[gateway]);
-    judge_.RecordReceipt(now, host, gateway, ledger_.RequestOf(n).class_index, ledger_.SentAt(n),
-                         copy, excused, ledger_.AttemptId(n));
+    // With when_lost = "serve", an isolated gateway goes on with the version that it has. After it
+    // reconnects, it has the duration of a lease to receive newer ones.
+    const bool excused = !experiment_.cluster.drains_when_disconnected &&
+                         (isolation_count_[gateway] > 0 || now < isolated_until_[gateway]);
+    invariants_.RecordReceipt(now, host, gateway, ledger_.RequestOf(n).class_index,
+                              ledger_.SentAt(n), copy, excused, ledger_.AttemptId(n));
   });
-  loop_.RunAfter(std::max(kFirstChange, e_.cluster.quiet_after_start),
+  loop_.RunAfter(std::max(kFirstChangeAt, experiment_.cluster.quiet_after_start),
                  [this, alive = std::weak_ptr(alive_)] {
                    if (!alive.expired()) {
-                     Submit();
+                     SubmitNext();
                    }
                  });
-  if (e_.cluster.measured || e_.cluster.simulated_members > 0) {
-    WatchSize();
+  if (experiment_.cluster.measured || experiment_.cluster.simulated_members > 0) {
+    ScheduleMeasurements();
   }
 }
 
 // ---- Faults -----------------------------------------------------------------------------------
 
-void BankLab::Kept(size_t gateway, bool away) {
-  away_[gateway] += away ? 1 : -1;
-  if (away_[gateway] == 0) {
-    back_at_[gateway] = Now() +
-                        cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay) +
-                        Duration(2'500'000);
+void ClusterExperiment::MarkIsolated(size_t gateway, bool isolated) {
+  isolation_count_[gateway] += isolated ? 1 : -1;
+  if (isolation_count_[gateway] == 0) {
+    isolated_until_[gateway] =
+        Now() + cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay) +
+        Duration(2'500'000);
   }
 }
 
-void BankLab::Down(size_t gateway, bool down) {
-  Kept(gateway, down);
+void ClusterExperiment::SetDown(size_t gateway, bool down) {
+  MarkIsolated(gateway, down);
 }
 
-void BankLab::Cut(size_t a, size_t b, const Fault& fault, bool on) {
-  const auto at = relays_.find({std::min(a, b), std::max(a, b)});
-  if (at == relays_.end()) {
+void ClusterExperiment::SetLinkFault(size_t a, size_t b, const Fault& fault, bool on) {
+  const auto entry = relays_.find({std::min(a, b), std::max(a, b)});
+  if (entry == relays_.end()) {
     return;
   }
-  Relay& relay = *at->second;
-  // What `a` sends goes `there` where it is the one that dials.
-  RelayWay& out = a < b ? relay.there : relay.back;
-  RelayWay& in = a < b ? relay.back : relay.there;
-  const int step = on ? 1 : -1;
-  for (RelayWay* const way : {&out, &in}) {
+  Relay& relay = *entry->second;
+  // `a` sends in the direction `there` if it is the member that connects.
+  RelayWay& outgoing = a < b ? relay.there : relay.back;
+  RelayWay& incoming = a < b ? relay.back : relay.there;
+  const int cut_change = on ? 1 : -1;
+  for (RelayWay* const direction : {&outgoing, &incoming}) {
     if (fault.link_direction ==
-        (way == &out ? LinkDirection::kIncoming : LinkDirection::kOutgoing)) {
+        (direction == &outgoing ? LinkDirection::kIncoming : LinkDirection::kOutgoing)) {
       continue;
     }
     switch (fault.kind) {
       case FaultKind::kLinkSlow:
-        way->delay_ms = on ? fault.delay_ms : UniformRange{0, 0};
-        way->bytes_per_s = on ? fault.bytes_per_s : 0;
+        direction->delay_ms = on ? fault.delay_ms : UniformRange{0, 0};
+        direction->bytes_per_s = on ? fault.bytes_per_s : 0;
         break;
       case FaultKind::kLinkNoise:
-        way->noise = on ? fault.request_share : 0;
+        direction->noise = on ? fault.request_share : 0;
         break;
       default:
-        way->cuts += step;
+        direction->cuts += cut_change;
     }
   }
   relay.Changed();
@@ -272,28 +275,27 @@
   }
 }
 
-void BankLab::Flap(std::vector<std::pair<size_t, size_t>> pairs, const Fault& fault, Time until,
-                   bool on) {
+void ClusterExperiment::FlapLinks(std::vector<std::pair<size_t, size_t>> pairs, const Fault& fault,
+                                  Time until, bool on) {
   for (const auto& [a, b] : pairs) {
-    Cut(a, b, fault, on);
+    SetLinkFault(a, b, fault, on);
   }
   if (!on && Now() >= until) {
     return;
   }
   std::uniform_int_distribution<int64_t> next(50'000, 2'000'000);
-  loop_.RunAfter(Duration(next(faults_)), [this, pairs = std::move(pairs), &fault, until, on] {
-    Flap(pairs, fault, until, !on);
-  });
+  loop_.RunAfter(Duration(next(fault_random_)), [this, pairs = std::move(pairs), &fault, until,
+                                                 on] { FlapLinks(pairs, fault, until, !on); });
 }
 
-void BankLab::Play(const Fault& fault) {
-  const size_t count = e_.gateway.count;
+void ClusterExperiment::InjectFault(const Fault& fault) {
+  const size_t count = experiment_.gateway.count;
   std::set<size_t> side(fault.gateway_list.begin(), fault.gateway_list.end());
   if (fault.random_gateway_count) {
-    // Of a generator of their own: whom a fault befalls is the seed's alone.
+    // Faults use a generator of their own, so that their targets depend on the seed only.
     std::uniform_int_distribution<size_t> any(0, count - 1);
     while (side.size() < *fault.random_gateway_count) {
-      side.insert(any(faults_));
+      side.insert(any(fault_random_));
     }
   } else if (side.empty()) {
     side.insert(fault.gateway);
@@ -320,49 +322,49 @@
       }
     }
   }
-  // Either side may be the smaller: whoever cannot reach a majority is away.
+  // Either side may lack a majority, so every gateway may be isolated.
   for (size_t i = 0; i < count; ++i) {
-    Kept(i, true);
+    MarkIsolated(i, true);
   }
   loop_.RunAfter(fault.duration, [this, count] {
     for (size_t i = 0; i < count; ++i) {
-      Kept(i, false);
+      MarkIsolated(i, false);
     }
   });
   if (fault.kind == FaultKind::kLinkFlap) {
-    return Flap(pairs, fault, Now() + fault.duration, true);
+    return FlapLinks(pairs, fault, Now() + fault.duration, true);
   }
   for (const auto& [a, b] : pairs) {
-    Cut(a, b, fault, true);
+    SetLinkFault(a, b, fault, true);
   }
   loop_.RunAfter(fault.duration, [this, pairs, &fault] {
     for (const auto& [a, b] : pairs) {
-      Cut(a, b, fault, false);
+      SetLinkFault(a, b, fault, false);
     }
   });
 }
 
-// Now and then a copy of each disk as it is, to be put back after a death.
-void BankLab::Copies() {
+// Copies each disk at intervals, to be restored after a kill by a rollback fault.
+void ClusterExperiment::CopyDisks() {
   std::error_code error;
-  for (size_t i = 0; i < e_.gateway.count; ++i) {
-    const std::string log = FolderOf(i) + "/log";
+  for (size_t i = 0; i < experiment_.gateway.count; ++i) {
+    const std::string log = DataFolderOf(i) + "/log";
     if (fs::exists(log, error) && !fs::exists(log + ".copy", error)) {
       fs::copy_file(log, log + ".copy", fs::copy_options::overwrite_existing, error);
     }
   }
-  loop_.RunAfter(kCopyEvery, [this, alive = std::weak_ptr(alive_)] {
+  loop_.RunAfter(kDiskCopyInterval, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
-      Copies();
+      CopyDisks();
     }
   });
 }
 
-void BankLab::ChangeDisk(size_t i, DiskState disk) {
+void ClusterExperiment::ReplaceDisk(size_t i, DiskState disk) {
   std::error_code error;
-  const std::string log = FolderOf(i) + "/log";
+  const std::string log = DataFolderOf(i) + "/log";
   if (disk == DiskState::kEmpty) {
-    fs::remove_all(FolderOf(i), error);
+    fs::remove_all(DataFolderOf(i), error);
   }
   if (disk == DiskState::kRolledBack) {
     fs::rename(log + ".copy", log, error);
@@ -371,248 +373,262 @@
 
 // ---- Changes ----------------------------------------------------------------------------------
 
-const BankLab::Shape* BankLab::LastTold() const {
-  const auto last = std::ranges::max_element(shapes_, {}, &Shape::version);
-  return last == shapes_.end() || last->version == 0 ? nullptr : &*last;
+const ClusterExperiment::VersionContent* ClusterExperiment::LastAcknowledged() const {
+  const auto last = std::ranges::max_element(contents_, {}, &VersionContent::version);
+  return last == contents_.end() || last->version == 0 ? nullptr : &*last;
 }
 
-// The next one, once the last is told; now and then two at once, in no order. First all tenants.
-void BankLab::Submit() {
-  if (Now() > e_.length - e_.cluster.quiet_before_end) {
+// Submits the next change once all earlier ones are answered, and at times two at once, in no
+// order. The first changes add all tenants.
+void ClusterExperiment::SubmitNext() {
+  if (Now() > experiment_.length - experiment_.cluster.quiet_before_end) {
     return;
   }
-  const auto again = [this](Duration after) {
+  const auto schedule_next = [this](Duration after) {
     loop_.RunAfter(after, [this, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) {
-        Submit();
+        SubmitNext();
       }
     });
   };
   if (!std::ranges::all_of(changes_, &Change::done)) {
-    return again(fills_ ? kFillEvery : e_.cluster.change_interval);
+    return schedule_next(adding_tenants_ ? kTenantChangeInterval
+                                         : experiment_.cluster.change_interval);
   }
-  const Shape* const last = LastTold();
-  const bool full = last != nullptr && last->quotas.size() == e_.cluster.tenants_per_version;
-  if (full && std::exchange(fills_, false)) {
+  const VersionContent* const last = LastAcknowledged();
+  const bool all_tenants =
+      last != nullptr && last->quotas.size() == experiment_.cluster.tenants_per_version;
+  if (all_tenants && std::exchange(adding_tenants_, false)) {
     if (changes_.size() > 1) {
-      filled_ = Now();
-      figures_.version_bytes = static_cast<double>(WholeOf(*last).dump().size());
+      tenants_added_at_ = Now();
+      figures_.version_bytes = static_cast<double>(DocumentOf(*last).dump().size());
     }
-    if (e_.cluster.measured) {
-      loop_.RunAfter(kAside, [this, alive = std::weak_ptr(alive_)] {
+    if (experiment_.cluster.measured) {
+      loop_.RunAfter(kMeasurementMargin, [this, alive = std::weak_ptr(alive_)] {
         if (!alive.expired()) {
-          Measure(first_changed_);
+          Measure(changes_begin_);
         }
       });
     }
-    return again(e_.cluster.change_interval);
+    return schedule_next(experiment_.cluster.change_interval);
   }
-  fills_ = !full && (shapes_.empty() || shapes_.back().version > 0);
-  SubmitOne();
-  const bool whole = e_.cluster.tenants_per_version <= kFillWhole;
-  if (full && whole && changes_.size() % kTwins == 0) {
-    SubmitOne();
+  adding_tenants_ = !all_tenants && (contents_.empty() || contents_.back().version > 0);
+  SubmitChange();
+  const bool whole = experiment_.cluster.tenants_per_version <= kMaxTenantsOfFirstChange;
+  if (all_tenants && whole && changes_.size() % kPairEvery == 0) {
+    SubmitChange();
   }
-  again(fills_ ? kFillEvery : e_.cluster.change_interval);
+  schedule_next(adding_tenants_ ? kTenantChangeInterval : experiment_.cluster.change_interval);
 }
 
-void BankLab::SubmitOne() {
-  const size_t n = changes_.size();
+void ClusterExperiment::SubmitChange() {
+  const size_t change_index = changes_.size();
   ClusterInvariantChecker::RequestedRules requested;
-  // Nothing else is on its way that could come between.
-  const bool alone = std::ranges::all_of(changes_, &Change::done);
-  const Shape* const last = LastTold();
-  Shape shape;
+  // No other change is pending that could get the next version.
+  const bool none_pending = std::ranges::all_of(changes_, &Change::done);
+  const VersionContent* const last = LastAcknowledged();
+  VersionContent content;
   if (last != nullptr) {
-    shape.quotas = last->quotas;
-  }
-  // Some hosts are barred for long, past the bound: what goes there late is seen. Another one comes
-  // and goes, so that each change contradicts the one before. At size one host alone: figures are
-  // of a change of so many parts.
-  if (!bars_) {
-    const bool at_size = e_.cluster.measured || e_.cluster.simulated_members > 0;
-    bars_.emplace(hosts_.size(), at_size ? 1 : ExclusionPlan::RecommendedCount(hosts_.size()),
-                  random_());
-  }
-  const auto block = static_cast<size_t>((Now() - kFirstChange).count() / kBlock.count());
-  const bool begins = n == 0 || block != block_;
-  block_ = block;
-  if (!begins) {
-    shape.barred = bars_->ExcludedInBlock(block);
-  }
-  if (n % 2 == 1) {
-    shape.barred.insert(bars_->ExcludedByOneChange(n / 2));
-  }
-  for (const size_t at : shape.barred) {
-    requested.excluded_hosts.push_back(hosts_[at].host_index);
-  }
-  shape.unsafe = e_.cluster.changes_idempotency && block % 2 == 1;
-  if (shape.unsafe) {
+    content.quotas = last->quotas;
+  }
+  // Some hosts stay excluded for longer than the bound, so that late attempts to them are detected.
+  // Another one is excluded by every other change, so that each change contradicts the previous
+  // one. Runs at scale exclude one host only, since their figures refer to changes of that size.
+  if (!exclusion_plan_) {
+    const bool at_scale = experiment_.cluster.measured || experiment_.cluster.simulated_members > 0;
+    exclusion_plan_.emplace(
+        hosts_.size(), at_scale ? 1 : ExclusionPlan::RecommendedCount(hosts_.size()), random_());
+  }
+  const auto block = static_cast<size_t>((Now() - kFirstChangeAt).count() / kBlockDuration.count());
+  const bool first_of_block = change_index == 0 || block != last_block_;
+  last_block_ = block;
+  if (!first_of_block) {
+    content.barred = exclusion_plan_->ExcludedInBlock(block);
+  }
+  if (change_index % 2 == 1) {
+    content.barred.insert(exclusion_plan_->ExcludedByOneChange(change_index / 2));
+  }
+  for (const size_t host : content.barred) {
+    requested.excluded_hosts.push_back(hosts_[host].host_index);
+  }
+  content.first_class_unsafe = experiment_.cluster.changes_idempotency && block % 2 == 1;
+  if (content.first_class_unsafe) {
     requested.single_attempt_class = 0;
   }
-  const size_t tenants = e_.cluster.tenants_per_version, there = shape.quotas.size();
-  if (there < tenants) {
-    // So many as one change bears: all of them in most experiments.
-    shape.quotas.resize(std::min(tenants, last == nullptr ? kFillWhole : there + kFillDelta), 1000);
-    if (!e_.cluster.uses_delta_changes) {
-      shape.quotas.resize(tenants, 1000);
+  const size_t tenants = experiment_.cluster.tenants_per_version,
+               existing_tenants = content.quotas.size();
+  if (existing_tenants < tenants) {
+    // As many as one change can hold, which is all of them in most experiments.
+    content.quotas.resize(
+        std::min(tenants, last == nullptr ? kMaxTenantsOfFirstChange
+                                          : existing_tenants + kMaxTenantsAddedByDelta),
+        1000);
+    if (!experiment_.cluster.uses_delta_changes) {
+      content.quotas.resize(tenants, 1000);
     }
   } else if (tenants > 0) {
-    // The first is the one whom the lab's clients name: none comes near its quota.
-    shape.quotas[n * 7919 % tenants] = 2000 + static_cast<int>(n);
-  }
-  cluster::ChangeRequest wish;
-  wish.change.id = fmt::format("lab-{}", n);
-  wish.change.author = "lab";
-  wish.change.reason = fmt::format("change {}", n);
-  // As operators of many tenants would; elsewhere by turns, as leaders make deltas of whole ones.
-  wish.change.is_delta = e_.cluster.uses_delta_changes && last != nullptr && alone &&
-                         (e_.cluster.measured || n % 2 == 1 || tenants > kFillWhole);
-  wish.change.document = (wish.change.is_delta ? DeltaOf(*last, shape) : WholeOf(shape)).dump();
-  if (!wish.change.is_delta) {
-    figures_.version_bytes = static_cast<double>(wish.change.document.size());
-  }
-  changes_.emplace_back().wish = cluster::ToJson(wish);
-  shapes_.push_back(std::move(shape));
-  judge_.RecordSubmission(Now(), std::move(requested));
-  if (e_.cluster.measured && !fills_ && n % kByCommand == 2) {
-    return AskByCommand(n);
-  }
-  Ask(n);
+    // The lab's clients use the first tenant. No tenant comes near its quota.
+    content.quotas[change_index * 7919 % tenants] = 2000 + static_cast<int>(change_index);
+  }
+  cluster::ChangeRequest request;
+  request.change.id = fmt::format("lab-{}", change_index);
+  request.change.author = "lab";
+  request.change.reason = fmt::format("change {}", change_index);
+  // Measured runs and runs with many tenants use deltas, as operators of many tenants would. Others
+  // alternate, because leaders derive deltas from whole versions, too.
+  request.change.is_delta =
+      experiment_.cluster.uses_delta_changes && last != nullptr && none_pending &&
+      (experiment_.cluster.measured || change_index % 2 == 1 || tenants > kMaxTenantsOfFirstChange);
+  request.change.document =
+      (request.change.is_delta ? DeltaOf(*last, content) : DocumentOf(content)).dump();
+  if (!request.change.is_delta) {
+    figures_.version_bytes = static_cast<double>(request.change.document.size());
+  }
+  changes_.emplace_back().request = cluster::ToJson(request);
+  contents_.push_back(std::move(content));
+  invariants_.RecordSubmission(Now(), std::move(requested));
+  if (experiment_.cluster.measured && !adding_tenants_ && change_index % kCommandEvery == 2) {
+    return SubmitByCommand(change_index);
+  }
+  SubmitByCall(change_index);
 }
 
 namespace {
 
-std::string TenantName(size_t t) {
-  return fmt::format("t-{:06}", t);
+std::string TenantName(size_t tenant) {
+  return fmt::format("t-{:06}", tenant);
 }
 
 }  // namespace
 
-json BankLab::WholeOf(const Shape& shape) const {
-  json rules = {{"barred", json::array()}};
-  for (const size_t at : shape.barred) {
-    rules["barred"].push_back(hosts_[at].id);
-  }
-  if (e_.cluster.changes_idempotency) {
-    json classes = json::parse(SettingsJson(e_, 0))["Classes"];
-    if (shape.unsafe) {
+json ClusterExperiment::DocumentOf(const VersionContent& content) const {
+  json document = {{"barred", json::array()}};
+  for (const size_t host : content.barred) {
+    document["barred"].push_back(hosts_[host].id);
+  }
+  if (experiment_.cluster.changes_idempotency) {
+    json classes = json::parse(SettingsJson(experiment_, 0))["Classes"];
+    if (content.first_class_unsafe) {
       classes[0]["Effect"] = "unsafe";
     }
-    rules["settings"]["Classes"] = std::move(classes);
+    document["settings"]["Classes"] = std::move(classes);
   }
-  for (size_t t = 0; t < shape.quotas.size(); ++t) {
-    rules["settings"]["Tenants"].push_back(
-        {{"Name", TenantName(t)}, {"QuotaPerS", shape.quotas[t]}});
+  for (size_t tenant = 0; tenant < content.quotas.size(); ++tenant) {
+    document["settings"]["Tenants"].push_back(
+        {{"Name", TenantName(tenant)}, {"QuotaPerS", content.quotas[tenant]}});
   }
-  return rules;
+  return document;
 }
 
-// The lab's own, as an operator would write it: not the program's difference.
-json BankLab::DeltaOf(const Shape& was, const Shape& shape) const {
+// Written by the lab as an operator would, independently of the program's own delta code.
+json ClusterExperiment::DeltaOf(const VersionContent& previous,
+                                const VersionContent& content) const {
   json delta = {{"barred", {{"add", json::array()}, {"remove", json::array()}}}};
-  for (const size_t at : shape.barred) {
-    if (!was.barred.contains(at)) {
-      delta["barred"]["add"].push_back(hosts_[at].id);
+  for (const size_t host : content.barred) {
+    if (!previous.barred.contains(host)) {
+      delta["barred"]["add"].push_back(hosts_[host].id);
     }
   }
-  for (const size_t at : was.barred) {
-    if (!shape.barred.contains(at)) {
-      delta["barred"]["remove"].push_back(hosts_[at].id);
+  for (const size_t host : previous.barred) {
+    if (!content.barred.contains(host)) {
+      delta["barred"]["remove"].push_back(hosts_[host].id);
     }
   }
-  if (was.unsafe != shape.unsafe) {
-    const json first = json::parse(SettingsJson(e_, 0))["Classes"][0];
+  if (previous.first_class_unsafe != content.first_class_unsafe) {
+    const json first = json::parse(SettingsJson(experiment_, 0))["Classes"][0];
     delta["settings"]["Classes"][first["Name"].get<std::string>()]["Effect"] =
-        shape.unsafe ? json("unsafe") : first.value("Effect", json());
+        content.first_class_unsafe ? json("unsafe") : first.value("Effect", json());
   }
-  for (size_t t = 0; t < shape.quotas.size(); ++t) {
-    if (t < was.quotas.size() && was.quotas[t] == shape.quotas[t]) {
+  for (size_t tenant = 0; tenant < content.quotas.size(); ++tenant) {
+    if (tenant < previous.quotas.size() && previous.quotas[tenant] == content.quotas[tenant]) {
       continue;
     }
-    delta["settings"]["Tenants"][TenantName(t)]["QuotaPerS"] = shape.quotas[t];
+    delta["settings"]["Tenants"][TenantName(tenant)]["QuotaPerS"] = content.quotas[tenant];
   }
   return delta;
 }
 
-// As operators do, by the program's own command, which goes on asking by itself.
-void BankLab::AskByCommand(size_t n) {
-  const cluster::ChangeRequest wish = *cluster::ParseChangeRequest(changes_[n].wish);
-  const std::string path = fmt::format("{}/change-{}", folder_, n);
-  std::ofstream(path + ".json") << wish.change.document << std::flush;
-  std::vector<std::string> words = {fs::read_symlink("/proc/self/exe").string(),
-                                    "bank",
-                                    "change",
-                                    path + ".json",
-                                    "--id",
-                                    wish.change.id,
-                                    "--author",
-                                    wish.change.author,
-                                    "--reason",
-                                    wish.change.reason,
-                                    "--json"};
-  if (wish.change.is_delta) {
-    words.emplace_back("--delta");
-  }
-  const size_t first = Draw(e_.gateway.count);
-  for (size_t i = 0; i < e_.gateway.count; ++i) {
-    words.insert(words.end(), {"--at", ToText(SeatOf((first + i) % e_.gateway.count))});
-  }
-  changes_[n].command_began = MachineNow();
-  changes_[n].command = std::make_unique<Process>(
-      words, std::vector<std::pair<std::string, std::string>>{}, path + ".log");
-  // Not at once: until it runs its own program it holds what this one does.
-  loop_.RunAfter(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
+// Submits a change by the program's own command, as operators do. The command retries by itself.
+void ClusterExperiment::SubmitByCommand(size_t change_index) {
+  const cluster::ChangeRequest request =
+      *cluster::ParseChangeRequest(changes_[change_index].request);
+  const std::string path = fmt::format("{}/change-{}", folder_, change_index);
+  std::ofstream(path + ".json") << request.change.document << std::flush;
+  std::vector<std::string> arguments = {fs::read_symlink("/proc/self/exe").string(),
+                                        "bank",
+                                        "change",
+                                        path + ".json",
+                                        "--id",
+                                        request.change.id,
+                                        "--author",
+                                        request.change.author,
+                                        "--reason",
+                                        request.change.reason,
+                                        "--json"};
+  if (request.change.is_delta) {
+    arguments.emplace_back("--delta");
+  }
+  const size_t first = Draw(experiment_.gateway.count);
+  for (size_t i = 0; i < experiment_.gateway.count; ++i) {
+    arguments.insert(arguments.end(),
+                     {"--at", ToText(AddressOf((first + i) % experiment_.gateway.count))});
+  }
+  changes_[change_index].command_started_at = MachineNow();
+  changes_[change_index].command = std::make_unique<Process>(
+      arguments, std::vector<std::pair<std::string, std::string>>{}, path + ".log");
+  // Polls only after a delay: until its exec the child has the memory of this process.
+  loop_.RunAfter(kCommandPollInterval, [this, change_index, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
-      AwaitCommand(n);
+      AwaitCommand(change_index);
     }
   });
 }
 
-void BankLab::AwaitCommand(size_t n) {
-  Change& change = changes_[n];
+void ClusterExperiment::AwaitCommand(size_t change_index) {
+  Change& change = changes_[change_index];
   const auto code = change.command->ExitCode();
   if (!code) {
-    const auto mb = static_cast<double>(change.command->Measure().rss_kb) / 1024;
-    figures_.command_rss_mb_most = std::max(figures_.command_rss_mb_most, mb);
-    loop_.RunAfter(kCommandLook, [this, n, alive = std::weak_ptr(alive_)] {
+    const auto memory_mb = static_cast<double>(change.command->Measure().rss_kb) / 1024;
+    figures_.command_rss_mb_most = std::max(figures_.command_rss_mb_most, memory_mb);
+    loop_.RunAfter(kCommandPollInterval, [this, change_index, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) {
-        AwaitCommand(n);
+        AwaitCommand(change_index);
       }
     });
     return;
   }
-  const std::string said = TailOf(fmt::format("{}/change-{}.log", folder_, n), 1);
-  const double spent_ms = change.command->TotalCpuUs() / 1000;
+  const std::string last_line = TailOf(fmt::format("{}/change-{}.log", folder_, change_index), 1);
+  const double cpu_ms = change.command->TotalCpuUs() / 1000;
   change.command.reset();
-  const json told = json::parse(said, nullptr, false);
-  // Not told done: the same id through a call, which counts once.
-  if (*code != 0 || !told.is_object() || !told.contains("version")) {
-    return Ask(n);
+  const json answer = json::parse(last_line, nullptr, false);
+  // Not acknowledged: submits the same id by a call, which must count once.
+  if (*code != 0 || !answer.is_object() || !answer.contains("version")) {
+    return SubmitByCall(change_index);
   }
-  figures_.command_ms.push_back(Ms(MachineNow() - change.command_began));
-  figures_.command_cpu_ms_most = std::max(figures_.command_cpu_ms_most, spent_ms);
+  figures_.command_ms.push_back(Ms(MachineNow() - change.command_started_at));
+  figures_.command_cpu_ms_most = std::max(figures_.command_cpu_ms_most, cpu_ms);
   change.done = true;
-  shapes_[n].version = told["version"].get<uint64_t>();
-  judge_.RecordAcknowledgement(Now(), n, shapes_[n].version);
+  contents_[change_index].version = answer["version"].get<uint64_t>();
+  invariants_.RecordAcknowledgement(Now(), change_index, contents_[change_index].version);
 }
 
-// Through any gateway, also one that is cut off; again elsewhere where the answer is none.
-void BankLab::Ask(size_t n) {
-  if (changes_[n].done) {
+// Submits a change through a random gateway, which may be isolated, and retries at another one if
+// there is no result.
+void ClusterExperiment::SubmitByCall(size_t change_index) {
+  if (changes_[change_index].done) {
     return;
   }
-  const Address at = SeatOf(Draw(e_.gateway.count));
-  const auto again = [this, n] {
-    loop_.RunAfter(kAgain, [this, n, alive = std::weak_ptr(alive_)] {
+  const Address address = AddressOf(Draw(experiment_.gateway.count));
+  const auto retry = [this, change_index] {
+    loop_.RunAfter(kRetryDelay, [this, change_index, alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) {
-        Ask(n);
+        SubmitByCall(change_index);
       }
     });
   };
-  changes_[n].call = std::make_shared<Call>(
-      loop_, at, json{{"what", "submit"}, {"wish", changes_[n].wish}},
-      [this, n, again, alive = std::weak_ptr(alive_)](const std::optional<json>& value) {
+  changes_[change_index].call = std::make_shared<Call>(
+      loop_, address, json{{"what", "submit"}, {"wish", changes_[change_index].request}},
+      [this, change_index, retry, alive = std::weak_ptr(alive_)](const std::optional<json>& value) {
         if (alive.expired()) {
           return;
         }
@@ -620,231 +636,241 @@
                                 ? cluster::ParseChangeResult(value->value("answer", json()))
                                 : std::nullopt;
         if (!answer) {
-          return again();
+          return retry();
         }
         switch (answer->kind) {
           case cluster::ChangeResult::Kind::kDone:
-            // Now and then the answer is lost on its way: it is submitted again, and counts once.
-            if (n % kLost == 3 && !std::exchange(changes_[n].answer_lost, true)) {
-              return again();
+            // Treats some answers as lost: the change is submitted again and must count once.
+            if (change_index % kLostAnswerEvery == 3 &&
+                !std::exchange(changes_[change_index].answer_lost, true)) {
+              return retry();
             }
-            changes_[n].done = true;
-            shapes_[n].version = answer->version;
-            return judge_.RecordAcknowledgement(Now(), n, answer->version);
+            changes_[change_index].done = true;
+            contents_[change_index].version = answer->version;
+            return invariants_.RecordAcknowledgement(Now(), change_index, answer->version);
           case cluster::ChangeResult::Kind::kRefused:
-            changes_[n].done = true;
-            return judge_.RecordRefusal(Now(), n, answer->text);
+            changes_[change_index].done = true;
+            return invariants_.RecordRefusal(Now(), change_index, answer->text);
           default:
-            return again();
+            return retry();
         }
       });
 }
 
-ClusterResult BankLab::Finish(Time now) {
+ClusterResult ClusterExperiment::Finish(Time now) {
   ledger_.set_receipt_callback(nullptr);
-  return judge_.Finish(now, e_.length - e_.cluster.quiet_before_end);
+  return invariants_.Finish(now, experiment_.length - experiment_.cluster.quiet_before_end);
 }
 
-// ---- At size ----------------------------------------------------------------------------------
+// ---- Runs at scale ----------------------------------------------------------------------------
 
-Address BankLab::HollowSeat(size_t number) const {
-  const size_t count = e_.gateway.count;
-  return LoopbackAddress(place_ + count + count * count + number);
+Address ClusterExperiment::SimulatedMemberAddress(size_t number) const {
+  const size_t count = experiment_.gateway.count;
+  return LoopbackAddress(first_address_ + count + count * count + number);
 }
 
-// A hollow member knows the voters and the hollow ones; nobody reaches it through a relay.
-void BankLab::WriteHollowFile() const {
+// The configuration of simulated members lists the voters and the simulated members, without
+// relays.
+void ClusterExperiment::WriteSimulatedMembersConfig() const {
   std::ofstream file(folder_ + "/bank-hollow.toml");
   file << "[bank]\nname = \"lab\"\n" << fmt::format("folder = \"{}/hollow\"\n", folder_);
-  for (size_t j = 0; j < std::min(e_.gateway.count, e_.cluster.voters); ++j) {
+  for (size_t j = 0; j < std::min(experiment_.gateway.count, experiment_.cluster.voters); ++j) {
     file << fmt::format("[[bank.members]]\nname = \"g{:03}\"\naddress = \"{}\"\nvotes = true\n", j,
-                        ToText(SeatOf(j)));
+                        ToText(AddressOf(j)));
   }
-  for (size_t n = 0; n < e_.cluster.simulated_members; ++n) {
+  for (size_t n = 0; n < experiment_.cluster.simulated_members; ++n) {
     file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
-                        ToText(HollowSeat(n)));
+                        ToText(SimulatedMemberAddress(n)));
   }
 }
 
-void BankLab::StartHollow(std::function<Process::Usage(size_t)> usage) {
+void ClusterExperiment::StartSimulatedMembers(std::function<Process::Usage(size_t)> usage) {
   usage_ = std::move(usage);
-  started_ = MachineNow();
-  const size_t parts = std::min(kHollowParts, e_.cluster.simulated_members);
+  started_at_ = MachineNow();
+  const size_t process_count = std::min(kSimulatedProcesses, experiment_.cluster.simulated_members);
   const std::string program = fs::read_symlink("/proc/self/exe").string();
-  for (size_t k = 0; k < parts; ++k) {
-    HollowPart part;
-    part.first = e_.cluster.simulated_members * k / parts;
-    part.count = e_.cluster.simulated_members * (k + 1) / parts - part.first;
-    part.book = fmt::format("{}/hollow-{}.book", folder_, k);
-    part.log = fmt::format("{}/hollow-{}.log", folder_, k);
-    // So many over all of them.
-    const auto of = [&](size_t all) {
-      return all * (k + 1) / parts - all * k / parts;
+  for (size_t k = 0; k < process_count; ++k) {
+    SimulatedProcess simulated_process;
+    simulated_process.first = experiment_.cluster.simulated_members * k / process_count;
+    simulated_process.count =
+        experiment_.cluster.simulated_members * (k + 1) / process_count - simulated_process.first;
+    simulated_process.record_file = fmt::format("{}/hollow-{}.book", folder_, k);
+    simulated_process.log = fmt::format("{}/hollow-{}.log", folder_, k);
+    // This process's share of a total over all processes.
+    const auto share = [&](size_t total) {
+      return total * (k + 1) / process_count - total * k / process_count;
     };
-    const std::vector<std::string> words = {
+    const std::vector<std::string> arguments = {
         program,
         "lab",
         "hollow",
         "--operator",
         folder_ + "/bank-hollow.toml",
         "--first",
-        std::to_string(part.first),
+        std::to_string(simulated_process.first),
         "--count",
-        std::to_string(part.count),
+        std::to_string(simulated_process.count),
         "--book",
-        part.book,
+        simulated_process.record_file,
         "--seed",
         std::to_string(random_()),
         "--restarts",
-        std::to_string(of(e_.cluster.simulated_member_restarts)),
+        std::to_string(share(experiment_.cluster.simulated_member_restarts)),
         "--cuts",
-        std::to_string(of(e_.cluster.simulated_member_link_cuts))};
-    part.process = std::make_unique<Process>(
-        words, std::vector<std::pair<std::string, std::string>>{}, part.log);
-    hollow_.push_back(std::move(part));
+        std::to_string(share(experiment_.cluster.simulated_member_link_cuts))};
+    simulated_process.process = std::make_unique<Process>(
+        arguments, std::vector<std::pair<std::string, std::string>>{}, simulated_process.log);
+    simulated_processes_.push_back(std::move(simulated_process));
   }
-  if (parts > 0) {
-    stalled_ = Draw(parts);
+  if (process_count > 0) {
+    stalled_process_ = Draw(process_count);
   }
 }
 
-bool BankLab::Linked() {
-  if (linked_ || asking_) {
-    return linked_;
-  }
-  const Address at = SeatOf(0);  // where the bank was begun
-  asking_ =
-      std::make_shared<Call>(loop_, at, StatusCall(), [this](const std::optional<json>& status) {
-        const size_t others = e_.gateway.count + e_.cluster.simulated_members - 1;
-        linked_ = status && status->is_object() && status->value("leads", false) &&
-                  status->value("voters", json::array()).size() == e_.cluster.voters &&
-                  status->value("linked", json::array()).size() == others;
-        if (linked_) {
-          figures_.linked_ms = Ms(MachineNow() - started_);
+bool ClusterExperiment::AllMembersConnected() {
+  if (all_connected_ || status_call_) {
+    return all_connected_;
+  }
+  const Address address = AddressOf(0);  // where the cluster was initialized
+  status_call_ = std::make_shared<Call>(
+      loop_, address, StatusCall(), [this](const std::optional<json>& status) {
+        const size_t others = experiment_.gateway.count + experiment_.cluster.simulated_members - 1;
+        all_connected_ =
+            status && status->is_object() && status->value("leads", false) &&
+            status->value("voters", json::array()).size() == experiment_.cluster.voters &&
+            status->value("linked", json::array()).size() == others;
+        if (all_connected_) {
+          figures_.linked_ms = Ms(MachineNow() - started_at_);
         }
-        loop_.RunAfter(kLinkedAgain, [this, alive = std::weak_ptr(alive_)] {
+        loop_.RunAfter(kConnectionCheckInterval, [this, alive = std::weak_ptr(alive_)] {
           if (!alive.expired()) {
-            asking_.reset();
+            status_call_.reset();
           }
         });
       });
   return false;
 }
 
-void BankLab::Measure(Sample& into) {
-  into = {};
-  into.at = MachineNow();
-  into.status.resize(e_.gateway.count);
-  for (size_t i = 0; i < e_.gateway.count; ++i) {
-    into.used.push_back(usage_(i));
-    asked_.push_back(std::make_shared<Call>(
-        loop_, SeatOf(i), StatusCall(),
-        [&into, i, alive = std::weak_ptr(alive_)](const std::optional<json>& status) {
+void ClusterExperiment::Measure(Sample& sample) {
+  sample = {};
+  sample.at = MachineNow();
+  sample.status.resize(experiment_.gateway.count);
+  for (size_t i = 0; i < experiment_.gateway.count; ++i) {
+    sample.usage.push_back(usage_(i));
+    measurement_calls_.push_back(std::make_shared<Call>(
+        loop_, AddressOf(i), StatusCall(),
+        [&sample, i, alive = std::weak_ptr(alive_)](const std::optional<json>& status) {
           if (!alive.expired() && status) {
-            into.status[i] = *status;
+            sample.status[i] = *status;
           }
         }));
   }
-  for (const HollowPart& part : hollow_) {
-    into.hollow_cpu_us += part.process->Measure().cpu_us;
+  for (const SimulatedProcess& simulated_process : simulated_processes_) {
+    sample.hollow_cpu_us += simulated_process.process->Measure().cpu_us;
   }
 }
 
-// Idle from soon after time 0; changes; faults beside changes; then all is to be level.
-void BankLab::WatchSize() {
-  figures_.on = e_.cluster.measured;
-  const auto at = [this](Duration when, std::function<void()> then) {
-    loop_.RunAfter(when, [then = std::move(then), alive = std::weak_ptr(alive_)] {
+// Phases: idle from shortly after time 0, then changes, then faults during changes; in the end all
+// members must have the last version.
+void ClusterExperiment::ScheduleMeasurements() {
+  figures_.on = experiment_.cluster.measured;
+  const auto schedule = [this](Duration delay, std::function<void()> action) {
+    loop_.RunAfter(delay, [action = std::move(action), alive = std::weak_ptr(alive_)] {
       if (!alive.expired()) {
-        then();
+        action();
       }
     });
   };
-  if (e_.cluster.measured) {
-    at(kSettled, [this] { Measure(idle_from_); });
-    // Before the first change, and behind it: with deltas that one alone is whole. See Submit.
-    at(e_.cluster.quiet_after_start - kAside, [this] { Measure(idle_to_); });
-    at(e_.cluster.simulated_member_faults_at, [this] { Measure(changed_); });
-    at(e_.length, [this] { Measure(last_); });
-  }
-  if (e_.cluster.simulated_member_faults_at > Duration(0)) {
-    at(e_.cluster.simulated_member_faults_at, [this] { PlayHollow(); });
-  }
-  Weigh();
+  if (experiment_.cluster.measured) {
+    schedule(kIdleMeasurementDelay, [this] { Measure(idle_begin_); });
+    // Ends before the first change. The figures of changes begin after it, since with deltas only
+    // the first change is a whole version; see SubmitNext.
+    schedule(experiment_.cluster.quiet_after_start - kMeasurementMargin,
+             [this] { Measure(idle_end_); });
+    schedule(experiment_.cluster.simulated_member_faults_at, [this] { Measure(changes_end_); });
+    schedule(experiment_.length, [this] { Measure(run_end_); });
+  }
+  if (experiment_.cluster.simulated_member_faults_at > Duration(0)) {
+    schedule(experiment_.cluster.simulated_member_faults_at,
+             [this] { InjectSimulatedMemberFaults(); });
+  }
+  MeasureMemory();
 }
 
-// What all processes hold, now and then.
-void BankLab::Weigh() {
-  uint64_t kb = Process::MeasureSelf().rss_kb;
-  for (size_t i = 0; i < e_.gateway.count; ++i) {
-    kb += usage_(i).rss_kb;
-  }
-  for (const HollowPart& part : hollow_) {
-    kb += part.process->Measure().rss_kb;
-  }
-  figures_.rss_mb_most = std::max(figures_.rss_mb_most, static_cast<double>(kb) / 1024);
-  figures_.processes_most = 1 + e_.gateway.count + hollow_.size();
-  loop_.RunAfter(kWeighEvery, [this, alive = std::weak_ptr(alive_)] {
+// Measures the memory of all processes at intervals.
+void ClusterExperiment::MeasureMemory() {
+  uint64_t memory_kb = Process::MeasureSelf().rss_kb;
+  for (size_t i = 0; i < experiment_.gateway.count; ++i) {
+    memory_kb += usage_(i).rss_kb;
+  }
+  for (const SimulatedProcess& simulated_process : simulated_processes_) {
+    memory_kb += simulated_process.process->Measure().rss_kb;
+  }
+  figures_.rss_mb_most = std::max(figures_.rss_mb_most, static_cast<double>(memory_kb) / 1024);
+  figures_.processes_most = 1 + experiment_.gateway.count + simulated_processes_.size();
+  loop_.RunAfter(kMemoryInterval, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
-      Weigh();
+      MeasureMemory();
     }
   });
 }
 
-void BankLab::PlayHollow() {
-  faults_from_ = MachineNow();
-  for (const HollowPart& part : hollow_) {
-    part.process->Signal(SIGUSR1);
+void ClusterExperiment::InjectSimulatedMemberFaults() {
+  faults_began_at_ = MachineNow();
+  for (const SimulatedProcess& simulated_process : simulated_processes_) {
+    simulated_process.process->Signal(SIGUSR1);
   }
-  if (e_.cluster.stalls_simulated_members && !hollow_.empty()) {
-    Stall(true, Now() + kSimulatedMemberFaultDuration);
+  if (experiment_.cluster.stalls_simulated_members && !simulated_processes_.empty()) {
+    StallProcess(true, Now() + kSimulatedMemberFaultDuration);
   }
   if (slow_relays_.empty()) {
     return;
   }
-  ReadSlowly(true);
+  SetSlowReading(true);
   loop_.RunAfter(kSimulatedMemberFaultDuration, [this, alive = std::weak_ptr(alive_)] {
     if (!alive.expired()) {
-      ReadSlowly(false);
+      SetSlowReading(false);
     }
   });
 }
 
-bool BankLab::ReadsSlowly(size_t number) const {
-  return e_.cluster.simulated_member_read_bytes_per_s > 0 && number % kSlowOf == slow_;
+bool ClusterExperiment::IsSlowReader(size_t number) const {
+  return experiment_.cluster.simulated_member_read_bytes_per_s > 0 &&
+         number % kSlowReaderEvery == first_slow_reader_;
 }
 
-Address BankLab::SlowSeat(size_t voter, size_t number) const {
-  const size_t count = e_.gateway.count;
-  return LoopbackAddress(place_ + count + count * count +
-                         e_.cluster.simulated_members * (1 + voter) + number);
+Address ClusterExperiment::SlowRelayAddress(size_t voter, size_t number) const {
+  const size_t count = experiment_.gateway.count;
+  return LoopbackAddress(first_address_ + count + count * count +
+                         experiment_.cluster.simulated_members * (1 + voter) + number);
 }
 
-// What voters send them waits, as behind a reader that takes so much and no more.
-void BankLab::ReadSlowly(bool on) {
+// Limits the rate at which voters' data reaches the slow readers.
+void ClusterExperiment::SetSlowReading(bool on) {
   for (const auto& relay : slow_relays_) {
-    relay->there.bytes_per_s = on ? e_.cluster.simulated_member_read_bytes_per_s : 0;
+    relay->there.bytes_per_s = on ? experiment_.cluster.simulated_member_read_bytes_per_s : 0;
     relay->Changed();
   }
 }
 
-// A tenth of the members reads late: their process stands still and goes on by turns.
-void BankLab::Stall(bool stop, Time until) {
-  hollow_[stalled_].process->Signal(stop ? SIGSTOP : SIGCONT);
+// Repeatedly stops and continues one process, so that its members, a tenth of all, read late.
+void ClusterExperiment::StallProcess(bool stop, Time until) {
+  simulated_processes_[stalled_process_].process->Signal(stop ? SIGSTOP : SIGCONT);
   if (!stop && Now() >= until) {
     return;
   }
-  loop_.RunAfter(e_.cluster.simulated_member_stall,
+  loop_.RunAfter(experiment_.cluster.simulated_member_stall,
                  [this, stop, until, alive = std::weak_ptr(alive_)] {
                    if (!alive.expired()) {
-                     Stall(!stop, until);
+                     StallProcess(!stop, until);
                    }
                  });
 }
 
-RoleFigures BankLab::RoleOf(const Sample& a, const Sample& b, bool leads, bool votes) const {
-  RoleFigures f;
-  const double s = static_cast<double>((b.at - a.at).count()) / 1e6;
+RoleFigures ClusterExperiment::FiguresOfRole(const Sample& a, const Sample& b, bool leads,
+                                             bool votes) const {
+  RoleFigures figures;
+  const double seconds = static_cast<double>((b.at - a.at).count()) / 1e6;
   for (size_t i = 0; i < b.status.size() && i < a.status.size(); ++i) {
     const json &from = a.status[i], &to = b.status[i];
     if (!from.is_object() || !to.is_object()) {
@@ -853,142 +879,151 @@
     if (to.value("leads", false) != leads || to.value("votes", false) != votes) {
       continue;
     }
-    ++f.processes;
-    const auto grew = [&](const char* key) {
+    ++figures.processes;
+    const auto growth = [&](const char* key) {
       return to.value(key, 0.0) - from.value(key, 0.0);
     };
-    // Less the answer to the first of the two questions, and the second question.
+    // Without the answer to the first status call and without the second status call.
     const auto answer = static_cast<double>(peer::EncodeCheckedFrame(from, 0).size());
     const auto question = static_cast<double>(peer::EncodeCall(StatusCall()).size());
-    f.cpu_core += (b.used[i].cpu_us - a.used[i].cpu_us) / 1e6 / s;
-    f.rss_mb += static_cast<double>(b.used[i].rss_kb) / 1024;
-    f.descriptors += static_cast<double>(b.used[i].descriptors);
-    f.bytes_in_s += (grew("bytes_in") - question) / s;
-    f.bytes_out_s += (grew("bytes_out") - answer) / s;
-    f.messages_s += (grew("frames_in") + grew("frames_out") - 2) / s;
-  }
-  if (f.processes == 0) {
-    return f;
-  }
-  const auto n = static_cast<double>(f.processes);
-  for (double* const v :
-       {&f.cpu_core, &f.rss_mb, &f.descriptors, &f.bytes_in_s, &f.bytes_out_s, &f.messages_s}) {
-    *v /= n;
-  }
-  return f;
-}
-
-// Bytes that the one that leads at both moments has sent beyond what it sends idle; below 0 where
-// another leads.
-double BankLab::LeaderSent(const Sample& a, const Sample& b) const {
-  const RoleFigures f = RoleOf(a, b, true, true);
-  const bool same = f.processes == 1 && std::ranges::any_of(a.status, [&](const json& s) {
-                      return s.is_object() && s.value("leads", false);
-                    });
-  if (!same) {
+    figures.cpu_core += (b.usage[i].cpu_us - a.usage[i].cpu_us) / 1e6 / seconds;
+    figures.rss_mb += static_cast<double>(b.usage[i].rss_kb) / 1024;
+    figures.descriptors += static_cast<double>(b.usage[i].descriptors);
+    figures.bytes_in_s += (growth("bytes_in") - question) / seconds;
+    figures.bytes_out_s += (growth("bytes_out") - answer) / seconds;
+    figures.messages_s += (growth("frames_in") + growth("frames_out") - 2) / seconds;
+  }
+  if (figures.processes == 0) {
+    return figures;
+  }
+  const auto process_count = static_cast<double>(figures.processes);
+  for (double* const figure : {&figures.cpu_core, &figures.rss_mb, &figures.descriptors,
+                               &figures.bytes_in_s, &figures.bytes_out_s, &figures.messages_s}) {
+    *figure /= process_count;
+  }
+  return figures;
+}
+
+// Bytes that the leader sent between two samples beyond its idle rate; negative if the leader
+// changed.
+double ClusterExperiment::LeaderBytesSent(const Sample& a, const Sample& b) const {
+  const RoleFigures figures = FiguresOfRole(a, b, true, true);
+  const bool same_leader =
+      figures.processes == 1 && std::ranges::any_of(a.status, [&](const json& status) {
+        return status.is_object() && status.value("leads", false);
+      });
+  if (!same_leader) {
     return -1;
   }
-  const double s = static_cast<double>((b.at - a.at).count()) / 1e6;
-  return (f.bytes_out_s - figures_.leader.bytes_out_s) * s;
+  const double seconds = static_cast<double>((b.at - a.at).count()) / 1e6;
+  return (figures.bytes_out_s - figures_.leader.bytes_out_s) * seconds;
 }
 
-ScaleFigures BankLab::FinishScale() {
-  ScaleFigures& f = figures_;
-  if (!f.on && hollow_.empty()) {
-    return f;
-  }
-  over_ = MachineNow();
-  f.hollow = e_.cluster.simulated_members;
-  f.real = e_.gateway.count;
-  f.members = f.real + f.hollow;
-  f.leader = RoleOf(idle_from_, idle_to_, true, true);
-  f.voter = RoleOf(idle_from_, idle_to_, false, true);
-  f.gateway = RoleOf(idle_from_, idle_to_, false, false);
-  const double idle_s = static_cast<double>((idle_to_.at - idle_from_.at).count()) / 1e6;
-  if (f.hollow > 0 && idle_s > 0) {
-    const auto hollow = static_cast<double>(f.hollow);
-    f.hollow_cpu_core = (idle_to_.hollow_cpu_us - idle_from_.hollow_cpu_us) / 1e6 / idle_s / hollow;
-    for (const HollowPart& part : hollow_) {
-      f.hollow_rss_mb += static_cast<double>(part.process->Measure().rss_kb) / 1024 / hollow;
+ScaleFigures ClusterExperiment::FinishScaleFigures() {
+  ScaleFigures& figures = figures_;
+  if (!figures.on && simulated_processes_.empty()) {
+    return figures;
+  }
+  ended_at_ = MachineNow();
+  figures.hollow = experiment_.cluster.simulated_members;
+  figures.real = experiment_.gateway.count;
+  figures.members = figures.real + figures.hollow;
+  figures.leader = FiguresOfRole(idle_begin_, idle_end_, true, true);
+  figures.voter = FiguresOfRole(idle_begin_, idle_end_, false, true);
+  figures.gateway = FiguresOfRole(idle_begin_, idle_end_, false, false);
+  const double idle_s = static_cast<double>((idle_end_.at - idle_begin_.at).count()) / 1e6;
+  if (figures.hollow > 0 && idle_s > 0) {
+    const auto simulated_members = static_cast<double>(figures.hollow);
+    figures.hollow_cpu_core =
+        (idle_end_.hollow_cpu_us - idle_begin_.hollow_cpu_us) / 1e6 / idle_s / simulated_members;
+    for (const SimulatedProcess& simulated_process : simulated_processes_) {
+      figures.hollow_rss_mb += static_cast<double>(simulated_process.process->Measure().rss_kb) /
+                               1024 / simulated_members;
     }
   }
   std::vector<HollowLine> lines;
-  for (HollowPart& part : hollow_) {
-    if (const auto code = part.process->ExitCode()) {
-      f.broken.push_back(fmt::format("scale: members {} to {} ended with {}: {}", part.first,
-                                     part.first + part.count - 1, *code, TailOf(part.log, 3)));
+  for (SimulatedProcess& simulated_process : simulated_processes_) {
+    if (const auto code = simulated_process.process->ExitCode()) {
+      figures.broken.push_back(fmt::format("scale: members {} to {} ended with {}: {}",
+                                           simulated_process.first,
+                                           simulated_process.first + simulated_process.count - 1,
+                                           *code, TailOf(simulated_process.log, 3)));
     }
-    part.process->Signal(SIGCONT);
-    part.process->Signal(SIGTERM);
+    simulated_process.process->Signal(SIGCONT);
+    simulated_process.process->Signal(SIGTERM);
   }
-  for (HollowPart& part : hollow_) {
-    const Duration until = MachineNow() + kEndWithin;
-    while (!part.process->ExitCode() && MachineNow() < until) {
-      loop_.RunOnce(kLookEvery);
+  for (SimulatedProcess& simulated_process : simulated_processes_) {
+    const Duration until = MachineNow() + kExitTimeout;
+    while (!simulated_process.process->ExitCode() && MachineNow() < until) {
+      loop_.RunOnce(kExitPollInterval);
     }
-    std::ifstream book(part.book);
-    for (std::string text; std::getline(book, text);) {
+    std::ifstream record_file(simulated_process.record_file);
+    for (std::string text; std::getline(record_file, text);) {
       if (const auto line = ParseHollowLine(text)) {
         lines.push_back(*line);
       } else {
-        f.broken.push_back(fmt::format("scale: a line that makes no sense: {}", text));
+        figures.broken.push_back(fmt::format("scale: malformed record: {}", text));
       }
     }
   }
-  // From the experiment's time to the machine's.
+  // Converts the experiment's time to MachineNow().
   const Duration zero = MachineNow() - Now();
   std::vector<ToldChange> changes;
-  Time last_done{0};
+  Time last_acknowledged_at{0};
   for (const ClusterInvariantChecker::AcknowledgedChange& acknowledged :
-       judge_.acknowledged_changes()) {
+       invariants_.acknowledged_changes()) {
     changes.push_back(
         {acknowledged.submitted + zero, acknowledged.acknowledged_at + zero, acknowledged.version});
-    last_done = std::max(last_done, acknowledged.acknowledged_at);
-  }
-  f.changes = changes.size();
-  HollowTerms terms;
-  terms.hollow = f.hollow;
-  terms.faults = faults_from_ > Duration(0) ? faults_from_ : over_;
-  if (filled_ > Time(0)) {
-    terms.from = filled_ + zero;
-  }
-  terms.end = over_;
-  terms.bound = cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay);
-  if (e_.cluster.stalls_simulated_members && !hollow_.empty()) {
-    terms.stalled_from = hollow_[stalled_].first;
-    terms.stalled_to = terms.stalled_from + hollow_[stalled_].count;
-    terms.stalled = e_.cluster.simulated_member_stall;
-  }
-  JudgeHollow(std::move(lines), changes, terms, f);
-  // A gateway acts on the last version as far as hosts have seen: it has sent to them since, and to
-  // none that is barred, which the bank's judge looks at.
-  for (size_t i = 0; i < e_.gateway.count; ++i) {
-    if (last_receipt_[i] > last_done) {
-      ++f.members_in_force;
+    last_acknowledged_at = std::max(last_acknowledged_at, acknowledged.acknowledged_at);
+  }
+  figures.changes = changes.size();
+  HollowTerms limits;
+  limits.hollow = figures.hollow;
+  limits.faults = faults_began_at_ > Duration(0) ? faults_began_at_ : ended_at_;
+  if (tenants_added_at_ > Time(0)) {
+    limits.from = tenants_added_at_ + zero;
+  }
+  limits.end = ended_at_;
+  limits.bound = cluster::MaxDisagreement(raft::RaftTiming(), cluster::kDetectionDelay);
+  if (experiment_.cluster.stalls_simulated_members && !simulated_processes_.empty()) {
+    limits.stalled_from = simulated_processes_[stalled_process_].first;
+    limits.stalled_to = limits.stalled_from + simulated_processes_[stalled_process_].count;
+    limits.stalled = experiment_.cluster.simulated_member_stall;
+  }
+  JudgeHollow(std::move(lines), changes, limits, figures);
+  // A gateway counts as acting on the last version if hosts received requests from it since. That
+  // it sends to no excluded host is checked by the invariants.
+  for (size_t i = 0; i < experiment_.gateway.count; ++i) {
+    if (last_receipt_[i] > last_acknowledged_at) {
+      ++figures.members_in_force;
     } else {
-      f.broken.push_back(
-          fmt::format("scale: level: gateway {} was not seen to serve after the last change", i));
+      figures.broken.push_back(fmt::format(
+          "scale: level: no host received a request from gateway {} after the last change", i));
     }
   }
   const auto within = [&](const Sample& a, const Sample& b) {
-    return static_cast<double>(std::ranges::count_if(
-        changes, [&](const ToldChange& c) { return c.submitted >= a.at && c.submitted < b.at; }));
+    return static_cast<double>(std::ranges::count_if(changes, [&](const ToldChange& change) {
+      return change.submitted >= a.at && change.submitted < b.at;
+    }));
   };
-  const auto others = static_cast<double>(f.members - 1);
-  const double before = within(first_changed_, changed_), after = within(changed_, last_);
-  if (const double sent = LeaderSent(first_changed_, changed_); sent > 0 && before > 0) {
-    f.change_bytes_each = sent / before / others;
-  }
-  const RoleFigures changing = RoleOf(first_changed_, changed_, false, false);
-  if (f.gateway.processes > 0 && changing.processes > 0 && before > 0) {
-    const double s = static_cast<double>((changed_.at - first_changed_.at).count()) / 1e6;
-    f.change_cpu_ms = std::max(0.0, changing.cpu_core - f.gateway.cpu_core) * s * 1000 / before;
-  }
-  if (const double sent = LeaderSent(changed_, last_); sent > 0 && f.returned > 0) {
-    f.return_bytes_each = std::max(0.0, sent - after * others * f.change_bytes_each) /
-                          static_cast<double>(f.returned);
-  }
-  return f;
+  const auto others = static_cast<double>(figures.members - 1);
+  const double before = within(changes_begin_, changes_end_),
+               after = within(changes_end_, run_end_);
+  if (const double sent = LeaderBytesSent(changes_begin_, changes_end_); sent > 0 && before > 0) {
+    figures.change_bytes_each = sent / before / others;
+  }
+  const RoleFigures changing = FiguresOfRole(changes_begin_, changes_end_, false, false);
+  if (figures.gateway.processes > 0 && changing.processes > 0 && before > 0) {
+    const double seconds = static_cast<double>((changes_end_.at - changes_begin_.at).count()) / 1e6;
+    figures.change_cpu_ms =
+        std::max(0.0, changing.cpu_core - figures.gateway.cpu_core) * seconds * 1000 / before;
+  }
+  if (const double sent = LeaderBytesSent(changes_end_, run_end_);
+      sent > 0 && figures.returned > 0) {
+    figures.return_bytes_each = std::max(0.0, sent - after * others * figures.change_bytes_each) /
+                                static_cast<double>(figures.returned);
+  }
+  return figures;
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/cluster_experiment.h
+++ b/src/lab/cluster_experiment.h
@@ -1,5 +1,6 @@
-// The bank of an experiment: its files, the relays between its gateways, the faults on them, the
-// changes that are submitted throughout, and what the judge is told.
+// The cluster of an experiment: its configuration files, the relays between its gateways, the
+// faults of links and disks, the changes submitted during the run, and the events for the invariant
+// checks.
 #ifndef PADDLESTILE_LAB_CLUSTER_EXPERIMENT_H_
 #define PADDLESTILE_LAB_CLUSTER_EXPERIMENT_H_
 
@@ -29,128 +30,136 @@
 
 namespace paddlestile::lab {
 
-class BankLab {
+class ClusterExperiment {
  public:
-  // Makes the files and begins the bank at the first gateway. `place`: the first of the addresses
-  // that are its own. Throws std::system_error or net::ConfigError.
-  BankLab(EventLoop& loop, const Experiment& experiment, Ledger& ledger, std::string folder,
-          uint64_t seed, size_t place);
-  ~BankLab();
-  BankLab(const BankLab&) = delete;
-  BankLab& operator=(const BankLab&) = delete;
+  // Writes the files and initializes the cluster at the first gateway. `first_address`: index of
+  // the first loopback address of the range that belongs to this cluster. Throws std::system_error
+  // or net::ConfigError.
+  ClusterExperiment(EventLoop& loop, const Experiment& experiment, Ledger& ledger,
+                    std::string folder, uint64_t seed, size_t first_address);
+  ~ClusterExperiment();
+  ClusterExperiment(const ClusterExperiment&) = delete;
+  ClusterExperiment& operator=(const ClusterExperiment&) = delete;
 
-  // The operator's file of a gateway.
-  [[nodiscard]] std::string FileOf(size_t gateway) const;
-  // The experiment's time 0; `hosts` of the fleet, by their places.
+  // Path of a gateway's operator configuration.
+  [[nodiscard]] std::string ConfigFileOf(size_t gateway) const;
+  // Starts submitting changes. `zero`: the experiment's time 0. `hosts`: the hosts of the fleet.
   void Begin(Time zero, std::vector<ListedHost> hosts);
 
-  // Faults on links and disks; those on processes are the runner's, which tells of them here.
-  void Play(const Fault& fault);
-  void Down(size_t gateway, bool down);
-  // What a killed gateway finds when it comes back.
-  void ChangeDisk(size_t gateway, DiskState disk);
+  // Injects a fault of links or disks. The runner injects faults of processes and reports them with
+  // `SetDown`.
+  void InjectFault(const Fault& fault);
+  void SetDown(size_t gateway, bool down);
+  // Replaces the disk of a killed gateway before its restart.
+  void ReplaceDisk(size_t gateway, DiskState disk);
   [[nodiscard]] size_t Draw(size_t count);
 
-  // Members without clients beside the gateways, and figures of all; the gateways have started.
-  // `usage`: of a gateway's process.
-  void StartHollow(std::function<Process::Usage(size_t)> usage);
-  // Whether one leads them all; asked again and again before time 0.
-  [[nodiscard]] bool Linked();
+  // Starts the simulated members, which have no clients, after the gateways have started. `usage`
+  // returns the resource usage of a gateway's process.
+  void StartSimulatedMembers(std::function<Process::Usage(size_t)> usage);
+  // Whether the first gateway leads and is connected to all members; polled before time 0.
+  [[nodiscard]] bool AllMembersConnected();
 
   ClusterResult Finish(Time now);
-  // Behind Finish: what a run at size came to; off where nothing was to be measured.
-  ScaleFigures FinishScale();
+  // Returns the figures of a run at scale, after `Finish`; disabled if nothing was to be measured.
+  ScaleFigures FinishScaleFigures();
 
  private:
   class Call;
   [[nodiscard]] Time Now() const { return loop_.Now() - zero_; }
-  [[nodiscard]] std::string FolderOf(size_t gateway) const;
-  [[nodiscard]] Address SeatOf(size_t gateway) const;
-  void WriteFile(size_t gateway);
-  void Cut(size_t a, size_t b, const Fault& fault, bool on);
-  void Flap(std::vector<std::pair<size_t, size_t>> pairs, const Fault& fault, Time until, bool on);
-  void Kept(size_t gateway, bool away);
-  void Copies();
-  void Submit();
-  void SubmitOne();
-  void Ask(size_t change);
+  [[nodiscard]] std::string DataFolderOf(size_t gateway) const;
+  [[nodiscard]] Address AddressOf(size_t gateway) const;
+  void WriteConfigFile(size_t gateway);
+  void SetLinkFault(size_t a, size_t b, const Fault& fault, bool on);
+  void FlapLinks(std::vector<std::pair<size_t, size_t>> pairs, const Fault& fault, Time until,
+                 bool on);
+  void MarkIsolated(size_t gateway, bool isolated);
+  void CopyDisks();
+  void SubmitNext();
+  void SubmitChange();
+  void SubmitByCall(size_t change_index);
 
-  // ---- At size
-  // The state of all gateways at one moment, by their own counters.
+  // ---- Runs at scale
+  // The counters of all gateways at one moment.
   struct Sample {
     Duration at{0};
-    std::vector<nlohmann::json> status;  // null where none came
-    std::vector<Process::Usage> used;
+    std::vector<nlohmann::json> status;  // null without an answer
+    std::vector<Process::Usage> usage;
     double hollow_cpu_us = 0;
   };
-  [[nodiscard]] Address HollowSeat(size_t number) const;
-  void WriteHollowFile() const;
-  void Measure(Sample& into);
-  void WatchSize();
-  void Weigh();
-  void PlayHollow();
-  void Stall(bool stop, Time until);
-  void ReadSlowly(bool on);
-  // Whether what voters send a hollow member passes a relay of the lab's; its address.
-  [[nodiscard]] bool ReadsSlowly(size_t number) const;
-  [[nodiscard]] Address SlowSeat(size_t voter, size_t number) const;
-  void AskByCommand(size_t change);
-  void AwaitCommand(size_t change);
-  [[nodiscard]] RoleFigures RoleOf(const Sample& a, const Sample& b, bool leads, bool votes) const;
-  [[nodiscard]] double LeaderSent(const Sample& a, const Sample& b) const;
+  [[nodiscard]] Address SimulatedMemberAddress(size_t number) const;
+  void WriteSimulatedMembersConfig() const;
+  void Measure(Sample& sample);
+  void ScheduleMeasurements();
+  void MeasureMemory();
+  void InjectSimulatedMemberFaults();
+  void StallProcess(bool stop, Time until);
+  void SetSlowReading(bool on);
+  // Whether a simulated member reads slowly, so that voters send to it through a relay.
+  [[nodiscard]] bool IsSlowReader(size_t number) const;
+  [[nodiscard]] Address SlowRelayAddress(size_t voter, size_t number) const;
+  void SubmitByCommand(size_t change_index);
+  void AwaitCommand(size_t change_index);
+  [[nodiscard]] RoleFigures FiguresOfRole(const Sample& a, const Sample& b, bool leads,
+                                          bool votes) const;
+  [[nodiscard]] double LeaderBytesSent(const Sample& a, const Sample& b) const;
 
   EventLoop& loop_;
-  const Experiment& e_;
+  const Experiment& experiment_;
   Ledger& ledger_;
   std::string folder_;
-  std::mt19937_64 random_, faults_;
-  size_t place_;
+  std::mt19937_64 random_, fault_random_;
+  size_t first_address_;
   Time zero_{0};
-  std::map<std::pair<size_t, size_t>, std::unique_ptr<Relay>> relays_;  // the lower dials
+  // By pair of gateways; the one with the lower index connects.
+  std::map<std::pair<size_t, size_t>, std::unique_ptr<Relay>> relays_;
   std::vector<ListedHost> hosts_;
-  // Gateways that the script keeps from the others, by how many faults, and since when not.
-  std::vector<int> away_;
-  std::vector<Time> back_at_;
-  ClusterInvariantChecker judge_;
+  // By gateway: how many faults isolate it at present, and until when it counts as isolated after
+  // the last one.
+  std::vector<int> isolation_count_;
+  std::vector<Time> isolated_until_;
+  ClusterInvariantChecker invariants_;
   struct Change {
-    nlohmann::json wish;
+    nlohmann::json request;
     bool done = false, answer_lost = false;
     std::shared_ptr<Call> call;
-    std::unique_ptr<Process> command;  // `paddlestile bank change`, where that submits it
-    Duration command_began{0};         // the machine's clock
+    std::unique_ptr<Process> command;  // `paddlestile bank change`, if it submits the change
+    Duration command_started_at{0};    // MachineNow()
   };
   std::deque<Change> changes_;
-  // What the version of a change holds, beside what never changes.
-  struct Shape {
+  // The parts of a version that differ between changes.
+  struct VersionContent {
     std::set<size_t> barred;  // hosts
-    bool unsafe = false;      // the first class
+    bool first_class_unsafe = false;
     std::vector<int> quotas;  // by tenant
-    uint64_t version = 0;     // as it was told; 0: not yet
+    uint64_t version = 0;     // 0: not acknowledged yet
   };
-  std::deque<Shape> shapes_;  // by change
-  [[nodiscard]] const Shape* LastTold() const;
-  [[nodiscard]] nlohmann::json WholeOf(const Shape& shape) const;
-  [[nodiscard]] nlohmann::json DeltaOf(const Shape& was, const Shape& shape) const;
-  bool fills_ = false;  // the tenants come with one change after another
-  Time filled_{0};      // when all were there, where that took several
-  std::optional<ExclusionPlan> bars_;
-  size_t block_ = 0;  // of the last change
-  // At size: hollow processes, what befalls them, and the samples by which figures are taken.
-  struct HollowPart {
+  std::deque<VersionContent> contents_;  // by change
+  [[nodiscard]] const VersionContent* LastAcknowledged() const;
+  [[nodiscard]] nlohmann::json DocumentOf(const VersionContent& content) const;
+  [[nodiscard]] nlohmann::json DeltaOf(const VersionContent& previous,
+                                       const VersionContent& content) const;
+  bool adding_tenants_ = false;  // tenants are being added by successive changes
+  Time tenants_added_at_{0};     // when all were added, if that took several changes
+  std::optional<ExclusionPlan> exclusion_plan_;
+  size_t last_block_ = 0;  // of the last change
+  // Runs at scale: processes of simulated members, their faults, and the samples for the figures.
+  struct SimulatedProcess {
     std::unique_ptr<Process> process;
-    std::string book, log;
+    std::string record_file, log;
     size_t first = 0, count = 0;
   };
-  std::vector<HollowPart> hollow_;
-  size_t stalled_ = 0;  // the part that is stopped by turns
-  size_t slow_ = 0;     // the first hollow member that reads slowly, and those a tenth behind it
+  std::vector<SimulatedProcess> simulated_processes_;
+  size_t stalled_process_ = 0;  // the process that is repeatedly stopped and continued
+  // The first simulated member that reads slowly; so does every tenth one after it.
+  size_t first_slow_reader_ = 0;
   std::vector<std::unique_ptr<Relay>> slow_relays_;
   std::function<Process::Usage(size_t)> usage_;
-  std::shared_ptr<Call> asking_;
-  std::vector<std::shared_ptr<Call>> asked_;
-  bool linked_ = false, stalls_ = false;
-  Duration started_{0}, faults_from_{0}, over_{0};  // the machine's clock
-  Sample idle_from_, idle_to_, first_changed_, changed_, last_;
+  std::shared_ptr<Call> status_call_;
+  std::vector<std::shared_ptr<Call>> measurement_calls_;
+  bool all_connected_ = false, stalls_ = false;
+  Duration started_at_{0}, faults_began_at_{0}, ended_at_{0};  // MachineNow()
+  Sample idle_begin_, idle_end_, changes_begin_, changes_end_, run_end_;
   ScaleFigures figures_;
   std::vector<Time> last_receipt_;  // by gateway
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -115,9 +115,9 @@
         targets.push_back(PrepareGateway(i));
       }
       if (experiment_.cluster.enabled) {
-        cluster_ =
-            std::make_unique<BankLab>(loop_, experiment_, ledger_, folder_.path(), seed_ ^ 0xba9c,
-                                      kFirstGatewayAddress + experiment_.gateway.count);
+        cluster_ = std::make_unique<ClusterExperiment>(
+            loop_, experiment_, ledger_, folder_.path(), seed_ ^ 0xba9c,
+            kFirstGatewayAddress + experiment_.gateway.count);
       }
       for (size_t i = 0; i < experiment_.gateway.count; ++i) {
         StartGateway(i);
@@ -262,7 +262,7 @@
         {"LB_CONFIG", gateway.config_path}};
     if (cluster_) {
       env[0].second = fmt::format("g{:03}", i);
-      env.emplace_back("LB_OPERATOR", cluster_->FileOf(i));
+      env.emplace_back("LB_OPERATOR", cluster_->ConfigFileOf(i));
     }
     const auto is_operator_fault = [](const Fault& fault) {
       return fault.kind > FaultKind::kGatewayHang && fault.kind <= FaultKind::kGatewayUpgrade;
@@ -308,12 +308,12 @@
 
   // Waits until a leader is connected to all members of the cluster.
   bool AwaitCluster() {
-    cluster_->StartHollow([this](size_t i) {
+    cluster_->StartSimulatedMembers([this](size_t i) {
       const GatewayState& gateway = gateways_[i];
       return gateway.process ? gateway.process->Measure() : Process::Usage{};
     });
     const Time until = loop_.Now() + kClusterFormationTimeout;
-    while (!cluster_->Linked()) {
+    while (!cluster_->AllMembersConnected()) {
       if (interrupted_) {
         throw Interrupted("interrupted; all processes were stopped");
       }
@@ -419,7 +419,7 @@
       case FaultKind::kLinkSlow:
       case FaultKind::kLinkFlap:
       case FaultKind::kLinkNoise:
-        return cluster_->Play(fault);
+        return cluster_->InjectFault(fault);
       case FaultKind::kGatewayQuiesce:
         return PlayQuiesce(fault);
       case FaultKind::kGatewayReload:
@@ -476,13 +476,13 @@
                          [this, i] { load_->SetInRotation(i, !gateways_[i].stopped); });
         }
         if (cluster_) {
-          cluster_->Down(i, true);
+          cluster_->SetDown(i, true);
         }
         loop_.RunAfter(fault.duration, [this, i, stop] {
           stopped_.Continue(stop, Now());
           load_->SetInRotation(i, true);
           if (cluster_) {
-            cluster_->Down(i, false);
+            cluster_->SetDown(i, false);
           }
         });
       }
@@ -506,7 +506,7 @@
     if (fault.kind == FaultKind::kGatewayKill) {
       KillServing(i);
       if (cluster_) {
-        cluster_->Down(i, true);
+        cluster_->SetDown(i, true);
       }
       loop_.RunAfter(kFailureDetectionDelay,
                      [this, i] { load_->SetInRotation(i, gateways_[i].up); });
@@ -521,8 +521,8 @@
     loop_.RunAfter(fault.downtime, [this, i, killed, disk = fault.disk,
                                     until = loop_.Now() + longest + seconds(1)] {
       if (cluster_ && killed) {
-        cluster_->ChangeDisk(i, disk);
-        cluster_->Down(i, false);
+        cluster_->ReplaceDisk(i, disk);
+        cluster_->SetDown(i, false);
       }
       Restart(i, until);
     });
@@ -974,7 +974,7 @@
     }
     if (cluster_ && start_time_ > Time(0)) {
       result_.bank = cluster_->Finish(now);
-      result_.scale = cluster_->FinishScale();
+      result_.scale = cluster_->FinishScaleFigures();
     }
     StopGateways();
     Result& result = result_;
@@ -1103,7 +1103,7 @@
   SignalWatch signals_;
   TemporaryDirectory folder_;
   std::deque<GatewayState> gateways_;
-  std::unique_ptr<BankLab> cluster_;
+  std::unique_ptr<ClusterExperiment> cluster_;
   std::unique_ptr<Load> load_;
   StoppedProcesses stopped_;
   ProcessorTime processor_time_;
