--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -191,8 +191,8 @@
     }
   }
   for (size_t n = 0; n < experiment_.cluster.simulated_members; ++n) {
-    file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
-                        ToText(SimulatedMemberAddress(n)));
+    file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n",
+                        SimulatedMemberName(n), ToText(SimulatedMemberAddress(n)));
     if (i < experiment_.cluster.voters && IsSlowReader(n)) {
       file << fmt::format("dial = \"{}\"\n", ToText(SlowRelayAddress(i, n)));
     }
@@ -248,11 +248,11 @@
     return;
   }
   Relay& relay = *entry->second;
-  // `a` sends in the direction `there` if it is the member that connects.
-  RelayWay& outgoing = a < b ? relay.there : relay.back;
-  RelayWay& incoming = a < b ? relay.back : relay.there;
+  // `a` sends in the direction `forward` if it is the member that connects.
+  RelayDirection& outgoing = a < b ? relay.forward : relay.backward;
+  RelayDirection& incoming = a < b ? relay.backward : relay.forward;
   const int cut_change = on ? 1 : -1;
-  for (RelayWay* const direction : {&outgoing, &incoming}) {
+  for (RelayDirection* const direction : {&outgoing, &incoming}) {
     if (fault.link_direction ==
         (direction == &outgoing ? LinkDirection::kIncoming : LinkDirection::kOutgoing)) {
       continue;
@@ -263,13 +263,13 @@
         direction->bytes_per_s = on ? fault.bytes_per_s : 0;
         break;
       case FaultKind::kLinkNoise:
-        direction->noise = on ? fault.request_share : 0;
+        direction->corrupted_share = on ? fault.request_share : 0;
         break;
       default:
         direction->cuts += cut_change;
     }
   }
-  relay.Changed();
+  relay.ApplySettings();
   if (fault.reset_connections && on) {
     relay.Reset();
   }
@@ -573,7 +573,7 @@
     arguments.insert(arguments.end(),
                      {"--at", ToText(AddressOf((first + i) % experiment_.gateway.count))});
   }
-  changes_[change_index].command_started_at = MachineNow();
+  changes_[change_index].command_started_at = MonotonicNow();
   changes_[change_index].command = std::make_unique<Process>(
       arguments, std::vector<std::pair<std::string, std::string>>{}, path + ".log");
   // Polls only after a delay: until its exec the child has the memory of this process.
@@ -605,7 +605,7 @@
   if (*code != 0 || !answer.is_object() || !answer.contains("version")) {
     return SubmitByCall(change_index);
   }
-  figures_.command_ms.push_back(Ms(MachineNow() - change.command_started_at));
+  figures_.command_ms.push_back(Ms(MonotonicNow() - change.command_started_at));
   figures_.command_cpu_ms_most = std::max(figures_.command_cpu_ms_most, cpu_ms);
   change.done = true;
   contents_[change_index].version = answer["version"].get<uint64_t>();
@@ -679,14 +679,14 @@
                         ToText(AddressOf(j)));
   }
   for (size_t n = 0; n < experiment_.cluster.simulated_members; ++n) {
-    file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n", HollowName(n),
-                        ToText(SimulatedMemberAddress(n)));
+    file << fmt::format("[[bank.members]]\nname = \"{}\"\naddress = \"{}\"\n",
+                        SimulatedMemberName(n), ToText(SimulatedMemberAddress(n)));
   }
 }
 
 void ClusterExperiment::StartSimulatedMembers(std::function<Process::Usage(size_t)> usage) {
   usage_ = std::move(usage);
-  started_at_ = MachineNow();
+  started_at_ = MonotonicNow();
   const size_t process_count = std::min(kSimulatedProcesses, experiment_.cluster.simulated_members);
   const std::string program = fs::read_symlink("/proc/self/exe").string();
   for (size_t k = 0; k < process_count; ++k) {
@@ -740,7 +740,7 @@
             status->value("voters", json::array()).size() == experiment_.cluster.voters &&
             status->value("linked", json::array()).size() == others;
         if (all_connected_) {
-          figures_.linked_ms = Ms(MachineNow() - started_at_);
+          figures_.linked_ms = Ms(MonotonicNow() - started_at_);
         }
         loop_.RunAfter(kConnectionCheckInterval, [this, alive = std::weak_ptr(alive_)] {
           if (!alive.expired()) {
@@ -753,7 +753,7 @@
 
 void ClusterExperiment::Measure(Sample& sample) {
   sample = {};
-  sample.at = MachineNow();
+  sample.at = MonotonicNow();
   sample.status.resize(experiment_.gateway.count);
   for (size_t i = 0; i < experiment_.gateway.count; ++i) {
     sample.usage.push_back(usage_(i));
@@ -816,7 +816,7 @@
 }
 
 void ClusterExperiment::InjectSimulatedMemberFaults() {
-  faults_began_at_ = MachineNow();
+  faults_began_at_ = MonotonicNow();
   for (const SimulatedProcess& simulated_process : simulated_processes_) {
     simulated_process.process->Signal(SIGUSR1);
   }
@@ -848,8 +848,8 @@
 // Limits the rate at which voters' data reaches the slow readers.
 void ClusterExperiment::SetSlowReading(bool on) {
   for (const auto& relay : slow_relays_) {
-    relay->there.bytes_per_s = on ? experiment_.cluster.simulated_member_read_bytes_per_s : 0;
-    relay->Changed();
+    relay->forward.bytes_per_s = on ? experiment_.cluster.simulated_member_read_bytes_per_s : 0;
+    relay->ApplySettings();
   }
 }
 
@@ -924,7 +924,7 @@
   if (!figures.on && simulated_processes_.empty()) {
     return figures;
   }
-  ended_at_ = MachineNow();
+  ended_at_ = MonotonicNow();
   figures.hollow = experiment_.cluster.simulated_members;
   figures.real = experiment_.gateway.count;
   figures.members = figures.real + figures.hollow;
@@ -941,7 +941,7 @@
                                1024 / simulated_members;
     }
   }
-  std::vector<HollowLine> lines;
+  std::vector<SimulatedMemberRecord> lines;
   for (SimulatedProcess& simulated_process : simulated_processes_) {
     if (const auto code = simulated_process.process->ExitCode()) {
       figures.broken.push_back(fmt::format("scale: members {} to {} ended with {}: {}",
@@ -953,21 +953,21 @@
     simulated_process.process->Signal(SIGTERM);
   }
   for (SimulatedProcess& simulated_process : simulated_processes_) {
-    const Duration until = MachineNow() + kExitTimeout;
-    while (!simulated_process.process->ExitCode() && MachineNow() < until) {
+    const Duration until = MonotonicNow() + kExitTimeout;
+    while (!simulated_process.process->ExitCode() && MonotonicNow() < until) {
       loop_.RunOnce(kExitPollInterval);
     }
     std::ifstream record_file(simulated_process.record_file);
     for (std::string text; std::getline(record_file, text);) {
-      if (const auto line = ParseHollowLine(text)) {
+      if (const auto line = ParseSimulatedMemberRecord(text)) {
         lines.push_back(*line);
       } else {
         figures.broken.push_back(fmt::format("scale: malformed record: {}", text));
       }
     }
   }
-  // Converts the experiment's time to MachineNow().
-  const Duration zero = MachineNow() - Now();
+  // Converts the experiment's time to MonotonicNow().
+  const Duration zero = MonotonicNow() - Now();
   std::vector<ToldChange> changes;
   Time last_acknowledged_at{0};
   for (const ClusterInvariantChecker::AcknowledgedChange& acknowledged :
--- a/src/lab/cluster_experiment.h
+++ b/src/lab/cluster_experiment.h
@@ -124,7 +124,7 @@
     bool done = false, answer_lost = false;
     std::shared_ptr<Call> call;
     std::unique_ptr<Process> command;  // `paddlestile bank change`, if it submits the change
-    Duration command_started_at{0};    // MachineNow()
+    Duration command_started_at{0};    // MonotonicNow()
   };
   std::deque<Change> changes_;
   // The parts of a version that differ between changes.
@@ -158,7 +158,7 @@
   std::shared_ptr<Call> status_call_;
   std::vector<std::shared_ptr<Call>> measurement_calls_;
   bool all_connected_ = false, stalls_ = false;
-  Duration started_at_{0}, faults_began_at_{0}, ended_at_{0};  // MachineNow()
+  Duration started_at_{0}, faults_began_at_{0}, ended_at_{0};  // MonotonicNow()
   Sample idle_begin_, idle_end_, changes_begin_, changes_end_, run_end_;
   ScaleFigures figures_;
   std::vector<Time> last_receipt_;  // by gateway
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -10,22 +10,22 @@
 
 namespace paddlestile::lab {
 namespace {
-constexpr Duration kPace{50'000};      // us; between two pieces of a slow link
-constexpr size_t kHeldMost = 4 << 20;  // bytes of one way; then its reader waits
+constexpr Duration kChunkInterval{50'000};   // us; between two chunks on a slow link
+constexpr size_t kMaxUnreadBytes = 4 << 20;  // bytes of one direction; then reading pauses
 }  // namespace
 
-class Relay::Pipe {
+class Relay::Connection {
  public:
-  Pipe(Relay& relay, Socket from, Socket to)
+  Connection(Relay& relay, Socket from, Socket to)
       : relay_(relay),
-        from_(*this, relay, std::move(from), false, relay.there),
-        to_(*this, relay, std::move(to), true, relay.back) {
+        from_(*this, relay, std::move(from), false, relay.forward),
+        to_(*this, relay, std::move(to), true, relay.backward) {
     from_.other = &to_;
     to_.other = &from_;
   }
-  Pipe(const Pipe&) = delete;
-  Pipe& operator=(const Pipe&) = delete;
-  ~Pipe() {
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
+  ~Connection() {
     relay_.loop_.CancelTimer(from_.timer);
     relay_.loop_.CancelTimer(to_.timer);
   }
@@ -33,54 +33,57 @@
     from_.stream.Start();
     to_.stream.Start();
   }
-  void Changed() {
-    from_.Pass();
-    to_.Pass();
+  void ApplySettings() {
+    from_.Forward();
+    to_.Forward();
   }
-  void End() {
-    if (std::exchange(over_, true)) {
+  void Close() {
+    if (std::exchange(closed_, true)) {
       return;
     }
     from_.stream.CloseByReset();
     to_.stream.CloseByReset();
     relay_.loop_.RunDeferred([this, relay = &relay_, alive = std::weak_ptr(relay_.alive_)] {
       if (!alive.expired()) {
-        relay->pipes_.erase(this);
+        relay->connections_.erase(this);
       }
     });
   }
 
  private:
-  // One of the two peers; what it sends goes to the other.
+  // One of the two peers. Its data is forwarded to the other one.
   struct Side final : Stream::Listener {
-    Side(Pipe& of, Relay& relay, Socket socket, bool connecting, RelayWay& its)
-        : pipe(of),
+    Side(Connection& owner, Relay& relay, Socket socket, bool connecting,
+         RelayDirection& side_direction)
+        : connection(owner),
           loop(relay.loop_),
-          way(its),
+          direction(side_direction),
           stream(relay.loop_, std::move(socket), this, connecting) {
-      stream.set_max_unread_bytes(kHeldMost);
+      stream.set_max_unread_bytes(kMaxUnreadBytes);
     }
     void OnData() override {
       std::string bytes(stream.input().view());
       stream.input().Consume(bytes.size());
       if (!bytes.empty()) {
         TamperOutgoing(bytes);
-        std::uniform_real_distribution<double> delay(way.delay_ms.low,
-                                                     std::max(way.delay_ms.low, way.delay_ms.high));
-        const Duration after(static_cast<int64_t>(delay(pipe.relay_.random_) * 1000));
-        last = std::max(last, loop.Now() + after);
-        held.emplace_back(last, std::move(bytes));
+        std::uniform_real_distribution<double> delay_distribution(
+            direction.delay_ms.low, std::max(direction.delay_ms.low, direction.delay_ms.high));
+        const Duration added_delay(
+            static_cast<int64_t>(delay_distribution(connection.relay_.random_) * 1000));
+        last_due = std::max(last_due, loop.Now() + added_delay);
+        pending.emplace_back(last_due, std::move(bytes));
       }
       ended = ended || stream.ended();
-      Pass();
+      Forward();
     }
     void OnError() override {
       ended = true;
-      Pass();
+      Forward();
     }
     void TamperOutgoing(std::string& bytes) {
-      auto& random = pipe.relay_.random_;
-      if (way.noise <= 0 || std::uniform_real_distribution<double>(0, 1)(random) >= way.noise) {
+      auto& random = connection.relay_.random_;
+      if (direction.corrupted_share <= 0 ||
+          std::uniform_real_distribution<double>(0, 1)(random) >= direction.corrupted_share) {
         return;
       }
       switch (random() % 3) {
@@ -97,81 +100,85 @@
           return;
       }
     }
-    // What is due goes on, unless the way is cut.
-    void Pass() {
+    // Forwards the data that is due, unless the direction is cut.
+    void Forward() {
       loop.CancelTimer(timer);
-      while (way.cuts == 0 && !held.empty()) {
-        const Time now = loop.Now(), due = held.front().first;
-        const Time next = way.bytes_per_s > 0 ? std::max(due, paced + kPace) : due;
+      while (direction.cuts == 0 && !pending.empty()) {
+        const Time now = loop.Now(), due = pending.front().first;
+        const Time next =
+            direction.bytes_per_s > 0 ? std::max(due, last_chunk_at + kChunkInterval) : due;
         if (now < next) {
-          timer = loop.RunAfter(next - now, [this] { Pass(); });
+          timer = loop.RunAfter(next - now, [this] { Forward(); });
           return;
         }
-        paced = now;
-        // Taken off first: the peer's end may be noticed within the write, and this run again.
-        std::string bytes = std::move(held.front().second);
-        held.pop_front();
-        const size_t piece = std::max<size_t>(1, way.bytes_per_s / 20);
-        if (way.bytes_per_s > 0 && bytes.size() > piece) {
-          held.emplace_front(due, bytes.substr(piece));
-          bytes.resize(piece);
+        last_chunk_at = now;
+        // Removed first: the write may detect that the peer has closed and call Forward again.
+        std::string bytes = std::move(pending.front().second);
+        pending.pop_front();
+        const size_t chunk_bytes = std::max<size_t>(1, direction.bytes_per_s / 20);
+        if (direction.bytes_per_s > 0 && bytes.size() > chunk_bytes) {
+          pending.emplace_front(due, bytes.substr(chunk_bytes));
+          bytes.resize(chunk_bytes);
         }
         other->stream.Write(std::move(bytes));
       }
-      if (ended && held.empty() && way.cuts == 0) {
-        pipe.End();
+      if (ended && pending.empty() && direction.cuts == 0) {
+        connection.Close();
       }
     }
 
-    Pipe& pipe;
+    Connection& connection;
     EventLoop& loop;
-    RelayWay& way;
+    RelayDirection& direction;
     Stream stream;
     Side* other = nullptr;
-    std::deque<std::pair<Time, std::string>> held;
-    Time last{0}, paced{0};
+    std::deque<std::pair<Time, std::string>> pending;
+    Time last_due{0}, last_chunk_at{0};
     EventLoop::TimerId timer;
     bool ended = false;
   };
 
   Relay& relay_;
   Side from_, to_;
-  bool over_ = false;
+  bool closed_ = false;
 };
 
-Relay::Relay(EventLoop& loop, const Address& listen, const Address& to, uint64_t seed)
-    : loop_(loop), to_(to), random_(seed), listener_(loop, listen, [this](FileDescriptor fd) {
+Relay::Relay(EventLoop& loop, const Address& listen, const Address& target, uint64_t seed)
+    : loop_(loop),
+      target_(target),
+      random_(seed),
+      listener_(loop, listen, [this](FileDescriptor fd) {
         bool refused = false;
-        auto onward = Connect(to_, nullptr, refused);
-        if (!onward) {
+        auto upstream_socket = Connect(target_, nullptr, refused);
+        if (!upstream_socket) {
           return;
         }
-        auto pipe =
-            std::make_unique<Pipe>(*this, Socket(std::move(fd), nullptr), std::move(*onward));
-        Pipe* const at = pipe.get();
-        pipes_[at] = std::move(pipe);
-        at->Start();
+        auto connection = std::make_unique<Connection>(*this, Socket(std::move(fd), nullptr),
+                                                       std::move(*upstream_socket));
+        Connection* const key = connection.get();
+        connections_[key] = std::move(connection);
+        key->Start();
       }) {}
 
 Relay::~Relay() = default;
 
-void Relay::Changed() {
-  std::vector<Pipe*> all;
-  for (const auto& [at, pipe] : pipes_) {
-    all.push_back(at);
+void Relay::ApplySettings() {
+  std::vector<Connection*> open_connections;
+  for (const auto& [key, connection] : connections_) {
+    open_connections.push_back(key);
   }
-  for (Pipe* const pipe : all) {
-    pipe->Changed();
+  for (Connection* const connection : open_connections) {
+    connection->ApplySettings();
   }
 }
 
 void Relay::Reset() {
-  std::vector<Pipe*> all;
-  for (const auto& [at, pipe] : pipes_) {
-    all.push_back(at);
+  std::vector<Connection*> open_connections;
+  for (const auto& [key, connection] : connections_) {
+    open_connections.push_back(key);
   }
-  for (Pipe* const pipe : all) {
-    pipe->End();
+  for (Connection* const connection : open_connections) {
+    connection->Close();
   }
 }
 
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -1,5 +1,6 @@
-// A link among gateways that can be cut, slowed and spoilt, one way or both. What is cut off is
-// held back, as a network does that sends again, and comes once the cut is over.
+// A relay of TCP connections between gateways that can be cut, slowed and made to corrupt data, in
+// one direction or both. Data sent during a cut is held and delivered afterwards, as TCP
+// retransmission would.
 #ifndef PADDLESTILE_LAB_RELAY_H_
 #define PADDLESTILE_LAB_RELAY_H_
 
@@ -16,32 +17,32 @@
 
 namespace paddlestile::lab {
 
-struct RelayWay {
-  int cuts = 0;  // how many faults cut it
+struct RelayDirection {
+  int cuts = 0;  // number of faults that cut it at present
   UniformRange delay_ms{0, 0};
-  size_t bytes_per_s = 0;  // 0: as fast as it goes
-  double noise = 0;        // share of the pieces that are spoilt
+  size_t bytes_per_s = 0;      // 0: unlimited
+  double corrupted_share = 0;  // share of the received chunks that are corrupted
 };
 
 class Relay {
  public:
-  // Listens at once; throws std::system_error.
-  Relay(EventLoop& loop, const Address& listen, const Address& to, uint64_t seed);
+  // Listens on `listen` at once and forwards each connection to `target`. Throws std::system_error.
+  Relay(EventLoop& loop, const Address& listen, const Address& target, uint64_t seed);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // From the one that dials, and to it. Changed() after a change of either.
-  RelayWay there, back;
-  void Changed();
-  void Reset();  // ends all connections with resets
+  // The directions from and to the side that connects. Call ApplySettings() after a change.
+  RelayDirection forward, backward;
+  void ApplySettings();
+  void Reset();  // closes all connections with a reset
 
  private:
-  class Pipe;
+  class Connection;
   EventLoop& loop_;
-  Address to_;
+  Address target_;
   std::mt19937_64 random_;
-  std::map<Pipe*, std::unique_ptr<Pipe>> pipes_;
+  std::map<Connection*, std::unique_ptr<Connection>> connections_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Listener listener_;
 };
--- a/src/lab/scale_figures.cpp
+++ b/src/lab/scale_figures.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr size_t kBrokenMost = 10;
-using What = HollowLine::What;
+using What = SimulatedMemberRecord::State;
 
 double Ms(Duration d) {
   return static_cast<double>(d.count()) / 1000;
@@ -23,8 +23,8 @@
   return of[static_cast<size_t>(part * static_cast<double>(of.size() - 1))];
 }
 
-bool Acts(const HollowLine& line, uint64_t version) {
-  return line.what == What::kAgreed && line.on >= version;
+bool Acts(const SimulatedMemberRecord& line, uint64_t version) {
+  return line.state == What::kAgreed && line.version_in_force >= version;
 }
 
 }  // namespace
@@ -35,16 +35,16 @@
 // the first member acted on a version or a later one. `broken` takes a line for each time past the
 // bound of `terms`.
 template <typename Broken>
-void JudgeContradictions(size_t m, const std::vector<HollowLine>& of,
+void JudgeContradictions(size_t m, const std::vector<SimulatedMemberRecord>& of,
                          const std::map<uint64_t, Duration>& first, const HollowTerms& terms,
                          ScaleFigures& figures, const Broken& broken) {
   const bool stalled = m >= terms.stalled_from && m < terms.stalled_to;
   for (size_t i = 0; i < of.size(); ++i) {
-    if (of[i].what != What::kAgreed) {
+    if (of[i].state != What::kAgreed) {
       continue;
     }
     const Duration until = i + 1 < of.size() ? of[i + 1].at : terms.end;
-    const auto later = first.upper_bound(of[i].on);
+    const auto later = first.upper_bound(of[i].version_in_force);
     if (later == first.end() || until <= later->second) {
       continue;
     }
@@ -54,31 +54,31 @@
     figures.contradiction_ms_most = std::max(figures.contradiction_ms_most, Ms(both - excused));
     if (both > terms.bound + excused) {
       broken(fmt::format("contradiction: {} acted on version {} for {:.0f} ms beside {}",
-                         HollowName(m), of[i].on, Ms(both), later->first));
+                         SimulatedMemberName(m), of[i].version_in_force, Ms(both), later->first));
     }
   }
 }
 
 }  // namespace
 
-void JudgeHollow(std::vector<HollowLine> lines, const std::vector<ToldChange>& changes,
+void JudgeHollow(std::vector<SimulatedMemberRecord> lines, const std::vector<ToldChange>& changes,
                  const HollowTerms& terms, ScaleFigures& figures) {
   const auto breaks = [&](std::string what) {
     if (figures.broken.size() < kBrokenMost) {
       figures.broken.push_back("scale: " + std::move(what));
     }
   };
-  std::ranges::stable_sort(lines, {}, &HollowLine::at);
-  std::vector<std::vector<HollowLine>> by_member(terms.hollow);
+  std::ranges::stable_sort(lines, {}, &SimulatedMemberRecord::at);
+  std::vector<std::vector<SimulatedMemberRecord>> by_member(terms.hollow);
   std::map<uint64_t, Duration> first;  // when the first acted on a version or a later one
-  for (const HollowLine& line : lines) {
+  for (const SimulatedMemberRecord& line : lines) {
     if (line.member >= terms.hollow) {
       breaks(fmt::format("a line of member {}, expected one below {}", line.member, terms.hollow));
       continue;
     }
     by_member[line.member].push_back(line);
-    if (line.what == What::kAgreed) {
-      first.emplace(line.on, line.at);
+    if (line.state == What::kAgreed) {
+      first.emplace(line.version_in_force, line.at);
     }
   }
   uint64_t last = 0;
@@ -88,20 +88,21 @@
 
   std::vector<double> in_force;
   for (size_t m = 0; m < terms.hollow; ++m) {
-    const std::vector<HollowLine>& of = by_member[m];
-    if (of.empty() || of.back().what == What::kDown) {
-      breaks(fmt::format("level: {} is not there at the end", HollowName(m)));
+    const std::vector<SimulatedMemberRecord>& of = by_member[m];
+    if (of.empty() || of.back().state == What::kDown) {
+      breaks(fmt::format("level: {} is not there at the end", SimulatedMemberName(m)));
       continue;
     }
-    if (Acts(of.back(), last) && of.back().on == last) {
+    if (Acts(of.back(), last) && of.back().version_in_force == last) {
       ++figures.members_in_force;
     } else {
-      breaks(fmt::format("level: {} is at version {} of {} at the end", HollowName(m), of.back().on,
-                         last));
+      breaks(fmt::format("level: {} is at version {} of {} at the end", SimulatedMemberName(m),
+                         of.back().version_in_force, last));
     }
     for (const ToldChange& c : changes) {
-      const auto from = std::ranges::find_if(
-          of, [&](const HollowLine& l) { return l.at >= c.submitted && Acts(l, c.version); });
+      const auto from = std::ranges::find_if(of, [&](const SimulatedMemberRecord& l) {
+        return l.at >= c.submitted && Acts(l, c.version);
+      });
       if (from == of.end()) {
         continue;  // told above, where it stays so
       }
@@ -115,7 +116,7 @@
       // One that was down meanwhile had as long as it was up.
       Duration since = c.submitted;
       for (auto l = of.begin(); l != from; ++l) {
-        if (l->what == What::kUp) {
+        if (l->state == What::kUp) {
           since = std::max(since, l->at);
         }
       }
@@ -124,7 +125,7 @@
     }
     // Those that came back, until they were level with what had been told by then.
     for (auto up = of.begin(); up != of.end(); ++up) {
-      if (up->what != What::kUp || up == of.begin()) {
+      if (up->state != What::kUp || up == of.begin()) {
         continue;
       }
       ++figures.returned;
@@ -135,7 +136,7 @@
         }
       }
       const auto level =
-          std::find_if(up, of.end(), [&](const HollowLine& l) { return Acts(l, told); });
+          std::find_if(up, of.end(), [&](const SimulatedMemberRecord& l) { return Acts(l, told); });
       if (level != of.end()) {
         figures.level_ms_most = std::max(figures.level_ms_most, Ms(level->at - up->at));
       }
--- a/src/lab/scale_figures.h
+++ b/src/lab/scale_figures.h
@@ -71,7 +71,7 @@
 // Works out what the lines say, into `figures`: who acted on what when, who came back and was level
 // when, and who acted on a version for longer than the bound after another acted on a later one.
 // `lines` in any order.
-void JudgeHollow(std::vector<HollowLine> lines, const std::vector<ToldChange>& changes,
+void JudgeHollow(std::vector<SimulatedMemberRecord> lines, const std::vector<ToldChange>& changes,
                  const HollowTerms& terms, ScaleFigures& figures);
 
 }  // namespace paddlestile::lab
--- a/src/lab/simulated_member.cpp
+++ b/src/lab/simulated_member.cpp
@@ -38,95 +38,98 @@
 using cluster::MemberOutput;
 using nlohmann::json;
 
-constexpr std::array<std::string_view, 5> kWhats = {"agreed", "between", "alone", "down", "up"};
-constexpr Duration kFlushEvery{100'000};  // us
-constexpr Duration kWithin{1'000'000};    // us; in which those drawn go down
-constexpr Duration kDownFor{1'000'000};   // us; of a restart
-constexpr Duration kCutFor{3'000'000};    // us; past a lease
-constexpr size_t kSocketsOfMember = 64;   // descriptors: its voters, its listener and some spare
+constexpr std::array<std::string_view, 5> kStateNames = {"agreed", "between", "alone", "down",
+                                                         "up"};
+constexpr Duration kFlushInterval{100'000};   // us
+constexpr Duration kFaultWindow{1'000'000};   // us; in which the selected members fail
+constexpr Duration kDowntime{1'000'000};      // us; downtime of a restart
+constexpr Duration kCutDuration{3'000'000};   // us; longer than a lease
+constexpr size_t kDescriptorsPerMember = 64;  // descriptors: voters, listener and a reserve
 
-// The lines of one process.
-class Book {
+// The file of records of one process.
+class RecordFile {
  public:
-  explicit Book(const std::string& path) : file_(std::fopen(path.c_str(), "ae")) {
+  explicit RecordFile(const std::string& path) : file_(std::fopen(path.c_str(), "ae")) {
     if (file_ == nullptr) {
       throw std::system_error(errno, std::generic_category(), path);
     }
   }
-  Book(const Book&) = delete;
-  Book& operator=(const Book&) = delete;
-  ~Book() { std::fclose(file_); }
-  void Add(const HollowLine& line) { std::fputs((ToText(line) + "\n").c_str(), file_); }
+  RecordFile(const RecordFile&) = delete;
+  RecordFile& operator=(const RecordFile&) = delete;
+  ~RecordFile() { std::fclose(file_); }
+  void Add(const SimulatedMemberRecord& record) {
+    std::fputs((ToText(record) + "\n").c_str(), file_);
+  }
   void Flush() { std::fflush(file_); }
 
  private:
   std::FILE* file_;
 };
 
-class HollowMember final : public peer::PeerConnections::Listener {
+class SimulatedMember final : public peer::PeerConnections::Listener {
  public:
-  HollowMember(EventLoop& loop, DescriptorBudget& budget, const ClusterConfig& config,
-               size_t number, uint64_t seed, Book& book)
+  SimulatedMember(EventLoop& loop, DescriptorBudget& budget, const ClusterConfig& config,
+                  size_t number, uint64_t seed, RecordFile& record_file)
       : loop_(loop),
         budget_(budget),
         config_(config),
         number_(number),
-        name_(HollowName(number)),
+        name_(SimulatedMemberName(number)),
         random_(seed ^ number),
-        book_(book) {
+        record_file_(record_file) {
     disk_.incarnation = random_() | 1;
-    Up();
+    Start();
   }
-  HollowMember(const HollowMember&) = delete;
-  HollowMember& operator=(const HollowMember&) = delete;
-  virtual ~HollowMember() { Stop(); }
+  SimulatedMember(const SimulatedMember&) = delete;
+  SimulatedMember& operator=(const SimulatedMember&) = delete;
+  virtual ~SimulatedMember() { Stop(); }
 
-  // As a process that dies, and starts with what its disk held.
-  void Down() {
+  // `Kill` and `Start` act like a killed process that restarts with its persistent state.
+  void Kill() {
     if (!member_) {
       return;
     }
     Stop();
-    Write({.what = HollowLine::What::kDown});
+    WriteRecord({.state = SimulatedMemberRecord::State::kDown});
   }
-  void Up() {
+  void Start() {
     if (member_) {
       return;
     }
     ++disk_.restart_count;
-    durable_ = 0;
-    stance_.reset();
-    wanted_.clear();
+    durable_sequence_ = 0;
+    effective_.reset();
+    wanted_members_.clear();
     ClusterMember::Options options;
     options.name = name_;
     options.timing = config_.timing;
-    for (const auto& [name, seat] : config_.members) {
-      if (seat.votes) {
+    for (const auto& [name, entry] : config_.members) {
+      if (entry.votes) {
         options.initial_voters.insert(name);
       }
     }
-    Write({.what = HollowLine::What::kUp});
+    WriteRecord({.state = SimulatedMemberRecord::State::kUp});
     member_ = std::make_unique<ClusterMember>(std::move(options), disk_, random_(), loop_.Now());
-    Link();
-    Tick();
+    Connect();
+    OnTimer();
   }
-  // As one whose links are cut: it goes on by itself.
-  void Cut(bool cut) {
-    if (!member_ || cut == (links_ == nullptr)) {
+  // Cuts or restores the connections; the member keeps running.
+  void SetCut(bool cut) {
+    if (!member_ || cut == (connections_ == nullptr)) {
       return;
     }
     if (!cut) {
-      Link();
-      wanted_.clear();
-      Wants();
+      Connect();
+      wanted_members_.clear();
+      UpdateWantedMembers();
       return;
     }
-    links_.reset();
-    const std::set<std::string> linked = std::move(linked_);
-    linked_.clear();
-    for (const std::string& name : linked) {
-      Run([&](ClusterMember& m, Time now, MemberOutput& out) {
-        m.OnPeerDisconnected(now, name, out);
+    connections_.reset();
+    const std::set<std::string> connected = std::move(connected_);
+    connected_.clear();
+    for (const std::string& name : connected) {
+      Run([&](ClusterMember& member, Time now, MemberOutput& out) {
+        member.OnPeerDisconnected(now, name, out);
       });
     }
   }
@@ -134,12 +137,12 @@
  private:
   void Stop() {
     loop_.CancelTimer(timer_);
-    loop_.CancelTimer(act_timer_);
-    links_.reset();
-    linked_.clear();
+    loop_.CancelTimer(config_timer_);
+    connections_.reset();
+    connected_.clear();
     member_.reset();
   }
-  void Link() {
+  void Connect() {
     peer::PeerConnectionOptions options;
     options.cluster_name = config_.cluster_name;
     options.name = name_;
@@ -147,28 +150,31 @@
     options.restart_count = disk_.restart_count;
     options.seed = random_();
     options.listen = config_.members.at(name_).address;
-    for (const auto& [name, seat] : config_.members) {
-      if (seat.votes || name == name_) {
-        options.members[name] = seat.dial_address;
+    for (const auto& [name, entry] : config_.members) {
+      if (entry.votes || name == name_) {
+        options.members[name] = entry.dial_address;
       }
     }
-    links_ = std::make_unique<peer::PeerConnections>(loop_, budget_, std::move(options), this);
+    connections_ =
+        std::make_unique<peer::PeerConnections>(loop_, budget_, std::move(options), this);
   }
 
   json ClaimKnownOf(const std::string& name) override {
     return raft::ToJson(member_->raft_node().ClaimKnownOf(name));
   }
-  void OnConnected(const std::string& name, uint64_t life, const json& known) override {
-    linked_.insert(name);
-    const raft::StorageClaim claim = raft::ParseStorageClaim(known).value_or(raft::StorageClaim{});
-    Run([&](ClusterMember& m, Time now, MemberOutput& out) {
-      m.OnPeerConnected(now, name, life, claim, out);
+  void OnConnected(const std::string& name, uint64_t incarnation,
+                   const json& claim_value) override {
+    connected_.insert(name);
+    const raft::StorageClaim claim =
+        raft::ParseStorageClaim(claim_value).value_or(raft::StorageClaim{});
+    Run([&](ClusterMember& member, Time now, MemberOutput& out) {
+      member.OnPeerConnected(now, name, incarnation, claim, out);
     });
   }
   void OnDisconnected(const std::string& name) override {
-    linked_.erase(name);
-    Run([&](ClusterMember& m, Time now, MemberOutput& out) {
-      m.OnPeerDisconnected(now, name, out);
+    connected_.erase(name);
+    Run([&](ClusterMember& member, Time now, MemberOutput& out) {
+      member.OnPeerDisconnected(now, name, out);
     });
   }
   void OnFrame(const std::string& name, const json& value) override {
@@ -180,98 +186,104 @@
       if (!message || message->from != name) {
         return;
       }
-      Run([&](ClusterMember& m, Time now, MemberOutput& out) { m.OnMessage(now, *message, out); });
+      Run([&](ClusterMember& member, Time now, MemberOutput& out) {
+        member.OnMessage(now, *message, out);
+      });
     }
   }
   void OnCall(uint64_t call, const json&) override {
-    links_->Reply(call, {{"error", "a hollow member takes no calls"}});
+    connections_->Reply(call, {{"error", "a hollow member takes no calls"}});
   }
 
-  template <typename What>
-  void Run(What&& what) {
+  template <typename Action>
+  void Run(Action&& action) {
     if (!member_) {
       return;
     }
     MemberOutput out;
-    what(*member_, loop_.Now(), out);
-    uint64_t durable = durable_;
+    action(*member_, loop_.Now(), out);
+    uint64_t durable = durable_sequence_;
     for (const raft::StorageWrite& write : out.writes) {
       raft::ApplyStorageWrite(disk_, write);
       durable = std::max(durable, write.sequence_number);
     }
-    if (links_) {
-      for (const raft::OutgoingMessage& o : out.messages) {
-        links_->Send(o.message.to, {{"m", raft::ToJson(o.message)}});
+    if (connections_) {
+      for (const raft::OutgoingMessage& outgoing : out.messages) {
+        connections_->Send(outgoing.message.to, {{"m", raft::ToJson(outgoing.message)}});
       }
     }
-    if (out.storage_rolled_back || (!out.needs_resync.empty() && !std::exchange(anew_, true))) {
-      // Another life under this name, as a member does whose disk has gone back.
+    if (out.storage_rolled_back ||
+        (!out.needs_resync.empty() && !std::exchange(restarted_empty_, true))) {
+      // Restarts with an empty state and a new incarnation, as a member with a rolled-back disk
+      // does.
       loop_.RunDeferred([this, alive = std::weak_ptr(alive_)] {
         if (alive.expired()) {
           return;
         }
-        Down();
+        Kill();
         disk_ = {};
         disk_.incarnation = random_() | 1;
-        Up();
+        Start();
       });
     }
-    if (durable > durable_) {
-      durable_ = durable;
-      Durable();
+    if (durable > durable_sequence_) {
+      durable_sequence_ = durable;
+      NotifyDurable();
     }
-    Wants();
-    Act();
+    UpdateWantedMembers();
+    RecordEffectiveConfig();
     loop_.CancelTimer(timer_);
     const Time due = member_->NextTimeout();
     if (due == Time::max()) {
       return;
     }
-    timer_ = loop_.RunAfter(std::max(Duration(0), due - loop_.Now()), [this] { Tick(); });
+    timer_ = loop_.RunAfter(std::max(Duration(0), due - loop_.Now()), [this] { OnTimer(); });
   }
-  // Not within Run: each of its kinds would make another one.
-  void Durable() {
-    Run([this](ClusterMember& m, Time now, MemberOutput& out) { m.OnDurable(now, durable_, out); });
+  // A function of its own: a lambda within the template Run would instantiate Run without end.
+  void NotifyDurable() {
+    Run([this](ClusterMember& member, Time now, MemberOutput& out) {
+      member.OnDurable(now, durable_sequence_, out);
+    });
   }
-  void Tick() {
-    Run([](ClusterMember& m, Time now, MemberOutput& out) { m.OnTimeout(now, out); });
+  void OnTimer() {
+    Run([](ClusterMember& member, Time now, MemberOutput& out) { member.OnTimeout(now, out); });
   }
-  void Wants() {
-    std::set<std::string> wanted;
-    for (const auto& [name, seat] : config_.members) {
-      if (seat.votes) {
-        wanted.insert(name);
+  void UpdateWantedMembers() {
+    std::set<std::string> wanted_members;
+    for (const auto& [name, entry] : config_.members) {
+      if (entry.votes) {
+        wanted_members.insert(name);
       }
     }
-    if (!links_ || wanted == wanted_) {
+    if (!connections_ || wanted_members == wanted_members_) {
       return;
     }
-    wanted_ = wanted;
-    links_->SetWantedMembers(std::move(wanted));
+    wanted_members_ = wanted_members;
+    connections_->SetWantedMembers(std::move(wanted_members));
   }
-  // What it acts on, written down as it changes over.
-  void Act() {
-    const EffectiveConfig stance = member_->CurrentConfig(loop_.Now());
-    if (stance.kind != EffectiveConfig::Kind::kIsolated) {
-      loop_.CancelTimer(act_timer_);
-      act_timer_ = loop_.RunAfter(std::max(Duration(0), stance.valid_until - loop_.Now()),
-                                  [this] { Act(); });
+  // Records what the member acts on, whenever that changes.
+  void RecordEffectiveConfig() {
+    const EffectiveConfig effective = member_->CurrentConfig(loop_.Now());
+    if (effective.kind != EffectiveConfig::Kind::kIsolated) {
+      loop_.CancelTimer(config_timer_);
+      config_timer_ = loop_.RunAfter(std::max(Duration(0), effective.valid_until - loop_.Now()),
+                                     [this] { RecordEffectiveConfig(); });
     }
-    const bool same = stance_ && stance_->kind == stance.kind &&
-                      stance_->version_in_force == stance.version_in_force &&
-                      stance_->latest_version == stance.latest_version;
-    stance_ = stance;
-    if (same) {
+    const bool unchanged = effective_ && effective_->kind == effective.kind &&
+                           effective_->version_in_force == effective.version_in_force &&
+                           effective_->latest_version == effective.latest_version;
+    effective_ = effective;
+    if (unchanged) {
       return;
     }
-    Write({.what = static_cast<HollowLine::What>(stance.kind),
-           .on = stance.version_in_force,
-           .latest = stance.latest_version});
+    WriteRecord({.state = static_cast<SimulatedMemberRecord::State>(effective.kind),
+                 .version_in_force = effective.version_in_force,
+                 .latest_version = effective.latest_version});
   }
-  void Write(HollowLine line) {
-    line.at = MachineNow();
-    line.member = number_;
-    book_.Add(line);
+  void WriteRecord(SimulatedMemberRecord record) {
+    record.at = MonotonicNow();
+    record.member = number_;
+    record_file_.Add(record);
   }
 
   EventLoop& loop_;
@@ -280,30 +292,30 @@
   size_t number_;
   std::string name_;
   std::mt19937_64 random_;
-  Book& book_;
+  RecordFile& record_file_;
   raft::PersistentState disk_;
   std::unique_ptr<ClusterMember> member_;
-  std::unique_ptr<peer::PeerConnections> links_;
-  std::set<std::string> wanted_, linked_;
-  uint64_t durable_ = 0;
-  bool anew_ = false;  // it has begun anew for other content, once
-  std::optional<EffectiveConfig> stance_;
-  EventLoop::TimerId timer_, act_timer_;
+  std::unique_ptr<peer::PeerConnections> connections_;
+  std::set<std::string> wanted_members_, connected_;
+  uint64_t durable_sequence_ = 0;
+  bool restarted_empty_ = false;  // it has restarted once because its content differed
+  std::optional<EffectiveConfig> effective_;
+  EventLoop::TimerId timer_, config_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
-static_assert(static_cast<int>(HollowLine::What::kAgreed) ==
+static_assert(static_cast<int>(SimulatedMemberRecord::State::kAgreed) ==
               static_cast<int>(EffectiveConfig::Kind::kAgreed));
-static_assert(static_cast<int>(HollowLine::What::kAlone) ==
+static_assert(static_cast<int>(SimulatedMemberRecord::State::kIsolated) ==
               static_cast<int>(EffectiveConfig::Kind::kIsolated));
 
-class HollowProcess final : public EventLoop::Handler {
+class SimulatedMemberProcess final : public EventLoop::Handler {
  public:
-  explicit HollowProcess(const HollowOptions& options)
+  explicit SimulatedMemberProcess(const HollowOptions& options)
       : options_(options),
-        config_(ReadClusterConfig(options.operator_file, HollowName(options.first))),
-        budget_(options.count * kSocketsOfMember),
+        config_(ReadClusterConfig(options.operator_file, SimulatedMemberName(options.first))),
+        budget_(options.count * kDescriptorsPerMember),
         random_(options.seed ^ 0x4011),
-        book_(options.book) {
+        record_file_(options.book) {
     sigset_t set;
     sigemptyset(&set);
     for (const int signal : {SIGTERM, SIGINT, SIGUSR1}) {
@@ -315,14 +327,14 @@
       throw std::runtime_error("cannot watch for signals");
     }
     for (size_t i = 0; i < options_.count; ++i) {
-      members_.push_back(std::make_unique<HollowMember>(loop_, budget_, config_, options_.first + i,
-                                                        options_.seed, book_));
+      members_.push_back(std::make_unique<SimulatedMember>(
+          loop_, budget_, config_, options_.first + i, options_.seed, record_file_));
     }
     Flush();
   }
-  HollowProcess(const HollowProcess&) = delete;
-  HollowProcess& operator=(const HollowProcess&) = delete;
-  virtual ~HollowProcess() { loop_.Unwatch(signals_.get(), token_); }
+  SimulatedMemberProcess(const SimulatedMemberProcess&) = delete;
+  SimulatedMemberProcess& operator=(const SimulatedMemberProcess&) = delete;
+  virtual ~SimulatedMemberProcess() { loop_.Unwatch(signals_.get(), token_); }
   int Run() {
     loop_.Run();
     return 0;
@@ -333,32 +345,32 @@
     signalfd_siginfo info{};
     while (read(signals_.get(), &info, sizeof(info)) == static_cast<ssize_t>(sizeof(info))) {
       if (info.ssi_signo == SIGUSR1) {
-        Play();
+        InjectFaults();
       } else {
         loop_.Stop();
       }
     }
   }
   void Flush() {
-    book_.Flush();
-    loop_.RunAfter(kFlushEvery, [this] { Flush(); });
+    record_file_.Flush();
+    loop_.RunAfter(kFlushInterval, [this] { Flush(); });
   }
-  // Some of them restart, others are cut off, within a second.
-  void Play() {
-    std::vector<size_t> drawn(members_.size());
-    std::iota(drawn.begin(), drawn.end(), size_t{0});
-    std::ranges::shuffle(drawn, random_);
-    drawn.resize(std::min(drawn.size(), options_.restarts + options_.cuts));
-    std::uniform_int_distribution<int64_t> when(0, kWithin.count());
-    for (size_t i = 0; i < drawn.size(); ++i) {
-      HollowMember* const member = members_[drawn[i]].get();
-      const Duration at(when(random_));
+  // Restarts some of the members and cuts others off, within a second.
+  void InjectFaults() {
+    std::vector<size_t> selected(members_.size());
+    std::iota(selected.begin(), selected.end(), size_t{0});
+    std::ranges::shuffle(selected, random_);
+    selected.resize(std::min(selected.size(), options_.restarts + options_.cuts));
+    std::uniform_int_distribution<int64_t> delay(0, kFaultWindow.count());
+    for (size_t i = 0; i < selected.size(); ++i) {
+      SimulatedMember* const member = members_[selected[i]].get();
+      const Duration fail_at(delay(random_));
       if (i < options_.restarts) {
-        loop_.RunAfter(at, [member] { member->Down(); });
-        loop_.RunAfter(at + kDownFor, [member] { member->Up(); });
+        loop_.RunAfter(fail_at, [member] { member->Kill(); });
+        loop_.RunAfter(fail_at + kDowntime, [member] { member->Start(); });
       } else {
-        loop_.RunAfter(at, [member] { member->Cut(true); });
-        loop_.RunAfter(at + kCutFor, [member] { member->Cut(false); });
+        loop_.RunAfter(fail_at, [member] { member->SetCut(true); });
+        loop_.RunAfter(fail_at + kCutDuration, [member] { member->SetCut(false); });
       }
     }
   }
@@ -368,42 +380,44 @@
   EventLoop loop_;
   DescriptorBudget budget_;
   std::mt19937_64 random_;
-  Book book_;
+  RecordFile record_file_;
   FileDescriptor signals_;
   uint64_t token_ = 0;
-  std::vector<std::unique_ptr<HollowMember>> members_;
+  std::vector<std::unique_ptr<SimulatedMember>> members_;
 };
 
 }  // namespace
 
-Duration MachineNow() {
+Duration MonotonicNow() {
   return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-std::string HollowName(size_t number) {
-  return fmt::format("{}{:05}", kHollowPrefix, number);
+std::string SimulatedMemberName(size_t number) {
+  return fmt::format("{}{:05}", kSimulatedMemberPrefix, number);
 }
 
-std::string ToText(const HollowLine& line) {
-  return fmt::format("{} {} {} {} {}", line.at.count(), line.member,
-                     kWhats[static_cast<size_t>(line.what)], line.on, line.latest);
+std::string ToText(const SimulatedMemberRecord& record) {
+  return fmt::format("{} {} {} {} {}", record.at.count(), record.member,
+                     kStateNames[static_cast<size_t>(record.state)], record.version_in_force,
+                     record.latest_version);
 }
 
-std::optional<HollowLine> ParseHollowLine(std::string_view text) {
+std::optional<SimulatedMemberRecord> ParseSimulatedMemberRecord(std::string_view text) {
   std::istringstream in{std::string(text)};
-  HollowLine line;
+  SimulatedMemberRecord record;
   int64_t at = 0;
-  std::string what, more;
-  if (!(in >> at >> line.member >> what >> line.on >> line.latest) || in >> more) {
+  std::string state, rest;
+  if (!(in >> at >> record.member >> state >> record.version_in_force >> record.latest_version) ||
+      in >> rest) {
     return std::nullopt;
   }
-  const auto* const place = std::ranges::find(kWhats, what);
-  if (place == kWhats.end()) {
+  const auto* const name = std::ranges::find(kStateNames, state);
+  if (name == kStateNames.end()) {
     return std::nullopt;
   }
-  line.at = Duration(at);
-  line.what = static_cast<HollowLine::What>(place - kWhats.begin());
-  return line;
+  record.at = Duration(at);
+  record.state = static_cast<SimulatedMemberRecord::State>(name - kStateNames.begin());
+  return record;
 }
 
 int RunHollow(const HollowOptions& options) {
@@ -413,9 +427,9 @@
     setrlimit(RLIMIT_NOFILE, &files);
   }
   std::signal(SIGPIPE, SIG_IGN);
-  // One line a link of each member would be most of what it does.
+  // Info lines about each connection of each member would dominate the load of this process.
   SetLogLevel(LogLevel::kWarning);
-  return HollowProcess(options).Run();
+  return SimulatedMemberProcess(options).Run();
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/simulated_member.h
+++ b/src/lab/simulated_member.h
@@ -1,6 +1,7 @@
-// Hollow members of a bank: many share a process. Each is the program's own `bank::Member` on the
-// program's own links, with a name, a life and an address of its own, and without clients, hosts,
-// module or disk: what it would write is held in memory. It follows and never votes.
+// Simulated cluster members, many of them in one process. Each runs the program's own
+// `cluster::ClusterMember` on the program's own peer connections, with a name, an incarnation and
+// an address of its own, but without clients, hosts, a module or a disk: its persistent state is
+// held in memory. They are followers and never vote.
 #ifndef PADDLESTILE_LAB_SIMULATED_MEMBER_H_
 #define PADDLESTILE_LAB_SIMULATED_MEMBER_H_
 
@@ -14,38 +15,40 @@
 
 namespace paddlestile::lab {
 
-// What a hollow process has written down of one of its members, a line each: when, by the
-// machine's monotonic clock, which all processes share; who; what it acts on from now on.
-struct HollowLine {
-  enum class What : uint8_t {
+// A state change of a simulated member, written as one line to the file of its process: the time by
+// the machine's monotonic clock, which all processes share, the member, and what it acts on from
+// then on.
+struct SimulatedMemberRecord {
+  enum class State : uint8_t {
     kAgreed,
     kBetween,
-    kAlone,
+    kIsolated,
     kDown,
     kUp
   };
-  Duration at{0};  // us, of std::chrono::steady_clock
+  Duration at{0};  // us; std::chrono::steady_clock
   size_t member = 0;
-  What what = What::kAlone;
-  uint64_t on = 0, latest = 0;
+  State state = State::kIsolated;
+  uint64_t version_in_force = 0, latest_version = 0;
 };
-std::string ToText(const HollowLine& line);
-std::optional<HollowLine> ParseHollowLine(std::string_view text);
+std::string ToText(const SimulatedMemberRecord& record);
+std::optional<SimulatedMemberRecord> ParseSimulatedMemberRecord(std::string_view text);
 
-// Now, by the clock of those lines.
-Duration MachineNow();
+// The present time by the clock of the records.
+Duration MonotonicNow();
 
 struct HollowOptions {
-  std::string operator_file;  // whose members are hollow where their names begin with kHollowPrefix
-  size_t first = 0, count = 0;    // of the hollow ones, those that this process has
-  std::string book;               // the file of its lines
-  uint64_t seed = 1;              // draws who is restarted and who is cut off
-  size_t restarts = 0, cuts = 0;  // at SIGUSR1: so many, within a second
+  std::string operator_file;  // members whose names begin with kSimulatedMemberPrefix are simulated
+  size_t first = 0, count = 0;    // range of the simulated members that this process runs
+  std::string book;               // path of the file of records
+  uint64_t seed = 1;              // selects the members to restart and to cut off
+  size_t restarts = 0, cuts = 0;  // numbers of members, on SIGUSR1, within a second
 };
-inline constexpr std::string_view kHollowPrefix = "h";
-std::string HollowName(size_t number);
+inline constexpr std::string_view kSimulatedMemberPrefix = "h";
+std::string SimulatedMemberName(size_t number);
 
-// Runs until SIGTERM; an exit code. Throws net::ConfigError or std::system_error.
+// Runs the members until SIGTERM and returns an exit code. Throws net::ConfigError or
+// std::system_error.
 int RunHollow(const HollowOptions& options);
 
 }  // namespace paddlestile::lab
--- a/tests/lab/scale_test.cpp
+++ b/tests/lab/scale_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using nlohmann::json;
-using What = HollowLine::What;
+using What = SimulatedMemberRecord::State;
 
 Duration Ms(int64_t ms) {
   return Duration(ms * 1000);
@@ -31,7 +31,7 @@
 // ---- The judge ----------------------------------------------------------------------------------
 
 struct HollowJudge : ::testing::Test {
-  std::vector<HollowLine> lines;
+  std::vector<SimulatedMemberRecord> lines;
   std::vector<ToldChange> changes;
   HollowTerms terms{.hollow = 1,
                     .faults = Ms(50'000),
@@ -146,13 +146,13 @@
 }
 
 TEST(HollowLines, AreReadAsTheyAreWritten) {
-  const HollowLine line{Ms(12), 7, What::kBetween, 3, 4};
-  const auto read = ParseHollowLine(ToText(line));
+  const SimulatedMemberRecord line{Ms(12), 7, What::kBetween, 3, 4};
+  const auto read = ParseSimulatedMemberRecord(ToText(line));
   ASSERT_TRUE(read);
   EXPECT_EQ(ToText(*read), ToText(line));
   for (const char* const bad :
        {"", "1 2 agreed 3", "1 2 nothing 3 4", "x 2 agreed 3 4", "1 2 agreed 3 4 5"}) {
-    EXPECT_FALSE(ParseHollowLine(bad)) << bad;
+    EXPECT_FALSE(ParseSimulatedMemberRecord(bad)) << bad;
   }
 }
 
