--- a/src/lab/cluster_simulation.cpp
+++ b/src/lab/cluster_simulation.cpp
@@ -32,9 +32,9 @@
 using raft::PersistentState;
 
 constexpr Duration kMillisecond{1000};
-constexpr size_t kMaxFullMeshMembers = 16;          // members
-constexpr uint64_t kMaxMeasuredSchedules = 20'000;  // schedules
-constexpr size_t kMaxListedPerRule = 8;             // broken schedules listed for each rule
+constexpr size_t kMaxFullMeshMembers = 16;
+constexpr uint64_t kMaxMeasuredSchedules = 20'000;
+constexpr size_t kMaxListedPerRule = 8;  // broken schedules listed for each rule
 // A restart with a copy older than this is detected if the members it was connected to live on.
 constexpr Duration kMinOldCopyAge{600'000};  // us
 // The longest time to apply one entry, where entries are applied one at a time.
@@ -43,8 +43,8 @@
 // All members must have converged this long after all faults are repaired.
 constexpr Duration kRecoveryLimit{8'000'000};  // us
 
-double Ms(Duration d) {
-  return static_cast<double>(d.count()) / 1000;
+double Ms(Duration duration) {
+  return static_cast<double>(duration.count()) / 1000;
 }
 
 // What a client sets and removes. Its effect on a version is implemented here a second time,
@@ -58,13 +58,13 @@
 
 json DeltaOf(const ChangeParts& parts) {
   json delta = json::object();
-  const auto hosts = [&](const char* key, const std::map<std::string, bool>& of) {
-    for (const auto& [id, add] : of) {
+  const auto add_hosts = [&](const char* key, const std::map<std::string, bool>& host_changes) {
+    for (const auto& [id, add] : host_changes) {
       delta[key][add ? "add" : "remove"].push_back(id);
     }
   };
-  hosts("barred", parts.barred);
-  hosts("drain", parts.drain);
+  add_hosts("barred", parts.barred);
+  add_hosts("drain", parts.drain);
   for (const auto& [id, zone] : parts.zones) {
     delta["zone_only"][id] = zone ? json(*zone) : json();
   }
@@ -81,13 +81,14 @@
 }
 
 cluster::ConfigDocument ApplyParts(cluster::ConfigDocument document, const ChangeParts& parts) {
-  const auto hosts = [](std::set<std::string>& of, const std::map<std::string, bool>& parts_of) {
-    for (const auto& [id, add] : parts_of) {
-      add ? (void)of.insert(id) : (void)of.erase(id);
+  const auto apply_hosts = [](std::set<std::string>& hosts,
+                              const std::map<std::string, bool>& host_changes) {
+    for (const auto& [id, add] : host_changes) {
+      add ? (void)hosts.insert(id) : (void)hosts.erase(id);
     }
   };
-  hosts(document.excluded, parts.barred);
-  hosts(document.draining, parts.drain);
+  apply_hosts(document.excluded, parts.barred);
+  apply_hosts(document.draining, parts.drain);
   for (const auto& [id, zone] : parts.zones) {
     document.zone_only.erase(id);
     if (zone) {
@@ -98,19 +99,19 @@
     if (!quota && !document.settings.contains("Tenants")) {
       continue;
     }
-    json& list = document.settings["Tenants"];
-    size_t at = 0;
-    while (at < list.size() && list[at]["Name"] != name) {
-      ++at;
+    json& tenants = document.settings["Tenants"];
+    size_t index = 0;
+    while (index < tenants.size() && tenants[index]["Name"] != name) {
+      ++index;
     }
-    if (!quota && at < list.size()) {
-      list.erase(at);
+    if (!quota && index < tenants.size()) {
+      tenants.erase(index);
     }
-    if (quota && at == list.size()) {
-      list.push_back({{"Name", name}});
+    if (quota && index == tenants.size()) {
+      tenants.push_back({{"Name", name}});
     }
     if (quota) {
-      list[at]["QuotaPerS"] = *quota;
+      tenants[index]["QuotaPerS"] = *quota;
     }
   }
   if (parts.cap) {
@@ -129,12 +130,12 @@
  public:
   explicit World(const WorldOptions& options)
       : options_(options), random_(options.seed), client_random_(options.seed ^ 0xde17a) {
-    // In one run of four only some members propose deltas, as during an upgrade or a partial
+    // In one run of four, only some members propose deltas, as during an upgrade or a partial
     // rollout.
     const bool mixed_support = options_.deltas && PickForClient(4) == 0;
     all_propose_deltas_ = options_.deltas && !mixed_support;
     max_tenants_ = PickForClient(8) == 0 ? 100 : 10;
-    // In two runs of five committed entries are applied one at a time, each with a delay.
+    // In two runs of five, committed entries are applied one at a time, each with a delay.
     if (options_.seed % 5 < 2) {
       timing_.max_apply_bytes = 1;
     }
@@ -1257,15 +1258,15 @@
 }
 
 std::string ToText(const WorldsResult& result, const WorldsOptions& options) {
-  const auto quantiles = [](const std::vector<double>& of) -> std::string {
-    if (of.empty()) {
+  const auto quantiles = [](const std::vector<double>& values) -> std::string {
+    if (values.empty()) {
       return "none";
     }
-    const auto at = [&](double q) {
-      return of[static_cast<size_t>(q * static_cast<double>(of.size() - 1))];
+    const auto quantile = [&](double fraction) {
+      return values[static_cast<size_t>(fraction * static_cast<double>(values.size() - 1))];
     };
-    return fmt::format("p50 {:.1f}, p99 {:.1f}, max {:.1f}, count {}", at(0.5), at(0.99), of.back(),
-                       of.size());
+    return fmt::format("p50 {:.1f}, p99 {:.1f}, max {:.1f}, count {}", quantile(0.5),
+                       quantile(0.99), values.back(), values.size());
   };
   std::string text = fmt::format(
       "{} schedules from seed {}: {} broken; {} events, {} of {} changes acknowledged, {} disk "
@@ -1280,17 +1281,17 @@
     text += fmt::format("  broken: {} in {}\n", rule, count);
   }
   for (const auto& [seed, description] : result.first_violations) {
-    std::string mischief = options.world.mischief == Mischief::kNone
-                               ? ""
-                               : fmt::format(" --mischief {}", NameOf(options.world.mischief));
+    std::string extra_options = options.world.mischief == Mischief::kNone
+                                    ? ""
+                                    : fmt::format(" --mischief {}", NameOf(options.world.mischief));
     if (options.world.long_outages) {
-      mischief += fmt::format(" --long-outages --seconds {}", options.world.seconds);
+      extra_options += fmt::format(" --long-outages --seconds {}", options.world.seconds);
     }
     if (options.changes != WorldChanges::kMixed) {
-      mischief += fmt::format(" --changes {}", NameOf(options.changes));
+      extra_options += fmt::format(" --changes {}", NameOf(options.changes));
     }
     text += fmt::format("  {}\n    paddlestile lab world --schedules 1 --trace --seed {}{}\n",
-                        description, seed, mischief);
+                        description, seed, extra_options);
   }
   return text;
 }
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -1,6 +1,6 @@
-// A relay of TCP connections between gateways that can be cut, slowed and made to corrupt data, in
-// one direction or both. Data sent during a cut is held and delivered afterwards, as TCP
-// retransmission would.
+// Relays TCP connections between gateways, and can cut them, slow them down and corrupt their data,
+// in one direction or both. Data sent during a cut is held and delivered afterwards, as by TCP
+// retransmission.
 #ifndef PADDLESTILE_LAB_RELAY_H_
 #define PADDLESTILE_LAB_RELAY_H_
 
--- a/src/lab/simulated_member.cpp
+++ b/src/lab/simulated_member.cpp
@@ -42,9 +42,9 @@
                                                          "up"};
 constexpr Duration kFlushInterval{100'000};   // us
 constexpr Duration kFaultWindow{1'000'000};   // us; in which the selected members fail
-constexpr Duration kDowntime{1'000'000};      // us; downtime of a restart
+constexpr Duration kDowntime{1'000'000};      // us; between kill and restart
 constexpr Duration kCutDuration{3'000'000};   // us; longer than a lease
-constexpr size_t kDescriptorsPerMember = 64;  // descriptors: voters, listener and a reserve
+constexpr size_t kDescriptorsPerMember = 64;  // connections to voters, listener and a reserve
 
 // The file of records of one process.
 class RecordFile {
