--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -34,60 +34,60 @@
 
 using nlohmann::json;
 
-constexpr size_t kOwnPlaces = 2'100'000;       // addresses behind those of the longest list
-constexpr uint64_t kFirstRevision = 1000;      // of the whole list
-constexpr Duration kEmptyEvery{1'500'000};     // us; a line is due every 2 s
-constexpr Duration kReadyWithin{120'000'000};  // us
-constexpr Duration kTakenWithin{60'000'000};   // us
-constexpr Duration kNotTakenFor{6'000'000};    // us; how often it is asked for meanwhile
-constexpr Duration kRereadWithin{60'000'000};  // us
-constexpr Duration kEndWithin{10'000'000};     // us
-constexpr Duration kSettle{500'000};           // us; before and after what is measured
-constexpr Duration kAskCounters{25'000};       // us
-constexpr Duration kProbeEvery{5'000}, kProbeStart{2'000};  // us
-constexpr Duration kLookEvery{50'000};                      // us; at the machine's memory
-constexpr size_t kProbesOut = 32;
-// The lab's own lateness past which a wait says nothing of the gateway.
-constexpr double kLateMostMs = 20;
-constexpr size_t kAddedHosts = 400;  // that answer; each needs a listener
-constexpr double kBend = 10;         // times the lowest rate's
-constexpr double kLeastAddedMs = 0.05;
-
-double Ms(Duration d) {
-  return static_cast<double>(d.count()) / 1000;
+// Index of the first loopback address for gateways and discovery, beyond those of the longest list.
+constexpr size_t kFirstOwnAddress = 2'100'000;
+constexpr uint64_t kFullListRevision = 1000;
+constexpr Duration kKeepAliveInterval{1'500'000};   // us; the gateway expects a line every 2 s
+constexpr Duration kReadyTimeout{120'000'000};      // us
+constexpr Duration kListTimeout{60'000'000};        // us
+constexpr Duration kRejectionWatchTime{6'000'000};  // us; counts the requests for a rejected list
+constexpr Duration kReloadTimeout{60'000'000};      // us
+constexpr Duration kExitTimeout{10'000'000};        // us
+constexpr Duration kSettleTime{500'000};            // us; before and after a measurement
+constexpr Duration kCountersInterval{25'000};       // us
+constexpr Duration kProbeInterval{5'000}, kStartupProbeInterval{2'000};  // us
+constexpr Duration kMemoryCheckInterval{50'000};                         // us
+constexpr size_t kMaxOutstandingProbes = 32;
+// Beyond this delay of the lab itself, response times say nothing about the gateway.
+constexpr double kMaxLabDelayMs = 20;
+constexpr size_t kMaxAnsweringHosts = 400;  // each needs a listener
+constexpr double kSaturationFactor = 10;    // of the added p99 latency at the lowest rate
+constexpr double kMinAddedLatencyMs = 0.05;
+
+double Milliseconds(Duration duration) {
+  return static_cast<double>(duration.count()) / 1000;
 }
-double Seconds(Duration d) {
-  return static_cast<double>(d.count()) / 1e6;
+double Seconds(Duration duration) {
+  return static_cast<double>(duration.count()) / 1e6;
 }
-Duration FromSeconds(double s) {
-  return Duration(static_cast<int64_t>(s * 1e6));
+Duration FromSeconds(double seconds) {
+  return Duration(static_cast<int64_t>(seconds * 1e6));
 }
-double Mb(uint64_t kb) {
+double Megabytes(uint64_t kb) {
   return static_cast<double>(kb) / 1024;
 }
 
-// ---- The list
-// ------------------------------------------------------------------------------------
+// ---- The host list ------------------------------------------------------------------------------
 
 constexpr std::string_view kZones[] = {"a", "b", "c"};
 
-std::string Entry(size_t place, std::string_view phase, uint64_t up_since_ms) {
+std::string MemberJson(size_t index, std::string_view phase, uint64_t up_since_ms) {
   return fmt::format(
       R"({{"id":"host-{:06}","host_port":"{}","locality":"{}","cell":{},"phase":"{}",)"
       R"("size":1.0,"up_since_ms":{}}})",
-      place, ToText(LoopbackAddress(place)), kZones[place % std::size(kZones)], place % 7, phase,
+      index, ToText(LoopbackAddress(index)), kZones[index % std::size(kZones)], index % 7, phase,
       up_since_ms);
 }
 
-uint64_t WallMs() {
+uint64_t WallClockMs() {
   return static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                    std::chrono::system_clock::now().time_since_epoch())
                                    .count());
 }
 
-std::string WholeList(size_t hosts, uint64_t revision) {
+std::string FullListJson(size_t hosts, uint64_t revision) {
   constexpr uint64_t kDayMs = 86'400'000;
-  const uint64_t since = WallMs() - kDayMs;
+  const uint64_t since = WallClockMs() - kDayMs;
   std::string out = fmt::format(R"({{"revision":{},"complete":true,"members":[)", revision);
   constexpr size_t kEntryBytes = 160;
   out.reserve(out.size() + hosts * kEntryBytes);
@@ -95,57 +95,58 @@
     if (i > 0) {
       out += ',';
     }
-    out += Entry(i, "active", since);
+    out += MemberJson(i, "active", since);
   }
   return out + "]}";
 }
 
-// Discovery with one list, told whole on the first watch once it is let, then changes line by line.
-class Source {
+// A discovery server with one list. A watch that doesn't resume at a known revision receives the
+// full list once it is published; then each change is sent as one line.
+class DiscoveryServer {
  public:
-  Source(EventLoop& loop, const Address& at)
-      : loop_(loop), listener_(loop, at, [this](FileDescriptor fd) {
+  DiscoveryServer(EventLoop& loop, const Address& address)
+      : loop_(loop), listener_(loop, address, [this](FileDescriptor fd) {
           connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
-          connections_.back()->place = std::prev(connections_.end());
+          connections_.back()->position = std::prev(connections_.end());
           if (!connections_.back()->Start()) {
             connections_.back()->OnError();
           }
         }) {
-    Beat();
+    ScheduleKeepAlive();
   }
-  Source(const Source&) = delete;
-  Source& operator=(const Source&) = delete;
-  ~Source() { loop_.CancelTimer(beat_); }
+  DiscoveryServer(const DiscoveryServer&) = delete;
+  DiscoveryServer& operator=(const DiscoveryServer&) = delete;
+  ~DiscoveryServer() { loop_.CancelTimer(keep_alive_timer_); }
 
-  // What is told from now on, at once to the watches that are open.
-  void Tell(std::shared_ptr<const std::string> whole) {
-    whole_ = std::move(whole);
+  // Publishes the full list: open watches receive it at once, later ones when they start.
+  void PublishList(std::shared_ptr<const std::string> list) {
+    list_ = std::move(list);
     for (const auto& connection : connections_) {
-      connection->Tell();
+      connection->SendUpdates();
     }
   }
-  void Change(const std::string& entry) {
-    const uint64_t revision = kFirstRevision + changes_.size() + 1;
+  void PublishChange(const std::string& member_json) {
+    const uint64_t revision = kFullListRevision + changes_.size() + 1;
     changes_.push_back(
-        fmt::format(R"({{"revision":{},"complete":false,"members":[{}]}})", revision, entry));
+        fmt::format(R"({{"revision":{},"complete":false,"members":[{}]}})", revision, member_json));
     change_bytes_ += changes_.back().size() + 1;
     for (const auto& connection : connections_) {
-      connection->Tell();
+      connection->SendUpdates();
     }
   }
-  [[nodiscard]] size_t asked_whole() const { return asked_whole_; }
+  [[nodiscard]] size_t full_list_requests() const { return full_list_requests_; }
   [[nodiscard]] size_t changes() const { return changes_.size(); }
   [[nodiscard]] size_t change_bytes() const { return change_bytes_; }
 
  private:
   class Connection final : public Stream::Listener {
    public:
-    Connection(Source& source, FileDescriptor fd)
-        : source_(source), stream_(source.loop_, Socket(std::move(fd), nullptr), this, false) {}
+    Connection(DiscoveryServer& server, FileDescriptor fd)
+        : server_(server), stream_(server.loop_, Socket(std::move(fd), nullptr), this, false) {}
     bool Start() { return stream_.Start(); }
     void OnData() override {
-      if (!watches_ && parser_.Feed(stream_.input()) == ParseProgress::kDone) {
-        Asked();
+      if (!watching_ && parser_.Feed(stream_.input()) == ParseProgress::kDone) {
+        OnRequest();
       }
       if (stream_.ended()) {
         OnError();
@@ -156,143 +157,144 @@
         return;
       }
       stream_.Close();
-      source_.loop_.RunDeferred([kept = *place] {});
-      source_.connections_.erase(place);
+      server_.loop_.RunDeferred([connection = *position] {});
+      server_.connections_.erase(position);
     }
-    void Empty() {
-      if (watches_) {
+    void SendKeepAlive() {
+      if (watching_) {
         stream_.Write("1\r\n\n\r\n");
       }
     }
-    void Tell() {
-      if (!watches_ || !source_.whole_) {
+    void SendUpdates() {
+      if (!watching_ || !server_.list_) {
         return;
       }
-      if (revision_ < kFirstRevision) {
-        revision_ = kFirstRevision;
-        ++source_.asked_whole_;
-        const auto& whole = source_.whole_;
-        stream_.Write(fmt::format("{:x}\r\n", whole->size() + 1), whole, *whole);
+      if (sent_revision_ < kFullListRevision) {
+        sent_revision_ = kFullListRevision;
+        ++server_.full_list_requests_;
+        const auto& list = server_.list_;
+        stream_.Write(fmt::format("{:x}\r\n", list->size() + 1), list, *list);
         stream_.Write("\n\r\n");
       }
-      for (; revision_ - kFirstRevision < source_.changes_.size(); ++revision_) {
-        const std::string& line = source_.changes_[revision_ - kFirstRevision];
+      for (; sent_revision_ - kFullListRevision < server_.changes_.size(); ++sent_revision_) {
+        const std::string& line = server_.changes_[sent_revision_ - kFullListRevision];
         stream_.Write(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
       }
     }
-    std::list<std::shared_ptr<Connection>>::iterator place;
+    std::list<std::shared_ptr<Connection>>::iterator position;
 
    private:
-    void Asked() {
-      const HttpMessage m = parser_.message();
-      const Buffer bytes = stream_.input().TakeFront(m.total_bytes);
+    void OnRequest() {
+      const HttpMessage message = parser_.message();
+      const Buffer bytes = stream_.input().TakeFront(message.total_bytes);
       parser_.Reset();
-      const std::string_view target = m.target.In(bytes.view());
+      const std::string_view target = message.target.In(bytes.view());
       if (target.find("follow=1") == std::string_view::npos) {
-        // None is told yet: an empty list would be obeyed.
-        if (!source_.whole_) {
+        // Not published yet; the gateway would apply an empty list.
+        if (!server_.list_) {
           return stream_.Write("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
         }
-        ++source_.asked_whole_;
-        const auto& whole = source_.whole_;
+        ++server_.full_list_requests_;
+        const auto& list = server_.list_;
         return stream_.Write(
-            fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole->size()), whole,
-            *whole);
+            fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list->size()), list,
+            *list);
       }
-      watches_ = true;
-      if (const size_t at = target.find("since="); at != std::string_view::npos) {
-        revision_ =
-            ParseWholeNumber(target.substr(at + std::string_view("since=").size())).value_or(0);
+      watching_ = true;
+      if (const size_t since = target.find("since="); since != std::string_view::npos) {
+        sent_revision_ =
+            ParseWholeNumber(target.substr(since + std::string_view("since=").size())).value_or(0);
       }
       stream_.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      Empty();
-      Tell();
+      SendKeepAlive();
+      SendUpdates();
     }
 
-    Source& source_;
+    DiscoveryServer& server_;
     Stream stream_;
     HttpParser parser_{HttpParser::Kind::kRequest};
-    bool watches_ = false;
-    uint64_t revision_ = 0;  // told up to here
+    bool watching_ = false;
+    uint64_t sent_revision_ = 0;  // revision of the last line sent
   };
 
-  void Beat() {
-    beat_ = loop_.RunAfter(kEmptyEvery, [this] {
+  void ScheduleKeepAlive() {
+    keep_alive_timer_ = loop_.RunAfter(kKeepAliveInterval, [this] {
       for (const auto& connection : connections_) {
-        connection->Empty();
+        connection->SendKeepAlive();
       }
-      Beat();
+      ScheduleKeepAlive();
     });
   }
 
   EventLoop& loop_;
   std::list<std::shared_ptr<Connection>> connections_;
   Listener listener_;
-  std::shared_ptr<const std::string> whole_;
+  std::shared_ptr<const std::string> list_;
   std::vector<std::string> changes_;
-  size_t asked_whole_ = 0, change_bytes_ = 0;
-  EventLoop::TimerId beat_;
+  size_t full_list_requests_ = 0, change_bytes_ = 0;
+  EventLoop::TimerId keep_alive_timer_;
 };
 
-// ---- The loop's stand, from outside
-// --------------------------------------------------------------
+// ---- Event loop stalls, measured by health checks -----------------------------------------------
 
-// GET /_health on kept connections at an even pace, whatever is still out.
+// Sends GET /_health on persistent connections at a fixed interval, even while earlier probes are
+// outstanding.
 class Prober {
  public:
-  Prober(EventLoop& loop, const Address& to, Duration every) : loop_(loop), to_(to), every_(every) {
-    Next();
+  Prober(EventLoop& loop, const Address& address, Duration interval)
+      : loop_(loop), address_(address), interval_(interval) {
+    ScheduleNext();
   }
   Prober(const Prober&) = delete;
   Prober& operator=(const Prober&) = delete;
   ~Prober() {
     loop_.CancelTimer(timer_);
-    for (const auto& call : calls_) {
-      call->Stop();
+    for (const auto& connection : connections_) {
+      connection->Stop();
     }
   }
 
-  void set_every(Duration every) { every_ = every; }
-  [[nodiscard]] bool answered() const { return answered_; }
+  void set_interval(Duration interval) { interval_ = interval; }
+  [[nodiscard]] bool ever_healthy() const { return ever_healthy_; }
 
-  // What follows is counted from here.
-  void Begin() {
-    begin_ = loop_.Now();
-    longest_ = late_ = Duration(0);
+  // Starts a measurement window: response times and delays count from now on.
+  void StartWindow() {
+    window_start_ = loop_.Now();
+    longest_response_ = max_delay_ = Duration(0);
   }
-  [[nodiscard]] double LongestMs() const {
-    Duration longest = longest_;
-    for (const auto& call : calls_) {
-      if (call->out) {
-        longest = std::max(longest, loop_.Now() - std::max(call->asked, begin_));
+  [[nodiscard]] double LongestResponseMs() const {
+    Duration longest = longest_response_;
+    for (const auto& connection : connections_) {
+      if (connection->outstanding) {
+        longest = std::max(longest, loop_.Now() - std::max(connection->sent_at, window_start_));
       }
     }
-    return Ms(longest);
+    return Milliseconds(longest);
   }
-  // The lab's own lateness meanwhile.
-  [[nodiscard]] double LateMs() const { return Ms(late_); }
+  // The longest delay of the lab's own probe timer in this window.
+  [[nodiscard]] double MaxDelayMs() const { return Milliseconds(max_delay_); }
 
  private:
-  class Call final : public Stream::Listener {
+  class Connection final : public Stream::Listener {
    public:
-    Call(Prober& prober, Socket socket)
+    Connection(Prober& prober, Socket socket)
         : prober_(prober), stream_(prober.loop_, std::move(socket), this, true) {}
     bool Start() { return stream_.Start(); }
     void Stop() { stream_.Close(); }
-    void Ask() {
-      asked = prober_.loop_.Now();
-      out = true;
+    void Send() {
+      sent_at = prober_.loop_.Now();
+      outstanding = true;
       stream_.Write("GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n");
     }
     void OnData() override {
       if (parser_.Feed(stream_.input()) == ParseProgress::kDone) {
-        const bool good = parser_.message().status == 200;
-        const bool keeps = parser_.message().keep_alive;
+        const bool healthy = parser_.message().status == 200;
+        const bool keep_alive = parser_.message().keep_alive;
         stream_.input().Consume(parser_.message().total_bytes);
         parser_.Reset();
-        out = false;
-        prober_.Answered(asked, good);
-        if (!keeps) {
+        outstanding = false;
+        prober_.OnResponse(sent_at, healthy);
+        if (!keep_alive) {
           return OnError();
         }
       }
@@ -305,12 +307,12 @@
         return;
       }
       stream_.Close();
-      prober_.loop_.RunDeferred([kept = *place] {});
-      prober_.calls_.erase(place);
+      prober_.loop_.RunDeferred([connection = *position] {});
+      prober_.connections_.erase(position);
     }
-    std::list<std::shared_ptr<Call>>::iterator place;
-    Time asked{0};
-    bool out = false;
+    std::list<std::shared_ptr<Connection>>::iterator position;
+    Time sent_at{0};
+    bool outstanding = false;
 
    private:
     Prober& prober_;
@@ -318,63 +320,63 @@
     HttpParser parser_{HttpParser::Kind::kResponse};
   };
 
-  void Answered(Time asked, bool good) {
-    answered_ = answered_ || good;
-    longest_ = std::max(longest_, loop_.Now() - std::max(asked, begin_));
+  void OnResponse(Time sent_at, bool healthy) {
+    ever_healthy_ = ever_healthy_ || healthy;
+    longest_response_ = std::max(longest_response_, loop_.Now() - std::max(sent_at, window_start_));
   }
-  void Next() {
-    due_ = loop_.Now() + every_;
-    timer_ = loop_.RunAfter(every_, [this] {
-      late_ = std::max(late_, loop_.Now() - due_);
-      Ask();
-      Next();
+  void ScheduleNext() {
+    due_at_ = loop_.Now() + interval_;
+    timer_ = loop_.RunAfter(interval_, [this] {
+      max_delay_ = std::max(max_delay_, loop_.Now() - due_at_);
+      SendProbe();
+      ScheduleNext();
     });
   }
-  void Ask() {
-    const auto idle = std::ranges::find_if(calls_, [](const auto& call) { return !call->out; });
-    if (idle != calls_.end()) {
-      return (*idle)->Ask();
+  void SendProbe() {
+    const auto idle = std::ranges::find_if(
+        connections_, [](const auto& connection) { return !connection->outstanding; });
+    if (idle != connections_.end()) {
+      return (*idle)->Send();
     }
-    if (calls_.size() >= kProbesOut) {
-      return;  // those that are out tell how long it stands
+    if (connections_.size() >= kMaxOutstandingProbes) {
+      return;  // the outstanding probes already measure the stall
     }
     bool refused = false;
-    auto socket = Connect(to_, nullptr, refused);
+    auto socket = Connect(address_, nullptr, refused);
     if (!socket) {
       return;
     }
-    calls_.push_back(std::make_shared<Call>(*this, std::move(*socket)));
-    const auto call = calls_.back();
-    call->place = std::prev(calls_.end());
-    if (!call->Start()) {
-      return call->OnError();
+    connections_.push_back(std::make_shared<Connection>(*this, std::move(*socket)));
+    const auto connection = connections_.back();
+    connection->position = std::prev(connections_.end());
+    if (!connection->Start()) {
+      return connection->OnError();
     }
-    call->Ask();
+    connection->Send();
   }
 
   EventLoop& loop_;
-  Address to_;
-  Duration every_;
-  std::list<std::shared_ptr<Call>> calls_;
-  bool answered_ = false;
-  Time begin_{0}, due_{0};
-  Duration longest_{0}, late_{0};
+  Address address_;
+  Duration interval_;
+  std::list<std::shared_ptr<Connection>> connections_;
+  bool ever_healthy_ = false;
+  Time window_start_{0}, due_at_{0};
+  Duration longest_response_{0}, max_delay_{0};
   EventLoop::TimerId timer_;
 };
 
-// ---- The gateway's log
-// ---------------------------------------------------------------------------
+// ---- The gateway's log --------------------------------------------------------------------------
 
-// Lines that were not there at the last look.
+// Reads the lines that were appended to a log file since the last read.
 class LogReader {
  public:
   explicit LogReader(std::string path) : path_(std::move(path)) {}
-  std::vector<std::string> News() {
+  std::vector<std::string> ReadNewLines() {
     std::ifstream file(path_, std::ios::binary);
-    file.seekg(static_cast<std::streamoff>(read_));
+    file.seekg(static_cast<std::streamoff>(offset_));
     std::vector<std::string> lines;
     for (std::string line; std::getline(file, line) && !file.eof();) {
-      read_ += line.size() + 1;
+      offset_ += line.size() + 1;
       lines.push_back(std::move(line));
     }
     return lines;
@@ -382,11 +384,11 @@
 
  private:
   std::string path_;
-  size_t read_ = 0;
+  size_t offset_ = 0;
 };
 
 // The value of name=value in a line of counters; 0 where it is not there.
-double Field(std::string_view line, std::string_view name) {
+double CounterValue(std::string_view line, std::string_view name) {
   const size_t at = line.find(fmt::format(" {}=", name));
   if (at == std::string_view::npos) {
     return 0;
@@ -394,23 +396,23 @@
   return std::strtod(std::string(line.substr(at + name.size() + 2, 32)).c_str(), nullptr);
 }
 
-// What stands behind the level, cut to a length that a figure's page can bear.
-std::string Reason(const std::string& line) {
+// Returns a log line, cut to 300 characters so that it fits into the results.
+std::string Truncated(const std::string& line) {
   return line.substr(0, 300);
 }
 
-// ---- The measurement
-// -----------------------------------------------------------------------------
+// ---- The measurement ----------------------------------------------------------------------------
 
 class Measurement {
  public:
-  Measurement(const OneGatewayOptions& options, const std::function<void(const std::string&)>& told)
-      : o_(options), told_(told), signals_(loop_, [this] { interrupted_ = true; }) {
+  Measurement(const OneGatewayOptions& options,
+              const std::function<void(const std::string&)>& report)
+      : options_(options), report_(report), signals_(loop_, [this] { interrupted_ = true; }) {
     std::signal(SIGPIPE, SIG_IGN);
-    r_.options = o_;
+    result_.options = options_;
     std::array<double, 1> load{};
     if (getloadavg(load.data(), 1) == 1) {
-      r_.load = load[0];
+      result_.load_average = load[0];
     }
     constexpr std::string_view kText = R"(
 name = "one-gateway"
@@ -427,28 +429,28 @@
     settings_ = json::parse(SettingsJson(ParseExperiment(std::string(kText), "one-gateway"), 0));
     settings_["FailureDomains"] = kZones;
     settings_["RegistryMode"] = "automatic";
-    Look();
+    CheckMemory();
   }
   Measurement(const Measurement&) = delete;
   Measurement& operator=(const Measurement&) = delete;
-  ~Measurement() { loop_.CancelTimer(look_); }
+  ~Measurement() { loop_.CancelTimer(memory_check_timer_); }
 
   OneGatewayResult Run() {
     MeasureList();
-    if (Fine() && o_.tenants > 0) {
+    if (NothingBroken() && options_.tenants > 0) {
       MeasureSettings();
     }
-    Stop();
-    loop_.CancelTimer(look_);
-    for (const double rate : Ascending(o_.rates)) {
-      if (!Fine() || !MeasureAdded(rate)) {
+    StopGateway();
+    loop_.CancelTimer(memory_check_timer_);
+    for (const double rate : Ascending(options_.rates)) {
+      if (!NothingBroken() || !MeasureAddedLatency(rate)) {
         break;
       }
     }
-    r_.verdict = !r_.late.empty()     ? Verdict::kVoid
-                 : !r_.broken.empty() ? Verdict::kBroken
-                                      : Verdict::kHeld;
-    return std::move(r_);
+    result_.verdict = !result_.void_reasons.empty()     ? Verdict::kVoid
+                      : !result_.broken_reasons.empty() ? Verdict::kBroken
+                                                        : Verdict::kHeld;
+    return std::move(result_);
   }
 
  private:
@@ -456,14 +458,16 @@
     std::ranges::sort(rates);
     return rates;
   }
-  [[nodiscard]] bool Fine() const { return r_.broken.empty(); }
+  [[nodiscard]] bool NothingBroken() const { return result_.broken_reasons.empty(); }
 
   // ---- Time -------------------------------------------------------------------------------------
-  // Until then, or the time is over, or it is no use to go on; whether it came.
-  bool Until(const std::function<bool()>& holds, Duration within) {
-    const Time end = loop_.Now() + within;
-    while (Fine() && !holds()) {
-      if (loop_.Now() >= end) {
+  // Runs the loop until the condition holds, the timeout passes or the measurement is broken, which
+  // includes an unexpected exit of the gateway. Returns false after a timeout or when broken.
+  // Throws Interrupted after an interrupt signal.
+  bool WaitUntil(const std::function<bool()>& condition, Duration timeout) {
+    const Time deadline = loop_.Now() + timeout;
+    while (NothingBroken() && !condition()) {
+      if (loop_.Now() >= deadline) {
         return false;
       }
       loop_.RunOnce(Duration(2'000));
@@ -473,294 +477,307 @@
       if (!process_) {
         continue;
       }
-      if (const auto code = process_->ExitCode(); code && !ending_ && !may_refuse_) {
-        Broken(fmt::format("the gateway ended with {}", *code));
+      if (const auto exit_code = process_->ExitCode(); exit_code && !stopping_ && !may_exit_) {
+        ReportBroken(fmt::format("the gateway exited with status {}", *exit_code));
       }
     }
-    return Fine();
+    return NothingBroken();
   }
-  void Pass(Duration time) {
-    Until([] { return false; }, time);
+  void RunFor(Duration time) {
+    WaitUntil([] { return false; }, time);
   }
-  void Broken(const std::string& what) {
+  void ReportBroken(const std::string& reason) {
     constexpr size_t kTailLines = 3;
-    r_.broken.push_back(what);
+    result_.broken_reasons.push_back(reason);
     if (!log_path_.empty()) {
-      told_(what + "; the last of its log:\n" + TailOf(log_path_, kTailLines));
+      report_(reason + "; last lines of its log:\n" + TailOf(log_path_, kTailLines));
     }
   }
 
-  // Half of the machine's memory is not ours to take.
-  void Look() {
+  // Breaks the measurement off when the gateway and the lab hold over half of the machine's memory.
+  void CheckMemory() {
     uint64_t own_kb = 0;
-    std::ifstream file("/proc/self/statm");
-    uint64_t size = 0, resident = 0;
+    std::ifstream statm("/proc/self/statm");
+    uint64_t virtual_pages = 0, resident_pages = 0;
     const auto page_kb = static_cast<uint64_t>(sysconf(_SC_PAGESIZE)) / 1024;
-    if (file >> size >> resident) {
-      own_kb = resident * page_kb;
-    }
-    const bool runs = process_ && !process_->ExitCode();
-    const double used = Mb(own_kb + (runs ? process_->Measure().rss_kb : 0));
-    r_.rss_mb_most = std::max(r_.rss_mb_most, used);
-    r_.processes_most = std::max<size_t>(r_.processes_most, runs ? 2 : 1);
-    const double all = Mb(static_cast<uint64_t>(sysconf(_SC_PHYS_PAGES)) * page_kb);
-    if (used > all / 2 && Fine()) {
-      Broken(fmt::format("{:.0f} MB held, over half of the machine's", used));
+    if (statm >> virtual_pages >> resident_pages) {
+      own_kb = resident_pages * page_kb;
+    }
+    const bool running = process_ && !process_->ExitCode();
+    const double used_mb = Megabytes(own_kb + (running ? process_->Measure().rss_kb : 0));
+    result_.max_rss_mb = std::max(result_.max_rss_mb, used_mb);
+    result_.max_processes = std::max<size_t>(result_.max_processes, running ? 2 : 1);
+    const double total_mb = Megabytes(static_cast<uint64_t>(sysconf(_SC_PHYS_PAGES)) * page_kb);
+    if (used_mb > total_mb / 2 && NothingBroken()) {
+      ReportBroken(fmt::format("{:.0f} MB resident, over half of the machine's memory", used_mb));
       if (process_) {
         process_->Signal(SIGKILL);
       }
     }
-    look_ = loop_.RunAfter(kLookEvery, [this] { Look(); });
+    memory_check_timer_ = loop_.RunAfter(kMemoryCheckInterval, [this] { CheckMemory(); });
   }
 
   // ---- The gateway ------------------------------------------------------------------------------
-  void WriteConfig(const json& settings, std::string_view known) {
+  void WriteConfig(const json& settings, std::string_view known_list) {
     const json config = {{"name", "g0"},
                          {"listen", ToText(address_)},
-                         {"discovery", ToText(source_at_)},
-                         {"seed", fmt::format("{:x}", o_.seed)},
+                         {"discovery", ToText(discovery_address_)},
+                         {"seed", fmt::format("{:x}", options_.seed)},
                          {"limits", {{"cores", 1.0}, {"sockets", 4096}}},
                          {"settings", settings}};
     std::string text = config.dump();
     text.back() = ',';
-    const std::string part = config_path_ + ".part";
+    const std::string temporary_path = config_path_ + ".part";
     {
-      std::ofstream file(part, std::ios::binary);
-      file << text << "\"known\":" << known << '}';
-    }
-    config_bytes_ = std::filesystem::file_size(part);
-    std::filesystem::rename(part, config_path_);
-  }
-
-  // Until its first yes to /_health; the time that took, or nothing.
-  std::optional<double> Start(const json& settings, std::string_view known) {
-    Stop();
-    ++starts_;
-    address_ = LoopbackAddress(kOwnPlaces + 2 * starts_);
-    source_at_ = LoopbackAddress(kOwnPlaces + 2 * starts_ + 1);
-    config_path_ = fmt::format("{}/config-{}.json", folder_.path(), starts_);
-    log_path_ = fmt::format("{}/gateway-{}.log", folder_.path(), starts_);
-    WriteConfig(settings, known);
-    source_ = std::make_unique<Source>(loop_, source_at_);
+      std::ofstream file(temporary_path, std::ios::binary);
+      file << text << "\"known\":" << known_list << '}';
+    }
+    config_bytes_ = std::filesystem::file_size(temporary_path);
+    std::filesystem::rename(temporary_path, config_path_);
+  }
+
+  // Starts a gateway and waits for its first 200 from /_health. Returns the time in milliseconds,
+  // or nothing if the gateway did not become ready.
+  std::optional<double> StartGateway(const json& settings, std::string_view known_list) {
+    StopGateway();
+    ++start_count_;
+    address_ = LoopbackAddress(kFirstOwnAddress + 2 * start_count_);
+    discovery_address_ = LoopbackAddress(kFirstOwnAddress + 2 * start_count_ + 1);
+    config_path_ = fmt::format("{}/config-{}.json", directory_.path(), start_count_);
+    log_path_ = fmt::format("{}/gateway-{}.log", directory_.path(), start_count_);
+    WriteConfig(settings, known_list);
+    discovery_ = std::make_unique<DiscoveryServer>(loop_, discovery_address_);
     log_ = std::make_unique<LogReader>(log_path_);
-    const Time began = loop_.Now();
+    const Time started_at = loop_.Now();
     process_ = std::make_unique<Process>(
         std::vector<std::string>{std::filesystem::read_symlink("/proc/self/exe").string(), "serve"},
-        std::vector<std::pair<std::string, std::string>>{{"LB_NAME", "g0"},
-                                                         {"LB_LISTEN", ToText(address_)},
-                                                         {"LB_DISCOVERY", ToText(source_at_)},
-                                                         {"LB_CONFIG", config_path_}},
+        std::vector<std::pair<std::string, std::string>>{
+            {"LB_NAME", "g0"},
+            {"LB_LISTEN", ToText(address_)},
+            {"LB_DISCOVERY", ToText(discovery_address_)},
+            {"LB_CONFIG", config_path_}},
         log_path_);
-    prober_ = std::make_unique<Prober>(loop_, address_, kProbeStart);
+    prober_ = std::make_unique<Prober>(loop_, address_, kStartupProbeInterval);
     const bool ready =
-        Until([&] { return prober_->answered() || process_->ExitCode(); }, kReadyWithin);
-    prober_->set_every(kProbeEvery);
-    if (ready && prober_->answered()) {
-      return Ms(loop_.Now() - began);
+        WaitUntil([&] { return prober_->ever_healthy() || process_->ExitCode(); }, kReadyTimeout);
+    prober_->set_interval(kProbeInterval);
+    if (ready && prober_->ever_healthy()) {
+      return Milliseconds(loop_.Now() - started_at);
     }
     return std::nullopt;
   }
 
-  void Stop() {
+  void StopGateway() {
     prober_.reset();
     if (process_ && !process_->ExitCode()) {
-      ending_ = true;
+      stopping_ = true;
       process_->Signal(SIGTERM);
-      const bool ended = Until([&] { return process_->ExitCode().has_value(); }, kEndWithin);
-      if (Fine() && !ended) {
-        Broken("the gateway did not end after SIGTERM");
+      const bool exited = WaitUntil([&] { return process_->ExitCode().has_value(); }, kExitTimeout);
+      if (NothingBroken() && !exited) {
+        ReportBroken("the gateway did not exit after SIGTERM");
       }
-      if (ended && *process_->ExitCode() != 0) {
-        Broken(fmt::format("the gateway ended with {}", *process_->ExitCode()));
+      if (exited && *process_->ExitCode() != 0) {
+        ReportBroken(fmt::format("the gateway exited with status {}", *process_->ExitCode()));
       }
-      ending_ = false;
+      stopping_ = false;
     }
     process_.reset();
-    source_.reset();
+    discovery_.reset();
   }
 
-  // Lines of counters as they come; others are kept for reasons.
+  // Reads new log lines. Stores the latest line of counters; keeps the others, in which FindLogLine
+  // looks for reasons.
   void ReadLog(std::string& counters) {
-    for (std::string& line : log_->News()) {
+    for (std::string& line : log_->ReadNewLines()) {
       if (line.find("counters: ") != std::string::npos) {
         counters = std::move(line);
       } else {
-        said_.push_back(std::move(line));
+        log_lines_.push_back(std::move(line));
       }
     }
   }
-  // The first such line.
-  [[nodiscard]] std::string Said(std::string_view part) const {
-    for (const std::string& line : said_) {
-      if (line.find(part) != std::string::npos) {
-        return Reason(line);
+  // Returns the first kept log line that contains the text, or an empty string.
+  [[nodiscard]] std::string FindLogLine(std::string_view text) const {
+    for (const std::string& line : log_lines_) {
+      if (line.find(text) != std::string::npos) {
+        return Truncated(line);
       }
     }
     return {};
   }
-  // Asks for counters again and again until they say so.
-  bool UntilCounters(const std::function<bool(const std::string&)>& say, Duration within) {
-    Time next = loop_.Now();
+  // Requests counters with SIGUSR1 at a fixed interval until they meet the condition.
+  bool WaitForCounters(const std::function<bool(const std::string&)>& condition, Duration timeout) {
+    Time next_request = loop_.Now();
     std::string counters;
-    return Until(
+    return WaitUntil(
         [&] {
-          if (loop_.Now() >= next) {
+          if (loop_.Now() >= next_request) {
             process_->Signal(SIGUSR1);
-            next = loop_.Now() + kAskCounters;
+            next_request = loop_.Now() + kCountersInterval;
           }
           ReadLog(counters);
-          return !counters.empty() && say(counters);
+          return !counters.empty() && condition(counters);
         },
-        within);
+        timeout);
   }
 
-  double WindowEnds(std::string_view what) {
-    const double stand = prober_->LongestMs(), late = prober_->LateMs();
-    if (late > std::max(kLateMostMs, stand / 2)) {
-      r_.late.push_back(fmt::format("{}: the lab was {:.0f} ms late once, {:.0f} at most", what,
-                                    late, kLateMostMs));
+  double EndWindow(std::string_view phase) {
+    const double stall_ms = prober_->LongestResponseMs(), delay_ms = prober_->MaxDelayMs();
+    if (delay_ms > std::max(kMaxLabDelayMs, stall_ms / 2)) {
+      result_.void_reasons.push_back(
+          fmt::format("{}: the lab was {:.0f} ms late, more than the {:.0f} ms allowed", phase,
+                      delay_ms, kMaxLabDelayMs));
     }
-    return stand;
+    return stall_ms;
   }
 
-  // ---- The parts --------------------------------------------------------------------------------
+  // ---- Phases -----------------------------------------------------------------------------------
   void MeasureList() {
-    ListCost& list = r_.list;
-    const auto whole = std::make_shared<const std::string>(WholeList(o_.hosts, kFirstRevision));
-    list.bytes = whole->size();
-    const auto known = Start(settings_, *whole);
-    if (!known) {
-      return NotReady("the known list");
-    }
-    list.ready_known_ms = *known;
-    Pass(kSettle);
-    list.rss_mb_known = Mb(process_->Measure().rss_kb);
-    told_(fmt::format("known list of {} hosts, {} bytes: ready after {:.0f} ms, {:.0f} MB",
-                      o_.hosts, list.bytes, list.ready_known_ms, list.rss_mb_known));
-
-    if (!Start(settings_, WholeList(0, 0))) {
-      return NotReady("no known list");
-    }
-    Pass(kSettle);
-    if (!Fine()) {
+    ListCost& list = result_.list;
+    const auto full_list =
+        std::make_shared<const std::string>(FullListJson(options_.hosts, kFullListRevision));
+    list.bytes = full_list->size();
+    const auto ready_with_known_list = StartGateway(settings_, *full_list);
+    if (!ready_with_known_list) {
+      return ReportNotReady("the known list");
+    }
+    list.ready_with_known_list_ms = *ready_with_known_list;
+    RunFor(kSettleTime);
+    list.rss_mb_with_known_list = Megabytes(process_->Measure().rss_kb);
+    report_(fmt::format(
+        "started with a known list of {} hosts, {} bytes: ready after {:.0f} ms, {:.0f} MB",
+        options_.hosts, list.bytes, list.ready_with_known_list_ms, list.rss_mb_with_known_list));
+
+    if (!StartGateway(settings_, FullListJson(0, 0))) {
+      return ReportNotReady("no known list");
+    }
+    RunFor(kSettleTime);
+    if (!NothingBroken()) {
       return;
     }
     const Process::Usage before = process_->Measure();
-    list.rss_mb_before = Mb(before.rss_kb);
-    prober_->Begin();
-    const Time told = loop_.Now();
-    source_->Tell(whole);
-    Time not_taken = Time::max();
-    UntilCounters(
+    list.rss_mb_before = Megabytes(before.rss_kb);
+    prober_->StartWindow();
+    const Time published_at = loop_.Now();
+    discovery_->PublishList(full_list);
+    Time rejected_at = Time::max();
+    WaitForCounters(
         [&](const std::string& counters) {
-          list.taken = Field(counters, "discovery_updates") > 0 &&
-                       Field(counters, "revision") >= static_cast<double>(kFirstRevision);
-          if (not_taken == Time::max() && Field(counters, "discovery_failures") > 0) {
-            not_taken = loop_.Now();
+          list.applied =
+              CounterValue(counters, "discovery_updates") > 0 &&
+              CounterValue(counters, "revision") >= static_cast<double>(kFullListRevision);
+          if (rejected_at == Time::max() && CounterValue(counters, "discovery_failures") > 0) {
+            rejected_at = loop_.Now();
           }
-          return list.taken || (not_taken < Time::max() && loop_.Now() - not_taken > kNotTakenFor);
+          return list.applied ||
+                 (rejected_at < Time::max() && loop_.Now() - rejected_at > kRejectionWatchTime);
         },
-        kTakenWithin);
-    if (list.taken) {
-      list.taken_ms = Ms(loop_.Now() - told);
+        kListTimeout);
+    if (list.applied) {
+      list.applied_ms = Milliseconds(loop_.Now() - published_at);
     }
-    Pass(kSettle);
-    if (!Fine()) {
+    RunFor(kSettleTime);
+    if (!NothingBroken()) {
       return;
     }
     const Process::Usage after = process_->Measure();
     list.cpu_s = (after.cpu_us - before.cpu_us) / 1e6;
-    const Duration list_took = loop_.Now() - told;
-    list.rss_mb = Mb(after.rss_kb);
-    list.stand_ms = WindowEnds("list");
-    list.asked_whole = source_->asked_whole();
-    if (!list.taken) {
-      list.reason = Said("too long");
+    const Duration list_duration = loop_.Now() - published_at;
+    list.rss_mb = Megabytes(after.rss_kb);
+    list.max_loop_stall_ms = EndWindow("list");
+    list.full_list_requests = discovery_->full_list_requests();
+    if (!list.applied) {
+      list.reason = FindLogLine("too long");
       if (list.reason.empty()) {
-        list.reason = Said("discovery");
+        list.reason = FindLogLine("discovery");
       }
-      told_(fmt::format("told list: not taken, asked for {} times: {}", list.asked_whole,
-                        list.reason));
+      report_(fmt::format("published list: not applied, requested {} times: {}",
+                          list.full_list_requests, list.reason));
       return;
     }
-    told_(fmt::format(
-        "told list: taken after {:.0f} ms, longest stand {:.0f} ms, {:.2f} s of CPU, {:.0f} to "
-        "{:.0f} MB",
-        list.taken_ms, list.stand_ms, list.cpu_s, list.rss_mb_before, list.rss_mb));
-    MeasureChanges(list_took);
+    report_(fmt::format(
+        "published list: applied after {:.0f} ms, longest loop stall {:.0f} ms, {:.2f} s of CPU, "
+        "{:.0f} to {:.0f} MB",
+        list.applied_ms, list.max_loop_stall_ms, list.cpu_s, list.rss_mb_before, list.rss_mb));
+    MeasureChanges(list_duration);
   }
 
-  void MeasureChanges(Duration list_took) {
-    const Duration span = FromSeconds(o_.seconds);
+  void MeasureChanges(Duration list_duration) {
+    const Duration duration = FromSeconds(options_.seconds);
     const double idle_before = process_->Measure().cpu_us;
     const Time idle_from = loop_.Now();
-    Pass(span);
-    if (!Fine()) {
+    RunFor(duration);
+    if (!NothingBroken()) {
       return;
     }
     const double idle_core = (process_->Measure().cpu_us - idle_before) /
                              static_cast<double>((loop_.Now() - idle_from).count());
-    // Its health calls and the counters it was asked for are not the list's.
-    r_.list.cpu_s = std::max(0.0, r_.list.cpu_s - idle_core * Seconds(list_took));
+    // Health checks and counter requests also cost CPU time, which is not the list's.
+    result_.list.cpu_s = std::max(0.0, result_.list.cpu_s - idle_core * Seconds(list_duration));
 
-    std::mt19937_64 random(o_.seed);
-    std::uniform_int_distribution<size_t> host(0, o_.hosts - 1);
+    std::mt19937_64 generator(options_.seed);
+    std::uniform_int_distribution<size_t> random_host(0, options_.hosts - 1);
     ChangesCost cost;
-    prober_->Begin();
-    const double before = process_->Measure().cpu_us;
-    const Time from = loop_.Now();
-    size_t told = 0, at = 0;
-    for (; o_.changes > 0; ++told) {
-      // Evenly, so that the figures of two runs are of as many.
-      const Time next = from + FromSeconds((static_cast<double>(told) + 0.5) / o_.changes);
-      if (next >= from + span) {
+    prober_->StartWindow();
+    const double cpu_before = process_->Measure().cpu_us;
+    const Time started_at = loop_.Now();
+    size_t published_changes = 0, index = 0;
+    for (; options_.changes > 0; ++published_changes) {
+      // At even intervals, so that two runs have the same number of changes.
+      const Time due = started_at + FromSeconds((static_cast<double>(published_changes) + 0.5) /
+                                                options_.changes);
+      if (due >= started_at + duration) {
         break;
       }
-      if (!PassUntil(next)) {
+      if (!RunUntil(due)) {
         return;
       }
-      // A restart is three entries: it leaves, it has left, it is back.
+      // A host restart is three changes: leaving, left and active again.
       constexpr std::string_view kPhases[] = {"leaving", "left", "active"};
-      if (told % std::size(kPhases) == 0) {
-        at = host(random);
+      if (published_changes % std::size(kPhases) == 0) {
+        index = random_host(generator);
       }
-      source_->Change(Entry(at, kPhases[told % std::size(kPhases)], WallMs()));
+      discovery_->PublishChange(
+          MemberJson(index, kPhases[published_changes % std::size(kPhases)], WallClockMs()));
     }
-    if (!PassUntil(from + span)) {
+    if (!RunUntil(started_at + duration)) {
       return;
     }
-    const double took = Seconds(loop_.Now() - from);
-    cost.per_s = static_cast<double>(told) / took;
-    cost.cpu_core = (process_->Measure().cpu_us - before) / 1e6 / took - idle_core;
-    cost.stand_ms = WindowEnds("list_changes");
-    cost.bytes_s = static_cast<double>(source_->change_bytes()) / took;
-    r_.changes = cost;
-    const auto all = static_cast<double>(kFirstRevision + source_->changes());
-    if (!UntilCounters([&](const auto& counters) { return Field(counters, "revision") >= all; },
-                       kTakenWithin) &&
-        Fine()) {
-      Broken(fmt::format("not all of {} changes were taken", told));
-    }
-    r_.list.asked_whole = source_->asked_whole();
-    told_(fmt::format(
-        "{:.2f} changes a second: {:.4f} of a core beyond idle's {:.4f}, longest stand {:.0f} ms, "
-        "{:.0f} bytes a second",
-        cost.per_s, cost.cpu_core, idle_core, cost.stand_ms, cost.bytes_s));
-  }
-  bool PassUntil(Time until) {
-    if (until > loop_.Now()) {
-      Pass(until - loop_.Now());
-    }
-    return Fine();
-  }
-
-  json WithTenants(double first_quota) const {
+    const double elapsed_s = Seconds(loop_.Now() - started_at);
+    cost.changes_per_s = static_cast<double>(published_changes) / elapsed_s;
+    cost.cpu_cores = (process_->Measure().cpu_us - cpu_before) / 1e6 / elapsed_s - idle_core;
+    cost.max_loop_stall_ms = EndWindow("list_changes");
+    cost.bytes_per_s = static_cast<double>(discovery_->change_bytes()) / elapsed_s;
+    result_.changes = cost;
+    const auto last_revision = static_cast<double>(kFullListRevision + discovery_->changes());
+    if (!WaitForCounters(
+            [&](const auto& counters) {
+              return CounterValue(counters, "revision") >= last_revision;
+            },
+            kListTimeout) &&
+        NothingBroken()) {
+      ReportBroken(fmt::format("not all of {} changes were applied", published_changes));
+    }
+    result_.list.full_list_requests = discovery_->full_list_requests();
+    report_(fmt::format(
+        "{:.2f} changes per second: {:.4f} cores above the idle {:.4f}, longest loop stall {:.0f} "
+        "ms, {:.0f} bytes per second",
+        cost.changes_per_s, cost.cpu_cores, idle_core, cost.max_loop_stall_ms, cost.bytes_per_s));
+  }
+  bool RunUntil(Time deadline) {
+    if (deadline > loop_.Now()) {
+      RunFor(deadline - loop_.Now());
+    }
+    return NothingBroken();
+  }
+
+  json SettingsWithTenants(double first_quota) const {
     json settings = settings_;
     json tenants = json::array();
-    for (size_t i = 0; i < o_.tenants; ++i) {
+    for (size_t i = 0; i < options_.tenants; ++i) {
       tenants.push_back({{"Name", fmt::format("tenant-{:06}", i)},
                          {"QuotaPerS", i == 0 ? first_quota : 100.0},
-                         {"Share", 1.0 / static_cast<double>(o_.tenants)}});
+                         {"Share", 1.0 / static_cast<double>(options_.tenants)}});
     }
     settings["Tenants"] = std::move(tenants);
     return settings;
@@ -768,228 +785,234 @@
 
   void MeasureSettings() {
     SettingsCost cost;
-    const std::string none = WholeList(0, 0);
-    const json first = WithTenants(100);
-    // A start that is refused ends it, which breaks nothing.
-    may_refuse_ = true;
-    said_.clear();
-    const auto ready = Start(first, none);
-    may_refuse_ = false;
+    const std::string empty_list = FullListJson(0, 0);
+    const json settings = SettingsWithTenants(100);
+    // A gateway that rejects its settings exits at startup; that is a result, not a failure.
+    may_exit_ = true;
+    log_lines_.clear();
+    const auto ready = StartGateway(settings, empty_list);
+    may_exit_ = false;
     cost.bytes = config_bytes_;
     std::string counters;
     if (!ready) {
-      if (!Fine() || !process_->ExitCode()) {
-        return NotReady("settings");
+      if (!NothingBroken() || !process_->ExitCode()) {
+        return ReportNotReady("settings");
       }
       ReadLog(counters);
-      cost.refused = true;
-      cost.reason = said_.empty() ? "no word" : Reason(said_.back());
-      told_(fmt::format("settings with {} tenants: refused: {}", o_.tenants, cost.reason));
-      r_.settings = cost;
+      cost.rejected = true;
+      cost.reason = log_lines_.empty() ? "no log line" : Truncated(log_lines_.back());
+      report_(fmt::format("settings with {} tenants: rejected at startup: {}", options_.tenants,
+                          cost.reason));
+      result_.settings = cost;
       return;
     }
     cost.ready_ms = *ready;
-    Pass(kSettle);
-    if (!Fine()) {
+    RunFor(kSettleTime);
+    if (!NothingBroken()) {
       return;
     }
     const Process::Usage before = process_->Measure();
-    cost.rss_mb = Mb(before.rss_kb);
-    WriteConfig(WithTenants(50), none);
+    cost.rss_mb = Megabytes(before.rss_kb);
+    WriteConfig(SettingsWithTenants(50), empty_list);
     ReadLog(counters);
-    said_.clear();
-    prober_->Begin();
-    const Time from = loop_.Now();
+    log_lines_.clear();
+    prober_->StartWindow();
+    const Time signalled_at = loop_.Now();
     process_->Signal(SIGHUP);
-    const bool said = Until(
+    const bool logged = WaitUntil(
         [&] {
           ReadLog(counters);
-          cost.refused = !Said("configuration kept as it was").empty();
-          return cost.refused || !Said("configuration read again").empty();
+          cost.rejected = !FindLogLine("configuration kept as it was").empty();
+          return cost.rejected || !FindLogLine("configuration read again").empty();
         },
-        kRereadWithin);
-    if (!Fine()) {
+        kReloadTimeout);
+    if (!NothingBroken()) {
       return;
     }
-    if (!said) {
-      return Broken("no word of the configuration read again");
+    if (!logged) {
+      return ReportBroken("no log line about the configuration reload");
     }
-    if (cost.refused) {
-      cost.reason = Said("configuration kept as it was");
-      told_(fmt::format("settings with {} tenants: not read again: {}", o_.tenants, cost.reason));
+    if (cost.rejected) {
+      cost.reason = FindLogLine("configuration kept as it was");
+      report_(fmt::format("settings with {} tenants: reload rejected: {}", options_.tenants,
+                          cost.reason));
     } else {
-      cost.reread_ms = Ms(loop_.Now() - from);
-      Pass(kSettle);  // what it brings with it is done by then
-      if (!Fine()) {
+      cost.reload_ms = Milliseconds(loop_.Now() - signalled_at);
+      RunFor(kSettleTime);  // until the work that follows a reload is done
+      if (!NothingBroken()) {
         return;
       }
-      cost.reread_cpu_s = (process_->Measure().cpu_us - before.cpu_us) / 1e6;
-      cost.stand_ms = WindowEnds("settings");
-      told_(fmt::format(
-          "settings with {} tenants, {} bytes: ready after {:.0f} ms, {:.0f} MB; read again after "
-          "{:.0f} ms, {:.2f} s of CPU, longest stand {:.0f} ms",
-          o_.tenants, cost.bytes, cost.ready_ms, cost.rss_mb, cost.reread_ms, cost.reread_cpu_s,
-          cost.stand_ms));
+      cost.reload_cpu_s = (process_->Measure().cpu_us - before.cpu_us) / 1e6;
+      cost.max_loop_stall_ms = EndWindow("settings");
+      report_(fmt::format(
+          "settings with {} tenants, {} bytes: ready after {:.0f} ms, {:.0f} MB; reloaded after "
+          "{:.0f} ms, {:.2f} s of CPU, longest loop stall {:.0f} ms",
+          options_.tenants, cost.bytes, cost.ready_ms, cost.rss_mb, cost.reload_ms,
+          cost.reload_cpu_s, cost.max_loop_stall_ms));
     }
-    r_.settings = cost;
+    result_.settings = cost;
   }
 
-  void NotReady(std::string_view what) {
-    if (!Fine()) {
+  void ReportNotReady(std::string_view phase) {
+    if (!NothingBroken()) {
       return;
     }
-    const auto code = process_->ExitCode();
-    Broken(fmt::format(
-        "{}: {}", what,
-        code ? fmt::format("the gateway ended with {}", *code)
-             : fmt::format("no yes to /_health within {:.0f} s", Seconds(kReadyWithin))));
+    const auto exit_code = process_->ExitCode();
+    ReportBroken(fmt::format(
+        "{}: {}", phase,
+        exit_code ? fmt::format("the gateway exited with status {}", *exit_code)
+                  : fmt::format("no 200 from /_health within {:.0f} s", Seconds(kReadyTimeout))));
   }
 
-  // False where there is no use in a higher rate.
-  bool MeasureAdded(double rate) {
+  // Returns false if higher rates need not be measured: the lab was late, or the added p99 latency
+  // is over kSaturationFactor times that of the lowest rate, taken as at least kMinAddedLatencyMs.
+  bool MeasureAddedLatency(double rate) {
     BenchOptions bench;
-    bench.seconds = o_.seconds;
-    bench.seed = o_.seed;
-    bench.hosts = std::min(o_.hosts, kAddedHosts);
-    const Result straight = PlayPart(bench, rate, 0, true),
-                 through = PlayPart(bench, rate, 0, false);
-    AddedCost cost;
+    bench.seconds = options_.seconds;
+    bench.seed = options_.seed;
+    bench.hosts = std::min(options_.hosts, kMaxAnsweringHosts);
+    const Result direct = PlayPart(bench, rate, 0, true),
+                 via_gateway = PlayPart(bench, rate, 0, false);
+    AddedLatency cost;
     cost.rate = rate;
     cost.hosts = bench.hosts;
-    const auto ms = [](uint32_t us) {
-      return us / 1000.0;
+    const auto milliseconds = [](uint32_t microseconds) {
+      return microseconds / 1000.0;
     };
-    cost.straight_p50_ms = ms(straight.p50_us);
-    cost.straight_p99_ms = ms(straight.p99_us);
-    cost.through_p50_ms = ms(through.p50_us);
-    cost.through_p99_ms = ms(through.p99_us);
-    for (const Result* const part : {&straight, &through}) {
-      if (cost.late.empty() && !part->late.empty()) {
-        cost.late = part->late.front();
+    cost.direct_p50_ms = milliseconds(direct.p50_us);
+    cost.direct_p99_ms = milliseconds(direct.p99_us);
+    cost.via_gateway_p50_ms = milliseconds(via_gateway.p50_us);
+    cost.via_gateway_p99_ms = milliseconds(via_gateway.p99_us);
+    for (const Result* const part : {&direct, &via_gateway}) {
+      if (cost.void_reason.empty() && !part->late.empty()) {
+        cost.void_reason = part->late.front();
       }
     }
-    r_.rss_mb_most = std::max(r_.rss_mb_most, Mb(through.rss_kb_max));
-    r_.processes_most = std::max<size_t>(r_.processes_most, 2);
-    r_.added.push_back(cost);
-    for (const std::string& what : through.broken) {
-      r_.broken.push_back(fmt::format("rate {}: {}", rate, what));
-    }
-    const double added = cost.through_p99_ms - cost.straight_p99_ms;
-    told_(fmt::format("{:.0f} requests a second: p50 {:.2f} ms added, p99 {:.2f} ms{}", rate,
-                      cost.through_p50_ms - cost.straight_p50_ms, added,
-                      cost.late.empty() ? "" : "; void: " + cost.late));
-    const AddedCost& lowest = r_.added.front();
-    const double base = std::max(kLeastAddedMs, lowest.through_p99_ms - lowest.straight_p99_ms);
-    // Above the bend lateness is the bend; a first rate that was late leaves nothing to compare.
-    if (!cost.late.empty() && r_.added.size() == 1) {
-      r_.late.push_back("added: " + cost.late);
-    }
-    return cost.late.empty() && (r_.added.size() == 1 || added <= kBend * base);
-  }
-
-  OneGatewayOptions o_;
-  std::function<void(const std::string&)> told_;
-  OneGatewayResult r_;
+    result_.max_rss_mb = std::max(result_.max_rss_mb, Megabytes(via_gateway.rss_kb_max));
+    result_.max_processes = std::max<size_t>(result_.max_processes, 2);
+    result_.added.push_back(cost);
+    for (const std::string& reason : via_gateway.broken) {
+      result_.broken_reasons.push_back(fmt::format("rate {}: {}", rate, reason));
+    }
+    const double added = cost.via_gateway_p99_ms - cost.direct_p99_ms;
+    report_(fmt::format("{:.0f} requests per second: added p50 {:.2f} ms, p99 {:.2f} ms{}", rate,
+                        cost.via_gateway_p50_ms - cost.direct_p50_ms, added,
+                        cost.void_reason.empty() ? "" : "; void: " + cost.void_reason));
+    const AddedLatency& lowest = result_.added.front();
+    const double base =
+        std::max(kMinAddedLatencyMs, lowest.via_gateway_p99_ms - lowest.direct_p99_ms);
+    // At a higher rate, a late lab marks the saturation point. At the first rate, it leaves no
+    // baseline to compare with.
+    if (!cost.void_reason.empty() && result_.added.size() == 1) {
+      result_.void_reasons.push_back("added: " + cost.void_reason);
+    }
+    return cost.void_reason.empty() &&
+           (result_.added.size() == 1 || added <= kSaturationFactor * base);
+  }
+
+  OneGatewayOptions options_;
+  std::function<void(const std::string&)> report_;
+  OneGatewayResult result_;
   EventLoop loop_;
-  bool interrupted_ = false, ending_ = false;
-  bool may_refuse_ = false;  // an end is an answer
+  bool interrupted_ = false, stopping_ = false;
+  bool may_exit_ = false;  // an exit of the gateway is a result
   SignalWatch signals_;
-  TemporaryDirectory folder_;
+  TemporaryDirectory directory_;
   json settings_;
-  Address address_, source_at_;
+  Address address_, discovery_address_;
   std::string config_path_, log_path_;
-  size_t starts_ = 0, config_bytes_ = 0;
-  std::unique_ptr<Source> source_;
+  size_t start_count_ = 0, config_bytes_ = 0;
+  std::unique_ptr<DiscoveryServer> discovery_;
   std::unique_ptr<LogReader> log_;
-  std::vector<std::string> said_;  // lines that are no counters
+  std::vector<std::string> log_lines_;  // lines without counters
   std::unique_ptr<Process> process_;
   std::unique_ptr<Prober> prober_;
-  EventLoop::TimerId look_;
+  EventLoop::TimerId memory_check_timer_;
 };
 
 }  // namespace
 
 OneGatewayResult MeasureOneGateway(const OneGatewayOptions& options,
-                                   const std::function<void(const std::string&)>& told) {
-  Measurement measurement(options, told);
+                                   const std::function<void(const std::string&)>& report) {
+  Measurement measurement(options, report);
   return measurement.Run();
 }
 
-std::string ToText(const OneGatewayResult& r) {
-  std::string out = fmt::format("{} (load {:.2f} before, {:.0f} MB at most)\n", NameOf(r.verdict),
-                                r.load, r.rss_mb_most);
-  for (const std::string& what : r.broken) {
-    out += fmt::format("  broken: {}\n", what);
+std::string ToText(const OneGatewayResult& result) {
+  std::string text = fmt::format("{} (load {:.2f} before, {:.0f} MB at most)\n",
+                                 NameOf(result.verdict), result.load_average, result.max_rss_mb);
+  for (const std::string& reason : result.broken_reasons) {
+    text += fmt::format("  broken: {}\n", reason);
   }
-  for (const std::string& what : r.late) {
-    out += fmt::format("  void: {}\n", what);
+  for (const std::string& reason : result.void_reasons) {
+    text += fmt::format("  void: {}\n", reason);
   }
-  return out;
+  return text;
 }
 
-std::string ToJson(const OneGatewayResult& r) {
-  const auto number = [](bool there, double value) {
-    return there ? json(value) : json();
+std::string ToJson(const OneGatewayResult& result) {
+  const auto number = [](bool available, double value) {
+    return available ? json(value) : json();
   };
-  const ListCost& l = r.list;
+  const ListCost& list = result.list;
   json added = json::array();
-  for (const AddedCost& a : r.added) {
-    added.push_back({{"rate", a.rate},
-                     {"hosts", a.hosts},
-                     {"straight_p50_ms", a.straight_p50_ms},
-                     {"straight_p99_ms", a.straight_p99_ms},
-                     {"through_p50_ms", a.through_p50_ms},
-                     {"through_p99_ms", a.through_p99_ms},
-                     {"p50_ms", a.through_p50_ms - a.straight_p50_ms},
-                     {"p99_ms", a.through_p99_ms - a.straight_p99_ms},
-                     {"void", a.late}});
+  for (const AddedLatency& latency : result.added) {
+    added.push_back({{"rate", latency.rate},
+                     {"hosts", latency.hosts},
+                     {"straight_p50_ms", latency.direct_p50_ms},
+                     {"straight_p99_ms", latency.direct_p99_ms},
+                     {"through_p50_ms", latency.via_gateway_p50_ms},
+                     {"through_p99_ms", latency.via_gateway_p99_ms},
+                     {"p50_ms", latency.via_gateway_p50_ms - latency.direct_p50_ms},
+                     {"p99_ms", latency.via_gateway_p99_ms - latency.direct_p99_ms},
+                     {"void", latency.void_reason}});
   }
   json changes, settings;
-  if (r.changes) {
-    changes = {{"per_s", r.changes->per_s},
-               {"cpu_core", r.changes->cpu_core},
-               {"loop_stand_ms_most", r.changes->stand_ms},
-               {"bytes_s", r.changes->bytes_s}};
-  }
-  if (r.settings) {
-    const SettingsCost& s = *r.settings;
-    const bool ready = s.ready_ms > 0, reread = ready && !s.refused;
-    settings = {{"bytes", s.bytes},
-                {"ready_ms", number(ready, s.ready_ms)},
-                {"refused", s.refused},
-                {"reason", s.reason},
-                {"rss_mb", number(ready, s.rss_mb)},
-                {"reread_ms", number(reread, s.reread_ms)},
-                {"reread_cpu_s", number(reread, s.reread_cpu_s)},
-                {"loop_stand_ms_most", number(reread, s.stand_ms)}};
-  }
-  const json out = {
-      {"command", r.options.command},
-      {"commit", r.options.commit},
-      {"seed", r.options.seed},
-      {"load", r.load},
-      {"hosts", r.options.hosts},
-      {"tenants", r.options.tenants},
+  if (result.changes) {
+    changes = {{"per_s", result.changes->changes_per_s},
+               {"cpu_core", result.changes->cpu_cores},
+               {"loop_stand_ms_most", result.changes->max_loop_stall_ms},
+               {"bytes_s", result.changes->bytes_per_s}};
+  }
+  if (result.settings) {
+    const SettingsCost& settings_cost = *result.settings;
+    const bool ready = settings_cost.ready_ms > 0, reloaded = ready && !settings_cost.rejected;
+    settings = {{"bytes", settings_cost.bytes},
+                {"ready_ms", number(ready, settings_cost.ready_ms)},
+                {"refused", settings_cost.rejected},
+                {"reason", settings_cost.reason},
+                {"rss_mb", number(ready, settings_cost.rss_mb)},
+                {"reread_ms", number(reloaded, settings_cost.reload_ms)},
+                {"reread_cpu_s", number(reloaded, settings_cost.reload_cpu_s)},
+                {"loop_stand_ms_most", number(reloaded, settings_cost.max_loop_stall_ms)}};
+  }
+  const json output = {
+      {"command", result.options.command},
+      {"commit", result.options.commit},
+      {"seed", result.options.seed},
+      {"load", result.load_average},
+      {"hosts", result.options.hosts},
+      {"tenants", result.options.tenants},
       {"list",
-       {{"bytes", l.bytes},
-        {"taken", l.taken},
-        {"reason", l.reason},
-        {"asked_whole", l.asked_whole},
-        {"ready_known_ms", l.ready_known_ms},
-        {"rss_mb_known", l.rss_mb_known},
-        {"taken_ms", number(l.taken, l.taken_ms)},
-        {"loop_stand_ms_most", l.stand_ms},
-        {"cpu_s", l.cpu_s},
-        {"rss_mb_before", l.rss_mb_before},
-        {"rss_mb", l.rss_mb}}},
+       {{"bytes", list.bytes},
+        {"taken", list.applied},
+        {"reason", list.reason},
+        {"asked_whole", list.full_list_requests},
+        {"ready_known_ms", list.ready_with_known_list_ms},
+        {"rss_mb_known", list.rss_mb_with_known_list},
+        {"taken_ms", number(list.applied, list.applied_ms)},
+        {"loop_stand_ms_most", list.max_loop_stall_ms},
+        {"cpu_s", list.cpu_s},
+        {"rss_mb_before", list.rss_mb_before},
+        {"rss_mb", list.rss_mb}}},
       {"list_changes", changes},
       {"settings", settings},
       {"added", added},
-      {"machine", {{"rss_mb_most", r.rss_mb_most}, {"processes_most", r.processes_most}}},
-      {"verdict", NameOf(r.verdict)},
-      {"broken", r.broken},
-      {"void", r.late}};
-  return out.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
+      {"machine", {{"rss_mb_most", result.max_rss_mb}, {"processes_most", result.max_processes}}},
+      {"verdict", NameOf(result.verdict)},
+      {"broken", result.broken_reasons},
+      {"void", result.void_reasons}};
+  return output.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
 }  // namespace paddlestile::lab
