--- a/src/lab/capacity.cpp
+++ b/src/lab/capacity.cpp
@@ -25,14 +25,15 @@
 using nlohmann::json;
 using nlohmann::ordered_json;
 
-constexpr size_t kSizesOfALine = 3;  // fewer, each double the last or more, are an assumption
+// Sizes, each at least double the last, that a fit needs not to be called an assumption.
+constexpr size_t kMinSizesForLine = 3;
 
-struct TargetKey {
+struct TargetKeyRule {
   const char* key;
-  double least, most;
-  bool whole;
+  double min, max;
+  bool integer;
 };
-constexpr TargetKey kTargetKeys[] = {
+constexpr TargetKeyRule kTargetKeyRules[] = {
     {"gateways", 1, 1e6, true},
     {"hosts", 1, 1e8, true},
     {"services", 1, 1e6, true},
@@ -66,16 +67,17 @@
                                                     {"none", CapacityKind::kNone},
                                                     {"unknown", CapacityKind::kUnknown}};
 
-bool Measured(CapacityKind kind) {
+bool IsMeasured(CapacityKind kind) {
   return kind == CapacityKind::kSlope || kind == CapacityKind::kLimit;
 }
 
 std::string NameOf(CapacityKind kind) {
-  return std::ranges::find(kKinds, kind, [](const auto& k) { return k.second; })->first;
+  return std::ranges::find(kKinds, kind, [](const auto& entry) { return entry.second; })->first;
 }
 
-[[noreturn]] void Fail(std::string_view place, std::string_view what, std::string_view expected) {
-  throw CapacityError(fmt::format("{}: {}, expected {}", place, what, expected));
+[[noreturn]] void Fail(std::string_view location, std::string_view problem,
+                       std::string_view expected) {
+  throw CapacityError(fmt::format("{}: {}, expected {}", location, problem, expected));
 }
 
 // ---- Reading TOML ---------------------------------------------------------------------------
@@ -88,50 +90,52 @@
   }
 }
 
-// A table of a file, whose keys are named with what stands before them.
-class Reader {
+// Reads one table of a TOML file. Errors name each key with the prefix of its table.
+class TableReader {
  public:
-  Reader(const std::string& path, const toml::table& table, std::string before)
-      : path_(path), table_(table), before_(std::move(before)) {}
+  TableReader(const std::string& path, const toml::table& table, std::string key_prefix)
+      : path_(path), table_(table), key_prefix_(std::move(key_prefix)) {}
 
   [[nodiscard]] const toml::node* Get(std::string_view key) const { return table_.get(key); }
-  [[nodiscard]] std::string Place(std::string_view key) const {
+  [[nodiscard]] std::string Location(std::string_view key) const {
     const toml::node* const node = Get(key);
     const auto line = (node != nullptr ? *node : table_).source().begin.line;
-    // What is missing from the file's outermost table is missing from no line of it.
-    return line > 0 && (node != nullptr || !before_.empty())
-               ? fmt::format("{}:{}: {}{}", path_, line, before_, key)
-               : fmt::format("{}: {}{}", path_, before_, key);
+    // A key missing from the root table has no line to report.
+    return line > 0 && (node != nullptr || !key_prefix_.empty())
+               ? fmt::format("{}:{}: {}{}", path_, line, key_prefix_, key)
+               : fmt::format("{}: {}{}", path_, key_prefix_, key);
   }
-  void Known(const std::set<std::string>& keys) const {
+  void RequireKnownKeys(const std::set<std::string>& keys) const {
     for (const auto& [key, node] : table_) {
       if (keys.contains(std::string(key.str()))) {
         continue;
       }
-      Fail(Place(key.str()), "unknown key", fmt::format("one of {}", fmt::join(keys, ", ")));
+      Fail(Location(key.str()), "unknown key", fmt::format("one of {}", fmt::join(keys, ", ")));
     }
   }
   [[nodiscard]] std::string Text(std::string_view key) const {
     const toml::node* const node = Get(key);
     if (node == nullptr) {
-      Fail(Place(key), "missing", "a text");
+      Fail(Location(key), "missing", "a string");
     }
     if (!node->is_string() || node->as_string()->get().empty()) {
-      Fail(Place(key), "no text", "a text");
+      Fail(Location(key), "not a non-empty string", "a string");
     }
     return node->as_string()->get();
   }
   [[nodiscard]] std::string TextOr(std::string_view key) const {
     return Get(key) != nullptr ? Text(key) : "";
   }
-  [[nodiscard]] std::string OneOf(std::string_view key, const std::set<std::string>& words) const {
-    std::string word = Text(key);
-    if (!words.contains(word)) {
-      Fail(Place(key), fmt::format("'{}'", word), fmt::format("one of {}", fmt::join(words, ", ")));
+  [[nodiscard]] std::string OneOf(std::string_view key,
+                                  const std::set<std::string>& allowed) const {
+    std::string value = Text(key);
+    if (!allowed.contains(value)) {
+      Fail(Location(key), fmt::format("'{}'", value),
+           fmt::format("one of {}", fmt::join(allowed, ", ")));
     }
-    return word;
+    return value;
   }
-  // A text, or a list of texts.
+  // Reads a string or a list of strings.
   [[nodiscard]] std::vector<std::string> Texts(std::string_view key) const {
     const toml::node* const node = Get(key);
     if (node == nullptr) {
@@ -140,18 +144,18 @@
     if (node->is_string()) {
       return {Text(key)};
     }
-    std::vector<std::string> texts;
+    std::vector<std::string> strings;
     const toml::array* const list = node->as_array();
     if (list == nullptr) {
-      Fail(Place(key), "no list", "a list of texts");
+      Fail(Location(key), "not a list", "a list of strings");
     }
     for (const toml::node& item : *list) {
       if (!item.is_string()) {
-        Fail(Place(key), "not all are texts", "a list of texts");
+        Fail(Location(key), "not all are strings", "a list of strings");
       }
-      texts.push_back(item.as_string()->get());
+      strings.push_back(item.as_string()->get());
     }
-    return texts;
+    return strings;
   }
   [[nodiscard]] std::optional<CapacityQuantity> Quantity(std::string_view key) const {
     const toml::node* const node = Get(key);
@@ -159,16 +163,17 @@
       return std::nullopt;
     }
     if (node->is_string()) {
-      return CapacityQuantity{Text(key), Place(key)};
+      return CapacityQuantity{Text(key), Location(key)};
     }
     const auto number = node->value<double>();
     if (!node->is_number() || !number) {
-      Fail(Place(key), "neither number nor text", "a number or figures of the target");
+      Fail(Location(key), "neither a number nor a string",
+           "a number or an expression of target keys");
     }
-    return CapacityQuantity{fmt::format("{}", *number), Place(key)};
+    return CapacityQuantity{fmt::format("{}", *number), Location(key)};
   }
-  // A plain value as a run would have it, as JSON.
-  [[nodiscard]] std::string Plain(std::string_view key) const {
+  // Reads a scalar as JSON text, for comparison with a value in a run.
+  [[nodiscard]] std::string PlainValue(std::string_view key) const {
     const toml::node* const node = Get(key);
     if (node == nullptr) {
       return {};
@@ -185,247 +190,252 @@
     if (node->is_string()) {
       return json(node->as_string()->get()).dump();
     }
-    Fail(Place(key), "no plain value", "a number, a text, true or false");
+    Fail(Location(key), "not a scalar", "a number, a string, true or false");
   }
 
  private:
   const std::string& path_;
   const toml::table& table_;
-  std::string before_;
+  std::string key_prefix_;
 };
 
-void NeedPointer(const std::string& pointer, const std::string& place) {
+void RequirePointer(const std::string& pointer, const std::string& location) {
   if (pointer.starts_with('/')) {
     return;
   }
-  Fail(place, fmt::format("'{}'", pointer), "a pointer such as /leader/cpu_core");
+  Fail(location, fmt::format("'{}'", pointer), "a pointer such as /leader/cpu_core");
 }
 
-std::map<std::string, std::string> Where(const std::string& path, const toml::table& at,
-                                         const Reader& read, const std::string& before) {
-  std::map<std::string, std::string> where;
-  const toml::node* const node = at.get("where");
+std::map<std::string, std::string> ReadConditions(const std::string& path, const toml::table& table,
+                                                  const TableReader& reader,
+                                                  const std::string& key_prefix) {
+  std::map<std::string, std::string> conditions;
+  const toml::node* const node = table.get("where");
   if (node == nullptr) {
-    return where;
+    return conditions;
   }
   if (!node->is_table()) {
-    Fail(read.Place("where"), "no table", "pointer = value");
+    Fail(reader.Location("where"), "not a table", "pointer = value");
   }
-  const Reader inner(path, *node->as_table(), before + "where.");
+  const TableReader conditions_reader(path, *node->as_table(), key_prefix + "where.");
   for (const auto& [key, value] : *node->as_table()) {
-    NeedPointer(std::string(key.str()), inner.Place(key.str()));
-    where.emplace(key.str(), inner.Plain(key.str()));
+    RequirePointer(std::string(key.str()), conditions_reader.Location(key.str()));
+    conditions.emplace(key.str(), conditions_reader.PlainValue(key.str()));
   }
-  return where;
+  return conditions;
 }
 
-void NeedKeys(const Reader& read, CapacityKind kind) {
-  const auto need = [&](std::string_view key, std::string_view expected) {
-    if (read.Get(key) == nullptr) {
-      Fail(read.Place(key), "missing", expected);
+void RequireKeys(const TableReader& reader, CapacityKind kind) {
+  const auto require = [&](std::string_view key, std::string_view expected) {
+    if (reader.Get(key) == nullptr) {
+      Fail(reader.Location(key), "missing", expected);
     }
   };
-  if (Measured(kind)) {
-    need("figure", "a pointer into a run");
-    need("by", "a pointer to the size");
-    need("size", "the size at the target");
+  if (IsMeasured(kind)) {
+    require("figure", "a pointer into a run");
+    require("by", "a pointer to the size");
+    require("size", "the size at the target");
   }
   if (kind == CapacityKind::kLimit) {
-    need("holds", "the figure's value where the bound is met");
+    require("holds", "the figure's value where the bound is met");
   }
   if (kind == CapacityKind::kSum) {
-    need("whole", "rows to add");
+    require("whole", "rows to add");
   }
 }
 
-CapacityRow ReadRow(const std::string& path, const toml::table& at, size_t index) {
-  const std::string before = fmt::format("row[{}].", index);
-  const Reader read(path, at, before);
-  read.Known({"id", "role", "what", "unit", "figure", "by", "where", "holds", "size", "times",
-              "allowed", "kind", "whole", "growth", "mechanism", "table", "covers", "note"});
+CapacityRow ReadRow(const std::string& path, const toml::table& table, size_t index) {
+  const std::string key_prefix = fmt::format("row[{}].", index);
+  const TableReader reader(path, table, key_prefix);
+  reader.RequireKnownKeys({"id", "role", "what", "unit", "figure", "by", "where", "holds", "size",
+                           "times", "allowed", "kind", "whole", "growth", "mechanism", "table",
+                           "covers", "note"});
   CapacityRow row;
-  row.id = read.Text("id");
-  row.role = read.OneOf("role", kRoles);
-  row.what = read.Text("what");
-  row.unit = read.TextOr("unit");
-  row.mechanism = read.Text("mechanism");
-  row.table = read.OneOf("table", kTables);
-  row.note = read.TextOr("note");
+  row.id = reader.Text("id");
+  row.role = reader.OneOf("role", kRoles);
+  row.what = reader.Text("what");
+  row.unit = reader.TextOr("unit");
+  row.mechanism = reader.Text("mechanism");
+  row.table = reader.OneOf("table", kTables);
+  row.note = reader.TextOr("note");
   std::set<std::string> kinds;
   for (const auto& [name, kind] : kKinds) {
     kinds.insert(name);
   }
-  row.kind = kKinds.at(read.OneOf("kind", kinds));
-  NeedKeys(read, row.kind);
-  row.figure = read.Texts("figure");
-  for (const std::string& pointer : row.figure) {
-    NeedPointer(pointer, read.Place("figure"));
-  }
-  row.by = read.TextOr("by");
-  if (!row.by.empty()) {
-    NeedPointer(row.by, read.Place("by"));
-  }
-  row.where = Where(path, at, read, before);
-  row.holds = read.Plain("holds");
-  row.size = read.Quantity("size");
-  row.times = read.Quantity("times");
-  row.allowed = read.Quantity("allowed");
-  row.whole = read.Texts("whole");
-  row.growth = read.Texts("growth");
-  row.covers = read.Texts("covers");
+  row.kind = kKinds.at(reader.OneOf("kind", kinds));
+  RequireKeys(reader, row.kind);
+  row.figure_pointers = reader.Texts("figure");
+  for (const std::string& pointer : row.figure_pointers) {
+    RequirePointer(pointer, reader.Location("figure"));
+  }
+  row.size_pointer = reader.TextOr("by");
+  if (!row.size_pointer.empty()) {
+    RequirePointer(row.size_pointer, reader.Location("by"));
+  }
+  row.conditions = ReadConditions(path, table, reader, key_prefix);
+  row.met_value = reader.PlainValue("holds");
+  row.size = reader.Quantity("size");
+  row.multiplier = reader.Quantity("times");
+  row.allowed = reader.Quantity("allowed");
+  row.whole_rows = reader.Texts("whole");
+  row.growth_rows = reader.Texts("growth");
+  row.covered_keys = reader.Texts("covers");
   return row;
 }
 
-CapacityAssumption ReadAssumption(const std::string& path, const toml::table& at, size_t index) {
-  const Reader read(path, at, fmt::format("assumption[{}].", index));
-  read.Known({"what", "unit", "value", "why", "covers"});
+CapacityAssumption ReadAssumption(const std::string& path, const toml::table& table, size_t index) {
+  const TableReader reader(path, table, fmt::format("assumption[{}].", index));
+  reader.RequireKnownKeys({"what", "unit", "value", "why", "covers"});
   CapacityAssumption assumption;
-  assumption.what = read.Text("what");
-  assumption.unit = read.TextOr("unit");
-  assumption.why = read.Text("why");
-  const auto value = read.Quantity("value");
+  assumption.what = reader.Text("what");
+  assumption.unit = reader.TextOr("unit");
+  assumption.reason = reader.Text("why");
+  const auto value = reader.Quantity("value");
   if (!value) {
-    Fail(read.Place("value"), "missing", "a number or figures of the target");
+    Fail(reader.Location("value"), "missing", "a number or an expression of target keys");
   }
   assumption.value = *value;
-  assumption.covers = read.Texts("covers");
+  assumption.covered_keys = reader.Texts("covers");
   return assumption;
 }
 
 template <typename Item>
 std::vector<Item> ReadTables(const std::string& path, const toml::table& file, std::string_view key,
-                             Item (*read)(const std::string&, const toml::table&, size_t)) {
+                             Item (*read_item)(const std::string&, const toml::table&, size_t)) {
   std::vector<Item> items;
-  const Reader top(path, file, "");
-  const toml::node* const node = top.Get(key);
+  const TableReader reader(path, file, "");
+  const toml::node* const node = reader.Get(key);
   if (node == nullptr) {
     return items;
   }
   const toml::array* const list = node->as_array();
   if (list == nullptr) {
-    Fail(top.Place(key), "no list", fmt::format("[[{}]], one each", key));
+    Fail(reader.Location(key), "not a list", fmt::format("one [[{}]] for each", key));
   }
   for (const toml::node& item : *list) {
     if (!item.is_table()) {
-      Fail(top.Place(key), "no table", fmt::format("[[{}]], one each", key));
+      Fail(reader.Location(key), "not a table", fmt::format("one [[{}]] for each", key));
     }
-    items.push_back(read(path, *item.as_table(), items.size()));
+    items.push_back(read_item(path, *item.as_table(), items.size()));
   }
   return items;
 }
 
-// Rows are found by their ids, and a sum adds what stands above it.
-void CheckIds(const CapacityRows& rows) {
-  std::set<std::string> above;
+// Requires unique ids, and sums that only add rows above them.
+void RequireValidIds(const CapacityRows& rows) {
+  std::set<std::string> ids_above;
   for (const CapacityRow& row : rows.rows) {
-    const std::string place = fmt::format("{}: row '{}'", rows.path, row.id);
-    for (const auto* ids : {&row.whole, &row.growth}) {
+    const std::string location = fmt::format("{}: row '{}'", rows.path, row.id);
+    for (const auto* ids : {&row.whole_rows, &row.growth_rows}) {
       for (const std::string& id : *ids) {
-        if (!above.contains(id)) {
-          Fail(place, fmt::format("no row '{}'", id), "rows above it");
+        if (!ids_above.contains(id)) {
+          Fail(location, fmt::format("no row '{}'", id), "rows above it");
         }
       }
     }
-    if (!above.insert(row.id).second) {
-      Fail(place, "twice", "an id of its own");
+    if (!ids_above.insert(row.id).second) {
+      Fail(location, "duplicate id", "a unique id");
     }
   }
 }
 
 // ---- Quantities -----------------------------------------------------------------------------
 
-double Term(const std::string& word, const CapacityQuantity& q, const CapacityTarget& target) {
-  if (const auto found = target.figures.find(word); found != target.figures.end()) {
+double TermValue(const std::string& token, const CapacityQuantity& quantity,
+                 const CapacityTarget& target) {
+  if (const auto found = target.figures.find(token); found != target.figures.end()) {
     return found->second;
   }
   double number = 0;
-  const char* const end = word.data() + word.size();
-  const auto read = std::from_chars(word.data(), end, number);
-  if (read.ec != std::errc() || read.ptr != end) {
-    Fail(q.place, fmt::format("'{}'", word), "a number or a key of " + target.path);
+  const char* const end = token.data() + token.size();
+  const auto parsed = std::from_chars(token.data(), end, number);
+  if (parsed.ec != std::errc() || parsed.ptr != end) {
+    Fail(quantity.location, fmt::format("'{}'", token), "a number or a key of " + target.path);
   }
   return number;
 }
 
-double Evaluate(const CapacityQuantity& q, const CapacityTarget& target) {
-  std::istringstream words(q.text);
-  std::string word;
-  const auto next = [&] {
-    if (!(words >> word)) {
-      Fail(q.place, fmt::format("'{}'", q.text), "a term at its end");
+double Evaluate(const CapacityQuantity& quantity, const CapacityTarget& target) {
+  std::istringstream tokens(quantity.text);
+  std::string token;
+  const auto next_term = [&] {
+    if (!(tokens >> token)) {
+      Fail(quantity.location, fmt::format("'{}'", quantity.text), "a term at the end");
     }
-    return Term(word, q, target);
+    return TermValue(token, quantity, target);
   };
-  double sum = 0, product = next();
-  while (words >> word) {
-    if (word == "*") {
-      product *= next();
-    } else if (word == "/") {
-      product /= next();
-    } else if (word == "+") {
+  double sum = 0, product = next_term();
+  while (tokens >> token) {
+    if (token == "*") {
+      product *= next_term();
+    } else if (token == "/") {
+      product /= next_term();
+    } else if (token == "+") {
       sum += product;
-      product = next();
+      product = next_term();
     } else {
-      Fail(q.place, fmt::format("'{}'", word), "*, / or + between terms");
+      Fail(quantity.location, fmt::format("'{}'", token), "*, / or + between terms");
     }
   }
   return sum + product;
 }
 
-std::optional<double> Evaluate(const std::optional<CapacityQuantity>& q,
+std::optional<double> Evaluate(const std::optional<CapacityQuantity>& quantity,
                                const CapacityTarget& target) {
-  return q ? std::optional(Evaluate(*q, target)) : std::nullopt;
+  return quantity ? std::optional(Evaluate(*quantity, target)) : std::nullopt;
 }
 
 // ---- Runs -----------------------------------------------------------------------------------
 
-// The entry whose rate is nearest: one that is half of it away was measured at something else.
-const json* Nearest(const json& list, double rate) {
+// Returns the entry with the nearest rate, or null: an entry over half of `rate` away was measured
+// at another load. Of two entries at the same distance, the first is returned.
+const json* NearestByRate(const json& list, double rate) {
   const json* nearest = nullptr;
-  double least = rate / 2;
+  double min_distance = rate / 2;
   for (const json& entry : list) {
     if (!entry.is_object() || !entry.contains("rate") || !entry["rate"].is_number()) {
       continue;
     }
-    const double away = std::abs(entry["rate"].get<double>() - rate);
-    if (away > least || (nearest != nullptr && away == least)) {
+    const double distance = std::abs(entry["rate"].get<double>() - rate);
+    if (distance > min_distance || (nearest != nullptr && distance == min_distance)) {
       continue;
     }
     nearest = &entry;
-    least = away;
+    min_distance = distance;
   }
   return nearest;
 }
 
-// What a pointer leads to, or null; "@160" is the entry of a list whose rate is nearest to 160.
-const json* Follow(const json& value, const std::string& pointer) {
-  const json* at = &value;
+// Returns the value at a pointer, or null. "@160" selects the list entry whose rate is nearest to
+// 160 requests per second.
+const json* Resolve(const json& value, const std::string& pointer) {
+  const json* current = &value;
   std::istringstream steps(pointer.substr(1));
-  for (std::string step; at != nullptr && std::getline(steps, step, '/');) {
-    if (step.starts_with('@') && at->is_array()) {
-      at = Nearest(*at, std::strtod(step.c_str() + 1, nullptr));
+  for (std::string step; current != nullptr && std::getline(steps, step, '/');) {
+    if (step.starts_with('@') && current->is_array()) {
+      current = NearestByRate(*current, std::strtod(step.c_str() + 1, nullptr));
     } else {
-      at = at->is_object() && at->contains(step) ? &(*at)[step] : nullptr;
+      current = current->is_object() && current->contains(step) ? &(*current)[step] : nullptr;
     }
   }
-  return at == nullptr || at->is_null() ? nullptr : at;
+  return current == nullptr || current->is_null() ? nullptr : current;
 }
 
 std::optional<double> NumberAt(const CapacityRun& run, const std::string& pointer) {
-  const json* const value = Follow(run.result, pointer);
+  const json* const value = Resolve(run.result, pointer);
   if (value == nullptr) {
     return std::nullopt;
   }
   if (!value->is_number()) {
-    Fail(run.file + ": " + pointer, "no number", "a number or null");
+    Fail(run.file + ": " + pointer, "not a number", "a number or null");
   }
   return value->get<double>();
 }
 
-bool Counts(const CapacityRow& row, const CapacityRun& run) {
-  return std::ranges::all_of(row.where, [&](const auto& need) {
-    const json* const value = Follow(run.result, need.first);
-    return value != nullptr && *value == json::parse(need.second);
+bool MeetsConditions(const CapacityRow& row, const CapacityRun& run) {
+  return std::ranges::all_of(row.conditions, [&](const auto& condition) {
+    const json* const value = Resolve(run.result, condition.first);
+    return value != nullptr && *value == json::parse(condition.second);
   });
 }
 
@@ -433,9 +443,9 @@
   return run.result.at("verdict");
 }
 
-// One run's word on one row.
+// The size and figure of one row in one run.
 struct Point {
-  double size = 0, figure = 0;
+  double size = 0, value = 0;
   const CapacityRun* run = nullptr;
 };
 
@@ -444,7 +454,7 @@
     return std::nullopt;
   }
   double sum = 0;
-  for (const std::string& pointer : row.figure) {
+  for (const std::string& pointer : row.figure_pointers) {
     const auto part = NumberAt(run, pointer);
     if (!part) {
       return std::nullopt;
@@ -454,14 +464,14 @@
   return sum;
 }
 
-// 1 where the bound was met, 0 where not. A broken run shows the latter alone: that something held
-// in it as well says nothing.
+// Returns 1 if the bound was met and 0 if not. A broken run only counts where the bound was not
+// met: a bound met in a broken run proves nothing.
 std::optional<double> LimitFigure(const CapacityRow& row, const CapacityRun& run) {
-  const json* const value = Follow(run.result, row.figure.front());
+  const json* const value = Resolve(run.result, row.figure_pointers.front());
   if (value == nullptr || VerdictOf(run) == "void") {
     return std::nullopt;
   }
-  if (*value != json::parse(row.holds)) {
+  if (*value != json::parse(row.met_value)) {
     return 0.0;
   }
   return VerdictOf(run) == "held" ? std::optional(1.0) : std::nullopt;
@@ -470,11 +480,11 @@
 std::vector<Point> PointsOf(const CapacityRow& row, const std::vector<CapacityRun>& runs) {
   std::vector<Point> points;
   for (const CapacityRun& run : runs) {
-    const auto size = NumberAt(run, row.by);
-    if (!size || !Counts(row, run)) {
+    const auto size = NumberAt(run, row.size_pointer);
+    if (!size || !MeetsConditions(row, run)) {
       continue;
     }
-    // What went wrong with none at all did not go wrong by their number.
+    // A failure at size 0 is not caused by the size.
     if (row.kind == CapacityKind::kLimit && *size <= 0) {
       continue;
     }
@@ -489,7 +499,7 @@
 
 // ---- Fitting --------------------------------------------------------------------------------
 
-// How many of the sizes are at least double the one before: what a line may rest on.
+// Counts the sizes that are at least double the last counted one; only these support a line.
 size_t DoubledSizes(const std::vector<double>& sizes) {
   size_t count = 0;
   double last = 0;
@@ -503,23 +513,24 @@
   return count;
 }
 
-bool Assumed(const CapacityFit& fit) {
-  return DoubledSizes(fit.sizes) < kSizesOfALine;
+bool IsAssumption(const CapacityFit& fit) {
+  return DoubledSizes(fit.sizes) < kMinSizesForLine;
 }
 
 double Rounded(double value) {
   return std::stod(fmt::format("{:.4g}", value));
 }
 
-// What the machine's own rounding leaves of figures as large as `of` is nothing, on any machine.
-double Rounded(double value, double of) {
-  return std::abs(value) < 1e-9 * of ? 0 : Rounded(value);
+// Rounds values that are only floating-point error at this scale to 0, so that the result is the
+// same on every machine.
+double Rounded(double value, double scale) {
+  return std::abs(value) < 1e-9 * scale ? 0 : Rounded(value);
 }
 
-std::map<double, std::vector<double>> BySize(const std::vector<Point>& points) {
+std::map<double, std::vector<double>> FiguresBySize(const std::vector<Point>& points) {
   std::map<double, std::vector<double>> sizes;
-  for (const Point& p : points) {
-    sizes[p.size].push_back(p.figure);
+  for (const Point& point : points) {
+    sizes[point.size].push_back(point.value);
   }
   for (auto& [size, figures] : sizes) {
     std::ranges::sort(figures);
@@ -530,9 +541,9 @@
 std::optional<double> SpreadOf(const std::map<double, std::vector<double>>& sizes) {
   std::optional<double> widest;
   for (const auto& [size, sorted] : sizes) {
-    const size_t n = sorted.size();
-    const double median = (sorted[(n - 1) / 2] + sorted[n / 2]) / 2;
-    if (n < 2 || median == 0) {
+    const size_t count = sorted.size();
+    const double median = (sorted[(count - 1) / 2] + sorted[count / 2]) / 2;
+    if (count < 2 || median == 0) {
       continue;
     }
     widest = std::max(widest.value_or(0), (sorted.back() - sorted.front()) / std::abs(median));
@@ -541,58 +552,59 @@
 }
 
 void FitLine(const std::vector<Point>& points, CapacityFit& fit) {
-  const auto n = static_cast<double>(points.size());
-  double mean_size = 0, mean = 0;
-  for (const Point& p : points) {
-    mean_size += p.size / n;
-    mean += p.figure / n;
-  }
-  double across = 0, along = 0;
-  for (const Point& p : points) {
-    across += (p.size - mean_size) * (p.size - mean_size);
-    along += (p.size - mean_size) * (p.figure - mean);
-  }
-  // No cost falls as the fleet grows: a line that does is noise, and would promise room.
-  const double slope = across > 0 ? std::max(0.0, along / across) : 0;
-  const double fixed = mean - slope * mean_size;
-  double squares = 0, largest = 0, largest_size = 0;
-  for (const Point& p : points) {
-    squares += std::pow(p.figure - fixed - slope * p.size, 2);
-    largest = std::max(largest, std::abs(p.figure));
-    largest_size = std::max(largest_size, p.size);
-  }
-  fit.fixed = Rounded(fixed, largest);
-  if (across > 0) {
-    fit.slope = Rounded(slope, largest / largest_size);
-  }
-  fit.residue = Rounded(std::sqrt(squares / n), largest);
+  const auto count = static_cast<double>(points.size());
+  double mean_size = 0, mean_value = 0;
+  for (const Point& point : points) {
+    mean_size += point.size / count;
+    mean_value += point.value / count;
+  }
+  double squared_size_deviations = 0, codeviations = 0;
+  for (const Point& point : points) {
+    squared_size_deviations += (point.size - mean_size) * (point.size - mean_size);
+    codeviations += (point.size - mean_size) * (point.value - mean_value);
+  }
+  // No cost falls as the fleet grows: a negative slope is noise and would understate the cost.
+  const double slope =
+      squared_size_deviations > 0 ? std::max(0.0, codeviations / squared_size_deviations) : 0;
+  const double intercept = mean_value - slope * mean_size;
+  double squared_residuals = 0, largest_value = 0, largest_size = 0;
+  for (const Point& point : points) {
+    squared_residuals += std::pow(point.value - intercept - slope * point.size, 2);
+    largest_value = std::max(largest_value, std::abs(point.value));
+    largest_size = std::max(largest_size, point.size);
+  }
+  fit.intercept = Rounded(intercept, largest_value);
+  if (squared_size_deviations > 0) {
+    fit.slope = Rounded(slope, largest_value / largest_size);
+  }
+  fit.rms_residual = Rounded(std::sqrt(squared_residuals / count), largest_value);
 }
 
 void FitLimit(const std::vector<Point>& points, CapacityFit& fit) {
-  for (const Point& p : points) {
-    if (p.figure == 0) {
-      fit.broken_from = std::min(fit.broken_from.value_or(p.size), p.size);
+  for (const Point& point : points) {
+    if (point.value == 0) {
+      fit.smallest_broken = std::min(fit.smallest_broken.value_or(point.size), point.size);
     }
   }
-  for (const Point& p : points) {
-    if (p.figure == 0 || (fit.broken_from && p.size >= *fit.broken_from)) {
+  for (const Point& point : points) {
+    if (point.value == 0 || (fit.smallest_broken && point.size >= *fit.smallest_broken)) {
       continue;
     }
-    fit.held_to = std::max(fit.held_to.value_or(0), p.size);
+    fit.largest_met = std::max(fit.largest_met.value_or(0), point.size);
   }
 }
 
 CapacityFit FitRow(const CapacityRow& row, const std::vector<CapacityRun>& runs) {
   CapacityFit fit;
   const std::vector<Point> points = PointsOf(row, runs);
-  const auto sizes = BySize(points);
+  const auto sizes = FiguresBySize(points);
   for (const auto& [size, figures] : sizes) {
     fit.sizes.push_back(size);
-    fit.runs.push_back(figures.size());
+    fit.run_counts.push_back(figures.size());
   }
-  for (const Point& p : points) {
-    fit.files.push_back(p.run->file);
-    fit.seeds.push_back(p.run->result.at("seed").get<uint64_t>());
+  for (const Point& point : points) {
+    fit.files.push_back(point.run->file);
+    fit.seeds.push_back(point.run->result.at("seed").get<uint64_t>());
   }
   if (points.empty()) {
     return fit;
@@ -608,7 +620,7 @@
   return fit;
 }
 
-std::string Why(const json& result) {
+std::string ReasonsOf(const json& result) {
   std::vector<std::string> reasons;
   for (const char* key : {"void", "broken"}) {
     const auto list = result.find(key);
@@ -622,34 +634,34 @@
   return fmt::format("{}", fmt::join(reasons, "; "));
 }
 
-void CheckRun(const CapacityRun& run, const std::string& path) {
-  const auto need = [&](const char* key, bool good, std::string_view expected) {
+void RequireValidRun(const CapacityRun& run, const std::string& path) {
+  const auto require = [&](const char* key, bool valid, std::string_view expected) {
     if (!run.result.contains(key)) {
       Fail(fmt::format("{}: {}", path, key), "missing", expected);
     }
-    if (!good) {
+    if (!valid) {
       Fail(fmt::format("{}: {}", path, key), "wrong value", expected);
     }
   };
   if (!run.result.is_object()) {
-    Fail(path, "no object", "what a lab command wrote with --json");
+    Fail(path, "not an object", "what a lab command wrote with --json");
   }
-  const json& r = run.result;
-  need("command", r.contains("command") && r["command"].is_string(), "a text");
-  need("commit", r.contains("commit") && r["commit"].is_string(), "a text");
-  need("seed", r.contains("seed") && r["seed"].is_number_unsigned(), "a whole number");
-  const bool has_verdict = r.contains("verdict") && r["verdict"].is_string() &&
-                           ParseVerdict(r["verdict"].get<std::string>()).has_value();
-  need("verdict", has_verdict, "held, broken or void");
-  if (!r.contains("members") && !r.contains("hosts")) {
-    Fail(path + ": members", "missing, and hosts as well", "one of them, the run's size");
+  const json& result = run.result;
+  require("command", result.contains("command") && result["command"].is_string(), "a string");
+  require("commit", result.contains("commit") && result["commit"].is_string(), "a string");
+  require("seed", result.contains("seed") && result["seed"].is_number_unsigned(), "a whole number");
+  const bool has_verdict = result.contains("verdict") && result["verdict"].is_string() &&
+                           ParseVerdict(result["verdict"].get<std::string>()).has_value();
+  require("verdict", has_verdict, "held, broken or void");
+  if (!result.contains("members") && !result.contains("hosts")) {
+    Fail(path + ": members", "missing, as is hosts", "one of them as the size of the run");
   }
 }
 
 // ---- Slopes as JSON -------------------------------------------------------------------------
 
 template <typename Value>
-ordered_json Maybe(const std::optional<Value>& value) {
+ordered_json OrNull(const std::optional<Value>& value) {
   return value ? ordered_json(*value) : ordered_json(nullptr);
 }
 
@@ -657,186 +669,187 @@
   ordered_json out;
   out["kind"] = NameOf(kind);
   out["sizes"] = fit.sizes;
-  out["runs"] = fit.runs;
+  out["runs"] = fit.run_counts;
   if (kind == CapacityKind::kLimit) {
-    out["held_to"] = Maybe(fit.held_to);
-    out["broken_from"] = Maybe(fit.broken_from);
+    out["held_to"] = OrNull(fit.largest_met);
+    out["broken_from"] = OrNull(fit.smallest_broken);
   } else {
-    out["fixed"] = Maybe(fit.fixed);
-    out["slope"] = Maybe(fit.slope);
-    out["residue"] = Maybe(fit.residue);
-    out["spread"] = Maybe(fit.spread);
+    out["fixed"] = OrNull(fit.intercept);
+    out["slope"] = OrNull(fit.slope);
+    out["residue"] = OrNull(fit.rms_residual);
+    out["spread"] = OrNull(fit.spread);
   }
-  out["assumption"] = Assumed(fit);
+  out["assumption"] = IsAssumption(fit);
   out["files"] = fit.files;
   out["seeds"] = fit.seeds;
   return out;
 }
 
-// Keys of one object of the slopes, each of which must be there and known.
+// Reads one object of the slopes file. All expected keys must be present, and no others.
 class SlopesReader {
  public:
-  SlopesReader(const json& object, std::string place) : object_(object), place_(std::move(place)) {
+  SlopesReader(const json& object, std::string location)
+      : object_(object), location_(std::move(location)) {
     if (!object_.is_object()) {
-      Fail(place_, "no object", "what lab capacity --fit writes");
+      Fail(location_, "not an object", "what lab capacity --fit writes");
     }
   }
   template <typename Value>
-  void Take(const std::string& key, Value& value) {
+  void Read(const std::string& key, Value& value) {
     known_.insert(key);
     const auto found = object_.find(key);
     if (found == object_.end()) {
-      Fail(place_ + "." + key, "missing", "what --fit writes");
+      Fail(location_ + "." + key, "missing", "what --fit writes");
     }
     try {
       value = found->get<Value>();
     } catch (const json::exception&) {
-      Fail(place_ + "." + key, "wrong type", "what --fit writes");
+      Fail(location_ + "." + key, "wrong type", "what --fit writes");
     }
   }
-  void Take(const std::string& key, std::optional<double>& value) {
-    json plain;
-    Take(key, plain);
-    if (plain.is_null()) {
+  void Read(const std::string& key, std::optional<double>& value) {
+    json json_value;
+    Read(key, json_value);
+    if (json_value.is_null()) {
       return;
     }
-    if (!plain.is_number()) {
-      Fail(place_ + "." + key, "wrong type", "a number or null");
+    if (!json_value.is_number()) {
+      Fail(location_ + "." + key, "wrong type", "a number or null");
     }
-    value = plain.get<double>();
+    value = json_value.get<double>();
   }
-  void End() const {
+  void RequireNoOtherKeys() const {
     for (const auto& [key, value] : object_.items()) {
       if (!known_.contains(key)) {
-        Fail(place_ + "." + key, "unknown key", "what --fit writes");
+        Fail(location_ + "." + key, "unknown key", "what --fit writes");
       }
     }
   }
 
  private:
   const json& object_;
-  std::string place_;
+  std::string location_;
   std::set<std::string> known_;
 };
 
-CapacityFit ReadFit(const json& object, const std::string& place, const CapacityRow& row) {
-  SlopesReader read(object, place);
+CapacityFit ReadFit(const json& object, const std::string& location, const CapacityRow& row) {
+  SlopesReader reader(object, location);
   CapacityFit fit;
   std::string kind;
   bool assumption = false;
-  read.Take("kind", kind);
+  reader.Read("kind", kind);
   if (kind != NameOf(row.kind)) {
-    Fail(place + ".kind", "'" + kind + "'", NameOf(row.kind));
+    Fail(location + ".kind", "'" + kind + "'", NameOf(row.kind));
   }
-  read.Take("sizes", fit.sizes);
-  read.Take("runs", fit.runs);
+  reader.Read("sizes", fit.sizes);
+  reader.Read("runs", fit.run_counts);
   if (row.kind == CapacityKind::kLimit) {
-    read.Take("held_to", fit.held_to);
-    read.Take("broken_from", fit.broken_from);
+    reader.Read("held_to", fit.largest_met);
+    reader.Read("broken_from", fit.smallest_broken);
   } else {
-    read.Take("fixed", fit.fixed);
-    read.Take("slope", fit.slope);
-    read.Take("residue", fit.residue);
-    read.Take("spread", fit.spread);
-  }
-  read.Take("assumption", assumption);
-  read.Take("files", fit.files);
-  read.Take("seeds", fit.seeds);
-  read.End();
+    reader.Read("fixed", fit.intercept);
+    reader.Read("slope", fit.slope);
+    reader.Read("residue", fit.rms_residual);
+    reader.Read("spread", fit.spread);
+  }
+  reader.Read("assumption", assumption);
+  reader.Read("files", fit.files);
+  reader.Read("seeds", fit.seeds);
+  reader.RequireNoOtherKeys();
   return fit;
 }
 
-CapacityRunNote ReadNote(const json& object, const std::string& place) {
-  SlopesReader read(object, place);
+CapacityRunNote ReadNote(const json& object, const std::string& location) {
+  SlopesReader reader(object, location);
   CapacityRunNote note;
-  read.Take("file", note.file);
-  read.Take("command", note.command);
-  read.Take("commit", note.commit);
-  read.Take("seed", note.seed);
-  read.Take("verdict", note.verdict);
-  read.Take("why", note.why);
-  read.End();
+  reader.Read("file", note.file);
+  reader.Read("command", note.command);
+  reader.Read("commit", note.commit);
+  reader.Read("seed", note.seed);
+  reader.Read("verdict", note.verdict);
+  reader.Read("why", note.reason);
+  reader.RequireNoOtherKeys();
   return note;
 }
 
-// ---- Weighing -------------------------------------------------------------------------------
+// ---- Evaluation -----------------------------------------------------------------------------
 
-void WeighSlope(CapacityLine& line) {
+void EvaluateSlope(CapacityLine& line) {
   const CapacityFit& fit = line.fit;
-  if (!fit.fixed || !line.size) {
+  if (!fit.intercept || !line.size) {
     return;
   }
-  const double times = line.times.value_or(1);
-  // One size says nothing of larger ones.
+  const double multiplier = line.multiplier.value_or(1);
+  // One measured size can't be extrapolated to larger ones.
   if (!fit.slope && *line.size > fit.sizes.back()) {
     return;
   }
-  line.growth = fit.slope.value_or(0) * *line.size * times;
-  line.at_target = *fit.fixed * times + *line.growth;
+  line.growth = fit.slope.value_or(0) * *line.size * multiplier;
+  line.at_target = *fit.intercept * multiplier + *line.growth;
 }
 
-void WeighSum(CapacityLine& line, const std::vector<CapacityLine>& above) {
+void EvaluateSum(CapacityLine& line, const std::vector<CapacityLine>& above) {
   const auto find = [&](const std::string& id) -> const CapacityLine& {
-    return *std::ranges::find(above, id, [](const CapacityLine& l) { return l.row.id; });
+    return *std::ranges::find(above, id, [](const CapacityLine& other) { return other.row.id; });
   };
   std::optional<double> sum = 0;
-  const auto add = [&](const CapacityLine& part, std::optional<double> figure) {
+  const auto add_figure = [&](const CapacityLine& part, std::optional<double> figure) {
     sum = sum && figure ? std::optional(*sum + *figure) : std::nullopt;
-    line.assumed |= part.assumed;
-    if (part.past) {
-      line.past = std::max(line.past.value_or(0), *part.past);
+    line.is_assumption |= part.is_assumption;
+    if (part.size_ratio) {
+      line.size_ratio = std::max(line.size_ratio.value_or(0), *part.size_ratio);
     }
   };
-  for (const std::string& id : line.row.whole) {
-    add(find(id), find(id).at_target);
+  for (const std::string& id : line.row.whole_rows) {
+    add_figure(find(id), find(id).at_target);
   }
-  for (const std::string& id : line.row.growth) {
-    add(find(id), find(id).growth);
+  for (const std::string& id : line.row.growth_rows) {
+    add_figure(find(id), find(id).growth);
   }
   line.at_target = sum;
 }
 
 ShareKind ShareKindOf(const CapacityLine& line) {
-  const bool limit = line.row.kind == CapacityKind::kLimit;
-  // A limit that ends below the smallest size that was tried is as if there were nothing.
-  const bool never = limit && line.fit.broken_from && !line.fit.held_to;
-  if (line.row.kind == CapacityKind::kNone || never) {
+  const bool is_limit = line.row.kind == CapacityKind::kLimit;
+  // A limit that was already broken at the smallest measured size counts as no mechanism at all.
+  const bool never_met = is_limit && line.fit.smallest_broken && !line.fit.largest_met;
+  if (line.row.kind == CapacityKind::kNone || never_met) {
     return ShareKind::kNone;
   }
   if (line.allowed && line.at_target) {
     return ShareKind::kKnown;
   }
-  const bool weighed = line.allowed || limit || line.row.kind == CapacityKind::kUnknown;
-  return weighed ? ShareKind::kUnknown : ShareKind::kTold;
+  const bool has_bound = line.allowed || is_limit || line.row.kind == CapacityKind::kUnknown;
+  return has_bound ? ShareKind::kUnknown : ShareKind::kInformational;
 }
 
-CapacityLine Weigh(const CapacityRow& row, const CapacityTarget& target,
-                   const CapacitySlopes& slopes, const std::vector<CapacityLine>& above) {
+CapacityLine EvaluateRow(const CapacityRow& row, const CapacityTarget& target,
+                         const CapacitySlopes& slopes, const std::vector<CapacityLine>& above) {
   CapacityLine line;
   line.row = row;
   line.size = Evaluate(row.size, target);
-  line.times = Evaluate(row.times, target);
+  line.multiplier = Evaluate(row.multiplier, target);
   line.allowed = Evaluate(row.allowed, target);
-  if (Measured(row.kind)) {
+  if (IsMeasured(row.kind)) {
     line.fit = slopes.fits.at(row.id);
-    line.assumed = Assumed(line.fit);
+    line.is_assumption = IsAssumption(line.fit);
     if (!line.fit.sizes.empty() && line.fit.sizes.back() > 0) {
       line.largest_measured = line.fit.sizes.back();
-      line.past = *line.size / *line.largest_measured;
+      line.size_ratio = *line.size / *line.largest_measured;
     }
   }
   if (row.kind == CapacityKind::kSlope) {
-    WeighSlope(line);
+    EvaluateSlope(line);
   }
   if (row.kind == CapacityKind::kSum) {
-    WeighSum(line, above);
+    EvaluateSum(line, above);
   }
   if (row.kind == CapacityKind::kNone) {
     line.at_target = line.size;
   }
   if (row.kind == CapacityKind::kLimit) {
     line.at_target = line.size;
-    line.allowed = line.fit.held_to;
+    line.allowed = line.fit.largest_met;
   }
   line.share_kind = ShareKindOf(line);
   if (line.share_kind == ShareKind::kKnown) {
@@ -845,22 +858,22 @@
   return line;
 }
 
-void CheckCovered(const CapacityTarget& target, const CapacityRows& rows) {
+void RequireAllKeysCovered(const CapacityTarget& target, const CapacityRows& rows) {
   std::set<std::string> covered;
-  const auto add = [&](const std::vector<std::string>& keys, const std::string& of) {
+  const auto add_keys = [&](const std::vector<std::string>& keys, const std::string& owner) {
     for (const std::string& key : keys) {
       if (!target.figures.contains(key)) {
-        Fail(fmt::format("{}: {}: covers", rows.path, of), fmt::format("'{}'", key),
+        Fail(fmt::format("{}: {}: covers", rows.path, owner), fmt::format("'{}'", key),
              "a key of " + target.path);
       }
       covered.insert(key);
     }
   };
   for (const CapacityRow& row : rows.rows) {
-    add(row.covers, "row '" + row.id + "'");
+    add_keys(row.covered_keys, "row '" + row.id + "'");
   }
-  for (const CapacityAssumption& a : rows.assumptions) {
-    add(a.covers, "assumption '" + a.what + "'");
+  for (const CapacityAssumption& assumption : rows.assumptions) {
+    add_keys(assumption.covered_keys, "assumption '" + assumption.what + "'");
   }
   for (const auto& [key, line] : target.lines) {
     if (covered.contains(key)) {
@@ -873,78 +886,79 @@
 
 // ---- Markdown -------------------------------------------------------------------------------
 
-std::string Show(double value) {
+std::string FormatNumber(double value) {
   if (std::abs(value) < 1000) {
     return fmt::format("{:.3g}", value);
   }
   std::string digits = fmt::format("{:.0f}", std::abs(value));
-  for (size_t at = digits.size(); at > 3; at -= 3) {
-    digits.insert(at - 3, ",");
+  for (size_t position = digits.size(); position > 3; position -= 3) {
+    digits.insert(position - 3, ",");
   }
   return (value < 0 ? "-" : "") + digits;
 }
 
-std::string Show(const std::optional<double>& value) {
-  return value ? Show(*value) : "-";
+std::string FormatNumber(const std::optional<double>& value) {
+  return value ? FormatNumber(*value) : "-";
 }
 
 template <typename Values>
-std::string ShowAll(const Values& values) {
+std::string FormatNumbers(const Values& values) {
   std::vector<std::string> texts;
   texts.reserve(values.size());
   for (const auto& value : values) {
-    texts.push_back(Show(static_cast<double>(value)));
+    texts.push_back(FormatNumber(static_cast<double>(value)));
   }
   return texts.empty() ? "-" : fmt::format("{}", fmt::join(texts, "; "));
 }
 
-std::string ShowShare(const CapacityLine& line) {
+std::string FormatShare(const CapacityLine& line) {
   switch (line.share_kind) {
     case ShareKind::kNone:
       return "**none**";
     case ShareKind::kUnknown:
       return "not known";
-    case ShareKind::kTold:
+    case ShareKind::kInformational:
       return "told";
     case ShareKind::kKnown:
       break;
   }
-  const std::string share = Show(line.share) + (line.assumed ? " (assumption)" : "");
+  const std::string share = FormatNumber(line.share) + (line.is_assumption ? " (assumption)" : "");
   return line.share > 1 ? "**" + share + "**" : share;
 }
 
-// As it stands behind a multiplication.
-std::string Factor(const CapacityQuantity& q) {
-  return q.text.find(' ') == std::string::npos ? q.text : "(" + q.text + ")";
+// Adds the parentheses that a quantity of several terms needs as a factor.
+std::string Parenthesized(const CapacityQuantity& quantity) {
+  return quantity.text.find(' ') == std::string::npos ? quantity.text : "(" + quantity.text + ")";
 }
 
-std::string ShowLine(const CapacityLine& line) {
+std::string FormatFormula(const CapacityLine& line) {
   const CapacityFit& fit = line.fit;
   const CapacityRow& row = line.row;
   if (row.kind == CapacityKind::kSum) {
-    std::vector<std::string> parts = row.whole;
-    for (const std::string& id : row.growth) {
+    std::vector<std::string> parts = row.whole_rows;
+    for (const std::string& id : row.growth_rows) {
       parts.push_back("growth of " + id);
     }
     return fmt::format("{}", fmt::join(parts, " + "));
   }
   if (row.kind == CapacityKind::kLimit) {
-    if (!fit.held_to && !fit.broken_from) {
+    if (!fit.largest_met && !fit.smallest_broken) {
       return "-";
     }
-    return fmt::format("held to {}, broken from {}", Show(fit.held_to), Show(fit.broken_from));
+    return fmt::format("held to {}, broken from {}", FormatNumber(fit.largest_met),
+                       FormatNumber(fit.smallest_broken));
   }
-  if (!fit.fixed) {
+  if (!fit.intercept) {
     return "-";
   }
-  std::string text = Show(*fit.fixed);
+  std::string text = FormatNumber(*fit.intercept);
   if (fit.slope) {
-    text += fmt::format(" + {} x {}", Show(*fit.slope), Factor(*row.size));
+    text += fmt::format(" + {} x {}", FormatNumber(*fit.slope), Parenthesized(*row.size));
   }
-  if (row.times) {
-    text = fmt::format("({}) x {}", text, Factor(*row.times));
+  if (row.multiplier) {
+    text = fmt::format("({}) x {}", text, Parenthesized(*row.multiplier));
   }
-  return text + fmt::format(", off by {}", Show(*fit.residue));
+  return text + fmt::format(", off by {}", FormatNumber(*fit.rms_residual));
 }
 
 std::string TableOf(const Capacity& capacity, const std::string& table) {
@@ -957,31 +971,32 @@
     if (row.table != table) {
       continue;
     }
-    text += fmt::format("| {} | {}{} | {} | {} | {} | {} | {} | {} | {} | {} | {} | `{}` |\n",
-                        row.role, row.what, row.unit.empty() ? "" : ", " + row.unit,
-                        Show(line.at_target), Show(line.allowed), ShowShare(line), ShowLine(line),
-                        ShowAll(line.fit.sizes), ShowAll(line.fit.runs),
-                        line.fit.spread ? fmt::format("{:.0f}%", *line.fit.spread * 100) : "-",
-                        line.past ? Show(*line.past) + " x" : "-", row.mechanism, row.id);
+    text += fmt::format(
+        "| {} | {}{} | {} | {} | {} | {} | {} | {} | {} | {} | {} | `{}` |\n", row.role, row.what,
+        row.unit.empty() ? "" : ", " + row.unit, FormatNumber(line.at_target),
+        FormatNumber(line.allowed), FormatShare(line), FormatFormula(line),
+        FormatNumbers(line.fit.sizes), FormatNumbers(line.fit.run_counts),
+        line.fit.spread ? fmt::format("{:.0f}%", *line.fit.spread * 100) : "-",
+        line.size_ratio ? FormatNumber(*line.size_ratio) + " x" : "-", row.mechanism, row.id);
   }
   return text;
 }
 
 std::string AssumptionsOf(const Capacity& capacity) {
   std::string text = "| what | value | why |\n| --- | --- | --- |\n";
-  for (const CapacityAssumed& a : capacity.assumptions) {
-    text += fmt::format("| {} | {}{} | {} |\n", a.what, Show(a.value),
-                        a.unit.empty() ? "" : " " + a.unit, a.why);
+  for (const EvaluatedAssumption& assumption : capacity.assumptions) {
+    text += fmt::format("| {} | {}{} | {} |\n", assumption.what, FormatNumber(assumption.value),
+                        assumption.unit.empty() ? "" : " " + assumption.unit, assumption.reason);
   }
   for (const CapacityLine& line : capacity.lines) {
-    if (!line.assumed || line.fit.sizes.empty()) {
+    if (!line.is_assumption || line.fit.sizes.empty()) {
       continue;
     }
     text += fmt::format(
         "| {}: {} (`{}`) | {} {} | measured at {} alone, not at three sizes, each "
         "double the last or more |\n",
-        line.row.role, line.row.what, line.row.id, Show(line.at_target), line.row.unit,
-        ShowAll(line.fit.sizes));
+        line.row.role, line.row.what, line.row.id, FormatNumber(line.at_target), line.row.unit,
+        FormatNumbers(line.fit.sizes));
   }
   return text;
 }
@@ -992,14 +1007,14 @@
     const CapacityRow& row = line.row;
     if (row.kind == CapacityKind::kUnknown) {
       text += fmt::format("| {} | {} (`{}`) | {} |\n", row.role, row.what, row.id, row.note);
-    } else if (Measured(row.kind) && line.fit.sizes.empty()) {
+    } else if (IsMeasured(row.kind) && line.fit.sizes.empty()) {
       std::vector<std::string> where;
-      for (const auto& [pointer, value] : row.where) {
+      for (const auto& [pointer, value] : row.conditions) {
         where.push_back(fmt::format("`{}` = {}", pointer, value));
       }
       text += fmt::format("| {} | {} (`{}`) | `{}` by `{}`{}{} |\n", row.role, row.what, row.id,
-                          fmt::join(row.figure, "` + `"), row.by, where.empty() ? "" : " where ",
-                          fmt::join(where, ", "));
+                          fmt::join(row.figure_pointers, "` + `"), row.size_pointer,
+                          where.empty() ? "" : " where ", fmt::join(where, ", "));
     }
   }
   return text;
@@ -1016,18 +1031,18 @@
   return text;
 }
 
-std::string RunsOf(const Capacity& capacity, bool good) {
-  std::string text = good ? "| run | command | commit | seed |\n| --- | --- | --- | --- |\n"
+std::string RunsOf(const Capacity& capacity, bool held) {
+  std::string text = held ? "| run | command | commit | seed |\n| --- | --- | --- | --- |\n"
                           : "| run | verdict | why |\n| --- | --- | --- |\n";
   size_t count = 0;
   for (const CapacityRunNote& run : capacity.runs) {
-    if ((run.verdict == "held") != good) {
+    if ((run.verdict == "held") != held) {
       continue;
     }
     ++count;
     text +=
-        good ? fmt::format("| {} | `{}` | {} | {} |\n", run.file, run.command, run.commit, run.seed)
-             : fmt::format("| {} | {} | {} |\n", run.file, run.verdict, run.why);
+        held ? fmt::format("| {} | `{}` | {} | {} |\n", run.file, run.command, run.commit, run.seed)
+             : fmt::format("| {} | {} | {} |\n", run.file, run.verdict, run.reason);
   }
   return count > 0 ? text : "None.\n";
 }
@@ -1040,31 +1055,31 @@
   out["unit"] = line.row.unit;
   out["table"] = line.row.table;
   out["kind"] = NameOf(line.row.kind);
-  out["at_target"] = Maybe(line.at_target);
-  out["allowed"] = Maybe(line.allowed);
+  out["at_target"] = OrNull(line.at_target);
+  out["allowed"] = OrNull(line.allowed);
   out["share"] = line.share_kind == ShareKind::kKnown  ? ordered_json(line.share)
                  : line.share_kind == ShareKind::kNone ? ordered_json("none")
                                                        : ordered_json(nullptr);
   out["mechanism"] = line.row.mechanism;
-  out["largest_measured"] = Maybe(line.largest_measured);
-  out["target_size"] = Maybe(line.size);
-  out["past_largest"] = Maybe(line.past);
-  out["assumption"] = line.assumed;
+  out["largest_measured"] = OrNull(line.largest_measured);
+  out["target_size"] = OrNull(line.size);
+  out["past_largest"] = OrNull(line.size_ratio);
+  out["assumption"] = line.is_assumption;
   out["sizes"] = line.fit.sizes;
-  out["runs"] = line.fit.runs;
-  out["fixed"] = Maybe(line.fit.fixed);
-  out["slope"] = Maybe(line.fit.slope);
-  out["residue"] = Maybe(line.fit.residue);
-  out["spread"] = Maybe(line.fit.spread);
-  out["held_to"] = Maybe(line.fit.held_to);
-  out["broken_from"] = Maybe(line.fit.broken_from);
+  out["runs"] = line.fit.run_counts;
+  out["fixed"] = OrNull(line.fit.intercept);
+  out["slope"] = OrNull(line.fit.slope);
+  out["residue"] = OrNull(line.fit.rms_residual);
+  out["spread"] = OrNull(line.fit.spread);
+  out["held_to"] = OrNull(line.fit.largest_met);
+  out["broken_from"] = OrNull(line.fit.smallest_broken);
   out["files"] = line.fit.files;
   return out;
 }
 
 ordered_json ToJson(const CapacityRunNote& note) {
   return {{"file", note.file}, {"command", note.command}, {"commit", note.commit},
-          {"seed", note.seed}, {"verdict", note.verdict}, {"why", note.why}};
+          {"seed", note.seed}, {"verdict", note.verdict}, {"why", note.reason}};
 }
 
 }  // namespace
@@ -1073,39 +1088,39 @@
   const toml::table file = ParseToml(text, path);
   CapacityTarget target{path, {}, {}};
   std::set<std::string> top = {"control_gateway"}, inner;
-  for (const TargetKey& known : kTargetKeys) {
+  for (const TargetKeyRule& known : kTargetKeyRules) {
     const std::string key = known.key;
     const size_t dot = key.find('.');
     (dot == std::string::npos ? top : inner).insert(key.substr(dot + 1));
   }
-  const Reader read(path, file, "");
-  read.Known(top);
-  const toml::node* const node = read.Get("control_gateway");
+  const TableReader reader(path, file, "");
+  reader.RequireKnownKeys(top);
+  const toml::node* const node = reader.Get("control_gateway");
   if (node == nullptr) {
-    Fail(read.Place("control_gateway"), "missing", "a table");
+    Fail(reader.Location("control_gateway"), "missing", "a table");
   }
   if (!node->is_table()) {
-    Fail(read.Place("control_gateway"), "no table", "a table");
+    Fail(reader.Location("control_gateway"), "not a table", "a table");
   }
-  const Reader control(path, *node->as_table(), "control_gateway.");
-  control.Known(inner);
-  for (const TargetKey& known : kTargetKeys) {
+  const TableReader control(path, *node->as_table(), "control_gateway.");
+  control.RequireKnownKeys(inner);
+  for (const TargetKeyRule& known : kTargetKeyRules) {
     const std::string name = known.key;
     const size_t dot = name.find('.');
     const std::string key = name.substr(dot + 1);
-    const Reader& from = dot == std::string::npos ? read : control;
+    const TableReader& from = dot == std::string::npos ? reader : control;
     const std::string expected = fmt::format("a {}number from {} to {}",
-                                             known.whole ? "whole " : "", known.least, known.most);
+                                             known.integer ? "whole " : "", known.min, known.max);
     const toml::node* const found = from.Get(key);
     if (found == nullptr) {
-      Fail(from.Place(key), "missing", expected);
+      Fail(from.Location(key), "missing", expected);
     }
     const auto value = found->is_number() ? found->value<double>() : std::nullopt;
-    if (!value || (known.whole && !found->is_integer())) {
-      Fail(from.Place(key), known.whole ? "no whole number" : "no number", expected);
+    if (!value || (known.integer && !found->is_integer())) {
+      Fail(from.Location(key), known.integer ? "not a whole number" : "not a number", expected);
     }
-    if (!(*value >= known.least && *value <= known.most)) {
-      Fail(from.Place(key), fmt::format("{} is out of range", *value), expected);
+    if (!(*value >= known.min && *value <= known.max)) {
+      Fail(from.Location(key), fmt::format("{} is out of range", *value), expected);
     }
     target.figures[name] = *value;
     target.lines[name] = found->source().begin.line;
@@ -1115,10 +1130,10 @@
 
 CapacityRows ParseRows(std::string_view text, const std::string& path) {
   const toml::table file = ParseToml(text, path);
-  Reader(path, file, "").Known({"row", "assumption"});
+  TableReader(path, file, "").RequireKnownKeys({"row", "assumption"});
   CapacityRows rows{path, ReadTables(path, file, "row", &ReadRow),
                     ReadTables(path, file, "assumption", &ReadAssumption)};
-  CheckIds(rows);
+  RequireValidIds(rows);
   return rows;
 }
 
@@ -1133,9 +1148,9 @@
     std::ifstream file(path);
     CapacityRun run{entry.path().filename().string(), json::parse(file, nullptr, false)};
     if (run.result.is_discarded()) {
-      Fail(path, "no JSON", "what a lab command wrote with --json");
+      Fail(path, "invalid JSON", "what a lab command wrote with --json");
     }
-    CheckRun(run, path);
+    RequireValidRun(run, path);
     runs.push_back(std::move(run));
   }
   if (error) {
@@ -1148,14 +1163,15 @@
 CapacitySlopes FitRuns(const CapacityRows& rows, const std::vector<CapacityRun>& runs) {
   CapacitySlopes slopes;
   for (const CapacityRow& row : rows.rows) {
-    if (Measured(row.kind)) {
+    if (IsMeasured(row.kind)) {
       slopes.fits[row.id] = FitRow(row, runs);
     }
   }
   for (const CapacityRun& run : runs) {
-    const json& r = run.result;
-    slopes.runs.push_back({run.file, r.at("command"), r.at("commit"), r.at("verdict"), Why(r),
-                           r.at("seed").get<uint64_t>()});
+    const json& result = run.result;
+    slopes.runs.push_back({run.file, result.at("command"), result.at("commit"),
+                           result.at("verdict"), ReasonsOf(result),
+                           result.at("seed").get<uint64_t>()});
   }
   return slopes;
 }
@@ -1164,29 +1180,29 @@
                            const CapacityRows& rows) {
   const json file = json::parse(text, nullptr, false);
   if (file.is_discarded()) {
-    Fail(path, "no JSON", "what lab capacity --fit writes");
+    Fail(path, "invalid JSON", "what lab capacity --fit writes");
   }
-  SlopesReader read(file, path + ": slopes");
+  SlopesReader reader(file, path + ": slopes");
   json fits, notes;
-  read.Take("rows", fits);
-  read.Take("runs", notes);
-  read.End();
+  reader.Read("rows", fits);
+  reader.Read("runs", notes);
+  reader.RequireNoOtherKeys();
   if (!fits.is_object()) {
-    Fail(path + ": rows", "no object", "a fit for each row");
+    Fail(path + ": rows", "not an object", "a fit for each row");
   }
   if (!notes.is_array()) {
-    Fail(path + ": runs", "no list", "a note for each run");
+    Fail(path + ": runs", "not a list", "a note for each run");
   }
   CapacitySlopes slopes;
   for (const CapacityRow& row : rows.rows) {
-    if (!Measured(row.kind)) {
+    if (!IsMeasured(row.kind)) {
       continue;
     }
-    const std::string place = fmt::format("{}: rows.{}", path, row.id);
+    const std::string location = fmt::format("{}: rows.{}", path, row.id);
     if (!fits.contains(row.id)) {
-      Fail(place, "missing", "a fit of this row; make it with --fit");
+      Fail(location, "missing", "a fit of this row; make it with --fit");
     }
-    slopes.fits[row.id] = ReadFit(fits[row.id], place, row);
+    slopes.fits[row.id] = ReadFit(fits[row.id], location, row);
   }
   for (const auto& [id, fit] : fits.items()) {
     if (slopes.fits.contains(id)) {
@@ -1202,16 +1218,18 @@
 
 Capacity WeighCapacity(const CapacityTarget& target, const CapacityRows& rows,
                        const CapacitySlopes& slopes) {
-  CheckCovered(target, rows);
+  RequireAllKeysCovered(target, rows);
   Capacity capacity;
   for (const CapacityRow& row : rows.rows) {
-    capacity.lines.push_back(Weigh(row, target, slopes, capacity.lines));
+    capacity.lines.push_back(EvaluateRow(row, target, slopes, capacity.lines));
   }
-  std::ranges::stable_sort(capacity.lines, [](const CapacityLine& a, const CapacityLine& b) {
-    return a.share_kind != b.share_kind ? a.share_kind < b.share_kind : a.share > b.share;
+  std::ranges::stable_sort(capacity.lines, [](const CapacityLine& left, const CapacityLine& right) {
+    return left.share_kind != right.share_kind ? left.share_kind < right.share_kind
+                                               : left.share > right.share;
   });
-  for (const CapacityAssumption& a : rows.assumptions) {
-    capacity.assumptions.push_back({a.what, a.unit, a.why, Evaluate(a.value, target)});
+  for (const CapacityAssumption& assumption : rows.assumptions) {
+    capacity.assumptions.push_back(
+        {assumption.what, assumption.unit, assumption.reason, Evaluate(assumption.value, target)});
   }
   capacity.runs = slopes.runs;
   return capacity;
@@ -1220,8 +1238,8 @@
 std::string ToJson(const CapacitySlopes& slopes, const CapacityRows& rows) {
   ordered_json out;
   out["rows"] = ordered_json::object();
-  for (const CapacityRow& row : rows.rows) {  // in the order of the rows' file
-    if (Measured(row.kind)) {
+  for (const CapacityRow& row : rows.rows) {  // in the order of the rows file
+    if (IsMeasured(row.kind)) {
       out["rows"][row.id] = ToJson(slopes.fits.at(row.id), row.kind);
     }
   }
@@ -1239,9 +1257,11 @@
     out["rows"].push_back(ToJson(line));
   }
   out["assumptions"] = ordered_json::array();
-  for (const CapacityAssumed& a : capacity.assumptions) {
-    out["assumptions"].push_back(
-        {{"what", a.what}, {"value", a.value}, {"unit", a.unit}, {"why", a.why}});
+  for (const EvaluatedAssumption& assumption : capacity.assumptions) {
+    out["assumptions"].push_back({{"what", assumption.what},
+                                  {"value", assumption.value},
+                                  {"unit", assumption.unit},
+                                  {"why", assumption.reason}});
   }
   out["runs"] = ordered_json::array();
   for (const CapacityRunNote& note : capacity.runs) {
@@ -1264,7 +1284,7 @@
   const std::string begin = "<!-- tables: begin -->\n", end = "<!-- tables: end -->";
   const size_t from = page.find(begin), to = page.find(end);
   if (from == std::string::npos || to == std::string::npos || to < from) {
-    Fail(path, "no place for the tables",
+    Fail(path, "no markers for the tables",
          "the lines <!-- tables: begin --> and <!-- tables: end -->");
   }
   return page.substr(0, from + begin.size()) + "\n" + tables + "\n" + page.substr(to);
