--- a/src/lab/one_gateway.cpp
+++ b/src/lab/one_gateway.cpp
@@ -389,11 +389,11 @@
 
 // The value of name=value in a line of counters; 0 where it is not there.
 double CounterValue(std::string_view line, std::string_view name) {
-  const size_t at = line.find(fmt::format(" {}=", name));
-  if (at == std::string_view::npos) {
+  const size_t position = line.find(fmt::format(" {}=", name));
+  if (position == std::string_view::npos) {
     return 0;
   }
-  return std::strtod(std::string(line.substr(at + name.size() + 2, 32)).c_str(), nullptr);
+  return std::strtod(std::string(line.substr(position + name.size() + 2, 32)).c_str(), nullptr);
 }
 
 // Returns a log line, cut to 300 characters so that it fits into the results.
@@ -414,7 +414,7 @@
     if (getloadavg(load.data(), 1) == 1) {
       result_.load_average = load[0];
     }
-    constexpr std::string_view kText = R"(
+    constexpr std::string_view kExperimentToml = R"(
 name = "one-gateway"
 [[hosts]]
 count = 1
@@ -426,7 +426,8 @@
 [load]
 rate = 1
 )";
-    settings_ = json::parse(SettingsJson(ParseExperiment(std::string(kText), "one-gateway"), 0));
+    settings_ =
+        json::parse(SettingsJson(ParseExperiment(std::string(kExperimentToml), "one-gateway"), 0));
     settings_["FailureDomains"] = kZones;
     settings_["RegistryMode"] = "automatic";
     CheckMemory();
@@ -655,8 +656,8 @@
     if (!NothingBroken()) {
       return;
     }
-    const Process::Usage before = process_->Measure();
-    list.rss_mb_before = Megabytes(before.rss_kb);
+    const Process::Usage usage_before = process_->Measure();
+    list.rss_mb_before = Megabytes(usage_before.rss_kb);
     prober_->StartWindow();
     const Time published_at = loop_.Now();
     discovery_->PublishList(full_list);
@@ -680,10 +681,10 @@
     if (!NothingBroken()) {
       return;
     }
-    const Process::Usage after = process_->Measure();
-    list.cpu_s = (after.cpu_us - before.cpu_us) / 1e6;
+    const Process::Usage usage_after = process_->Measure();
+    list.cpu_s = (usage_after.cpu_us - usage_before.cpu_us) / 1e6;
     const Duration list_duration = loop_.Now() - published_at;
-    list.rss_mb = Megabytes(after.rss_kb);
+    list.rss_mb = Megabytes(usage_after.rss_kb);
     list.max_loop_stall_ms = EndWindow("list");
     list.full_list_requests = discovery_->full_list_requests();
     if (!list.applied) {
@@ -790,11 +791,11 @@
     // A gateway that rejects its settings exits at startup; that is a result, not a failure.
     may_exit_ = true;
     log_lines_.clear();
-    const auto ready = StartGateway(settings, empty_list);
+    const auto ready_ms = StartGateway(settings, empty_list);
     may_exit_ = false;
     cost.bytes = config_bytes_;
     std::string counters;
-    if (!ready) {
+    if (!ready_ms) {
       if (!NothingBroken() || !process_->ExitCode()) {
         return ReportNotReady("settings");
       }
@@ -806,13 +807,13 @@
       result_.settings = cost;
       return;
     }
-    cost.ready_ms = *ready;
+    cost.ready_ms = *ready_ms;
     RunFor(kSettleTime);
     if (!NothingBroken()) {
       return;
     }
-    const Process::Usage before = process_->Measure();
-    cost.rss_mb = Megabytes(before.rss_kb);
+    const Process::Usage usage_before = process_->Measure();
+    cost.rss_mb = Megabytes(usage_before.rss_kb);
     WriteConfig(SettingsWithTenants(50), empty_list);
     ReadLog(counters);
     log_lines_.clear();
@@ -842,7 +843,7 @@
       if (!NothingBroken()) {
         return;
       }
-      cost.reload_cpu_s = (process_->Measure().cpu_us - before.cpu_us) / 1e6;
+      cost.reload_cpu_s = (process_->Measure().cpu_us - usage_before.cpu_us) / 1e6;
       cost.max_loop_stall_ms = EndWindow("settings");
       report_(fmt::format(
           "settings with {} tenants, {} bytes: ready after {:.0f} ms, {:.0f} MB; reloaded after "
@@ -873,41 +874,41 @@
     bench.hosts = std::min(options_.hosts, kMaxAnsweringHosts);
     const Result direct = PlayPart(bench, rate, 0, true),
                  via_gateway = PlayPart(bench, rate, 0, false);
-    AddedLatency cost;
-    cost.rate = rate;
-    cost.hosts = bench.hosts;
+    AddedLatency latency;
+    latency.rate = rate;
+    latency.hosts = bench.hosts;
     const auto milliseconds = [](uint32_t microseconds) {
       return microseconds / 1000.0;
     };
-    cost.direct_p50_ms = milliseconds(direct.p50_us);
-    cost.direct_p99_ms = milliseconds(direct.p99_us);
-    cost.via_gateway_p50_ms = milliseconds(via_gateway.p50_us);
-    cost.via_gateway_p99_ms = milliseconds(via_gateway.p99_us);
+    latency.direct_p50_ms = milliseconds(direct.p50_us);
+    latency.direct_p99_ms = milliseconds(direct.p99_us);
+    latency.via_gateway_p50_ms = milliseconds(via_gateway.p50_us);
+    latency.via_gateway_p99_ms = milliseconds(via_gateway.p99_us);
     for (const Result* const part : {&direct, &via_gateway}) {
-      if (cost.void_reason.empty() && !part->late.empty()) {
-        cost.void_reason = part->late.front();
+      if (latency.void_reason.empty() && !part->late.empty()) {
+        latency.void_reason = part->late.front();
       }
     }
     result_.max_rss_mb = std::max(result_.max_rss_mb, Megabytes(via_gateway.rss_kb_max));
     result_.max_processes = std::max<size_t>(result_.max_processes, 2);
-    result_.added.push_back(cost);
+    result_.added.push_back(latency);
     for (const std::string& reason : via_gateway.broken) {
       result_.broken_reasons.push_back(fmt::format("rate {}: {}", rate, reason));
     }
-    const double added = cost.via_gateway_p99_ms - cost.direct_p99_ms;
+    const double added_p99_ms = latency.via_gateway_p99_ms - latency.direct_p99_ms;
     report_(fmt::format("{:.0f} requests per second: added p50 {:.2f} ms, p99 {:.2f} ms{}", rate,
-                        cost.via_gateway_p50_ms - cost.direct_p50_ms, added,
-                        cost.void_reason.empty() ? "" : "; void: " + cost.void_reason));
+                        latency.via_gateway_p50_ms - latency.direct_p50_ms, added_p99_ms,
+                        latency.void_reason.empty() ? "" : "; void: " + latency.void_reason));
     const AddedLatency& lowest = result_.added.front();
-    const double base =
+    const double baseline_ms =
         std::max(kMinAddedLatencyMs, lowest.via_gateway_p99_ms - lowest.direct_p99_ms);
     // At a higher rate, a late lab marks the saturation point. At the first rate, it leaves no
     // baseline to compare with.
-    if (!cost.void_reason.empty() && result_.added.size() == 1) {
-      result_.void_reasons.push_back("added: " + cost.void_reason);
+    if (!latency.void_reason.empty() && result_.added.size() == 1) {
+      result_.void_reasons.push_back("added: " + latency.void_reason);
     }
-    return cost.void_reason.empty() &&
-           (result_.added.size() == 1 || added <= kSaturationFactor * base);
+    return latency.void_reason.empty() &&
+           (result_.added.size() == 1 || added_p99_ms <= kSaturationFactor * baseline_ms);
   }
 
   OneGatewayOptions options_;
