--- a/src/lab/capacity.cpp
+++ b/src/lab/capacity.cpp
@@ -788,9 +788,10 @@
   line.at_target = *fit.intercept * multiplier + *line.growth;
 }
 
-void EvaluateSum(CapacityLine& line, const std::vector<CapacityLine>& above) {
-  const auto find = [&](const std::string& id) -> const CapacityLine& {
-    return *std::ranges::find(above, id, [](const CapacityLine& other) { return other.row.id; });
+void EvaluateSum(CapacityLine& line, const std::vector<CapacityLine>& previous_lines) {
+  const auto find_line = [&](const std::string& id) -> const CapacityLine& {
+    return *std::ranges::find(previous_lines, id,
+                              [](const CapacityLine& other) { return other.row.id; });
   };
   std::optional<double> sum = 0;
   const auto add_figure = [&](const CapacityLine& part, std::optional<double> figure) {
@@ -801,10 +802,10 @@
     }
   };
   for (const std::string& id : line.row.whole_rows) {
-    add_figure(find(id), find(id).at_target);
+    add_figure(find_line(id), find_line(id).at_target);
   }
   for (const std::string& id : line.row.growth_rows) {
-    add_figure(find(id), find(id).growth);
+    add_figure(find_line(id), find_line(id).growth);
   }
   line.at_target = sum;
 }
@@ -824,7 +825,8 @@
 }
 
 CapacityLine EvaluateRow(const CapacityRow& row, const CapacityTarget& target,
-                         const CapacitySlopes& slopes, const std::vector<CapacityLine>& above) {
+                         const CapacitySlopes& slopes,
+                         const std::vector<CapacityLine>& previous_lines) {
   CapacityLine line;
   line.row = row;
   line.size = Evaluate(row.size, target);
@@ -842,7 +844,7 @@
     EvaluateSlope(line);
   }
   if (row.kind == CapacityKind::kSum) {
-    EvaluateSum(line, above);
+    EvaluateSum(line, previous_lines);
   }
   if (row.kind == CapacityKind::kNone) {
     line.at_target = line.size;
@@ -1087,43 +1089,44 @@
 CapacityTarget ParseTarget(std::string_view text, const std::string& path) {
   const toml::table file = ParseToml(text, path);
   CapacityTarget target{path, {}, {}};
-  std::set<std::string> top = {"control_gateway"}, inner;
-  for (const TargetKeyRule& known : kTargetKeyRules) {
-    const std::string key = known.key;
+  std::set<std::string> root_keys = {"control_gateway"}, control_keys;
+  for (const TargetKeyRule& rule : kTargetKeyRules) {
+    const std::string key = rule.key;
     const size_t dot = key.find('.');
-    (dot == std::string::npos ? top : inner).insert(key.substr(dot + 1));
+    (dot == std::string::npos ? root_keys : control_keys).insert(key.substr(dot + 1));
   }
   const TableReader reader(path, file, "");
-  reader.RequireKnownKeys(top);
-  const toml::node* const node = reader.Get("control_gateway");
-  if (node == nullptr) {
+  reader.RequireKnownKeys(root_keys);
+  const toml::node* const control_node = reader.Get("control_gateway");
+  if (control_node == nullptr) {
     Fail(reader.Location("control_gateway"), "missing", "a table");
   }
-  if (!node->is_table()) {
+  if (!control_node->is_table()) {
     Fail(reader.Location("control_gateway"), "not a table", "a table");
   }
-  const TableReader control(path, *node->as_table(), "control_gateway.");
-  control.RequireKnownKeys(inner);
-  for (const TargetKeyRule& known : kTargetKeyRules) {
-    const std::string name = known.key;
+  const TableReader control_reader(path, *control_node->as_table(), "control_gateway.");
+  control_reader.RequireKnownKeys(control_keys);
+  for (const TargetKeyRule& rule : kTargetKeyRules) {
+    const std::string name = rule.key;
     const size_t dot = name.find('.');
     const std::string key = name.substr(dot + 1);
-    const TableReader& from = dot == std::string::npos ? reader : control;
-    const std::string expected = fmt::format("a {}number from {} to {}",
-                                             known.integer ? "whole " : "", known.min, known.max);
-    const toml::node* const found = from.Get(key);
-    if (found == nullptr) {
-      Fail(from.Location(key), "missing", expected);
+    const TableReader& key_reader = dot == std::string::npos ? reader : control_reader;
+    const std::string expected =
+        fmt::format("a {}number from {} to {}", rule.integer ? "whole " : "", rule.min, rule.max);
+    const toml::node* const node = key_reader.Get(key);
+    if (node == nullptr) {
+      Fail(key_reader.Location(key), "missing", expected);
     }
-    const auto value = found->is_number() ? found->value<double>() : std::nullopt;
-    if (!value || (known.integer && !found->is_integer())) {
-      Fail(from.Location(key), known.integer ? "not a whole number" : "not a number", expected);
+    const auto value = node->is_number() ? node->value<double>() : std::nullopt;
+    if (!value || (rule.integer && !node->is_integer())) {
+      Fail(key_reader.Location(key), rule.integer ? "not a whole number" : "not a number",
+           expected);
     }
-    if (!(*value >= known.min && *value <= known.max)) {
-      Fail(from.Location(key), fmt::format("{} is out of range", *value), expected);
+    if (!(*value >= rule.min && *value <= rule.max)) {
+      Fail(key_reader.Location(key), fmt::format("{} is out of range", *value), expected);
     }
     target.figures[name] = *value;
-    target.lines[name] = found->source().begin.line;
+    target.lines[name] = node->source().begin.line;
   }
   return target;
 }
@@ -1281,13 +1284,15 @@
 
 std::string WithTables(const std::string& page, const std::string& tables,
                        const std::string& path) {
-  const std::string begin = "<!-- tables: begin -->\n", end = "<!-- tables: end -->";
-  const size_t from = page.find(begin), to = page.find(end);
-  if (from == std::string::npos || to == std::string::npos || to < from) {
+  const std::string begin_marker = "<!-- tables: begin -->\n", end_marker = "<!-- tables: end -->";
+  const size_t begin_position = page.find(begin_marker), end_position = page.find(end_marker);
+  if (begin_position == std::string::npos || end_position == std::string::npos ||
+      end_position < begin_position) {
     Fail(path, "no markers for the tables",
          "the lines <!-- tables: begin --> and <!-- tables: end -->");
   }
-  return page.substr(0, from + begin.size()) + "\n" + tables + "\n" + page.substr(to);
+  return page.substr(0, begin_position + begin_marker.size()) + "\n" + tables + "\n" +
+         page.substr(end_position);
 }
 
 }  // namespace paddlestile::lab
