--- a/src/lab/result.cpp
+++ b/src/lab/result.cpp
@@ -14,13 +14,13 @@
 
 using nlohmann::json;
 
-// The lab's own lateness past which its figures say nothing of the gateway.
-constexpr double kLagMostMs = 300;
-constexpr double kLagP99MostMs = 30;
-constexpr size_t kHostsInWindow = 64;  // beyond, a window holds the spread alone
+// If the lab itself is later than this, its measurements say nothing about the gateway.
+constexpr double kMaxLagMs = 300;
+constexpr double kMaxLagP99Ms = 30;
+constexpr size_t kMaxHostsPerWindow = 64;  // with more hosts, a window has only the spread
 
-double Share(uint64_t part, uint64_t all) {
-  return all > 0 ? static_cast<double>(part) / static_cast<double>(all) : 0;
+double Share(uint64_t count, uint64_t total) {
+  return total > 0 ? static_cast<double>(count) / static_cast<double>(total) : 0;
 }
 
 }  // namespace
@@ -51,219 +51,236 @@
   if (breaches == 0) {
     return broken.size();
   }
-  const auto is_of_a_rule = [](const std::string& what) {
-    return what.starts_with("rule: ");
+  const auto is_rule_breach = [](const std::string& message) {
+    return message.starts_with("rule: ");
   };
   return breaches + broken.size() -
-         static_cast<uint64_t>(std::ranges::count_if(broken, is_of_a_rule));
+         static_cast<uint64_t>(std::ranges::count_if(broken, is_rule_breach));
 }
 
-uint32_t Quantile(std::vector<uint32_t>& values, double part) {
+uint32_t Quantile(std::vector<uint32_t>& values, double fraction) {
   if (values.empty()) {
     return 0;
   }
-  const auto rank = static_cast<size_t>(std::ceil(part * static_cast<double>(values.size())));
-  const auto at =
+  const auto rank = static_cast<size_t>(std::ceil(fraction * static_cast<double>(values.size())));
+  const auto position =
       values.begin() + static_cast<long>(std::clamp<size_t>(rank, 1, values.size()) - 1);
-  std::nth_element(values.begin(), at, values.end());
-  return *at;
+  std::nth_element(values.begin(), position, values.end());
+  return *position;
 }
 
-void Judge(const Experiment& e, const std::vector<Breach>& breaches, Result& r) {
-  const Ledger::Counts& c = r.counts;
-  for (const Breach& b : breaches) {
-    r.broken.push_back(fmt::format("rule: {} at {:.3f} s, {}: {}", NameOf(b.rule),
-                                   static_cast<double>(b.at.count()) / 1e6, b.id, b.what));
+void Judge(const Experiment& experiment, const std::vector<Breach>& breaches, Result& result) {
+  const Ledger::Counts& counts = result.counts;
+  for (const Breach& breach : breaches) {
+    result.broken.push_back(fmt::format("rule: {} at {:.3f} s, {}: {}", NameOf(breach.rule),
+                                        static_cast<double>(breach.at.count()) / 1e6, breach.id,
+                                        breach.what));
   }
-  for (size_t i = 0; i < kRuleCount; ++i) {
-    const auto told = std::ranges::count(breaches, static_cast<Rule>(i), &Breach::rule);
-    if (c.breaches[i] > static_cast<uint64_t>(told)) {
-      r.broken.push_back(fmt::format("rule: {}: {} more", NameOf(static_cast<Rule>(i)),
-                                     c.breaches[i] - static_cast<uint64_t>(told)));
+  for (size_t rule = 0; rule < kRuleCount; ++rule) {
+    const auto reported = std::ranges::count(breaches, static_cast<Rule>(rule), &Breach::rule);
+    if (counts.breaches[rule] > static_cast<uint64_t>(reported)) {
+      result.broken.push_back(fmt::format("rule: {}: {} more", NameOf(static_cast<Rule>(rule)),
+                                          counts.breaches[rule] - static_cast<uint64_t>(reported)));
     }
   }
-  r.broken.insert(r.broken.end(), r.bank.broken.begin(), r.bank.broken.end());
-  r.broken.insert(r.broken.end(), r.scale.broken.begin(), r.scale.broken.end());
-  const auto least = [&](const std::optional<double>& bound, double value, std::string_view name) {
+  result.broken.insert(result.broken.end(), result.bank.broken.begin(), result.bank.broken.end());
+  result.broken.insert(result.broken.end(), result.scale.broken.begin(), result.scale.broken.end());
+  const auto require_at_least = [&](const std::optional<double>& bound, double value,
+                                    std::string_view name) {
     if (bound && value < *bound) {
-      r.broken.push_back(fmt::format("must: {} {:.4g}, at least {:.4g}", name, value, *bound));
+      result.broken.push_back(fmt::format("must: {} {:.4g}, at least {:.4g}", name, value, *bound));
     }
   };
-  const auto most = [&](const std::optional<double>& bound, double value, std::string_view name) {
+  const auto require_at_most = [&](const std::optional<double>& bound, double value,
+                                   std::string_view name) {
     if (bound && value > *bound) {
-      r.broken.push_back(fmt::format("must: {} {:.4g}, at most {:.4g}", name, value, *bound));
+      result.broken.push_back(fmt::format("must: {} {:.4g}, at most {:.4g}", name, value, *bound));
     }
   };
-  const Requirements& m = e.requirements;
-  least(m.min_worth_share, r.worth_share(), "worth_share");
-  least(m.min_served_share, Share(c.served, c.asked), "served_share");
-  most(m.max_refused_share, Share(c.refused, c.asked), "refused_share");
-  most(m.max_failed_share, Share(c.failed, c.asked), "failed_share");
-  most(m.max_late_share, Share(c.late, c.asked), "late_share");
-  most(m.max_p50_ms, r.p50_us / 1000.0, "p50_ms");
-  most(m.max_p99_ms, r.p99_us / 1000.0, "p99_ms");
-  most(m.max_cpu_us, r.cpu_us_per_request, "cpu_us");
-  most(m.max_rss_mb, static_cast<double>(r.rss_kb_max) / 1024, "rss_mb");
-  most(m.max_rss_growth_mb, static_cast<double>(r.rss_kb_growth) / 1024, "rss_growth_mb");
-  most(m.max_descriptors, static_cast<double>(r.descriptors_max), "descriptors");
-  most(m.max_misbehaving_unanswered_share, Share(r.bad_unanswered, r.bad_sent),
-       "bad_unanswered_share");
-  if (r.bank.on) {
-    most(m.max_unavailable_ms, r.bank.unavailable_ms_most, "unavailable_ms");
-    most(m.max_p50_follow_ms, r.bank.follow_ms_p50, "follow_ms_p50");
-    least(m.min_changes_done_share, Share(r.bank.told_done, r.bank.changes), "changes_done_share");
+  const Requirements& requirements = experiment.requirements;
+  require_at_least(requirements.min_worth_share, result.worth_share(), "worth_share");
+  require_at_least(requirements.min_served_share, Share(counts.served, counts.asked),
+                   "served_share");
+  require_at_most(requirements.max_refused_share, Share(counts.refused, counts.asked),
+                  "refused_share");
+  require_at_most(requirements.max_failed_share, Share(counts.failed, counts.asked),
+                  "failed_share");
+  require_at_most(requirements.max_late_share, Share(counts.late, counts.asked), "late_share");
+  require_at_most(requirements.max_p50_ms, result.p50_us / 1000.0, "p50_ms");
+  require_at_most(requirements.max_p99_ms, result.p99_us / 1000.0, "p99_ms");
+  require_at_most(requirements.max_cpu_us, result.cpu_us_per_request, "cpu_us");
+  require_at_most(requirements.max_rss_mb, static_cast<double>(result.rss_kb_max) / 1024, "rss_mb");
+  require_at_most(requirements.max_rss_growth_mb, static_cast<double>(result.rss_kb_growth) / 1024,
+                  "rss_growth_mb");
+  require_at_most(requirements.max_descriptors, static_cast<double>(result.descriptors_max),
+                  "descriptors");
+  require_at_most(requirements.max_misbehaving_unanswered_share,
+                  Share(result.bad_unanswered, result.bad_sent), "bad_unanswered_share");
+  if (result.bank.on) {
+    require_at_most(requirements.max_unavailable_ms, result.bank.unavailable_ms_most,
+                    "unavailable_ms");
+    require_at_most(requirements.max_p50_follow_ms, result.bank.follow_ms_p50, "follow_ms_p50");
+    require_at_least(requirements.min_changes_done_share,
+                     Share(result.bank.told_done, result.bank.changes), "changes_done_share");
   }
-  if (r.bad_served > 0) {
-    r.broken.push_back(fmt::format("must: {} requests served that can't be read", r.bad_served));
+  if (result.bad_served > 0) {
+    result.broken.push_back(
+        fmt::format("must: {} malformed requests were served", result.bad_served));
   }
-  for (const WindowRequirement& w : m.windows) {
+  for (const WindowRequirement& requirement : requirements.windows) {
     double asked = 0, served = 0;
-    for (const WindowResult& window : r.windows) {
-      if (window.at_s * 1e6 < static_cast<double>(w.from.count()) ||
-          window.at_s * 1e6 >= static_cast<double>(w.to.count())) {
+    for (const WindowResult& window : result.windows) {
+      if (window.at_s * 1e6 < static_cast<double>(requirement.from.count()) ||
+          window.at_s * 1e6 >= static_cast<double>(requirement.to.count())) {
         continue;
       }
       asked += window.counts.worth_asked;
       served += window.counts.worth_served;
     }
     const double share = asked > 0 ? served / asked : 0;
-    least(w.min_worth_share, share,
-          fmt::format("worth_share from {:.0f} to {:.0f} s",
-                      static_cast<double>(w.from.count()) / 1e6,
-                      static_cast<double>(w.to.count()) / 1e6));
+    require_at_least(requirement.min_worth_share, share,
+                     fmt::format("worth_share from {:.0f} to {:.0f} s",
+                                 static_cast<double>(requirement.from.count()) / 1e6,
+                                 static_cast<double>(requirement.to.count()) / 1e6));
   }
-  if (r.lab_lag_ms_max > kLagMostMs) {
-    r.late.push_back(fmt::format("the lab was {:.0f} ms late once, {:.0f} at most",
-                                 r.lab_lag_ms_max, kLagMostMs));
+  if (result.lab_lag_ms_max > kMaxLagMs) {
+    result.late.push_back(fmt::format("the lab was {:.0f} ms late once, expected at most {:.0f}",
+                                      result.lab_lag_ms_max, kMaxLagMs));
   }
-  if (r.lab_lag_ms_p99 > kLagP99MostMs) {
-    r.late.push_back(fmt::format("the lab was {:.0f} ms late at p99, {:.0f} at most",
-                                 r.lab_lag_ms_p99, kLagP99MostMs));
+  if (result.lab_lag_ms_p99 > kMaxLagP99Ms) {
+    result.late.push_back(fmt::format("the lab was {:.0f} ms late at p99, expected at most {:.0f}",
+                                      result.lab_lag_ms_p99, kMaxLagP99Ms));
   }
-  r.verdict = !r.late.empty()     ? Verdict::kVoid
-              : !r.broken.empty() ? Verdict::kBroken
-                                  : Verdict::kHeld;
+  result.verdict = !result.late.empty()     ? Verdict::kVoid
+                   : !result.broken.empty() ? Verdict::kBroken
+                                            : Verdict::kHeld;
 }
 
 namespace {
 
 json ExcusedToJson(const Ledger::Counts& counts) {
   json excused = json::object();
-  for (size_t i = 0; i < kExcuseCount; ++i) {
-    excused[std::string(NameOf(static_cast<Excuse>(i)))] = counts.excused[i];
+  for (size_t excuse = 0; excuse < kExcuseCount; ++excuse) {
+    excused[std::string(NameOf(static_cast<Excuse>(excuse)))] = counts.excused[excuse];
   }
   return excused;
 }
 
-json WindowsToJson(const std::vector<WindowResult>& all) {
+json WindowsToJson(const std::vector<WindowResult>& window_results) {
   json windows = json::array();
-  for (const WindowResult& w : all) {
-    std::vector<size_t> held;
+  for (const WindowResult& window : window_results) {
+    std::vector<size_t> counts;
     json hosts = json::object();
-    for (const auto& [name, inflight] : w.inflight) {
-      held.push_back(inflight);
-      if (w.inflight.size() <= kHostsInWindow) {
+    for (const auto& [name, inflight] : window.inflight) {
+      counts.push_back(inflight);
+      if (window.inflight.size() <= kMaxHostsPerWindow) {
         hosts[name] = inflight;
       }
     }
-    std::ranges::sort(held);
-    const auto at = [&](double part) {
-      return held.empty() ? 0
-                          : held[static_cast<size_t>(part * static_cast<double>(held.size() - 1))];
+    std::ranges::sort(counts);
+    const auto quantile = [&](double fraction) {
+      return counts.empty()
+                 ? 0
+                 : counts[static_cast<size_t>(fraction * static_cast<double>(counts.size() - 1))];
     };
     windows.push_back(
-        {{"at_s", w.at_s},
-         {"asked", w.counts.asked},
-         {"served", w.counts.served},
-         {"late", w.counts.late},
-         {"refused", w.counts.refused},
-         {"failed", w.counts.failed},
-         {"worth", {{"asked", w.counts.worth_asked}, {"served", w.counts.worth_served}}},
-         {"latency_us", {{"p50", w.p50_us}, {"p99", w.p99_us}}},
-         {"inflight", {{"least", at(0)}, {"median", at(0.5)}, {"most", at(1)}}},
+        {{"at_s", window.at_s},
+         {"asked", window.counts.asked},
+         {"served", window.counts.served},
+         {"late", window.counts.late},
+         {"refused", window.counts.refused},
+         {"failed", window.counts.failed},
+         {"worth", {{"asked", window.counts.worth_asked}, {"served", window.counts.worth_served}}},
+         {"latency_us", {{"p50", window.p50_us}, {"p99", window.p99_us}}},
+         {"inflight", {{"least", quantile(0)}, {"median", quantile(0.5)}, {"most", quantile(1)}}},
          {"hosts", hosts},
-         {"cpu_share", w.cpu_share},
-         {"rss_kb", w.rss_kb},
-         {"descriptors", w.descriptors}});
+         {"cpu_share", window.cpu_share},
+         {"rss_kb", window.rss_kb},
+         {"descriptors", window.descriptors}});
   }
   return windows;
 }
 
 }  // namespace
 
-std::string ToJson(const Result& r) {
-  const Ledger::Counts& c = r.counts;
-  const json windows = WindowsToJson(r.windows);
+std::string ToJson(const Result& result) {
+  const Ledger::Counts& counts = result.counts;
+  const json windows = WindowsToJson(result.windows);
   json faults = json::array();
-  for (const MarkedFault& f : r.faults) {
-    faults.push_back(
-        {{"name", f.name}, {"from_s", f.from_s}, {"to_s", f.to_s}, {"hosts", f.hosts}});
+  for (const MarkedFault& fault : result.faults) {
+    faults.push_back({{"name", fault.name},
+                      {"from_s", fault.from_s},
+                      {"to_s", fault.to_s},
+                      {"hosts", fault.hosts}});
   }
   json out = {
-      {"experiment", r.experiment},
-      {"about", r.about},
-      {"file", r.path},
+      {"experiment", result.experiment},
+      {"about", result.about},
+      {"file", result.path},
       {"world", "sockets"},
-      {"seed", r.seed},
-      {"seconds", r.seconds},
-      {"verdict", NameOf(r.verdict)},
-      {"broken", r.broken},
-      {"lab_late", r.late},
+      {"seed", result.seed},
+      {"seconds", result.seconds},
+      {"verdict", NameOf(result.verdict)},
+      {"broken", result.broken},
+      {"lab_late", result.late},
       {"requests",
-       {{"asked", c.asked},
-        {"served", c.served},
-        {"late", c.late},
-        {"refused", c.refused},
-        {"failed", c.failed},
-        {"lost", c.lost},
-        {"answered_twice", c.answered_twice},
-        {"tries", c.attempts},
-        {"left", c.client_disconnects},
-        {"excused", ExcusedToJson(c)}}},
+       {{"asked", counts.asked},
+        {"served", counts.served},
+        {"late", counts.late},
+        {"refused", counts.refused},
+        {"failed", counts.failed},
+        {"lost", counts.lost},
+        {"answered_twice", counts.answered_twice},
+        {"tries", counts.attempts},
+        {"left", counts.client_disconnects},
+        {"excused", ExcusedToJson(counts)}}},
       {"receipts",
-       {{"total", c.receipts},
-        {"twice_unlawful", c.twice_unlawful},
-        {"keys_run_again", c.keys_run_again}}},
-      {"drains", {{"late_sends", c.late_sends}}},
-      {"cold", {{"fell_over", c.fell_over}}},
-      {"worth", {{"asked", c.worth_asked}, {"served", c.worth_served}, {"worst_10s", r.worst_10s}}},
-      {"latency_us", {{"p50", r.p50_us}, {"p99", r.p99_us}, {"p999", r.p999_us}}},
+       {{"total", counts.receipts},
+        {"twice_unlawful", counts.twice_unlawful},
+        {"keys_run_again", counts.keys_run_again}}},
+      {"drains", {{"late_sends", counts.late_sends}}},
+      {"cold", {{"fell_over", counts.fell_over}}},
+      {"worth",
+       {{"asked", counts.worth_asked},
+        {"served", counts.worth_served},
+        {"worst_10s", result.worst_10s}}},
+      {"latency_us", {{"p50", result.p50_us}, {"p99", result.p99_us}, {"p999", result.p999_us}}},
       {"gateway",
-       {{"cpu_us_per_request", r.cpu_us_per_request},
-        {"rss_kb_max", r.rss_kb_max},
-        {"rss_kb_growth", r.rss_kb_growth},
-        {"descriptors_max", r.descriptors_max}}},
-      {"fleet", {{"hosts", r.hosts}, {"gateways", r.gateways}}},
+       {{"cpu_us_per_request", result.cpu_us_per_request},
+        {"rss_kb_max", result.rss_kb_max},
+        {"rss_kb_growth", result.rss_kb_growth},
+        {"descriptors_max", result.descriptors_max}}},
+      {"fleet", {{"hosts", result.hosts}, {"gateways", result.gateways}}},
       {"clients",
-       {{"connections", r.client_connections},
-        {"connections_most", r.client_connections_most},
-        {"no_gateway", r.no_gateway},
-        {"bad_sent", r.bad_sent},
-        {"bad_unanswered", r.bad_unanswered},
-        {"bad_served", r.bad_served},
-        {"arrivals_digest", fmt::format("{:016x}", r.arrivals_digest)}}},
+       {{"connections", result.client_connections},
+        {"connections_most", result.client_connections_most},
+        {"no_gateway", result.no_gateway},
+        {"bad_sent", result.bad_sent},
+        {"bad_unanswered", result.bad_unanswered},
+        {"bad_served", result.bad_served},
+        {"arrivals_digest", fmt::format("{:016x}", result.arrivals_digest)}}},
       {"lab",
-       {{"cpu_share", r.lab_cpu_share},
-        {"lag_ms_max", r.lab_lag_ms_max},
-        {"lag_ms_p99", r.lab_lag_ms_p99}}},
+       {{"cpu_share", result.lab_cpu_share},
+        {"lag_ms_max", result.lab_lag_ms_max},
+        {"lag_ms_p99", result.lab_lag_ms_p99}}},
       {"faults", faults},
       {"windows", windows},
-      {"logs", r.logs}};
-  if (r.bank.on) {
-    const BankResult& b = r.bank;
+      {"logs", result.logs}};
+  if (result.bank.on) {
+    const BankResult& bank = result.bank;
     out["bank"] = {
-        {"changes", b.changes},
-        {"changes_told_done", b.told_done},
-        {"changes_lost", b.lost},
-        {"changes_twice", b.twice},
-        {"changes_refused", b.refused},
-        {"bound_ms", b.bound_ms},
-        {"contradiction_ms_most", b.contradiction_ms_most},
-        {"unavailable_ms_most", b.unavailable_ms_most},
-        {"sent_while_alone", b.sent_while_alone},
+        {"changes", bank.changes},
+        {"changes_told_done", bank.told_done},
+        {"changes_lost", bank.lost},
+        {"changes_twice", bank.twice},
+        {"changes_refused", bank.refused},
+        {"bound_ms", bank.bound_ms},
+        {"contradiction_ms_most", bank.contradiction_ms_most},
+        {"unavailable_ms_most", bank.unavailable_ms_most},
+        {"sent_while_alone", bank.sent_while_alone},
         {"follow_ms",
-         {{"p50", b.follow_ms_p50}, {"p99", b.follow_ms_p99}, {"most", b.follow_ms_most}}},
-        {"done_ms", {{"p50", b.done_ms_p50}, {"most", b.done_ms_most}}}};
+         {{"p50", bank.follow_ms_p50}, {"p99", bank.follow_ms_p99}, {"most", bank.follow_ms_most}}},
+        {"done_ms", {{"p50", bank.done_ms_p50}, {"most", bank.done_ms_most}}}};
   }
   return out.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
@@ -367,71 +384,74 @@
 Result ResultFromJson(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    throw std::runtime_error(path + ": cannot read it, expected a result of lab run");
+    throw std::runtime_error(path + ": cannot be read, expected a result file of lab run");
   }
   try {
     return ReadResult(json::parse(file), path);
   } catch (const json::exception& error) {
     throw std::runtime_error(
-        fmt::format("{}: {}, expected a result of lab run", path, error.what()));
+        fmt::format("{}: {}, expected a result file of lab run", path, error.what()));
   }
 }
 
 std::string DescribeExcused(const Ledger::Counts& counts) {
   std::string text;
-  for (size_t i = 0; i < kExcuseCount; ++i) {
-    if (counts.excused[i] > 0) {
-      text += fmt::format("{}{} {}", text.empty() ? "" : ", ", counts.excused[i],
-                          NameOf(static_cast<Excuse>(i)));
+  for (size_t excuse = 0; excuse < kExcuseCount; ++excuse) {
+    if (counts.excused[excuse] > 0) {
+      text += fmt::format("{}{} {}", text.empty() ? "" : ", ", counts.excused[excuse],
+                          NameOf(static_cast<Excuse>(excuse)));
     }
   }
   return text.empty() ? "none" : text;
 }
 
-std::string Summary(const Result& r) {
-  const Ledger::Counts& c = r.counts;
-  std::string out = fmt::format(
-      "{}: {} (seed {}, {:.0f} s, {} hosts, {} gateway{}; emulated hosts)\n", r.experiment,
-      NameOf(r.verdict), r.seed, r.seconds, r.hosts, r.gateways, r.gateways == 1 ? "" : "s");
-  out += fmt::format(
+std::string Summary(const Result& result) {
+  const Ledger::Counts& counts = result.counts;
+  std::string text =
+      fmt::format("{}: {} (seed {}, {:.0f} s, {} hosts, {} gateway{}; emulated hosts)\n",
+                  result.experiment, NameOf(result.verdict), result.seed, result.seconds,
+                  result.hosts, result.gateways, result.gateways == 1 ? "" : "s");
+  text += fmt::format(
       "  requests: {} asked, {} served ({} late), {} refused, {} failed, {} lost, {} answered "
       "twice\n",
-      c.asked, c.served, c.late, c.refused, c.failed, c.lost, c.answered_twice);
-  out += fmt::format("  excused: {}\n", DescribeExcused(c));
-  out += fmt::format("  worth: {:.3f} of what was asked for, {:.3f} in the worst 10 s\n",
-                     r.worth_share(), r.worst_10s);
-  out += fmt::format("  latency: p50 {:.1f} ms, p99 {:.1f} ms, p99.9 {:.1f} ms\n",
-                     r.p50_us / 1000.0, r.p99_us / 1000.0, r.p999_us / 1000.0);
-  out += fmt::format(
-      "  receipts: {}, {} unlawful; {} late sends to draining hosts; {} cold hosts fell over\n",
-      c.receipts, c.twice_unlawful, c.late_sends, c.fell_over);
-  out += fmt::format(
-      "  gateway: {:.0f} us of CPU a request, {:.1f} MB, {} descriptors; lab: {:.2f} cores, "
-      "{:.0f} ms late at most\n",
-      r.cpu_us_per_request, static_cast<double>(r.rss_kb_max) / 1024, r.descriptors_max,
-      r.lab_cpu_share, r.lab_lag_ms_max);
-  if (r.bank.on) {
-    const BankResult& b = r.bank;
-    out += fmt::format(
-        "  bank: {} changes, {} told done, {} lost, {} twice; done in {:.0f} ms (p50), followed in "
-        "{:.0f} ms (p50), {:.0f} (most)\n",
-        b.changes, b.told_done, b.lost, b.twice, b.done_ms_p50, b.follow_ms_p50, b.follow_ms_most);
-    out += fmt::format(
-        "  bank: contradiction at most {:.0f} ms, bound {:.0f}; no change could be made for {:.0f} "
-        "ms "
-        "at most; {} sent while out of touch\n",
-        b.contradiction_ms_most, b.bound_ms, b.unavailable_ms_most, b.sent_while_alone);
+      counts.asked, counts.served, counts.late, counts.refused, counts.failed, counts.lost,
+      counts.answered_twice);
+  text += fmt::format("  excused: {}\n", DescribeExcused(counts));
+  text += fmt::format("  worth: {:.3f} of what was asked for, {:.3f} in the worst 10 s\n",
+                      result.worth_share(), result.worst_10s);
+  text += fmt::format("  latency: p50 {:.1f} ms, p99 {:.1f} ms, p99.9 {:.1f} ms\n",
+                      result.p50_us / 1000.0, result.p99_us / 1000.0, result.p999_us / 1000.0);
+  text += fmt::format(
+      "  receipts: {}, {} unlawful; {} late sends to draining hosts; {} cold hosts collapsed\n",
+      counts.receipts, counts.twice_unlawful, counts.late_sends, counts.fell_over);
+  text += fmt::format(
+      "  gateway: {:.0f} us of CPU per request, {:.1f} MB, {} descriptors; lab: {:.2f} cores, "
+      "at most {:.0f} ms late\n",
+      result.cpu_us_per_request, static_cast<double>(result.rss_kb_max) / 1024,
+      result.descriptors_max, result.lab_cpu_share, result.lab_lag_ms_max);
+  if (result.bank.on) {
+    const BankResult& bank = result.bank;
+    text += fmt::format(
+        "  bank: {} changes, {} confirmed, {} lost, {} applied twice; confirmed in {:.0f} ms "
+        "(p50), followed in "
+        "{:.0f} ms (p50), {:.0f} ms (maximum)\n",
+        bank.changes, bank.told_done, bank.lost, bank.twice, bank.done_ms_p50, bank.follow_ms_p50,
+        bank.follow_ms_most);
+    text += fmt::format(
+        "  bank: contradiction at most {:.0f} ms, bound {:.0f} ms; changes unavailable for at most "
+        "{:.0f} ms; {} sent while disconnected\n",
+        bank.contradiction_ms_most, bank.bound_ms, bank.unavailable_ms_most, bank.sent_while_alone);
   }
-  constexpr size_t kShown = 8;
-  for (const auto* const list : {&r.late, &r.broken}) {
-    for (size_t i = 0; i < list->size() && i < kShown; ++i) {
-      out += fmt::format("  {}\n", (*list)[i]);
+  constexpr size_t kMaxLinesPerList = 8;
+  for (const auto* const list : {&result.late, &result.broken}) {
+    for (size_t i = 0; i < list->size() && i < kMaxLinesPerList; ++i) {
+      text += fmt::format("  {}\n", (*list)[i]);
     }
-    if (list->size() > kShown) {
-      out += fmt::format("  and {} more\n", list->size() - kShown);
+    if (list->size() > kMaxLinesPerList) {
+      text += fmt::format("  and {} more\n", list->size() - kMaxLinesPerList);
     }
   }
-  return out;
+  return text;
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/result.h
+++ b/src/lab/result.h
@@ -1,4 +1,5 @@
-// What an experiment came to: figures, verdict and why; as JSON, which other programs read.
+// The result of an experiment: its measurements, its verdict and the reasons for it. Also its JSON
+// form, which other programs read.
 #ifndef PADDLESTILE_LAB_RESULT_H_
 #define PADDLESTILE_LAB_RESULT_H_
 
@@ -17,16 +18,17 @@
 
 namespace paddlestile::lab {
 
-// One second of an experiment.
+// Measurements of one second of an experiment.
 struct WindowResult {
   double at_s = 0;
   Ledger::Window counts;
   uint32_t p50_us = 0, p99_us = 0;
-  std::vector<std::pair<std::string, size_t>> inflight;  // of each host that ran
-  double cpu_share = 0;                                  // of a core, all gateways
+  std::vector<std::pair<std::string, size_t>> inflight;  // by host that ran
+  double cpu_share = 0;                                  // in cores, all gateways
   uint64_t rss_kb = 0, descriptors = 0;                  // all gateways
 };
 
+// A fault of the experiment, as marked in plots and reports.
 struct MarkedFault {
   double from_s = 0, to_s = 0;
   std::string name;
@@ -34,9 +36,9 @@
 };
 
 enum class Verdict {
-  kHeld,
-  kBroken,
-  kVoid
+  kHeld,    // all rules and requirements were met
+  kBroken,  // at least one was not
+  kVoid     // the lab itself ran late, so its measurements say nothing about the gateway
 };
 
 struct Result {
@@ -45,16 +47,16 @@
   double seconds = 0;
   size_t hosts = 0, gateways = 0;
   Verdict verdict = Verdict::kHeld;
-  std::vector<std::string> broken;  // what did not hold, the rules first
-  std::vector<std::string> late;    // why this is no verdict: the lab itself was late
-  // What did not hold in earlier attempts at this verdict, in which the lab was late (lab soak).
+  std::vector<std::string> broken;  // unmet rules and requirements, rules first
+  std::vector<std::string> late;    // why the verdict is void: how late the lab was
+  // What was broken in earlier runs of this experiment that were void (lab soak).
   std::vector<std::string> broken_without_verdict;
-  uint64_t broken_count_without_verdict = 0;  // each breach of a rule counted; 0: not counted
+  uint64_t broken_count_without_verdict = 0;  // counted like broken_count(); 0: not counted
   Ledger::Counts counts;
   BankResult bank;
   ScaleFigures scale;
   uint64_t arrivals_digest = 0;
-  double worst_10s = 1;  // the least share of the worth over ten seconds in a row
+  double worst_10s = 1;  // minimum share of worth served over ten consecutive seconds
   uint32_t p50_us = 0, p99_us = 0, p999_us = 0;
   double cpu_us_per_request = 0;
   uint64_t rss_kb_max = 0, rss_kb_growth = 0, descriptors_max = 0;
@@ -63,33 +65,38 @@
   double lab_cpu_share = 0, lab_lag_ms_max = 0, lab_lag_ms_p99 = 0;
   std::vector<WindowResult> windows;
   std::vector<MarkedFault> faults;
-  std::vector<std::string> logs;  // the last lines of each gateway's, where something broke
+  std::vector<std::string> logs;  // the last lines of each gateway's log, if something broke
 
-  // Each breach of a rule counted, also those that `broken` only sums up.
+  // The number of unmet requirements and rule breaches. Counts each breach, including those that
+  // `broken` only summarizes.
   [[nodiscard]] uint64_t broken_count() const;
   [[nodiscard]] double worth_share() const {
     return counts.worth_asked > 0 ? counts.worth_served / counts.worth_asked : 0;
   }
 };
 
-// The word for a verdict in results, and the verdict of a word; nullopt for another word.
+// The name of a verdict in results, and the verdict of a name; nullopt for an unknown name.
 std::string_view NameOf(Verdict verdict);
 std::optional<Verdict> ParseVerdict(std::string_view name);
 
-// The exact quantile of values; 0 where there are none. Moves the values.
-uint32_t Quantile(std::vector<uint32_t>& values, double part);
+// Returns the exact quantile, or 0 if there are no values. `fraction` is from 0 to 1. Reorders the
+// values.
+uint32_t Quantile(std::vector<uint32_t>& values, double fraction);
 
-// Works out what did not hold and the verdict from the figures.
+// Sets `broken`, `late` and `verdict` of the result from its measurements, the breaches and the
+// requirements of the experiment.
 void Judge(const Experiment& experiment, const std::vector<Breach>& breaches, Result& result);
 
 std::string ToJson(const Result& result);
-// Reads what ToJson wrote, as far as a report needs it; throws std::runtime_error with one line.
+// Reads the fields that a report needs from a file that ToJson wrote. Throws std::runtime_error
+// with a message of one line.
 Result ResultFromJson(const std::string& path);
 
-// What was excused, by reason, as "3 process killed, 1 crossed a close"; "none".
+// The number of excused attempts by reason, such as "3 process killed, 1 crossed a close", or
+// "none".
 std::string DescribeExcused(const Ledger::Counts& counts);
 
-// A few lines for people.
+// A summary of a few lines for people.
 std::string Summary(const Result& result);
 
 }  // namespace paddlestile::lab
