--- a/src/lab/fleet_report.cpp
+++ b/src/lab/fleet_report.cpp
@@ -543,17 +543,17 @@
   std::string out = fmt::format(
       "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>paddlestile fleet: "
       "{0}</title><style>{1}</style></head><body><h1>paddlestile fleet: {0}</h1>\n<p>{2}</p>\n",
-      Escape(r.folder), kPageStyle, Escape(Head(r)));
+      EscapeHtml(r.folder), kPageStyle, EscapeHtml(Head(r)));
   if (!r.remarks.empty()) {
     out += "<ul>";
     for (const std::string& remark : r.remarks) {
-      out += fmt::format("<li>{}</li>", Escape(remark));
+      out += fmt::format("<li>{}</li>", EscapeHtml(remark));
     }
     out += "</ul>\n";
   }
   out += "<table><tr><th>a second, in</th>";
   for (const Phase& p : r.phases) {
-    out += fmt::format("<th>{}</th>", Escape(p.name));
+    out += fmt::format("<th>{}</th>", EscapeHtml(p.name));
   }
   out += "</tr>\n";
   for (const Column& column : Columns()) {
@@ -578,9 +578,9 @@
       }
     }
     for (const Plot& plot : PlotsOf(r)) {
-      const std::string svg = Draw(plot, length, marks, plot.id, folder, gnuplot);
-      out += fmt::format("<h2>{}</h2><div class=\"plots\"><div>{}</div></div>", Escape(plot.title),
-                         svg.empty() ? "gnuplot drew nothing here" : svg);
+      const std::string svg = DrawPlot(plot, length, marks, plot.id, folder, gnuplot);
+      out += fmt::format("<h2>{}</h2><div class=\"plots\"><div>{}</div></div>",
+                         EscapeHtml(plot.title), svg.empty() ? "gnuplot drew nothing here" : svg);
     }
   }
   return out + "</body></html>\n";
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -11,7 +11,7 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr int kPlotWait = 20'000;  // ms; for gnuplot
+constexpr int kGnuplotTimeoutMs = 20'000;
 
 }  // namespace
 
@@ -23,45 +23,45 @@
     ".plots>div{flex:1 1 700px}h2{margin-top:1.6em;font-size:1.1em}pre{background:#f4f4f4;"
     "padding:.8em;overflow-x:auto}";
 
-std::string Escape(std::string_view text) {
-  std::string out;
+std::string EscapeHtml(std::string_view text) {
+  std::string escaped;
   for (const char c : text) {
     switch (c) {
       case '&':
-        out += "&amp;";
+        escaped += "&amp;";
         break;
       case '<':
-        out += "&lt;";
+        escaped += "&lt;";
         break;
       case '>':
-        out += "&gt;";
+        escaped += "&gt;";
         break;
       case '"':
-        out += "&quot;";
+        escaped += "&quot;";
         break;
       default:
-        out += c;
+        escaped += c;
     }
   }
-  return out;
+  return escaped;
 }
 
 std::string FindGnuplot() {
   const char* const path = std::getenv("PATH");
-  for (std::string_view rest = path != nullptr ? path : ""; !rest.empty();) {
-    const size_t colon = rest.find(':');
-    std::string file = fmt::format("{}/gnuplot", rest.substr(0, colon));
-    if (access(file.c_str(), X_OK) == 0) {
-      return file;
+  for (std::string_view remaining = path != nullptr ? path : ""; !remaining.empty();) {
+    const size_t separator = remaining.find(':');
+    std::string candidate = fmt::format("{}/gnuplot", remaining.substr(0, separator));
+    if (access(candidate.c_str(), X_OK) == 0) {
+      return candidate;
     }
-    rest.remove_prefix(colon == std::string_view::npos ? rest.size() : colon + 1);
+    remaining.remove_prefix(separator == std::string_view::npos ? remaining.size() : separator + 1);
   }
   return "";
 }
 
-std::string Draw(const Plot& plot, double seconds, const std::vector<PlotMark>& marks,
-                 const std::string& name, const TemporaryDirectory& folder,
-                 const std::string& gnuplot) {
+std::string DrawPlot(const Plot& plot, double seconds, const std::vector<PlotMark>& marks,
+                     const std::string& name, const TemporaryDirectory& folder,
+                     const std::string& gnuplot) {
   const std::string base = fmt::format("{}/{}", folder.path(), name);
   std::string script = fmt::format(
       "set term svg size 760,260 dynamic name \"{}\" font \"sans,11\" background \"white\"\n"
@@ -70,32 +70,31 @@
       "set ylabel \"{}\"\nset xlabel \"seconds\"\nset datafile missing \"-\"\n",
       name, base, seconds, plot.from_zero_to_one ? "1.05" : "*", plot.unit);
   script += plot.series.size() > 8 ? "unset key\n" : "set key outside right top\n";
-  // What befell whom, marked on the time axis.
-  size_t mark = 1;
-  for (const PlotMark& f : marks) {
+  size_t object_number = 1;
+  for (const PlotMark& mark : marks) {
     script += fmt::format(
         "set obj {} rect from {},graph 0 to {},graph 1 fc rgb \"#c04000\" fs solid 0.08 noborder "
         "behind\nset label {} \"{}\" at {},graph {} font \",8\" tc rgb \"#904000\" noenhanced\n",
-        mark, f.from_s, std::max(f.to_s, f.from_s + seconds / 400), mark, f.name, f.from_s,
-        0.97 - 0.08 * static_cast<double>((mark - 1) % 3));
-    ++mark;
+        object_number, mark.from_s, std::max(mark.to_s, mark.from_s + seconds / 400), object_number,
+        mark.name, mark.from_s, 0.97 - 0.08 * static_cast<double>((object_number - 1) % 3));
+    ++object_number;
   }
-  std::string lines;
+  std::string plot_command;
   for (size_t i = 0; i < plot.series.size(); ++i) {
-    const std::string data = fmt::format("{}.{}.dat", base, i);
-    std::ofstream file(data);
-    for (const auto& [x, y] : plot.series[i].points) {
-      file << (y < 0 ? fmt::format("{} -\n", x) : fmt::format("{} {}\n", x, y));
+    const std::string data_path = fmt::format("{}.{}.dat", base, i);
+    std::ofstream file(data_path);
+    for (const auto& [time_s, value] : plot.series[i].points) {
+      file << (value < 0 ? fmt::format("{} -\n", time_s) : fmt::format("{} {}\n", time_s, value));
     }
-    lines += fmt::format("{}\"{}\" using 1:2 with lines lw 1.5 title \"{}\" noenhanced",
-                         i > 0 ? ", " : "plot ", data, plot.series[i].name);
+    plot_command += fmt::format("{}\"{}\" using 1:2 with lines lw 1.5 title \"{}\" noenhanced",
+                                i > 0 ? ", " : "plot ", data_path, plot.series[i].name);
   }
-  if (lines.empty()) {
+  if (plot_command.empty()) {
     return "";
   }
-  std::ofstream(base + ".gp") << script << lines << "\n";
+  std::ofstream(base + ".gp") << script << plot_command << "\n";
   Process process({gnuplot, base + ".gp"}, {}, base + ".log");
-  for (int ms = 0; ms < kPlotWait && !process.ExitCode(); ms += 2) {
+  for (int waited_ms = 0; waited_ms < kGnuplotTimeoutMs && !process.ExitCode(); waited_ms += 2) {
     usleep(2000);
   }
   if (process.ExitCode().value_or(1) != 0) {
@@ -103,7 +102,7 @@
   }
   std::ifstream file(base + ".svg");
   const std::string svg((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  // Without the document type, which names a page elsewhere.
+  // Leaves out the document type, which refers to an external page.
   const size_t begin = svg.find("<svg");
   return begin == std::string::npos ? "" : svg.substr(begin);
 }
--- a/src/lab/plot.h
+++ b/src/lab/plot.h
@@ -1,4 +1,5 @@
-// Plots for the lab's pages: SVG by gnuplot, and what all pages have in common.
+// Plots for the HTML pages of the lab, drawn as SVG by gnuplot, and the style and escaping that all
+// pages share.
 #ifndef PADDLESTILE_LAB_PLOT_H_
 #define PADDLESTILE_LAB_PLOT_H_
 
@@ -14,10 +15,10 @@
 // The style sheet of all pages.
 extern const char* const kPageStyle;
 
-// Text as it may stand in a page.
-std::string Escape(std::string_view text);
+// Escapes text for HTML.
+std::string EscapeHtml(std::string_view text);
 
-// A series by window; a value of -1 is a gap.
+// Points of time in seconds and value; a negative value is a gap.
 struct Series {
   std::string name;
   std::vector<std::pair<double, double>> points;
@@ -28,20 +29,20 @@
   bool from_zero_to_one = false;
 };
 
-// What befell somebody, marked on the time axis.
+// A named period, such as that of a fault, marked on the time axis.
 struct PlotMark {
   double from_s = 0, to_s = 0;
   std::string name;
 };
 
-// Where gnuplot lies on this machine's PATH; empty: nowhere.
+// The path of gnuplot, searched in PATH; empty if it is not found.
 std::string FindGnuplot();
 
-// The plot over 0 to `seconds`, drawn in `folder` under files of that name; empty where gnuplot
-// drew nothing.
-std::string Draw(const Plot& plot, double seconds, const std::vector<PlotMark>& marks,
-                 const std::string& name, const TemporaryDirectory& folder,
-                 const std::string& gnuplot);
+// Draws the plot from 0 to `seconds` with the program `gnuplot` and returns the SVG element, or an
+// empty string if gnuplot fails. Files are written to `folder`, with names that start with `name`.
+std::string DrawPlot(const Plot& plot, double seconds, const std::vector<PlotMark>& marks,
+                     const std::string& name, const TemporaryDirectory& folder,
+                     const std::string& gnuplot);
 
 }  // namespace paddlestile::lab
 
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -1,5 +1,5 @@
-// One HTML file of one result, or of two side by side, without outside references; plots by gnuplot
-// as SVG within it.
+// Renders one result, or two side by side, as one HTML page without external references. Plots are
+// drawn by gnuplot and embedded as SVG.
 #ifndef PADDLESTILE_LAB_REPORT_H_
 #define PADDLESTILE_LAB_REPORT_H_
 
@@ -10,12 +10,12 @@
 
 namespace paddlestile::lab {
 
-// Whether gnuplot is on this machine's PATH.
+// Whether gnuplot is on the PATH.
 bool HaveGnuplot();
 
-// `plots` false, or no gnuplot: tables alone, and the page says so. Throws std::system_error where
-// there is no room for the plots' data.
-std::string RenderReport(const std::vector<Result>& results, bool plots);
+// Returns the page. If `with_plots` is false or gnuplot is not found, it has tables only and says
+// so. Throws std::system_error if there is no space for the data of the plots.
+std::string RenderReport(const std::vector<Result>& results, bool with_plots);
 
 }  // namespace paddlestile::lab
 
