--- a/src/lab/fleet_report.cpp
+++ b/src/lab/fleet_report.cpp
@@ -24,14 +24,16 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr size_t kLongestLine = 64 << 10;  // bytes; a line of counters has two thousand
-constexpr double kLongestRun = 86'400;     // s; a table of more seconds is read by nobody
-constexpr double kClockStep = 0.005;       // s; beats come a little after the full second
-constexpr double kGap = 3;                 // beats without a line: said
-constexpr size_t kRemarksMost = 40;
-constexpr std::string_view kMark = "counters: ";
-
-// Values of a moment; all other numbers of a line only grow.
+constexpr size_t kMaxLineBytes = 64 << 10;  // a counter line has about 2,000 bytes
+constexpr double kMaxRunSeconds = 86'400;   // a table with more rows would not be readable
+// Counter lines are written slightly after the full second that they report.
+constexpr double kReportDelaySeconds = 0.005;
+// A gap between two counter lines is reported if it exceeds this many usual intervals.
+constexpr double kGapIntervals = 3;
+constexpr size_t kMaxRemarks = 40;
+constexpr std::string_view kCountersPrefix = "counters: ";
+
+// Momentary values. All other numbers of a line only increase.
 const std::set<std::string, std::less<>> kGauges = {"clients",     "hosts_connected", "hosts_idle",
                                                     "descriptors", "memory_kb",       "in_hand",
                                                     "held",        "revision"};
@@ -64,47 +66,47 @@
   };
   return kColumns;
 }
-constexpr size_t kFirstReason = 10;  // of the columns; from there on why requests were given up
+constexpr size_t kFirstReasonColumn = 10;  // from this column on: reasons for unserved requests
 
-// One line of counters.
-struct Beat {
+// One counter line.
+struct CounterLine {
   double at = 0;
   std::string stage;
   std::map<std::string, double> counts;
 };
-// A process: its gateway's name and when it began.
-using LifeKey = std::pair<std::string, std::string>;
+// Identifies a process: the gateway's name and the process's start time.
+using ProcessKey = std::pair<std::string, std::string>;
 
-// The message of a log line, in either format, whatever stands before it; nothing where it is none.
-// `bad`: it ought to be JSON and is not.
-std::optional<std::string> MessageOf(std::string_view line, bool& bad) {
+// Returns the message of a log line, in either format, regardless of what precedes it. Sets
+// `malformed`, and returns nullopt, if the line contains a JSON log entry that is not valid.
+std::optional<std::string> ExtractMessage(std::string_view line, bool& malformed) {
   const size_t object = line.find("{\"time\":");
   if (object == std::string_view::npos) {
     return std::string(line);
   }
   const json parsed = json::parse(line.substr(object), nullptr, false);
-  bad = !parsed.is_object() || !parsed.contains("message") || !parsed["message"].is_string();
-  if (bad) {
+  malformed = !parsed.is_object() || !parsed.contains("message") || !parsed["message"].is_string();
+  if (malformed) {
     return std::nullopt;
   }
   return parsed["message"].get<std::string>();
 }
 
-std::optional<double> NumberOf(const std::string& text) {
-  size_t used = 0;
+std::optional<double> ParseNumber(const std::string& text) {
+  size_t parsed_length = 0;
   try {
-    const double value = std::stod(text, &used);
-    if (used == text.size() && std::isfinite(value) && value >= 0) {
+    const double value = std::stod(text, &parsed_length);
+    if (parsed_length == text.size() && std::isfinite(value) && value >= 0) {
       return value;
     }
-  } catch (const std::exception&) {  // no number
+  } catch (const std::exception&) {  // not a number
   }
   return std::nullopt;
 }
 
-class Reader {
+class FleetLogReader {
  public:
-  explicit Reader(const FleetReportOptions& options) : options_(options) {
+  explicit FleetLogReader(const FleetReportOptions& options) : options_(options) {
     report_.phases = options.phases;
   }
 
@@ -126,22 +128,22 @@
       ReadFile(file);
     }
     report_.files = files.size();
-    if (lives_.empty()) {
+    if (processes_.empty()) {
       throw std::runtime_error(fmt::format(
           "{}: no line of counters with its time in {} files, expected logs of gateways started "
           "with serve --counters-every",
           folder, files.size()));
     }
-    AddUp();
+    ComputeSums();
     return std::move(report_);
   }
 
  private:
-  void Remark(std::string text) {
-    if (report_.remarks.size() < kRemarksMost) {
+  void AddRemark(std::string text) {
+    if (report_.remarks.size() < kMaxRemarks) {
       report_.remarks.push_back(std::move(text));
     } else {
-      ++unsaid_;
+      ++omitted_remarks_;
     }
   }
 
@@ -149,119 +151,122 @@
     const std::string name = path.filename().string();
     std::ifstream file(path, std::ios::binary);
     if (!file) {
-      return Remark(name + ": cannot be read, left out");
+      return AddRemark(name + ": cannot be read, skipped");
     }
-    size_t number = 0, cut = 0, first_cut = 0, untimed = 0, found = 0, empty = 0;
+    size_t line_number = 0, malformed_count = 0, first_malformed = 0, untimed = 0, accepted = 0,
+           empty = 0;
     std::string line;
     while (std::getline(file, line)) {
-      ++number;
-      const bool whole = !file.eof();  // its end was read, too
+      ++line_number;
+      const bool complete = !file.eof();  // the newline was read, too
       if (line.empty()) {
         ++empty;
       }
-      bool bad = line.size() > kLongestLine;
-      if (!bad && line.find("counters: ") != std::string::npos) {
-        const std::optional<std::string> message = MessageOf(line, bad);
-        const size_t at = message ? message->find(kMark) : std::string::npos;
-        if (!bad && at != std::string::npos) {
-          // A text line without its end may lack the last digits of its last number.
-          const auto taken = whole ? Take(message->substr(at + kMark.size())) : kCut;
-          bad = taken == kCut;
-          untimed += taken == kUntimed ? 1 : 0;
-          found += taken == kTaken ? 1 : 0;
+      bool malformed = line.size() > kMaxLineBytes;
+      if (!malformed && line.find("counters: ") != std::string::npos) {
+        const std::optional<std::string> message = ExtractMessage(line, malformed);
+        const size_t prefix_at = message ? message->find(kCountersPrefix) : std::string::npos;
+        if (!malformed && prefix_at != std::string::npos) {
+          // Without its newline, a text line may lack the last digits of its last number.
+          const auto outcome =
+              complete ? AddLine(message->substr(prefix_at + kCountersPrefix.size())) : kMalformed;
+          malformed = outcome == kMalformed;
+          untimed += outcome == kUntimed ? 1 : 0;
+          accepted += outcome == kAccepted ? 1 : 0;
         }
       }
-      if (bad && ++cut == 1) {
-        first_cut = number;
+      if (malformed && ++malformed_count == 1) {
+        first_malformed = line_number;
       }
     }
-    if (cut > 0) {
-      Remark(fmt::format("{}: {} line{} cut or malformed, left out, the first is line {}", name,
-                         cut, cut == 1 ? "" : "s", first_cut));
+    if (malformed_count > 0) {
+      AddRemark(fmt::format("{}: skipped {} truncated or malformed line{}, the first is line {}",
+                            name, malformed_count, malformed_count == 1 ? "" : "s",
+                            first_malformed));
     }
     if (untimed > 0) {
-      Remark(fmt::format("{}: {} line{} of counters without gateway, since or at, left out", name,
-                         untimed, untimed == 1 ? "" : "s"));
+      AddRemark(fmt::format("{}: skipped {} counter line{} without gateway, since or at", name,
+                            untimed, untimed == 1 ? "" : "s"));
     }
-    if (found + untimed + cut == 0) {
-      Remark(name + ": no line of counters");
+    if (accepted + untimed + malformed_count == 0) {
+      AddRemark(name + ": no counter lines");
     }
-    report_.lines += found;
+    report_.lines += accepted;
   }
 
-  enum Taking {
-    kTaken,
+  enum LineOutcome {
+    kAccepted,
     kUntimed,
-    kCut
+    kMalformed
   };
 
-  Taking Take(const std::string& text) {
-    Beat beat;
-    LifeKey key;
-    bool timed = false;
-    std::set<std::string> met;
-    for (size_t at = 0; at < text.size();) {
-      const size_t end = std::min(text.find(' ', at), text.size());
-      const std::string word = text.substr(at, end - at);
-      at = end + 1;
+  LineOutcome AddLine(const std::string& text) {
+    CounterLine counter_line;
+    ProcessKey key;
+    bool has_time = false;
+    std::set<std::string> seen_names;
+    for (size_t position = 0; position < text.size();) {
+      const size_t end = std::min(text.find(' ', position), text.size());
+      const std::string word = text.substr(position, end - position);
+      position = end + 1;
       if (word.empty()) {
         continue;
       }
       const size_t equals = word.find('=');
-      // Two lines run into one name a counter twice.
+      // Two lines joined into one contain a counter twice.
       if (equals == 0 || equals == std::string::npos) {
-        return kCut;
+        return kMalformed;
       }
       const std::string name = word.substr(0, equals), value = word.substr(equals + 1);
-      if (!met.insert(name).second) {
-        return kCut;
+      if (!seen_names.insert(name).second) {
+        return kMalformed;
       }
       if (name == "life") {
-        beat.stage = value;
+        counter_line.stage = value;
       } else if (name == "gateway") {
         key.first = value;
       } else if (name == "since") {
-        if (!NumberOf(value)) {
-          return kCut;
+        if (!ParseNumber(value)) {
+          return kMalformed;
         }
         key.second = value;
       } else {
-        const std::optional<double> number = NumberOf(value);
+        const std::optional<double> number = ParseNumber(value);
         if (!number) {
-          return kCut;
+          return kMalformed;
         }
         if (name == "at") {
-          beat.at = *number;
-          timed = true;
+          counter_line.at = *number;
+          has_time = true;
         } else {
-          beat.counts[name] = *number;
+          counter_line.counts[name] = *number;
         }
       }
     }
-    if (!timed || key.first.empty() || key.second.empty()) {
+    if (!has_time || key.first.empty() || key.second.empty()) {
       return kUntimed;
     }
-    lives_[key].emplace(beat.at, std::move(beat));  // the same line again is the same beat
-    return kTaken;
+    processes_[key].emplace(counter_line.at, std::move(counter_line));  // ignores a repeated line
+    return kAccepted;
   }
 
-  void AddUp() {
+  void ComputeSums() {
     double first = 1e300, last = 0;
     std::set<std::string> names;
-    for (const auto& [key, beats] : lives_) {
+    for (const auto& [key, counter_lines] : processes_) {
       names.insert(key.first);
-      first = std::min({first, beats.begin()->first, std::stod(key.second)});
-      last = std::max(last, beats.rbegin()->first);
+      first = std::min({first, counter_lines.begin()->first, std::stod(key.second)});
+      last = std::max(last, counter_lines.rbegin()->first);
     }
     report_.gateways = names.size();
-    report_.lives = lives_.size();
+    report_.lives = processes_.size();
     report_.from_unix_s = std::floor(first);
-    if (last - first > kLongestRun) {
-      throw std::runtime_error(fmt::format("{}: its lines span {:.0f} s, expected a day at most",
+    if (last - first > kMaxRunSeconds) {
+      throw std::runtime_error(fmt::format("{}: its lines span {:.0f} s, expected at most a day",
                                            report_.folder, last - first));
     }
-    const auto seconds =
-        static_cast<size_t>(std::max(1.0, std::ceil(last - kClockStep - report_.from_unix_s)));
+    const auto seconds = static_cast<size_t>(
+        std::max(1.0, std::ceil(last - kReportDelaySeconds - report_.from_unix_s)));
     report_.seconds.resize(seconds);
     for (size_t i = 0; i < seconds; ++i) {
       report_.seconds[i].at_s = static_cast<double>(i);
@@ -272,97 +277,102 @@
     }
     for (const Phase& phase : report_.phases) {
       if (phase.from_s >= length) {
-        Remark(fmt::format("phase {}: begins at {} s, the run has {:.0f} s", phase.name,
-                           phase.from_s, length));
+        AddRemark(fmt::format("phase {}: starts at {} s, but the run lasts {:.0f} s", phase.name,
+                              phase.from_s, length));
       }
     }
     if (options_.expected_gateways > names.size()) {
-      Remark(fmt::format("{} gateways tell of themselves, expected {}", names.size(),
-                         options_.expected_gateways));
+      AddRemark(fmt::format("{} gateways tell of themselves, expected {}", names.size(),
+                            options_.expected_gateways));
     }
-    for (const auto& [key, beats] : lives_) {
-      AddLife(key, beats, last);
+    for (const auto& [key, counter_lines] : processes_) {
+      AddProcess(key, counter_lines, last);
     }
-    if (unsaid_ > 0) {
-      report_.remarks.push_back(fmt::format("and {} remarks more", unsaid_));
+    if (omitted_remarks_ > 0) {
+      report_.remarks.push_back(fmt::format("and {} more remarks", omitted_remarks_));
     }
   }
 
-  void AddLife(const LifeKey& key, const std::map<double, Beat>& beats, double last) {
-    double before = std::min(std::stod(key.second), beats.begin()->first);
-    std::vector<double> steps;
-    const std::map<std::string, double> none;
-    const std::map<std::string, double>* counts = &none;
-    const auto since_start = [&](double at) {
+  void AddProcess(const ProcessKey& key, const std::map<double, CounterLine>& counter_lines,
+                  double last) {
+    double previous_at = std::min(std::stod(key.second), counter_lines.begin()->first);
+    std::vector<double> intervals;
+    const std::map<std::string, double> no_counts;
+    const std::map<std::string, double>* previous_counts = &no_counts;
+    const auto to_run_time = [&](double at) {
       return at - report_.from_unix_s;
     };
-    for (const auto& [at, beat] : beats) {
-      for (const auto& [name, value] : beat.counts) {
+    for (const auto& [at, counter_line] : counter_lines) {
+      for (const auto& [name, value] : counter_line.counts) {
         if (kGauges.contains(name)) {
-          Spread(name, value, since_start(at) - kClockStep, since_start(at) - kClockStep);
+          AddSpread(name, value, to_run_time(at) - kReportDelaySeconds,
+                    to_run_time(at) - kReportDelaySeconds);
           continue;
         }
-        const auto was = counts->find(name);
-        const double grown = value - (was == counts->end() ? 0 : was->second);
-        if (grown < 0) {
-          Remark(fmt::format("{}: {} falls at {:.1f} s, two processes told the same start",
-                             key.first, name, since_start(at)));
-        } else if (grown > 0) {
-          Spread(name, grown, since_start(before), since_start(at) - kClockStep);
+        const auto previous_value = previous_counts->find(name);
+        const double increase =
+            value - (previous_value == previous_counts->end() ? 0 : previous_value->second);
+        if (increase < 0) {
+          AddRemark(
+              fmt::format("{}: {} decreases at {:.1f} s, two processes reported the same start",
+                          key.first, name, to_run_time(at)));
+        } else if (increase > 0) {
+          AddSpread(name, increase, to_run_time(previous_at),
+                    to_run_time(at) - kReportDelaySeconds);
         }
       }
-      ++At(since_start(at) - kClockStep).stages[beat.stage];
-      if (counts != &none) {
-        steps.push_back(at - before);
+      ++SecondAt(to_run_time(at) - kReportDelaySeconds).stages[counter_line.stage];
+      if (previous_counts != &no_counts) {
+        intervals.push_back(at - previous_at);
       }
-      before = at;
-      counts = &beat.counts;
+      previous_at = at;
+      previous_counts = &counter_line.counts;
     }
-    if (steps.empty()) {
+    if (intervals.empty()) {
       return;
     }
-    std::vector<double> sorted = steps;
+    std::vector<double> sorted = intervals;
     std::ranges::nth_element(sorted, sorted.begin() + static_cast<long>(sorted.size() / 2));
-    const double step = std::max(sorted[sorted.size() / 2], 0.1);
-    auto at = beats.begin();
-    for (const double gap : steps) {
-      const double from = since_start((at++)->first);
-      if (gap > kGap * step) {
-        Remark(
-            fmt::format("{}: says nothing from {:.1f} to {:.1f} s", key.first, from, from + gap));
+    const double usual_interval = std::max(sorted[sorted.size() / 2], 0.1);
+    auto at = counter_lines.begin();
+    for (const double gap : intervals) {
+      const double from = to_run_time((at++)->first);
+      if (gap > kGapIntervals * usual_interval) {
+        AddRemark(fmt::format("{}: no counter lines from {:.1f} to {:.1f} s", key.first, from,
+                              from + gap));
       }
     }
-    const Beat& end = beats.rbegin()->second;
-    if (last - end.at > kGap * step && end.stage != "ending") {
-      Remark(fmt::format("{}: says nothing after {:.1f} s, it was {}", key.first,
-                         since_start(end.at), end.stage));
+    const CounterLine& last_line = counter_lines.rbegin()->second;
+    if (last - last_line.at > kGapIntervals * usual_interval && last_line.stage != "ending") {
+      AddRemark(fmt::format("{}: no counter lines after {:.1f} s, its last state was {}", key.first,
+                            to_run_time(last_line.at), last_line.stage));
     }
   }
 
-  FleetSecond& At(double second) {
-    const double most = static_cast<double>(report_.seconds.size() - 1);
-    return report_.seconds[static_cast<size_t>(std::clamp(second, 0.0, most))];
+  FleetSecond& SecondAt(double second) {
+    const double last_second = static_cast<double>(report_.seconds.size() - 1);
+    return report_.seconds[static_cast<size_t>(std::clamp(second, 0.0, last_second))];
   }
 
-  void Spread(const std::string& name, double value, double from, double to) {
-    if (to - from < kClockStep) {
-      At(to).counts[name] += value;
+  void AddSpread(const std::string& name, double value, double from, double to) {
+    if (to - from < kReportDelaySeconds) {
+      SecondAt(to).counts[name] += value;
       return;
     }
     for (double at = from; at < to;) {
-      const double next = std::min(to, std::floor(at) + 1);
-      At(at).counts[name] += value * (next - at) / (to - from);
-      at = next;
+      const double part_end = std::min(to, std::floor(at) + 1);
+      SecondAt(at).counts[name] += value * (part_end - at) / (to - from);
+      at = part_end;
     }
   }
 
   const FleetReportOptions& options_;
   FleetReport report_;
-  std::map<LifeKey, std::map<double, Beat>> lives_;
-  size_t unsaid_ = 0;
+  std::map<ProcessKey, std::map<double, CounterLine>> processes_;
+  size_t omitted_remarks_ = 0;
 };
 
-double Of(const FleetSecond& second, const Column& column) {
+double ColumnSum(const FleetSecond& second, const Column& column) {
   double sum = 0;
   for (const std::string& counter : column.counters) {
     const auto at = second.counts.find(counter);
@@ -373,7 +383,7 @@
   return sum;
 }
 
-double Of(const FleetReport& report, const Column& column, const Phase& phase) {
+double ColumnSum(const FleetReport& report, const Column& column, const Phase& phase) {
   double sum = 0;
   for (const std::string& counter : column.counters) {
     sum += report.Sum(counter, phase);
@@ -381,70 +391,71 @@
   return sum;
 }
 
-size_t Tellers(const FleetSecond& second) {
-  size_t n = 0;
+size_t ReportingGateways(const FleetSecond& second) {
+  size_t gateways = 0;
   for (const auto& [stage, count] : second.stages) {
-    n += count;
+    gateways += count;
   }
-  return n;
+  return gateways;
 }
 
-double SecondsOf(const FleetReport& report, const Phase& phase) {
+double PhaseSeconds(const FleetReport& report, const Phase& phase) {
   const double to = std::min(phase.to_s, static_cast<double>(report.seconds.size()));
   return std::max(0.0, to - phase.from_s);
 }
 
-std::string Head(const FleetReport& r) {
-  return fmt::format("{}: {} gateways in {} lives, {} lines of counters in {} files, {} s",
-                     r.folder, r.gateways, r.lives, r.lines, r.files, r.seconds.size());
+std::string Headline(const FleetReport& report) {
+  return fmt::format("{}: {} gateways in {} processes, {} counter lines in {} files, {} s",
+                     report.folder, report.gateways, report.lives, report.lines, report.files,
+                     report.seconds.size());
 }
 
-std::vector<Plot> PlotsOf(const FleetReport& r) {
-  const auto by = [&](const Column& column) {
+std::vector<Plot> MakePlots(const FleetReport& report) {
+  const auto make_series = [&](const Column& column) {
     Series series{column.title, {}};
-    for (const FleetSecond& s : r.seconds) {
-      series.points.emplace_back(s.at_s + 0.5, Of(s, column));
+    for (const FleetSecond& second : report.seconds) {
+      series.points.emplace_back(second.at_s + 0.5, ColumnSum(second, column));
     }
     return series;
   };
-  const auto plot = [&](std::string id, std::string title, size_t from, size_t to) {
-    Plot p{std::move(id), std::move(title), "a second", {}};
+  const auto make_plot = [&](std::string id, std::string title, size_t from, size_t to) {
+    Plot plot{std::move(id), std::move(title), "per second", {}};
     for (size_t i = from; i < to; ++i) {
-      p.series.push_back(by(Columns()[i]));
+      plot.series.push_back(make_series(Columns()[i]));
     }
-    return p;
+    return plot;
   };
   std::vector<Plot> plots = {
-      plot("requests", "Requests and their answers, all gateways", 0, 4),
-      plot("reasons", "Why requests were given up", kFirstReason, Columns().size()),
-      plot("attempts", "Attempts, and those to cold and draining hosts", 4, 7),
-      plot("costs", "New connections to hosts, probes, calls for lists", 7, 10)};
-  Plot stages{
-      "stages", "Gateways that told of themselves, by the stage of their lives", "gateways", {}};
+      make_plot("requests", "Requests and responses, all gateways", 0, 4),
+      make_plot("reasons", "Reasons for unserved requests", kFirstReasonColumn, Columns().size()),
+      make_plot("attempts", "Attempts, in all and to cold and draining hosts", 4, 7),
+      make_plot("costs", "New connections to hosts, probes and discovery requests", 7, 10)};
+  Plot stages{"stages", "Gateways with counter lines, by life stage", "gateways", {}};
   std::set<std::string> names;
-  for (const FleetSecond& s : r.seconds) {
-    for (const auto& [stage, count] : s.stages) {
+  for (const FleetSecond& second : report.seconds) {
+    for (const auto& [stage, count] : second.stages) {
       names.insert(stage);
     }
   }
-  Plot gauges{"gauges", "Memory and descriptors of a gateway, in the mean", "MB; tens", {}};
+  Plot gauges{"gauges", "Mean memory and file descriptors of a gateway", "MB; tens", {}};
   for (const auto& [title, counter, unit] : {std::tuple{"memory, MB", "memory_kb", 1024.0},
                                              {"descriptors, tens", "descriptors", 10.0}}) {
     Series series{title, {}};
-    for (const FleetSecond& s : r.seconds) {
-      const auto at = s.counts.find(counter);
-      const auto tellers = static_cast<double>(Tellers(s));
-      series.points.emplace_back(
-          s.at_s + 0.5, at == s.counts.end() || tellers <= 0 ? -1 : at->second / tellers / unit);
+    for (const FleetSecond& second : report.seconds) {
+      const auto at = second.counts.find(counter);
+      const auto gateways = static_cast<double>(ReportingGateways(second));
+      series.points.emplace_back(second.at_s + 0.5, at == second.counts.end() || gateways <= 0
+                                                        ? -1
+                                                        : at->second / gateways / unit);
     }
     gauges.series.push_back(std::move(series));
   }
   for (const std::string& name : names) {
     Series series{name, {}};
-    for (const FleetSecond& s : r.seconds) {
-      const auto at = s.stages.find(name);
-      series.points.emplace_back(s.at_s + 0.5,
-                                 at == s.stages.end() ? 0.0 : static_cast<double>(at->second));
+    for (const FleetSecond& second : report.seconds) {
+      const auto at = second.stages.find(name);
+      series.points.emplace_back(second.at_s + 0.5,
+                                 at == second.stages.end() ? 0.0 : static_cast<double>(at->second));
     }
     stages.series.push_back(std::move(series));
   }
@@ -459,8 +470,8 @@
   const size_t equals = text.find('='),
                dash = text.find('-', equals == std::string::npos ? 0 : equals);
   if (equals != std::string::npos && equals > 0 && dash != std::string::npos) {
-    const auto from = NumberOf(text.substr(equals + 1, dash - equals - 1));
-    const auto to = NumberOf(text.substr(dash + 1));
+    const auto from = ParseNumber(text.substr(equals + 1, dash - equals - 1));
+    const auto to = ParseNumber(text.substr(dash + 1));
     if (from && to && *from < *to) {
       return {text.substr(0, equals), *from, *to};
     }
@@ -472,118 +483,122 @@
 double FleetReport::Sum(const std::string& counter, const Phase& phase) const {
   double sum = 0;
   for (const FleetSecond& second : seconds) {
-    const double part = std::min(second.at_s + 1, phase.to_s) - std::max(second.at_s, phase.from_s);
+    const double overlap =
+        std::min(second.at_s + 1, phase.to_s) - std::max(second.at_s, phase.from_s);
     const auto at = second.counts.find(counter);
-    if (part > 0 && at != second.counts.end()) {
-      sum += part * at->second;
+    if (overlap > 0 && at != second.counts.end()) {
+      sum += overlap * at->second;
     }
   }
   return sum;
 }
 
 FleetReport ReadFleet(const std::string& folder, const FleetReportOptions& options) {
-  return Reader(options).Read(folder);
+  return FleetLogReader(options).Read(folder);
 }
 
-std::string ToText(const FleetReport& r) {
-  std::string out = Head(r) + "\n";
-  for (const std::string& remark : r.remarks) {
-    out += "  " + remark + "\n";
+std::string ToText(const FleetReport& report) {
+  std::string text = Headline(report) + "\n";
+  for (const std::string& remark : report.remarks) {
+    text += "  " + remark + "\n";
   }
-  out += fmt::format("{:>10} {:>8}", "second", "gateways");
+  text += fmt::format("{:>10} {:>8}", "second", "gateways");
   for (const Column& column : Columns()) {
-    out += fmt::format(" {:>8}", column.title);
+    text += fmt::format(" {:>8}", column.title);
   }
-  out += "\n";
-  for (const FleetSecond& s : r.seconds) {
-    out += fmt::format("{:>10.0f} {:>8}", s.at_s, Tellers(s));
+  text += "\n";
+  for (const FleetSecond& second : report.seconds) {
+    text += fmt::format("{:>10.0f} {:>8}", second.at_s, ReportingGateways(second));
     for (const Column& column : Columns()) {
-      out += fmt::format(" {:>8.0f}", Of(s, column));
+      text += fmt::format(" {:>8.0f}", ColumnSum(second, column));
     }
-    out += "\n";
+    text += "\n";
   }
-  for (const Phase& phase : r.phases) {
-    out += fmt::format("{:>10.10} {:>8}", phase.name, "sum");
+  for (const Phase& phase : report.phases) {
+    text += fmt::format("{:>10.10} {:>8}", phase.name, "sum");
     for (const Column& column : Columns()) {
-      out += fmt::format(" {:>8.0f}", Of(r, column, phase));
+      text += fmt::format(" {:>8.0f}", ColumnSum(report, column, phase));
     }
-    out += "\n";
+    text += "\n";
   }
-  return out;
+  return text;
 }
 
-std::string ToJson(const FleetReport& r) {
+std::string ToJson(const FleetReport& report) {
   json seconds = json::array(), phases = json::array();
-  for (const FleetSecond& s : r.seconds) {
-    seconds.push_back({{"at_s", s.at_s}, {"counts", s.counts}, {"stages", s.stages}});
+  for (const FleetSecond& second : report.seconds) {
+    seconds.push_back(
+        {{"at_s", second.at_s}, {"counts", second.counts}, {"stages", second.stages}});
   }
   std::set<std::string> names;
-  for (const FleetSecond& s : r.seconds) {
-    for (const auto& [name, value] : s.counts) {
+  for (const FleetSecond& second : report.seconds) {
+    for (const auto& [name, value] : second.counts) {
       if (!kGauges.contains(name)) {
         names.insert(name);
       }
     }
   }
-  for (const Phase& phase : r.phases) {
+  for (const Phase& phase : report.phases) {
     json sums = json::object();
     for (const std::string& name : names) {
-      sums[name] = r.Sum(name, phase);
+      sums[name] = report.Sum(name, phase);
     }
     phases.push_back(
         {{"name", phase.name}, {"from_s", phase.from_s}, {"to_s", phase.to_s}, {"counts", sums}});
   }
-  const json out = {{"folder", r.folder},   {"files", r.files}, {"gateways", r.gateways},
-                    {"lives", r.lives},     {"lines", r.lines}, {"from_unix_s", r.from_unix_s},
-                    {"remarks", r.remarks}, {"phases", phases}, {"seconds", seconds}};
+  const json out = {
+      {"folder", report.folder},   {"files", report.files}, {"gateways", report.gateways},
+      {"lives", report.lives},     {"lines", report.lines}, {"from_unix_s", report.from_unix_s},
+      {"remarks", report.remarks}, {"phases", phases},      {"seconds", seconds}};
   return out.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-std::string ToHtml(const FleetReport& r) {
-  std::string out = fmt::format(
+std::string ToHtml(const FleetReport& report) {
+  std::string html = fmt::format(
       "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>paddlestile fleet: "
       "{0}</title><style>{1}</style></head><body><h1>paddlestile fleet: {0}</h1>\n<p>{2}</p>\n",
-      EscapeHtml(r.folder), kPageStyle, EscapeHtml(Head(r)));
-  if (!r.remarks.empty()) {
-    out += "<ul>";
-    for (const std::string& remark : r.remarks) {
-      out += fmt::format("<li>{}</li>", EscapeHtml(remark));
+      EscapeHtml(report.folder), kPageStyle, EscapeHtml(Headline(report)));
+  if (!report.remarks.empty()) {
+    html += "<ul>";
+    for (const std::string& remark : report.remarks) {
+      html += fmt::format("<li>{}</li>", EscapeHtml(remark));
     }
-    out += "</ul>\n";
+    html += "</ul>\n";
   }
-  out += "<table><tr><th>a second, in</th>";
-  for (const Phase& p : r.phases) {
-    out += fmt::format("<th>{}</th>", EscapeHtml(p.name));
+  html += "<table><tr><th>per second, in</th>";
+  for (const Phase& phase : report.phases) {
+    html += fmt::format("<th>{}</th>", EscapeHtml(phase.name));
   }
-  out += "</tr>\n";
+  html += "</tr>\n";
   for (const Column& column : Columns()) {
-    out += fmt::format("<tr><td>{}</td>", column.title);
-    for (const Phase& p : r.phases) {
-      const double seconds = SecondsOf(r, p);
-      out += fmt::format("<td>{:.1f}</td>", seconds > 0 ? Of(r, column, p) / seconds : 0);
+    html += fmt::format("<tr><td>{}</td>", column.title);
+    for (const Phase& phase : report.phases) {
+      const double seconds = PhaseSeconds(report, phase);
+      html += fmt::format("<td>{:.1f}</td>",
+                          seconds > 0 ? ColumnSum(report, column, phase) / seconds : 0);
     }
-    out += "</tr>\n";
+    html += "</tr>\n";
   }
-  out += "</table>\n";
+  html += "</table>\n";
   const std::string gnuplot = FindGnuplot();
   if (gnuplot.empty()) {
-    out += "<p>Without plots: gnuplot is not on this machine.</p>\n";
+    html += "<p>Without plots: gnuplot was not found.</p>\n";
   } else {
     const TemporaryDirectory folder;
     std::vector<PlotMark> marks;
-    const double length = static_cast<double>(r.seconds.size());
-    for (const Phase& p : r.phases) {
-      if (p.name != "all") {
-        marks.push_back({p.from_s, std::min(p.to_s, length), p.name});
+    const double length = static_cast<double>(report.seconds.size());
+    for (const Phase& phase : report.phases) {
+      if (phase.name != "all") {
+        marks.push_back({phase.from_s, std::min(phase.to_s, length), phase.name});
       }
     }
-    for (const Plot& plot : PlotsOf(r)) {
+    for (const Plot& plot : MakePlots(report)) {
       const std::string svg = DrawPlot(plot, length, marks, plot.id, folder, gnuplot);
-      out += fmt::format("<h2>{}</h2><div class=\"plots\"><div>{}</div></div>",
-                         EscapeHtml(plot.title), svg.empty() ? "gnuplot drew nothing here" : svg);
+      html += fmt::format("<h2>{}</h2><div class=\"plots\"><div>{}</div></div>",
+                          EscapeHtml(plot.title), svg.empty() ? "gnuplot produced no plot" : svg);
     }
   }
-  return out + "</body></html>\n";
+  return html + "</body></html>\n";
 }
 
 }  // namespace paddlestile::lab
--- a/src/lab/fleet_report.h
+++ b/src/lab/fleet_report.h
@@ -1,6 +1,6 @@
-// What all gateways of a fleet did together, second by second, added up from the lines of counters
-// in their logs (`serve --counters-every 1`, or SIGUSR1): text or JSON logs, whole or cut, of one
-// gateway a file or of several in one.
+// Sums the counters of all gateways of a fleet per second, from the counter lines in their logs
+// (`serve --counters-every 1`, or SIGUSR1). Logs may be text or JSON, complete or truncated, and a
+// file may hold the lines of one gateway or of several.
 #ifndef PADDLESTILE_LAB_FLEET_REPORT_H_
 #define PADDLESTILE_LAB_FLEET_REPORT_H_
 
@@ -11,48 +11,50 @@
 
 namespace paddlestile::lab {
 
-// A span of the run with a name, in seconds from its first second.
+// A named period of the run, in seconds since its first second.
 struct Phase {
   std::string name;
   double from_s = 0, to_s = 0;
 };
 
-// "restart=10-20.5"; throws std::runtime_error with one line.
+// Parses text such as "restart=10-20.5". Throws std::runtime_error with a message of one line.
 Phase ParsePhase(const std::string& text);
 
-// Sums over all gateways. Counters by their names; a gateway's count between two lines is spread
-// evenly over the time between them.
+// Sums over all gateways in one second, by counter. The increase of a gateway's counter between two
+// lines is spread evenly over the time between them.
 struct FleetSecond {
-  double at_s = 0;  // from the first second
+  double at_s = 0;  // since the first second of the run
   std::map<std::string, double> counts;
-  std::map<std::string, size_t> stages;  // gateways by the stage of their lives, at its end
+  std::map<std::string, size_t> stages;  // counter lines in this second by life stage
 };
 
 struct FleetReport {
   std::string folder;
+  // `lives` counts processes: a gateway has one more with each restart. `lines` counts counter
+  // lines.
   size_t files = 0, gateways = 0, lives = 0, lines = 0;
   double from_unix_s = 0;
   std::vector<FleetSecond> seconds;
-  std::vector<Phase> phases;         // the whole run where none was asked for
-  std::vector<std::string> remarks;  // what could not be read or is missing, a line each
+  std::vector<Phase> phases;         // the whole run if none was requested
+  std::vector<std::string> remarks;  // problems found, such as unreadable files or missing lines
 
-  // The sum of a counter over a phase; seconds that it covers in part count in part.
+  // The sum of a counter over a phase. A second that the phase covers partly counts partly.
   [[nodiscard]] double Sum(const std::string& counter, const Phase& phase) const;
 };
 
 struct FleetReportOptions {
   std::vector<Phase> phases;
-  size_t expected_gateways = 0;  // 0: not known
+  size_t expected_gateways = 0;  // 0: unknown
 };
 
-// Reads all files right in the folder. The same line twice counts once. Throws std::runtime_error
-// with one line where the folder cannot be read, holds no line of counters with its time, or spans
-// more than a day.
+// Reads all files directly in the folder. A line that occurs twice counts once. Throws
+// std::runtime_error with a message of one line if the folder cannot be read, has no counter line
+// with a time, or its lines span more than a day.
 FleetReport ReadFleet(const std::string& folder, const FleetReportOptions& options);
 
 std::string ToText(const FleetReport& report);
 std::string ToJson(const FleetReport& report);
-// One page without outside references; without plots where there is no gnuplot.
+// An HTML page without external references. It has no plots if gnuplot is not found.
 std::string ToHtml(const FleetReport& report);
 
 }  // namespace paddlestile::lab
