--- a/src/lab/scale_figures.cpp
+++ b/src/lab/scale_figures.cpp
@@ -8,22 +8,22 @@
 namespace paddlestile::lab {
 namespace {
 
-constexpr size_t kBrokenMost = 10;
+constexpr size_t kMaxBroken = 10;
 using What = HollowLine::What;
 
-double Ms(Duration d) {
-  return static_cast<double>(d.count()) / 1000;
+double ToMilliseconds(Duration duration) {
+  return static_cast<double>(duration.count()) / 1000;
 }
 
-double At(std::vector<double>& of, double part) {
-  if (of.empty()) {
+double QuantileOf(std::vector<double>& values, double fraction) {
+  if (values.empty()) {
     return 0;
   }
-  std::ranges::sort(of);
-  return of[static_cast<size_t>(part * static_cast<double>(of.size() - 1))];
+  std::ranges::sort(values);
+  return values[static_cast<size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
-bool Acts(const HollowLine& line, uint64_t version) {
+bool ActsOn(const HollowLine& line, uint64_t version) {
   return line.what == What::kAgreed && line.on >= version;
 }
 
@@ -31,30 +31,32 @@
 
 namespace {
 
-// How long a member acted on a version after another had acted on a later one. `first`: when
-// the first member acted on a version or a later one. `broken` takes a line for each time past the
-// bound of `terms`.
-template <typename Broken>
-void JudgeContradictions(size_t m, const std::vector<HollowLine>& of,
-                         const std::map<uint64_t, Duration>& first, const HollowTerms& terms,
-                         ScaleFigures& figures, const Broken& broken) {
-  const bool stalled = m >= terms.stalled_from && m < terms.stalled_to;
-  for (size_t i = 0; i < of.size(); ++i) {
-    if (of[i].what != What::kAgreed) {
+// Measures how long a member acted on a version after another had acted on a later one.
+// `first_acted` has, by version, when a member first acted on it. Calls `add_broken` with a message
+// for each time that exceeds the bound of `terms`.
+template <typename AddBroken>
+void JudgeContradictions(size_t member, const std::vector<HollowLine>& lines,
+                         const std::map<uint64_t, Duration>& first_acted, const HollowTerms& terms,
+                         ScaleFigures& figures, const AddBroken& add_broken) {
+  const bool stalled = member >= terms.stalled_from && member < terms.stalled_to;
+  for (size_t i = 0; i < lines.size(); ++i) {
+    if (lines[i].what != What::kAgreed) {
       continue;
     }
-    const Duration until = i + 1 < of.size() ? of[i + 1].at : terms.end;
-    const auto later = first.upper_bound(of[i].on);
-    if (later == first.end() || until <= later->second) {
+    const Duration until = i + 1 < lines.size() ? lines[i + 1].at : terms.end;
+    const auto later_version = first_acted.upper_bound(lines[i].on);
+    if (later_version == first_acted.end() || until <= later_version->second) {
       continue;
     }
-    const Duration both = until - std::max(of[i].at, later->second);
-    // A process that was stopped writes its line once it goes on, and acted on nothing meanwhile.
-    const Duration excused = stalled ? terms.stalled : Duration(0);
-    figures.contradiction_ms_most = std::max(figures.contradiction_ms_most, Ms(both - excused));
-    if (both > terms.bound + excused) {
-      broken(fmt::format("contradiction: {} acted on version {} for {:.0f} ms beside {}",
-                         HollowName(m), of[i].on, Ms(both), later->first));
+    const Duration overlap = until - std::max(lines[i].at, later_version->second);
+    // A stopped process writes its line only after it continues, and acts on nothing meanwhile.
+    const Duration allowance = stalled ? terms.stalled : Duration(0);
+    figures.contradiction_ms_most =
+        std::max(figures.contradiction_ms_most, ToMilliseconds(overlap - allowance));
+    if (overlap > terms.bound + allowance) {
+      add_broken(fmt::format(
+          "contradiction: {} acted on version {} for {:.0f} ms while another acted on {}",
+          HollowName(member), lines[i].on, ToMilliseconds(overlap), later_version->first));
     }
   }
 }
@@ -63,97 +65,102 @@
 
 void JudgeHollow(std::vector<HollowLine> lines, const std::vector<ToldChange>& changes,
                  const HollowTerms& terms, ScaleFigures& figures) {
-  const auto breaks = [&](std::string what) {
-    if (figures.broken.size() < kBrokenMost) {
-      figures.broken.push_back("scale: " + std::move(what));
+  const auto add_broken = [&](std::string message) {
+    if (figures.broken.size() < kMaxBroken) {
+      figures.broken.push_back("scale: " + std::move(message));
     }
   };
   std::ranges::stable_sort(lines, {}, &HollowLine::at);
   std::vector<std::vector<HollowLine>> by_member(terms.hollow);
-  std::map<uint64_t, Duration> first;  // when the first acted on a version or a later one
+  // By version, when a member first acted on it.
+  std::map<uint64_t, Duration> first_acted;
   for (const HollowLine& line : lines) {
     if (line.member >= terms.hollow) {
-      breaks(fmt::format("a line of member {}, expected one below {}", line.member, terms.hollow));
+      add_broken(fmt::format("a line of member {}, expected a member below {}", line.member,
+                             terms.hollow));
       continue;
     }
     by_member[line.member].push_back(line);
     if (line.what == What::kAgreed) {
-      first.emplace(line.on, line.at);
+      first_acted.emplace(line.on, line.at);
     }
   }
-  uint64_t last = 0;
-  for (const ToldChange& c : changes) {
-    last = std::max(last, c.version);
+  uint64_t last_version = 0;
+  for (const ToldChange& change : changes) {
+    last_version = std::max(last_version, change.version);
   }
 
-  std::vector<double> in_force;
-  for (size_t m = 0; m < terms.hollow; ++m) {
-    const std::vector<HollowLine>& of = by_member[m];
-    if (of.empty() || of.back().what == What::kDown) {
-      breaks(fmt::format("level: {} is not there at the end", HollowName(m)));
+  std::vector<double> in_force_ms;
+  for (size_t member = 0; member < terms.hollow; ++member) {
+    const std::vector<HollowLine>& member_lines = by_member[member];
+    if (member_lines.empty() || member_lines.back().what == What::kDown) {
+      add_broken(fmt::format("level: {} is not running at the end", HollowName(member)));
       continue;
     }
-    if (Acts(of.back(), last) && of.back().on == last) {
+    if (ActsOn(member_lines.back(), last_version) && member_lines.back().on == last_version) {
       ++figures.members_in_force;
     } else {
-      breaks(fmt::format("level: {} is at version {} of {} at the end", HollowName(m), of.back().on,
-                         last));
+      add_broken(fmt::format("level: {} is at version {} of {} at the end", HollowName(member),
+                             member_lines.back().on, last_version));
     }
-    for (const ToldChange& c : changes) {
-      const auto from = std::ranges::find_if(
-          of, [&](const HollowLine& l) { return l.at >= c.submitted && Acts(l, c.version); });
-      if (from == of.end()) {
-        continue;  // told above, where it stays so
+    for (const ToldChange& change : changes) {
+      const auto acting = std::ranges::find_if(member_lines, [&](const HollowLine& line) {
+        return line.at >= change.submitted && ActsOn(line, change.version);
+      });
+      if (acting == member_lines.end()) {
+        continue;  // reported above, if it is still so at the end
       }
-      if (c.submitted < terms.from) {
+      if (change.submitted < terms.from) {
         continue;
       }
-      if (c.submitted < terms.faults) {
-        in_force.push_back(Ms(from->at - c.submitted));
+      if (change.submitted < terms.faults) {
+        in_force_ms.push_back(ToMilliseconds(acting->at - change.submitted));
         continue;
       }
-      // One that was down meanwhile had as long as it was up.
-      Duration since = c.submitted;
-      for (auto l = of.begin(); l != from; ++l) {
-        if (l->what == What::kUp) {
-          since = std::max(since, l->at);
+      // A member that was down meanwhile is timed from its start.
+      Duration since = change.submitted;
+      for (auto line = member_lines.begin(); line != acting; ++line) {
+        if (line->what == What::kUp) {
+          since = std::max(since, line->at);
         }
       }
       figures.faults_in_force_ms_most =
-          std::max(figures.faults_in_force_ms_most, Ms(from->at - since));
+          std::max(figures.faults_in_force_ms_most, ToMilliseconds(acting->at - since));
     }
-    // Those that came back, until they were level with what had been told by then.
-    for (auto up = of.begin(); up != of.end(); ++up) {
-      if (up->what != What::kUp || up == of.begin()) {
+    // Restarted members are timed until they act on the last change confirmed before their start.
+    for (auto start = member_lines.begin(); start != member_lines.end(); ++start) {
+      if (start->what != What::kUp || start == member_lines.begin()) {
         continue;
       }
       ++figures.returned;
-      uint64_t told = 0;
-      for (const ToldChange& c : changes) {
-        if (c.done <= up->at) {
-          told = std::max(told, c.version);
+      uint64_t confirmed_version = 0;
+      for (const ToldChange& change : changes) {
+        if (change.done <= start->at) {
+          confirmed_version = std::max(confirmed_version, change.version);
         }
       }
-      const auto level =
-          std::find_if(up, of.end(), [&](const HollowLine& l) { return Acts(l, told); });
-      if (level != of.end()) {
-        figures.level_ms_most = std::max(figures.level_ms_most, Ms(level->at - up->at));
+      const auto up_to_date = std::find_if(start, member_lines.end(), [&](const HollowLine& line) {
+        return ActsOn(line, confirmed_version);
+      });
+      if (up_to_date != member_lines.end()) {
+        figures.level_ms_most =
+            std::max(figures.level_ms_most, ToMilliseconds(up_to_date->at - start->at));
       }
     }
-    JudgeContradictions(m, of, first, terms, figures, breaks);
+    JudgeContradictions(member, member_lines, first_acted, terms, figures, add_broken);
   }
-  std::vector<double> told;
-  for (const ToldChange& c : changes) {
-    if (c.submitted >= terms.from && c.submitted < terms.faults) {
-      told.push_back(Ms(c.done - c.submitted));
+  std::vector<double> confirmed_ms;
+  for (const ToldChange& change : changes) {
+    if (change.submitted >= terms.from && change.submitted < terms.faults) {
+      confirmed_ms.push_back(ToMilliseconds(change.done - change.submitted));
     }
   }
-  figures.told_ms_p50 = At(told, 0.5);
-  figures.told_ms_p99 = At(told, 0.99);
-  figures.told_ms_most = At(told, 1);
-  figures.in_force_ms_p50 = At(in_force, 0.5);
-  figures.in_force_ms_p99 = At(in_force, 0.99);
-  figures.in_force_ms_most = At(in_force, 1);
+  figures.told_ms_p50 = QuantileOf(confirmed_ms, 0.5);
+  figures.told_ms_p99 = QuantileOf(confirmed_ms, 0.99);
+  figures.told_ms_most = QuantileOf(confirmed_ms, 1);
+  figures.in_force_ms_p50 = QuantileOf(in_force_ms, 0.5);
+  figures.in_force_ms_p99 = QuantileOf(in_force_ms, 0.99);
+  figures.in_force_ms_most = QuantileOf(in_force_ms, 1);
 }
 
 }  // namespace paddlestile::lab
