--- a/src/lab/cluster_experiment.cpp
+++ b/src/lab/cluster_experiment.cpp
@@ -933,31 +933,29 @@
   figures.gateway = FiguresOfRole(idle_begin_, idle_end_, false, false);
   const double idle_s = static_cast<double>((idle_end_.at - idle_begin_.at).count()) / 1e6;
   if (figures.hollow > 0 && idle_s > 0) {
-    const auto simulated_members = static_cast<double>(figures.hollow);
+    const auto hollow = static_cast<double>(figures.hollow);
     figures.hollow_cpu_core =
-        (idle_end_.hollow_cpu_us - idle_begin_.hollow_cpu_us) / 1e6 / idle_s / simulated_members;
-    for (const SimulatedProcess& simulated_process : simulated_processes_) {
-      figures.hollow_rss_mb += static_cast<double>(simulated_process.process->Measure().rss_kb) /
-                               1024 / simulated_members;
+        (idle_end_.hollow_cpu_us - idle_begin_.hollow_cpu_us) / 1e6 / idle_s / hollow;
+    for (const SimulatedProcess& child : simulated_processes_) {
+      figures.hollow_rss_mb += static_cast<double>(child.process->Measure().rss_kb) / 1024 / hollow;
     }
   }
   std::vector<SimulatedMemberRecord> lines;
-  for (SimulatedProcess& simulated_process : simulated_processes_) {
-    if (const auto code = simulated_process.process->ExitCode()) {
-      figures.broken.push_back(fmt::format("scale: members {} to {} ended with {}: {}",
-                                           simulated_process.first,
-                                           simulated_process.first + simulated_process.count - 1,
-                                           *code, TailOf(simulated_process.log, 3)));
+  for (SimulatedProcess& child : simulated_processes_) {
+    if (const auto code = child.process->ExitCode()) {
+      figures.broken.push_back(fmt::format("scale: members {} to {} ended with {}: {}", child.first,
+                                           child.first + child.count - 1, *code,
+                                           TailOf(child.log, 3)));
     }
-    simulated_process.process->Signal(SIGCONT);
-    simulated_process.process->Signal(SIGTERM);
+    child.process->Signal(SIGCONT);
+    child.process->Signal(SIGTERM);
   }
-  for (SimulatedProcess& simulated_process : simulated_processes_) {
+  for (SimulatedProcess& child : simulated_processes_) {
     const Duration until = MonotonicNow() + kExitTimeout;
-    while (!simulated_process.process->ExitCode() && MonotonicNow() < until) {
+    while (!child.process->ExitCode() && MonotonicNow() < until) {
       loop_.RunOnce(kExitPollInterval);
     }
-    std::ifstream record_file(simulated_process.record_file);
+    std::ifstream record_file(child.record_file);
     for (std::string text; std::getline(record_file, text);) {
       if (const auto line = ParseSimulatedMemberRecord(text)) {
         lines.push_back(*line);
@@ -966,15 +964,13 @@
       }
     }
   }
-  // Converts the experiment's time to MonotonicNow().
-  const Duration zero = MonotonicNow() - Now();
+  const Duration zero = MonotonicNow() - Now();  // converts the experiment's time to MonotonicNow()
   std::vector<ToldChange> changes;
   Time last_acknowledged_at{0};
-  for (const ClusterInvariantChecker::AcknowledgedChange& acknowledged :
+  for (const ClusterInvariantChecker::AcknowledgedChange& change :
        invariants_.acknowledged_changes()) {
-    changes.push_back(
-        {acknowledged.submitted + zero, acknowledged.acknowledged_at + zero, acknowledged.version});
-    last_acknowledged_at = std::max(last_acknowledged_at, acknowledged.acknowledged_at);
+    changes.push_back({change.submitted + zero, change.acknowledged_at + zero, change.version});
+    last_acknowledged_at = std::max(last_acknowledged_at, change.acknowledged_at);
   }
   figures.changes = changes.size();
   HollowTerms limits;
@@ -991,11 +987,9 @@
     limits.stalled = experiment_.cluster.simulated_member_stall;
   }
   JudgeHollow(std::move(lines), changes, limits, figures);
-  // A gateway counts as acting on the last version if hosts received requests from it since. That
-  // it sends to no excluded host is checked by the invariants.
   for (size_t i = 0; i < experiment_.gateway.count; ++i) {
     if (last_receipt_[i] > last_acknowledged_at) {
-      ++figures.members_in_force;
+      ++figures.members_in_force;  // the invariants check that it sends to no excluded host
     } else {
       figures.broken.push_back(fmt::format(
           "scale: level: no host received a request from gateway {} after the last change", i));
@@ -1009,8 +1003,8 @@
   const auto others = static_cast<double>(figures.members - 1);
   const double before = within(changes_begin_, changes_end_),
                after = within(changes_end_, run_end_);
-  if (const double sent = LeaderBytesSent(changes_begin_, changes_end_); sent > 0 && before > 0) {
-    figures.change_bytes_each = sent / before / others;
+  if (const double out = LeaderBytesSent(changes_begin_, changes_end_); out > 0 && before > 0) {
+    figures.change_bytes_each = out / before / others;
   }
   const RoleFigures changing = FiguresOfRole(changes_begin_, changes_end_, false, false);
   if (figures.gateway.processes > 0 && changing.processes > 0 && before > 0) {
@@ -1018,9 +1012,8 @@
     figures.change_cpu_ms =
         std::max(0.0, changing.cpu_core - figures.gateway.cpu_core) * seconds * 1000 / before;
   }
-  if (const double sent = LeaderBytesSent(changes_end_, run_end_);
-      sent > 0 && figures.returned > 0) {
-    figures.return_bytes_each = std::max(0.0, sent - after * others * figures.change_bytes_each) /
+  if (const double out = LeaderBytesSent(changes_end_, run_end_); out > 0 && figures.returned > 0) {
+    figures.return_bytes_each = std::max(0.0, out - after * others * figures.change_bytes_each) /
                                 static_cast<double>(figures.returned);
   }
   return figures;
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -46,62 +46,57 @@
   }
   const size_t real = options.real.value_or(std::min(options.members, kDefaultRealMembers));
   if (real < kScaleVoters || real > options.members) {
-    throw ExperimentError(
-        fmt::format("--real {}: expected at least the {} voters and no more than --members {}",
-                    real, kScaleVoters, options.members));
+    throw ExperimentError(fmt::format("--real {}: expected {} voters or more, up to --members {}",
+                                      real, kScaleVoters, options.members));
   }
   if (real > kMaxRealMembers) {
-    throw ExperimentError(fmt::format("--real {}: expected at most {}, for 200 processes in all",
-                                      real, kMaxRealMembers));
+    throw ExperimentError(fmt::format("--real {}: max {} (200 processes)", real, kMaxRealMembers));
   }
   const size_t hollow = options.members - real;
   const double estimated_mb =
       static_cast<double>(real) * kRealMemberMb + static_cast<double>(hollow) * kHollowMemberMb;
   if (estimated_mb > HalfOfMemoryMb()) {
     throw ExperimentError(fmt::format(
-        "--members {}: needs about {:.0f} MB, expected no more than half of the machine's "
-        "memory, {:.0f} MB",
+        "--members {}: needs {:.0f} MB, expected at most half of the machine's memory, {:.0f} MB",
         options.members, estimated_mb, HalfOfMemoryMb()));
   }
-  rlimit descriptor_limit{};
-  getrlimit(RLIMIT_NOFILE, &descriptor_limit);
-  if (options.members + 200 > descriptor_limit.rlim_max) {
+  rlimit limit{};
+  getrlimit(RLIMIT_NOFILE, &limit);
+  if (options.members + 200 > limit.rlim_max) {
     throw ExperimentError(fmt::format(
         "--members {}: a voter would hold as many descriptors, expected {} at most by ulimit -n",
-        options.members,
-        descriptor_limit.rlim_max - std::min<rlim_t>(200, descriptor_limit.rlim_max)));
+        options.members, limit.rlim_max - std::min<rlim_t>(200, limit.rlim_max)));
   }
-  Experiment experiment;
-  experiment.name = fmt::format("scale-{}", options.members);
-  experiment.about =
-      fmt::format("{} members of a cluster, {} of them hollow", options.members, hollow);
-  experiment.seed = options.seed;
-  experiment.length = FromSeconds(options.seconds);
-  experiment.zones = {"a"};
-  experiment.kinds = {"std"};
+  Experiment scale;
+  scale.name = fmt::format("scale-{}", options.members);
+  scale.about = fmt::format("{} members of a cluster, {} of them hollow", options.members, hollow);
+  scale.seed = options.seed;
+  scale.length = FromSeconds(options.seconds);
+  scale.zones = {"a"};
+  scale.kinds = {"std"};
   HostGroup hosts;
   hosts.name = "std";
   hosts.count = options.hosts;
-  experiment.hosts = {hosts};
+  scale.hosts = {hosts};
   ClassSpec read_class;
   read_class.name = "read";
   read_class.rules.latency_objective = FromSeconds(0.4);
   read_class.rules.deadline = FromSeconds(1.5);
   read_class.work_ms = {2, 6};
   read_class.wait_ms = {1, 5};
-  experiment.classes = {read_class};
+  scale.classes = {read_class};
   if (options.tenants > 0) {
-    experiment.tenants = {{"t-000000", 1}};
+    scale.tenants = {{"t-000000", 1}};
   }
-  experiment.load.rate = {{Duration(0), options.rate}};
-  experiment.load.max_retries = 2;
-  experiment.gateway.count = real;
-  experiment.gateway.sockets = std::max<size_t>(1024, options.members + 512);
+  scale.load.rate = {{Duration(0), options.rate}};
+  scale.load.max_retries = 2;
+  scale.gateway.count = real;
+  scale.gateway.sockets = std::max<size_t>(1024, options.members + 512);
   if (!options.bank) {
-    experiment.about = fmt::format("{} gateways without a cluster", real);
-    return experiment;
+    scale.about = fmt::format("{} gateways without a cluster", real);
+    return scale;
   }
-  ClusterSpec& cluster = experiment.cluster;
+  ClusterSpec& cluster = scale.cluster;
   cluster.enabled = cluster.measured = true;
   cluster.voters = kScaleVoters;
   cluster.uses_delta_changes = options.deltas;
@@ -119,20 +114,18 @@
     cluster.stalls_simulated_members = hollow >= 10;
     cluster.simulated_member_stall = FromSeconds(options.stall_ms / 1000);
     cluster.simulated_member_read_bytes_per_s = options.read_bytes_per_s;
-    // The members that are stopped last need time to act on the last change.
-    const double last_fault_seconds =
+    const double last_fault_s =
         ToSeconds(kSimulatedMemberFaultDuration + 2 * cluster.simulated_member_stall) +
-        kStallCatchUpSeconds;
-    const double min_seconds =
-        last_fault_seconds / (1 - kQuietShare - (1 - kQuietShare) * kFaultFreeShare);
-    if (cluster.stalls_simulated_members && options.seconds < min_seconds) {
+        kStallCatchUpSeconds;  // for the members stopped last to act on the last change
+    const double min_s = last_fault_s / (1 - kQuietShare - (1 - kQuietShare) * kFaultFreeShare);
+    if (cluster.stalls_simulated_members && options.seconds < min_s) {
       throw ExperimentError(
           fmt::format("--stall-ms {}: expected --seconds {:.0f} or more, for all "
                       "to be level behind the last stop",
-                      options.stall_ms, std::ceil(min_seconds)));
+                      options.stall_ms, std::ceil(min_s)));
     }
   } else {
-    cluster.simulated_member_faults_at = experiment.length - kCatchUpTime;
+    cluster.simulated_member_faults_at = scale.length - kCatchUpTime;
   }
   if (options.leader_dies) {
     Fault leader_kill;
@@ -141,9 +134,9 @@
     leader_kill.at = cluster.simulated_member_faults_at + FromSeconds(0.5);
     leader_kill.downtime = FromSeconds(2);
     leader_kill.gateway = 0;  // the gateway that started the cluster
-    experiment.faults.push_back(leader_kill);
+    scale.faults.push_back(leader_kill);
   }
-  return experiment;
+  return scale;
 }
 
 std::string ScaleText(const Result& result) {
